--- a/crates/rockflow-rig/src/cost.rs
+++ b/crates/rockflow-benchmarks/src/cost.rs
@@ -3,8 +3,8 @@
 
 use crate::process::Dispatcher;
 use crate::Rows;
-use rockflow_processes::Usage;
-use rockflow_stand_ins::{Load, Site};
+use rockflow_process_harness::Usage;
+use rockflow_test_servers::{Load, Site};
 use rockflow_yang::Schema;
 use serde_json::json;
 use std::path::PathBuf;
--- a/crates/rockflow-rig/src/drains.rs
+++ b/crates/rockflow-benchmarks/src/drains.rs
@@ -1,9 +1,9 @@
-//! Drains under a burst: how long after the reply the last new leg reached the drained cache.
+//! Drains under a burst: how long after the reply the last new attempt reached the drained cache.
 
 use crate::process::Dispatcher;
 use crate::Rows;
-use rockflow_manage::{gnmi, netconf, Trouble};
-use rockflow_stand_ins::{Load, Site};
+use rockflow_management_client::{gnmi, netconf, Trouble};
+use rockflow_test_servers::{Load, Site};
 use rockflow_yang::Schema;
 use serde_json::json;
 use std::path::Path;
@@ -59,7 +59,7 @@
         };
         let load = Load::start(dispatcher.address, clients, Duration::ZERO, 7);
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let (mut last, mut took, mut legs) = (Vec::new(), Vec::new(), 0);
+        let (mut last, mut took, mut attempts) = (Vec::new(), Vec::new(), 0);
         for number in 0..drains {
             let host = format!("c{}", 1 + number % CACHES);
             let cache = &site.hosts[&host];
@@ -69,9 +69,10 @@
             let replied = Instant::now();
             took.push(replied - asked);
             tokio::time::sleep(SETTLE).await;
-            let late = cache.take().into_iter().filter_map(|leg| leg.at.checked_duration_since(replied));
+            let late =
+                cache.take().into_iter().filter_map(|attempt| attempt.at.checked_duration_since(replied));
             let late: Vec<Duration> = late.collect();
-            legs += late.len();
+            attempts += late.len();
             let greatest = late.into_iter().max().unwrap_or_default();
             rows.write(&json!({"protocol": name, "drain": number, "last_us": greatest.as_micros() as u64,
                 "took_us": (replied - asked).as_micros() as u64}));
@@ -86,7 +87,7 @@
             all[((all.len() as f64 * share).ceil() as usize - 1).min(all.len() - 1)]
         };
         println!(
-            "| {name} | {legs} | {:.1?} | {:.1?} | {:.1?} | {:.1?} | {} | {} | {} | {} |",
+            "| {name} | {attempts} | {:.1?} | {:.1?} | {:.1?} | {:.1?} | {} | {} | {} | {} |",
             at(&last, 0.5),
             at(&last, 0.99),
             at(&last, 1.0),
--- a/crates/rockflow-rig/src/main.rs
+++ b/crates/rockflow-benchmarks/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "rockflow-rig")]
+#[command(name = "rockflow-benchmarks")]
 struct Line {
     /// The program that is measured
     #[arg(long, default_value = "target/release/rockflow", global = true)]
@@ -25,7 +25,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// How long after a drain's reply the last leg goes to the drained cache, over NETCONF and gNMI
+    /// How long after a drain's reply the last attempt goes to the drained cache, over NETCONF and gNMI
     Drains {
         #[arg(long, default_value_t = 200)]
         drains: usize,
--- a/crates/rockflow-rig/src/process.rs
+++ b/crates/rockflow-benchmarks/src/process.rs
@@ -1,8 +1,8 @@
 //! A dispatcher as a process of its own among stand-ins, so that what it holds is its own.
 
-use rockflow_manage::{gnmi, netconf};
-use rockflow_processes::{free_tcp, Process, Start, Usage};
-use rockflow_stand_ins::{keys, Site};
+use rockflow_management_client::{gnmi, netconf};
+use rockflow_process_harness::{free_tcp, Process, Start, Usage};
+use rockflow_test_servers::{keys, Site};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/beside.rs
@@ -1,4 +1,4 @@
-//! What runs beside the queries, by the operator's file: management, and dissemination. A program that is built without
+//! What runs beside the requests, by the operator's file: management, and dissemination. A program that is built without
 //! one of them refuses a file with its sections, so that nobody takes it for heeded.
 
 #[cfg_attr(not(feature = "dissemination"), path = "beside/no_dissemination.rs")]
@@ -8,7 +8,7 @@
 
 use dissemination::Carried;
 use rockflow_dispatcher::{Clock, Service, Told};
-use rockflow_operator_file::{self as file, OperatorFile};
+use rockflow_operator_config::{self as file, OperatorFile};
 use std::path::PathBuf;
 
 /// Sets the log's level while running; none: as the program was started.
--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -2,13 +2,13 @@
 
 mod unjudged;
 
-use rockflow::interface::{GroupId, ObjectId, Readiness};
+use rockflow::{GroupId, ObjectId, Readiness};
 use rockflow_dispatcher::{Link, Purge, Told};
 use rockflow_dissemination as node;
 use rockflow_dissemination::{EntryId, Out, Ticket, Wanted};
-use rockflow_link::dissemination::{self as carrier, Bounds, WeakLink, Word};
-use rockflow_operator_file::{DisseminationPart, OperatorFile};
-use rockflow_roster::{Mark, Marks, Refused};
+use rockflow_endpoints::{Mark, Marks, Refused};
+use rockflow_operator_config::{DisseminationPart, OperatorFile};
+use rockflow_transport::dissemination::{self as carrier, Bounds, WeakLink, Word};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -30,7 +30,7 @@
 /// A member's; none: the operator's file has no such section.
 pub fn plan(file: &OperatorFile, told: &Told) -> Result<Option<Plan>, String> {
     let Some(part) = &file.dissemination else { return Ok(None) };
-    let binds = told.facts.deployment.purge_done;
+    let binds = told.facts.deployment.purge_window;
     if binds > part.purge_window {
         return Err(format!(
             "[dissemination] purge-seconds: {} is shorter than the {} s that a purge binds by the settings",
--- a/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
+++ b/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
@@ -1,12 +1,12 @@
 //! Settings that the list of hosts has not judged yet. Decides; does no I/O.
 
 use rockflow_dissemination::{EntryId, Ticket};
-use rockflow_roster::Refused;
+use rockflow_endpoints::Refused;
 use std::collections::BTreeMap;
 
 /// Settings that may wait to be judged: four times as many as marks are held. One more is refused, and the machine gives it
 /// again with the next change.
-pub const MOST_UNJUDGED: usize = 16_384;
+pub const MAX_UNJUDGED: usize = 16_384;
 
 /// By the ticket under which they were given, so that those of a ticket that nobody is told of are judged with the next.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
 impl Unjudged {
     /// Takes what has changed under this ticket; what finds no place comes back.
     pub fn give(&mut self, ticket: Ticket, mut changed: Vec<(EntryId, String)>) -> Vec<(EntryId, String)> {
-        let beyond = changed.split_off(changed.len().min(MOST_UNJUDGED - self.count));
+        let beyond = changed.split_off(changed.len().min(MAX_UNJUDGED - self.count));
         self.count += changed.len();
         if !changed.is_empty() {
             self.waiting.entry(ticket).or_default().extend(changed);
--- a/crates/rockflow-cli/src/beside/management.rs
+++ b/crates/rockflow-cli/src/beside/management.rs
@@ -1,10 +1,10 @@
 //! Management beside a dispatcher.
 
 use super::SetLevel;
-use rockflow_agent::Agent;
 use rockflow_dispatcher::{Clock, Service};
-use rockflow_operator_file::OperatorFile;
-use rockflow_roster::Marks;
+use rockflow_endpoints::Marks;
+use rockflow_management_agent::Agent;
+use rockflow_operator_config::OperatorFile;
 
 pub const BUILT: bool = true;
 
--- a/crates/rockflow-cli/src/beside/no_dissemination.rs
+++ b/crates/rockflow-cli/src/beside/no_dissemination.rs
@@ -1,7 +1,7 @@
 //! In place of dissemination where the program is built without it.
 
 use rockflow_dispatcher::{Link, Told};
-use rockflow_operator_file::OperatorFile;
+use rockflow_operator_config::OperatorFile;
 
 pub const BUILT: bool = false;
 
--- a/crates/rockflow-cli/src/beside/no_management.rs
+++ b/crates/rockflow-cli/src/beside/no_management.rs
@@ -2,8 +2,8 @@
 
 use super::SetLevel;
 use rockflow_dispatcher::{Clock, Service};
-use rockflow_operator_file::OperatorFile;
-use rockflow_roster::Marks;
+use rockflow_endpoints::Marks;
+use rockflow_operator_config::OperatorFile;
 
 pub const BUILT: bool = false;
 
--- a/crates/rockflow-cli/src/control/marks.rs
+++ b/crates/rockflow-cli/src/control/marks.rs
@@ -1,7 +1,7 @@
 //! What of the operators' marks has been published, and what is to be. Decides; does no I/O.
 
 use rockflow_dissemination::Wanted;
-use rockflow_operator_file::Marked;
+use rockflow_operator_config::Marked;
 use std::collections::BTreeMap;
 
 pub type Marks = BTreeMap<String, Marked>;
--- a/crates/rockflow-cli/src/log.rs
+++ b/crates/rockflow-cli/src/log.rs
@@ -6,7 +6,7 @@
 use tracing_subscriber::fmt::writer::{MakeWriter, OptionalWriter};
 
 /// Enough for every host of a large list to be named at once.
-pub const MOST_LINES: usize = 500;
+pub const MAX_LINES: usize = 500;
 const SPAN: Duration = Duration::from_secs(1);
 
 struct Count {
--- a/crates/rockflow-cli/src/main.rs
+++ b/crates/rockflow-cli/src/main.rs
@@ -22,7 +22,7 @@
 use tracing_subscriber::{fmt, registry, reload, Registry};
 
 /// Lines that may wait for whoever reads the log; more are dropped.
-const MOST_LOG_LINES: usize = 4096;
+const MAX_LOG_LINES: usize = 4096;
 
 /// Decides where objects are served, kept and filled from, and serves them.
 #[derive(Parser)]
@@ -141,9 +141,9 @@
 
 /// Writes the log from a thread of its own, so that no coroutine waits for whoever reads it; ends with what is returned.
 fn log_to_stderr(level: tracing::Level) -> (WorkerGuard, reload::Handle<LevelFilter, Registry>) {
-    let log = NonBlockingBuilder::default().buffered_lines_limit(MOST_LOG_LINES);
+    let log = NonBlockingBuilder::default().buffered_lines_limit(MAX_LOG_LINES);
     let (log, guard) = log.finish(std::io::stderr());
-    let log = log::Bounded::new(log, log::MOST_LINES);
+    let log = log::Bounded::new(log, log::MAX_LINES);
     let (filter, level_of) = reload::Layer::new(LevelFilter::from_level(level));
     registry().with(filter).with(fmt::layer().with_writer(log).with_ansi(false)).init();
     (guard, level_of)
--- a/crates/rockflow-cli/src/manage/mod.rs
+++ b/crates/rockflow-cli/src/manage/mod.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Subcommand, ValueEnum};
 use output::Output;
 use peer::{Peer, Trust};
-use rockflow_manage::Trouble;
+use rockflow_management_client::Trouble;
 use rockflow_yang::{json, Schema};
 use serde_json::{json, Value};
 use std::path::PathBuf;
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -4,7 +4,7 @@
 use super::Over;
 use clap::Args;
 use rockflow_gnmi::wire;
-use rockflow_manage::{gnmi, netconf, Trouble};
+use rockflow_management_client::{gnmi, netconf, Trouble};
 use rockflow_netconf::xml::Element;
 use rockflow_yang::{data, json, Data, Fields, Path, Schema};
 use russh::keys::{PrivateKey, PublicKey};
--- a/crates/rockflow-cli/src/no_beside.rs
+++ b/crates/rockflow-cli/src/no_beside.rs
@@ -1,4 +1,4 @@
-//! In place of all that runs beside the queries where the program is built with none of it: an operator's file is refused,
+//! In place of all that runs beside the requests where the program is built with none of it: an operator's file is refused,
 //! so that nobody takes it for heeded.
 
 use rockflow_dispatcher::{Clock, Service, Told};
--- a/crates/rockflow-cli/tests/control_ends.rs
+++ b/crates/rockflow-cli/tests/control_ends.rs
@@ -1,7 +1,7 @@
 //! A control process whose machine is gone ends, and says so by its code: whoever starts it can start it again.
 #![cfg(all(feature = "dissemination", target_os = "linux", target_arch = "x86_64"))]
 
-use rockflow_stand_ins::Board;
+use rockflow_test_servers::Board;
 use serde_json::{json, Value};
 use std::io;
 use std::net::UdpSocket;
@@ -65,7 +65,7 @@
     // Safe: nothing is called there but the system.
     unsafe { command.pre_exec(no_wait_ends) };
     let mut process = command.spawn().unwrap();
-    let ended = rockflow_processes::until(PATIENCE, || process.try_wait().unwrap().is_some());
+    let ended = rockflow_process_harness::until(PATIENCE, || process.try_wait().unwrap().is_some());
     if !ended {
         process.kill().unwrap();
     }
--- a/crates/rockflow-cli/tests/control_marks.rs
+++ b/crates/rockflow-cli/tests/control_marks.rs
@@ -6,7 +6,7 @@
 
 use marks::{Marks, Published};
 use rockflow_dissemination::Wanted;
-use rockflow_operator_file::Marked;
+use rockflow_operator_config::Marked;
 
 fn marks(pairs: &[(&str, Marked)]) -> Marks {
     pairs.iter().map(|(host, mark)| (host.to_string(), *mark)).collect()
--- a/crates/rockflow-cli/tests/dissemination.rs
+++ b/crates/rockflow-cli/tests/dissemination.rs
@@ -1,8 +1,8 @@
 //! Real processes on loopback: a control process and dispatchers, by the operator's file.
 
-use rockflow_processes::{free_tcp, free_udp, thread_names, until, Signal, Start};
-use rockflow_stand_ins::board::Board;
-use rockflow_stand_ins::site::Site;
+use rockflow_process_harness::{free_tcp, free_udp, thread_names, until, Signal, Start};
+use rockflow_test_servers::board::Board;
+use rockflow_test_servers::site::Site;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -40,7 +40,7 @@
 }
 
 /// A process, whose log is beside its configuration.
-struct Process(rockflow_processes::Process);
+struct Process(rockflow_process_harness::Process);
 
 impl Process {
     fn start(arguments: &[&str], config: &Path, operator: Option<&PathBuf>) -> Process {
--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -5,9 +5,9 @@
 
 use rig::*;
 use rockflow_dissemination::{Directory, Identity, Incarnation, NodeId, Out, Peer};
-use rockflow_link::dissemination::{Bounds, Link, Plan, Word};
-use rockflow_processes::datagrams::{Path, Rule, Who};
-use rockflow_processes::until;
+use rockflow_process_harness::datagrams::{Path, Rule, Who};
+use rockflow_process_harness::until;
+use rockflow_transport::dissemination::{Bounds, Link, Plan, Word};
 use serde_json::json;
 use std::time::Duration;
 use test_case::test_case;
@@ -342,7 +342,7 @@
     (0..MEMBERS).for_each(|member| assert_eq!(rig.state(member, "c2", "Draining"), 1, "n{member}"));
     let tally = rig.fleet.proxy.tally();
     assert!(tally.lost > 0 && tally.doubled > 0 && tally.late > 0 && tally.over == 0, "{tally:?}");
-    assert!(rig.hosts.iter().all(|host| host.legs() > 0));
+    assert!(rig.hosts.iter().all(|host| host.attempts() > 0));
 }
 
 /// Clocks a minute apart: the board's is behind, or ahead.
--- a/crates/rockflow-cli/tests/dissemination_minutes.rs
+++ b/crates/rockflow-cli/tests/dissemination_minutes.rs
@@ -4,8 +4,8 @@
 mod rig;
 
 use rig::*;
-use rockflow_processes::datagrams::Who;
-use rockflow_processes::{until, Signal};
+use rockflow_process_harness::datagrams::Who;
+use rockflow_process_harness::{until, Signal};
 use std::time::{Duration, Instant};
 
 const MINUTE: Duration = Duration::from_secs(60);
--- a/crates/rockflow-cli/tests/operator.rs
+++ b/crates/rockflow-cli/tests/operator.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 fn check(text: &str) -> (Output, PathBuf) {
-    let name = format!("rockflow-operator-{}-{}.ini", std::process::id(), text.len());
+    let name = format!("rockflow-management-service-{}-{}.ini", std::process::id(), text.len());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).unwrap();
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
--- a/crates/rockflow-cli/tests/restarts.rs
+++ b/crates/rockflow-cli/tests/restarts.rs
@@ -1,6 +1,6 @@
 //! The program at its planned end and at its start: nothing that it has answered is lost with it, and it is ready in time.
 
-use rockflow_processes::{free_tcp, Process, Signal, Start};
+use rockflow_process_harness::{free_tcp, Process, Signal, Start};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -65,8 +65,8 @@
     BufReader::new(stream)
 }
 
-/// A program with one cache, a query that is open, and the host's end of the connection on which it is out.
-fn with_an_open_query(name: &str) -> (Running, TcpStream, BufReader<TcpStream>) {
+/// A program with one cache, a request that is open, and the host's end of the connection on which it is out.
+fn with_an_open_request(name: &str) -> (Running, TcpStream, BufReader<TcpStream>) {
     let host = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut told = example();
     told["known"]["notices"][0]["pool"]["instances"][0]["hostPort"] =
@@ -77,26 +77,26 @@
     client.set_read_timeout(Some(PATIENCE)).unwrap();
     let ask = "GET /invoke/pages/7f HTTP/1.1\r\nX-Call-Id: 00000000000000a1\r\nX-Group: 1\r\n";
     client.write_all(format!("{ask}X-Patience-Ms: 4000\r\n\r\n").as_bytes()).unwrap();
-    let mut leg = stream(host.accept().unwrap().0);
+    let mut attempt = stream(host.accept().unwrap().0);
     let mut line = String::new();
-    leg.read_line(&mut line).unwrap();
+    attempt.read_line(&mut line).unwrap();
     assert!(line.starts_with("want 00000000000000a1 "), "{line}");
-    (running, client, leg)
+    (running, client, attempt)
 }
 
-fn answer(leg: &mut BufReader<TcpStream>, body: &[u8]) {
+fn answer(attempt: &mut BufReader<TcpStream>, body: &[u8]) {
     let head = format!("00000000000000a1 data ver=t1 {}\r\n", body.len());
-    leg.get_mut().write_all(&[head.as_bytes(), body, b"\r\n"].concat()).unwrap();
+    attempt.get_mut().write_all(&[head.as_bytes(), body, b"\r\n"].concat()).unwrap();
 }
 
 /// The client reads only when the program has ended, and has sent more behind its request.
 #[test]
 fn the_last_answer_is_not_lost_with_the_program() {
-    let (mut running, mut client, mut leg) = with_an_open_query("last-answer");
+    let (mut running, mut client, mut attempt) = with_an_open_request("last-answer");
     client.write_all(&[b'x'; 100_000]).unwrap();
     running.signal(Signal::SIGTERM);
     let body = vec![b'y'; 200_000];
-    answer(&mut leg, &body);
+    answer(&mut attempt, &body);
     assert!(running.process.wait().unwrap().success());
     let mut got = Vec::new();
     client.read_to_end(&mut got).expect("the whole answer");
@@ -105,13 +105,13 @@
 
 #[test]
 fn a_second_sigterm_changes_nothing() {
-    let (mut running, mut client, mut leg) = with_an_open_query("second-term");
+    let (mut running, mut client, mut attempt) = with_an_open_request("second-term");
     running.signal(Signal::SIGTERM);
     running.signal(Signal::SIGTERM);
     std::thread::sleep(Duration::from_millis(50));
     running.signal(Signal::SIGTERM);
     running.signal(Signal::SIGINT);
-    answer(&mut leg, b"served");
+    answer(&mut attempt, b"served");
     let mut got = Vec::new();
     client.read_to_end(&mut got).unwrap();
     drop(client);
--- a/crates/rockflow-cli/tests/rig/mod.rs
+++ b/crates/rockflow-cli/tests/rig/mod.rs
@@ -4,10 +4,10 @@
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use rockflow_dissemination::{Directory, NodeId};
-use rockflow_processes::datagrams::{Path, Rule, RuleId, Who};
-use rockflow_processes::{until, Fleet, Layout, Place, Signal};
-use rockflow_stand_ins::keys::Folder;
-use rockflow_stand_ins::{Board, Host};
+use rockflow_process_harness::datagrams::{Path, Rule, RuleId, Who};
+use rockflow_process_harness::{until, Fleet, Layout, Place, Signal};
+use rockflow_test_servers::keys::Folder;
+use rockflow_test_servers::{Board, Host};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::ops::Range;
--- a/crates/rockflow-cli/tests/signals.rs
+++ b/crates/rockflow-cli/tests/signals.rs
@@ -1,6 +1,6 @@
 //! The program under signals: SIGHUP has the configuration read again, SIGTERM ends it with 0.
 
-use rockflow_processes::{Process, Signal, Start};
+use rockflow_process_harness::{Process, Signal, Start};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{TcpListener, TcpStream};
--- a/crates/rockflow-cli/tests/unjudged.rs
+++ b/crates/rockflow-cli/tests/unjudged.rs
@@ -5,9 +5,9 @@
 mod unjudged;
 
 use rockflow_dissemination::{ControlId, EntryId, Incarnation, Kind, Number, StreamId, Ticket};
-use rockflow_roster::Refused;
+use rockflow_endpoints::Refused;
 use std::collections::BTreeMap;
-use unjudged::{Unjudged, MOST_UNJUDGED};
+use unjudged::{Unjudged, MAX_UNJUDGED};
 
 fn entry(number: usize, host: &str) -> (EntryId, String) {
     let stream = StreamId { control: ControlId(0), incarnation: Incarnation(1), kind: Kind::Configuration };
@@ -37,11 +37,11 @@
 #[test]
 fn what_finds_no_place_comes_back() {
     let mut unjudged = Unjudged::default();
-    let all = |from: usize| (from..from + MOST_UNJUDGED - 1).map(|n| entry(n, "c1")).collect::<Vec<_>>();
+    let all = |from: usize| (from..from + MAX_UNJUDGED - 1).map(|n| entry(n, "c1")).collect::<Vec<_>>();
     assert!(unjudged.give(Ticket(1), all(0)).is_empty());
-    let back = unjudged.give(Ticket(2), all(MOST_UNJUDGED));
-    assert_eq!(back, all(MOST_UNJUDGED)[1..]);
-    assert_eq!(unjudged.judged(Ticket(1), &refused(&["c1"])).len(), MOST_UNJUDGED - 1);
+    let back = unjudged.give(Ticket(2), all(MAX_UNJUDGED));
+    assert_eq!(back, all(MAX_UNJUDGED)[1..]);
+    assert_eq!(unjudged.judged(Ticket(1), &refused(&["c1"])).len(), MAX_UNJUDGED - 1);
     assert!(unjudged.give(Ticket(3), all(0)).is_empty());
-    assert_eq!(unjudged.judged(Ticket(3), &refused(&["c1"])).len(), MOST_UNJUDGED);
+    assert_eq!(unjudged.judged(Ticket(3), &refused(&["c1"])).len(), MAX_UNJUDGED);
 }
--- a/crates/rockflow-schedules/src/lib.rs
+++ b/crates/rockflow-cluster-simulation/src/lib.rs
@@ -2,7 +2,7 @@
 //! off one way or both, frames that are lost, late, doubled and overtaken, clients that ask again elsewhere under the same
 //! id. The machine under test is the one that runs; what may never happen is counted by what hosts and clients saw.
 
-use rockflow_fleet::*;
+use rockflow_cluster::*;
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -92,8 +92,8 @@
             keepers,
             keep: KEEP,
             round_trip: TRIP,
-            most_kept: 10_000,
-            most_body: 64,
+            max_kept: 10_000,
+            max_body: 64,
         };
         let mut world = World {
             told,
@@ -182,8 +182,8 @@
                     process.clients.remove(&call);
                 }
                 Out::TakeOver { call, begun, .. } => {
-                    let leg = begun.len() as u16;
-                    let (_, outs) = process.fleet.begin(now, call, leg, u64::from(leg));
+                    let attempt = begun.len() as u16;
+                    let (_, outs) = process.fleet.begin(now, call, attempt, u64::from(attempt));
                     self.carry(now, at, outs);
                 }
                 Out::Joined { .. } | Out::Changed(_) | Out::Outlived { .. } => {}
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The leg reaches its host, which runs it and answers some time later.
+    /// The attempt reaches its host, which runs it and answers some time later.
     fn write(&mut self, now: Duration, at: usize, life: Life, call: CallId) {
         self.seen.runs.entry(call).or_default().push((at, now));
         let took = Duration::from_millis(5) + self.within(Duration::from_millis(60));
@@ -302,7 +302,7 @@
         if process.clients.contains(&call) {
             return;
         }
-        let subject = Subject { kind, product: 0, object: 1, part: 0, group: 0, size: 0 };
+        let subject = Subject { kind, class: 0, object: 1, part: 0, group: 0, size: 0 };
         process.clients.insert(call);
         self.seen.asked.entry(call).or_insert(now);
         if again {
--- a/crates/rockflow-schedules/src/main.rs
+++ b/crates/rockflow-cluster-simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays schedules of a fleet in virtual time and prints what they came to, as a table and as lines of JSON.
 
 use clap::Parser;
-use rockflow_schedules::{Faults, Row, Sum, ROUGH};
+use rockflow_cluster_simulation::{Faults, Row, Sum, ROUGH};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/rockflow-schedules/tests/schedules.rs
+++ b/crates/rockflow-cluster-simulation/tests/schedules.rs
@@ -1,6 +1,6 @@
 //! A short row of each kind, the same on every machine.
 
-use rockflow_schedules::{Row, World, CALM, ROUGH};
+use rockflow_cluster_simulation::{Row, World, CALM, ROUGH};
 use test_case::test_case;
 
 #[test]
--- a/crates/rockflow-fleet/src/fleet.rs
+++ b/crates/rockflow-cluster/src/fleet.rs
@@ -14,19 +14,19 @@
 /// What is not voted on is sent again after so many round trips, twice as late each time, up to the second.
 const AGAIN_TRIPS: (f64, f64) = (2.0, 16.0);
 /// How often the wait for a lesson is doubled at the most.
-const MOST_DOUBLED: u32 = 8;
+const MAX_DOUBLED: u32 = 8;
 /// Between the claims of a lost owner's keepers, each after the one before it in rank.
 const CLAIM_TRIPS: f64 = 8.0;
 /// Records of redoable calls leave together, after so many round trips: what ends before costs no frame.
 const BEHIND_TRIPS: f64 = 4.0;
-/// Calls of redoable queries that wait to be told at the most; more go untold.
-const MOST_BEHIND: usize = 4096;
+/// Calls of redoable requests that wait to be told at the most; more go untold.
+const MAX_BEHIND: usize = 4096;
 /// Answers given that are remembered here for who asks again.
-const MOST_DONE: usize = 4096;
+const MAX_DONE: usize = 4096;
 /// Calls in hand at the most; more go uncovered.
-const MOST_IN_HAND: usize = 16_384;
+const MAX_IN_HAND: usize = 16_384;
 /// Members that wait for one call's answer.
-const MOST_WAITING: usize = 16;
+const MAX_WAITING: usize = 16;
 
 /// What the machine has done or wants done.
 #[allow(clippy::large_enum_variant, reason = "the largest is the most frequent")]
@@ -36,17 +36,17 @@
         to: MemberId,
         message: Message,
     },
-    /// A majority knows of this leg: it may be written now, and not before.
+    /// A majority knows of this attempt: it may be written now, and not before.
     MayBegin {
         call: CallId,
-        leg: u16,
+        attempt: u16,
     },
     /// The final answer of a call in hand, to be given to its client.
     Final {
         call: CallId,
         answer: Answer,
     },
-    /// Another has the call: no leg of it is to begin here. Its final answer will come, or its time run out.
+    /// Another has the call: no attempt of it is to begin here. Its final answer will come, or its time run out.
     Joined {
         call: CallId,
     },
@@ -58,7 +58,7 @@
     Uncovered {
         call: CallId,
     },
-    /// The call of a lost owner is ours: to be decided as a query of our own, with what may have begun before.
+    /// The call of a lost owner is ours: to be decided as a request of our own, with what may have begun before.
     TakeOver {
         call: CallId,
         subject: Subject,
@@ -99,7 +99,7 @@
     /// The wait before what is not voted on is sent again.
     again: Duration,
     /// What this dispatcher is told of the step that is out.
-    leg: Option<u16>,
+    attempt: Option<u16>,
     claims: u32,
 }
 
@@ -192,8 +192,8 @@
         outs
     }
 
-    /// A query was taken here under this id, and its client waits until then. What may run twice is told behind;
-    /// for the rest nothing is sent before its first leg.
+    /// A request was taken here under this id, and its client waits until then. What may run twice is told behind;
+    /// for the rest nothing is sent before its first attempt.
     pub fn taken(&mut self, now: Duration, call: CallId, subject: Subject, ends: Duration) -> Vec<Out> {
         let mut outs = Vec::new();
         if let Some((answer, _)) = self.done.get(&call) {
@@ -211,13 +211,13 @@
             return outs;
         }
         if !subject.kind.covered() {
-            if self.behind.len() < MOST_BEHIND {
+            if self.behind.len() < MAX_BEHIND {
                 if self.behind.is_empty() {
                     self.at(now + self.trips(BEHIND_TRIPS), Due::Behind);
                 }
                 self.behind.insert(call, (subject, ends));
             }
-        } else if self.hand.len() < MOST_IN_HAND {
+        } else if self.hand.len() < MAX_IN_HAND {
             self.ballots += 1;
             let holding = Holding::take(&self.told, call, subject, self.seat, self.ballots);
             self.hold(now, holding, ends, true);
@@ -225,16 +225,16 @@
         outs
     }
 
-    /// A leg is wanted. True: it may be written at once; else `MayBegin` comes first, or another word on the call.
-    pub fn begin(&mut self, now: Duration, call: CallId, leg: u16, host: u64) -> (bool, Vec<Out>) {
+    /// An attempt is wanted. True: it may be written at once; else `MayBegin` comes first, or another word on the call.
+    pub fn begin(&mut self, now: Duration, call: CallId, attempt: u16, host: u64) -> (bool, Vec<Out>) {
         let mut outs = Vec::new();
         let Some(held) = self.hand.get_mut(&call) else { return (true, outs) };
         if *held.holding.phase() != Phase::Owning {
             outs.push(Out::Joined { call });
             return (false, outs);
         }
-        held.holding.begin(leg, host);
-        held.leg = Some(leg);
+        held.holding.begin(attempt, host);
+        held.attempt = Some(attempt);
         self.counts.covered += 1;
         self.say(now, call, &mut outs);
         (false, outs)
@@ -254,7 +254,7 @@
             if *held.holding.phase() != Phase::Owning {
                 return (false, outs);
             }
-            let body = answer.body.filter(|body| body.len() <= self.told.most_body);
+            let body = answer.body.filter(|body| body.len() <= self.told.max_body);
             held.holding.end(Answer { body, ..answer });
             self.say(now, call, &mut outs);
             return (false, outs);
@@ -406,7 +406,7 @@
     fn hold(&mut self, now: Duration, holding: Holding, ends: Duration, client: bool) {
         let (call, again) = (holding.call, self.trips(AGAIN_TRIPS.0));
         let waiting = self.hand.remove(&call).map(|before| before.waiting).unwrap_or_default();
-        let held = InHand { holding, ends, client, waiting, again, leg: None, claims: 0 };
+        let held = InHand { holding, ends, client, waiting, again, attempt: None, claims: 0 };
         self.hand.insert(call, held);
         self.at(now + again, Due::Again(call));
     }
@@ -513,7 +513,7 @@
         self.claim(now, call, subject, above, ends, outs);
     }
 
-    /// With a ballot above another's; `ends`: when the query itself does, unless that is known here already. Nothing is
+    /// With a ballot above another's; `ends`: when the request itself does, unless that is known here already. Nothing is
     /// run after it.
     fn claim(
         &mut self,
@@ -542,7 +542,7 @@
         let Some(held) = self.hand.get_mut(&call) else { return };
         if held.ends <= now {
             let held = self.hand.remove(&call).expect("looked up above");
-            if held.client && held.leg.is_none() {
+            if held.client && held.attempt.is_none() {
                 outs.push(Out::Uncovered { call });
             }
             return;
@@ -588,7 +588,7 @@
         self.lessons += 1;
         let (seat, no) = (self.seat, self.lessons);
         outs.extend(wanted.into_iter().map(|to| Out::Send { to, message: Message::Learn { seat, no } }));
-        let doubled = 2_u32.pow(self.lessons.min(MOST_DOUBLED));
+        let doubled = 2_u32.pow(self.lessons.min(MAX_DOUBLED));
         self.at(now + self.trips(AGAIN_TRIPS.0) * doubled, Due::Learn);
     }
 
@@ -601,7 +601,7 @@
         let Some(held) = self.hand.get_mut(&call) else { return };
         match news {
             None => {}
-            Some(News::MayBegin(begun)) => outs.push(Out::MayBegin { call, leg: begun.leg }),
+            Some(News::MayBegin(begun)) => outs.push(Out::MayBegin { call, attempt: begun.attempt }),
             Some(News::MayAnswer(answer)) => self.finish(now, call, answer, outs),
             Some(News::Other) => {
                 self.hand.remove(&call);
@@ -671,7 +671,7 @@
     fn finish(&mut self, now: Duration, call: CallId, answer: Answer, outs: &mut Vec<Out>) {
         let Some(held) = self.hand.remove(&call) else { return };
         let until = now + self.told.keep;
-        while self.done.len() >= MOST_DONE {
+        while self.done.len() >= MAX_DONE {
             let Some((at, oldest)) = self.done_order.pop_first() else { break };
             debug_assert!(at <= until);
             self.done.remove(&oldest);
@@ -707,7 +707,7 @@
         let Some(held) = self.hand.get_mut(&call).filter(|held| held.holding.subject == subject) else {
             return;
         };
-        if held.waiting.len() < MOST_WAITING {
+        if held.waiting.len() < MAX_WAITING {
             held.waiting.insert(from.member);
         }
         // Guards against two that wait for each other: each kept the other from a majority. One of them claims.
--- a/crates/rockflow-fleet/src/holding.rs
+++ b/crates/rockflow-cluster/src/holding.rs
@@ -24,7 +24,7 @@
 pub enum News {
     /// A majority has promised, or holds the call as ours: what was done before us.
     Owned(Content),
-    /// A majority of the keepers knows of this leg: it may be written.
+    /// A majority of the keepers knows of this attempt: it may be written.
     MayBegin(Begun),
     /// A majority holds the final answer: it may be given.
     MayAnswer(Answer),
@@ -108,9 +108,9 @@
         self.covered
     }
 
-    /// A leg to this host is to be written, as soon as a majority knows.
-    pub fn begin(&mut self, leg: u16, host: u64) {
-        let begun = Begun { ballot: self.ballot, leg, host };
+    /// An attempt to this host is to be written, as soon as a majority knows.
+    pub fn begin(&mut self, attempt: u16, host: u64) {
+        let begun = Begun { ballot: self.ballot, attempt, host };
         self.content.begun.push(begun);
         self.want(Wants::Begin(begun));
     }
--- a/crates/rockflow-fleet/src/keeper.rs
+++ b/crates/rockflow-cluster/src/keeper.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Records in one lesson.
-pub const MOST_TAUGHT: usize = 4;
+pub const MAX_TAUGHT: usize = 4;
 
 /// What a life knows of its own memory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record {
     kept: Kept,
-    /// When the query itself ends, as far as is known here.
+    /// When the request itself ends, as far as is known here.
     ends: Duration,
     runs_out: Duration,
 }
@@ -55,7 +55,7 @@
             seat,
             width: told.width(),
             majority: told.majority(),
-            most: told.most_kept,
+            most: told.max_kept,
             keep: told.keep,
             memory: Memory::Regained { from: BTreeMap::new(), parts: BTreeMap::new(), until },
             kept: BTreeMap::new(),
@@ -81,7 +81,7 @@
         self.kept.get(&call).map(|record| &record.kept)
     }
 
-    /// When the query of a record ends, as far as is known here.
+    /// When the request of a record ends, as far as is known here.
     pub fn ends(&self, call: CallId) -> Option<Duration> {
         self.kept.get(&call).map(|record| record.ends)
     }
@@ -246,9 +246,9 @@
             keeps: record.runs_out.saturating_sub(now),
         };
         let records: Vec<_> = hers.map(record).collect();
-        let (parts, by) = (records.len().div_ceil(MOST_TAUGHT).max(1) as u16, self.taught_by(told));
+        let (parts, by) = (records.len().div_ceil(MAX_TAUGHT).max(1) as u16, self.taught_by(told));
         let lesson = |part: u16| {
-            let of = records.iter().skip(usize::from(part) * MOST_TAUGHT).take(MOST_TAUGHT);
+            let of = records.iter().skip(usize::from(part) * MAX_TAUGHT).take(MAX_TAUGHT);
             Lesson { seat: learner, no, part, parts, by: by.clone(), records: of.cloned().collect() }
         };
         (0..parts).map(lesson).collect()
--- a/crates/rockflow-fleet/src/lib.rs
+++ b/crates/rockflow-cluster/src/lib.rs
@@ -1,7 +1,7 @@
 //! Dispatchers that know of each other, without I/O: who is a member, who holds which call, what its keepers know of it,
 //! and who ends it when its owner is lost. Time comes with each call, as a span since the start of the caller's clock.
 //!
-//! What must never happen does not rest on clocks: an irreversible query is never run twice and no call gets two
+//! What must never happen does not rest on clocks: an irreversible request is never run twice and no call gets two
 //! different final answers, whatever is lost, late, doubled, stopped or restarted with nothing. Time decides only how
 //! soon somebody else takes over, and how long a record lasts.
 //!
--- a/crates/rockflow-fleet/src/membership.rs
+++ b/crates/rockflow-cluster/src/membership.rs
@@ -29,9 +29,9 @@
 /// With nothing heard of anybody for so many periods it may be I who am cut off.
 const SILENT_PERIODS: u32 = 8;
 /// Timers that are out at the most; more are a fault, and the oldest are kept.
-const MOST_TIMERS: usize = 4096;
+const MAX_TIMERS: usize = 4096;
 /// Bytes of one datagram of membership.
-const MOST_BYTES: usize = 1100;
+const MAX_BYTES: usize = 1100;
 
 /// A seat, and how often that life has come back after being declared lost: to come back is not to forget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -296,7 +296,7 @@
                 // A whole period went by as it should.
                 self.be(self.health.saturating_sub(u32::from(self.next.is_multiple_of(4))));
             }
-            if self.events.len() < MOST_TIMERS {
+            if self.events.len() < MAX_TIMERS {
                 self.next += 1;
                 self.timers.push(Reverse((now + after, self.next)));
                 self.events.insert(self.next, event);
@@ -361,7 +361,7 @@
         max_transmissions: NonZeroU8::new(spread.max(5)).expect("five at least"),
         suspect_to_down_after: period * SUSPECT_PERIODS * (1 + health),
         remove_down_after: None,
-        max_packet_size: some(MOST_BYTES),
+        max_packet_size: some(MAX_BYTES),
         notify_down_members: true,
         periodic_announce: every(ANNOUNCE_PERIODS),
         periodic_announce_to_down_members: every(ANNOUNCE_PERIODS),
--- a/crates/rockflow-fleet/src/messages.rs
+++ b/crates/rockflow-cluster/src/messages.rs
@@ -22,7 +22,7 @@
         at: Step,
         subject: Subject,
         content: Content,
-        /// The time that the query has left, from when this was sent.
+        /// The time that the request has left, from when this was sent.
         left: Duration,
     },
     /// To a keeper: promise me this ballot, and tell me what you hold.
@@ -103,7 +103,7 @@
 pub struct Taught {
     pub call: CallId,
     pub kept: Kept,
-    /// The time that its query has left, and that until the record runs out: to be told of one is not to hear of it
+    /// The time that its request has left, and that until the record runs out: to be told of one is not to hear of it
     /// anew, else it would go from life to life for ever.
     pub left: Duration,
     pub keeps: Duration,
--- a/crates/rockflow-fleet/src/successor.rs
+++ b/crates/rockflow-cluster/src/successor.rs
@@ -1,5 +1,5 @@
 //! What a successor does with a call that its owner left behind: a table by effect and by what may have begun. It says
-//! what is allowed; whether and where a leg goes is for the module of decisions, under its usual limits.
+//! what is allowed; whether and where an attempt goes is for the module of decisions, under its usual limits.
 
 use crate::words::{Answer, Content, Ended, Kind};
 
@@ -9,7 +9,7 @@
     Stands(Answer),
     /// Run it, as if it had come just now.
     Run,
-    /// Run it only where the label's scope takes in every leg that may have begun, and within the remembered time.
+    /// Run it only where the label's scope takes in every attempt that may have begun, and within the remembered time.
     RunUnderLabel,
     /// What it did is not known and must not be done twice: it ends as terminated.
     EndUnknown,
@@ -17,7 +17,7 @@
     LetGo,
 }
 
-/// | effect | answered | nothing begun | a leg may have begun |
+/// | effect | answered | nothing begun | an attempt may have begun |
 /// | --- | --- | --- | --- |
 /// | redoable, somebody waits | stands | run | run |
 /// | redoable, nobody waits | stands | let go | let go |
--- a/crates/rockflow-fleet/src/words.rs
+++ b/crates/rockflow-cluster/src/words.rs
@@ -1,4 +1,4 @@
-//! Who is who among dispatchers, and what they say of a query in hand.
+//! Who is who among dispatchers, and what they say of a request in hand.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -56,7 +56,7 @@
 }
 
 impl Kind {
-    /// Whether a majority of the keepers must know of a leg before it is written.
+    /// Whether a majority of the keepers must know of an attempt before it is written.
     pub fn covered(self) -> bool {
         self != Kind::Redoable
     }
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Subject {
     pub kind: Kind,
-    pub product: u16,
+    pub class: u16,
     pub object: u64,
     pub part: u32,
     pub group: u64,
@@ -74,15 +74,15 @@
     pub size: u64,
 }
 
-/// A leg that may have begun.
+/// An attempt that may have begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Begun {
     pub ballot: Ballot,
-    pub leg: u16,
+    pub attempt: u16,
     pub host: u64,
 }
 
-/// How a query ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Ended {
     Succeeded,
@@ -99,7 +99,7 @@
     pub body: Option<Vec<u8>>,
 }
 
-/// What became of a query so far.
+/// What became of a request so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Content {
     pub begun: Vec<Begun>,
@@ -108,7 +108,7 @@
 }
 
 impl Content {
-    /// Takes in what another knows: every leg that may have begun, and of two answers that under the later ballot.
+    /// Takes in what another knows: every attempt that may have begun, and of two answers that under the later ballot.
     pub fn merge(&mut self, other: &Content) {
         self.begun.extend_from_slice(&other.begun);
         self.begun.sort_unstable();
@@ -143,9 +143,9 @@
     /// The time that a datagram and its answer take at most in the ordinary case.
     pub round_trip: Duration,
     /// Records that a keeper holds at the most.
-    pub most_kept: usize,
+    pub max_kept: usize,
     /// Bytes of a kept answer's body at the most.
-    pub most_body: usize,
+    pub max_body: usize,
 }
 
 impl Told {
--- a/crates/rockflow-fleet/tests/members.rs
+++ b/crates/rockflow-cluster/tests/members.rs
@@ -1,6 +1,6 @@
 //! Who is taken to be there, in virtual time: kills, restarts, stops, cuts, and clocks set back.
 
-use rockflow_fleet::*;
+use rockflow_cluster::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
@@ -38,8 +38,8 @@
             keepers: 3,
             keep: Duration::from_secs(10),
             round_trip: TRIP,
-            most_kept: 1000,
-            most_body: 64,
+            max_kept: 1000,
+            max_body: 64,
         };
         let mut world = World {
             told,
--- a/crates/rockflow-fleet/tests/model.rs
+++ b/crates/rockflow-cluster/tests/model.rs
@@ -3,7 +3,7 @@
 //! being let to write and writing) and wakes again, keepers that restart with nothing. What is checked is the code that
 //! runs, not a copy of it.
 
-use rockflow_fleet::*;
+use rockflow_cluster::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     DeadVotes,
     /// A claimant runs what may have begun.
     RunsAgain,
-    /// A leg is written before a majority knows.
+    /// An attempt is written before a majority knows.
     Uncovered,
     /// An answer is given before a majority holds it.
     EarlyAnswer,
@@ -74,7 +74,7 @@
 }
 
 fn subject() -> Subject {
-    Subject { kind: Kind::Irreversible, product: 0, object: 1, part: 0, group: 0, size: 0 }
+    Subject { kind: Kind::Irreversible, class: 0, object: 1, part: 0, group: 0, size: 0 }
 }
 
 fn answer(ended: Ended) -> Answer {
@@ -89,8 +89,8 @@
             keepers: 3,
             keep: Duration::from_secs(60),
             round_trip: Duration::from_millis(1),
-            most_kept: 10,
-            most_body: 10,
+            max_kept: 10,
+            max_body: 10,
         };
         // All three keep the call; two more members only ask.
         told.keepers = 3;
--- a/crates/rockflow-dispatcher/src/backlog.rs
+++ b/crates/rockflow-dispatcher/src/backlog.rs
@@ -9,7 +9,7 @@
 /// The furthest that the board's clock and this one are taken to be apart.
 pub const CLOCKS_APART: Duration = Duration::from_secs(60);
 /// Purges that are held. When full, one of everything stands for them.
-pub const MOST_HELD: usize = 16_384;
+pub const MAX_HELD: usize = 16_384;
 /// How often it is looked whether what comes is news by now.
 pub const LOOK: Duration = Duration::from_millis(500);
 /// What comes is news where the board's time goes on by no more than so many times as much as it does here.
@@ -45,7 +45,7 @@
         while self.held.front().is_some_and(|(_, made)| self.is_over(*made)) {
             self.held.pop_front();
         }
-        if self.held.len() >= MOST_HELD {
+        if self.held.len() >= MAX_HELD {
             self.held.clear();
             self.overflown = Some(self.newest);
         }
--- a/crates/rockflow-dispatcher/src/board.rs
+++ b/crates/rockflow-dispatcher/src/board.rs
@@ -157,7 +157,7 @@
         self.mail.wake_by(Wake::Io(stream.waker()));
         let call = board::call(&self.address.to_string(), self.last);
         let (mut unwritten, mut heard) = (&call[..], self.clock.now());
-        let (mut buffer, mut sent) = (Buffer::new(board::MOST_EVENT), Stream::default());
+        let (mut buffer, mut sent) = (Buffer::new(board::MAX_EVENT), Stream::default());
         loop {
             if self.moved() {
                 return Ok("moved".to_string());
--- a/crates/rockflow-dispatcher/src/caps.rs
+++ b/crates/rockflow-dispatcher/src/caps.rs
@@ -7,8 +7,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Caps {
-    /// Connections of clients that stay while nothing is owed on them, and those with queries open too.
-    pub seats: usize,
+    /// Connections of clients that stay while nothing is owed on them, and those with requests open too.
+    pub location_dispatchers: usize,
     pub clients: usize,
     /// Connections to all hosts together.
     pub hosts: usize,
@@ -16,7 +16,7 @@
     pub held: usize,
     /// Bytes that may wait to be written on a connection to a host.
     pub line_out: usize,
-    /// Words that wait for the module before new queries are dismissed.
+    /// Words that wait for the module before new requests are dismissed.
     pub module_words: usize,
 }
 
@@ -27,10 +27,10 @@
         // A third of the descriptors is the most that usual clients hold; the margin is for those on their way
         // out. Memory is counted by what is held, not by what every connection could hold.
         let clients = (descriptors / 2).max(2);
-        let seats = clients - (clients / 8).max(1);
+        let location_dispatchers = clients - (clients / 8).max(1);
         let hosts = descriptors.saturating_sub(clients).max(1);
         Caps {
-            seats,
+            location_dispatchers,
             clients,
             hosts,
             held: memory * 2 / 5,
--- a/crates/rockflow-dispatcher/src/client.rs
+++ b/crates/rockflow-dispatcher/src/client.rs
@@ -1,11 +1,11 @@
-//! The actor of a client's connection: one query at a time, exactly one answer to each.
+//! The actor of a client's connection: one request at a time, exactly one answer to each.
 
 use crate::clock::Clock;
 use crate::mailbox::{Mailbox, Wake};
 use crate::messages::{ClientWord, Word};
 use may::io::WaitIo;
 use may::net::TcpStream;
-use rockflow::interface::QueryId;
+use rockflow::RequestId;
 use rockflow_protocol::front::{self, Answer, Request};
 use rockflow_protocol::Buffer;
 use std::collections::BTreeMap;
@@ -41,22 +41,22 @@
     pub clock: Clock,
     pub module: Arc<Mailbox<Word>>,
     pub module_words: usize,
-    /// Queries can be decided.
+    /// Requests can be decided.
     pub ready: Arc<AtomicBool>,
-    /// Connections are closed as soon as no query is open on them.
+    /// Connections are closed as soon as no request is open on them.
     pub closing: AtomicBool,
-    /// Every seat is taken by a query: connections end with their answers.
+    /// Every seat is taken by a request: connections end with their answers.
     pub crowded: AtomicBool,
-    /// The longest time that a query, and so the writing of an answer, may take.
+    /// The longest time that a request, and so the writing of an answer, may take.
     pub longest: Duration,
     /// Bytes of answers that are held.
     pub held: Arc<AtomicUsize>,
     /// All connections, and how many may stay while nothing is owed on them.
     pub clients: Mutex<BTreeMap<u64, Arc<Seat>>>,
-    pub seats: usize,
+    pub location_dispatchers: usize,
     pub next_client: AtomicU64,
-    pub next_query: AtomicU64,
-    /// Queries whose answer has not gone out whole.
+    pub next_request: AtomicU64,
+    /// Requests whose answer has not gone out whole.
     pub open: AtomicUsize,
 }
 
@@ -75,11 +75,11 @@
         self.clients().values().for_each(|seat| seat.mail.send(ClientWord::Look));
     }
 
-    /// Guards against connections that keep their seats for nothing while others come: past the seats, the
+    /// Guards against connections that keep their location_dispatchers for nothing while others come: past the location_dispatchers, the
     /// one on which nothing has been owed for longest gives way.
     fn make_room(&self) {
         let clients = self.clients();
-        if clients.len() <= self.seats {
+        if clients.len() <= self.location_dispatchers {
             return;
         }
         let still = |seat: &&Arc<Seat>| seat.still.load(Ordering::Relaxed);
@@ -90,9 +90,9 @@
     }
 }
 
-/// The query that is open on the connection, and whether the client keeps the connection after it.
+/// The request that is open on the connection, and whether the client keeps the connection after it.
 struct Open {
-    query: QueryId,
+    request: RequestId,
     keep: bool,
 }
 
@@ -119,7 +119,7 @@
     last: bool,
     /// Bytes read since the last answer went out.
     lingering: Option<usize>,
-    /// When the connection last moved on: it came up, a query came, an answer was given or a part of it went.
+    /// When the connection last moved on: it came up, a request came, an answer was given or a part of it went.
     moved: Duration,
 }
 
@@ -136,7 +136,7 @@
         stream,
         seat,
         // One head, and the start of the next.
-        buffer: Buffer::new(2 * front::MOST_HEAD),
+        buffer: Buffer::new(2 * front::MAX_HEAD),
         open: None,
         overran: 0,
         parting: false,
@@ -158,8 +158,8 @@
     // Before anything is told: from here on nothing goes out for this client.
     client.seat.mail.close();
     if let Some(open) = client.open.take() {
-        debug!(query = open.query.0, ended, "client left");
-        door.module.send(Word::Left(open.query));
+        debug!(request = open.request.0, ended, "client left");
+        door.module.send(Word::Left(open.request));
     }
     client.hold(Vec::new());
     client.settled();
@@ -172,7 +172,7 @@
             let mut moved = false;
             while let Some(word) = self.seat.mail.take() {
                 match word {
-                    ClientWord::Answer(query, answer) => moved |= self.answered(query, answer),
+                    ClientWord::Answer(request, answer) => moved |= self.answered(request, answer),
                     ClientWord::Look if self.outlived() => {
                         if self.open.is_some() || self.writing() || self.last {
                             return "outlived";
@@ -231,8 +231,8 @@
         self.door.closing.load(Ordering::Relaxed)
     }
 
-    fn answered(&mut self, query: QueryId, answer: Answer) -> bool {
-        let Some(open) = self.open.take_if(|open| open.query == query) else { return false };
+    fn answered(&mut self, request: RequestId, answer: Answer) -> bool {
+        let Some(open) = self.open.take_if(|open| open.request == request) else { return false };
         self.answer(answer, open.keep && self.overran == 0);
         true
     }
@@ -258,7 +258,7 @@
     }
 
     /// Guards against connections that hold a seat for nothing: a client that vanished, one that sends its
-    /// head in crumbs, one that reads nothing. Where a query is open its own time limit holds, and this only
+    /// head in crumbs, one that reads nothing. Where a request is open its own time limit holds, and this only
     /// if that should fail.
     fn outlived(&self) -> bool {
         let now = self.door.clock.now();
@@ -278,7 +278,7 @@
         self.written < self.out.len() + self.body.len()
     }
 
-    /// Reads on even while a query is open: only so it shows that a client has left.
+    /// Reads on even while a request is open: only so it shows that a client has left.
     fn fill(&mut self) -> Option<std::io::Result<usize>> {
         // Guards against a body of any size that is sent on after its refusal.
         if self.lingering.is_some_and(|read| read > LINGER_BYTES) {
@@ -331,14 +331,14 @@
                 self.answer(Answer::Dismissed { pause: None }, keep)
             }
             Request::Ask(ask) => {
-                let query = QueryId(self.door.next_query.fetch_add(1, Ordering::Relaxed));
-                self.open = Some(Open { query, keep: head.keep });
+                let request = RequestId(self.door.next_request.fetch_add(1, Ordering::Relaxed));
+                self.open = Some(Open { request, keep: head.keep });
                 self.door.open.fetch_add(1, Ordering::Relaxed);
                 self.owing = true;
                 let (client, arrived) = (self.seat.mail.clone(), self.door.clock.now());
                 self.moved = arrived;
                 self.seat.still.store(OWED, Ordering::Relaxed);
-                self.door.module.send(Word::Asked { query, ask, client, arrived });
+                self.door.module.send(Word::Asked { request, ask, client, arrived });
             }
         }
         true
--- a/crates/rockflow-dispatcher/src/host.rs
+++ b/crates/rockflow-dispatcher/src/host.rs
@@ -6,7 +6,7 @@
 use crate::pool::{ConnectionPool, Line, Queue};
 use crate::timer;
 use may::coroutine;
-use rockflow::interface::{Outcome, QueryId};
+use rockflow::{Outcome, RequestId};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 /// How long after a connection broke its host's others are looked at, and how often while none is up.
 const OTHERS_FOLLOW: Duration = Duration::from_millis(4);
 const LOOKS: usize = 25;
-/// Guards against a `never_mind` that arrives behind the next leg of its query, which goes on another connection
+/// Guards against a `never_mind` that arrives behind the next attempt of its request, which goes on another connection
 /// under the same id: the host would drop that one. So long the next is kept back.
 const CROSSING: Duration = Duration::from_millis(5);
-/// Part of the cap on connections up to which a leg gets one to itself.
+/// Part of the cap on connections up to which an attempt gets one to itself.
 const OWN_PART: f64 = 0.75;
 
 pub struct Host {
@@ -35,7 +35,7 @@
         self.mail.wake_by(Wake::Park(coroutine::current()));
         let (mut lines, mut retired): (Vec<Arc<Line>>, bool) = (Vec::new(), false);
         let queue = Arc::new(Queue::default());
-        let (mut given_up, mut kept_back) = (BTreeMap::<QueryId, Duration>::new(), BTreeMap::new());
+        let (mut given_up, mut kept_back) = (BTreeMap::<RequestId, Duration>::new(), BTreeMap::new());
         while !retired || !lines.is_empty() {
             let Some(order) = self.mail.take() else {
                 coroutine::park();
@@ -68,7 +68,7 @@
                     .or_else(|| self.open(&mut lines, &queue))
                 {
                     Some(on) => on.send(LineWord::Probe { tag, load }),
-                    None => self.pool.module.send(Word::ProbeFell { tag, outcome: Outcome::NotConnected }),
+                    None => self.pool.module.send(Word::ProbeFell { tag, outcome: Outcome::ConnectFailed }),
                 },
                 Order::NeverMind { key, unheard } => {
                     let now = self.pool.clock.now();
@@ -93,7 +93,9 @@
                         // The one that has waited longest for a connection did so for this one.
                         let connecting = lines.iter().filter(|line| line.is_connecting()).count();
                         let over = queue.len().saturating_sub(connecting).min(1);
-                        unsent.legs.extend((0..over).filter_map(|_| queue.pop()).map(|wanted| wanted.key));
+                        unsent
+                            .attempts
+                            .extend((0..over).filter_map(|_| queue.pop()).map(|wanted| wanted.key));
                     }
                     fallen.into_iter().for_each(|fallen| self.fall(fallen, &mut lines, &queue));
                     self.serve_queue(&mut lines, &queue);
@@ -125,20 +127,21 @@
         let connecting = |lines: &[Arc<Line>]| lines.iter().filter(|line| line.is_connecting()).count();
         while connecting(lines) < queue.len() && self.open(lines, queue).is_some() {}
         if lines.iter().all(|line| line.is_over()) {
-            std::iter::from_fn(|| queue.pop()).for_each(|wanted| self.fell(&wanted, Outcome::NotConnected));
+            std::iter::from_fn(|| queue.pop()).for_each(|wanted| self.fell(&wanted, Outcome::ConnectFailed));
         }
     }
 
-    /// Tells of legs that ended with their line. Guards against taking a reset of one connection for the death
+    /// Tells of attempts that ended with their line. Guards against taking a reset of one connection for the death
     /// of the process, which resets all and takes no new one for a while: a connection that is up by then, old
     /// or new, shows that the host lives.
     fn fall(&self, fallen: Fallen, lines: &mut Vec<Arc<Line>>, queue: &Arc<Queue>) {
-        let Fallen { legs, unless_heard, if_gone, if_it_lives } = fallen;
-        if legs.is_empty() {
+        let Fallen { attempts, unless_heard, if_gone, if_it_lives } = fallen;
+        if attempts.is_empty() {
             return;
         }
         let module = self.pool.module.clone();
-        let tell = move |outcome| legs.into_iter().for_each(|key| module.send(Word::Fell { key, outcome }));
+        let tell =
+            move |outcome| attempts.into_iter().for_each(|key| module.send(Word::Fell { key, outcome }));
         if let Some(then) = unless_heard {
             let lives = lines.iter().any(|line| line.heard_since(then));
             return tell(if lives { if_it_lives } else { if_gone });
@@ -163,19 +166,19 @@
         });
     }
 
-    /// The line for a leg, if one is free. What a peer spoils or leaves unanswered takes its whole connection with it, so a leg
+    /// The line for an attempt, if one is free. What a peer spoils or leaves unanswered takes its whole connection with it, so an attempt
     /// gets one to itself as long as there are plenty; the one used last, so that what is too many ages.
     fn line_for(&self, id: &str, lines: &[Arc<Line>]) -> Option<Arc<Line>> {
         let fits = lines.iter().filter(|line| line.takes(id, &self.pool));
         let best = fits.min_by_key(|line| (line.out(), Reverse(line.used()))).cloned();
-        let many = self.pool.lines().len() as f64 >= OWN_PART * self.pool.most_lines as f64;
+        let many = self.pool.lines().len() as f64 >= OWN_PART * self.pool.max_lines as f64;
         best.filter(|line| line.out() == 0 || many)
     }
 
-    /// Another line; none past the cap. Those that will take nothing more close when their legs are over.
+    /// Another line; none past the cap. Those that will take nothing more close when their attempts are over.
     fn open(&self, lines: &mut Vec<Arc<Line>>, queue: &Arc<Queue>) -> Option<Arc<Line>> {
-        if self.pool.lines().len() >= self.pool.most_lines {
-            debug!(host = self.name, cap = self.pool.most_lines, "no connection left for hosts");
+        if self.pool.lines().len() >= self.pool.max_lines {
+            debug!(host = self.name, cap = self.pool.max_lines, "no connection left for hosts");
             return None;
         }
         lines.iter().filter(|line| line.is_spent(&self.pool)).for_each(|line| line.send(LineWord::Retire));
--- a/crates/rockflow-dispatcher/src/line.rs
+++ b/crates/rockflow-dispatcher/src/line.rs
@@ -1,11 +1,11 @@
-//! The actor of one connection to a host: the legs that are out on it, and what becomes of them.
+//! The actor of one connection to a host: the attempts that are out on it, and what becomes of them.
 
 use crate::mailbox::{Mailbox, Wake};
-use crate::messages::{Fallen, LegKey, LineWord, Order, Wanted, Word};
+use crate::messages::{AttemptKey, Fallen, LineWord, Order, Wanted, Word};
 use crate::pool::{lock, ConnectionPool, Line, Queue};
 use may::io::WaitIo;
 use may::net::TcpStream;
-use rockflow::interface::Outcome;
+use rockflow::Outcome;
 use rockflow_protocol::{hostline, Buffer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{ErrorKind, Read, Write};
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use tracing::{debug, error, info, warn};
 
-/// Ids on a line that were never answered, in times the legs it carries at once; past it the line is spent.
-const MOST_UNANSWERED: usize = 8;
+/// Ids on a line that were never answered, in times the attempts it carries at once; past it the line is spent.
+const MAX_UNANSWERED: usize = 8;
 
 /// Starts the actor of a new connection, which tells the host's mailbox of its end.
 pub fn start(
@@ -49,7 +49,7 @@
     line
 }
 
-/// Returns the legs that ended with the line, those that may have run and those that never did, and such of the latter
+/// Returns the attempts that ended with the line, those that may have run and those that never did, and such of the latter
 /// as may go on another: this one had brought answers, and its host closed it just then.
 fn run(
     name: &str,
@@ -60,9 +60,9 @@
 ) -> (Vec<Fallen>, Vec<Wanted>) {
     let (mut fallen, mut unbegun) = (Vec::new(), Vec::new());
     let mut unsent = Fallen {
-        legs: Vec::new(),
+        attempts: Vec::new(),
         unless_heard: None,
-        if_gone: Outcome::NotConnected,
+        if_gone: Outcome::ConnectFailed,
         if_it_lives: Outcome::NotSent,
     };
     let began = pool.clock.now();
@@ -80,14 +80,14 @@
                 stream,
                 out: Vec::new(),
                 waiting: VecDeque::new(),
-                legs: BTreeMap::new(),
+                attempts: BTreeMap::new(),
                 probes: BTreeSet::new(),
-                buffer: Buffer::new(hostline::MOST_ANSWER),
+                buffer: Buffer::new(hostline::MAX_ANSWER),
                 held: 0,
                 heard: Duration::ZERO,
                 began: None,
                 retired: false,
-                outcome: Outcome::Garbled,
+                outcome: Outcome::MalformedResponse,
             };
             if catch_unwind(AssertUnwindSafe(|| wire.serve())).is_err() {
                 error!(host = name, "actor panicked");
@@ -95,14 +95,14 @@
             shared.over.store(true, Ordering::Relaxed);
             pool.held.fetch_sub(wire.held, Ordering::Relaxed);
             fallen.push(Fallen {
-                legs: wire.legs.into_values().map(|leg| leg.key).collect(),
+                attempts: wire.attempts.into_values().map(|attempt| attempt.key).collect(),
                 unless_heard: None,
                 if_gone: wire.outcome,
-                if_it_lives: Outcome::Garbled,
+                if_it_lives: Outcome::MalformedResponse,
             });
             unbegun.extend(wire.waiting);
             for tag in wire.probes {
-                pool.module.send(Word::ProbeFell { tag, outcome: Outcome::Broken });
+                pool.module.send(Word::ProbeFell { tag, outcome: Outcome::ConnectionLost });
             }
         }
         Err(what) => {
@@ -123,14 +123,14 @@
         }
     }
     let again = if *lock(&shared.heard) > Duration::ZERO { std::mem::take(&mut unbegun) } else { Vec::new() };
-    unsent.legs.extend(unbegun.into_iter().map(|wanted| wanted.key));
+    unsent.attempts.extend(unbegun.into_iter().map(|wanted| wanted.key));
     fallen.push(unsent);
     (fallen, again)
 }
 
-/// A leg that is out: since when, and whether it named the client's copy.
-struct LegOut {
-    key: LegKey,
+/// An attempt that is out: since when, and whether it named the client's copy.
+struct AttemptOut {
+    key: AttemptKey,
     sent: Duration,
     seen: bool,
 }
@@ -141,11 +141,11 @@
     shared: &'a Line,
     queue: &'a Queue,
     stream: TcpStream,
-    /// What is on its way out, and the legs that follow it.
+    /// What is on its way out, and the attempts that follow it.
     out: Vec<u8>,
     waiting: VecDeque<Wanted>,
-    /// Legs out by their id on the line.
-    legs: BTreeMap<String, LegOut>,
+    /// Attempts out by their id on the line.
+    attempts: BTreeMap<String, AttemptOut>,
     probes: BTreeSet<u64>,
     buffer: Buffer,
     /// The part of `ConnectionPool::held` that is the buffer's.
@@ -154,7 +154,7 @@
     heard: Duration,
     began: Option<Duration>,
     retired: bool,
-    /// What ends the legs that are out: a break, or what can't be used.
+    /// What ends the attempts that are out: a break, or what can't be used.
     outcome: Outcome,
 }
 
@@ -169,16 +169,16 @@
             };
             match went_on {
                 Ok(more) => moved |= more,
-                Err(what) if self.legs.is_empty() => {
+                Err(what) if self.attempts.is_empty() => {
                     return debug!(host = self.name, what, "connection over")
                 }
                 Err(what) => {
-                    return warn!(host = self.name, what, legs = self.legs.len(), "connection broke")
+                    return warn!(host = self.name, what, attempts = self.attempts.len(), "connection broke")
                 }
             }
-            let out = self.legs.len() + self.waiting.len() + self.shared.mail.len();
+            let out = self.attempts.len() + self.waiting.len() + self.shared.mail.len();
             self.shared.out.store(out, Ordering::Relaxed);
-            if self.retired && self.legs.is_empty() && self.waiting.is_empty() {
+            if self.retired && self.attempts.is_empty() && self.waiting.is_empty() {
                 return debug!(host = self.name, "connection closed");
             }
             if !moved {
@@ -189,7 +189,7 @@
 
     /// Takes what has waited longest for a connection, once nothing else is out or under way on this one.
     fn pull(&mut self) -> bool {
-        let free = self.legs.is_empty() && self.waiting.is_empty() && !self.shared.is_midway();
+        let free = self.attempts.is_empty() && self.waiting.is_empty() && !self.shared.is_midway();
         if !free || self.retired || self.queue.is_empty() || self.shared.is_spent(self.pool) {
             return false;
         }
@@ -220,16 +220,16 @@
                 self.waiting.retain(|wanted| wanted.key != key);
             }
             LineWord::NeverMind { key, unheard } => {
-                let found = self.legs.iter().find(|(_, leg)| leg.key == key);
-                let Some((id, sent)) = found.map(|(id, leg)| (id.clone(), leg.sent)) else { return };
-                self.legs.remove(&id);
+                let found = self.attempts.iter().find(|(_, attempt)| attempt.key == key);
+                let Some((id, sent)) = found.map(|(id, attempt)| (id.clone(), attempt.sent)) else { return };
+                self.attempts.remove(&id);
                 self.out.extend_from_slice(&hostline::never_mind(&id));
                 let unanswered = lock(&self.shared.carried).values().filter(|id| !id.answered).count();
-                let many = unanswered >= MOST_UNANSWERED * self.pool.most_streams;
+                let many = unanswered >= MAX_UNANSWERED * self.pool.max_streams;
                 // Guards against a machine that vanished or was cut off: the connection would stay open and
                 // silent, and after a cut it recovers late. A new one shows at once whether anyone is there. And
-                // against one on which this leg alone is never answered: it is of no further use then.
-                if self.heard < sent || unheard && self.legs.is_empty() || many {
+                // against one on which this attempt alone is never answered: it is of no further use then.
+                if self.heard < sent || unheard && self.attempts.is_empty() || many {
                     self.shared.spent.store(true, Ordering::Relaxed);
                     self.retired = true;
                 }
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Writes the first bytes of a leg, if it still may begin; false: the host takes nothing now.
+    /// Writes the first bytes of an attempt, if it still may begin; false: the host takes nothing now.
     fn begin(&mut self, wanted: Wanted) -> Result<bool, String> {
         let now = self.pool.clock.now();
         if !wanted.pass.begin(now) {
@@ -279,7 +279,7 @@
             Ok(n) => {
                 self.out.extend_from_slice(&wanted.line[n..]);
                 let Wanted { key, id, seen, .. } = wanted;
-                self.legs.insert(id, LegOut { key, sent: now, seen });
+                self.attempts.insert(id, AttemptOut { key, sent: now, seen });
                 Ok(true)
             }
             Err(what) => {
@@ -314,7 +314,7 @@
     /// The connection is gone. In the middle of an answer it was a live host's.
     fn broken(&mut self, what: String) -> Result<bool, String> {
         if self.began.is_none() {
-            self.outcome = Outcome::Broken;
+            self.outcome = Outcome::ConnectionLost;
         }
         Err(what)
     }
@@ -335,7 +335,7 @@
         let was = std::mem::replace(&mut self.held, self.buffer.size());
         let held = self.pool.held.fetch_add(self.held, Ordering::Relaxed) + self.held;
         self.pool.held.fetch_sub(was, Ordering::Relaxed);
-        if self.held > was && held - was > self.pool.most_held {
+        if self.held > was && held - was > self.pool.max_held {
             return Err("no memory left for an answer".to_string());
         }
         while let Some((length, answer)) = hostline::decode(self.buffer.filled())? {
@@ -347,11 +347,11 @@
             }
             if let Some(tag) = tag.filter(|tag| self.probes.remove(tag)) {
                 self.pool.module.send(Word::Probed { tag, answer });
-            } else if let Some(leg) = self.legs.get(&answer.id).filter(|_| !probe) {
-                if answer.word == hostline::Word::Unchanged && !leg.seen {
+            } else if let Some(attempt) = self.attempts.get(&answer.id).filter(|_| !probe) {
+                if answer.word == hostline::Word::Unchanged && !attempt.seen {
                     return Err("unchanged, where no copy was named".to_string());
                 }
-                let key = self.legs.remove(&answer.id).expect("found above").key;
+                let key = self.attempts.remove(&answer.id).expect("found above").key;
                 self.pool.module.send(Word::Answered { key, answer });
             } else {
                 // Framed well and nobody's: an answer to what is over, a second one, or one ahead. It costs
--- a/crates/rockflow-dispatcher/src/link.rs
+++ b/crates/rockflow-dispatcher/src/link.rs
@@ -9,8 +9,8 @@
 use crate::messages::{ListWord, Made, Phase, Purge, Survey, Word};
 use crate::pool::ConnectionPool;
 use crate::waiting::{Slot, Waiting};
-use rockflow::interface::Product;
-use rockflow_roster::{Marks, Refused};
+use rockflow::Class;
+use rockflow_endpoints::{Marks, Refused};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Words from managers that may wait at the list; more are turned away.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING: usize = 256;
 
 #[derive(Clone)]
 pub struct Link {
@@ -26,7 +26,7 @@
     pub name: String,
     pub caps: Caps,
     /// By place, with their names on the wire.
-    pub products: Vec<(String, Product)>,
+    pub classes: Vec<(String, Class)>,
     pub locations: Vec<String>,
     pub(crate) list: Arc<Mailbox<ListWord>>,
     pub(crate) door: Arc<Door>,
@@ -42,7 +42,7 @@
     /// These marks hold in place of those before. `done` is called once the decisions go by them; false: too
     /// much waits, and it is not.
     pub fn mark(&self, marks: Marks, done: impl FnOnce() + Send + 'static) -> bool {
-        if self.list.len() >= MOST_WAITING {
+        if self.list.len() >= MAX_WAITING {
             return false;
         }
         self.list.send_urgent(ListWord::Marks { marks, done: Box::new(|()| done()) });
@@ -91,7 +91,7 @@
 
     /// Asks for a picture; false: too much waits, and none comes.
     pub fn survey(&self, reply: impl FnOnce(Box<Survey>) + Send + 'static) -> bool {
-        if self.list.len() >= MOST_WAITING {
+        if self.list.len() >= MAX_WAITING {
             return false;
         }
         self.list.send(ListWord::Survey(Box::new(reply)));
--- a/crates/rockflow-dispatcher/src/list.rs
+++ b/crates/rockflow-dispatcher/src/list.rs
@@ -5,10 +5,10 @@
 use crate::messages::{id_of, Done, Entry, ListWord, Purge, Survey, Word};
 use crate::timer;
 use may::coroutine;
-use rockflow::interface::*;
-use rockflow_facts::{dotted, Facts, Wiring};
+use rockflow::{CellId, EndpointEntry, HostId, ListScope, LocationId, Readiness, Role};
+use rockflow_endpoints::{Marks, Refused, Roll};
 use rockflow_protocol::board::{Instance, Lifecycle, Notice, Pool};
-use rockflow_roster::{Marks, Refused, Roll};
+use rockflow_settings::{dotted, Facts, Wiring};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
         let bad = |what: &str| format!("{}: {what}", instance.instance_id);
         let location = place(&self.locations, &instance.zone).ok_or_else(|| bad("unknown zone"))?;
         let kind = place(&self.kinds, &instance.machine_type).ok_or_else(|| bad("unknown kind"))? as i64;
-        let listing = Listing {
+        let listing = EndpointEntry {
             host: HostId(id_of(&instance.instance_id)),
             cell: CellId(instance.cell),
             location: LocationId(location as u16),
@@ -134,7 +134,7 @@
 
     fn notice(&mut self, notice: Notice, now: Duration) {
         if let Some(pool) = &notice.pool {
-            let scope = if pool.reset { ListScope::Whole } else { ListScope::Changes };
+            let scope = if pool.reset { ListScope::Full } else { ListScope::Changes };
             let entries = self.reading.pool(pool);
             for entry in &entries {
                 let at = &entry.listing;
--- a/crates/rockflow-dispatcher/src/listener.rs
+++ b/crates/rockflow-dispatcher/src/listener.rs
@@ -1,4 +1,4 @@
-//! Takes in clients' connections, up to the cap; past it they wait unaccepted till a query has its answer.
+//! Takes in clients' connections, up to the cap; past it they wait unaccepted till a request has its answer.
 
 use crate::client::{self, Door};
 use crate::mailbox::Mailbox;
@@ -27,25 +27,25 @@
     }
 }
 
-pub fn run(listener: &TcpListener, door: &Arc<Door>, seats: &Arc<Semphore>) {
+pub fn run(listener: &TcpListener, door: &Arc<Door>, location_dispatchers: &Arc<Semphore>) {
     loop {
-        if !seats.try_wait() {
+        if !location_dispatchers.try_wait() {
             warn!("a query is open on every seat; connections end with their answers");
             door.crowded.store(true, Ordering::Relaxed);
-            seats.wait();
+            location_dispatchers.wait();
             door.crowded.store(false, Ordering::Relaxed);
         }
         match listener.accept() {
             Ok((stream, _)) => {
-                let (door, seats) = (door.clone(), seats.clone());
+                let (door, location_dispatchers) = (door.clone(), location_dispatchers.clone());
                 may::go!(move || {
                     client::run(stream, &door);
-                    seats.post();
+                    location_dispatchers.post();
                 });
             }
             Err(what) => {
                 warn!(%what, "accept failed");
-                seats.post();
+                location_dispatchers.post();
                 timer::sleep(PAUSE);
             }
         }
--- a/crates/rockflow-dispatcher/src/messages.rs
+++ b/crates/rockflow-dispatcher/src/messages.rs
@@ -4,23 +4,25 @@
 use crate::mailbox::Mailbox;
 use crate::pass::Pass;
 use crate::waiting::Slot;
-use rockflow::interface::*;
+use rockflow::{
+    AttemptNumber, EndpointEntry, GroupId, HostStatus, ListScope, ObjectId, Outcome, Readiness, RequestId,
+};
+use rockflow_endpoints::{Listed, Marks, Member, Refused};
 use rockflow_protocol::board::{Flush, Notice};
 use rockflow_protocol::front::{Answer, Ask};
 use rockflow_protocol::hostline;
-use rockflow_roster::{Listed, Marks, Member, Refused};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A leg as the module knows it.
-pub type LegKey = (QueryId, LegNo);
+/// An attempt as the module knows it.
+pub type AttemptKey = (RequestId, AttemptNumber);
 
 /// Where a dispatcher is between its start and its exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Actors are started; queries can't be decided yet.
+    /// Actors are started; requests can't be decided yet.
     Starting,
     Serving,
     /// A stop was asked for; what still comes is taken.
@@ -89,13 +91,13 @@
 pub struct Entry {
     pub name: String,
     pub address: SocketAddr,
-    pub listing: Listing,
+    pub listing: EndpointEntry,
 }
 
 impl Entry {
     /// What is judged of it.
     pub fn listed(&self) -> Listed {
-        let Listing { role, location, readiness, .. } = &self.listing;
+        let EndpointEntry { role, location, readiness, .. } = &self.listing;
         Listed { role: *role, location: location.0, told: *readiness }
     }
 }
@@ -110,7 +112,7 @@
     }
 
     fn with(&self, readiness: Readiness) -> Self {
-        let listing = Listing { readiness, ..self.listing.clone() };
+        let listing = EndpointEntry { readiness, ..self.listing.clone() };
         Entry { listing, ..self.clone() }
     }
 }
@@ -120,7 +122,7 @@
 
 /// To a client's connection.
 pub enum ClientWord {
-    Answer(QueryId, Answer),
+    Answer(RequestId, Answer),
     /// Look whether the connection has outlived its use.
     Look,
     /// Another needs the seat: leave it, unless a request has come by now.
@@ -130,7 +132,7 @@
 /// What a line is asked to carry out to its host.
 #[derive(Clone)]
 pub struct Wanted {
-    pub key: LegKey,
+    pub key: AttemptKey,
     pub id: String,
     pub line: Vec<u8>,
     /// It names the client's copy, so that the answer may be that this one holds.
@@ -144,7 +146,7 @@
     Want(Wanted),
     /// `unheard`: its time was up, so that a line which has brought nothing since may be dead.
     NeverMind {
-        key: LegKey,
+        key: AttemptKey,
         unheard: bool,
     },
     Probe {
@@ -152,7 +154,7 @@
         load: bool,
     },
     /// A want that was kept back may go out now.
-    Release(LegKey),
+    Release(AttemptKey),
     CloseIdle,
     /// The host is gone: what is out may end, nothing new comes.
     Retire,
@@ -166,10 +168,10 @@
     },
 }
 
-/// Legs that ended with their line: what that means if the host is gone, and if it lives.
+/// Attempts that ended with their line: what that means if the host is gone, and if it lives.
 #[derive(Clone, Debug)]
 pub struct Fallen {
-    pub legs: Vec<LegKey>,
+    pub attempts: Vec<AttemptKey>,
     /// Only what another connection brought since then shows that the host lives; none: one that stands does.
     pub unless_heard: Option<Duration>,
     pub if_gone: Outcome,
@@ -180,7 +182,7 @@
 pub enum LineWord {
     Want(Wanted),
     NeverMind {
-        key: LegKey,
+        key: AttemptKey,
         unheard: bool,
     },
     Probe {
@@ -196,23 +198,23 @@
 /// To the module.
 pub enum Word {
     Asked {
-        query: QueryId,
+        request: RequestId,
         ask: Box<Ask>,
         client: Arc<Mailbox<ClientWord>>,
         arrived: Duration,
     },
-    Left(QueryId),
+    Left(RequestId),
     /// The program ends; whatever is unanswered by then would be lost.
     Leaving {
         until: Duration,
     },
     Answered {
-        key: LegKey,
+        key: AttemptKey,
         answer: hostline::Answer,
     },
-    /// A leg ended with no answer.
+    /// An attempt ended with no answer.
     Fell {
-        key: LegKey,
+        key: AttemptKey,
         outcome: Outcome,
     },
     Probed {
@@ -236,7 +238,7 @@
     },
     /// Purges of which more waited than may: one of everything stands for them.
     PurgedAll(Arc<Slot<Duration, ()>>),
-    /// Tell what is known of the hosts and counted of the queries, beside what the list already told.
+    /// Tell what is known of the hosts and counted of the requests, beside what the list already told.
     Survey {
         survey: Box<Survey>,
         reply: Done<Box<Survey>>,
@@ -265,7 +267,7 @@
     Look,
 }
 
-/// How queries of one product have ended since the start.
+/// How requests of one class have ended since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ended {
     pub succeeded: u64,
@@ -283,12 +285,12 @@
     pub marks: Marks,
     /// And the fleet's.
     pub fleet: Marks,
-    pub views: Vec<HostView>,
-    /// By place of the product.
+    pub views: Vec<HostStatus>,
+    /// By place of the class.
     pub ended: Vec<Ended>,
-    /// Queries open, words waiting at the module.
+    /// Requests open, words waiting at the module.
     pub open: usize,
     pub words: usize,
-    /// Queries that the decisions left unanswered till their time was up; none, unless something is wrong.
+    /// Requests that the decisions left unanswered till their time was up; none, unless something is wrong.
     pub overdue: u64,
 }
--- a/crates/rockflow-dispatcher/src/module.rs
+++ b/crates/rockflow-dispatcher/src/module.rs
@@ -1,4 +1,4 @@
-//! The actor of the module: the only holder of the decisions. It orders events, runs timers and the legs'
+//! The actor of the module: the only holder of the decisions. It orders events, runs timers and the attempts'
 //! time limits, and carries out actions. It decides nothing.
 
 use crate::clock::Clock;
@@ -8,10 +8,12 @@
 use crate::pass::Pass;
 use crate::pool::ConnectionPool;
 use crate::timer;
-use crate::waiting::MOST_PURGES;
+use crate::waiting::MAX_PURGES;
 use may::coroutine;
-use rockflow::interface::*;
-use rockflow::Dispatcher;
+use rockflow::{
+    Action, Attempt, AttemptEnd, AttemptNumber, CacheStatus, ClassId, DeploymentConfig, Dispatcher, Event,
+    GroupId, HostId, ListScope, ObjectId, Outcome, Readiness, Request, RequestId, TimerId,
+};
 use rockflow_protocol::front::{Answer, Ask};
 use rockflow_protocol::hostline::{self, Want};
 use std::cmp::Reverse;
@@ -25,7 +27,7 @@
 /// Purges below which it is not looked whether they still bind.
 const LEAST_LOOK: usize = 64;
 
-struct LegOut {
+struct AttemptOut {
     host: HostId,
     source: Option<HostId>,
     /// Where its host is reached, also once that is no longer listed.
@@ -35,8 +37,8 @@
     pass: Arc<Pass>,
 }
 
-impl LegOut {
-    fn never_mind(&self, key: LegKey, unheard: bool) {
+impl AttemptOut {
+    fn never_mind(&self, key: AttemptKey, unheard: bool) {
         if let Some(mail) = &self.mail {
             mail.send(Order::NeverMind { key, unheard });
         }
@@ -44,22 +46,22 @@
 }
 
 struct Open {
-    /// Place of the product.
-    product: usize,
+    /// Place of the class.
+    class: usize,
     ask: Box<Ask>,
     client: Arc<Mailbox<ClientWord>>,
     ends: Duration,
     answered: bool,
-    legs: Vec<LegOut>,
+    attempts: Vec<AttemptOut>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Leg(LegKey),
-    /// A leg that has not begun by now may not begin any more.
-    Begin(LegKey),
-    /// The module is late with a query's answer.
-    Outer(QueryId),
+    Attempt(AttemptKey),
+    /// An attempt that has not begun by now may not begin any more.
+    Begin(AttemptKey),
+    /// The module is late with a request's answer.
+    Outer(RequestId),
     Timer(TimerId),
     Probe(u64),
 }
@@ -72,15 +74,15 @@
 /// What the module's actor is given.
 pub struct Given {
     pub clock: Clock,
-    pub deployment: Deployment,
-    pub products: Vec<String>,
+    pub deployment: DeploymentConfig,
+    pub classes: Vec<String>,
     pub seed: u64,
     /// Names of the values of a load report; none where probes bring none.
     pub report: Vec<String>,
     pub pool: Arc<ConnectionPool>,
-    /// Set once a list of hosts is known: from then on queries can be decided.
+    /// Set once a list of hosts is known: from then on requests can be decided.
     pub ready: Arc<AtomicBool>,
-    /// How late after a query's end its answer still counts.
+    /// How late after a request's end its answer still counts.
     pub slack: Duration,
     pub mail: Arc<Mailbox<Word>>,
 }
@@ -94,7 +96,7 @@
     /// The purges that may still bind, for decisions that start anew; with so many it is looked which do.
     purges: Vec<Purge>,
     look_at: usize,
-    open: BTreeMap<QueryId, Open>,
+    open: BTreeMap<RequestId, Open>,
     /// The ids under which clients wait.
     calls: BTreeSet<String>,
     peers: BTreeMap<HostId, Peer>,
@@ -103,19 +105,19 @@
     /// Whoever waits till the decisions have heard of these events; one at the most, as no word is taken ahead of it.
     waits: Option<Done<()>>,
     until: Option<Duration>,
-    /// How queries ended, by place of the product.
+    /// How requests ended, by place of the class.
     ended: Vec<Ended>,
     /// Those that the decisions left unanswered till their time was up.
     overdue: u64,
 }
 
 impl Module {
-    /// With what is known at the start, so that the first query finds it decided by.
+    /// With what is known at the start, so that the first request finds it decided by.
     pub fn new(given: Given, known: Vec<Entry>, purges: Vec<Purge>) -> Self {
         let mut module = Module {
             decisions: Dispatcher::new(given.deployment.clone(), given.seed),
             overdue: 0,
-            ended: vec![Ended::default(); given.products.len()],
+            ended: vec![Ended::default(); given.classes.len()],
             given,
             probes: BTreeMap::new(),
             next_probe: 0,
@@ -131,7 +133,7 @@
         };
         let actions = module.decisions.start();
         actions.into_iter().for_each(|action| module.act(action));
-        module.list(ListScope::Remembered, known);
+        module.list(ListScope::Restored, known);
         module.purge(purges);
         module
     }
@@ -165,7 +167,7 @@
         self.due.peek().map(|Reverse((at, _))| at.saturating_sub(self.given.clock.now()))
     }
 
-    /// Guards against a panic of the decisions that leaves queries unanswered: each gets its answer, and the
+    /// Guards against a panic of the decisions that leaves requests unanswered: each gets its answer, and the
     /// decisions start again with the list as it stands and the purges that bind. Whoever waits for these is told then.
     fn begin_anew(&mut self) {
         error!(open = self.open.len(), "the module panicked; its queries are terminated and it starts anew");
@@ -173,18 +175,18 @@
         self.calls.clear();
         for open in std::mem::take(&mut self.open) {
             let (id, open) = open;
-            for (no, leg) in open.legs.iter().enumerate().filter(|(_, leg)| leg.out) {
-                leg.pass.withdraw();
-                leg.never_mind((id, LegNo(no as u16)), false);
+            for (no, attempt) in open.attempts.iter().enumerate().filter(|(_, attempt)| attempt.out) {
+                attempt.pass.withdraw();
+                attempt.never_mind((id, AttemptNumber(no as u16)), false);
             }
             if !open.answered {
-                self.ended[open.product].terminated += 1;
+                self.ended[open.class].terminated += 1;
                 open.client.send(ClientWord::Answer(id, Answer::Terminated));
             }
         }
         self.decisions = Dispatcher::new(self.given.deployment.clone(), self.given.seed);
         let hosts = self.peers.values().map(|peer| peer.entry.listing.clone()).collect();
-        self.events.push_back(Event::Listed { scope: ListScope::Remembered, hosts });
+        self.events.push_back(Event::EndpointsListed { scope: ListScope::Restored, entries: hosts });
         let purges = std::mem::take(&mut self.purges);
         self.purge(purges);
     }
@@ -201,33 +203,33 @@
 
     fn hear(&mut self, word: Word) {
         match word {
-            Word::Asked { query, ask, client, arrived } => self.ask(query, ask, client, arrived),
-            Word::Left(query) => {
-                if let Some(open) = self.open.get_mut(&query) {
+            Word::Asked { request, ask, client, arrived } => self.ask(request, ask, client, arrived),
+            Word::Left(request) => {
+                if let Some(open) = self.open.get_mut(&request) {
                     if !std::mem::replace(&mut open.answered, true) {
                         self.calls.remove(&open.ask.call_id);
-                        self.ended[open.product].left += 1;
+                        self.ended[open.class].left += 1;
                     }
-                    self.events.push_back(Event::ClientLeft(query));
+                    self.events.push_back(Event::ClientDisconnected(request));
                     // Also where nothing may be called off: what has not begun need not begin.
-                    self.withdraw(|(id, _), _, _| id == query);
-                    self.forget(query);
+                    self.withdraw(|(id, _), _, _| id == request);
+                    self.forget(request);
                 }
             }
             Word::Leaving { until } => {
                 self.until = Some(until);
-                // Their legs end by then, and the decisions answer them as if their own time were up.
+                // Their attempts end by then, and the decisions answer them as if their own time were up.
                 for (id, open) in self.open.iter_mut().filter(|(_, open)| open.ends > until) {
                     open.ends = until;
-                    let out = open.legs.iter().enumerate().filter(|(_, leg)| leg.out);
-                    let legs = out.map(|(no, _)| Due::Leg((*id, LegNo(no as u16))));
-                    self.due.extend(legs.map(|leg| Reverse((until, leg))));
+                    let out = open.attempts.iter().enumerate().filter(|(_, attempt)| attempt.out);
+                    let attempts = out.map(|(no, _)| Due::Attempt((*id, AttemptNumber(no as u16))));
+                    self.due.extend(attempts.map(|attempt| Reverse((until, attempt))));
                     self.due.push(Reverse((until + self.given.slack / 2, Due::Outer(*id))));
                 }
-                self.events.push_back(Event::Ending { by: until });
+                self.events.push_back(Event::ShutdownStarted { deadline: until });
             }
             Word::Answered { key, answer } => self.answered(key, answer),
-            Word::Fell { key, outcome } => self.end_leg(key, outcome, None, Duration::ZERO),
+            Word::Fell { key, outcome } => self.end_attempt(key, outcome, None, Duration::ZERO),
             Word::Probed { tag, answer } => {
                 let well = answer.word == hostline::Word::Well;
                 let named = |name: &String| answer.load.iter().find(|(known, _)| known == name);
@@ -259,36 +261,36 @@
         }
     }
 
-    fn ask(&mut self, id: QueryId, ask: Box<Ask>, client: Arc<Mailbox<ClientWord>>, arrived: Duration) {
-        let Some(product) = self.given.products.iter().position(|name| *name == ask.product) else {
+    fn ask(&mut self, id: RequestId, ask: Box<Ask>, client: Arc<Mailbox<ClientWord>>, arrived: Duration) {
+        let Some(class) = self.given.classes.iter().position(|name| *name == ask.class) else {
             return client.send(ClientWord::Answer(id, Answer::Wrong(404, "unknown class")));
         };
         // Guards against work for a client that left while its request waited here.
         if client.is_closed() {
-            self.ended[product].left += 1;
+            self.ended[class].left += 1;
             return;
         }
-        // Guards against two queries under one id, whose answers could not be told apart on their way.
+        // Guards against two requests under one id, whose answers could not be told apart on their way.
         if !self.calls.insert(ask.call_id.clone()) {
             return client.send(ClientWord::Answer(id, Answer::Wrong(409, "id in use")));
         }
-        // No client waits longer than its product's outer limit, whatever its header says.
-        let most = self.given.deployment.products.get(product).map(|product| product.outer_limit);
+        // No client waits longer than its class's outer limit, whatever its header says.
+        let most = self.given.deployment.classes.get(class).map(|class| class.deadline);
         let patience = most.map_or(ask.patience, |most| ask.patience.min(most));
         let ends = (arrived + patience).min(self.until.unwrap_or(Duration::MAX));
-        let query = Query {
+        let request = Request {
             id,
-            product: ProductId(product),
+            class: ClassId(class),
             object: ObjectId(id_of(&ask.object)),
             part: ask.part,
             group: GroupId(ask.group),
             time_left: ends.saturating_sub(self.given.clock.now()),
             size_kb: ask.size_kb,
-            former: Vec::new(),
+            previous_attempts: Vec::new(),
         };
         self.due.push(Reverse((ends + self.given.slack / 2, Due::Outer(id))));
-        self.open.insert(id, Open { product, ask, client, ends, answered: false, legs: Vec::new() });
-        self.events.push_back(Event::Asked(query));
+        self.open.insert(id, Open { class, ask, client, ends, answered: false, attempts: Vec::new() });
+        self.events.push_back(Event::RequestArrived(request));
     }
 
     fn list(&mut self, scope: ListScope, entries: Vec<Entry>) {
@@ -317,25 +319,32 @@
             self.given.ready.store(true, Ordering::Relaxed);
         }
         let hosts = entries.into_iter().map(|entry| entry.listing).collect();
-        self.events.push_back(Event::Listed { scope, hosts });
+        self.events.push_back(Event::EndpointsListed { scope, entries: hosts });
         if !leaving.is_empty() {
-            self.withdraw(|_, _, leg| {
-                leaving.contains(&leg.host) || leg.source.is_some_and(|source| leaving.contains(&source))
+            self.withdraw(|_, _, attempt| {
+                leaving.contains(&attempt.host)
+                    || attempt.source.is_some_and(|source| leaving.contains(&source))
             });
         }
     }
 
-    /// Takes back legs that have not begun, so that they are decided anew by what is known now.
-    fn withdraw(&mut self, which: impl Fn(LegKey, &Open, &LegOut) -> bool) {
+    /// Takes back attempts that have not begun, so that they are decided anew by what is known now.
+    fn withdraw(&mut self, which: impl Fn(AttemptKey, &Open, &AttemptOut) -> bool) {
         let mut keys = Vec::new();
         for (id, open) in &self.open {
-            let legs = open.legs.iter().enumerate().map(|(no, leg)| ((*id, LegNo(no as u16)), leg));
-            let legs = legs.filter(|(key, leg)| leg.out && which(*key, open, leg) && leg.pass.withdraw());
-            keys.extend(legs.map(|(key, _)| key));
+            let attempts = open
+                .attempts
+                .iter()
+                .enumerate()
+                .map(|(no, attempt)| ((*id, AttemptNumber(no as u16)), attempt));
+            let attempts = attempts.filter(|(key, attempt)| {
+                attempt.out && which(*key, open, attempt) && attempt.pass.withdraw()
+            });
+            keys.extend(attempts.map(|(key, _)| key));
         }
         for key in keys {
-            self.open[&key.0].legs[usize::from(key.1 .0)].never_mind(key, false);
-            self.end_leg(key, Outcome::NotSent, None, Duration::ZERO);
+            self.open[&key.0].attempts[usize::from(key.1 .0)].never_mind(key, false);
+            self.end_attempt(key, Outcome::NotSent, None, Duration::ZERO);
         }
     }
 
@@ -356,7 +365,7 @@
         self.events.extend(purges.iter().map(|purge| Event::Purged {
             object: purge.object,
             group: purge.group,
-            ago: purge.made.ago(clock),
+            age: purge.made.ago(clock),
         }));
         // What has not begun was decided without these purges.
         self.withdraw(|_, open, _| {
@@ -373,9 +382,9 @@
     /// Forgets purges that bind no more. Guards against those without end: one of everything, as young as the youngest,
     /// stands for all. Stricter.
     fn fold(&mut self) {
-        let (clock, within) = (self.given.clock, self.given.deployment.purge_done);
+        let (clock, within) = (self.given.clock, self.given.deployment.purge_window);
         self.purges.retain(|old| old.made.ago(clock) <= within);
-        if self.purges.len() <= MOST_PURGES {
+        if self.purges.len() <= MAX_PURGES {
             return;
         }
         let youngest = self.purges.iter().map(|purge| purge.made).min_by_key(|made| made.ago(clock));
@@ -390,73 +399,84 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { query, leg } => self.send(query, leg),
-            Action::CallOff { query, leg } => self.call_off((query, leg), Outcome::CalledOff),
-            Action::Dismiss { query, pause } => self.answer(query, Answer::Dismissed { pause }),
-            Action::Terminate { query } => self.answer(query, Answer::Terminated),
-            Action::SetTimer { timer, span } => {
-                self.due.push(Reverse((self.given.clock.now() + span, Due::Timer(timer))));
+            Action::SendAttempt { request, attempt } => self.send(request, attempt),
+            Action::CancelAttempt { request, attempt } => {
+                self.call_off((request, attempt), Outcome::Cancelled)
+            }
+            Action::Reject { request, retry_after } => {
+                self.answer(request, Answer::Dismissed { pause: retry_after })
+            }
+            Action::Fail { request } => self.answer(request, Answer::Terminated),
+            Action::SetTimer { timer, delay } => {
+                self.due.push(Reverse((self.given.clock.now() + delay, Due::Timer(timer))));
             }
             Action::Log(text) => info!(text, "module"),
-            Action::Probe { host } => self.probe(host),
-            Action::CloseIdle { host } => {
+            Action::CheckHealth { host } => self.probe(host),
+            Action::CloseIdleConnections { host } => {
                 if let Some(mail) = self.peers.get(&host).and_then(|peer| peer.mail.as_ref()) {
                     mail.send(Order::CloseIdle);
                 }
             }
             // The board is followed all the time: what it has told is the answer.
-            Action::Subscribe { .. } | Action::AskList => {
+            Action::Subscribe { .. } | Action::RequestEndpointList => {
                 let hosts = self.peers.values().map(|peer| peer.entry.listing.clone()).collect();
-                self.events.push_back(Event::Listed { scope: ListScope::Whole, hosts });
+                self.events.push_back(Event::EndpointsListed { scope: ListScope::Full, entries: hosts });
             }
-            Action::Tell { .. } => debug!("dispatchers share nothing on these sockets"),
+            Action::SendMessage { .. } => debug!("dispatchers share nothing on these sockets"),
         }
     }
 
-    fn send(&mut self, id: QueryId, leg: Leg) {
+    fn send(&mut self, id: RequestId, attempt: Attempt) {
         let now = self.given.clock.now();
-        let mail = self.mail_of(leg.host);
+        let mail = self.mail_of(attempt.host);
         let Some(open) = self.open.get_mut(&id) else {
-            return error!(query = id.0, "leg of an unknown query");
+            return error!(request = id.0, "leg of an unknown query");
         };
-        let key = (id, LegNo(open.legs.len() as u16));
+        let key = (id, AttemptNumber(open.attempts.len() as u16));
         let left = open.ends.saturating_sub(now);
-        let wait = leg.limit.map_or(left, |limit| limit.min(left));
-        let by = leg.begin_by.map_or(now + wait, |by| by.min(now + wait));
+        let wait = attempt.timeout.map_or(left, |limit| limit.min(left));
+        let by = attempt.send_by.map_or(now + wait, |by| by.min(now + wait));
         let pass = Pass::new(by, open.client.clone());
-        let (host, source, sent) = (leg.host, leg.source, now);
-        open.legs.push(LegOut { host, source, mail: mail.clone(), sent, out: true, pass: pass.clone() });
-        self.due.push(Reverse((now + wait, Due::Leg(key))));
+        let (host, source, sent) = (attempt.host, attempt.source, now);
+        open.attempts.push(AttemptOut {
+            host,
+            source,
+            mail: mail.clone(),
+            sent,
+            out: true,
+            pass: pass.clone(),
+        });
+        self.due.push(Reverse((now + wait, Due::Attempt(key))));
         if by < now + wait {
             self.due.push(Reverse((by, Due::Begin(key))));
         }
         let source =
-            leg.source.and_then(|source| self.peers.get(&source)).map(|peer| peer.entry.name.as_str());
-        // Guards against a fill that is left out, which would be another leg than the one decided.
-        if leg.source.is_some() && source.is_none() {
-            return self.end_leg(key, Outcome::NotSent, None, Duration::ZERO);
+            attempt.source.and_then(|source| self.peers.get(&source)).map(|peer| peer.entry.name.as_str());
+        // Guards against a fill that is left out, which would be another attempt than the one decided.
+        if attempt.source.is_some() && source.is_none() {
+            return self.end_attempt(key, Outcome::NotSent, None, Duration::ZERO);
         }
         let filled = source.is_some();
         let line = Want {
             id: &open.ask.call_id,
-            product: &open.ask.product,
+            class: &open.ask.class,
             object: &open.ask.object,
             part: open.ask.part,
             wait,
             source,
-            rank: leg.keep as u8,
-            oldest: leg.oldest,
-            coalesce: filled && leg.join,
-            shallow: filled && leg.held_at_source,
-            transit: filled && leg.unkept_at_parent,
-            freshen: filled && leg.renew,
+            rank: attempt.cache_priority as u8,
+            oldest: attempt.max_age,
+            coalesce: filled && attempt.coalesce,
+            shallow: filled && attempt.cached_at_source_only,
+            transit: filled && attempt.no_store_at_parent,
+            freshen: filled && attempt.revalidate,
             seen: open.ask.seen.as_deref(),
         };
         let (id, seen) = (open.ask.call_id.clone(), line.seen.is_some());
         let order = Order::Want(Wanted { key, id, line: line.encode(), seen, pass });
         match mail {
             Some(mail) => mail.send(order),
-            None => self.end_leg(key, Outcome::NotSent, None, Duration::ZERO),
+            None => self.end_attempt(key, Outcome::NotSent, None, Duration::ZERO),
         }
     }
 
@@ -488,27 +508,29 @@
     fn end_probe(&mut self, tag: u64, outcome: Outcome, report: Vec<f32>) {
         let Some((host, sent)) = self.probes.remove(&tag) else { return };
         let took = self.given.clock.now().saturating_sub(sent);
-        self.events.push_back(Event::Probed { host, outcome, took, report });
+        self.events.push_back(Event::HealthChecked { host, outcome, duration: took, load_report: report });
     }
 
-    /// Gives a leg up: its host hears of it, and its outcome is known at once.
-    fn call_off(&mut self, key: LegKey, outcome: Outcome) {
+    /// Gives an attempt up: its host hears of it, and its outcome is known at once.
+    fn call_off(&mut self, key: AttemptKey, outcome: Outcome) {
         let Some(open) = self.open.get(&key.0) else { return };
-        let Some(leg) = open.legs.get(usize::from(key.1 .0)).filter(|leg| leg.out) else { return };
-        leg.pass.withdraw();
-        leg.never_mind(key, outcome == Outcome::TimedOut);
-        self.end_leg(key, outcome, None, Duration::ZERO);
+        let Some(attempt) = open.attempts.get(usize::from(key.1 .0)).filter(|attempt| attempt.out) else {
+            return;
+        };
+        attempt.pass.withdraw();
+        attempt.never_mind(key, outcome == Outcome::TimedOut);
+        self.end_attempt(key, outcome, None, Duration::ZERO);
     }
 
-    fn answered(&mut self, key: LegKey, answer: hostline::Answer) {
+    fn answered(&mut self, key: AttemptKey, answer: hostline::Answer) {
         let Some(open) = self.open.get(&key.0) else { return };
-        if !open.legs.get(usize::from(key.1 .0)).is_some_and(|leg| leg.out) {
+        if !open.attempts.get(usize::from(key.1 .0)).is_some_and(|attempt| attempt.out) {
             return;
         }
         let outcome = match answer.word {
             hostline::Word::Data | hostline::Word::Unchanged => Outcome::Succeeded,
             hostline::Word::Absent => Outcome::Miss,
-            hostline::Word::Full => Outcome::TurnedAway,
+            hostline::Word::Full => Outcome::Rejected,
             hostline::Word::Moot => Outcome::NotSent,
             _ => Outcome::HostError,
         };
@@ -519,15 +541,15 @@
             hostline::Word::Unchanged => self.answer(key.0, Answer::Unchanged { tag }),
             _ => {}
         }
-        self.end_leg(key, outcome, note, waited);
+        self.end_attempt(key, outcome, note, waited);
     }
 
-    /// The one final answer of a query; whatever would follow it is dropped.
-    fn answer(&mut self, id: QueryId, answer: Answer) {
+    /// The one final answer of a request; whatever would follow it is dropped.
+    fn answer(&mut self, id: RequestId, answer: Answer) {
         let Some(open) = self.open.get_mut(&id).filter(|open| !open.answered) else { return };
         open.answered = true;
         self.calls.remove(&open.ask.call_id);
-        let ended = &mut self.ended[open.product];
+        let ended = &mut self.ended[open.class];
         match &answer {
             Answer::Succeeded { .. } | Answer::Unchanged { .. } => ended.succeeded += 1,
             Answer::Dismissed { .. } => ended.dismissed += 1,
@@ -537,28 +559,40 @@
         self.forget(id);
     }
 
-    fn end_leg(&mut self, key: LegKey, outcome: Outcome, note: Option<hostline::Note>, waited: Duration) {
+    fn end_attempt(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        note: Option<hostline::Note>,
+        waited: Duration,
+    ) {
         let now = self.given.clock.now();
         let Some(open) = self.open.get_mut(&key.0) else { return };
-        let Some(leg) = open.legs.get_mut(usize::from(key.1 .0)).filter(|leg| leg.out) else { return };
-        leg.out = false;
-        self.events.push_back(Event::LegEnded(LegEnd {
-            query: key.0,
-            leg: key.1,
-            host: leg.host,
+        let Some(attempt) = open.attempts.get_mut(usize::from(key.1 .0)).filter(|attempt| attempt.out) else {
+            return;
+        };
+        attempt.out = false;
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request: key.0,
+            attempt: key.1,
+            host: attempt.host,
             outcome,
-            took: now.saturating_sub(leg.sent),
-            over: open.answered,
-            note: note.map_or(Note::Untold, told),
+            duration: now.saturating_sub(attempt.sent),
+            request_finished: open.answered,
+            cache_status: note.map_or(CacheStatus::Unknown, told),
             fill_wait: waited,
-            begun: leg.pass.begun(),
+            first_byte_sent: attempt.pass.begun(),
         }));
         self.forget(key.0);
     }
 
-    /// Drops a query that is answered and has no leg out.
-    fn forget(&mut self, id: QueryId) {
-        if self.open.get(&id).is_some_and(|open| open.answered && open.legs.iter().all(|leg| !leg.out)) {
+    /// Drops a request that is answered and has no attempt out.
+    fn forget(&mut self, id: RequestId) {
+        if self
+            .open
+            .get(&id)
+            .is_some_and(|open| open.answered && open.attempts.iter().all(|attempt| !attempt.out))
+        {
             self.open.remove(&id);
         }
     }
@@ -571,22 +605,22 @@
             }
             self.due.pop();
             match due {
-                Due::Leg(key) => self.call_off(key, Outcome::TimedOut),
+                Due::Attempt(key) => self.call_off(key, Outcome::TimedOut),
                 Due::Begin(late) => self.withdraw(|key, _, _| key == late),
                 Due::Probe(tag) => self.end_probe(tag, Outcome::TimedOut, Vec::new()),
-                Due::Timer(timer) => self.events.push_back(Event::TimerDue(timer)),
+                Due::Timer(timer) => self.events.push_back(Event::TimerFired(timer)),
                 Due::Outer(id) => {
-                    // Guards against a query that nothing answers in time, or before the program's end:
+                    // Guards against a request that nothing answers in time, or before the program's end:
                     // the module is told as if the client left.
                     if self.open.get(&id).is_some_and(|open| !open.answered) {
                         error!(
-                            query = id.0,
+                            request = id.0,
                             leaving = self.until.is_some(),
                             "no answer from the module in time"
                         );
                         self.overdue += 1;
                         self.answer(id, Answer::Terminated);
-                        self.events.push_back(Event::ClientLeft(id));
+                        self.events.push_back(Event::ClientDisconnected(id));
                     }
                 }
             }
@@ -595,17 +629,17 @@
     }
 }
 
-fn told(note: hostline::Note) -> Note {
+fn told(note: hostline::Note) -> CacheStatus {
     match note {
-        hostline::Note::Warm => Note::Hit,
-        hostline::Note::Fill => Note::Filled,
-        hostline::Note::DeepFill => Note::FilledByOrigin,
-        hostline::Note::Piggy => Note::Joined,
-        hostline::Note::Aged => Note::PastFresh,
-        hostline::Note::Bounced => Note::SourceRefused,
-        hostline::Note::Dropped => Note::SourceUnreached,
-        hostline::Note::Lacking => Note::SourceLacks,
-        hostline::Note::Jammed => Note::NoPlace,
-        hostline::Note::Backfire => Note::OriginFailed,
+        hostline::Note::Warm => CacheStatus::Hit,
+        hostline::Note::Fill => CacheStatus::Filled,
+        hostline::Note::DeepFill => CacheStatus::FilledByOrigin,
+        hostline::Note::Piggy => CacheStatus::Coalesced,
+        hostline::Note::Aged => CacheStatus::Stale,
+        hostline::Note::Bounced => CacheStatus::SourceRejected,
+        hostline::Note::Dropped => CacheStatus::SourceUnreachable,
+        hostline::Note::Lacking => CacheStatus::SourceMiss,
+        hostline::Note::Jammed => CacheStatus::NoFillCapacity,
+        hostline::Note::Backfire => CacheStatus::OriginFailed,
     }
 }
--- a/crates/rockflow-dispatcher/src/pass.rs
+++ b/crates/rockflow-dispatcher/src/pass.rs
@@ -1,4 +1,4 @@
-//! A leg's way from its decision to its first byte: it begins, or it is withdrawn, and never both.
+//! An attempt's way from its decision to its first byte: it begins, or it is withdrawn, and never both.
 
 use crate::mailbox::Mailbox;
 use crate::messages::ClientWord;
@@ -10,7 +10,7 @@
 const BEGUN: u8 = 1;
 const WITHDRAWN: u8 = 2;
 
-/// Guards against a leg that goes out on a decision that no longer holds: while it waited for a connection its host
+/// Guards against an attempt that goes out on a decision that no longer holds: while it waited for a connection its host
 /// was told to leave, its object was purged, its client left, or its time passed. What was decided is checked again
 /// where the first byte goes out.
 pub struct Pass {
--- a/crates/rockflow-dispatcher/src/pool.rs
+++ b/crates/rockflow-dispatcher/src/pool.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::mailbox::Mailbox;
-use crate::messages::{LegKey, LineWord, Wanted, Word};
+use crate::messages::{AttemptKey, LineWord, Wanted, Word};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,7 +11,7 @@
 /// Part of the told idle time after which a connection is not used again: the host may be closing it.
 const IDLE_PART: f64 = 0.8;
 /// Ids that a line remembers at the most; past it nothing new goes on it.
-const MOST_CARRIED: usize = 1024;
+const MAX_CARRIED: usize = 1024;
 
 /// What all lines to hosts share.
 pub struct ConnectionPool {
@@ -20,19 +20,19 @@
     pub connect_limit: Duration,
     /// A host closes a connection that was idle for this time.
     pub idle_limit: Duration,
-    /// Legs that one connection carries at once.
-    pub most_streams: usize,
-    /// The longest that a query may be open: so long an answer to its legs may come.
+    /// Attempts that one connection carries at once.
+    pub max_streams: usize,
+    /// The longest that a request may be open: so long an answer to its attempts may come.
     pub longest: Duration,
     /// Bytes that may wait to be written on one connection.
     pub line_out: usize,
     /// Connections to all hosts, and their cap.
     pub lines: Mutex<BTreeMap<u64, Arc<Line>>>,
     pub next_line: AtomicU64,
-    pub most_lines: usize,
+    pub max_lines: usize,
     /// Bytes of answers that are held, and their cap.
     pub held: Arc<AtomicUsize>,
-    pub most_held: usize,
+    pub max_held: usize,
 }
 
 impl ConnectionPool {
@@ -48,7 +48,7 @@
 }
 
 /// Wants of one host for which no connection is free. They go on whichever is first: one that comes up, or one that
-/// has brought its answer. There are no more of them than legs of open queries, which have a cap.
+/// has brought its answer. There are no more of them than attempts of open requests, which have a cap.
 #[derive(Default)]
 pub struct Queue(Mutex<VecDeque<Wanted>>);
 
@@ -77,7 +77,7 @@
         lock(&self.0).pop_front()
     }
 
-    pub fn remove(&self, key: LegKey) {
+    pub fn remove(&self, key: AttemptKey) {
         lock(&self.0).retain(|wanted| wanted.key != key);
     }
 }
@@ -95,7 +95,7 @@
     pub used: Mutex<Duration>,
     /// When anything last came on it.
     pub heard: Mutex<Duration>,
-    /// Ids that it has carried, and whether an answer has come: another leg under one could not be told from what is
+    /// Ids that it has carried, and whether an answer has come: another attempt under one could not be told from what is
     /// still to come of the first, be it late or a second time.
     pub carried: Mutex<BTreeMap<String, Carried>>,
 }
@@ -154,18 +154,18 @@
         !self.up.load(Ordering::Relaxed) && !self.is_over()
     }
 
-    /// Whether a leg under this id may go on it. Nothing gets through behind an answer that nobody waits for and
+    /// Whether an attempt under this id may go on it. Nothing gets through behind an answer that nobody waits for and
     /// that is not over.
     pub fn takes(&self, id: &str, pool: &ConnectionPool) -> bool {
         let again = lock(&self.carried).contains_key(id);
         let blocked = self.is_midway() && self.out() == 0;
-        self.is_up() && !again && !blocked && !self.is_spent(pool) && self.out() < pool.most_streams
+        self.is_up() && !again && !blocked && !self.is_spent(pool) && self.out() < pool.max_streams
     }
 
     /// Whether nothing new will ever go on it.
     pub fn is_spent(&self, pool: &ConnectionPool) -> bool {
         let idle = pool.clock.now().saturating_sub(self.used());
-        let full = lock(&self.carried).len() >= MOST_CARRIED;
+        let full = lock(&self.carried).len() >= MAX_CARRIED;
         self.spent.load(Ordering::Relaxed) || full || idle >= pool.idle_limit.mul_f64(IDLE_PART)
     }
 }
--- a/crates/rockflow-dispatcher/src/service.rs
+++ b/crates/rockflow-dispatcher/src/service.rs
@@ -16,7 +16,7 @@
 use may::coroutine::Builder;
 use may::net::TcpListener;
 use may::sync::Semphore;
-use rockflow_roster::{Marks, Roll};
+use rockflow_endpoints::{Marks, Roll};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -28,7 +28,7 @@
 /// In words of eight bytes: a connection's actor, and one that parses JSON.
 const STACK: usize = 0x2000;
 pub(crate) const BIG_STACK: usize = 0x20000;
-/// After a planned stop, new connections come for 0.4 s and queries on open ones for 0.2 s more.
+/// After a planned stop, new connections come for 0.4 s and requests on open ones for 0.2 s more.
 const STILL_COMING: Duration = Duration::from_millis(650);
 /// The wait before an actor that panicked is started again.
 const AGAIN: Duration = Duration::from_millis(10);
@@ -60,13 +60,13 @@
         Service::start_marked(Clock::start(), told, None)
     }
 
-    /// With operators' marks, which hold from the first query on and can be changed through `link`; none: nobody
+    /// With operators' marks, which hold from the first request on and can be changed through `link`; none: nobody
     /// can mark, and nothing is kept for it.
     pub fn start_marked(clock: Clock, told: Told, marks: Option<Marks>) -> std::io::Result<Service> {
         let caps = Caps::of(&told.limits);
         let unchanging = told.unchanging.clone();
         let (mail, list_mail) = (Mailbox::new(), Mailbox::new());
-        let longest = told.facts.deployment.products.iter().map(|product| product.outer_limit).max();
+        let longest = told.facts.deployment.classes.iter().map(|class| class.deadline).max();
         let ready = Arc::new(AtomicBool::new(false));
         let held = Arc::new(AtomicUsize::new(0));
         let door = Arc::new(Door {
@@ -79,9 +79,9 @@
             longest: longest.unwrap_or_default(),
             held: held.clone(),
             clients: Mutex::new(BTreeMap::new()),
-            seats: caps.seats,
+            location_dispatchers: caps.location_dispatchers,
             next_client: AtomicU64::new(1),
-            next_query: AtomicU64::new(1),
+            next_request: AtomicU64::new(1),
             open: AtomicUsize::new(0),
         });
         let reading = Reading::new(clock, &told.facts, &told.wiring);
@@ -96,24 +96,24 @@
             module: mail.clone(),
             connect_limit: told.wiring.connect_limit,
             idle_limit: told.wiring.idle_limit,
-            most_streams: told.wiring.most_streams,
+            max_streams: told.wiring.max_streams,
             longest: longest.unwrap_or_default() + told.wiring.connect_limit,
             line_out: caps.line_out,
             lines: Mutex::new(BTreeMap::new()),
             next_line: AtomicU64::new(1),
-            most_lines: caps.hosts,
+            max_lines: caps.hosts,
             held,
-            most_held: caps.held,
+            max_held: caps.held,
         });
         let looked = (door.clone(), pool.clone());
         let mut board = Board::new(clock, &told, list_mail.clone());
         let (board_mail, seen) = (board.mail.clone(), board.seen.clone());
-        let products = told.wiring.products.iter().cloned();
-        let named = products.zip(told.facts.deployment.products.iter().cloned()).collect();
+        let classes = told.wiring.classes.iter().cloned();
+        let named = classes.zip(told.facts.deployment.classes.iter().cloned()).collect();
         let given = Given {
             clock,
             deployment: told.facts.deployment,
-            products: told.wiring.products.clone(),
+            classes: told.wiring.classes.clone(),
             seed: told.seed,
             report: told.wiring.report,
             pool,
@@ -129,7 +129,7 @@
             clock,
             name: told.name,
             caps,
-            products: named,
+            classes: named,
             locations: told.wiring.locations,
             list: list_mail,
             door: door.clone(),
@@ -152,9 +152,9 @@
         spawn("module", BIG_STACK, move || module.run())?;
         spawn("list", BIG_STACK, move || list.run())?;
         spawn("board", BIG_STACK, move || board.run())?;
-        let seats = Arc::new(Semphore::new(caps.clients));
+        let location_dispatchers = Arc::new(Semphore::new(caps.clients));
         spawn("look", STACK, move || listener::look(&looked.0, &looked.1, &board_mail))?;
-        spawn("listener", STACK, move || listener::run(&listener, &door, &seats))?;
+        spawn("listener", STACK, move || listener::run(&listener, &door, &location_dispatchers))?;
         service.enter(Phase::Serving);
         Ok(service)
     }
--- a/crates/rockflow-dispatcher/src/told.rs
+++ b/crates/rockflow-dispatcher/src/told.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher is told at its start, read from its configuration. Every fault names its key.
 
-use rockflow_facts::{facts, wiring, Facts, Pairs, Wiring};
 use rockflow_protocol::board::Known;
+use rockflow_settings::{facts, wiring, Facts, Pairs, Wiring};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/rockflow-dispatcher/src/waiting.rs
+++ b/crates/rockflow-dispatcher/src/waiting.rs
@@ -7,11 +7,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Purges that may wait; a purge of everything stands for those beyond. The decisions look at all they hold with each, so
-/// that more would keep queries waiting.
-pub const MOST_PURGES: usize = 4096;
+/// that more would keep requests waiting.
+pub const MAX_PURGES: usize = 4096;
 /// Callers that may wait for one thing. With one more the earliest is not told: as many tickets as that a member of the fleet
 /// holds open, and gives up all of them with the next.
-pub const MOST_CALLERS: usize = 4096;
+pub const MAX_CALLERS: usize = 4096;
 
 /// How many purges wait.
 #[derive(Default)]
@@ -31,7 +31,7 @@
     pub fn places(self: &Arc<Self>, count: usize) -> Option<Places> {
         let places = Places(self.clone(), count);
         let before = self.0.fetch_add(count, Ordering::Relaxed);
-        (before + count <= MOST_PURGES).then_some(places)
+        (before + count <= MAX_PURGES).then_some(places)
     }
 }
 
@@ -53,7 +53,7 @@
         let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let (before, mut callers) =
             held.take().map_or((None, VecDeque::new()), |(value, all)| (Some(value), all));
-        let (new, whole) = (before.is_none(), callers.len() < MOST_CALLERS);
+        let (new, whole) = (before.is_none(), callers.len() < MAX_CALLERS);
         if !whole {
             callers.pop_front();
         }
--- a/crates/rockflow-dispatcher/tests/backlog.rs
+++ b/crates/rockflow-dispatcher/tests/backlog.rs
@@ -1,6 +1,6 @@
 //! What a board said before is told by its own clock, whatever this one says.
 
-use rockflow_dispatcher::backlog::{Backlog, LOOK, MOST_HELD};
+use rockflow_dispatcher::backlog::{Backlog, LOOK, MAX_HELD};
 use rockflow_dispatcher::{Made, Purge};
 use std::time::Duration;
 use test_case::test_case;
@@ -62,7 +62,7 @@
 #[test]
 fn when_full_one_of_everything_stands_for_what_was_held() {
     let mut backlog = Backlog::new(BINDS);
-    (0..MOST_HELD).for_each(|_| backlog.hold(NOW, purge(10)));
+    (0..MAX_HELD).for_each(|_| backlog.hold(NOW, purge(10)));
     assert!(!backlog.is_overflown(NOW));
     backlog.hold(NOW, purge(10));
     assert!(backlog.is_overflown(NOW));
@@ -72,7 +72,7 @@
 #[test]
 fn what_found_no_place_long_ago_needs_nothing_in_its_stead() {
     let mut backlog = Backlog::new(BINDS);
-    (0..=MOST_HELD).for_each(|_| backlog.hold(NOW, purge(3_600_000)));
+    (0..=MAX_HELD).for_each(|_| backlog.hold(NOW, purge(3_600_000)));
     assert!(!backlog.is_overflown(NOW));
     backlog.hold(NOW, purge(10));
     assert!(!backlog.is_overflown(NOW));
--- a/crates/rockflow-dispatcher/tests/board.rs
+++ b/crates/rockflow-dispatcher/tests/board.rs
@@ -54,7 +54,7 @@
     Told::read(&value.to_string()).unwrap()
 }
 
-/// Answers one leg on each connection and closes it; one that rests is closed too, as a spare connection carries none.
+/// Answers one attempt on each connection and closes it; one that rests is closed too, as a spare connection carries none.
 fn host(listener: TcpListener) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -73,7 +73,7 @@
     });
 }
 
-/// Asks one query on each connection, till it is told to stop; returns how many were served.
+/// Asks one request on each connection, till it is told to stop; returns how many were served.
 fn client(to: SocketAddr, over: Arc<AtomicBool>, served: Arc<AtomicUsize>) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         for n in 0u64.. {
--- a/crates/rockflow-dispatcher/tests/common/mod.rs
+++ b/crates/rockflow-dispatcher/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //!
 //!     host NAME cache|parent|origin [shut] [unlisted]   listed at the start, at a port of its own; `shut`: its queue
 //!                                       is full, so that what connects to it stays on its way
-//!     start [unknown-product] [comments] [sockets=N] [/PATH=JSON]   the dispatcher, with a product that the decisions
+//!     start [unknown-class] [comments] [sockets=N] [/PATH=JSON]   the dispatcher, with a class that the decisions
 //!                                       don't know, boards that comment while they are called, as the protocol has it, and
 //!                                       other values in its configuration
 //!     freeze | thaw                     nothing of the dispatcher runs in between, but for a planned stop's own thread; what
@@ -44,12 +44,12 @@
 //!     wait MS                           time passes
 //!     stop [held] | release | over      a planned stop begins, and goes on to its next phase only once it is released; it has
 //!                                       come to its end
-//!     overdue N                         queries so far that the decisions left without an answer in time
+//!     overdue N                         requests so far that the decisions left without an answer in time
 
-use rockflow::interface::{GroupId, ObjectId, Readiness};
+use rockflow::{GroupId, ObjectId, Readiness};
 use rockflow_dispatcher::messages::id_of;
 use rockflow_dispatcher::{Clock, Link, Phase, Purge, Service, Told};
-use rockflow_roster::{Mark, Marks, Refused};
+use rockflow_endpoints::{Mark, Marks, Refused};
 use serde_json::{json, Value};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -406,7 +406,7 @@
     fn start(&mut self, words: &[&str]) {
         let mut told = self.told("board", words);
         if words.contains(&"unknown-product") {
-            told.wiring.products.push("unknown".to_string());
+            told.wiring.classes.push("unknown".to_string());
         }
         self.comments = words.contains(&"comments");
         SET_UP.call_once(Service::set_up);
--- a/crates/rockflow-dispatcher/tests/line.rs
+++ b/crates/rockflow-dispatcher/tests/line.rs
@@ -1,9 +1,9 @@
 //! One connection to a host, with a scripted peer at its other end: what crosses there is held back till both are here.
 
-use rockflow::interface::{LegNo, Outcome, QueryId};
+use rockflow::{AttemptNumber, Outcome, RequestId};
 use rockflow_dispatcher::line;
 use rockflow_dispatcher::mailbox::Mailbox;
-use rockflow_dispatcher::messages::{LegKey, Order, Wanted, Word};
+use rockflow_dispatcher::messages::{AttemptKey, Order, Wanted, Word};
 use rockflow_dispatcher::pass::Pass;
 use rockflow_dispatcher::pool::{ConnectionPool, Line, Queue};
 use rockflow_dispatcher::{Clock, Service};
@@ -56,14 +56,14 @@
             module: module.clone(),
             connect_limit: Duration::from_secs(1),
             idle_limit,
-            most_streams: 100,
+            max_streams: 100,
             longest: PATIENCE,
             line_out: 2 * MUCH,
             lines: Mutex::new(BTreeMap::new()),
             next_line: AtomicU64::new(0),
-            most_lines: 10,
+            max_lines: 10,
             held: Arc::new(AtomicUsize::new(0)),
-            most_held: 1 << 20,
+            max_held: 1 << 20,
         });
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
@@ -77,7 +77,13 @@
 
     fn wanted(&self, number: u64, line: Vec<u8>) -> Wanted {
         let pass = Pass::new(self.clock.now() + PATIENCE, Mailbox::new());
-        Wanted { key: (QueryId(number), LegNo(0)), id: format!("{number:016x}"), line, seen: false, pass }
+        Wanted {
+            key: (RequestId(number), AttemptNumber(0)),
+            id: format!("{number:016x}"),
+            line,
+            seen: false,
+            pass,
+        }
     }
 
     fn small(&self, number: u64) -> Wanted {
@@ -94,7 +100,7 @@
         line
     }
 
-    /// Answers a leg, and waits till the module has it.
+    /// Answers an attempt, and waits till the module has it.
     fn answers(&mut self, wanted: &Wanted) {
         assert!(self.got().contains(&wanted.id));
         assert_eq!(self.got(), "\r\n");
@@ -103,14 +109,14 @@
         assert_eq!(self.answered(), wanted.key);
     }
 
-    fn answered(&self) -> LegKey {
+    fn answered(&self) -> AttemptKey {
         match wait("a word to the module", || self.module.take()) {
             Word::Answered { key, .. } => key,
             _ => panic!("another word"),
         }
     }
 
-    fn fell(&self) -> (LegKey, Outcome) {
+    fn fell(&self) -> (AttemptKey, Outcome) {
         match wait("a word to the module", || self.module.take()) {
             Word::Fell { key, outcome } => (key, outcome),
             _ => panic!("another word"),
@@ -135,7 +141,7 @@
 }
 
 #[test]
-fn a_connection_closed_as_a_leg_is_given_to_it_leaves_the_leg_unbegun() {
+fn a_connection_closed_as_an_attempt_is_given_to_it_leaves_the_attempt_unbegun() {
     let _alone = alone();
     let mut bed = Bed::new();
     let first = bed.small(1);
@@ -150,7 +156,7 @@
     let Order::LineOver { fallen, again, failed } = over else { panic!("another order") };
     assert!(!second.pass.begun() && !failed);
     assert_eq!(again.iter().map(|wanted| wanted.key).collect::<Vec<_>>(), [second.key]);
-    assert!(fallen.iter().all(|fallen| fallen.legs.is_empty()), "{fallen:?}");
+    assert!(fallen.iter().all(|fallen| fallen.attempts.is_empty()), "{fallen:?}");
 }
 
 /// From a host that takes connections and closes them at once it is not tried without end.
@@ -167,11 +173,11 @@
     let Order::LineOver { fallen, again, .. } = over else { panic!("another order") };
     assert!(!wanted.pass.begun() && again.is_empty());
     let last = fallen.last().unwrap();
-    assert_eq!((&last.legs[..], last.if_it_lives), (&[wanted.key][..], Outcome::NotSent));
+    assert_eq!((&last.attempts[..], last.if_it_lives), (&[wanted.key][..], Outcome::NotSent));
 }
 
 #[test]
-fn a_leg_withdrawn_before_its_first_byte_never_goes_out() {
+fn an_attempt_withdrawn_before_its_first_byte_never_goes_out() {
     let _alone = alone();
     let mut bed = Bed::new();
     let gate = freeze();
@@ -189,10 +195,10 @@
     bed.answers(&next);
 }
 
-/// The host reads nothing, so that a leg waits behind what is half out: it is taken back, and when the host reads again
+/// The host reads nothing, so that an attempt waits behind what is half out: it is taken back, and when the host reads again
 /// it never sees it.
 #[test]
-fn a_leg_behind_a_host_that_reads_nothing_can_be_taken_back() {
+fn an_attempt_behind_a_host_that_reads_nothing_can_be_taken_back() {
     let _alone = alone();
     let mut bed = Bed::new();
     let (much, taken_back, next) = (bed.wanted(1, vec![b'x'; MUCH]), bed.small(2), bed.small(3));
@@ -210,7 +216,7 @@
 
 /// What waits for a connection goes on the first that is free, and not where its id has been.
 #[test]
-fn a_leg_that_waits_for_a_connection_goes_on_the_one_that_is_free_first() {
+fn an_attempt_that_waits_for_a_connection_goes_on_the_one_that_is_free_first() {
     let _alone = alone();
     let mut bed = Bed::new();
     let (first, again, other) = (bed.small(1), bed.small(1), bed.small(2));
--- a/crates/rockflow-dispatcher/tests/told.rs
+++ b/crates/rockflow-dispatcher/tests/told.rs
@@ -2,7 +2,7 @@
 
 use rockflow_dispatcher::caps::Caps;
 use rockflow_dispatcher::Told;
-use rockflow_facts::Pairs;
+use rockflow_settings::Pairs;
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -48,6 +48,6 @@
     let mut told = example();
     told["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
     let caps = Caps::of(&Told::read(&told.to_string()).unwrap().limits);
-    assert!(caps.seats < caps.clients && caps.clients + caps.hosts < sockets);
+    assert!(caps.location_dispatchers < caps.clients && caps.clients + caps.hosts < sockets);
     assert!(caps.held + caps.hosts * caps.line_out < memory_mb * 1024 * 1024 / 2);
 }
--- a/crates/rockflow-dispatcher/tests/waiting.rs
+++ b/crates/rockflow-dispatcher/tests/waiting.rs
@@ -1,19 +1,19 @@
 //! What waits for an actor is bounded, and what has no place is covered by something stricter.
 
-use rockflow_dispatcher::waiting::{Slot, Waiting, MOST_CALLERS, MOST_PURGES};
+use rockflow_dispatcher::waiting::{Slot, Waiting, MAX_CALLERS, MAX_PURGES};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
 #[test]
 fn places_end_and_come_back() {
     let waiting = Arc::new(Waiting::default());
-    let all = waiting.places(MOST_PURGES).expect("room for all");
+    let all = waiting.places(MAX_PURGES).expect("room for all");
     assert!(waiting.places(1).is_none());
     drop(all);
-    let most = waiting.places(MOST_PURGES - 1);
+    let most = waiting.places(MAX_PURGES - 1);
     assert!(waiting.places(2).is_none() && waiting.places(1).is_some());
     drop(most);
-    assert!(waiting.places(MOST_PURGES).is_some());
+    assert!(waiting.places(MAX_PURGES).is_some());
 }
 
 #[test]
@@ -43,14 +43,14 @@
 fn those_who_wait_for_a_slot_are_bounded() {
     const BEYOND: usize = 100;
     let (slot, told) = (Slot::<usize, ()>::default(), Arc::new(Mutex::new(Vec::new())));
-    let all = (0..MOST_CALLERS + BEYOND).map(|n| {
+    let all = (0..MAX_CALLERS + BEYOND).map(|n| {
         let told = told.clone();
         slot.put(|_| n, Box::new(move |()| told.lock().unwrap().push(n))).1
     });
     // Whether somebody gave way.
     assert_eq!(all.filter(|whole| !whole).count(), BEYOND);
     let (value, tell) = slot.take().expect("a value");
-    assert_eq!(value, MOST_CALLERS + BEYOND - 1);
+    assert_eq!(value, MAX_CALLERS + BEYOND - 1);
     tell(());
-    assert!(told.lock().unwrap().iter().copied().eq(BEYOND..MOST_CALLERS + BEYOND));
+    assert!(told.lock().unwrap().iter().copied().eq(BEYOND..MAX_CALLERS + BEYOND));
 }
--- a/crates/rockflow-dissemination/src/children.rs
+++ b/crates/rockflow-dissemination/src/children.rs
@@ -1,15 +1,15 @@
 //! Who follows this node, and what they report.
 
-use crate::messages::{Report, MOST_REPORTS};
+use crate::messages::{Report, MAX_REPORTS};
 use crate::words::{Identity, NodeId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Children of a member. One more is answered `Full`, and goes to its next candidate.
-pub const MOST_CHILDREN: usize = 16;
+pub const MAX_CHILDREN: usize = 16;
 /// Children of a control node, likewise.
-pub const MOST_CONTROL_CHILDREN: usize = 256;
+pub const MAX_CONTROL_CHILDREN: usize = 256;
 
 #[derive(Clone, Debug)]
 pub struct Child {
@@ -56,7 +56,7 @@
     }
 
     pub fn hear(&mut self, now: Duration, me: Identity, at: SocketAddr, mut reports: Vec<Report>) -> Heard {
-        reports.truncate(MOST_REPORTS);
+        reports.truncate(MAX_REPORTS);
         for report in &mut reports {
             report.cut();
         }
--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -7,7 +7,7 @@
 use crate::outs::Out;
 use crate::pace::Pace;
 use crate::reports;
-use crate::settings::MOST_HEARD;
+use crate::settings::MAX_HEARD;
 use crate::sizes;
 use crate::words::*;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 /// Reports count for so many pulses.
 const KEEP: u32 = 10;
 /// Entries told one by one as in force everywhere; of more at once, the last of them.
-const MOST_TOLD: u64 = 128;
+const MAX_TOLD: u64 = 128;
 
 pub(crate) struct Control {
     pub me: ControlId,
@@ -53,11 +53,11 @@
         let rate = u64::from(told.bytes_per_second / ENTRY_SHARE);
         Control {
             me,
-            life: Incarnation(told.me.incarnation.0.min(MOST_HEARD)),
+            life: Incarnation(told.me.incarnation.0.min(MAX_HEARD)),
             begun_again: None,
             peers: told.control.clone(),
             pulse: told.pulse,
-            began: (told.me.incarnation.0.min(MOST_HEARD), now),
+            began: (told.me.incarnation.0.min(MAX_HEARD), now),
             clock: 0,
             directory,
             everywhere: Everywhere::default(),
@@ -91,7 +91,7 @@
     }
 
     pub fn heard_clock(&mut self, at: u64) {
-        if at <= MOST_HEARD {
+        if at <= MAX_HEARD {
             self.clock = self.clock.max(at);
         }
     }
@@ -235,7 +235,7 @@
         };
         control.heard_clock(clock.at);
         let Some(directory) = control.directory.as_ref().filter(|_| !blurred) else { return };
-        for row in rows.into_iter().take(crate::messages::MOST_ROWS) {
+        for row in rows.into_iter().take(crate::messages::MAX_ROWS) {
             control.everywhere.hear(now, ControlId(place as u8), row, directory, &mut self.counts);
         }
     }
@@ -257,7 +257,7 @@
 
     fn tell_everywhere(&mut self, now: Duration, id: StreamId, before: Number, to: Number) {
         let Some(stream) = self.streams.get(id) else { return };
-        let from = before.next().max(Number(to.0.saturating_sub(MOST_TOLD - 1)));
+        let from = before.next().max(Number(to.0.saturating_sub(MAX_TOLD - 1)));
         for number in (from.0..=to.0).map(Number) {
             if let Some(held) = stream.get(number) {
                 let after = held.made.age(now);
--- a/crates/rockflow-dissemination/src/directory.rs
+++ b/crates/rockflow-dissemination/src/directory.rs
@@ -1,15 +1,15 @@
 //! Who is told to be there, and where each of them stands in the tree.
 
-use crate::messages::{MOST_PARENTS, MOST_SLOTS};
-use crate::words::{NodeId, Peer, MOST_NAME};
+use crate::messages::{MAX_PARENTS, MAX_SLOTS};
+use crate::words::{NodeId, Peer, MAX_NAME};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
 
 /// Members of a directory. One with more is refused as a whole.
-pub const MOST_MEMBERS: usize = 16_384;
+pub const MAX_MEMBERS: usize = 16_384;
 /// Regions, likewise.
-pub const MOST_REGIONS: usize = 256;
+pub const MAX_REGIONS: usize = 256;
 /// Children of one member, by place; a site's head has as many fewer within its site as sites below it.
 const CHILDREN: usize = 3;
 /// Members of its site before it that are candidates for its parent.
@@ -98,7 +98,7 @@
             if !addresses.insert(listed.address) {
                 return Err(fault("an address that is there already"));
             }
-            if members.len() >= MOST_MEMBERS {
+            if members.len() >= MAX_MEMBERS {
                 return Err(fault("more members than a directory holds"));
             }
             members.push(listed);
@@ -113,10 +113,10 @@
         for (index, member) in members.iter().enumerate() {
             by_region.entry(&member.region).or_default().push(index);
         }
-        if members.len() > MOST_MEMBERS || by_region.len() > MOST_REGIONS {
+        if members.len() > MAX_MEMBERS || by_region.len() > MAX_REGIONS {
             return Err("more members or regions than a directory holds");
         }
-        if by_region.values().any(|order| order.len() > MOST_SLOTS) {
+        if by_region.values().any(|order| order.len() > MAX_SLOTS) {
             return Err("more members than a region holds");
         }
         let mut regions = Vec::new();
@@ -153,11 +153,11 @@
         let region = &self.regions[usize::from(number)];
         let above = region.above(usize::from(slot));
         let above = above.into_iter().map(|place| self.peer(region.order[place]));
-        let mut parents: Vec<Peer> = above.take(MOST_PARENTS - CONTROL_PARENTS).collect();
+        let mut parents: Vec<Peer> = above.take(MAX_PARENTS - CONTROL_PARENTS).collect();
         if !control.is_empty() {
             let first = (NodeId::of(&region.name).0 % control.len() as u64) as usize;
             let turned = control.iter().cycle().skip(first).take(control.len());
-            parents.extend(turned.take(MOST_PARENTS - parents.len()).copied());
+            parents.extend(turned.take(MAX_PARENTS - parents.len()).copied());
         }
         let slots = region.order.len() as u16;
         Some(Placement { region: number, slot, slots, near: region.near, parents })
@@ -177,7 +177,7 @@
     if [name, region, site].iter().any(|word| word.is_empty()) {
         return Err("an empty name, region or site");
     }
-    if [name, region, site, zone].iter().any(|word| word.len() > MOST_NAME) {
+    if [name, region, site, zone].iter().any(|word| word.len() > MAX_NAME) {
         return Err("a name that is too long");
     }
     let address = address.parse().map_err(|_| "no address with a port")?;
--- a/crates/rockflow-dissemination/src/entries.rs
+++ b/crates/rockflow-dissemination/src/entries.rs
@@ -1,7 +1,7 @@
 //! Entries as a node takes them, asks for them, and gives them to who asks.
 
 use crate::made::Made;
-use crate::messages::{Tip, MOST_ENTRIES};
+use crate::messages::{Tip, MAX_ENTRIES};
 use crate::node::Node;
 use crate::settings::Judged;
 use crate::stream::{Held, Stream, Taken};
@@ -68,7 +68,7 @@
         }
         let mut number = first;
         let mut last = Number(0);
-        for aged in entries.into_iter().take(MOST_ENTRIES) {
+        for aged in entries.into_iter().take(MAX_ENTRIES) {
             let held = Held { made: Made::ms_ago(now, aged.age_ms), entry: aged.entry };
             if self.take(now, id, number, held) {
                 last = number;
--- a/crates/rockflow-dissemination/src/everywhere.rs
+++ b/crates/rockflow-dissemination/src/everywhere.rs
@@ -2,7 +2,7 @@
 
 use crate::directory::Directory;
 use crate::made::Made;
-use crate::messages::{Report, Row, MOST_ROWS};
+use crate::messages::{Report, Row, MAX_ROWS};
 use crate::outs::Counts;
 use crate::reports;
 use crate::words::{ControlId, Number, StreamId};
@@ -131,7 +131,7 @@
     for row in rows {
         let of = &row.report;
         let more = 32 + of.slots.0.len() + 14 * (of.in_force.len() + of.behind.len() + of.refused.len());
-        let goes_on = frames.last().is_some_and(|frame| frame.len() < MOST_ROWS && bytes + more <= ROW_BYTES);
+        let goes_on = frames.last().is_some_and(|frame| frame.len() < MAX_ROWS && bytes + more <= ROW_BYTES);
         if !goes_on {
             frames.push(Vec::new());
             bytes = 0;
--- a/crates/rockflow-dissemination/src/following.rs
+++ b/crates/rockflow-dissemination/src/following.rs
@@ -27,14 +27,14 @@
 const SOONER: u32 = 2;
 /// Those with most members above them, so many as candidates can be, not so: one of those above may be where the fault
 /// is, and its way out is theirs as well.
-const MOST_ABOVE: u32 = 6;
+const MAX_ABOVE: u32 = 6;
 /// The nearest that is not staler than this, in pulses, is turned to. So are those that lost the same parent just now:
 /// they find a way too, and all the nearest needn't go to the furthest.
 const FRESH: u32 = 4;
 /// Away from a parent that would not be left yet, if nobody had answered, likewise.
 const MUCH_FRESHER: u32 = 2;
 /// The wait after a round of all, doubled up to so many pulses.
-const MOST_WAIT: u32 = 60;
+const MAX_WAIT: u32 = 60;
 /// On a backup the first candidate is tried again every so many pulses.
 const TRY_FIRST: u32 = 20;
 
@@ -195,7 +195,7 @@
 
     /// When the parent is given up for one that answers, unless it is heard meanwhile.
     fn given_up_at(&self) -> Duration {
-        let sooner = self.pulse * SOONER * (MOST_ABOVE - self.above.min(MOST_ABOVE)) / MOST_ABOVE;
+        let sooner = self.pulse * SOONER * (MAX_ABOVE - self.above.min(MAX_ABOVE)) / MAX_ABOVE;
         let stale = self.stale_at.map(|at| at.saturating_sub(sooner).max(self.since + self.pulse * GRACE));
         stale.map_or(self.silent_at(), |stale| stale.min(self.silent_at()))
     }
@@ -342,7 +342,7 @@
         let to = match next {
             Some(to) => to,
             None => {
-                self.wait = (self.wait * 2).clamp(self.pulse, self.pulse * MOST_WAIT);
+                self.wait = (self.wait * 2).clamp(self.pulse, self.pulse * MAX_WAIT);
                 self.hold = now + self.wait.mul_f64(0.75 + share / 2.0);
                 self.tried.clear();
                 self.best.take().map_or(0, |(_, index)| index)
--- a/crates/rockflow-dissemination/src/joining.rs
+++ b/crates/rockflow-dissemination/src/joining.rs
@@ -3,7 +3,7 @@
 use crate::directory::Placement;
 use crate::following::{Candidate, Step};
 use crate::made::Made;
-use crate::messages::{Message, MOST_PARENTS, MOST_SLOTS};
+use crate::messages::{Message, MAX_PARENTS, MAX_SLOTS};
 use crate::node::Node;
 use crate::words::{Identity, NodeId};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 /// The longest wait of one without a place, in pulses. Half of control may be out of reach, asked one after the other, and it hears
 /// of nothing meanwhile.
-const MOST_WAIT: u32 = 2;
+const MAX_WAIT: u32 = 2;
 /// One that the directory doesn't name asks anew after so many.
 const UNNAMED: u32 = 16;
 /// A place is asked for anew every so many pulses, whatever is heard.
@@ -78,7 +78,7 @@
         let (pulse, share) = (self.told.pulse, self.share());
         let count = self.told.control.len();
         let joining = &mut self.joining;
-        joining.wait = (joining.wait * 2).clamp(pulse, pulse * MOST_WAIT);
+        joining.wait = (joining.wait * 2).clamp(pulse, pulse * MAX_WAIT);
         joining.due = now + joining.wait.mul_f64(1.0 - share / 2.0);
         joining.asked = joining.asked.saturating_add(1);
         let directory = joining.directory;
@@ -89,7 +89,7 @@
             self.send(self.told.control[turn].address, Message::Join { directory });
         }
         if in_vain && self.following.candidates().is_empty() {
-            let seeds = self.told.seeds.iter().take(MOST_PARENTS);
+            let seeds = self.told.seeds.iter().take(MAX_PARENTS);
             let seeds = seeds.map(|address| Candidate { node: None, address: *address }).collect();
             self.candidates(now, seeds);
         }
@@ -166,11 +166,11 @@
         if !self.is_current(from, directory) {
             return;
         }
-        place.parents.truncate(MOST_PARENTS);
+        place.parents.truncate(MAX_PARENTS);
         let me = self.told.me.node;
         let candidates = place.parents.iter().filter(|peer| peer.node != me);
         let candidates: Vec<Candidate> = candidates.map(|peer| Candidate::from(*peer)).collect();
-        let fits = place.slot < place.slots && usize::from(place.slots) <= MOST_SLOTS;
+        let fits = place.slot < place.slots && usize::from(place.slots) <= MAX_SLOTS;
         self.rest(now, REFRESH);
         self.joining.place = fits.then_some(place);
         self.ack_soon = true;
@@ -186,7 +186,7 @@
         self.joining.place = None;
         let control = &self.told.control;
         let first = control.iter().position(|peer| peer.node == from.node).unwrap_or(0);
-        let turned = control.iter().cycle().skip(first).take(control.len().min(MOST_PARENTS));
+        let turned = control.iter().cycle().skip(first).take(control.len().min(MAX_PARENTS));
         let candidates: Vec<Candidate> = turned.map(|peer| Candidate::from(*peer)).collect();
         let stays = self.following.parent().is_some_and(|parent| candidates.contains(&parent));
         if !stays {
--- a/crates/rockflow-dissemination/src/lib.rs
+++ b/crates/rockflow-dissemination/src/lib.rs
@@ -36,6 +36,6 @@
 pub use node::Node;
 pub use outs::*;
 pub use publisher::Publisher;
-pub use publishing::MOST_UNSENT;
+pub use publishing::MAX_UNSENT;
 pub use survey::{ControlSurvey, HeldNow, StreamSurvey, Survey};
 pub use words::*;
--- a/crates/rockflow-dissemination/src/log.rs
+++ b/crates/rockflow-dissemination/src/log.rs
@@ -1,9 +1,9 @@
 //! What a stream's holder says of its log, and what its publisher writes into it.
 
 use crate::made::Made;
-use crate::messages::{Message, Tip, MOST_ENTRIES};
+use crate::messages::{Message, Tip, MAX_ENTRIES};
 use crate::sizes;
-use crate::stream::{Held, Stream, MOST_GAP};
+use crate::stream::{Held, Stream, MAX_GAP};
 use crate::words::{Aged, Kind, Number};
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
     /// Where the log begins for one who asks now, and how old all before it is that binds still.
     pub fn snapshot(&self, now: Duration, window: Duration) -> Message {
-        let next = self.first.max(self.to.saturating_sub(MOST_GAP - 1));
+        let next = self.first.max(self.to.saturating_sub(MAX_GAP - 1));
         let cut = self.log.range(self.first..next.max(self.first)).map(|(_, held)| held.made).max();
         let newest = self.before.max(cut).filter(|made| made.age(now) <= window);
         let floor_age_ms = newest.filter(|_| self.id.kind == Kind::Purges).map(|made| made.age_ms(now));
@@ -31,7 +31,7 @@
         for (number, held) in self.log.range(from.0..=to.0) {
             let more = sizes::entry(&held.entry);
             let goes_on = frames.last().is_some_and(|(_, entries)| {
-                *number == next && entries.len() < MOST_ENTRIES && bytes + more <= sizes::MOST_BYTES
+                *number == next && entries.len() < MAX_ENTRIES && bytes + more <= sizes::MAX_BYTES
             });
             if !goes_on {
                 if frames.len() >= most {
--- a/crates/rockflow-dissemination/src/messages.rs
+++ b/crates/rockflow-dissemination/src/messages.rs
@@ -5,19 +5,19 @@
 
 /// Entries of one batch, settings of one part, ranges of one ask, tips of one pulse, rows of one table: what is decoded
 /// has no more.
-pub const MOST_ENTRIES: usize = 128;
-pub const MOST_SETTINGS: usize = 32;
-pub const MOST_RANGES: usize = 8;
-pub const MOST_TIPS: usize = 16;
-pub const MOST_ROWS: usize = 8;
-pub const MOST_REPORTS: usize = 4;
-pub const MOST_BEHIND: usize = 4;
-pub const MOST_REFUSED: usize = 4;
+pub const MAX_ENTRIES: usize = 128;
+pub const MAX_SETTINGS: usize = 32;
+pub const MAX_RANGES: usize = 8;
+pub const MAX_TIPS: usize = 16;
+pub const MAX_ROWS: usize = 8;
+pub const MAX_REPORTS: usize = 4;
+pub const MAX_BEHIND: usize = 4;
+pub const MAX_REFUSED: usize = 4;
 /// Streams of one report, and of one `has`.
-pub const MOST_STREAMS: usize = 32;
-pub const MOST_PARENTS: usize = 8;
+pub const MAX_STREAMS: usize = 32;
+pub const MAX_PARENTS: usize = 8;
 /// Members of one region.
-pub const MOST_SLOTS: usize = 1024;
+pub const MAX_SLOTS: usize = 1024;
 
 /// Members of a region by their slots, eight a byte; as long as the region's slots need.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/rockflow-dissemination/src/node.rs
+++ b/crates/rockflow-dissemination/src/node.rs
@@ -1,6 +1,6 @@
 //! A node put together: one machine, driven by frames of others, words of its caller, and time.
 
-use crate::children::{Children, MOST_CHILDREN, MOST_CONTROL_CHILDREN};
+use crate::children::{Children, MAX_CHILDREN, MAX_CONTROL_CHILDREN};
 use crate::control::Control;
 use crate::directory::Directory;
 use crate::following::Following;
@@ -10,7 +10,7 @@
 use crate::outs::*;
 use crate::pace::Pace;
 use crate::settings::{KeptApart, WantedHosts};
-use crate::streams::{Streams, MOST_CONTROL};
+use crate::streams::{Streams, MAX_CONTROL};
 use crate::tables::Tables;
 use crate::tickets::Tickets;
 use crate::words::*;
@@ -78,12 +78,12 @@
 impl Node {
     /// `directory`: at a control node, where there is one yet. `seed`: all chance comes from it.
     pub fn new(mut told: Told, directory: Option<Directory>, seed: u64, now: Duration) -> Node {
-        told.control.truncate(MOST_CONTROL);
+        told.control.truncate(MAX_CONTROL);
         told.pulse = told.pulse.max(Duration::from_millis(1));
         let control = told.control_id.map(|id| Control::new(id, directory, &told, now));
         let (most, share) = match control {
-            Some(_) => (MOST_CONTROL_CHILDREN, CONTROL_SHARE),
-            None => (MOST_CHILDREN, 1),
+            Some(_) => (MAX_CONTROL_CHILDREN, CONTROL_SHARE),
+            None => (MAX_CHILDREN, 1),
         };
         let rate = u64::from(told.bytes_per_second) * share;
         let pulse = told.pulse;
--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -7,12 +7,12 @@
 
 /// Purges heard from the board and not seen published, by their names. When full, a purge of everything stands for all
 /// of them.
-pub const MOST_WAITING: usize = 16_384;
+pub const MAX_WAITING: usize = 16_384;
 /// Words of the board for one purge that wait; the latest of them cover those before.
-pub const MOST_WORDS: usize = 8;
+pub const MAX_WORDS: usize = 8;
 /// Purges seen published within the window, by their names. When full, all are forgotten: some may be published twice,
 /// which is harmless.
-pub const MOST_SEEN: usize = 16_384;
+pub const MAX_SEEN: usize = 16_384;
 /// Control nodes' clocks may differ by this part of the window, by which a purge's age is told there.
 const CLOCKS: i128 = 4;
 /// A purge in the backlog may be younger by so much than it is taken for, where a clock is wrong.
@@ -95,7 +95,7 @@
         if (is_over && !backlog) || word.made < self.oldest_match(now) || self.is_covered(purge, &word) {
             return;
         }
-        if self.waiting.len() >= MOST_WAITING && !self.waiting.contains_key(&purge) {
+        if self.waiting.len() >= MAX_WAITING && !self.waiting.contains_key(&purge) {
             if !is_over {
                 let all = Word { made: heard, heard, backlog: false, matched: false };
                 self.waiting = BTreeMap::from([(Purge::Everything, vec![all])]);
@@ -106,7 +106,7 @@
         let words = self.waiting.entry(purge).or_default();
         words.push(word);
         words.sort_by_key(|word| word.made);
-        if words.len() > MOST_WORDS {
+        if words.len() > MAX_WORDS {
             words.remove(0);
         }
     }
@@ -136,7 +136,7 @@
     /// Another control node has published it.
     pub fn seen(&mut self, now: Duration, purge: Purge, age: Duration) {
         let made = micros(now) - micros(age);
-        if self.seen.len() >= MOST_SEEN && !self.seen.contains_key(&purge) {
+        if self.seen.len() >= MAX_SEEN && !self.seen.contains_key(&purge) {
             self.seen.clear();
         }
         let seen = self.seen.entry(purge).or_insert(Seen { made, spare: 0 });
--- a/crates/rockflow-dissemination/src/publishing.rs
+++ b/crates/rockflow-dissemination/src/publishing.rs
@@ -4,7 +4,7 @@
 use crate::messages::Message;
 use crate::node::Node;
 use crate::outs::{EntryId, Out, Publication};
-use crate::settings::MOST_CLOCK;
+use crate::settings::MAX_CLOCK;
 use crate::sizes;
 use crate::stream::Held;
 use crate::words::*;
@@ -13,9 +13,9 @@
 
 /// Publications that wait to leave. When full, a purge of everything stands for those that come, until there is room.
 /// Settings that wait are held as long as their log holds them; after that the whole table stands for them.
-pub const MOST_UNSENT: u64 = 16_383;
+pub const MAX_UNSENT: u64 = 16_383;
 /// Frames of entries that leave at one pulse, of one kind.
-const MOST_FRAMES: usize = 16;
+const MAX_FRAMES: usize = 16;
 
 /// By what publications may leave. All of them count against the pace.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 
     fn publish_setting(&mut self, now: Duration, setting: Setting) -> Option<EntryId> {
         // An entry that nobody takes would be a gap in the stream.
-        if setting.host.is_empty() || setting.host.len() > MOST_NAME || setting.stamp.at > MOST_CLOCK {
+        if setting.host.is_empty() || setting.host.len() > MAX_NAME || setting.stamp.at > MAX_CLOCK {
             self.counts.not_taken += 1;
             return None;
         }
@@ -72,7 +72,7 @@
         let id = self.control.as_ref()?.stream(Kind::Purges);
         let sent = self.sent(Kind::Purges);
         let last = self.streams.get(id).map(|stream| stream.to()).unwrap_or_default();
-        if last.0.saturating_sub(sent.0) < MOST_UNSENT {
+        if last.0.saturating_sub(sent.0) < MAX_UNSENT {
             return self.append(now, Kind::Purges, Made::ago(now, age), Entry::Purge(purge));
         }
         self.counts.folded += 1;
@@ -130,7 +130,7 @@
         }
         let mut sent = from;
         let mut frames = Vec::new();
-        for frame in stream.batches(now, from, stream.to(), MOST_FRAMES) {
+        for frame in stream.batches(now, from, stream.to(), MAX_FRAMES) {
             let bytes = sizes::message(&frame);
             let open = match allowed {
                 Allowed::Pace => control.pace.open(now),
@@ -161,7 +161,7 @@
     /// A later life of this control node was heard of.
     pub(crate) fn outlived(&mut self, now: Duration, id: ControlId, life: Incarnation) {
         let own = self.control.as_ref().filter(|control| control.me == id);
-        if own.is_some_and(|control| life > control.life) && life.0 < MOST_CLOCK {
+        if own.is_some_and(|control| life > control.life) && life.0 < MAX_CLOCK {
             self.begin_again(now, Incarnation(life.0 + 1));
         }
     }
@@ -196,7 +196,7 @@
         let life = control.life;
         let known = self.streams.get(id).map(|stream| stream.to()).unwrap_or_default();
         let further = id.incarnation == life && last > known && last.0 != u64::MAX;
-        if (id.incarnation > life || further) && id.incarnation.0 < MOST_CLOCK {
+        if (id.incarnation > life || further) && id.incarnation.0 < MAX_CLOCK {
             self.begin_again(now, Incarnation(id.incarnation.0 + 1));
         }
     }
--- a/crates/rockflow-dissemination/src/pulses.rs
+++ b/crates/rockflow-dissemination/src/pulses.rs
@@ -3,9 +3,9 @@
 use crate::children::Heard;
 use crate::following::Source;
 use crate::made::Made;
-use crate::messages::{Message, Report, Slots, Tip, MOST_REFUSED, MOST_STREAMS, MOST_TIPS};
+use crate::messages::{Message, Report, Slots, Tip, MAX_REFUSED, MAX_STREAMS, MAX_TIPS};
 use crate::node::{Node, ACK};
-use crate::reports::{self, MOST_JOINED};
+use crate::reports::{self, MAX_JOINED};
 use crate::words::{Identity, Number, StreamId};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -42,7 +42,7 @@
                 return;
             }
         }
-        for tip in tips.into_iter().take(MOST_TIPS) {
+        for tip in tips.into_iter().take(MAX_TIPS) {
             self.tip(now, at, tip, !blurred);
         }
         if let (Some(digest), false) = (settings, blurred) {
@@ -135,7 +135,7 @@
     }
 
     fn tips(&self, now: Duration) -> Vec<Tip> {
-        let lately = self.lately(now, MOST_TIPS);
+        let lately = self.lately(now, MAX_TIPS);
         lately.into_iter().filter_map(|id| self.streams.get(id)).map(|stream| stream.tip()).collect()
     }
 
@@ -158,7 +158,7 @@
     }
 
     pub(crate) fn own_ack(&mut self, now: Duration) -> Message {
-        let lately = self.lately(now, MOST_STREAMS);
+        let lately = self.lately(now, MAX_STREAMS);
         let has = lately.into_iter().filter_map(|id| self.streams.get(id));
         let has = has.map(|stream| (stream.id, stream.to())).collect();
         let (reports, dropped) = self.reports();
@@ -175,7 +175,7 @@
         let behind = begun().filter(|stream| stream.in_force < stream.last());
         let behind = behind.map(|stream| (place.slot, stream.id, stream.in_force)).collect();
         let refused = self.apart.iter().map(|((stream, number), why)| (stream, number, why, 1));
-        let refused = refused.take(MOST_REFUSED).collect();
+        let refused = refused.take(MAX_REFUSED).collect();
         Some(Report { region: place.region, near: place.near, slots, in_force, behind, refused })
     }
 
@@ -187,7 +187,7 @@
     pub(crate) fn reports(&self) -> (Vec<Report>, u64) {
         let own = self.own_report();
         let all = own.iter().chain(self.children.reports());
-        reports::join(all, &|id, number| self.lag(id, number), MOST_JOINED)
+        reports::join(all, &|id, number| self.lag(id, number), MAX_JOINED)
     }
 
     pub(crate) fn acked_by(
@@ -217,7 +217,7 @@
             }
             Heard::Known { changed } => self.ack_soon |= changed,
         }
-        for (stream, last) in has.into_iter().take(MOST_STREAMS) {
+        for (stream, last) in has.into_iter().take(MAX_STREAMS) {
             // Where its log begins isn't said; only that of its first entry is known.
             let first = Number(2).min(last);
             self.tip(now, at, Tip { stream, first, last }, false);
--- a/crates/rockflow-dissemination/src/repairs.rs
+++ b/crates/rockflow-dissemination/src/repairs.rs
@@ -1,20 +1,20 @@
 //! What is missing, asked for and answered, given up, and streams that are over.
 
 use crate::made::Made;
-use crate::messages::{Message, MOST_RANGES};
+use crate::messages::{Message, MAX_RANGES};
 use crate::node::Node;
 use crate::sizes;
-use crate::stream::{Stream, MOST_GAP};
+use crate::stream::{Stream, MAX_GAP};
 use crate::words::*;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Frames that answer one ask. The rest is asked for again.
-const MOST_FRAMES: usize = 16;
+const MAX_FRAMES: usize = 16;
 /// A configuration stream's life that a later one has followed is dropped after so many pulses.
 const RETIRE_SETTINGS: u32 = 120;
 /// Asks wait longer the more there were, up to so many pulses, where nothing ends a gap.
-const MOST_ASK_WAIT: u32 = 16;
+const MAX_ASK_WAIT: u32 = 16;
 /// So many asks come a pulse after each other.
 const QUICK_ASKS: u32 = 16;
 
@@ -32,7 +32,7 @@
             }
             let asks = stream.asks;
             stream.asks = asks.saturating_add(1);
-            let wait = pulse * asks.saturating_sub(QUICK_ASKS).clamp(1, MOST_ASK_WAIT);
+            let wait = pulse * asks.saturating_sub(QUICK_ASKS).clamp(1, MAX_ASK_WAIT);
             stream.ask_due = Some(now + wait);
             let ranges = stream.missing();
             let shown_by = stream.shown_by;
@@ -78,9 +78,9 @@
         let window = self.told.purge_window;
         let mut snapshot = ranges.is_empty();
         let mut frames = Vec::new();
-        for (from, to) in ranges.into_iter().take(MOST_RANGES) {
-            let to = Number(to.0.min(from.0.saturating_add(MOST_GAP - 1)));
-            frames.extend(stream.batches(now, from, to, MOST_FRAMES - frames.len()));
+        for (from, to) in ranges.into_iter().take(MAX_RANGES) {
+            let to = Number(to.0.min(from.0.saturating_add(MAX_GAP - 1)));
+            frames.extend(stream.batches(now, from, to, MAX_FRAMES - frames.len()));
             snapshot |= from < stream.first() && stream.get(from).is_none();
         }
         if snapshot && stream.begun {
@@ -118,7 +118,7 @@
             return;
         }
         // Another may have what this one doesn't: a narrow gap is asked for elsewhere first.
-        let wide = stream.last().0.saturating_sub(stream.to().0) > MOST_GAP;
+        let wide = stream.last().0.saturating_sub(stream.to().0) > MAX_GAP;
         let long = stream.gap_since().is_some_and(|since| now.saturating_sub(since) >= window / 4);
         if stream.begun && stream.lacks_before(next) && !wide && !long {
             return;
--- a/crates/rockflow-dissemination/src/reports.rs
+++ b/crates/rockflow-dissemination/src/reports.rs
@@ -1,6 +1,6 @@
 //! Who is there and how far they are: slots, and reports joined.
 
-use crate::messages::{Report, Slots, MOST_BEHIND, MOST_REFUSED, MOST_REPORTS, MOST_SLOTS, MOST_STREAMS};
+use crate::messages::{Report, Slots, MAX_BEHIND, MAX_REFUSED, MAX_REPORTS, MAX_SLOTS, MAX_STREAMS};
 use crate::words::{Number, Refusal, StreamId};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 impl Slots {
     pub fn set(&mut self, slot: u16) {
         let byte = usize::from(slot / 8);
-        if usize::from(slot) >= MOST_SLOTS {
+        if usize::from(slot) >= MAX_SLOTS {
             return;
         }
         if self.0.len() <= byte {
@@ -22,7 +22,7 @@
     }
 
     pub fn join(&mut self, other: &Slots) {
-        let bytes = other.0.len().min(MOST_SLOTS / 8);
+        let bytes = other.0.len().min(MAX_SLOTS / 8);
         if self.0.len() < bytes {
             self.0.resize(bytes, 0);
         }
@@ -40,10 +40,10 @@
 impl Report {
     /// Cuts what is longer than it may be.
     pub fn cut(&mut self) {
-        self.slots.0.truncate(MOST_SLOTS / 8);
-        self.in_force.truncate(MOST_STREAMS);
-        self.behind.truncate(MOST_BEHIND);
-        self.refused.truncate(MOST_REFUSED);
+        self.slots.0.truncate(MAX_SLOTS / 8);
+        self.in_force.truncate(MAX_STREAMS);
+        self.behind.truncate(MAX_BEHIND);
+        self.refused.truncate(MAX_REFUSED);
     }
 }
 
@@ -54,7 +54,7 @@
 fn worst_first(one: &mut Report, lag: Lag) {
     one.behind.sort_by_key(|(slot, stream, number)| (Reverse(lag(*stream, *number)), *slot, *stream));
     one.behind.dedup_by_key(|(slot, stream, _)| (*slot, *stream));
-    one.behind.truncate(MOST_BEHIND);
+    one.behind.truncate(MAX_BEHIND);
 }
 
 /// Joins what is said of one listing of a region.
@@ -77,10 +77,10 @@
     let mut sums: BTreeMap<(StreamId, Number, Refusal), u16> = BTreeMap::new();
     for (stream, number, why, count) in one.iter().chain(other) {
         let sum = sums.entry((*stream, *number, *why)).or_default();
-        *sum = sum.saturating_add(*count).min(MOST_SLOTS as u16);
+        *sum = sum.saturating_add(*count).min(MAX_SLOTS as u16);
     }
     let joined = sums.into_iter().map(|((stream, number, why), sum)| (stream, number, why, sum));
-    joined.take(MOST_REFUSED).collect()
+    joined.take(MAX_REFUSED).collect()
 }
 
 /// Joins reports by region and listing, in the order they come. Also how many had no room: those of the listings that
@@ -104,4 +104,4 @@
 }
 
 /// Reports of one ack.
-pub const MOST_JOINED: usize = MOST_REPORTS;
+pub const MAX_JOINED: usize = MAX_REPORTS;
--- a/crates/rockflow-dissemination/src/settings.rs
+++ b/crates/rockflow-dissemination/src/settings.rs
@@ -1,24 +1,24 @@
 //! What is wanted of each host: the last versions, and which of two that did not know of each other holds.
 
-use crate::messages::{Message, MOST_SETTINGS};
+use crate::messages::{Message, MAX_SETTINGS};
 use crate::outs::{EntryId, Ticket};
 use crate::sizes;
-use crate::words::{Refusal, Setting, Stamp, Version, Wanted, MOST_NAME};
+use crate::words::{Refusal, Setting, Stamp, Version, Wanted, MAX_NAME};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Hosts with a setting. When full, the longest listed one goes; where none is just listed, the new one is refused.
-pub const MOST_HOSTS: usize = 4096;
+pub const MAX_HOSTS: usize = 4096;
 /// Versions of one host that don't know of each other. When full, the less careful goes, and of alike ones the earlier.
-pub const MOST_RIVALS: usize = 4;
+pub const MAX_RIVALS: usize = 4;
 /// Refused settings kept apart. When full, one more is handled and counted, and not shown.
-pub const MOST_KEPT_APART: usize = 256;
+pub const MAX_KEPT_APART: usize = 256;
 /// Unix milliseconds in the year 2109. A later stamp is no clock's, and not taken; nor does a life begin above it.
-pub const MOST_CLOCK: u64 = 1 << 42;
+pub const MAX_CLOCK: u64 = 1 << 42;
 /// In the year 2074. No clock is moved on by a stamp above it, so that there is room to count on to the one before. What
 /// is held of one host with such a stamp is replaced by one just above it.
-pub const MOST_HEARD: u64 = MOST_CLOCK / 4 * 3;
+pub const MAX_HEARD: u64 = MAX_CLOCK / 4 * 3;
 /// Parts of all settings that are sent at one asking; the next are asked for.
-pub const MOST_PARTS_AT_ONCE: usize = 16;
+pub const MAX_PARTS_AT_ONCE: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Judged {
@@ -98,7 +98,7 @@
 
     pub fn take(&mut self, version: Version) -> Judged {
         let name = version.setting.host.len();
-        if name == 0 || name > MOST_NAME || version.setting.stamp.at > MOST_CLOCK {
+        if name == 0 || name > MAX_NAME || version.setting.stamp.at > MAX_CLOCK {
             return Judged::Bad;
         }
         let setting = &version.setting;
@@ -106,7 +106,7 @@
         if held.iter().any(|h| h.setting == *setting || replaces(&h.setting, setting)) {
             return Judged::Known;
         }
-        if held.is_empty() && self.hosts.len() >= MOST_HOSTS && !self.forget_a_listed_one() {
+        if held.is_empty() && self.hosts.len() >= MAX_HOSTS && !self.forget_a_listed_one() {
             return Judged::Refused;
         }
         let host = setting.host.clone();
@@ -122,7 +122,7 @@
             let key = |v: &Version| (v.setting.wanted, v.setting.stamp, v.setting.seen);
             key(b).cmp(&key(a)).then_with(|| a.cmp(b))
         });
-        versions.truncate(MOST_RIVALS);
+        versions.truncate(MAX_RIVALS);
         let kept = versions.iter().any(|h| h.setting.stamp == stamp);
         self.digest ^= before ^ share(versions);
         self.whole ^= whole_before ^ whole_share(versions);
@@ -170,7 +170,7 @@
         for version in self.hosts.values().flatten() {
             let more = sizes::setting(&version.setting) + sizes::ID;
             let part = parts.last().map_or(0, Vec::len);
-            if part > 0 && (part >= MOST_SETTINGS || bytes + more > sizes::MOST_BYTES) {
+            if part > 0 && (part >= MAX_SETTINGS || bytes + more > sizes::MAX_BYTES) {
                 parts.push(Vec::new());
                 bytes = 0;
             }
@@ -186,7 +186,7 @@
     pub fn messages(&self, from: u16) -> Vec<Message> {
         let parts = self.parts();
         let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
-        let wanted = (0..count).zip(parts).skip(usize::from(from)).take(MOST_PARTS_AT_ONCE);
+        let wanted = (0..count).zip(parts).skip(usize::from(from)).take(MAX_PARTS_AT_ONCE);
         let digest = self.whole;
         let frame = |(part, settings): (u16, Vec<&Version>)| {
             let settings = settings.into_iter().cloned().collect();
@@ -213,7 +213,7 @@
 
     /// False: there is no room to keep it.
     pub fn refuse(&mut self, id: EntryId, host: String, why: Refusal) -> bool {
-        if self.refused.len() >= MOST_KEPT_APART && !self.refused.contains_key(&id) {
+        if self.refused.len() >= MAX_KEPT_APART && !self.refused.contains_key(&id) {
             return false;
         }
         self.refused.insert(id, (host, why, None));
@@ -222,7 +222,7 @@
 
     /// Those that are to be judged again beside a change, under this ticket.
     pub fn judge_again(&mut self, table: &WantedHosts, ticket: Ticket) -> Vec<(EntryId, String)> {
-        let full = table.len() >= MOST_HOSTS;
+        let full = table.len() >= MAX_HOSTS;
         self.refused.retain(|id, (host, why, _)| table.holds(host, *id) || (full && *why == Refusal::Full));
         let held = self.refused.iter_mut().filter(|(id, (host, ..))| table.holds(host, **id));
         held.map(|(id, (host, _, again))| {
--- a/crates/rockflow-dissemination/src/sizes.rs
+++ b/crates/rockflow-dissemination/src/sizes.rs
@@ -4,7 +4,7 @@
 use crate::words::{Entry, Setting};
 
 /// Bytes of entries in one frame.
-pub const MOST_BYTES: usize = 1200;
+pub const MAX_BYTES: usize = 1200;
 /// A stream's name and a number.
 pub const ID: usize = 14;
 /// A node's name and address.
--- a/crates/rockflow-dissemination/src/stream.rs
+++ b/crates/rockflow-dissemination/src/stream.rs
@@ -1,22 +1,22 @@
 //! One stream as a node holds it: its log, what is missing, what is known of its end, and how far it is in force.
 
 use crate::made::Made;
-use crate::messages::MOST_RANGES;
+use crate::messages::MAX_RANGES;
 use crate::words::{Entry, Kind, Number, StreamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Purges of one log, also how far ahead of a gap one is taken. When full, the first goes, and the snapshot covers it.
-pub const MOST_PURGES: usize = 16_384;
+pub const MAX_PURGES: usize = 16_384;
 /// Configuration entries of one log, likewise.
-pub const MOST_VERSIONS: usize = 1024;
+pub const MAX_VERSIONS: usize = 1024;
 /// A wider gap is not asked for; a snapshot is.
-pub const MOST_GAP: u64 = 4096;
+pub const MAX_GAP: u64 = 4096;
 /// Contents beside those in a log, under the same numbers. When full, a floor of now stands for one more.
-pub const MOST_FORKS: usize = 64;
+pub const MAX_FORKS: usize = 64;
 /// Steps in which the end of a stream moved away over a gap. When full, the newest takes in what follows.
-pub const MOST_STEPS: usize = 64;
+pub const MAX_STEPS: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
@@ -118,8 +118,8 @@
 
     fn most(&self) -> usize {
         match self.id.kind {
-            Kind::Purges => MOST_PURGES,
-            Kind::Configuration => MOST_VERSIONS,
+            Kind::Purges => MAX_PURGES,
+            Kind::Configuration => MAX_VERSIONS,
         }
     }
 
@@ -156,7 +156,7 @@
         if self.forks.contains(&fork) {
             return Taken::Known;
         }
-        if self.forks.len() >= MOST_FORKS {
+        if self.forks.len() >= MAX_FORKS {
             return Taken::ForkUnkept;
         }
         self.forks.insert(fork);
@@ -213,7 +213,7 @@
     }
 
     fn step(&mut self, now: Duration, wait: Duration) {
-        let full = self.steps.len() >= MOST_STEPS;
+        let full = self.steps.len() >= MAX_STEPS;
         match self.steps.back_mut() {
             Some((last, at)) if *at == now || now.saturating_sub(*at) < wait => *last = self.last,
             Some(newest) if full => *newest = (self.last, now),
@@ -235,7 +235,7 @@
 
     /// What is missing, a few ranges; none: a snapshot is to be asked for.
     pub fn missing(&self) -> Vec<(Number, Number)> {
-        if !self.begun || self.last.saturating_sub(self.to) > MOST_GAP {
+        if !self.begun || self.last.saturating_sub(self.to) > MAX_GAP {
             return Vec::new();
         }
         let mut ranges = Vec::new();
@@ -245,7 +245,7 @@
                 ranges.push((Number(next), Number(number - 1)));
             }
             next = number.saturating_add(1);
-            if ranges.len() >= MOST_RANGES {
+            if ranges.len() >= MAX_RANGES {
                 return ranges;
             }
         }
--- a/crates/rockflow-dissemination/src/streams.rs
+++ b/crates/rockflow-dissemination/src/streams.rs
@@ -1,17 +1,17 @@
 //! All streams: how many, and which of them go.
 
-use crate::settings::MOST_CLOCK;
+use crate::settings::MAX_CLOCK;
 use crate::stream::Stream;
 use crate::words::{ControlId, Incarnation, Kind, StreamId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use crate::messages::MOST_STREAMS;
+pub use crate::messages::MAX_STREAMS;
 
 /// Control nodes of a fleet. Streams of another are not taken.
-pub const MOST_CONTROL: usize = 16;
+pub const MAX_CONTROL: usize = 16;
 
-/// Streams by their names. At most `MOST_STREAMS`; when full, the earliest life that a later one of the same control
+/// Streams by their names. At most `MAX_STREAMS`; when full, the earliest life that a later one of the same control
 /// node has followed goes, and for purges a floor of now stands for it.
 #[derive(Clone, Debug, Default)]
 pub struct Streams {
@@ -23,7 +23,7 @@
 
 /// A control node can't begin a life above it; whoever names it, lives before it go on.
 fn is_last(life: Incarnation) -> bool {
-    life.0 >= MOST_CLOCK
+    life.0 >= MAX_CLOCK
 }
 
 /// What became of a stream that something was heard of.
@@ -39,7 +39,7 @@
 
 impl Streams {
     pub fn new(control: usize) -> Streams {
-        Streams { control: control.min(MOST_CONTROL), ..Streams::default() }
+        Streams { control: control.min(MAX_CONTROL), ..Streams::default() }
     }
 
     pub fn get(&self, id: StreamId) -> Option<&Stream> {
@@ -91,12 +91,12 @@
             return (Met::Held, None);
         }
         let over = self.dropped.get(&(id.control, id.kind)).is_some_and(|life| id.incarnation <= *life);
-        let none = id.incarnation.0 > MOST_CLOCK;
+        let none = id.incarnation.0 > MAX_CLOCK;
         if usize::from(id.control.0) >= self.control || over || none {
             return (Met::No, None);
         }
         self.map.insert(id, Stream::new(id, now));
-        if self.map.len() <= MOST_STREAMS {
+        if self.map.len() <= MAX_STREAMS {
             return (Met::New, None);
         }
         let followed = self.map.keys().copied().filter(|id| self.followed_since(*id).is_some());
--- a/crates/rockflow-dissemination/src/survey.rs
+++ b/crates/rockflow-dissemination/src/survey.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Names of missing members, and of those behind, in one survey.
-pub const MOST_NAMES: usize = 32;
+pub const MAX_NAMES: usize = 32;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamSurvey {
@@ -108,7 +108,7 @@
             streams: self.streams.iter().map(stream).collect(),
             settings: self.hosts.len(),
             wanted: self.hosts.wanted(),
-            rivals: self.hosts.rivals(MOST_NAMES),
+            rivals: self.hosts.rivals(MAX_NAMES),
             refused: self.apart.iter().map(|((stream, number), why)| (stream, number, why)).collect(),
             unconfirmed: self.purge_tickets.len() + self.setting_tickets.len(),
             control: self.control_survey(now),
@@ -160,13 +160,13 @@
             });
             let named = |slot| directory.name(region, slot).map(str::to_owned);
             let missing = (0..listed.order.len() as u16).filter(|slot| !report.slots.has(*slot));
-            let room = MOST_NAMES - survey.missing.len();
+            let room = MAX_NAMES - survey.missing.len();
             survey.missing.extend(missing.filter_map(named).take(room));
             let behind = report.behind.iter().filter(|(_, id, number)| lag(*id, *number) > 0);
             let behind = behind.filter_map(|(slot, id, number)| Some((named(*slot)?, *id, *number)));
-            let room = MOST_NAMES - survey.behind.len();
+            let room = MAX_NAMES - survey.behind.len();
             survey.behind.extend(behind.take(room));
-            let room = MOST_NAMES - survey.refused.len();
+            let room = MAX_NAMES - survey.refused.len();
             survey.refused.extend(report.refused.into_iter().take(room));
         }
         Some(survey)
--- a/crates/rockflow-dissemination/src/table_entries.rs
+++ b/crates/rockflow-dissemination/src/table_entries.rs
@@ -1,9 +1,9 @@
 //! Settings as a node takes them and gives them, whole tables among them.
 
-use crate::messages::{Message, MOST_SETTINGS};
+use crate::messages::{Message, MAX_SETTINGS};
 use crate::node::Node;
 use crate::outs::Out;
-use crate::settings::MOST_PARTS_AT_ONCE;
+use crate::settings::MAX_PARTS_AT_ONCE;
 use crate::sizes;
 use crate::tables::{Differs, Fetched};
 use crate::words::{Identity, Kind, Version};
@@ -66,14 +66,14 @@
         of: (u32, u16, u16),
         settings: Vec<Version>,
     ) {
-        for version in settings.into_iter().take(MOST_SETTINGS) {
+        for version in settings.into_iter().take(MAX_SETTINGS) {
             if usize::from(version.stream.control.0) >= self.told.control.len() {
                 self.counts.not_taken += 1;
                 continue;
             }
             self.judge(version);
         }
-        let (asking, fetched) = self.tables.part(now, from, of, MOST_PARTS_AT_ONCE as u16);
+        let (asking, fetched) = self.tables.part(now, from, of, MAX_PARTS_AT_ONCE as u16);
         if let Some((to, message)) = asking {
             self.send(to, message);
         }
--- a/crates/rockflow-dissemination/src/tables.rs
+++ b/crates/rockflow-dissemination/src/tables.rs
@@ -11,13 +11,13 @@
 /// After a fetch that left it differing, so many more; twice as many after each time that all parts went up in vain, so
 /// often at the most.
 const IN_VAIN: u32 = 16;
-const MOST_DOUBLED: u32 = 5;
+const MAX_DOUBLED: u32 = 5;
 /// An asking without an answer comes again after so many pulses.
 const AGAIN: u32 = 2;
 /// After so many in vain the fetch is given up; what led to it leads to another.
-const MOST_TRIES: u32 = 8;
+const MAX_TRIES: u32 = 8;
 /// Peers whose digests are watched. When full, one more isn't.
-const MOST_WATCHED: usize = 16;
+const MAX_WATCHED: usize = 16;
 
 #[derive(Clone, Debug)]
 struct Fetch {
@@ -85,7 +85,7 @@
         if let Some(watch) = self.differs.get_mut(&peer) {
             watch.part = next.unwrap_or(0);
             watch.rounds = watch.rounds.saturating_add(u32::from(next.is_none()));
-            watch.since = now + self.pulse * (IN_VAIN << watch.rounds.min(MOST_DOUBLED));
+            watch.since = now + self.pulse * (IN_VAIN << watch.rounds.min(MAX_DOUBLED));
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     fn watch(&mut self, now: Duration, peer: Identity) -> Option<&mut Watch> {
-        if self.differs.len() >= MOST_WATCHED && !self.differs.contains_key(&peer.node) {
+        if self.differs.len() >= MAX_WATCHED && !self.differs.contains_key(&peer.node) {
             return None;
         }
         let new = Watch { life: peer.incarnation, since: now, fetched: false, part: 0, rounds: 0 };
@@ -187,7 +187,7 @@
         if now < fetch.due {
             return None;
         }
-        if fetch.tries >= MOST_TRIES {
+        if fetch.tries >= MAX_TRIES {
             self.fetch = None;
             return self.waiting(now);
         }
--- a/crates/rockflow-dissemination/src/tickets.rs
+++ b/crates/rockflow-dissemination/src/tickets.rs
@@ -6,7 +6,7 @@
 
 /// Tickets that wait to be confirmed, of one kind. When full, all are given up for one that covers them: a floor of now
 /// for purges, the whole table again for settings.
-pub const MOST_TICKETS: usize = 4096;
+pub const MAX_TICKETS: usize = 4096;
 
 #[derive(Clone, Debug, Default)]
 struct Mark {
@@ -33,7 +33,7 @@
     }
 
     pub fn is_full(&self) -> bool {
-        self.open.len() >= MOST_TICKETS
+        self.open.len() >= MAX_TICKETS
     }
 
     pub fn clear(&mut self) {
--- a/crates/rockflow-dissemination/src/words.rs
+++ b/crates/rockflow-dissemination/src/words.rs
@@ -95,7 +95,7 @@
 /// publisher had heard of the other's (`seen` below the other's stamp) the more careful holds, and both are shown.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Setting {
-    /// The host's name; at most `MOST_NAME` bytes.
+    /// The host's name; at most `MAX_NAME` bytes.
     pub host: String,
     pub wanted: Wanted,
     pub stamp: Stamp,
@@ -104,7 +104,7 @@
 }
 
 /// Bytes of a host's name.
-pub const MOST_NAME: usize = 128;
+pub const MAX_NAME: usize = 128;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Entry {
--- a/crates/rockflow-dissemination/tests/directory.rs
+++ b/crates/rockflow-dissemination/tests/directory.rs
@@ -1,6 +1,6 @@
 //! The directory: its text, and the tree worked out from it.
 
-use rockflow_dissemination::{Directory, NodeId, Peer, MOST_PARENTS};
+use rockflow_dissemination::{Directory, NodeId, Peer, MAX_PARENTS};
 use std::collections::{BTreeMap, BTreeSet};
 use test_case::test_case;
 
@@ -42,7 +42,7 @@
     for member in &directory.members {
         let node = NodeId::of(&member.name);
         let place = directory.place(node, &control).expect("a place");
-        assert!((2..=MOST_PARENTS).contains(&place.parents.len()));
+        assert!((2..=MAX_PARENTS).contains(&place.parents.len()));
         assert!(place.parents.iter().filter(|peer| control.contains(peer)).count() >= 2);
         let distinct: BTreeSet<NodeId> = place.parents.iter().map(|peer| peer.node).collect();
         assert_eq!(distinct.len(), place.parents.len());
--- a/crates/rockflow-dissemination/tests/faults.rs
+++ b/crates/rockflow-dissemination/tests/faults.rs
@@ -184,8 +184,8 @@
     let ids = world.publish(0, many.collect());
     assert_eq!(ids.len(), 20_000);
     let counts = world.counts(0);
-    assert_eq!(counts.folded, 20_000 - MOST_UNSENT);
-    assert_eq!(ids.last().map(|id| id.1), Some(Number(MOST_UNSENT + 1)));
+    assert_eq!(counts.folded, 20_000 - MAX_UNSENT);
+    assert_eq!(ids.last().map(|id| id.1), Some(Number(MAX_UNSENT + 1)));
     world.run(s(60));
     for index in world.members() {
         assert!(world.nodes[index].done.floors >= 1);
--- a/crates/rockflow-dissemination/tests/following.rs
+++ b/crates/rockflow-dissemination/tests/following.rs
@@ -1,7 +1,7 @@
 //! Whom a member goes to where its parent fails: candidates that are there, gone, stale or full are played, each after the
 //! same way there and back, and the time until a fresh one is followed is taken.
 
-use rockflow_dissemination::children::MOST_CHILDREN;
+use rockflow_dissemination::children::MAX_CHILDREN;
 use rockflow_dissemination::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -275,7 +275,7 @@
     assert!(!probe(&mut play, "asks", 1), "it knows of no control");
     play.run(2000);
     assert!(probe(&mut play, "asks", 1));
-    for child in 0..MOST_CHILDREN as u16 {
+    for child in 0..MAX_CHILDREN as u16 {
         let at = SocketAddr::from(([10, 0, 2, 1], 100 + child));
         let ack = Message::Ack { has: Vec::new(), reports: Vec::new() };
         play.node.hear(ms(play.now), identity(&format!("child-{child}")), at, ack);
--- a/crates/rockflow-dissemination/tests/hostile.rs
+++ b/crates/rockflow-dissemination/tests/hostile.rs
@@ -1,9 +1,9 @@
 //! Whatever is heard: no panic, and no table above its cap.
 
-use rockflow_dissemination::children::{MOST_CHILDREN, MOST_CONTROL_CHILDREN};
-use rockflow_dissemination::settings::{MOST_CLOCK, MOST_HEARD, MOST_HOSTS, MOST_KEPT_APART};
-use rockflow_dissemination::stream::{MOST_PURGES, MOST_VERSIONS};
-use rockflow_dissemination::tickets::MOST_TICKETS;
+use rockflow_dissemination::children::{MAX_CHILDREN, MAX_CONTROL_CHILDREN};
+use rockflow_dissemination::settings::{MAX_CLOCK, MAX_HEARD, MAX_HOSTS, MAX_KEPT_APART};
+use rockflow_dissemination::stream::{MAX_PURGES, MAX_VERSIONS};
+use rockflow_dissemination::tickets::MAX_TICKETS;
 use rockflow_dissemination::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -47,7 +47,7 @@
             2 => u64::MAX - 1,
             3 => self.0.rand_u64(),
             4 => LIFE + self.below(100),
-            5 => MOST_CLOCK - 1 + self.below(3),
+            5 => MAX_CLOCK - 1 + self.below(3),
             _ => LIFE + self.below(3),
         })
     }
@@ -72,7 +72,7 @@
             0 => u64::MAX,
             1 => 0,
             2 => self.0.rand_u64(),
-            3 => [MOST_HEARD, MOST_CLOCK - 1][self.below(2) as usize] + self.below(3),
+            3 => [MAX_HEARD, MAX_CLOCK - 1][self.below(2) as usize] + self.below(3),
             _ => LIFE + self.below(10_000),
         };
         Stamp { at, control: self.below(4) as u8 }
@@ -99,7 +99,7 @@
 
     fn entries(&mut self, stream: StreamId) -> Vec<Aged> {
         let fits = !self.one_in(10);
-        self.some(MOST_ENTRIES as u64, |chance| {
+        self.some(MAX_ENTRIES as u64, |chance| {
             let entry = match (fits, stream.kind) {
                 (true, Kind::Purges) => Entry::Purge(Purge::object(chance.below(1000))),
                 (true, Kind::Configuration) => Entry::Setting(chance.setting()),
@@ -211,19 +211,19 @@
 
 fn within_caps(node: &Node, control: bool) {
     let held = node.held();
-    let children = if control { MOST_CONTROL_CHILDREN } else { MOST_CHILDREN };
+    let children = if control { MAX_CONTROL_CHILDREN } else { MAX_CHILDREN };
     let caps = [
-        ("streams", held.streams, MOST_STREAMS),
-        ("purges", held.purges, MOST_PURGES),
-        ("versions", held.versions, MOST_VERSIONS),
+        ("streams", held.streams, MAX_STREAMS),
+        ("purges", held.purges, MAX_PURGES),
+        ("versions", held.versions, MAX_VERSIONS),
         ("children", held.children, children),
-        ("reports", held.reports, children * MOST_REPORTS),
+        ("reports", held.reports, children * MAX_REPORTS),
         ("rows", held.rows, 3 * 2),
-        ("hosts", held.hosts, MOST_HOSTS),
-        ("kept apart", held.kept_apart, MOST_KEPT_APART),
-        ("purge tickets", held.purge_tickets, MOST_TICKETS),
-        ("setting tickets", held.setting_tickets, MOST_TICKETS),
-        ("candidates", held.candidates, MOST_PARENTS),
+        ("hosts", held.hosts, MAX_HOSTS),
+        ("kept apart", held.kept_apart, MAX_KEPT_APART),
+        ("purge tickets", held.purge_tickets, MAX_TICKETS),
+        ("setting tickets", held.setting_tickets, MAX_TICKETS),
+        ("candidates", held.candidates, MAX_PARENTS),
     ];
     for (what, is, most) in caps {
         assert!(is <= most, "{what}: {is} of {most}");
@@ -234,22 +234,22 @@
 fn within_frames(message: &Message) {
     match message {
         Message::Ack { has, reports } => {
-            assert!(has.len() <= MOST_STREAMS && reports.len() <= MOST_REPORTS);
+            assert!(has.len() <= MAX_STREAMS && reports.len() <= MAX_REPORTS);
             for report in reports {
-                assert!(report.slots.0.len() <= MOST_SLOTS / 8 && report.in_force.len() <= MOST_STREAMS);
-                assert!(report.behind.len() <= MOST_BEHIND && report.refused.len() <= MOST_REFUSED);
+                assert!(report.slots.0.len() <= MAX_SLOTS / 8 && report.in_force.len() <= MAX_STREAMS);
+                assert!(report.behind.len() <= MAX_BEHIND && report.refused.len() <= MAX_REFUSED);
             }
         }
-        Message::Pulse { tips, .. } => assert!(tips.len() <= MOST_TIPS),
-        Message::Batch { entries, .. } => assert!((1..=MOST_ENTRIES).contains(&entries.len())),
+        Message::Pulse { tips, .. } => assert!(tips.len() <= MAX_TIPS),
+        Message::Batch { entries, .. } => assert!((1..=MAX_ENTRIES).contains(&entries.len())),
         Message::Ask { ranges, .. } => {
-            assert!(ranges.len() <= MOST_RANGES && ranges.iter().all(|(from, to)| from <= to));
+            assert!(ranges.len() <= MAX_RANGES && ranges.iter().all(|(from, to)| from <= to));
         }
         Message::Settings { settings, part, parts, .. } => {
-            assert!(settings.len() <= MOST_SETTINGS && part < parts);
+            assert!(settings.len() <= MAX_SETTINGS && part < parts);
         }
-        Message::Rows { rows, .. } => assert!(rows.len() <= MOST_ROWS),
-        Message::Near { parents, .. } => assert!(parents.len() <= MOST_PARENTS),
+        Message::Rows { rows, .. } => assert!(rows.len() <= MAX_ROWS),
+        Message::Near { parents, .. } => assert!(parents.len() <= MAX_PARENTS),
         _ => {}
     }
 }
@@ -266,7 +266,7 @@
 #[test]
 fn random_frames_with_more_hosts_than_are_held() {
     let held = hears(None, 5, true, FRAMES / 10, 9000);
-    assert!(held.hosts > MOST_HOSTS / 2, "{held:?}");
+    assert!(held.hosts > MAX_HOSTS / 2, "{held:?}");
 }
 
 fn hears(control_id: Option<ControlId>, seed: u64, confirms: bool, frames: usize, hosts: u64) -> HeldNow {
--- a/crates/rockflow-dissemination/tests/lives.rs
+++ b/crates/rockflow-dissemination/tests/lives.rs
@@ -153,7 +153,7 @@
 fn a_life_that_must_make_room_leaves_a_floor() {
     let mut node = placed();
     let now = ms(20);
-    for life in 0..MOST_STREAMS as u64 {
+    for life in 0..MAX_STREAMS as u64 {
         let id = purges_of(LIFE + life);
         node.hear(now, identity("parent"), at(1), batch(id, 1, life..life + 1));
         pulse(&mut node, now, vec![tip(id, 1)]);
@@ -313,7 +313,7 @@
         StreamId { control: ControlId(1), kind: Kind::Configuration, incarnation: Incarnation(LIFE) };
     let entries = vec![Aged {
         age_ms: 0,
-        entry: Entry::Setting(setting("h", rockflow_dissemination::settings::MOST_CLOCK)),
+        entry: Entry::Setting(setting("h", rockflow_dissemination::settings::MAX_CLOCK)),
     }];
     own.hear(ms(20), identity(&control_name(1)), at(1), Message::Batch { stream, first: Number(1), entries });
     let not_taken = own.counts().not_taken;
@@ -369,7 +369,7 @@
 #[test]
 fn an_own_stream_that_makes_room_counts_what_went() {
     let mut own = control(0);
-    for life in 0..MOST_STREAMS as u64 {
+    for life in 0..MAX_STREAMS as u64 {
         let id = StreamId { control: ControlId(1), ..purges_of(LIFE + life) };
         own.hear(ms(20), identity(&control_name(1)), at(1), batch(id, 1, life..life + 1));
     }
--- a/crates/rockflow-dissemination/tests/member.rs
+++ b/crates/rockflow-dissemination/tests/member.rs
@@ -1,6 +1,6 @@
 //! A member alone, told what its neighbours say.
 
-use rockflow_dissemination::children::MOST_CHILDREN;
+use rockflow_dissemination::children::MAX_CHILDREN;
 use rockflow_dissemination::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -206,17 +206,17 @@
 fn one_child_too_many_is_turned_away() {
     let (mut node, now) = placed();
     let ack = Message::Ack { has: Vec::new(), reports: Vec::new() };
-    for child in 0..=MOST_CHILDREN as u8 {
+    for child in 0..=MAX_CHILDREN as u8 {
         let outs = node.hear(now, identity(&format!("child-{child}")), address(100 + child), ack.clone());
         let first = sent(&outs).into_iter().next().map(|(_, message)| message);
-        match usize::from(child) < MOST_CHILDREN {
+        match usize::from(child) < MAX_CHILDREN {
             true => assert!(matches!(first, Some(Message::Pulse { .. })), "{first:?}"),
             false => assert_eq!(first, Some(Message::Full)),
         }
     }
     assert_eq!(node.counts().full, 1);
     node.hear(now, identity("child-3"), address(103), Message::Leave);
-    assert_eq!(node.survey(now).children, MOST_CHILDREN - 1);
+    assert_eq!(node.survey(now).children, MAX_CHILDREN - 1);
 }
 
 #[test]
@@ -250,7 +250,7 @@
 fn who_never_confirms_is_given_a_floor_for_all() {
     let (mut node, now) = placed();
     let mut last = Vec::new();
-    for number in 1..=rockflow_dissemination::tickets::MOST_TICKETS as u64 + 1 {
+    for number in 1..=rockflow_dissemination::tickets::MAX_TICKETS as u64 + 1 {
         let entries = vec![Aged { age_ms: 0, entry: Entry::Purge(Purge::object(number)) }];
         let batch = Message::Batch { stream: stream(Kind::Purges), first: Number(number), entries };
         last = node.hear(now, identity("parent"), address(1), batch);
@@ -277,7 +277,7 @@
         _ => None,
     });
     let behind = reports.next_back().expect("a report").behind;
-    assert_eq!(behind.len(), MOST_BEHIND);
+    assert_eq!(behind.len(), MAX_BEHIND);
     assert_eq!(behind[0].1.incarnation, Incarnation(LIFE + 7), "the worst first");
 }
 
--- a/crates/rockflow-dissemination/tests/publisher.rs
+++ b/crates/rockflow-dissemination/tests/publisher.rs
@@ -1,6 +1,6 @@
 //! Which of the board's purges a control node publishes.
 
-use rockflow_dissemination::publisher::{MOST_SEEN, MOST_WAITING, MOST_WORDS};
+use rockflow_dissemination::publisher::{MAX_SEEN, MAX_WAITING, MAX_WORDS};
 use rockflow_dissemination::{Publication, Publisher, Purge};
 use std::time::Duration;
 use test_case::test_case;
@@ -112,12 +112,12 @@
 #[test]
 fn when_full_a_purge_of_everything_stands_for_what_waits() {
     let mut publisher = Publisher::new(WINDOW);
-    for object in 0..=MOST_WAITING as u64 {
+    for object in 0..=MAX_WAITING as u64 {
         publisher.heard(ms(20_000), Purge::object(object), ms(10));
         publisher.heard(ms(20_000), Purge::object(1), ms(10));
         publisher.seen(ms(20_000), Purge::Group(object), ms(10));
     }
-    assert!(publisher.held() <= MOST_WAITING + MOST_WORDS + MOST_SEEN);
+    assert!(publisher.held() <= MAX_WAITING + MAX_WORDS + MAX_SEEN);
     let said = publisher.tick(ms(20_000), true);
     assert!(said.contains(&Publication::Purge { purge: Purge::Everything, age: ms(0) }), "{}", said.len());
     assert!(said.len() <= 2);
