--- a/crates/rockflow-dissemination/tests/publishing.rs
+++ b/crates/rockflow-dissemination/tests/publishing.rs
@@ -164,7 +164,7 @@
 fn what_stands_for_many_was_not_told_of_before() {
     let mut alone = Alone::new();
     alone.run(s(60));
-    alone.purges(MOST_UNSENT);
+    alone.purges(MAX_UNSENT);
     let mut folded = 0;
     for _ in 0..40 {
         let ids = alone.purges(400);
--- a/crates/rockflow-dissemination/tests/tables.rs
+++ b/crates/rockflow-dissemination/tests/tables.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use rockflow_dissemination::settings::{WantedHosts, MOST_PARTS_AT_ONCE};
+use rockflow_dissemination::settings::{WantedHosts, MAX_PARTS_AT_ONCE};
 use rockflow_dissemination::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -96,7 +96,7 @@
             node.hear(now, identity(&control_name(0)), at(0), frame);
         }
     }
-    assert!(usize::from(part) > MOST_PARTS_AT_ONCE, "{part} parts");
+    assert!(usize::from(part) > MAX_PARTS_AT_ONCE, "{part} parts");
     let mut parents = WantedHosts::default();
     parents.take(version("other", 1, Wanted::Gone));
     let mut given = Vec::new();
--- a/crates/rockflow-roster/src/lib.rs
+++ b/crates/rockflow-endpoints/src/lib.rs
@@ -15,7 +15,7 @@
 //! The more careful word wins; a break of the board takes nothing back; a host is known by its name, so that a
 //! successor under another inherits nothing.
 
-use rockflow::interface::{Readiness, Role};
+use rockflow::{Readiness, Role};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -140,7 +140,7 @@
 }
 
 /// Marks of the fleet that are held; with more, a new one is refused.
-pub const MOST_FLEET_MARKS: usize = 4096;
+pub const MAX_FLEET_MARKS: usize = 4096;
 
 /// Why a mark of the fleet is not put in force. It is kept apart, and judged again with the next change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -222,7 +222,7 @@
         hosts: &BTreeMap<String, Listed>,
         now: Duration,
     ) -> Option<Refused> {
-        if self.fleet.len() >= MOST_FLEET_MARKS && !self.fleet.contains_key(name) {
+        if self.fleet.len() >= MAX_FLEET_MARKS && !self.fleet.contains_key(name) {
             return Some(Refused::Full);
         }
         let before = self.fleet.insert(name.to_string(), mark);
--- a/crates/rockflow-roster/tests/merge.rs
+++ b/crates/rockflow-endpoints/tests/merge.rs
@@ -1,9 +1,9 @@
 //! What holds of a host where the board, operators and time disagree.
 
-use rockflow::interface::Readiness::{self, Draining, Gone, Ready};
-use rockflow::interface::Role;
-use rockflow_roster::MOST_FLEET_MARKS;
-use rockflow_roster::{
+use rockflow::Readiness::{self, Draining, Gone, Ready};
+use rockflow::Role;
+use rockflow_endpoints::MAX_FLEET_MARKS;
+use rockflow_endpoints::{
     beside, effective, merged, none_left, Listed, Mark, Marks, Member, Refused, Roll, Says,
 };
 use std::collections::BTreeMap;
@@ -182,10 +182,10 @@
 fn more_marks_than_are_held_are_refused() {
     let mut roll = Roll::new(Marks::new());
     let hosts = known(&mut roll, &["c1"]);
-    let names = (0..=MOST_FLEET_MARKS).map(|n| (format!("h{n:05}"), mark(Draining, None)));
+    let names = (0..=MAX_FLEET_MARKS).map(|n| (format!("h{n:05}"), mark(Draining, None)));
     let (_, refused) = roll.configure(names.collect(), hosts, at(1));
-    assert_eq!(refused, BTreeMap::from([(format!("h{MOST_FLEET_MARKS:05}"), Refused::Full)]));
-    assert_eq!(roll.fleet().len(), MOST_FLEET_MARKS);
+    assert_eq!(refused, BTreeMap::from([(format!("h{MAX_FLEET_MARKS:05}"), Refused::Full)]));
+    assert_eq!(roll.fleet().len(), MAX_FLEET_MARKS);
 }
 
 #[test]
--- a/crates/rockflow-gnmi/src/paths.rs
+++ b/crates/rockflow-gnmi/src/paths.rs
@@ -3,16 +3,16 @@
 use crate::wire;
 use rockflow_management::{Fault, Tag};
 use rockflow_yang::data::{self, Found};
-use rockflow_yang::path::{Loose, MOST_STEPS};
+use rockflow_yang::path::{Loose, MAX_STEPS};
 use rockflow_yang::{json, Data, Fields, Kind, NodeId, Path, Pattern, Scalar, Schema, Step};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use wire::typed_value::Value as Typed;
 
 /// Paths in one request.
-pub const MOST_PATHS: usize = 64;
+pub const MAX_PATHS: usize = 64;
 /// Instances that one path with open keys may lead to.
-pub const MOST_INSTANCES: usize = 20_000;
+pub const MAX_INSTANCES: usize = 20_000;
 
 fn invalid(what: impl Into<String>) -> Fault {
     Fault::new(Tag::InvalidValue, what)
@@ -30,8 +30,8 @@
             return Err(invalid(format!("{}: no such origin", path.origin)));
         }
         for elem in &path.elem {
-            if steps.len() >= MOST_STEPS {
-                return Err(invalid(format!("a path of more than {MOST_STEPS} steps")));
+            if steps.len() >= MAX_STEPS {
+                return Err(invalid(format!("a path of more than {MAX_STEPS} steps")));
             }
             if matches!(elem.name.as_str(), "*" | "...") {
                 let what = format!("{}: open steps are not served, open keys are", elem.name);
@@ -93,9 +93,9 @@
     if pattern.0.is_empty() {
         return Ok(vec![(Path::default(), object(schema, fields))]);
     }
-    let found = data::instances(fields, pattern, MOST_INSTANCES);
+    let found = data::instances(fields, pattern, MAX_INSTANCES);
     let found =
-        found.ok_or_else(|| Fault::new(Tag::TooBig, format!("more than {MOST_INSTANCES} instances")))?;
+        found.ok_or_else(|| Fault::new(Tag::TooBig, format!("more than {MAX_INSTANCES} instances")))?;
     let value = |path: &Path, found: Found| match (found, path.node()) {
         (Found::Entry(inner) | Found::Data(Data::Container(inner)), _) => object(schema, inner),
         (Found::Data(data), Some(node)) => json::write_data(schema, node, data),
--- a/crates/rockflow-gnmi/src/server.rs
+++ b/crates/rockflow-gnmi/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::service::{Peer, Service};
 use crate::wire::g_nmi_server::GNmiServer;
-use rockflow_operator::{doorway, secrets, Desk, Doorway, GnmiPart};
+use rockflow_management_service::{doorway, secrets, Desk, Doorway, GnmiPart};
 use std::net::{SocketAddr, TcpListener as Listener};
 use std::pin::Pin;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 use tracing::{error, info};
 
 /// Connections at once, and the time that one is given to prove who it is.
-const MOST_CONNECTIONS: usize = 128;
-const MOST_UNPROVED: usize = 32;
+const MAX_CONNECTIONS: usize = 128;
+const MAX_UNPROVED: usize = 32;
 const HANDSHAKE: Duration = Duration::from_secs(10);
 /// Calls at once on one connection.
-const MOST_STREAMS: u32 = 64;
+const MAX_STREAMS: u32 = 64;
 /// What a connection may have on its way to us unread.
 const WINDOW: u32 = 256 * 1024;
 const ALIVE: (Duration, Duration) = (Duration::from_secs(30), Duration::from_secs(20));
@@ -110,27 +110,23 @@
         let most = part.message_kb as usize * 1024;
         let service = GNmiServer::new(service).max_decoding_message_size(most);
         let (proved, connections) = mpsc::channel::<std::io::Result<Proved>>(1);
-        let places = Arc::new(Semaphore::new(MOST_CONNECTIONS));
-        tokio::spawn(doorway::accept(
-            listener,
-            Doorway::new(MOST_UNPROVED),
-            move |stream, from, unproved| {
-                let (acceptor, proved, places) = (acceptor.clone(), proved.clone(), places.clone());
-                tokio::spawn(async move {
-                    let shaken = doorway::shake(acceptor, stream, from, unproved, HANDSHAKE).await;
-                    let Some((stream, user)) = shaken else { return };
-                    match places.try_acquire_owned() {
-                        Ok(permit) => {
-                            let peer = Peer { user, from };
-                            let _ = proved.send(Ok(Proved { stream, peer, _permit: permit })).await;
-                        }
-                        Err(_) => info!(%from, user, "too many gnmi connections at once"),
+        let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+        tokio::spawn(doorway::accept(listener, Doorway::new(MAX_UNPROVED), move |stream, from, unproved| {
+            let (acceptor, proved, places) = (acceptor.clone(), proved.clone(), places.clone());
+            tokio::spawn(async move {
+                let shaken = doorway::shake(acceptor, stream, from, unproved, HANDSHAKE).await;
+                let Some((stream, user)) = shaken else { return };
+                match places.try_acquire_owned() {
+                    Ok(permit) => {
+                        let peer = Peer { user, from };
+                        let _ = proved.send(Ok(Proved { stream, peer, _permit: permit })).await;
                     }
-                });
-            },
-        ));
+                    Err(_) => info!(%from, user, "too many gnmi connections at once"),
+                }
+            });
+        }));
         let server = tonic::transport::Server::builder()
-            .max_concurrent_streams(MOST_STREAMS)
+            .max_concurrent_streams(MAX_STREAMS)
             .initial_stream_window_size(WINDOW)
             .initial_connection_window_size(WINDOW)
             .http2_keepalive_interval(Some(ALIVE.0))
--- a/crates/rockflow-gnmi/src/service.rs
+++ b/crates/rockflow-gnmi/src/service.rs
@@ -3,7 +3,7 @@
 use crate::paths;
 use crate::wire;
 use rockflow_management::{Datastore, Fault, Operator, Protocol, Tag, Trigger, Update};
-use rockflow_operator::{Asker, Desk};
+use rockflow_management_service::{Asker, Desk};
 use rockflow_yang::{data, Edit, Fields, Op, Path, Pattern, Schema};
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -21,9 +21,9 @@
 use wire::{Encoding, SubscriptionMode};
 
 /// Messages that wait for a subscriber; the subscriptions behind them hold back, and merge.
-const MOST_WAITING: usize = 16;
+const MAX_WAITING: usize = 16;
 /// Values in one message.
-const MOST_UPDATES: usize = 2_000;
+const MAX_UPDATES: usize = 2_000;
 /// The time for a stream's first message.
 const FIRST: Duration = Duration::from_secs(10);
 
@@ -112,8 +112,8 @@
     }
 
     fn too_many(&self, count: usize) -> Result<(), Status> {
-        if count > paths::MOST_PATHS {
-            return Err(Status::resource_exhausted(format!("more than {} paths", paths::MOST_PATHS)));
+        if count > paths::MAX_PATHS {
+            return Err(Status::resource_exhausted(format!("more than {} paths", paths::MAX_PATHS)));
         }
         Ok(())
     }
@@ -184,7 +184,7 @@
     async fn notify(&self, updates: Vec<wire::Update>, deleted: Vec<wire::Path>) -> bool {
         let timestamp = nanos(self.desk.now());
         let mut deleted = Some(deleted);
-        let mut parts = updates.chunks(MOST_UPDATES).map(<[_]>::to_vec).collect::<Vec<_>>();
+        let mut parts = updates.chunks(MAX_UPDATES).map(<[_]>::to_vec).collect::<Vec<_>>();
         if parts.is_empty() {
             parts.push(Vec::new());
         }
@@ -293,7 +293,7 @@
         if !self.send(Told::SyncResponse(true)).await {
             return;
         }
-        let (sender, mut updates) = mpsc::channel(MOST_WAITING);
+        let (sender, mut updates) = mpsc::channel(MAX_WAITING);
         let tasks: Vec<_> = followed
             .into_iter()
             .map(|following| {
@@ -431,7 +431,7 @@
         let encoding = encoding(list.encoding)?;
         let mode = Mode::try_from(list.mode).map_err(|_| Status::invalid_argument("no such mode"))?;
         let plans = self.planned(&list)?;
-        let (out, receiver) = mpsc::channel(MOST_WAITING);
+        let (out, receiver) = mpsc::channel(MAX_WAITING);
         let target = list.prefix.as_ref().map(|prefix| prefix.target.clone()).unwrap_or_default();
         let follower = Follower { desk: self.desk.clone(), asker, out, encoding, target, _permit: permit };
         let patterns = || plans.iter().map(|(pattern, _)| pattern.clone()).collect::<Vec<_>>();
--- a/crates/rockflow-gnmi/tests/fuzz.rs
+++ b/crates/rockflow-gnmi/tests/fuzz.rs
@@ -4,7 +4,7 @@
 use prost::Message;
 use rockflow_gnmi::paths;
 use rockflow_gnmi::wire;
-use rockflow_stand_ins::memory::Counting;
+use rockflow_test_servers::memory::Counting;
 use rockflow_yang::{data, Edit, Fields, Op, Schema};
 
 #[global_allocator]
--- a/crates/rockflow-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -3,9 +3,9 @@
 //! section there is no agent, and nothing of it is started.
 
 use rockflow_dispatcher::{Clock, Link};
-use rockflow_operator::desk::SetLevel;
-use rockflow_operator::{Desk, Opened, OperatorFile};
-use rockflow_roster::Marks;
+use rockflow_endpoints::Marks;
+use rockflow_management_service::desk::SetLevel;
+use rockflow_management_service::{Desk, Opened, OperatorFile};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tracing::{error, info};
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// The marks that hold from the first query on.
+    /// The marks that hold from the first request on.
     pub fn marks(&self) -> Marks {
         self.opened.marks()
     }
--- a/crates/rockflow-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! A dispatcher among stand-ins with its management on, and managers with keys.
 #![allow(dead_code)]
 
-use rockflow_agent::{Addresses, Agent};
 use rockflow_dispatcher::{Clock, Service};
-use rockflow_manage::netconf::Client;
-use rockflow_manage::Trouble;
-use rockflow_operator::{file, Desk, OperatorFile};
-use rockflow_stand_ins::{keys, Site};
+use rockflow_management_agent::{Addresses, Agent};
+use rockflow_management_client::netconf::Client;
+use rockflow_management_client::Trouble;
+use rockflow_management_service::{file, Desk, OperatorFile};
+use rockflow_test_servers::{keys, Site};
 use rockflow_yang::{json, Fields, Schema};
 use std::net::SocketAddr;
 use std::sync::{Arc, Once};
@@ -98,10 +98,10 @@
         Client::tls(&address, "localhost", self.tls_config(&self.authority, user)).await.unwrap()
     }
 
-    pub async fn gnmi(&self, user: &str) -> rockflow_manage::gnmi::Client {
+    pub async fn gnmi(&self, user: &str) -> rockflow_management_client::gnmi::Client {
         let address = self.addresses.gnmi.unwrap().to_string();
         let config = self.tls_config(&self.authority, user);
-        rockflow_manage::gnmi::Client::connect(&address, "localhost", config).await.unwrap()
+        rockflow_management_client::gnmi::Client::connect(&address, "localhost", config).await.unwrap()
     }
 
     pub fn tree(&self, value: serde_json::Value) -> Fields {
--- a/crates/rockflow-agent/tests/gnmi.rs
+++ b/crates/rockflow-management-agent/tests/gnmi.rs
@@ -4,9 +4,9 @@
 
 use common::{block_on, Rig};
 use rockflow_gnmi::wire;
-use rockflow_manage::gnmi::{self, Client};
-use rockflow_manage::Trouble;
-use rockflow_stand_ins::{keys, Load, Turn};
+use rockflow_management_client::gnmi::{self, Client};
+use rockflow_management_client::Trouble;
+use rockflow_test_servers::{keys, Load, Turn};
 use serde_json::json;
 use std::time::Duration;
 use test_case::test_case;
@@ -63,7 +63,7 @@
         let mark = "/router/marks/mark[host=c1]";
         root.set(&rig.schema, &[], &[], &[(mark, json!({"reason": "disk"}))]).await.unwrap();
         // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
-        // a later query.
+        // a later request.
         let drained = load.next_turn();
         load.served(1, SERVED).await;
         let before = rig.site.hosts["c1"].take();
@@ -71,7 +71,10 @@
         let tally = load.stop();
         assert_eq!((tally.lost, tally.doubled), (0, 0));
         assert!(before.len() > 10, "{}", before.len());
-        assert!(before.iter().all(|leg| Turn::of(&leg.id).unwrap() < drained), "{drained:?} {before:?}");
+        assert!(
+            before.iter().all(|attempt| Turn::of(&attempt.id).unwrap() < drained),
+            "{drained:?} {before:?}"
+        );
         assert_eq!(rig.site.hosts["c1"].take().len(), 0);
         assert_eq!(effective(&rig, &mut root, "c1").await, "draining");
         root.set(&rig.schema, &[mark], &[], &[]).await.unwrap();
--- a/crates/rockflow-agent/tests/hostile.rs
+++ b/crates/rockflow-management-agent/tests/hostile.rs
@@ -1,11 +1,11 @@
-//! Broken and hostile peers at every front, while the dispatcher's queries go on and notice nothing.
+//! Broken and hostile peers at every front, while the dispatcher's requests go on and notice nothing.
 
 mod common;
 
 use common::{block_on, key_of, Rig};
 use rockflow_gnmi::wire;
-use rockflow_manage::Trouble;
-use rockflow_stand_ins::Load;
+use rockflow_management_client::Trouble;
+use rockflow_test_servers::Load;
 use std::time::Duration;
 use test_case::test_case;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -97,7 +97,7 @@
 #[test_case("two operations")]
 #[test_case("no message-id")]
 #[test_case("thousands of paths")]
-fn a_bad_message_costs_its_own_session_and_no_query(what: &str) {
+fn a_bad_message_costs_its_own_session_and_no_request(what: &str) {
     let rig = Rig::start(2, 1, MS);
     let (bytes, goes_on) = said(what);
     block_on(async {
@@ -200,7 +200,7 @@
     block_on(async {
         let mut root = rig.gnmi("root").await;
         let one = wire::Subscription {
-            path: Some(rockflow_manage::gnmi::path(&rig.schema, "/router/marks").unwrap()),
+            path: Some(rockflow_management_client::gnmi::path(&rig.schema, "/router/marks").unwrap()),
             ..Default::default()
         };
         let list = wire::SubscriptionList {
--- a/crates/rockflow-agent/tests/netconf.rs
+++ b/crates/rockflow-management-agent/tests/netconf.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{block_on, key_of, Rig};
-use rockflow::interface::Readiness;
-use rockflow_manage::Trouble;
-use rockflow_roster::Mark;
-use rockflow_stand_ins::{keys, Load, Turn};
+use rockflow::Readiness;
+use rockflow_endpoints::Mark;
+use rockflow_management_client::Trouble;
+use rockflow_test_servers::{keys, Load, Turn};
 use serde_json::json;
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
         load.served(10, SERVED).await;
         root.act(&rig.schema, "drain", &[("host", "c1"), ("reason", "disk")]).await.unwrap();
         // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
-        // a later query.
+        // a later request.
         let drained = load.next_turn();
         load.served(1, SERVED).await;
         let before = rig.site.hosts["c1"].take();
@@ -60,17 +60,20 @@
         assert!(tally.succeeded > 200, "{}", tally.succeeded);
         assert_eq!((tally.lost, tally.doubled), (0, 0));
         assert!(before.len() > 10, "{}", before.len());
-        assert!(before.iter().all(|leg| Turn::of(&leg.id).unwrap() < drained), "{drained:?} {before:?}");
+        assert!(
+            before.iter().all(|attempt| Turn::of(&attempt.id).unwrap() < drained),
+            "{drained:?} {before:?}"
+        );
         assert_eq!(rig.site.hosts["c1"].take().len(), 0);
-        // A parent drains as a source: no leg names it any more.
+        // A parent drains as a source: no attempt names it any more.
         root.act(&rig.schema, "drain", &[("host", "p1")]).await.unwrap();
         ["c2", "c3"].into_iter().for_each(|name| drop(rig.site.hosts[name].take()));
         let load = Load::start(rig.address(), 5, Duration::ZERO, 2);
         load.served(10, SERVED).await;
         load.stop();
         let came: Vec<_> = ["c2", "c3"].into_iter().flat_map(|name| rig.site.hosts[name].take()).collect();
-        assert!(came.iter().any(|leg| leg.source.as_deref() == Some("p2")));
-        assert!(!came.iter().any(|leg| leg.source.as_deref() == Some("p1")));
+        assert!(came.iter().any(|attempt| attempt.source.as_deref() == Some("p2")));
+        assert!(!came.iter().any(|attempt| attempt.source.as_deref() == Some("p1")));
         root.act(&rig.schema, "undrain", &[("host", "c1")]).await.unwrap();
         assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "ready");
         // Who said it, and when, is told beside the mark; the audit has a line for each commit.
@@ -174,11 +177,12 @@
         let other = keys::Authority::new("other");
         let address = rig.addresses.tls.unwrap().to_string();
         let config = rig.tls_config(&other, "root");
-        let tried = rockflow_manage::netconf::Client::tls(&address, "localhost", config).await;
+        let tried = rockflow_management_client::netconf::Client::tls(&address, "localhost", config).await;
         assert!(tried.is_err());
         let address = rig.addresses.ssh.unwrap().to_string();
         let host = keys::ssh(99).public_key().clone();
-        let tried = rockflow_manage::netconf::Client::ssh(&address, "root", key_of("root"), host).await;
+        let tried =
+            rockflow_management_client::netconf::Client::ssh(&address, "root", key_of("root"), host).await;
         assert!(matches!(tried, Err(Trouble::Trust(_))));
     });
 }
--- a/crates/rockflow-manage/src/netconf.rs
+++ b/crates/rockflow-management-client/src/netconf.rs
@@ -17,7 +17,7 @@
 const MOST: usize = 64 * 1024 * 1024;
 const WAIT: Duration = Duration::from_secs(30);
 /// Notifications kept while requests are answered.
-const MOST_KEPT: usize = 10_000;
+const MAX_KEPT: usize = 10_000;
 
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Stream for T {}
@@ -171,7 +171,7 @@
     }
 
     fn keep(&mut self, notification: Element) {
-        if self.kept.len() < MOST_KEPT {
+        if self.kept.len() < MAX_KEPT {
             self.kept.push_back(notification);
         }
     }
--- a/crates/rockflow-operator/src/audit.rs
+++ b/crates/rockflow-management-service/src/audit.rs
@@ -9,7 +9,7 @@
 use tracing::{error, info};
 
 /// Changes that one line names; the rest is counted.
-const MOST_NAMED: usize = 200;
+const MAX_NAMED: usize = 200;
 
 pub struct Audit {
     file: Option<File>,
@@ -42,7 +42,7 @@
 }
 
 fn line(schema: &Schema, commit: &Commit) -> serde_json::Value {
-    let named = commit.changes.iter().take(MOST_NAMED).map(|change| {
+    let named = commit.changes.iter().take(MAX_NAMED).map(|change| {
         serde_json::json!({
             "path": change.path.text(schema),
             "before": change.before.as_ref().map(ToString::to_string),
@@ -57,6 +57,6 @@
         "source": commit.who.source,
         "comment": commit.comment,
         "changes": named.collect::<Vec<_>>(),
-        "more": commit.changes.len().saturating_sub(MOST_NAMED),
+        "more": commit.changes.len().saturating_sub(MAX_NAMED),
     })
 }
--- a/crates/rockflow-operator/src/desk.rs
+++ b/crates/rockflow-management-service/src/desk.rs
@@ -7,8 +7,8 @@
 use crate::state;
 use rockflow_dispatcher::messages::Survey;
 use rockflow_dispatcher::{Clock, Link};
+use rockflow_endpoints::{merged, Marks, Says};
 use rockflow_management::*;
-use rockflow_roster::{merged, Marks, Says};
 use rockflow_store::{Folder, Store};
 use rockflow_yang::{data, Edit, Fields, Path, Pattern, Scalar, Schema};
 use std::collections::{BTreeMap, VecDeque};
@@ -30,16 +30,16 @@
 /// The longest wait between two looks at what is due.
 const LOOK: Duration = Duration::from_secs(1);
 /// Events that a slow follower may be behind before it misses some.
-const MOST_EVENTS: usize = 1024;
+const MAX_EVENTS: usize = 1024;
 /// Followers over all fronts.
-const MOST_FOLLOWERS: usize = 256;
+const MAX_FOLLOWERS: usize = 256;
 const STORE: &str = "config";
 
 /// What is told to followers of events (RFC 5277), by the model's notifications or those of RFC 6470.
 #[derive(Clone, Debug)]
 pub enum Event {
     Notice(Notice),
-    HostChanged { name: String, now: Option<(rockflow::interface::Readiness, Says)> },
+    HostChanged { name: String, now: Option<(rockflow::Readiness, Says)> },
     MarkExpired { host: String },
 }
 
@@ -60,7 +60,7 @@
     /// Sessions that the desk has ended, each to be told by its front.
     ended: VecDeque<SessionId>,
     /// Whom the events last spoke of, and how each stood.
-    hosts: BTreeMap<String, (rockflow::interface::Readiness, Says)>,
+    hosts: BTreeMap<String, (rockflow::Readiness, Says)>,
     expired: BTreeMap<String, Duration>,
     level: Option<String>,
     /// The list has not been told of the last marks yet.
@@ -117,7 +117,7 @@
         Ok(Opened { datastores, audit: Audit::open(part.audit.as_deref())?, clock })
     }
 
-    /// The marks that hold from the first query on.
+    /// The marks that hold from the first request on.
     pub fn marks(&self) -> Marks {
         self.datastores.marks()
     }
@@ -141,7 +141,7 @@
             inner: Mutex::new(inner),
             link,
             started: self.clock.now(),
-            events: broadcast::Sender::new(MOST_EVENTS),
+            events: broadcast::Sender::new(MAX_EVENTS),
             moved: Notify::new(),
             ended: Notify::new(),
             set_level,
@@ -251,7 +251,7 @@
                         info!(session = session.0, user = who.user, reason, "management session over");
                     }
                     inner.ended.push_back(*session);
-                    while inner.ended.len() > MOST_EVENTS {
+                    while inner.ended.len() > MAX_EVENTS {
                         inner.ended.pop_front();
                     }
                     self.ended.notify_waiters();
@@ -540,8 +540,8 @@
         let present = self.desk.operational().await;
         let now = self.desk.now();
         let wake = Arc::new(Notify::new());
-        if self.desk.lock().followers.len() >= MOST_FOLLOWERS {
-            let message = format!("all {MOST_FOLLOWERS} subscriptions are in use");
+        if self.desk.lock().followers.len() >= MAX_FOLLOWERS {
+            let message = format!("all {MAX_FOLLOWERS} subscriptions are in use");
             return Err(Fault::new(Tag::ResourceDenied, message));
         }
         self.follows += 1;
--- a/crates/rockflow-operator/src/lib.rs
+++ b/crates/rockflow-management-service/src/lib.rs
@@ -10,5 +10,5 @@
 
 pub use desk::{Asker, Desk, Event, Opened};
 pub use doorway::{Doorway, Unproved};
-pub use rockflow_operator_file as file;
-pub use rockflow_operator_file::{Fault, GnmiPart, ManagementPart, NetconfPart, OperatorFile, TlsPart};
+pub use rockflow_operator_config as file;
+pub use rockflow_operator_config::{Fault, GnmiPart, ManagementPart, NetconfPart, OperatorFile, TlsPart};
--- a/crates/rockflow-operator/src/secrets.rs
+++ b/crates/rockflow-management-service/src/secrets.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// The largest key or certificate file that is read, in bytes.
-const MOST_BYTES: u64 = 1024 * 1024;
+const MAX_BYTES: u64 = 1024 * 1024;
 
 /// Guards against keys that others on the machine can read, and against files by which they could let
 /// themselves in: `secret` ones are closed to group and others, all of them to their writing.
@@ -26,8 +26,8 @@
             return Err(what(&format!("mode {mode:o}: others than its owner can {wanted} it")));
         }
     }
-    if meta.is_file() && meta.len() > MOST_BYTES {
-        return Err(what(&format!("larger than {MOST_BYTES} bytes")));
+    if meta.is_file() && meta.len() > MAX_BYTES {
+        return Err(what(&format!("larger than {MAX_BYTES} bytes")));
     }
     Ok(())
 }
--- a/crates/rockflow-operator/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -1,10 +1,10 @@
 //! The dispatcher's state as the model has it, from a survey and what the datastores tell of themselves.
 
-use rockflow::interface::{Effect, Readiness, Role};
+use rockflow::{Effect, Readiness, Role};
 use rockflow_dispatcher::messages::Survey;
 use rockflow_dispatcher::{Link, Phase};
+use rockflow_endpoints::{beside, merged};
 use rockflow_management::{moment, Durable, Management, Surroundings};
-use rockflow_roster::{beside, merged};
 use rockflow_yang::{Data, Fields, NodeId, Path, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -124,12 +124,12 @@
     top.text("phase", phase);
     top.number("up", millis(now.saturating_sub(started)));
     top.container("hosts", |hosts| hosts_of(hosts, link, survey, now));
-    top.container("products", |products| {
-        products.list("product", link.products.iter().enumerate(), |at, (place, (name, told))| {
+    top.container("products", |classes| {
+        classes.list("product", link.classes.iter().enumerate(), |at, (place, (name, told))| {
             at.text("name", name);
             at.text("effect", effect(&told.effect));
-            at.number("outer-limit", millis(told.outer_limit));
-            at.number("fresh", millis(told.fresh));
+            at.number("outer-limit", millis(told.deadline));
+            at.number("fresh", millis(told.fresh_lifetime));
             at.number("grace", millis(told.grace));
             let ended = survey.ended.get(place).copied().unwrap_or_default();
             at.number("succeeded", ended.succeeded);
@@ -159,9 +159,9 @@
 
 fn effect(effect: &Effect) -> &'static str {
     match effect {
-        Effect::Redoable => "redoable",
-        Effect::Labelled { .. } => "labelled",
-        Effect::Irreversible => "irreversible",
+        Effect::Idempotent => "redoable",
+        Effect::IdempotencyKey { .. } => "labelled",
+        Effect::AtMostOnce => "irreversible",
     }
 }
 
@@ -196,10 +196,10 @@
             at.text("says", says.name());
         }
         let Some(view) = views.get(&listing.host) else { return };
-        at.number("legs-out", view.out as u64);
-        at.leaf("avoided", Scalar::Bool(view.avoided));
+        at.number("legs-out", view.in_flight as u64);
+        at.leaf("avoided", Scalar::Bool(view.ejected));
         at.leaf("health", Scalar::Decimal((view.health.clamp(0.0, 1.0) * 1000.0).round() as i64, 3));
-        at.maybe("cold-until", view.cold_until.filter(|until| *until > now).map(moment_of));
+        at.maybe("cold-until", view.warming_until.filter(|until| *until > now).map(moment_of));
     });
 }
 
--- a/crates/rockflow-management/src/machine.rs
+++ b/crates/rockflow-management/src/machine.rs
@@ -10,7 +10,7 @@
 use crate::marks::marks;
 use crate::record::{Record, Trial};
 use crate::words::{Commit, Operator, Origin, SessionId};
-use rockflow_roster::{none_left, Listed, Marks};
+use rockflow_endpoints::{none_left, Listed, Marks};
 use rockflow_yang::data::{self, EditFault};
 use rockflow_yang::{Change, Data, Edit, Fields, Op, Path, Pattern, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -139,17 +139,17 @@
 }
 
 /// Caps on what is held here.
-const MOST_VALUES: usize = 100_000;
-const MOST_HISTORY_VALUES: usize = 100_000;
-const MOST_PARTIAL_LOCKS: usize = 256;
+const MAX_VALUES: usize = 100_000;
+const MAX_HISTORY_VALUES: usize = 100_000;
+const MAX_PARTIAL_LOCKS: usize = 256;
 /// Nodes that one expression of a partial lock may name.
-const MOST_LOCKED: usize = 10_000;
-const MOST_NOTICES: usize = 4096;
-const MOST_PERSIST: usize = 256;
-const MOST_COMMENT: usize = 1024;
+const MAX_LOCKED: usize = 10_000;
+const MAX_NOTICES: usize = 4096;
+const MAX_PERSIST: usize = 256;
+const MAX_COMMENT: usize = 1024;
 /// RFC 6241, section 8.4.5.1; the most is a day.
 pub const CONFIRM_WITHIN: Duration = Duration::from_secs(600);
-const MOST_CONFIRM: Duration = Duration::from_secs(86_400);
+const MAX_CONFIRM: Duration = Duration::from_secs(86_400);
 
 pub struct Management<S> {
     schema: Arc<Schema>,
@@ -281,7 +281,7 @@
     }
 
     fn tell(&mut self, notice: Notice) {
-        if self.notices.len() >= MOST_NOTICES {
+        if self.notices.len() >= MAX_NOTICES {
             self.notices.pop_front();
         }
         self.notices.push_back(notice);
@@ -420,7 +420,7 @@
         let user = self.session(id)?.who.user.clone();
         let mut held: Vec<Path> = Vec::new();
         for pattern in select {
-            let found = data::instances(&self.running, pattern, MOST_LOCKED);
+            let found = data::instances(&self.running, pattern, MAX_LOCKED);
             let found = found.ok_or_else(|| Fault::new(Tag::TooBig, "too much to lock in part"))?;
             held.extend(found.into_iter().map(|(path, _)| path));
         }
@@ -447,7 +447,7 @@
         if let Some(other) = self.partial.values().find(|other| other.session != id && overlaps(other)) {
             return denied(other.session);
         }
-        if self.partial.len() >= MOST_PARTIAL_LOCKS {
+        if self.partial.len() >= MAX_PARTIAL_LOCKS {
             return Err(Fault::new(Tag::ResourceDenied, "too many partial locks"));
         }
         let lock = self.next_partial;
@@ -522,8 +522,8 @@
                 }
             }
         }
-        if data::count(&after) > MOST_VALUES {
-            let message = format!("more than {MOST_VALUES} values");
+        if data::count(&after) > MAX_VALUES {
+            let message = format!("more than {MAX_VALUES} values");
             return Err(vec![Fault::new(Tag::ResourceDenied, message)]);
         }
         let keep = !test_only && (faults.is_empty() || option != ErrorOption::Rollback);
@@ -630,8 +630,8 @@
     /// What the model, the rules' own form and the list of hosts demand of a configuration.
     fn valid(&self, now: Duration, after: &Fields, around: &Surroundings) -> Result<(), Fault> {
         data::check(&self.schema, after, &Path::default()).map_err(|fault: EditFault| Fault::from(fault))?;
-        if data::count(after) > MOST_VALUES {
-            return Err(Fault::new(Tag::ResourceDenied, format!("more than {MOST_VALUES} values")));
+        if data::count(after) > MAX_VALUES {
+            return Err(Fault::new(Tag::ResourceDenied, format!("more than {MAX_VALUES} values")));
         }
         Access::of(&self.schema, after, self.owner.clone())
             .map_err(|what| Fault::new(Tag::InvalidValue, what))?;
@@ -721,7 +721,7 @@
         self.may_call(id, "commit")?;
         self.entitled(id, confirm.persist_id.as_deref())?;
         self.candidate_free(id)?;
-        if confirm.persist.as_ref().is_some_and(|name| name.len() > MOST_PERSIST) {
+        if confirm.persist.as_ref().is_some_and(|name| name.len() > MAX_PERSIST) {
             return Err(Fault::new(Tag::TooBig, "the persist id is too long"));
         }
         let after = self.rebased(id)?;
@@ -852,7 +852,7 @@
         if changes.is_empty() && self.pending.is_none() && confirm.within.is_none() {
             return Ok(self.version);
         }
-        let comment = comment.chars().take(MOST_COMMENT).collect::<String>();
+        let comment = comment.chars().take(MAX_COMMENT).collect::<String>();
         let commit = Commit { version: self.used + 1, who: who.clone(), time: now, comment, changes };
         let Some(within) = confirm.within else {
             let confirming = self.pending.take();
@@ -877,7 +877,7 @@
             version,
             before,
             before_version,
-            due: now + within.min(MOST_CONFIRM),
+            due: now + within.min(MAX_CONFIRM),
         };
         let old = self.pending.replace(pending);
         if let Err(fault) = self.install(commit, after, true) {
@@ -931,7 +931,7 @@
     fn bound_history(&mut self) {
         let most = self.number("history-length") as usize;
         let mut values: usize = self.history.iter().map(|commit| commit.changes.len()).sum();
-        while self.history.len() > most || (values > MOST_HISTORY_VALUES && self.history.len() > 1) {
+        while self.history.len() > most || (values > MAX_HISTORY_VALUES && self.history.len() > 1) {
             values -= self.history.pop_front().map_or(0, |commit| commit.changes.len());
         }
     }
--- a/crates/rockflow-management/src/marks.rs
+++ b/crates/rockflow-management/src/marks.rs
@@ -1,7 +1,7 @@
 //! Operators' marks on hosts, as the running configuration holds them.
 
-use rockflow::interface::Readiness;
-use rockflow_roster::{Mark, Marks};
+use rockflow::Readiness;
+use rockflow_endpoints::{Mark, Marks};
 use rockflow_yang::{data, Data, Fields, Schema};
 
 /// The marks of a configuration.
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Paths that may wait for a follower.
-pub const MOST_WAITING: usize = 20_000;
+pub const MAX_WAITING: usize = 20_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trigger {
@@ -82,7 +82,7 @@
             let changed = Changed { value: change.after.clone(), overtook };
             self.waiting.insert(change.path.clone(), changed);
         }
-        if self.waiting.len() > MOST_WAITING {
+        if self.waiting.len() > MAX_WAITING {
             self.waiting.clear();
             self.whole = true;
         }
--- a/crates/rockflow-management/tests/followers.rs
+++ b/crates/rockflow-management/tests/followers.rs
@@ -65,7 +65,7 @@
     let schema = Schema::published();
     let mut follower = on_change(&schema, 10, None);
     follower.take(at(0), Fields::new);
-    let most = rockflow_management::subscription::MOST_WAITING;
+    let most = rockflow_management::subscription::MAX_WAITING;
     for start in (0..most + 10).step_by(1000) {
         let names: Vec<_> = (start..start + 1000).map(|number| format!("c{number}")).collect();
         let marks: Vec<_> = names.iter().map(|name| (name.as_str(), "a")).collect();
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -21,9 +21,9 @@
 //!
 //! `! TAG WORD...` at a line's end: it fails with that tag, and its message and finer tag hold the words.
 
-use rockflow::interface::{Readiness, Role};
+use rockflow::{Readiness, Role};
+use rockflow_endpoints::{Listed, Mark};
 use rockflow_management::*;
-use rockflow_roster::{Listed, Mark};
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
 use rockflow_yang::{json, Data, Edit, Op, Path, Pattern, Scalar, Schema};
--- a/crates/rockflow-budget/src/plan.rs
+++ b/crates/rockflow-memory-budget/src/plan.rs
@@ -19,7 +19,7 @@
     Coalesce,
     /// Connections on which nothing is owed are closed.
     CloseIdle,
-    /// Queries are dismissed, with a time to come back.
+    /// Requests are dismissed, with a time to come back.
     Dismiss,
     /// It is dropped, and counted.
     Drop,
--- a/crates/rockflow-budget/tests/ledger.rs
+++ b/crates/rockflow-memory-budget/tests/ledger.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use rockflow_budget::plan::purpose;
-use rockflow_budget::{AtCap, Budget, Charge, Declared, Growth, Heavy, Plan, PurposeId};
+use rockflow_memory_budget::plan::purpose;
+use rockflow_memory_budget::{AtCap, Budget, Charge, Declared, Growth, Heavy, Plan, PurposeId};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -45,7 +45,7 @@
     assert_eq!(budget.charge(id("answers"), 1).unwrap_err().short, id("answers"));
     // The floor of clients is kept for them: 200 of the 400 left.
     let log = budget.charge(id("log"), 100).unwrap();
-    let queries = budget.charge(id("queries"), 200).unwrap();
+    let requests = budget.charge(id("queries"), 200).unwrap();
     let buffers = budget.charge(id("buffers"), 100).unwrap();
     let refused = budget.charge(id("buffers"), 1).unwrap_err();
     assert_eq!((refused.short, refused.at_cap), (id("all"), AtCap::Shrink));
@@ -57,7 +57,7 @@
     let rest = budget.charge(id("queries"), 100).unwrap();
     assert_eq!(budget.charge(id("buffers"), 1).unwrap_err().short, id("clients"));
     assert_eq!(budget.rows()[1].held, 600);
-    drop((queries, buffers, more, rest));
+    drop((requests, buffers, more, rest));
     assert!(budget.rows().iter().all(|row| row.held == 0));
 }
 
--- a/crates/rockflow-netconf/src/filter.rs
+++ b/crates/rockflow-netconf/src/filter.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Paths in one expression.
-pub const MOST_PATHS: usize = 64;
+pub const MAX_PATHS: usize = 64;
 
 /// What the elements of a subtree filter select below `parent`.
 pub fn subtree(schema: &Schema, fields: &Fields, parent: Option<NodeId>, filter: &[Element]) -> Fields {
@@ -94,8 +94,8 @@
 pub fn patterns(schema: &Schema, expression: &str, prefixes: &Prefixes) -> Result<Vec<Pattern>, Fault> {
     let bad = |what: String| Fault::new(Tag::InvalidValue, what).element("select");
     let paths: Vec<&str> = expression.split('|').map(str::trim).collect();
-    if paths.len() > MOST_PATHS {
-        return Err(bad(format!("more than {MOST_PATHS} paths")));
+    if paths.len() > MAX_PATHS {
+        return Err(bad(format!("more than {MAX_PATHS} paths")));
     }
     let read = |path: &str| {
         let mut plain = String::new();
--- a/crates/rockflow-netconf/src/framing.rs
+++ b/crates/rockflow-netconf/src/framing.rs
@@ -5,7 +5,7 @@
 
 const END: &[u8] = b"]]>]]>";
 /// The longest chunk head: `\n#` and ten digits; past it no number of a chunk can be meant.
-const MOST_HEAD: usize = 13;
+const MAX_HEAD: usize = 13;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FramingFault {
@@ -129,12 +129,12 @@
                 continue;
             }
             let rest = &self.held[used..];
-            let head = &rest[..rest.len().min(MOST_HEAD)];
+            let head = &rest[..rest.len().min(MAX_HEAD)];
             if !b"\n#".starts_with(&head[..head.len().min(2)]) {
                 return Err(FramingFault::NotAChunk);
             }
             let Some(end) = head.iter().skip(2).position(|byte| *byte == b'\n').map(|at| at + 2) else {
-                if head.len() >= MOST_HEAD {
+                if head.len() >= MAX_HEAD {
                     return Err(FramingFault::NotAChunk);
                 }
                 break;
--- a/crates/rockflow-netconf/src/monitoring.rs
+++ b/crates/rockflow-netconf/src/monitoring.rs
@@ -3,7 +3,7 @@
 use crate::ns;
 use crate::xml::Writer;
 use rockflow_management::{moment, Datastore, Protocol};
-use rockflow_operator::Desk;
+use rockflow_management_service::Desk;
 use rockflow_yang::Schema;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -5,7 +5,7 @@
 use crate::ns;
 use crate::xml::Writer;
 use rockflow_management::{moment, Notice, Operator, Update};
-use rockflow_operator::Event;
+use rockflow_management_service::Event;
 use rockflow_yang::{data, Change, Fields, Path, Scalar, Schema};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/rockflow-netconf/src/rpc.rs
+++ b/crates/rockflow-netconf/src/rpc.rs
@@ -7,7 +7,7 @@
 use crate::xml::{Element, Writer};
 use rockflow_management::machine::CONFIRM_WITHIN;
 use rockflow_management::{Confirm, Datastore, ErrorOption, Fault, SessionId, Tag, Trigger};
-use rockflow_operator::{Asker, Desk};
+use rockflow_management_service::{Asker, Desk};
 use rockflow_yang::path::Loose;
 use rockflow_yang::{data, Data, Fields, Kind, NodeId, Op, Path, Pattern, Scalar, Schema};
 use std::sync::Arc;
@@ -195,8 +195,8 @@
         } else {
             below(schema, Some(node), &rest, &here, found)?;
         }
-        if found.len() > filter::MOST_PATHS {
-            return Err(invalid(format!("more than {} paths", filter::MOST_PATHS)));
+        if found.len() > filter::MAX_PATHS {
+            return Err(invalid(format!("more than {} paths", filter::MAX_PATHS)));
         }
     }
     Ok(())
--- a/crates/rockflow-netconf/src/server.rs
+++ b/crates/rockflow-netconf/src/server.rs
@@ -6,7 +6,7 @@
 use crate::session::{self, Bounds};
 use crate::ssh::{self, Ssh};
 use rockflow_management::{Operator, Protocol};
-use rockflow_operator::{doorway, secrets, Desk, Doorway, NetconfPart};
+use rockflow_management_service::{doorway, secrets, Desk, Doorway, NetconfPart};
 use std::net::{SocketAddr, TcpListener as Listener};
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use tokio_rustls::TlsAcceptor;
 
 /// Connections over SSH at once that have proved who they are; over TLS each is a session, which the desk caps.
-const MOST_CONNECTIONS: usize = 128;
+const MAX_CONNECTIONS: usize = 128;
 
 /// Bound and read, ahead of the thread that serves: what is wrong is known at the start.
 pub struct Bound {
@@ -86,7 +86,7 @@
         let waiting = || Doorway::new(part.handshakes as usize);
         if let (Some((listener, config)), Some(keys)) = (ssh, part.authorized_keys.clone()) {
             let listener = TcpListener::from_std(listener).map_err(|what| what.to_string())?;
-            let places = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+            let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
             let ssh = Arc::new(Ssh { server: server.clone(), keys, bounds, config, places });
             tokio::spawn(doorway::accept(listener, waiting(), move |stream, from, unproved| {
                 tokio::spawn(ssh::serve(ssh.clone(), stream, from, unproved));
--- a/crates/rockflow-netconf/src/session.rs
+++ b/crates/rockflow-netconf/src/session.rs
@@ -7,7 +7,7 @@
 use crate::rpc::{self, Reply, Server};
 use crate::xml::{self, Element, Writer};
 use rockflow_management::{Fault, Operator, Tag};
-use rockflow_operator::{Asker, Event};
+use rockflow_management_service::{Asker, Event};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 /// How long a peer may take to read what it is sent.
 const WRITE: Duration = Duration::from_secs(30);
 /// Notifications that wait for the peer; the subscriptions behind them hold back, and merge.
-const MOST_WAITING: usize = 16;
+const MAX_WAITING: usize = 16;
 /// Subscriptions of one session.
-const MOST_FOLLOWED: usize = 16;
+const MAX_FOLLOWED: usize = 16;
 const READ: usize = 16 * 1024;
 
 /// Limits of one session.
@@ -46,7 +46,7 @@
         }
     };
     Counts::add(&server.counts.sessions);
-    let (sender, receiver) = mpsc::channel(MOST_WAITING);
+    let (sender, receiver) = mpsc::channel(MAX_WAITING);
     let mut session = Session {
         server: server.clone(),
         asker,
@@ -223,8 +223,8 @@
 
     async fn follow(&mut self, operation: &Element, begun: Reply) -> Result<String, Fault> {
         let schema = self.server.desk.schema().clone();
-        if self.followed.len() >= MOST_FOLLOWED && !matches!(begun, Reply::Unfollow(_)) {
-            let message = format!("more than {MOST_FOLLOWED} subscriptions in a session");
+        if self.followed.len() >= MAX_FOLLOWED && !matches!(begun, Reply::Unfollow(_)) {
+            let message = format!("more than {MAX_FOLLOWED} subscriptions in a session");
             return Err(Fault::new(Tag::ResourceDenied, message));
         }
         let sender = self.sender.clone();
--- a/crates/rockflow-netconf/src/ssh.rs
+++ b/crates/rockflow-netconf/src/ssh.rs
@@ -4,7 +4,7 @@
 use crate::rpc::Server;
 use crate::session::{self, Bounds};
 use rockflow_management::{Operator, Protocol};
-use rockflow_operator::{secrets, Unproved};
+use rockflow_management_service::{secrets, Unproved};
 use russh::keys::ssh_key::{AuthorizedKeys, PublicKey};
 use russh::keys::PrivateKey;
 use russh::server::{Auth, ChannelOpenHandle, Handler, Msg, Session, VerifiedPublicKey};
@@ -19,8 +19,8 @@
 use tracing::{info, warn};
 
 /// Sessions on one connection.
-const MOST_CHANNELS: usize = 8;
-const MOST_TRIES: usize = 6;
+const MAX_CHANNELS: usize = 8;
+const MAX_TRIES: usize = 6;
 
 pub fn host_key(path: &Path) -> Result<PrivateKey, String> {
     let text = secrets::read(path, true)?;
@@ -44,7 +44,7 @@
         methods: MethodSet::from(&[MethodKind::PublicKey][..]),
         auth_rejection_time: Duration::from_millis(300),
         auth_rejection_time_initial: Some(Duration::ZERO),
-        max_auth_attempts: MOST_TRIES,
+        max_auth_attempts: MAX_TRIES,
         // Silent sessions are the desk's matter; dead connections are found by these.
         inactivity_timeout: None,
         keepalive_interval: Some(Duration::from_secs(30)),
@@ -116,7 +116,7 @@
         reply: ChannelOpenHandle,
         _: &mut Session,
     ) -> Result<(), Self::Error> {
-        if self.channels.len() + self.sessions >= MOST_CHANNELS {
+        if self.channels.len() + self.sessions >= MAX_CHANNELS {
             reply.reject(russh::ChannelOpenFailure::ResourceShortage).await;
             return Ok(());
         }
--- a/crates/rockflow-netconf/src/xml.rs
+++ b/crates/rockflow-netconf/src/xml.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 
 /// Caps on what a message may hold.
-pub const MOST_DEEP: usize = 64;
-pub const MOST_ELEMENTS: usize = 200_000;
-pub const MOST_ATTRIBUTES: usize = 32;
+pub const MAX_DEEP: usize = 64;
+pub const MAX_ELEMENTS: usize = 200_000;
+pub const MAX_ATTRIBUTES: usize = 32;
 
 pub type Prefixes = Arc<BTreeMap<String, String>>;
 
@@ -73,16 +73,16 @@
                     return Err("more than one element".to_string());
                 }
                 elements += 1;
-                if open.len() >= MOST_DEEP || elements > MOST_ELEMENTS {
-                    return Err(format!("deeper than {MOST_DEEP} or more than {MOST_ELEMENTS} elements"));
+                if open.len() >= MAX_DEEP || elements > MAX_ELEMENTS {
+                    return Err(format!("deeper than {MAX_DEEP} or more than {MAX_ELEMENTS} elements"));
                 }
                 let element = element(&reader, &start, open.last())?;
                 open.push(element);
             }
             Event::Empty(start) => {
                 elements += 1;
-                if open.len() >= MOST_DEEP || elements > MOST_ELEMENTS {
-                    return Err(format!("deeper than {MOST_DEEP} or more than {MOST_ELEMENTS} elements"));
+                if open.len() >= MAX_DEEP || elements > MAX_ELEMENTS {
+                    return Err(format!("deeper than {MAX_DEEP} or more than {MAX_ELEMENTS} elements"));
                 }
                 let element = element(&reader, &start, open.last())?;
                 close(element, &mut open, &mut root)?;
@@ -163,8 +163,8 @@
     };
     for attribute in start.attributes() {
         let attribute = attribute.map_err(|what| what.to_string())?;
-        if element.attributes.len() >= MOST_ATTRIBUTES {
-            return Err(format!("more than {MOST_ATTRIBUTES} attributes"));
+        if element.attributes.len() >= MAX_ATTRIBUTES {
+            return Err(format!("more than {MAX_ATTRIBUTES} attributes"));
         }
         let value = attribute.normalized_value(quick_xml::XmlVersion::Implicit1_0);
         let value = value.map_err(|what| what.to_string())?.into_owned();
--- a/crates/rockflow-netconf/tests/fuzz.rs
+++ b/crates/rockflow-netconf/tests/fuzz.rs
@@ -4,7 +4,7 @@
 
 use rockflow_netconf::framing::{encode, Framing};
 use rockflow_netconf::{codec, filter, xml};
-use rockflow_stand_ins::memory::Counting;
+use rockflow_test_servers::memory::Counting;
 use rockflow_yang::{Op, Path, Schema};
 
 #[global_allocator]
--- a/crates/rockflow-operator-file/src/dissemination.rs
+++ b/crates/rockflow-operator-config/src/dissemination.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 /// Control nodes that may be told, seeds, bytes of a name, and lines of a file of marks.
-pub const MOST_CONTROL: usize = 16;
-pub const MOST_SEEDS: usize = 16;
-pub const MOST_NAME: usize = 128;
-pub const MOST_MARKS: usize = 4096;
+pub const MAX_CONTROL: usize = 16;
+pub const MAX_SEEDS: usize = 16;
+pub const MAX_NAME: usize = 128;
+pub const MAX_MARKS: usize = 4096;
 const PURGE_SECONDS: RangeInclusive<f64> = 0.5..=600.0;
 const BYTES: RangeInclusive<u32> = 1024..=1_048_576;
 const PULSE_MS: RangeInclusive<u32> = 50..=5000;
@@ -94,11 +94,11 @@
 
     fn name(&mut self, section: &str, key: &str) -> Option<String> {
         let text = self.text(section, key)?;
-        if text.len() > MOST_NAME || text.contains(char::is_whitespace) {
+        if text.len() > MAX_NAME || text.contains(char::is_whitespace) {
             self.fault(
                 section,
                 key,
-                format!("{text:?} is no name: 1 to {MOST_NAME} bytes without spaces are allowed"),
+                format!("{text:?} is no name: 1 to {MAX_NAME} bytes without spaces are allowed"),
             );
             return None;
         }
@@ -127,7 +127,7 @@
         let (key, mut nodes) = ("control", Vec::new());
         for item in self.items(section, key) {
             let Some((name, at)) =
-                item.split_once('@').filter(|(name, _)| (1..=MOST_NAME).contains(&name.len()))
+                item.split_once('@').filter(|(name, _)| (1..=MAX_NAME).contains(&name.len()))
             else {
                 self.fault(section, key, format!("{item:?} is no name@address"));
                 continue;
@@ -139,9 +139,9 @@
         if names.len() < nodes.len() || places.len() < nodes.len() {
             self.fault(section, key, "a name or an address stands twice");
         }
-        if nodes.len() > MOST_CONTROL {
+        if nodes.len() > MAX_CONTROL {
             let count = nodes.len();
-            self.fault(section, key, format!("{count} are told, where 1 to {MOST_CONTROL} are allowed"));
+            self.fault(section, key, format!("{count} are told, where 1 to {MAX_CONTROL} are allowed"));
         }
         nodes
     }
@@ -149,9 +149,9 @@
     fn seeds(&mut self, section: &str) -> Vec<SocketAddr> {
         let key = "seeds";
         let items = self.items(section, key);
-        if items.len() > MOST_SEEDS {
+        if items.len() > MAX_SEEDS {
             let count = items.len();
-            self.fault(section, key, format!("{count} are told, where at most {MOST_SEEDS} are allowed"));
+            self.fault(section, key, format!("{count} are told, where at most {MAX_SEEDS} are allowed"));
         }
         items.iter().filter_map(|item| self.address_in(section, key, item)).collect()
     }
@@ -218,16 +218,16 @@
 fn mark(line: &str, marks: &mut BTreeMap<String, Marked>) -> Result<(), String> {
     let (host, state) = line.split_once('=').ok_or("no line of the form HOST = draining|gone")?;
     let (host, state) = (host.trim(), state.trim());
-    if !(1..=MOST_NAME).contains(&host.len()) {
-        return Err(format!("{host:?} is no host's name: 1 to {MOST_NAME} bytes are allowed"));
+    if !(1..=MAX_NAME).contains(&host.len()) {
+        return Err(format!("{host:?} is no host's name: 1 to {MAX_NAME} bytes are allowed"));
     }
     let state = match state {
         "draining" => Marked::Draining,
         "gone" => Marked::Gone,
         other => return Err(format!("{other:?} is neither draining nor gone")),
     };
-    if marks.len() >= MOST_MARKS {
-        return Err(format!("more than {MOST_MARKS} marks"));
+    if marks.len() >= MAX_MARKS {
+        return Err(format!("more than {MAX_MARKS} marks"));
     }
     match marks.insert(host.to_string(), state) {
         Some(_) => Err(format!("{host:?} stands twice")),
--- a/crates/rockflow-operator-file/src/lib.rs
+++ b/crates/rockflow-operator-config/src/lib.rs
@@ -15,7 +15,7 @@
 use std::str::FromStr;
 
 /// The largest file that is read, in bytes.
-pub const MOST_BYTES: usize = 256 * 1024;
+pub const MAX_BYTES: usize = 256 * 1024;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
@@ -201,8 +201,8 @@
         key: key.to_string(),
         what,
     };
-    if text.len() > MOST_BYTES {
-        return faults.push(fault(0, "", "", format!("larger than {MOST_BYTES} bytes")));
+    if text.len() > MAX_BYTES {
+        return faults.push(fault(0, "", "", format!("larger than {MAX_BYTES} bytes")));
     }
     // Paths keep their backslashes.
     let read = match Ini::load_from_str_noescape(text) {
--- a/crates/rockflow-operator-file/tests/dissemination.rs
+++ b/crates/rockflow-operator-config/tests/dissemination.rs
@@ -1,6 +1,6 @@
 //! The sections of dissemination, and the file of marks: what is taken, and where each fault is said to be.
 
-use rockflow_operator_file::{read, read_marks, Fault, Marked, OperatorFile};
+use rockflow_operator_config::{read, read_marks, Fault, Marked, OperatorFile};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/crates/rockflow-operator-file/tests/file.rs
+++ b/crates/rockflow-operator-config/tests/file.rs
@@ -1,9 +1,9 @@
 //! The operator's file: what is taken, and where each fault is said to be.
 
-use rockflow_operator_file::{read, OperatorFile};
+use rockflow_operator_config::{read, OperatorFile};
 use test_case::test_case;
 
-fn one(text: &str) -> Result<OperatorFile, Vec<rockflow_operator_file::Fault>> {
+fn one(text: &str) -> Result<OperatorFile, Vec<rockflow_operator_config::Fault>> {
     read(&[("a.ini".to_string(), text.to_string())])
 }
 
--- a/crates/rockflow-processes/src/datagrams.rs
+++ b/crates/rockflow-process-harness/src/datagrams.rs
@@ -16,11 +16,11 @@
 use tokio::sync::{oneshot, Notify};
 
 /// Datagrams that are late at once; more are dropped, and counted.
-pub const MOST_LATE: usize = 65_536;
+pub const MAX_LATE: usize = 65_536;
 /// Datagrams taken from one front before the others have their turn.
-const MOST_AT_ONCE: usize = 32;
+const MAX_AT_ONCE: usize = 32;
 /// The largest datagram that is carried.
-const MOST_BYTES: usize = 64 * 1024;
+const MAX_BYTES: usize = 64 * 1024;
 
 /// What a path does to its datagrams. By itself nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -157,7 +157,7 @@
             return copies;
         }
         for _ in 0..copies {
-            if self.late.len() >= MOST_LATE {
+            if self.late.len() >= MAX_LATE {
                 self.tally.over += 1;
                 continue;
             }
@@ -282,12 +282,12 @@
     /// Carries all that arrives at one front.
     async fn front(self: Arc<Self>, to: usize) {
         let socket = &self.fronts[to];
-        let mut buffer = vec![0; MOST_BYTES];
+        let mut buffer = vec![0; MAX_BYTES];
         loop {
             if socket.readable().await.is_err() {
                 return;
             }
-            for _ in 0..MOST_AT_ONCE {
+            for _ in 0..MAX_AT_ONCE {
                 match socket.try_recv_from(&mut buffer) {
                     Ok((length, from)) => self.take(from, to, &buffer[..length]),
                     // Of a member that is not there just now.
--- a/crates/rockflow-processes/src/fleet.rs
+++ b/crates/rockflow-process-harness/src/fleet.rs
@@ -92,7 +92,7 @@
         self.get("/_health", &[]).is_some_and(|answer| answer.starts_with("HTTP/1.1 200 "))
     }
 
-    /// What a client is served for an object of the first product.
+    /// What a client is served for an object of the first class.
     ///
     /// # Errors
     /// What came instead.
--- a/crates/rockflow-processes/src/ports.rs
+++ b/crates/rockflow-process-harness/src/ports.rs
@@ -9,7 +9,7 @@
 
 static GIVEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 /// Tries of one choice.
-const MOST_TRIES: usize = 64;
+const MAX_TRIES: usize = 64;
 
 fn own() -> IpAddr {
     let [_, _, middle, low] = std::process::id().to_be_bytes();
@@ -20,7 +20,7 @@
 fn fresh<T>(bind: impl Fn() -> io::Result<(T, SocketAddr)>) -> io::Result<(T, SocketAddr)> {
     let mut given = GIVEN.lock().unwrap_or_else(PoisonError::into_inner);
     let mut held = Vec::new();
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_TRIES {
         let (socket, address) = bind()?;
         if given.insert(address.port()) {
             return Ok((socket, address));
--- a/crates/rockflow-processes/src/process.rs
+++ b/crates/rockflow-process-harness/src/process.rs
@@ -12,7 +12,7 @@
 pub use nix::sys::signal::Signal;
 
 /// Lines of a process's output that wait for its reader; then the process waits.
-const MOST_LINES: usize = 65_536;
+const MAX_LINES: usize = 65_536;
 
 /// What is to be started. Unless said otherwise nothing is read from it, and what it logs goes where ours does.
 pub struct Start {
@@ -70,7 +70,7 @@
         let mut child = self.command.spawn()?;
         let input = child.stdin.take();
         let lines = child.stdout.take().map(|output| {
-            let (sender, lines) = sync_channel(MOST_LINES);
+            let (sender, lines) = sync_channel(MAX_LINES);
             let output = BufReader::new(output).lines().map_while(Result::ok);
             std::thread::spawn(move || output.map(|line| sender.send(line)).all(|sent| sent.is_ok()));
             lines
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     pub rss_kb: u64,
-    pub most_rss_kb: u64,
+    pub max_rss_kb: u64,
     pub threads: u64,
     pub descriptors: usize,
     /// In user and system mode, of all its threads, also those that are gone.
@@ -101,7 +101,7 @@
         };
         Some(Usage {
             rss_kb: number("VmRSS:")?,
-            most_rss_kb: number("VmHWM:")?,
+            max_rss_kb: number("VmHWM:")?,
             threads: number("Threads:")?,
             descriptors: std::fs::read_dir(format!("{folder}/fd")).map_or(0, Iterator::count),
             processor: processor(&format!("{folder}/stat"))?,
--- a/crates/rockflow-processes/tests/datagrams.rs
+++ b/crates/rockflow-process-harness/tests/datagrams.rs
@@ -1,7 +1,7 @@
 //! The proxy between plain sockets: who answers whom, and what a rule does to a path.
 
-use rockflow_processes::datagrams::{Path, Proxy, Rule, Who};
-use rockflow_processes::until;
+use rockflow_process_harness::datagrams::{Path, Proxy, Rule, Who};
+use rockflow_process_harness::until;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
--- a/crates/rockflow-processes/tests/processes.rs
+++ b/crates/rockflow-process-harness/tests/processes.rs
@@ -1,6 +1,6 @@
 //! A process through its life: lines, a log over two lives, signals, what the kernel tells, and its end with the handle.
 
-use rockflow_processes::{
+use rockflow_process_harness::{
     free_tcp, free_udp, processor_of_threads, thread_names, until, Signal, Start, Usage,
 };
 use std::collections::BTreeSet;
@@ -66,7 +66,7 @@
         .usage()
         .is_some_and(|usage| usage.processor >= Duration::from_millis(50))));
     let usage = busy.usage().unwrap();
-    assert!(usage.rss_kb > 0 && usage.most_rss_kb >= usage.rss_kb && usage.threads == 1, "{usage:?}");
+    assert!(usage.rss_kb > 0 && usage.max_rss_kb >= usage.rss_kb && usage.threads == 1, "{usage:?}");
     assert!(usage.descriptors >= 3, "{usage:?}");
     assert!(processor_of_threads(busy.id(), "sh").unwrap() >= usage.processor);
     assert_eq!(processor_of_threads(busy.id(), "other"), None);
--- a/crates/rockflow-protocol/src/board.rs
+++ b/crates/rockflow-protocol/src/board.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 
 /// The longest event that is read: a whole list of hosts.
-pub const MOST_EVENT: usize = 1 << 20;
-const MOST_HEADERS: usize = 32;
+pub const MAX_EVENT: usize = 1 << 20;
+const MAX_HEADERS: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Notice {
@@ -101,7 +101,7 @@
             let rest = &bytes[at..];
             match self.stage {
                 Stage::Head => {
-                    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+                    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
                     let mut head = httparse::Response::new(&mut headers);
                     match head.parse(rest) {
                         Ok(httparse::Status::Complete(length)) if head.code == Some(200) => {
@@ -152,7 +152,7 @@
         for byte in bytes {
             if *byte != b'\n' {
                 self.line.push(*byte);
-                if self.line.len() + self.data.len() > MOST_EVENT {
+                if self.line.len() + self.data.len() > MAX_EVENT {
                     return Err("an event without end".to_string());
                 }
                 continue;
--- a/crates/rockflow-protocol/src/front.rs
+++ b/crates/rockflow-protocol/src/front.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 
 /// The longest head that is read.
-pub const MOST_HEAD: usize = 8192;
-const MOST_HEADERS: usize = 64;
-const MOST_TOKEN: usize = 128;
+pub const MAX_HEAD: usize = 8192;
+const MAX_HEADERS: usize = 64;
+const MAX_TOKEN: usize = 128;
 /// Figures past these are out of range: an hour's wait, a part of 4 GB.
-const MOST_PATIENCE_MS: f64 = 3_600_000.0;
-const MOST_SIZE_KB: f64 = 4_000_000.0;
-const MOST_PART: f64 = 1_000_000.0;
-const MOST_GROUP: f64 = 255.0;
+const MAX_PATIENCE_MS: f64 = 3_600_000.0;
+const MAX_SIZE_KB: f64 = 4_000_000.0;
+const MAX_PART: f64 = 1_000_000.0;
+const MAX_GROUP: f64 = 255.0;
 
-/// A query as the client worded it.
+/// A request as the client worded it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     pub call_id: String,
-    pub product: String,
+    pub class: String,
     pub object: String,
     pub part: u32,
     pub group: u64,
@@ -45,13 +45,13 @@
 pub fn decode(bytes: &[u8]) -> Option<Head> {
     // Clients may send empty lines between requests.
     let blank = bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let wrong =
         |status, why| Some(Head { length: bytes.len(), keep: false, request: Request::Wrong(status, why) });
     let length = match parsed.parse(&bytes[blank..]) {
-        Ok(httparse::Status::Complete(length)) if blank + length <= MOST_HEAD => blank + length,
-        Ok(httparse::Status::Partial) if bytes.len() < MOST_HEAD => return None,
+        Ok(httparse::Status::Complete(length)) if blank + length <= MAX_HEAD => blank + length,
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD => return None,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return wrong(431, "head too long"),
         Err(_) => return wrong(400, "malformed head"),
     };
@@ -101,7 +101,7 @@
 /// A word that can stand on a host's line.
 fn token(text: &str) -> Option<String> {
     let fits = |byte: u8| byte.is_ascii_graphic() && !b",=\"%;&?".contains(&byte);
-    (!text.is_empty() && text.len() <= MOST_TOKEN && text.bytes().all(fits)).then(|| text.to_string())
+    (!text.is_empty() && text.len() <= MAX_TOKEN && text.bytes().all(fits)).then(|| text.to_string())
 }
 
 fn request(method: &str, target: &str, fields: &Fields) -> Result<Request, (u16, &'static str)> {
@@ -113,10 +113,10 @@
     if method != "GET" {
         return Err((405, "unknown method"));
     }
-    let Some((product, object)) = names else { return Ok(Request::Health) };
+    let Some((class, object)) = names else { return Ok(Request::Health) };
     let part = match arguments.strip_prefix("part=") {
         _ if arguments.is_empty() => Some(0.0),
-        part => part.and_then(|part| decimal(part, MOST_PART)).filter(|part| part.fract() == 0.0),
+        part => part.and_then(|part| decimal(part, MAX_PART)).filter(|part| part.fract() == 0.0),
     };
     let call_id = fields.one("x-call-id").ok().flatten();
     let call_id = call_id.filter(|id| id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()));
@@ -124,14 +124,14 @@
         let text = fields.one(name).map_err(|_| (400, name))?;
         text.map(|text| decimal(text, most).ok_or((400, name))).transpose()
     };
-    let patience = figure("X-Patience-Ms", MOST_PATIENCE_MS)?.ok_or((400, "X-Patience-Ms"))?;
-    let size_kb = figure("X-Heap-Kb", MOST_SIZE_KB)?.unwrap_or(0.0);
-    let group = figure("X-Group", MOST_GROUP)?.filter(|group| group.fract() == 0.0);
+    let patience = figure("X-Patience-Ms", MAX_PATIENCE_MS)?.ok_or((400, "X-Patience-Ms"))?;
+    let size_kb = figure("X-Heap-Kb", MAX_SIZE_KB)?.unwrap_or(0.0);
+    let group = figure("X-Group", MAX_GROUP)?.filter(|group| group.fract() == 0.0);
     let seen = fields.one("if-none-match").map_err(|_| (400, "If-None-Match"))?;
     let tag = |text: &str| text.trim_start_matches("W/").strip_prefix('"')?.strip_suffix('"').and_then(token);
     Ok(Request::Ask(Box::new(Ask {
         call_id: call_id.ok_or((400, "X-Call-Id"))?.to_string(),
-        product: token(product).ok_or((400, "class"))?,
+        class: token(class).ok_or((400, "class"))?,
         object: token(object).filter(|object| !object.contains('/')).ok_or((400, "object"))?,
         part: part.ok_or((400, "part"))? as u32,
         group: group.ok_or((400, "X-Group"))? as u64,
@@ -142,7 +142,7 @@
     })))
 }
 
-/// The one answer to a query, and what is said to other requests.
+/// The one answer to a request, and what is said to other requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Succeeded {
--- a/crates/rockflow-protocol/src/hostline.rs
+++ b/crates/rockflow-protocol/src/hostline.rs
@@ -1,18 +1,18 @@
 //! The lines between a dispatcher and its hosts: requests out, answers in.
 
-use crate::MOST_BODY;
+use crate::MAX_BODY;
 use std::time::Duration;
 
 /// The longest line of an answer that is read.
-pub const MOST_LINE: usize = 4096;
+pub const MAX_LINE: usize = 4096;
 /// What a connection to a host must be able to hold: one answer.
-pub const MOST_ANSWER: usize = MOST_LINE + MOST_BODY + 2;
+pub const MAX_ANSWER: usize = MAX_LINE + MAX_BODY + 2;
 
-/// What a leg asks of a host, in the protocol's terms.
+/// What a attempt asks of a host, in the protocol's terms.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Want<'a> {
     pub id: &'a str,
-    pub product: &'a str,
+    pub class: &'a str,
     pub object: &'a str,
     pub part: u32,
     pub wait: Duration,
@@ -29,7 +29,7 @@
 impl Want<'_> {
     pub fn encode(&self) -> Vec<u8> {
         let millis = |span: Duration| span.as_millis().max(1);
-        let mut line = format!("want {} c={},k={},p={}", self.id, self.product, self.object, self.part);
+        let mut line = format!("want {} c={},k={},p={}", self.id, self.class, self.object, self.part);
         line += &format!(",w={}", millis(self.wait));
         if let Some(source) = self.source {
             line += &format!(",from={source}");
@@ -136,8 +136,8 @@
 
 /// Reads one answer and says how many bytes it took. None: it has not come whole yet.
 pub fn decode(bytes: &[u8]) -> Result<Option<(usize, Answer)>, String> {
-    let Some(line_end) = bytes.iter().take(MOST_LINE).position(|byte| *byte == b'\n') else {
-        return if bytes.len() < MOST_LINE { Ok(None) } else { Err("a line without end".to_string()) };
+    let Some(line_end) = bytes.iter().take(MAX_LINE).position(|byte| *byte == b'\n') else {
+        return if bytes.len() < MAX_LINE { Ok(None) } else { Err("a line without end".to_string()) };
     };
     let line = bytes[..line_end].strip_suffix(b"\r").ok_or("a line that does not end in CR LF")?;
     let line = std::str::from_utf8(line).map_err(|_| "a line that is no text")?;
@@ -150,7 +150,7 @@
     let word = find(&WORDS, word).ok_or_else(|| format!("unknown word {word:?}"))?;
     let digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
     let length: usize = length.parse().ok().filter(|_| digits).ok_or_else(|| format!("length {length:?}"))?;
-    if length > MOST_BODY {
+    if length > MAX_BODY {
         return Err(format!("a body of {length} bytes"));
     }
     let (from, to) = (line_end + 1, line_end + 1 + length);
--- a/crates/rockflow-protocol/src/lib.rs
+++ b/crates/rockflow-protocol/src/lib.rs
@@ -8,4 +8,4 @@
 pub use buffer::Buffer;
 
 /// The largest object that the protocol knows, and so the longest body either way.
-pub const MOST_BODY: usize = 240_000;
+pub const MAX_BODY: usize = 240_000;
--- a/crates/rockflow-protocol/tests/codecs.rs
+++ b/crates/rockflow-protocol/tests/codecs.rs
@@ -20,7 +20,7 @@
     let head = front::decode(two.as_bytes()).expect("whole");
     assert_eq!((head.length, head.keep), (ASK.len(), true));
     let Request::Ask(ask) = head.request else { panic!("{:?}", head.request) };
-    assert_eq!((ask.product.as_str(), ask.object.as_str(), ask.part), ("pages", "7f3a9c21e0b4d655", 3));
+    assert_eq!((ask.class.as_str(), ask.object.as_str(), ask.part), ("pages", "7f3a9c21e0b4d655", 3));
     assert_eq!((ask.group, ask.patience, ask.size_kb), (17, Duration::from_millis(1500), 412.5));
     assert_eq!(ask.seen.as_deref(), Some("4be0c1927d55a6f3"));
 }
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_head_without_end_is_not_read_for_ever() {
-    let long = format!("GET /_health HTTP/1.1\r\nX: {}", "x".repeat(front::MOST_HEAD));
+    let long = format!("GET /_health HTTP/1.1\r\nX: {}", "x".repeat(front::MAX_HEAD));
     let head = front::decode(long.as_bytes()).expect("given up");
     assert!(matches!(head.request, Request::Wrong(431, _)) && !head.keep);
 }
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_want_names_only_what_is_asked() {
-    let bare = Want { id: "9b", product: "pages", object: "7f", part: 3, ..Want::default() };
+    let bare = Want { id: "9b", class: "pages", object: "7f", part: 3, ..Want::default() };
     assert_eq!(bare.encode(), b"want 9b c=pages,k=7f,p=3,w=1 0\r\n\r\n");
     let full = Want {
         wait: Duration::from_micros(900_900),
--- a/crates/rockflow-world/src/cold.rs
+++ b/crates/rockflow-routing-simulation/src/cold.rs
@@ -2,7 +2,7 @@
 //! whether that is more than it bears.
 
 use crate::{excess, listing, worst_share, World, STREAM};
-use rockflow::interface::*;
+use rockflow::{CacheStatus, EndpointEntry, Event, HostId, ListScope, Outcome, Role};
 use std::time::Duration;
 
 const LINK: f64 = 8.0;
@@ -28,7 +28,7 @@
     pub gap: Duration,
 }
 
-fn hosts(cold: Role, begun: bool) -> Vec<Listing> {
+fn hosts(cold: Role, begun: bool) -> Vec<EndpointEntry> {
     let of = |role: Role, first: u64| {
         (0..=OTHERS).filter_map(move |n| {
             let ours = role == cold && n == 0;
@@ -41,7 +41,7 @@
 /// What came to the cold host.
 #[derive(Clone, Debug)]
 pub struct Course {
-    /// When each leg was sent to it, or for it as a source.
+    /// When each attempt was sent to it, or for it as a source.
     pub sent: Vec<Duration>,
     /// By how many calls it got more than it bears with chance, in the worst span.
     pub over: f64,
@@ -61,7 +61,7 @@
         world.restart(Duration::ZERO, number, hosts(case.cold, false));
         let told = BEGIN + case.told_within.mul_f64(world.chance.rand_float());
         let news = hosts(case.cold, true).into_iter().filter(|host| host.host == cold).collect();
-        world.tell(told, number, Event::Listed { scope: ListScope::Changes, hosts: news });
+        world.tell(told, number, Event::EndpointsListed { scope: ListScope::Changes, entries: news });
         let phase = world.chance.rand_float();
         world.ask_from(BEGIN.mul_f64(0.5) + (case.gap * dispatchers as u32).mul_f64(phase), number);
         if case.again && number % 10 < 7 {
@@ -69,10 +69,11 @@
         }
     }
     world.play(END, |sent| match sent.looks() {
-        true => (Outcome::Miss, Note::Untold, TOOK),
-        false => (Outcome::Succeeded, Note::Filled, TOOK),
+        true => (Outcome::Miss, CacheStatus::Unknown, TOOK),
+        false => (Outcome::Succeeded, CacheStatus::Filled, TOOK),
     });
-    let there = world.sent.iter().filter(|sent| sent.leg.host == cold || sent.leg.source == Some(cold));
+    let there =
+        world.sent.iter().filter(|sent| sent.attempt.host == cold || sent.attempt.source == Some(cold));
     let sent: Vec<_> = there.map(|sent| sent.at).collect();
     let work = case.size_kb / STREAM;
     let (over, share) = (excess(&sent, BEGIN, LINK, work), worst_share(&sent, BEGIN, LINK, work));
--- a/crates/rockflow-world/src/lib.rs
+++ b/crates/rockflow-routing-simulation/src/lib.rs
@@ -3,76 +3,83 @@
 
 pub mod cold;
 
-use rockflow::interface::*;
-use rockflow::Dispatcher;
+use rockflow::{
+    Action, Attempt, AttemptEnd, AttemptNumber, CacheStatus, CacheStatusDetail, CellId, Class, ClassId,
+    DeploymentConfig, Dispatcher, Effect, EndpointEntry, Event, GroupId, HostId, ListScope, LocationId,
+    ObjectId, Outcome, Readiness, Request, RequestId, Role, SlowStart, WeightMeaning,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
 pub const STREAM: f64 = 1000.0;
-pub const COLD: ColdStart =
-    ColdStart { share: 0.1, ramp: Duration::from_secs(20), multiple: 2.0, span: Duration::from_secs(2) };
+pub const COLD: SlowStart = SlowStart {
+    initial_share: 0.1,
+    ramp: Duration::from_secs(20),
+    overload_multiple: 2.0,
+    window: Duration::from_secs(2),
+};
 pub const LONGEST: Duration = Duration::from_secs(3);
 
-pub fn deployment(number: usize, dispatchers: usize) -> Deployment {
-    let product = Product {
-        effect: Effect::Redoable,
-        due: Duration::from_millis(500),
-        stretch: 2.0,
-        outer_limit: LONGEST,
-        payoff: 1.0,
-        late_payoff: 0.2,
-        fresh: Duration::from_secs(10),
+pub fn deployment(number: usize, dispatchers: usize) -> DeploymentConfig {
+    let class = Class {
+        effect: Effect::Idempotent,
+        latency_objective: Duration::from_millis(500),
+        transfer_stretch: 2.0,
+        deadline: LONGEST,
+        priority_weight: 1.0,
+        late_priority_weight: 0.2,
+        fresh_lifetime: Duration::from_secs(10),
         grace: Duration::from_secs(20),
         cacheable: true,
     };
-    Deployment {
+    DeploymentConfig {
         location: LocationId(1),
-        seats: dispatchers,
-        dispatchers,
-        number,
-        products: vec![product],
-        weights: Weights::Link,
-        cold_cache: COLD,
-        cold_parent: COLD,
-        purge_done: Duration::from_secs(6),
+        location_dispatchers: dispatchers,
+        dispatcher_count: dispatchers,
+        dispatcher_index: number,
+        classes: vec![class],
+        weight_meaning: WeightMeaning::LinkCapacity,
+        cache_slow_start: COLD,
+        parent_slow_start: COLD,
+        purge_window: Duration::from_secs(6),
         stream_kb_per_s: STREAM,
-        notes: Notes::All,
-        joins: true,
-        direct: false,
-        second_copies: true,
-        cancel: true,
-        probes: false,
-        leg_limit: 6,
-        most_held: 1000,
-        longest_pause: None,
-        ask_within: None,
+        cache_status_detail: CacheStatusDetail::All,
+        coalescing: true,
+        direct_source_access: false,
+        hedging: true,
+        cancellation: true,
+        health_checks: false,
+        max_attempts: 6,
+        max_tracked: 1000,
+        max_retry_after: None,
+        endpoint_list_max_age: None,
     }
 }
 
-pub fn listing(id: u64, role: Role, weight: f64, started: Option<Duration>) -> Listing {
+pub fn listing(id: u64, role: Role, weight: f64, started: Option<Duration>) -> EndpointEntry {
     let (location, cell) = (LocationId(1), CellId(0));
-    Listing { host: HostId(id), cell, location, role, readiness: Readiness::Ready, weight, started }
+    EndpointEntry { host: HostId(id), cell, location, role, readiness: Readiness::Ready, weight, started }
 }
 
-/// A leg on its way, and who sent it.
+/// An attempt on its way, and who sent it.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub at: Duration,
     pub number: usize,
     pub object: ObjectId,
     pub size_kb: f64,
-    pub leg: Leg,
+    pub attempt: Attempt,
 }
 
 impl Sent {
     /// It asks only for what is held.
     pub fn looks(&self) -> bool {
-        self.leg.held_at_source || self.leg.source.is_none()
+        self.attempt.cached_at_source_only || self.attempt.source.is_none()
     }
 }
 
-/// A query, and every final answer that it got.
+/// A request, and every final answer that it got.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub at: Duration,
@@ -90,13 +97,13 @@
 enum Happens {
     Told(Event),
     /// Killed, and begun anew with what a restart remembers.
-    Restart(Vec<Listing>),
+    Restart(Vec<EndpointEntry>),
     Ask,
-    Ends(LegEnd),
+    Ends(AttemptEnd),
 }
 
-/// What a host does with a leg: how it ends, and after how long.
-pub type Answer = (Outcome, Note, Duration);
+/// What a host does with an attempt: how it ends, and after how long.
+pub type Answer = (Outcome, CacheStatus, Duration);
 
 pub struct World {
     seed: u64,
@@ -112,10 +119,10 @@
     due: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, (usize, Happens)>,
     next: u64,
-    /// Objects asked for, by query, and legs so far.
-    open: BTreeMap<QueryId, (ObjectId, u16)>,
+    /// Objects asked for, by request, and attempts so far.
+    open: BTreeMap<RequestId, (ObjectId, u16)>,
     pub sent: Vec<Sent>,
-    pub asked: BTreeMap<QueryId, Asked>,
+    pub asked: BTreeMap<RequestId, Asked>,
 }
 
 impl World {
@@ -154,7 +161,7 @@
         self.at(at, number, Happens::Ask);
     }
 
-    pub fn restart(&mut self, at: Duration, number: usize, remembered: Vec<Listing>) {
+    pub fn restart(&mut self, at: Duration, number: usize, remembered: Vec<EndpointEntry>) {
         self.at(at, number, Happens::Restart(remembered));
     }
 
@@ -167,35 +174,37 @@
                     let seed = self.seed + 1000 + number as u64;
                     let mut anew = Dispatcher::new(deployment(number, self.fleet.len()), seed);
                     anew.start();
-                    anew.handle(now, Event::Listed { scope: ListScope::Remembered, hosts });
+                    anew.handle(now, Event::EndpointsListed { scope: ListScope::Restored, entries: hosts });
                     self.fleet[number] = anew;
                     continue;
                 }
                 Happens::Ask => {
                     self.at(now + self.gap.div_f64(self.shares[number]), number, Happens::Ask);
-                    Event::Asked(self.query(now))
+                    Event::RequestArrived(self.request(now))
                 }
                 Happens::Ends(end) => {
-                    // What the caller does at an answer that serves: it is the query's final one.
-                    if end.over {
-                        self.end(end.query, now, Final::Succeeded);
+                    // What the caller does at an answer that serves: it is the request's final one.
+                    if end.request_finished {
+                        self.end(end.request, now, Final::Succeeded);
                     }
-                    Event::LegEnded(end)
+                    Event::AttemptEnded(end)
                 }
             };
             for action in self.fleet[number].handle(now, event) {
                 match action {
-                    Action::Send { query, leg } => self.send(now, number, query, leg, &mut answer),
-                    Action::Dismiss { query, .. } => self.end(query, now, Final::Dismissed),
-                    Action::Terminate { query } => self.end(query, now, Final::Terminated),
+                    Action::SendAttempt { request, attempt } => {
+                        self.send(now, number, request, attempt, &mut answer)
+                    }
+                    Action::Reject { request, .. } => self.end(request, now, Final::Dismissed),
+                    Action::Fail { request } => self.end(request, now, Final::Terminated),
                     _ => {}
                 }
             }
         }
     }
 
-    fn query(&mut self, now: Duration) -> Query {
-        let id = QueryId(self.asked.len() as u64);
+    fn request(&mut self, now: Duration) -> Request {
+        let id = RequestId(self.asked.len() as u64);
         let any = self.chance.rand_u64();
         let object = ObjectId(self.objects.map_or(any, |objects| any % objects));
         let size = match self.sizes.len() as u64 {
@@ -205,35 +214,54 @@
         let size_kb = size * self.size_kb;
         self.asked.insert(id, Asked { at: now, size_kb, finals: Vec::new() });
         self.open.insert(id, (object, 0));
-        let (product, group) = (ProductId(0), GroupId(0));
-        Query { id, product, object, part: 0, group, time_left: LONGEST, size_kb, former: Vec::new() }
+        let (class, group) = (ClassId(0), GroupId(0));
+        Request {
+            id,
+            class,
+            object,
+            part: 0,
+            group,
+            time_left: LONGEST,
+            size_kb,
+            previous_attempts: Vec::new(),
+        }
     }
 
-    fn end(&mut self, query: QueryId, now: Duration, how: Final) {
-        self.asked.entry(query).and_modify(|asked| asked.finals.push((now, how)));
+    fn end(&mut self, request: RequestId, now: Duration, how: Final) {
+        self.asked.entry(request).and_modify(|asked| asked.finals.push((now, how)));
     }
 
     fn send(
         &mut self,
         now: Duration,
         number: usize,
-        query: QueryId,
-        leg: Leg,
+        request: RequestId,
+        attempt: Attempt,
         answer: &mut impl FnMut(&Sent) -> Answer,
     ) {
-        let (object, legs) = self.open.get_mut(&query).expect("a query that was asked");
-        let size_kb = self.asked[&query].size_kb;
-        let sent = Sent { at: now, number, object: *object, size_kb, leg };
-        let no = LegNo(std::mem::replace(legs, *legs + 1));
+        let (object, attempts) = self.open.get_mut(&request).expect("a query that was asked");
+        let size_kb = self.asked[&request].size_kb;
+        let sent = Sent { at: now, number, object: *object, size_kb, attempt };
+        let no = AttemptNumber(std::mem::replace(attempts, *attempts + 1));
         self.sent.push(sent);
         let (outcome, note, took) = answer(&sent);
-        let (outcome, took) = match leg.limit {
+        let (outcome, took) = match attempt.timeout {
             Some(limit) if took > limit => (Outcome::TimedOut, limit),
             _ => (outcome, took),
         };
-        let (host, over) = (leg.host, outcome == Outcome::Succeeded);
+        let (host, over) = (attempt.host, outcome == Outcome::Succeeded);
         let (fill_wait, begun) = (Duration::ZERO, true);
-        let end = LegEnd { query, leg: no, host, outcome, took, over, note, fill_wait, begun };
+        let end = AttemptEnd {
+            request,
+            attempt: no,
+            host,
+            outcome,
+            duration: took,
+            request_finished: over,
+            cache_status: note,
+            fill_wait,
+            first_byte_sent: begun,
+        };
         self.at(now + took, number, Happens::Ends(end));
     }
 }
@@ -243,7 +271,7 @@
 pub fn excess(sent: &[Duration], started: Duration, weight: f64, work: f64) -> f64 {
     let mut most = f64::MIN;
     for (n, at) in sent.iter().enumerate() {
-        let calls = sent[n..].iter().take_while(|later| **later < *at + COLD.span).count() as f64;
+        let calls = sent[n..].iter().take_while(|later| **later < *at + COLD.window).count() as f64;
         let bears = bears(at.saturating_sub(started), weight, work);
         most = most.max(calls - bears - 2.0 * bears.sqrt() - 2.0);
     }
@@ -255,7 +283,7 @@
 pub fn worst_share(sent: &[Duration], started: Duration, weight: f64, work: f64) -> f64 {
     let mut most: f64 = 0.0;
     for (n, at) in sent.iter().enumerate() {
-        let calls = sent[n..].iter().take_while(|later| **later < *at + COLD.span).count() as f64;
+        let calls = sent[n..].iter().take_while(|later| **later < *at + COLD.window).count() as f64;
         let bears = bears(at.saturating_sub(started), weight, work);
         most = most.max(calls / (bears + 2.0 * bears.sqrt() + 2.0));
     }
@@ -265,19 +293,20 @@
 /// Calls of so much work that a cold host bears in a span that begins at this age.
 fn bears(age: Duration, weight: f64, work: f64) -> f64 {
     let age = age.as_secs_f64() / COLD.ramp.as_secs_f64();
-    let share = (COLD.share + (1.0 - COLD.share) * age).min(1.0);
-    COLD.multiple * share * weight * COLD.span.as_secs_f64() / work
+    let share = (COLD.initial_share + (1.0 - COLD.initial_share) * age).min(1.0);
+    COLD.overload_multiple * share * weight * COLD.window.as_secs_f64() / work
 }
 
-/// How full a cold host got at its fullest, beside what it bears: legs of `work` seconds each, from all together.
+/// How full a cold host got at its fullest, beside what it bears: attempts of `work` seconds each, from all together.
 pub fn fullest(sent: &[Duration], started: Duration, weight: f64, work: f64) -> f64 {
     let mut fullest: f64 = 0.0;
     for (n, at) in sent.iter().enumerate() {
-        let within = sent[n..].iter().take_while(|later| **later < *at + COLD.span).count() as f64;
+        let within = sent[n..].iter().take_while(|later| **later < *at + COLD.window).count() as f64;
         // By what it bears at the start of the span, when that is least.
         let age = (*at - started).as_secs_f64() / COLD.ramp.as_secs_f64();
-        let share = (COLD.share + (1.0 - COLD.share) * age).min(1.0);
-        fullest = fullest.max(within * work / (COLD.multiple * share * weight * COLD.span.as_secs_f64()));
+        let share = (COLD.initial_share + (1.0 - COLD.initial_share) * age).min(1.0);
+        fullest = fullest
+            .max(within * work / (COLD.overload_multiple * share * weight * COLD.window.as_secs_f64()));
     }
     fullest
 }
--- a/crates/rockflow-scale/src/page/reckon.rs
+++ b/crates/rockflow-scale/src/page/reckon.rs
@@ -153,7 +153,7 @@
     Design {
         #[default]
         Today = "today",
-        /// With membership and records of `rockflow-link` beside, which `serve` does not run yet.
+        /// With membership and records of `rockflow-transport` beside, which `serve` does not run yet.
         Link = "today, the fleet's link switched on",
         Dissemination = "dissemination",
     }
--- a/crates/rockflow-scale/src/run/figures.rs
+++ b/crates/rockflow-scale/src/run/figures.rs
@@ -4,8 +4,8 @@
 use super::minutes::Greatest;
 use super::Found;
 use crate::rows::{short, Found as Figure, How, Row, Size};
-use rockflow_processes::datagrams::Carried;
-use rockflow_processes::{processor_of_threads, Fleet, Usage};
+use rockflow_process_harness::datagrams::Carried;
+use rockflow_process_harness::{processor_of_threads, Fleet, Usage};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
--- a/crates/rockflow-scale/src/run/hollow.rs
+++ b/crates/rockflow-scale/src/run/hollow.rs
@@ -4,7 +4,7 @@
 use super::ledger::Ledger;
 use crate::Fault;
 use rockflow_dissemination::Out;
-use rockflow_link::dissemination::{Link, Plan, Tally, Word};
+use rockflow_transport::dissemination::{Link, Plan, Tally, Word};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/rockflow-scale/src/run/layout.rs
+++ b/crates/rockflow-scale/src/run/layout.rs
@@ -1,7 +1,7 @@
 //! Where each member of a run stands: regions, sites and zones as many as the target has for so many dispatchers.
 
 use crate::target::Target;
-use rockflow_processes::Place;
+use rockflow_process_harness::Place;
 
 /// The places of so many members, and which of them are real processes: spread evenly, so that heads of sites and leaves
 /// are among them as among the hollow ones.
--- a/crates/rockflow-scale/src/run/minutes.rs
+++ b/crates/rockflow-scale/src/run/minutes.rs
@@ -1,6 +1,6 @@
 //! Bytes over sliding minutes: the allowance holds on the mean of a minute, whichever.
 
-use rockflow_processes::datagrams::Carried;
+use rockflow_process_harness::datagrams::Carried;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -19,11 +19,11 @@
 use ledger::{Cause, Ledger};
 use minutes::{Greatest, Minutes};
 use rockflow_dissemination as node;
-use rockflow_link::dissemination::{Bounds, Plan, Tally};
-use rockflow_processes::datagrams::{Path, Rule, RuleId, Who};
-use rockflow_processes::{Fleet, Layout, Place, Signal};
-use rockflow_stand_ins::keys::Folder;
-use rockflow_stand_ins::Board;
+use rockflow_process_harness::datagrams::{Path, Rule, RuleId, Who};
+use rockflow_process_harness::{Fleet, Layout, Place, Signal};
+use rockflow_test_servers::keys::Folder;
+use rockflow_test_servers::Board;
+use rockflow_transport::dissemination::{Bounds, Plan, Tally};
 use schedule::{At, Node, PathFault, Step};
 use serde_json::json;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -35,8 +35,8 @@
 use watch::{Effect, Said, Tail};
 
 /// Processes of one run, this one too, and what all of them may hold.
-const MOST_PROCESSES: usize = 300;
-const MOST_KB: u64 = 12 * 1024 * 1024;
+const MAX_PROCESSES: usize = 300;
+const MAX_KB: u64 = 12 * 1024 * 1024;
 /// Dispatchers beside the fleet, without the section.
 const BARE: usize = 3;
 const PULSE: Duration = Duration::from_millis(500);
@@ -98,8 +98,8 @@
     let target = Target::read(&options.target)?;
     let (hollow, real, control) = (options.hollow.into(), options.real.into(), usize::from(options.control));
     let processes = real + control + BARE + 1;
-    if processes > MOST_PROCESSES {
-        return Err(Fault(format!("{processes} processes, where at most {MOST_PROCESSES} are allowed")));
+    if processes > MAX_PROCESSES {
+        return Err(Fault(format!("{processes} processes, where at most {MAX_PROCESSES} are allowed")));
     }
     let (places, is_real) = layout::members(&target, hollow, real);
     let length = Duration::from_secs_f64(options.minutes * 60.0);
@@ -161,7 +161,7 @@
     pub purge_window: Duration,
     pub change_window: Duration,
     pub bytes_per_second: f64,
-    pub carried: rockflow_processes::datagrams::Tally,
+    pub carried: rockflow_process_harness::datagrams::Tally,
     pub began: Instant,
     /// Till then nothing was at fault.
     pub faults_from: Instant,
@@ -263,7 +263,7 @@
         };
         let fleet = Fleet::lay(layout).map_err(fault("the fleet's files and ports"))?;
         fleet.list(2, |member| member < count).map_err(fault("the directory"))?;
-        let tail = |process: &rockflow_processes::Member| Tail::new(process.log_at().to_path_buf());
+        let tail = |process: &rockflow_process_harness::Member| Tail::new(process.log_at().to_path_buf());
         let tails = fleet.control.iter().map(tail).collect();
         let real: Vec<_> = (0..count).filter(|member| is_real[*member]).collect();
         let effects = real.iter().map(|member| (*member, tail(&fleet.members[*member]))).collect();
@@ -328,7 +328,7 @@
             }
             let over = || self.interrupted.load(Ordering::Relaxed);
             let ready = || over() || some.iter().all(|member| self.fleet.members[*member].ready());
-            let ready = rockflow_processes::until(SETTLES, ready);
+            let ready = rockflow_process_harness::until(SETTLES, ready);
             self.ensure(true, "")?;
             if !ready {
                 return Err(Fault(format!("not ready: {}", self.fleet.members[some[0]].log())));
@@ -403,7 +403,7 @@
     fn plan(&self, member: usize) -> Plan {
         let (layout, own) = (self.fleet.layout(), &self.fleet.members[member]);
         let control = self.fleet.control.iter().enumerate();
-        let peer = |(place, control): (usize, &rockflow_processes::Member)| node::Peer {
+        let peer = |(place, control): (usize, &rockflow_process_harness::Member)| node::Peer {
             node: node::NodeId::of(&control.name),
             address: self.fleet.control_at(place),
         };
@@ -668,7 +668,7 @@
             if watched.elapsed() >= WATCH {
                 watched = Instant::now();
                 let held = self.held_kb();
-                self.ensure(held <= MOST_KB, "the processes hold more than they may")?;
+                self.ensure(held <= MAX_KB, "the processes hold more than they may")?;
             }
             std::thread::sleep(LOOK);
         }
@@ -685,7 +685,7 @@
     fn held_kb(&self) -> u64 {
         let all = self.fleet.control.iter().chain(&self.fleet.members);
         let all = all.filter_map(|member| member.process.as_ref()?.usage());
-        let own = rockflow_processes::Usage::of(std::process::id()).map_or(0, |usage| usage.rss_kb);
+        let own = rockflow_process_harness::Usage::of(std::process::id()).map_or(0, |usage| usage.rss_kb);
         own + all.map(|usage| usage.rss_kb).sum::<u64>()
     }
 
@@ -716,7 +716,7 @@
         let end = self.sample();
         let ended = Instant::now();
         let held_kb = self.held_kb();
-        let own = rockflow_processes::Usage::of(std::process::id()).unwrap_or_default();
+        let own = rockflow_process_harness::Usage::of(std::process::id()).unwrap_or_default();
         // What was told till the end has to be there, or covered, once all paths are whole again.
         self.read_effects();
         let mut judged = lock(&self.ledger).judge(ended);
--- a/crates/rockflow-scale/src/run/schedule.rs
+++ b/crates/rockflow-scale/src/run/schedule.rs
@@ -1,6 +1,6 @@
 //! Which fault begins and ends when, all by the seed.
 
-use rockflow_processes::Place;
+use rockflow_process_harness::Place;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
--- a/crates/rockflow-scale/src/slopes/cold.rs
+++ b/crates/rockflow-scale/src/slopes/cold.rs
@@ -2,8 +2,8 @@
 
 use super::measure::processor;
 use super::{Bench, Listed};
-use rockflow::interface::Role;
-use rockflow_world::cold::{play, Case, Course, GAP};
+use rockflow::Role;
+use rockflow_routing_simulation::cold::{play, Case, Course, GAP};
 use std::time::Duration;
 
 pub const SERIES: &[Listed] =
@@ -14,7 +14,7 @@
 /// Between two requests that one dispatcher is asked, and the most between two anywhere.
 const EACH: Duration = Duration::from_millis(100);
 
-/// The worst of a cache and a parent, small and large legs: the least to spare, and the least that it got.
+/// The worst of a cache and a parent, small and large attempts: the least to spare, and the least that it got.
 fn cold(bench: &mut Bench) {
     for (uneven, told_ms, again) in [(false, 0, false), (true, 2500, true)] {
         for dispatchers in SIZES {
--- a/crates/rockflow-scale/src/slopes/decisions.rs
+++ b/crates/rockflow-scale/src/slopes/decisions.rs
@@ -3,8 +3,10 @@
 use super::list::{listings, SIZES as HOSTS};
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
-use rockflow::interface::*;
-use rockflow::Dispatcher;
+use rockflow::{
+    Action, Attempt, AttemptEnd, AttemptNumber, CacheStatus, ClassId, DeploymentConfig, Dispatcher, Event,
+    GroupId, ListScope, ObjectId, Outcome, Request, RequestId,
+};
 use std::time::Duration;
 
 pub const SERIES: &[Listed] = &[
@@ -34,43 +36,53 @@
 
 impl Asked {
     fn new(hosts: usize) -> Asked {
-        let told = Deployment { most_held: 1_000_000, ..rockflow_world::deployment(0, 1) };
+        let told =
+            DeploymentConfig { max_tracked: 1_000_000, ..rockflow_routing_simulation::deployment(0, 1) };
         let mut dispatcher = Dispatcher::new(told, 1);
         let now = Duration::from_secs(100);
-        dispatcher.handle(now, Event::Listed { scope: ListScope::Whole, hosts: listings(hosts, WIDE) });
+        dispatcher
+            .handle(now, Event::EndpointsListed { scope: ListScope::Full, entries: listings(hosts, WIDE) });
         Asked { dispatcher, now, next: 0 }
     }
 
     /// One request, for one of so many objects; what is sent for it comes back.
-    fn ask(&mut self, objects: u64) -> Option<(QueryId, Leg)> {
+    fn ask(&mut self, objects: u64) -> Option<(RequestId, Attempt)> {
         self.next += 1;
         self.now += GAP;
-        let id = QueryId(self.next);
+        let id = RequestId(self.next);
         let object = ObjectId((self.next % objects).wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let time_left = Duration::from_secs(3);
-        let (product, group) = (ProductId(0), GroupId(0));
-        let query =
-            Query { id, product, object, part: 0, group, time_left, size_kb: 20.0, former: Vec::new() };
-        let actions = self.dispatcher.handle(self.now, Event::Asked(query));
+        let (class, group) = (ClassId(0), GroupId(0));
+        let request = Request {
+            id,
+            class,
+            object,
+            part: 0,
+            group,
+            time_left,
+            size_kb: 20.0,
+            previous_attempts: Vec::new(),
+        };
+        let actions = self.dispatcher.handle(self.now, Event::RequestArrived(request));
         actions.into_iter().find_map(|action| match action {
-            Action::Send { query, leg } => Some((query, leg)),
+            Action::SendAttempt { request, attempt } => Some((request, attempt)),
             _ => None,
         })
     }
 
-    fn answer(&mut self, (query, leg): (QueryId, Leg)) {
+    fn answer(&mut self, (request, attempt): (RequestId, Attempt)) {
         self.dispatcher.handle(
             self.now,
-            Event::LegEnded(LegEnd {
-                query,
-                leg: LegNo(0),
-                host: leg.host,
+            Event::AttemptEnded(AttemptEnd {
+                request,
+                attempt: AttemptNumber(0),
+                host: attempt.host,
                 outcome: Outcome::Succeeded,
-                took: Duration::from_millis(20),
-                over: true,
-                note: Note::Hit,
+                duration: Duration::from_millis(20),
+                request_finished: true,
+                cache_status: CacheStatus::Hit,
                 fill_wait: Duration::ZERO,
-                begun: true,
+                first_byte_sent: true,
             }),
         );
     }
@@ -127,7 +139,7 @@
         let mut asked = Asked::new(OF_A_ZONE);
         for n in 0..purges as u64 {
             let object = Some(ObjectId(n.wrapping_mul(0x9E37_79B9_7F4A_7C15)));
-            asked.dispatcher.handle(asked.now, Event::Purged { object, group: None, ago: Duration::ZERO });
+            asked.dispatcher.handle(asked.now, Event::Purged { object, group: None, age: Duration::ZERO });
         }
         bench.found(x, ("time a request", nanoseconds(|| asked.whole(1000)), "ns"), &[]);
     }
--- a/crates/rockflow-scale/src/slopes/list.rs
+++ b/crates/rockflow-scale/src/slopes/list.rs
@@ -2,11 +2,11 @@
 
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
-use rockflow::interface::{CellId, Event, HostId, ListScope, Listing, LocationId, Readiness, Role};
 use rockflow::Dispatcher;
+use rockflow::{CellId, EndpointEntry, Event, HostId, ListScope, LocationId, Readiness, Role};
 use rockflow_dispatcher::messages::{id_of, Entry};
+use rockflow_endpoints::{Marks, Roll};
 use rockflow_protocol::board::Notice;
-use rockflow_roster::{Marks, Roll};
 use std::time::Duration;
 
 pub const SERIES: &[Listed] =
@@ -36,8 +36,8 @@
 pub const LINK: f64 = 8.0;
 
 /// Hosts of one location with such links, none of them new.
-pub fn listings(hosts: usize, weight: f64) -> Vec<Listing> {
-    let listing = |n| Listing {
+pub fn listings(hosts: usize, weight: f64) -> Vec<EndpointEntry> {
+    let listing = |n| EndpointEntry {
         host: HostId(id_of(&format!("cache-{n:05}"))),
         cell: CellId(0),
         location: LocationId(1),
@@ -87,13 +87,15 @@
 
         let listings = listings(hosts, LINK);
         let told = |_| {
-            let mut dispatcher = Dispatcher::new(rockflow_world::deployment(0, 1), 1);
-            dispatcher.handle(now, Event::Listed { scope: ListScope::Whole, hosts: listings.clone() });
+            let mut dispatcher = Dispatcher::new(rockflow_routing_simulation::deployment(0, 1), 1);
+            dispatcher
+                .handle(now, Event::EndpointsListed { scope: ListScope::Full, entries: listings.clone() });
             dispatcher
         };
         let (mut dispatcher, clone) = (told(0), nanoseconds(|| listings.clone()));
-        let mut tell = |scope, hosts| dispatcher.handle(now, Event::Listed { scope, hosts });
-        let took = nanoseconds(|| tell(ListScope::Whole, listings.clone())) - clone;
+        let mut tell =
+            |scope, hosts| dispatcher.handle(now, Event::EndpointsListed { scope, entries: hosts });
+        let took = nanoseconds(|| tell(ListScope::Full, listings.clone())) - clone;
         bench.found(x, ("whole list: told to the decisions", took, "ns"), &[]);
         let took = nanoseconds(|| tell(ListScope::Changes, vec![listings[0].clone()]));
         bench.found(x, ("one change: told to the decisions", took, "ns"), &[]);
--- a/crates/rockflow-scale/src/slopes/membership.rs
+++ b/crates/rockflow-scale/src/slopes/membership.rs
@@ -2,8 +2,8 @@
 
 use super::measure::{heap, nanoseconds, processor};
 use super::{Bench, Listed, Point};
-use rockflow_fleet::{CallId, Fleet, Life, MemberId, Membership, Message, Out, Seat, Told};
-use rockflow_link::frame;
+use rockflow_cluster::{CallId, Fleet, Life, MemberId, Membership, Message, Out, Seat, Told};
+use rockflow_transport::frame;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 use std::hint::black_box;
@@ -44,8 +44,8 @@
         keepers: 3,
         keep: Duration::from_secs(60),
         round_trip,
-        most_kept: 10_000,
-        most_body: 64 * 1024,
+        max_kept: 10_000,
+        max_body: 64 * 1024,
     }
 }
 
--- a/crates/rockflow-scale/src/slopes/plot.rs
+++ b/crates/rockflow-scale/src/slopes/plot.rs
@@ -41,14 +41,14 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     area.fill(&WHITE)?;
     let points = || curves.iter().flat_map(|(_, points)| points);
-    let most_x = points().map(|(x, _)| *x).fold(0.0, f64::max);
-    let most_y = points().map(|(_, y)| *y).fold(0.0, f64::max).max(1e-9);
+    let max_x = points().map(|(x, _)| *x).fold(0.0, f64::max);
+    let max_y = points().map(|(_, y)| *y).fold(0.0, f64::max).max(1e-9);
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(44)
         .y_label_area_size(90)
-        .build_cartesian_2d(0.0..most_x * 1.05, 0.0..most_y * 1.1)?;
+        .build_cartesian_2d(0.0..max_x * 1.05, 0.0..max_y * 1.1)?;
     chart.configure_mesh().x_desc(x).y_desc(unit).draw()?;
     for (at, (curve, points)) in curves.iter().enumerate() {
         let color = Palette99::pick(at).to_rgba();
--- a/crates/rockflow-scale/src/slopes/purges.rs
+++ b/crates/rockflow-scale/src/slopes/purges.rs
@@ -2,8 +2,8 @@
 
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
-use rockflow::interface::{Event, ObjectId};
 use rockflow::Dispatcher;
+use rockflow::{Event, ObjectId};
 use rockflow_protocol::board::{Notice, Stream};
 use std::time::Duration;
 
@@ -46,17 +46,17 @@
 
 /// So many purges in force, told over the time that one may take.
 fn purged(count: usize, done: Duration) -> (Dispatcher, Duration) {
-    let told = rockflow::interface::Deployment {
-        purge_done: done,
-        most_held: 1_000_000,
-        ..rockflow_world::deployment(0, 1)
+    let told = rockflow::DeploymentConfig {
+        purge_window: done,
+        max_tracked: 1_000_000,
+        ..rockflow_routing_simulation::deployment(0, 1)
     };
     let mut dispatcher = Dispatcher::new(told, 1);
     let mut now = Duration::from_secs(100);
     for n in 0..count {
         now += done / count as u32;
         let object = Some(ObjectId((n as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15)));
-        dispatcher.handle(now, Event::Purged { object, group: None, ago: Duration::ZERO });
+        dispatcher.handle(now, Event::Purged { object, group: None, age: Duration::ZERO });
     }
     (dispatcher, now)
 }
@@ -71,7 +71,7 @@
             n += 1;
             now += done / count as u32;
             let object = Some(ObjectId(n.wrapping_mul(0x9E37_79B9_7F4A_7C15)));
-            dispatcher.handle(now, Event::Purged { object, group: None, ago: Duration::ZERO })
+            dispatcher.handle(now, Event::Purged { object, group: None, age: Duration::ZERO })
         });
         bench.found(x, ("time a purge", took, "ns"), &[]);
         let whole = bytes_of(COPIES, |_| purged(count, done));
--- a/crates/rockflow-scale/src/slopes/records.rs
+++ b/crates/rockflow-scale/src/slopes/records.rs
@@ -2,10 +2,10 @@
 
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
-use rockflow_fleet::{
+use rockflow_cluster::{
     Ballot, Begun, CallId, Content, Keeper, Kind, Life, MemberId, Message, Seat, Step, Subject, Told,
 };
-use rockflow_link::frame;
+use rockflow_transport::frame;
 use std::time::Duration;
 
 pub const SERIES: &[Listed] =
@@ -21,8 +21,8 @@
         keepers: 3,
         keep: Duration::from_secs(60),
         round_trip: Duration::from_millis(4),
-        most_kept: 1_000_000,
-        most_body: 64 * 1024,
+        max_kept: 1_000_000,
+        max_body: 64 * 1024,
     }
 }
 
@@ -33,8 +33,8 @@
     let seat = Seat { member: MemberId(1), life: Life(1_764_576_000_123) };
     let ballot = Ballot::first(seat, n);
     let call = CallId(u128::from(n.wrapping_mul(0x9E37_79B9_7F4A_7C15)).pow(2));
-    let subject = Subject { kind: Kind::Irreversible, product: 0, object: n, part: 0, group: 0, size: 0 };
-    let content = Content { begun: vec![Begun { ballot, leg: 0, host: call.0 as u64 }], answer: None };
+    let subject = Subject { kind: Kind::Irreversible, class: 0, object: n, part: 0, group: 0, size: 0 };
+    let content = Content { begun: vec![Begun { ballot, attempt: 0, host: call.0 as u64 }], answer: None };
     (Step { call, ballot, step: 1 }, subject, content)
 }
 
--- a/crates/rockflow-scale/src/virtual_fleet/mod.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/mod.rs
@@ -15,7 +15,7 @@
 use crate::Fault;
 use clap::{Args, ValueEnum};
 use moments::{Came, MeanWorst, Moment, Times};
-use rockflow_processes::{Process, Start};
+use rockflow_process_harness::{Process, Start};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
 /// Where the rows of the page stand.
 const ROWS: &str = "docs/capacity/rows";
 /// Worlds that may be played at a time.
-const MOST_AT_A_TIME: u64 = 64;
+const MAX_AT_A_TIME: u64 = 64;
 /// Between two looks at the processes that play.
 const LOOK: Duration = Duration::from_millis(20);
 /// How long a line of a process that has ended is waited for; the end of its output comes sooner.
@@ -72,7 +72,7 @@
     #[arg(long, conflicts_with = "slopes")]
     pub rows: Option<PathBuf>,
     /// Moments and seeds that are played at a time, each in a process of its own: memory is counted by process
-    #[arg(long, conflicts_with_all = ["slopes", "against", "json"], value_parser = clap::value_parser!(u64).range(1..=MOST_AT_A_TIME))]
+    #[arg(long, conflicts_with_all = ["slopes", "against", "json"], value_parser = clap::value_parser!(u64).range(1..=MAX_AT_A_TIME))]
     pub at_a_time: Option<u64>,
 }
 
--- a/crates/rockflow-scale/src/virtual_fleet/world.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/world.rs
@@ -957,16 +957,16 @@
                 of.map(|stream| stream.held).max().unwrap_or_default()
             };
             let children = match self.layout.is_control(at) {
-                true => children::MOST_CONTROL_CHILDREN,
-                false => children::MOST_CHILDREN,
+                true => children::MAX_CONTROL_CHILDREN,
+                false => children::MAX_CHILDREN,
             };
             let tables = [
                 ("children", survey.children, children),
-                ("streams", survey.streams.len(), MOST_STREAMS),
-                ("purges of a log", held(Kind::Purges), stream::MOST_PURGES),
-                ("settings of a log", held(Kind::Configuration), stream::MOST_VERSIONS),
-                ("hosts with a setting", survey.settings, settings::MOST_HOSTS),
-                ("tickets", survey.unconfirmed, 2 * tickets::MOST_TICKETS),
+                ("streams", survey.streams.len(), MAX_STREAMS),
+                ("purges of a log", held(Kind::Purges), stream::MAX_PURGES),
+                ("settings of a log", held(Kind::Configuration), stream::MAX_VERSIONS),
+                ("hosts with a setting", survey.settings, settings::MAX_HOSTS),
+                ("tickets", survey.unconfirmed, 2 * tickets::MAX_TICKETS),
             ];
             for (table, held, cap) in tables {
                 let most = self.most.entry(table).or_default();
--- a/crates/rockflow-scale/tests/processes.rs
+++ b/crates/rockflow-scale/tests/processes.rs
@@ -2,8 +2,8 @@
 //! control's log.
 
 use rockflow_dissemination::Purge;
-use rockflow_processes::datagrams::Carried;
-use rockflow_processes::Place;
+use rockflow_process_harness::datagrams::Carried;
+use rockflow_process_harness::Place;
 use rockflow_scale::run::ledger::{Cause, Ledger, Waited};
 use rockflow_scale::run::minutes::Minutes;
 use rockflow_scale::run::schedule::{plan, Node, Step};
--- a/crates/rockflow-facts/src/wiring.rs
+++ b/crates/rockflow-settings/src/wiring.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 pub struct Wiring {
-    /// Names by place: products, locations, kinds of host.
-    pub products: Vec<String>,
+    /// Names by place: classes, locations, kinds of host.
+    pub classes: Vec<String>,
     pub locations: Vec<String>,
     pub kinds: Vec<String>,
     /// A connection that is not up by then counts as refused.
@@ -14,10 +14,10 @@
     pub idle_limit: Duration,
     /// From a drain's notice until nothing more may be sent.
     pub drain_limit: Duration,
-    /// How late after a query's end its answer still counts.
+    /// How late after a request's end its answer still counts.
     pub answer_slack: Duration,
-    /// Queries that one connection to a host carries at once.
-    pub most_streams: usize,
+    /// Requests that one connection to a host carries at once.
+    pub max_streams: usize,
     /// Values of a load report, in order; empty where probes bring none.
     pub report: Vec<String>,
 }
@@ -25,16 +25,16 @@
 pub fn parse(pairs: &Pairs) -> Result<Wiring, String> {
     let names = |key: &str| Ok::<_, String>(pairs.list(key)?.into_iter().map(str::to_string).collect());
     let count: usize = pairs.parsed("grades.count")?;
-    let product = |place: usize| pairs.text(&format!("grades.{place}.name")).map(str::to_string);
+    let class = |place: usize| pairs.text(&format!("grades.{place}.name")).map(str::to_string);
     Ok(Wiring {
-        products: (0..count).map(product).collect::<Result<_, _>>()?,
+        classes: (0..count).map(class).collect::<Result<_, _>>()?,
         locations: names("dcs")?,
         kinds: names("models")?,
         connect_limit: pairs.span("limits.dialTimeoutUs")?,
         idle_limit: pairs.span("limits.connIdleUs")?,
         drain_limit: pairs.span("rules.stopSendingWithinUs")?,
         answer_slack: pairs.span("rules.answerSlackUs")?,
-        most_streams: pairs.parsed::<usize>("limits.maxStreams")?.max(1),
+        max_streams: pairs.parsed::<usize>("limits.maxStreams")?.max(1),
         report: if pairs.text("telemetry.how")? == "silent" {
             Vec::new()
         } else {
--- a/crates/rockflow-benchlink/src/lib.rs
+++ b/crates/rockflow-simulator-adapter/src/lib.rs
@@ -2,9 +2,12 @@
 
 pub mod wire;
 
-use rockflow::interface::*;
-use rockflow::Dispatcher;
-use rockflow_facts::{Facts, Pairs};
+use rockflow::{
+    Action, Attempt, AttemptEnd, AttemptNumber, CachePriority, CacheStatus, CellId, ClassId, Dispatcher,
+    EndpointEntry, Event, GroupId, ListScope, LocationId, ObjectId, Outcome, Readiness, Request, RequestId,
+    Role, TimerId,
+};
+use rockflow_settings::{Facts, Pairs};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::time::Duration;
@@ -16,7 +19,7 @@
 const LISTS: usize = 16;
 
 struct Entry {
-    listing: Listing,
+    listing: EndpointEntry,
     kind: i64,
 }
 
@@ -164,7 +167,7 @@
         let seed = r.u64()?;
         let length = r.u32()? as usize;
         let text = String::from_utf8_lossy(r.take(length)?);
-        let instance = match rockflow_facts::parse(&Pairs::from_lines(&text)) {
+        let instance = match rockflow_settings::parse(&Pairs::from_lines(&text)) {
             Ok(facts) => {
                 let mut dispatcher = Dispatcher::new(facts.deployment.clone(), seed);
                 dispatcher.start().iter().for_each(|action| part.put(action));
@@ -197,7 +200,7 @@
         micros => Some(Duration::from_micros(micros)),
     };
     let kind = i64::from(r.u8()?);
-    let listing = Listing { host, cell, location, role: Role::Cache, readiness, weight, started };
+    let listing = EndpointEntry { host, cell, location, role: Role::Cache, readiness, weight, started };
     Ok(Entry { listing, kind })
 }
 
@@ -213,8 +216,8 @@
         256 => {
             let scope = match r.u8()? {
                 0 => ListScope::Failed,
-                1 => ListScope::Remembered,
-                2 => ListScope::Whole,
+                1 => ListScope::Restored,
+                2 => ListScope::Full,
                 4 => ListScope::Changes,
                 other => return Err(format!("unknown list scope {other} at byte {place}")),
             };
@@ -236,57 +239,67 @@
                     kind if kind == facts.origin_kind => Role::Origin,
                     _ => Role::Cache,
                 };
-                Ok(Listing { role, ..entry.listing.clone() })
+                Ok(EndpointEntry { role, ..entry.listing.clone() })
             };
-            Event::Listed { scope, hosts: entries.iter().map(listing).collect::<Result<_, _>>()? }
+            Event::EndpointsListed { scope, entries: entries.iter().map(listing).collect::<Result<_, _>>()? }
         }
         258 => {
-            let id = QueryId(r.u64()?);
-            let product = usize::from(r.u8()?);
+            let id = RequestId(r.u64()?);
+            let class = usize::from(r.u8()?);
             let _tenant = r.u16()?;
             let object = ObjectId(r.u64()?);
             let time_left = r.micros()?;
             let (size_kb, group, part) = (f64::from(r.f32()?), r.f32()?, r.f32()?);
             let _marks = r.u16()?;
-            if facts.is_some_and(|facts| product >= facts.deployment.products.len()) {
-                return Err(format!("class {product} is not in the settings at byte {place}"));
+            if facts.is_some_and(|facts| class >= facts.deployment.classes.len()) {
+                return Err(format!("class {class} is not in the settings at byte {place}"));
             }
-            Event::Asked(Query {
+            Event::RequestArrived(Request {
                 id,
-                product: ProductId(product),
+                class: ClassId(class),
                 object,
                 part: part as u32,
                 group: GroupId(group as u64),
                 time_left,
                 size_kb: if size_kb.is_finite() { size_kb.max(0.0) } else { 0.0 },
-                former: Vec::new(),
+                previous_attempts: Vec::new(),
             })
         }
-        259 => Event::ClientLeft(QueryId(r.u64()?)),
-        261 => Event::TimerDue(TimerId(r.u32()?)),
+        259 => Event::ClientDisconnected(RequestId(r.u64()?)),
+        261 => Event::TimerFired(TimerId(r.u32()?)),
         262 => {
             let (host, outcome, took) = (r.host()?, outcome(r)?, r.micros()?);
-            Event::Probed { host, outcome, took, report: r.floats()? }
+            Event::HealthChecked { host, outcome, duration: took, load_report: r.floats()? }
         }
         263 => {
-            let (query, leg, host) = (QueryId(r.u64()?), LegNo(r.u16()?), r.host()?);
+            let (request, attempt, host) = (RequestId(r.u64()?), AttemptNumber(r.u16()?), r.host()?);
             let (outcome, took, over) = (outcome(r)?, r.micros()?, r.u8()? != 0);
             let (note, fill_wait) = (note(r)?, r.micros()?);
             let _report = r.floats()?;
             // What the simulator is handed is out.
-            Event::LegEnded(LegEnd { query, leg, host, outcome, took, over, note, fill_wait, begun: true })
+            Event::AttemptEnded(AttemptEnd {
+                request,
+                attempt,
+                host,
+                outcome,
+                duration: took,
+                request_finished: over,
+                cache_status: note,
+                fill_wait,
+                first_byte_sent: true,
+            })
         }
         265 => {
-            let (query, _host, _took) = (QueryId(r.u64()?), r.host()?, r.micros()?);
-            Event::LegBegan { query, leg: LegNo(r.u16()?) }
+            let (request, _host, _took) = (RequestId(r.u64()?), r.host()?, r.micros()?);
+            Event::ResponseStarted { request, attempt: AttemptNumber(r.u16()?) }
         }
         267 => {
             let object = Some(r.u64()?).filter(|object| *object != 0).map(ObjectId);
-            Event::Purged { object, group: Some(GroupId(u64::from(r.u16()?))), ago: r.micros()? }
+            Event::Purged { object, group: Some(GroupId(u64::from(r.u16()?))), age: r.micros()? }
         }
         268 => {
             let (from, n) = (r.u16()?, r.u16()?);
-            Event::Told { from, payload: r.take(usize::from(n))?.to_vec() }
+            Event::MessageReceived { from, payload: r.take(usize::from(n))?.to_vec() }
         }
         _ => unreachable!("codes are checked by the caller"),
     };
@@ -297,32 +310,32 @@
     let place = r.place();
     Ok(match r.u16()? {
         0 => Outcome::Succeeded,
-        1 => Outcome::CalledOff,
+        1 => Outcome::Cancelled,
         4 => Outcome::TimedOut,
         5 => Outcome::Miss,
-        8 => Outcome::TurnedAway,
+        8 => Outcome::Rejected,
         9 => Outcome::NotSent,
-        10 => Outcome::Broken,
+        10 => Outcome::ConnectionLost,
         13 => Outcome::HostError,
-        14 => Outcome::NotConnected,
+        14 => Outcome::ConnectFailed,
         other => return Err(format!("unknown outcome {other} at byte {place}")),
     })
 }
 
-fn note(r: &mut Reader) -> Result<Note, String> {
+fn note(r: &mut Reader) -> Result<CacheStatus, String> {
     let place = r.place();
     Ok(match r.u8()? {
-        0 => Note::Untold,
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledByOrigin,
-        4 => Note::Joined,
-        5 => Note::PastFresh,
-        6 => Note::SourceRefused,
-        7 => Note::SourceUnreached,
-        8 => Note::SourceLacks,
-        9 => Note::NoPlace,
-        10 => Note::OriginFailed,
+        0 => CacheStatus::Unknown,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FilledByOrigin,
+        4 => CacheStatus::Coalesced,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRejected,
+        7 => CacheStatus::SourceUnreachable,
+        8 => CacheStatus::SourceMiss,
+        9 => CacheStatus::NoFillCapacity,
+        10 => CacheStatus::OriginFailed,
         other => return Err(format!("unknown note {other} at byte {place}")),
     })
 }
@@ -336,48 +349,59 @@
 
     fn put(&mut self, action: &Action) {
         match action {
-            Action::Send { query, leg } => self.put_leg(*query, leg),
-            Action::Dismiss { query, pause } => self.record(321, |out| {
-                out.extend_from_slice(&query.0.to_be_bytes());
-                put_micros(out, pause.unwrap_or_default());
+            Action::SendAttempt { request, attempt } => self.put_attempt(*request, attempt),
+            Action::Reject { request, retry_after } => self.record(321, |out| {
+                out.extend_from_slice(&request.0.to_be_bytes());
+                put_micros(out, retry_after.unwrap_or_default());
             }),
-            Action::Terminate { query } => {
-                self.record(322, |out| out.extend_from_slice(&query.0.to_be_bytes()))
+            Action::Fail { request } => {
+                self.record(322, |out| out.extend_from_slice(&request.0.to_be_bytes()))
             }
-            Action::CallOff { query, leg } => self.record(323, |out| {
-                out.extend_from_slice(&query.0.to_be_bytes());
-                out.extend_from_slice(&leg.0.to_be_bytes());
+            Action::CancelAttempt { request, attempt } => self.record(323, |out| {
+                out.extend_from_slice(&request.0.to_be_bytes());
+                out.extend_from_slice(&attempt.0.to_be_bytes());
             }),
-            Action::SetTimer { timer, span } => self.record(324, |out| {
+            Action::SetTimer { timer, delay } => self.record(324, |out| {
                 out.extend_from_slice(&timer.0.to_be_bytes());
-                put_micros(out, *span);
+                put_micros(out, *delay);
             }),
-            Action::Probe { host } => self.record(325, |out| put_host(out, *host)),
-            Action::CloseIdle { host } => self.record(326, |out| put_host(out, *host)),
-            Action::Tell { to, payload } => self.record(327, |out| {
+            Action::CheckHealth { host } => self.record(325, |out| put_host(out, *host)),
+            Action::CloseIdleConnections { host } => self.record(326, |out| put_host(out, *host)),
+            Action::SendMessage { to, payload } => self.record(327, |out| {
                 out.extend_from_slice(&to.to_be_bytes());
                 put_bytes(out, payload);
             }),
             Action::Log(text) => self.record(328, |out| put_bytes(out, text.as_bytes())),
             Action::Subscribe { on } => self.record(330, |out| out.push(u8::from(*on))),
-            Action::AskList => self.record(331, |_| {}),
+            Action::RequestEndpointList => self.record(331, |_| {}),
         }
     }
 
-    /// A leg as the wire has it: one that only looks, with nothing else to say, has a record of its own.
-    fn put_leg(&mut self, query: QueryId, leg: &Leg) {
-        let how = [(leg.join, 1), (leg.held_at_source, 2), (leg.unkept_at_parent, 4), (leg.renew, 8)];
+    /// An attempt as the wire has it: one that only looks, with nothing else to say, has a record of its own.
+    fn put_attempt(&mut self, request: RequestId, attempt: &Attempt) {
+        let how = [
+            (attempt.coalesce, 1),
+            (attempt.cached_at_source_only, 2),
+            (attempt.no_store_at_parent, 4),
+            (attempt.revalidate, 8),
+        ];
         let how: u8 = how.iter().filter(|(on, _)| *on).map(|(_, bit)| bit).sum();
-        let looks = leg.source.is_none() && leg.keep == Keep::Not && leg.oldest.is_none() && how == 0;
+        let looks = attempt.source.is_none()
+            && attempt.cache_priority == CachePriority::NoStore
+            && attempt.max_age.is_none()
+            && how == 0;
         self.record(if looks { 320 } else { 332 }, |out| {
-            out.extend_from_slice(&query.0.to_be_bytes());
-            put_host(out, leg.host);
+            out.extend_from_slice(&request.0.to_be_bytes());
+            put_host(out, attempt.host);
             // Zero would mean no limit at all.
-            put_micros(out, leg.limit.map_or(Duration::ZERO, |limit| limit.max(Duration::from_micros(1))));
+            put_micros(
+                out,
+                attempt.timeout.map_or(Duration::ZERO, |limit| limit.max(Duration::from_micros(1))),
+            );
             if !looks {
-                put_host(out, leg.source.unwrap_or(leg.host));
-                out.push(leg.keep as u8);
-                put_micros(out, leg.oldest.unwrap_or_default());
+                put_host(out, attempt.source.unwrap_or(attempt.host));
+                out.push(attempt.cache_priority as u8);
+                put_micros(out, attempt.max_age.unwrap_or_default());
                 out.push(how);
             }
         });
--- a/crates/rockflow-benchlink/src/main.rs
+++ b/crates/rockflow-simulator-adapter/src/main.rs
@@ -2,10 +2,10 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match rockflow_benchlink::run(stdin().lock(), stdout().lock()) {
+    match rockflow_simulator_adapter::run(stdin().lock(), stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("rockflow-benchlink: {what}");
+            eprintln!("rockflow-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rockflow-benchlink/src/wire.rs
+++ b/crates/rockflow-simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Fields of the wire: reading with the place of each fault, and writing. Big-endian, no padding.
 
-use rockflow::interface::HostId;
+use rockflow::HostId;
 use std::time::Duration;
 
 pub struct Reader<'a> {
--- a/crates/rockflow-benchlink/tests/frames.rs
+++ b/crates/rockflow-simulator-adapter/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames in, frames out, and what is said of bad ones.
 
-use rockflow_benchlink::run;
+use rockflow_simulator_adapter::run;
 use test_case::test_case;
 
 const SETTINGS: &str = "az=1\ndcs=hub,edge\ndiscovery=pushed\nmodels=box,parent,origin\npeersTotal=1\nslotNo=0\n\
@@ -42,7 +42,8 @@
 const INSTANCE: &str = "0101 00000003";
 const CACHE: &str = "0104 00 00000001 0000 0a124a07 1b5b 0001 01 3f800000 0000000000000000 00";
 const LISTED: &str = "0100 01 00000029 00";
-const QUERY: &str = "0102 000fa47d5d3a91c4 00 0000 0000007c55d20a01 0003a980 44200000 41300000 40400000 0001";
+const REQUEST: &str =
+    "0102 000fa47d5d3a91c4 00 0000 0000007c55d20a01 0003a980 44200000 41300000 40400000 0001";
 const RETIRED: &str = "010a";
 
 #[test]
@@ -52,15 +53,15 @@
 }
 
 #[test]
-fn a_query_becomes_a_leg_that_reads_through() {
-    let batch = frame(7, &[hex(INSTANCE), create(SETTINGS), hex(CACHE), hex(LISTED), hex(QUERY)]);
+fn a_request_becomes_an_attempt_that_reads_through() {
+    let batch = frame(7, &[hex(INSTANCE), create(SETTINGS), hex(CACHE), hex(LISTED), hex(REQUEST)]);
     let (result, output) = play(&batch);
     assert_eq!(result, Ok(()));
     // With neither parent nor origin listed the cache itself is named as the source: held copies only.
-    let leg = "014c 000fa47d5d3a91c4 0a124a07 1b5b 0003a980 0a124a07 1b5b 01 00000000 00";
+    let attempt = "014c 000fa47d5d3a91c4 0a124a07 1b5b 0003a980 0a124a07 1b5b 01 00000000 00";
     assert_eq!(output[..12], hex("00000007 00000002 00000026"));
     assert_eq!(output[12..18], hex("014d 00000003"));
-    assert_eq!(output[18..], hex(leg)[..]);
+    assert_eq!(output[18..], hex(attempt)[..]);
 }
 
 #[test]
@@ -70,7 +71,7 @@
         create(SETTINGS),
         hex(CACHE),
         hex(LISTED),
-        hex(QUERY),
+        hex(REQUEST),
         hex(RETIRED),
         create(SETTINGS),
     ];
@@ -82,8 +83,10 @@
 #[test_case("limits.tryLimit=6", "settings: limits.tryLimit does not parse"; "malformed")]
 fn a_bad_key_ends_the_instance_alone(key: &str, said: &str) {
     let with = if said.contains("missing") { "" } else { "limits.tryLimit=six" };
-    let batch =
-        frame(1, &[hex(INSTANCE), create(&SETTINGS.replace(key, with)), hex(CACHE), hex(LISTED), hex(QUERY)]);
+    let batch = frame(
+        1,
+        &[hex(INSTANCE), create(&SETTINGS.replace(key, with)), hex(CACHE), hex(LISTED), hex(REQUEST)],
+    );
     let (result, output) = play(&batch);
     assert_eq!(result, Ok(()));
     assert_eq!(output[18..20], hex("0149")[..]);
@@ -98,9 +101,9 @@
 #[test_case(&frame(1, &[hex("0104 00 ffffffff")]), "record runs past the end of its frame at byte 27"; "count")]
 #[test_case(&frame(1, &[hex("0104 10 00000000")]), "list number 16 is over 15 at byte 22"; "list number")]
 #[test_case(&frame(1, &[hex(INSTANCE), create(SETTINGS), hex(LISTED)]), "list 0 was never sent"; "no such list")]
-#[test_case(&frame(1, &[hex(INSTANCE), create(SETTINGS), hex(&QUERY.replacen("c4 00", "c4 05", 1))]), "class 5 is not"; "class")]
-#[test_case(&frame(1, &[hex(QUERY)]), "event 258 before any instance was named at byte 20"; "no instance")]
-#[test_case(&frame(1, &[hex(INSTANCE), hex(QUERY)]), "event 258 for instance 3 that does not run"; "not running")]
+#[test_case(&frame(1, &[hex(INSTANCE), create(SETTINGS), hex(&REQUEST.replacen("c4 00", "c4 05", 1))]), "class 5 is not"; "class")]
+#[test_case(&frame(1, &[hex(REQUEST)]), "event 258 before any instance was named at byte 20"; "no instance")]
+#[test_case(&frame(1, &[hex(INSTANCE), hex(REQUEST)]), "event 258 for instance 3 that does not run"; "not running")]
 fn bad_input_ends_with_what_and_where(input: &[u8], said: &str) {
     let (result, _) = play(input);
     let what = result.expect_err("bad input");
--- a/crates/rockflow-stand-ins/src/host.rs
+++ b/crates/rockflow-test-servers/src/host.rs
@@ -1,4 +1,4 @@
-//! A cache host, parent or origin: answers what it is asked after a while, and keeps when each leg came.
+//! A cache host, parent or origin: answers what it is asked after a while, and keeps when each attempt came.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener as Listener};
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// What is kept of one leg.
+/// What is kept of one attempt.
 #[derive(Clone, Debug)]
 pub struct Came {
     pub at: Instant,
@@ -32,9 +32,9 @@
 #[derive(Debug, Default)]
 struct Shared {
     came: Mutex<Vec<Came>>,
-    /// Only legs from here on are kept, so that a long run stays small.
+    /// Only attempts from here on are kept, so that a long run stays small.
     keep: AtomicBool,
-    legs: AtomicU64,
+    attempts: AtomicU64,
     /// By object, where copies are held.
     copies: Mutex<Option<HashMap<String, Copy>>>,
     delay_us: AtomicU64,
@@ -48,7 +48,7 @@
 }
 
 impl Host {
-    /// Answers each leg after so long.
+    /// Answers each attempt after so long.
     pub fn start(name: &str, delay: Duration) -> Host {
         let listener = Listener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("nonblocking");
@@ -71,17 +71,17 @@
         Host { name: name.to_string(), address, shared, stop }
     }
 
-    /// Legs since the start.
-    pub fn legs(&self) -> u64 {
-        self.shared.legs.load(Ordering::Relaxed)
+    /// Attempts since the start.
+    pub fn attempts(&self) -> u64 {
+        self.shared.attempts.load(Ordering::Relaxed)
     }
 
-    /// Takes what was kept of the legs so far.
+    /// Takes what was kept of the attempts so far.
     pub fn take(&self) -> Vec<Came> {
         std::mem::take(&mut *lock(&self.shared.came))
     }
 
-    /// From here on it holds a copy of each object that it is asked for, fills it anew where it is older than a leg
+    /// From here on it holds a copy of each object that it is asked for, fills it anew where it is older than an attempt
     /// takes, and answers with `copy` and the copy's number.
     pub fn hold_copies(&self) {
         lock(&self.shared.copies).get_or_insert_default();
@@ -97,7 +97,7 @@
 }
 
 impl Shared {
-    /// What a leg is answered with, whose copy may be so old.
+    /// What an attempt is answered with, whose copy may be so old.
     fn answer(&self, object: &str, oldest: Option<f64>) -> String {
         let mut copies = lock(&self.copies);
         let Some(copies) = copies.as_mut() else { return "data ver=t1,note=warm 5\r\nbytes\r\n".to_string() };
@@ -133,7 +133,7 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
             ["want", id, fields, _] => {
-                shared.legs.fetch_add(1, Ordering::Relaxed);
+                shared.attempts.fetch_add(1, Ordering::Relaxed);
                 let field = |name: &str| fields.split(',').find_map(|field| field.strip_prefix(name));
                 let object = field("k=").unwrap_or_default();
                 let oldest = field("oldest=").and_then(|ms| ms.parse().ok());
--- a/crates/rockflow-stand-ins/src/load.rs
+++ b/crates/rockflow-test-servers/src/load.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// What became of the queries.
+/// What became of the requests.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     pub succeeded: u64,
@@ -44,12 +44,12 @@
     }
 }
 
-/// A stretch of the load's time: a query is of the one that ran when it was asked.
+/// A stretch of the load's time: a request is of the one that ran when it was asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Turn(u16);
 
 impl Turn {
-    /// The turn of a query, by the id under which a client asks it and a host is asked.
+    /// The turn of a request, by the id under which a client asks it and a host is asked.
     pub fn of(id: &str) -> Option<Turn> {
         u64::from_str_radix(id, 16).ok().map(|id| Turn((id >> TURN_BITS) as u16))
     }
@@ -84,7 +84,7 @@
 }
 
 impl Load {
-    /// So many clients, each with so long between an answer and its next query.
+    /// So many clients, each with so long between an answer and its next request.
     pub fn start(address: SocketAddr, clients: usize, pause: Duration, seed: u64) -> Load {
         let (stop, stopped) = watch::channel(false);
         let total = Arc::new(Mutex::new(Tally::default()));
@@ -116,7 +116,7 @@
     }
 
     /// Begins another turn, and waits till each client has so often asked in it and been served. Whatever was open before
-    /// is over then, as a client asks one query at a time. Panics past the limit, with what came of each client.
+    /// is over then, as a client asks one request at a time. Panics past the limit, with what came of each client.
     pub async fn served(&self, each: u64, limit: Duration) -> Turn {
         let turn = self.next_turn();
         let mut told = self.progress.subscribe();
@@ -128,7 +128,7 @@
         turn
     }
 
-    /// Lets the open queries end, and counts.
+    /// Lets the open requests end, and counts.
     pub fn stop(mut self) -> Tally {
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
--- a/crates/rockflow-link/src/carry.rs
+++ b/crates/rockflow-transport/src/carry.rs
@@ -3,7 +3,7 @@
 
 use crate::frame::{self, Fault};
 use crate::wire::{self, Carried, Traffic, Wire};
-use rockflow_fleet::{
+use rockflow_cluster::{
     Answer, CallId, Counts, Fleet, Kind, Life, MemberId, Message, Out, Seat, Standing, Subject, Told,
 };
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use tracing::{info, warn};
 
 /// Words of the dispatcher that may wait; more are turned away, and what they were about goes uncovered.
-const MOST_WORDS: usize = 4096;
+const MAX_WORDS: usize = 4096;
 
 /// What a member is told of itself and of the others.
 #[derive(Clone, Debug)]
@@ -32,16 +32,16 @@
 
 /// From the dispatcher.
 pub enum Word {
-    /// A query was taken; its client waits so long.
+    /// A request was taken; its client waits so long.
     Taken {
         call: CallId,
         subject: Subject,
         left: Duration,
     },
-    /// A leg of a covered call is wanted; `Out::MayBegin` comes, or another word on the call.
+    /// An attempt of a covered call is wanted; `Out::MayBegin` comes, or another word on the call.
     Begin {
         call: CallId,
-        leg: u16,
+        attempt: u16,
         host: u64,
     },
     /// The decisions have ended a call; of a covered one `Out::Final` comes.
@@ -81,7 +81,7 @@
 impl Link {
     /// Starts the thread. `heard` is called in it with every word of the machine but those it sends itself.
     pub fn start(plan: Plan, heard: impl FnMut(Out) + Send + 'static) -> io::Result<Link> {
-        let (words, mut taken) = mpsc::channel(MOST_WORDS);
+        let (words, mut taken) = mpsc::channel(MAX_WORDS);
         let listens_at = wire::spawn("fleet", plan.listen, move |socket| {
             Box::pin(async move {
                 let mut carrier = Carrier::new(plan, Wire::new(socket), Box::new(heard));
@@ -203,8 +203,8 @@
         let now = self.wire.now();
         let outs = match word {
             Word::Taken { call, subject, left } => self.fleet.taken(now, call, subject, now + left),
-            Word::Begin { call, leg, host } => {
-                let (at_once, mut outs) = self.fleet.begin(now, call, leg, host);
+            Word::Begin { call, attempt, host } => {
+                let (at_once, mut outs) = self.fleet.begin(now, call, attempt, host);
                 if at_once {
                     outs.push(Out::Uncovered { call });
                 }
--- a/crates/rockflow-link/src/datagram.rs
+++ b/crates/rockflow-transport/src/datagram.rs
@@ -8,8 +8,8 @@
 /// Messages are packed up to this, so that the ordinary datagram is not cut on its way.
 pub const PACKED: usize = 1400;
 /// The largest datagram, for one message that is larger alone.
-pub const MOST_BYTES: usize = 16 * 1024;
-pub const MOST_MESSAGES: usize = 64;
+pub const MAX_BYTES: usize = 16 * 1024;
+pub const MAX_MESSAGES: usize = 64;
 /// Bytes that the number of messages takes.
 const COUNT: usize = 4;
 
@@ -83,7 +83,7 @@
 
     /// What is between head and checksum.
     pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], Fault> {
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_BYTES {
             return Err(Fault::TooLarge);
         }
         if bytes.len() < HEAD + CHECKSUM || bytes[..2] != self.mark {
@@ -110,12 +110,12 @@
         let (mut pack, mut size) = (Vec::new(), 0);
         for message in messages {
             let Some(bytes) =
-                postcard::to_stdvec(message).ok().filter(|bytes| bytes.len() + around <= MOST_BYTES)
+                postcard::to_stdvec(message).ok().filter(|bytes| bytes.len() + around <= MAX_BYTES)
             else {
                 left_out += 1;
                 continue;
             };
-            let full = size + bytes.len() + around > PACKED || pack.len() == MOST_MESSAGES;
+            let full = size + bytes.len() + around > PACKED || pack.len() == MAX_MESSAGES;
             if !pack.is_empty() && full {
                 frames.push(self.seal(from, &std::mem::take(&mut pack)));
                 size = 0;
--- a/crates/rockflow-link/src/dissemination/carry.rs
+++ b/crates/rockflow-transport/src/dissemination/carry.rs
@@ -14,7 +14,7 @@
 
 /// Words that may wait; more are turned away. Above all that a dispatcher can owe at once, so that no word of what is in
 /// effect is lost.
-const MOST_WORDS: usize = 32_768;
+const MAX_WORDS: usize = 32_768;
 /// A control node that begins waits for so many pulses for what the others' streams bring, before it publishes what the
 /// board said before.
 const SETTLE: u32 = 8;
@@ -81,7 +81,7 @@
 impl Link {
     /// Starts the thread. `heard` is called in it with every word of the machine but those it sends itself.
     pub fn start(plan: Plan, mut heard: impl FnMut(&WeakLink, Out) + Send + 'static) -> io::Result<Link> {
-        let (words, mut taken) = mpsc::channel(MOST_WORDS);
+        let (words, mut taken) = mpsc::channel(MAX_WORDS);
         let weak = WeakLink(words.downgrade());
         let listens_at = wire::spawn("dissemination", plan.listen, move |socket| {
             Box::pin(async move {
@@ -104,7 +104,7 @@
         socket.set_nonblocking(true)?;
         let listens_at = socket.local_addr()?;
         let socket = tokio::net::UdpSocket::from_std(socket)?;
-        let (words, mut taken) = mpsc::channel(MOST_WORDS);
+        let (words, mut taken) = mpsc::channel(MAX_WORDS);
         let weak = WeakLink(words.downgrade());
         let node = async move {
             let heard = Box::new(move |out| heard(&weak, out));
--- a/crates/rockflow-link/src/dissemination/frame.rs
+++ b/crates/rockflow-transport/src/dissemination/frame.rs
@@ -1,8 +1,8 @@
 //! What a datagram of dissemination holds: who sends it, and messages in the order of their sending. What comes from
 //! others is judged here, strictly and once.
 
-use crate::datagram::{Fault, Head, MOST_MESSAGES};
-use rockflow_dissemination::settings::MOST_CLOCK;
+use crate::datagram::{Fault, Head, MAX_MESSAGES};
+use rockflow_dissemination::settings::MAX_CLOCK;
 use rockflow_dissemination::*;
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 const MARK: [u8; 2] = [0x72, 0x64];
 /// Guards against a peer's life or number from which nobody could go on: Unix milliseconds till the year 2248, and more
 /// numbers than any life gives out.
-pub const MOST_LIFE: u64 = 1 << 43;
-pub const MOST_NUMBER: u64 = 1 << 53;
+pub const MAX_LIFE: u64 = 1 << 43;
+pub const MAX_NUMBER: u64 = 1 << 53;
 /// Parts of a table of settings.
-pub const MOST_PARTS: u16 = 4096;
+pub const MAX_PARTS: u16 = 4096;
 
 /// What is known beforehand of all that may come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
         let (from, rest) = taken::<Identity>(inner)?;
         incarnation(from.incarnation)?;
         let (count, mut rest) = taken::<usize>(rest)?;
-        at_most(count, MOST_MESSAGES)?;
+        at_most(count, MAX_MESSAGES)?;
         let mut messages = Vec::with_capacity(count);
         for _ in 0..count {
             let (message, behind) = taken::<Message>(rest)?;
@@ -70,33 +70,33 @@
             Message::Join { .. } | Message::Unknown { .. } | Message::Leave | Message::Full => Ok(()),
             Message::Probe | Message::Fresh { .. } => Ok(()),
             Message::Near { slot, slots, parents, .. } => {
-                range(*slots, 1..=MOST_SLOTS as u16)?;
+                range(*slots, 1..=MAX_SLOTS as u16)?;
                 ensure(slot < slots, Fault::OutOfRange)?;
-                all(parents, MOST_PARENTS, |peer| self.address(peer.address))
+                all(parents, MAX_PARENTS, |peer| self.address(peer.address))
             }
             Message::Ack { has, reports } => {
-                all(has, MOST_STREAMS, |held| self.held(held))?;
-                all(reports, MOST_REPORTS, |report| self.report(report))
+                all(has, MAX_STREAMS, |held| self.held(held))?;
+                all(reports, MAX_REPORTS, |report| self.report(report))
             }
-            Message::Pulse { tips, .. } => all(tips, MOST_TIPS, |tip| self.tip(tip)),
+            Message::Pulse { tips, .. } => all(tips, MAX_TIPS, |tip| self.tip(tip)),
             Message::Batch { stream, first, entries } => self.batch(stream, *first, entries),
             Message::Ask { stream, ranges } => {
                 self.stream(stream)?;
-                all(ranges, MOST_RANGES, |(first, last)| span(*first, *last))
+                all(ranges, MAX_RANGES, |(first, last)| span(*first, *last))
             }
             Message::Snapshot { stream, next, .. } => {
                 self.stream(stream)?;
                 numbered(*next)
             }
-            Message::WantSettings { part } => ensure(*part < MOST_PARTS, Fault::OutOfRange),
+            Message::WantSettings { part } => ensure(*part < MAX_PARTS, Fault::OutOfRange),
             Message::Settings { part, parts, settings, .. } => {
-                range(*parts, 1..=MOST_PARTS)?;
+                range(*parts, 1..=MAX_PARTS)?;
                 ensure(part < parts, Fault::OutOfRange)?;
-                all(settings, MOST_SETTINGS, |version| self.version(version))
+                all(settings, MAX_SETTINGS, |version| self.version(version))
             }
             Message::Rows { clock, rows, .. } => {
                 self.stamp(*clock)?;
-                all(rows, MOST_ROWS, |row| self.report(&row.report))
+                all(rows, MAX_ROWS, |row| self.report(&row.report))
             }
             Message::Outlived { control, incarnation: life } => {
                 self.control(*control)?;
@@ -108,7 +108,7 @@
     fn batch(&self, stream: &StreamId, first: Number, entries: &[Aged]) -> Result<(), Fault> {
         self.stream(stream)?;
         numbered(first)?;
-        some(entries, MOST_ENTRIES, |aged| match (&aged.entry, stream.kind) {
+        some(entries, MAX_ENTRIES, |aged| match (&aged.entry, stream.kind) {
             (Entry::Purge(_), Kind::Purges) => Ok(()),
             (Entry::Setting(setting), Kind::Configuration) => self.setting(setting),
             _ => Err(Fault::Kind),
@@ -128,24 +128,24 @@
     fn tip(&self, tip: &Tip) -> Result<(), Fault> {
         self.stream(&tip.stream)?;
         numbered(tip.first)?;
-        ensure(tip.last.0 <= MOST_NUMBER && tip.first <= tip.last.next(), Fault::OutOfRange)
+        ensure(tip.last.0 <= MAX_NUMBER && tip.first <= tip.last.next(), Fault::OutOfRange)
     }
 
     fn held(&self, (stream, number): &(StreamId, Number)) -> Result<(), Fault> {
         self.stream(stream)?;
-        ensure(number.0 <= MOST_NUMBER, Fault::OutOfRange)
+        ensure(number.0 <= MAX_NUMBER, Fault::OutOfRange)
     }
 
     fn report(&self, report: &Report) -> Result<(), Fault> {
-        at_most(report.slots.0.len(), MOST_SLOTS / 8)?;
-        all(&report.in_force, MOST_STREAMS, |held| self.held(held))?;
-        all(&report.behind, MOST_BEHIND, |(slot, stream, number)| {
-            ensure(usize::from(*slot) < MOST_SLOTS, Fault::OutOfRange)?;
+        at_most(report.slots.0.len(), MAX_SLOTS / 8)?;
+        all(&report.in_force, MAX_STREAMS, |held| self.held(held))?;
+        all(&report.behind, MAX_BEHIND, |(slot, stream, number)| {
+            ensure(usize::from(*slot) < MAX_SLOTS, Fault::OutOfRange)?;
             self.held(&(*stream, *number))
         })?;
-        all(&report.refused, MOST_REFUSED, |(stream, number, _, members)| {
+        all(&report.refused, MAX_REFUSED, |(stream, number, _, members)| {
             ensure(stream.kind == Kind::Configuration, Fault::Kind)?;
-            ensure(usize::from(*members) <= MOST_SLOTS, Fault::OutOfRange)?;
+            ensure(usize::from(*members) <= MAX_SLOTS, Fault::OutOfRange)?;
             self.stream(stream)?;
             numbered(*number)
         })
@@ -159,14 +159,14 @@
     }
 
     fn setting(&self, setting: &Setting) -> Result<(), Fault> {
-        ensure((1..=MOST_NAME).contains(&setting.host.len()), Fault::Name)?;
+        ensure((1..=MAX_NAME).contains(&setting.host.len()), Fault::Name)?;
         self.stamp(setting.stamp)?;
         self.stamp(setting.seen)?;
         ensure(setting.stamp > setting.seen, Fault::OutOfRange)
     }
 
     fn stamp(&self, stamp: Stamp) -> Result<(), Fault> {
-        ensure(stamp.at <= MOST_CLOCK, Fault::OutOfRange)?;
+        ensure(stamp.at <= MAX_CLOCK, Fault::OutOfRange)?;
         self.control(ControlId(stamp.control))
     }
 
@@ -208,7 +208,7 @@
 }
 
 fn numbered(number: Number) -> Result<(), Fault> {
-    ensure((1..=MOST_NUMBER).contains(&number.0), Fault::OutOfRange)
+    ensure((1..=MAX_NUMBER).contains(&number.0), Fault::OutOfRange)
 }
 
 fn span(first: Number, last: Number) -> Result<(), Fault> {
@@ -218,5 +218,5 @@
 }
 
 fn incarnation(life: Incarnation) -> Result<(), Fault> {
-    ensure((1..=MOST_LIFE).contains(&life.0), Fault::OutOfRange)
+    ensure((1..=MAX_LIFE).contains(&life.0), Fault::OutOfRange)
 }
--- a/crates/rockflow-link/src/frame.rs
+++ b/crates/rockflow-transport/src/frame.rs
@@ -2,18 +2,18 @@
 //! What comes from others is judged here, strictly and once.
 
 use crate::datagram::Head;
-use rockflow_fleet::keeper::MOST_TAUGHT;
-use rockflow_fleet::{Answer, Content, Kept, Lesson, Message, Refusal, Seat, Told};
+use rockflow_cluster::keeper::MAX_TAUGHT;
+use rockflow_cluster::{Answer, Content, Kept, Lesson, Message, Refusal, Seat, Told};
 use serde::{Deserialize, Serialize};
 
-pub use crate::datagram::{Fault, MOST_BYTES, MOST_MESSAGES, PACKED};
+pub use crate::datagram::{Fault, MAX_BYTES, MAX_MESSAGES, PACKED};
 
 pub const VERSION: u8 = 1;
 const MARK: [u8; 2] = [0x72, 0x66];
-/// Legs of one call that may have begun, and lives that go with a vote.
-pub const MOST_BEGUN: usize = 64;
-pub const MOST_LIVES: usize = 16;
-pub const MOST_TAG: usize = 256;
+/// Attempts of one call that may have begun, and lives that go with a vote.
+pub const MAX_BEGUN: usize = 64;
+pub const MAX_LIVES: usize = 16;
+pub const MAX_TAG: usize = 256;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
@@ -40,7 +40,7 @@
     let members = told.members.len();
     let known = |seat: &Seat| usize::from(seat.member.0) < members;
     let within = known(&frame.from)
-        && frame.messages.len() <= MOST_MESSAGES
+        && frame.messages.len() <= MAX_MESSAGES
         && frame.messages.iter().all(|message| fits(told, message, &known));
     within.then_some(frame).ok_or(Fault::OutOfRange)
 }
@@ -48,14 +48,14 @@
 fn fits(told: &Told, message: &Message, known: &impl Fn(&Seat) -> bool) -> bool {
     let members = told.members.len();
     let answer = |answer: &Answer| {
-        let body = answer.body.as_ref().is_none_or(|body| body.len() <= told.most_body);
-        body && answer.tag.as_ref().is_none_or(|tag| tag.len() <= MOST_TAG)
+        let body = answer.body.as_ref().is_none_or(|body| body.len() <= told.max_body);
+        body && answer.tag.as_ref().is_none_or(|tag| tag.len() <= MAX_TAG)
     };
     let content = |content: &Content| {
         let ended =
             content.answer.as_ref().is_none_or(|(ballot, ended)| known(&ballot.seat) && answer(ended));
         let begun = content.begun.iter().all(|begun| known(&begun.ballot.seat));
-        ended && begun && content.begun.len() <= MOST_BEGUN
+        ended && begun && content.begun.len() <= MAX_BEGUN
     };
     let kept = |kept: &Kept| known(&kept.promised.seat) && content(&kept.content);
     match message {
@@ -64,7 +64,7 @@
         Message::Claim { at, .. } => known(&at.ballot.seat),
         Message::Vote { at, lives, held } => {
             known(&at.ballot.seat)
-                && lives.len() <= MOST_LIVES
+                && lives.len() <= MAX_LIVES
                 && lives.iter().all(known)
                 && held.as_ref().is_none_or(kept)
         }
@@ -79,7 +79,7 @@
         Message::Lesson(Lesson { seat, part, parts, by, records, .. }) => {
             let by = by.as_ref().is_none_or(|by| by.len() < members);
             let each = records.iter().all(|taught| kept(&taught.kept));
-            known(seat) && by && part < parts && records.len() <= MOST_TAUGHT && each
+            known(seat) && by && part < parts && records.len() <= MAX_TAUGHT && each
         }
         Message::Final { answer: held, .. } => answer(held),
         Message::HandOver { content: held, .. } => content(held),
--- a/crates/rockflow-link/src/wire.rs
+++ b/crates/rockflow-transport/src/wire.rs
@@ -1,7 +1,7 @@
 //! What every thread with a socket of ours does alike: it takes datagrams and words, looks at the time, keeps to a rate,
 //! and counts what is not taken. It decides nothing.
 
-use crate::datagram::{Fault, MOST_BYTES};
+use crate::datagram::{Fault, MAX_BYTES};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use tracing::warn;
 
 /// Datagrams taken from the socket, and words taken, before time is looked at again.
-const MOST_AT_ONCE: usize = 64;
+const MAX_AT_ONCE: usize = 64;
 /// Bytes a second that one process sends at the most, and the span over which a burst may use them up.
-const MOST_RATE: f64 = 16.0 * 1024.0 * 1024.0;
+const MAX_RATE: f64 = 16.0 * 1024.0 * 1024.0;
 const BURST: f64 = 0.25;
 /// How often a peer's fault is said in the log: the first of each kind, and then every so many.
 const SAID_EVERY: u64 = 1000;
@@ -45,7 +45,7 @@
 
 impl Wire {
     pub fn new(socket: UdpSocket) -> Wire {
-        let room = MOST_RATE * BURST;
+        let room = MAX_RATE * BURST;
         Wire { socket, start: Instant::now(), traffic: Traffic::default(), room, room_at: Duration::ZERO }
     }
 
@@ -58,7 +58,7 @@
     pub fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         let now = self.now();
         let passed = now.saturating_sub(self.room_at).as_secs_f64();
-        self.room = (self.room + passed * MOST_RATE).min(MOST_RATE * BURST);
+        self.room = (self.room + passed * MAX_RATE).min(MAX_RATE * BURST);
         self.room_at = now;
         if self.room < bytes.len() as f64 {
             self.traffic.held_back += 1;
@@ -103,7 +103,7 @@
 
 /// Till the machine is over, nobody holds a way in, or the socket fails.
 pub async fn run<C: Carried>(carried: &mut C, words: &mut mpsc::Receiver<C::Word>) {
-    let mut buffer = vec![0; MOST_BYTES + 1];
+    let mut buffer = vec![0; MAX_BYTES + 1];
     while !carried.is_over() {
         let now = carried.wire().now();
         let wait = carried.next_due().map_or(IDLE, |due| due.saturating_sub(now));
@@ -121,7 +121,7 @@
             () = tokio::time::sleep(wait) => {}
         }
         // What waits goes ahead of time: an answer that is here must not count as one that did not come.
-        for _ in 0..MOST_AT_ONCE {
+        for _ in 0..MAX_AT_ONCE {
             match carried.wire().socket.try_recv_from(&mut buffer) {
                 Ok((length, from)) => {
                     let traffic = &mut carried.wire().traffic;
@@ -134,7 +134,7 @@
                 Err(_) => break,
             }
         }
-        for _ in 0..MOST_AT_ONCE {
+        for _ in 0..MAX_AT_ONCE {
             match words.try_recv() {
                 Ok(word) => carried.word(word),
                 Err(_) => break,
--- a/crates/rockflow-link/tests/dissemination_frames.rs
+++ b/crates/rockflow-transport/tests/dissemination_frames.rs
@@ -3,10 +3,10 @@
 
 mod spoiled;
 
-use rockflow_dissemination::settings::MOST_CLOCK;
+use rockflow_dissemination::settings::MAX_CLOCK;
 use rockflow_dissemination::*;
-use rockflow_link::dissemination::frame::{Bounds, MOST_LIFE, MOST_NUMBER, MOST_PARTS, VERSION};
-use rockflow_link::Fault;
+use rockflow_transport::dissemination::frame::{Bounds, MAX_LIFE, MAX_NUMBER, MAX_PARTS, VERSION};
+use rockflow_transport::Fault;
 use test_case::test_case;
 
 fn bounds() -> Bounds {
@@ -60,10 +60,10 @@
     Report {
         region: 1,
         near: 2,
-        slots: Slots(vec![255; MOST_SLOTS / 8]),
-        in_force: vec![held(3); MOST_STREAMS],
-        behind: vec![(MOST_SLOTS as u16 - 1, stream, number); MOST_BEHIND],
-        refused: vec![(stream, number, Refusal::LastOne, 7); MOST_REFUSED],
+        slots: Slots(vec![255; MAX_SLOTS / 8]),
+        in_force: vec![held(3); MAX_STREAMS],
+        behind: vec![(MAX_SLOTS as u16 - 1, stream, number); MAX_BEHIND],
+        refused: vec![(stream, number, Refusal::LastOne, 7); MAX_REFUSED],
     }
 }
 
@@ -112,18 +112,18 @@
         ack(report()),
         Message::Leave,
         Message::Full,
-        pulse(MOST_TIPS, 4, 3),
-        batch(Kind::Purges, 1, vec![purge(); MOST_ENTRIES]),
-        batch(Kind::Configuration, 1, vec![set(setting(&"h".repeat(MOST_NAME)))]),
+        pulse(MAX_TIPS, 4, 3),
+        batch(Kind::Purges, 1, vec![purge(); MAX_ENTRIES]),
+        batch(Kind::Configuration, 1, vec![set(setting(&"h".repeat(MAX_NAME)))]),
         ask(1, 1),
         Message::Snapshot { stream: stream(Kind::Purges), next: Number(1), floor_age_ms: None },
-        Message::WantSettings { part: MOST_PARTS - 1 },
+        Message::WantSettings { part: MAX_PARTS - 1 },
         Message::Ask { stream: stream(Kind::Purges), ranges: vec![] },
-        settings(0, 1, MOST_SETTINGS),
-        rows(MOST_ROWS, 0),
-        of_clock(MOST_CLOCK),
+        settings(0, 1, MAX_SETTINGS),
+        rows(MAX_ROWS, 0),
+        of_clock(MAX_CLOCK),
         outlived(1, 5),
-        outlived(1, MOST_LIFE),
+        outlived(1, MAX_LIFE),
         Message::Probe,
         Message::Fresh { stale_ms: u32::MAX },
     ]
@@ -189,58 +189,58 @@
     batch(Kind::Configuration, 1, vec![set(setting)])
 }
 
-#[test_case(batch(Kind::Purges, 1, vec![purge(); MOST_ENTRIES + 1]), Fault::Amount; "entries")]
+#[test_case(batch(Kind::Purges, 1, vec![purge(); MAX_ENTRIES + 1]), Fault::Amount; "entries")]
 #[test_case(batch(Kind::Purges, 1, vec![]), Fault::Amount; "no entries")]
 #[test_case(batch(Kind::Purges, 0, vec![purge()]), Fault::OutOfRange; "number zero")]
-#[test_case(batch(Kind::Purges, MOST_NUMBER + 1, vec![purge()]), Fault::OutOfRange; "number without end")]
+#[test_case(batch(Kind::Purges, MAX_NUMBER + 1, vec![purge()]), Fault::OutOfRange; "number without end")]
 #[test_case(batch(Kind::Configuration, 1, vec![purge()]), Fault::Kind; "a purge among settings")]
 #[test_case(batch(Kind::Purges, 1, vec![set(setting("c1"))]), Fault::Kind; "a setting among purges")]
 #[test_case(of_setting(|setting| setting.host.clear()), Fault::Name; "no name")]
-#[test_case(of_setting(|setting| setting.host = "h".repeat(MOST_NAME + 1)), Fault::Name; "a long name")]
-#[test_case(of_setting(|setting| setting.stamp = stamp(MOST_CLOCK + 1)), Fault::OutOfRange; "a clock without end")]
+#[test_case(of_setting(|setting| setting.host = "h".repeat(MAX_NAME + 1)), Fault::Name; "a long name")]
+#[test_case(of_setting(|setting| setting.stamp = stamp(MAX_CLOCK + 1)), Fault::OutOfRange; "a clock without end")]
 #[test_case(of_setting(|setting| setting.stamp.control = 2), Fault::OutOfRange; "a stamp of nobody")]
 #[test_case(of_setting(|setting| setting.seen.control = 2), Fault::OutOfRange; "seen of nobody")]
 #[test_case(of_setting(|setting| setting.seen = setting.stamp), Fault::OutOfRange; "seen itself")]
 #[test_case(ask(2, 1), Fault::OutOfRange; "a range that ends before it begins")]
 #[test_case(ask(0, 1), Fault::OutOfRange; "a range from zero")]
-#[test_case(ask(1, MOST_NUMBER + 1), Fault::OutOfRange; "a range without end")]
-#[test_case(Message::WantSettings { part: MOST_PARTS }, Fault::OutOfRange; "a part that there is not")]
+#[test_case(ask(1, MAX_NUMBER + 1), Fault::OutOfRange; "a range without end")]
+#[test_case(Message::WantSettings { part: MAX_PARTS }, Fault::OutOfRange; "a part that there is not")]
 #[test_case(of_version(|version| version.stream.kind = Kind::Purges), Fault::Kind; "a setting of a stream of purges")]
 #[test_case(of_version(|version| version.number = Number(0)), Fault::OutOfRange; "a setting of no number")]
 #[test_case(of_version(|version| version.setting.host.clear()), Fault::Name; "a setting of no host")]
-#[test_case(Message::Ask { stream: stream(Kind::Purges), ranges: vec![(Number(1), Number(1)); MOST_RANGES + 1] }, Fault::Amount; "ranges")]
-#[test_case(pulse(MOST_TIPS + 1, 1, 1), Fault::Amount; "tips")]
+#[test_case(Message::Ask { stream: stream(Kind::Purges), ranges: vec![(Number(1), Number(1)); MAX_RANGES + 1] }, Fault::Amount; "ranges")]
+#[test_case(pulse(MAX_TIPS + 1, 1, 1), Fault::Amount; "tips")]
 #[test_case(pulse(1, 3, 1), Fault::OutOfRange; "a tip before its first")]
 #[test_case(pulse(1, 0, 1), Fault::OutOfRange; "a tip from zero")]
 #[test_case(pulse(1, 1, u64::MAX), Fault::OutOfRange; "a tip without end")]
 #[test_case(near(1, 1, &[]), Fault::OutOfRange; "a slot behind the last")]
 #[test_case(near(0, 0, &[]), Fault::OutOfRange; "no slots")]
-#[test_case(near(0, MOST_SLOTS as u16 + 1, &[]), Fault::OutOfRange; "slots")]
-#[test_case(near(0, 1, &["127.0.0.1:1"; MOST_PARENTS + 1]), Fault::Amount; "parents")]
+#[test_case(near(0, MAX_SLOTS as u16 + 1, &[]), Fault::OutOfRange; "slots")]
+#[test_case(near(0, 1, &["127.0.0.1:1"; MAX_PARENTS + 1]), Fault::Amount; "parents")]
 #[test_case(near(0, 1, &["127.0.0.1:0"]), Fault::Address; "no port")]
 #[test_case(near(0, 1, &["0.0.0.0:1"]), Fault::Address; "no address")]
 #[test_case(near(0, 1, &["224.0.0.1:1"]), Fault::Address; "an address of many")]
 #[test_case(near(0, 1, &["192.0.2.1:1"]), Fault::Address; "an address outside")]
 #[test_case(settings(1, 1, 1), Fault::OutOfRange; "a part behind the last")]
 #[test_case(settings(0, 0, 1), Fault::OutOfRange; "no parts")]
-#[test_case(settings(0, MOST_PARTS + 1, 1), Fault::OutOfRange; "parts")]
-#[test_case(settings(0, 1, MOST_SETTINGS + 1), Fault::Amount; "settings")]
-#[test_case(rows(MOST_ROWS + 1, 0), Fault::Amount; "rows")]
+#[test_case(settings(0, MAX_PARTS + 1, 1), Fault::OutOfRange; "parts")]
+#[test_case(settings(0, 1, MAX_SETTINGS + 1), Fault::Amount; "settings")]
+#[test_case(rows(MAX_ROWS + 1, 0), Fault::Amount; "rows")]
 #[test_case(rows(1, 2), Fault::OutOfRange; "a clock of nobody")]
-#[test_case(of_clock(MOST_CLOCK + 1), Fault::OutOfRange; "a clock of rows without end")]
+#[test_case(of_clock(MAX_CLOCK + 1), Fault::OutOfRange; "a clock of rows without end")]
 #[test_case(outlived(2, 1), Fault::OutOfRange; "a control node that there is not")]
 #[test_case(outlived(0, 0), Fault::OutOfRange; "no life")]
-#[test_case(outlived(0, MOST_LIFE + 1), Fault::OutOfRange; "a life without end")]
-#[test_case(Message::Ack { has: vec![held(1); MOST_STREAMS + 1], reports: vec![] }, Fault::Amount; "streams")]
-#[test_case(Message::Ack { has: vec![held(MOST_NUMBER + 1)], reports: vec![] }, Fault::OutOfRange; "has without end")]
-#[test_case(Message::Ack { has: vec![], reports: vec![Report { slots: Slots(vec![]), ..report() }; MOST_REPORTS + 1] }, Fault::Amount; "reports")]
+#[test_case(outlived(0, MAX_LIFE + 1), Fault::OutOfRange; "a life without end")]
+#[test_case(Message::Ack { has: vec![held(1); MAX_STREAMS + 1], reports: vec![] }, Fault::Amount; "streams")]
+#[test_case(Message::Ack { has: vec![held(MAX_NUMBER + 1)], reports: vec![] }, Fault::OutOfRange; "has without end")]
+#[test_case(Message::Ack { has: vec![], reports: vec![Report { slots: Slots(vec![]), ..report() }; MAX_REPORTS + 1] }, Fault::Amount; "reports")]
 #[test_case(of_report(|report| report.slots.0.push(0)), Fault::Amount; "slots of a report")]
 #[test_case(of_report(|report| report.in_force.push(held(1))), Fault::Amount; "in force")]
 #[test_case(of_report(|report| report.behind.push(report.behind[0])), Fault::Amount; "behind")]
-#[test_case(of_report(|report| report.behind[0].0 = MOST_SLOTS as u16), Fault::OutOfRange; "behind at a slot that there is not")]
+#[test_case(of_report(|report| report.behind[0].0 = MAX_SLOTS as u16), Fault::OutOfRange; "behind at a slot that there is not")]
 #[test_case(of_report(|report| report.refused.push(report.refused[0])), Fault::Amount; "refused")]
 #[test_case(of_report(|report| report.refused[0].0.kind = Kind::Purges), Fault::Kind; "a purge refused")]
-#[test_case(of_report(|report| report.refused[0].3 = MOST_SLOTS as u16 + 1), Fault::OutOfRange; "refused by more than there are")]
+#[test_case(of_report(|report| report.refused[0].3 = MAX_SLOTS as u16 + 1), Fault::OutOfRange; "refused by more than there are")]
 #[test_case(of_report(|report| report.in_force[0].0.control = ControlId(2)), Fault::OutOfRange; "a stream of nobody")]
 #[test_case(of_report(|report| report.in_force[0].0.incarnation = Incarnation(0)), Fault::OutOfRange; "a stream of no life")]
 fn what_is_out_of_its_bounds_is_not_taken(message: Message, fault: Fault) {
--- a/crates/rockflow-link/tests/frames.rs
+++ b/crates/rockflow-transport/tests/frames.rs
@@ -3,8 +3,8 @@
 
 mod spoiled;
 
-use rockflow_fleet::*;
-use rockflow_link::frame::{decode, encode, Fault, MOST_BYTES, VERSION};
+use rockflow_cluster::*;
+use rockflow_transport::frame::{decode, encode, Fault, MAX_BYTES, VERSION};
 use std::time::Duration;
 
 fn told() -> Told {
@@ -13,8 +13,8 @@
         keepers: 3,
         keep: Duration::from_secs(30),
         round_trip: Duration::from_millis(5),
-        most_kept: 100,
-        most_body: 1024,
+        max_kept: 100,
+        max_body: 1024,
     }
 }
 
@@ -23,13 +23,14 @@
 }
 
 fn subject() -> Subject {
-    Subject { kind: Kind::Labelled, product: 1, object: 2, part: 3, group: 4, size: 5 }
+    Subject { kind: Kind::Labelled, class: 1, object: 2, part: 3, group: 4, size: 5 }
 }
 
 fn write(body: usize) -> Message {
     let ballot = Ballot::first(seat(1), 1);
     let answer = Answer { ended: Ended::Succeeded, tag: Some("t".to_string()), body: Some(vec![7; body]) };
-    let content = Content { begun: vec![Begun { ballot, leg: 0, host: 9 }], answer: Some((ballot, answer)) };
+    let content =
+        Content { begun: vec![Begun { ballot, attempt: 0, host: 9 }], answer: Some((ballot, answer)) };
     let at = Step { call: CallId(11), ballot, step: 3 };
     Message::Write { at, subject: subject(), content, left: Duration::from_millis(1500) }
 }
@@ -50,7 +51,7 @@
         read.inspect(|frame| assert_eq!(frame.from, seat(1))).flat_map(|frame| frame.messages).collect();
     assert_eq!((read, left_out), (messages, 0));
     // One that fits no datagram costs itself alone.
-    let large = Message::Swim(vec![0; MOST_BYTES]);
+    let large = Message::Swim(vec![0; MAX_BYTES]);
     let (frames, left_out) = encode(&told(), seat(1), &[write(1), large, write(2)]);
     assert_eq!((frames.len(), left_out), (1, 1));
 }
--- a/crates/rockflow-link/tests/processes.rs
+++ b/crates/rockflow-transport/tests/processes.rs
@@ -1,9 +1,9 @@
 //! Five real processes on loopback, killed, stopped and restarted with nothing. This program is the members too: started
 //! again with `MEMBER` set, it runs one, takes its dispatcher's words as lines and prints what comes of them.
 
-use rockflow_fleet::*;
-use rockflow_link::{Link, Plan, Word};
-use rockflow_processes::{free_udp, Process, Signal, Start};
+use rockflow_cluster::*;
+use rockflow_process_harness::{free_udp, Process, Signal, Start};
+use rockflow_transport::{Link, Plan, Word};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -20,13 +20,13 @@
         keepers: 3,
         keep: Duration::from_secs(30),
         round_trip: Duration::from_millis(5),
-        most_kept: 1000,
-        most_body: 64,
+        max_kept: 1000,
+        max_body: 64,
     }
 }
 
 fn subject(kind: Kind) -> Subject {
-    Subject { kind, product: 0, object: 1, part: 0, group: 0, size: 0 }
+    Subject { kind, class: 0, object: 1, part: 0, group: 0, size: 0 }
 }
 
 fn say(line: String) {
@@ -67,7 +67,7 @@
                 let kind = if words[2] == "labelled" { Kind::Labelled } else { Kind::Irreversible };
                 Word::Taken { call, subject: subject(kind), left: PATIENCE }
             }
-            "begin" => Word::Begin { call, leg: 0, host: 1 },
+            "begin" => Word::Begin { call, attempt: 0, host: 1 },
             "end" => {
                 let body = Some(words[2].as_bytes().to_vec());
                 let answer = Answer { ended: Ended::Succeeded, tag: None, body };
@@ -97,7 +97,7 @@
         self.tell(&format!("take {call} irreversible"));
     }
 
-    /// It asks whether it may run a call's leg.
+    /// It asks whether it may run a call's attempt.
     fn begins(&mut self, call: u128) {
         self.tell(&format!("begin {call}"));
     }
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_leg_that_may_have_begun_is_never_begun_again() {
+fn an_attempt_that_may_have_begun_is_never_begun_again() {
     let mut fleet = Fleet5::start();
     let call = 11;
     let rank = ranked(call);
--- a/crates/rockflow-link/tests/spoiled/mod.rs
+++ b/crates/rockflow-transport/tests/spoiled/mod.rs
@@ -1,6 +1,6 @@
 //! Frames that somebody spoiled, for the tests of both carriers' frames.
 
-use rockflow_link::{Fault, MOST_BYTES};
+use rockflow_transport::{Fault, MAX_BYTES};
 
 /// With its checksum made to fit again.
 pub fn resealed(mut bytes: Vec<u8>) -> Vec<u8> {
@@ -25,7 +25,7 @@
             bytes[middle] ^= 1;
         }),
         spoil("cut", Fault::Checksum, |bytes| bytes.truncate(bytes.len() - 1)),
-        spoil("longer than any", Fault::TooLarge, |bytes| bytes.resize(MOST_BYTES + 1, 0)),
+        spoil("longer than any", Fault::TooLarge, |bytes| bytes.resize(MAX_BYTES + 1, 0)),
         spoil("more behind it", Fault::Unreadable, |bytes| {
             bytes.insert(bytes.len() - 4, 0);
             *bytes = resealed(bytes.clone());
--- a/crates/rockflow-yang/src/path.rs
+++ b/crates/rockflow-yang/src/path.rs
@@ -6,9 +6,9 @@
 use crate::types::{Keys, Scalar};
 
 /// More steps than any path of a model here can have.
-pub const MOST_STEPS: usize = 32;
+pub const MAX_STEPS: usize = 32;
 /// The longest text of a path that is read.
-pub const MOST_TEXT: usize = 4096;
+pub const MAX_TEXT: usize = 4096;
 
 /// One node on the way; the keys are empty but at a list's entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -98,7 +98,7 @@
 
     /// Reads a pattern: `*` as a key's value, or no keys, leaves them open.
     pub fn read(schema: &Schema, text: &str) -> Result<Pattern, String> {
-        if text.len() > MOST_TEXT {
+        if text.len() > MAX_TEXT {
             return Err("the path is too long".to_string());
         }
         let mut rest = text.trim();
@@ -108,7 +108,7 @@
         }
         while !rest.is_empty() {
             rest = rest.strip_prefix('/').ok_or_else(|| format!("{text}: a step begins with /"))?;
-            if steps.len() >= MOST_STEPS {
+            if steps.len() >= MAX_STEPS {
                 return Err("the path has too many steps".to_string());
             }
             let end = rest.find(['/', '[']).unwrap_or(rest.len());
--- a/crates/rockflow-yang/src/statement.rs
+++ b/crates/rockflow-yang/src/statement.rs
@@ -5,7 +5,7 @@
 use yang_rs::parser::{Parser, Token};
 
 /// Deeper than any model that is read here; guards the stack.
-const MOST_DEEP: usize = 32;
+const MAX_DEEP: usize = 32;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
@@ -62,7 +62,7 @@
         other => return Err(odd(parser, &other)),
     };
     let line = parser.line() + 1;
-    if depth >= MOST_DEEP {
+    if depth >= MAX_DEEP {
         return Err(format!("line {line}: too deep"));
     }
     let mut argument = String::new();
--- a/crates/rockflow/tests/cold_fleet.rs
+++ b/crates/rockflow/tests/cold_fleet.rs
@@ -1,8 +1,8 @@
 //! Fleets of three to eighteen hundred in virtual time: a cold host gets no more from all of them together than it
 //! bears, however uneven their traffic is, whenever each hears of the host, and also when most of them begin anew.
 
-use rockflow::interface::Role;
-use rockflow_world::cold::{play, Case, Course, GAP};
+use rockflow::Role;
+use rockflow_routing_simulation::cold::{play, Case, Course, GAP};
 use std::time::Duration;
 use test_case::test_case;
 
--- a/crates/rockflow/tests/fleet.rs
+++ b/crates/rockflow/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Fifty dispatchers in virtual time, each of which sees only its own part, and one cold host among those of its role:
 //! what all of them together send there stays within the told limit, whatever their phases.
 
-use rockflow::interface::*;
-use rockflow_world::{fullest, listing, World, COLD, STREAM};
+use rockflow::{CacheStatus, EndpointEntry, HostId, Outcome, Role};
+use rockflow_routing_simulation::{fullest, listing, World, COLD, STREAM};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -26,7 +26,7 @@
     Again,
 }
 
-fn hosts(cold: HostId) -> Vec<Listing> {
+fn hosts(cold: HostId) -> Vec<EndpointEntry> {
     let started = |id: u64| (HostId(id) == cold).then_some(BEGIN);
     let caches = (0..CACHES).map(|id| listing(id, Role::Cache, LINK, started(id)));
     caches.chain((100..100 + PARENTS).map(|id| listing(id, Role::Parent, LINK, started(id)))).collect()
@@ -45,10 +45,11 @@
     }
     // A look misses; whatever may fill does.
     world.play(END, |sent| match sent.looks() {
-        true => (Outcome::Miss, Note::Untold, TOOK),
-        false => (Outcome::Succeeded, Note::Filled, TOOK),
+        true => (Outcome::Miss, CacheStatus::Unknown, TOOK),
+        false => (Outcome::Succeeded, CacheStatus::Filled, TOOK),
     });
-    let there = world.sent.iter().filter(|sent| sent.leg.host == cold || sent.leg.source == Some(cold));
+    let there =
+        world.sent.iter().filter(|sent| sent.attempt.host == cold || sent.attempt.source == Some(cold));
     (there.map(|sent| sent.at).collect(), world.asked.len())
 }
 
@@ -65,7 +66,10 @@
         let fullest = fullest(&sent, BEGIN, LINK, work);
         // A quarter of all would fall to it: several times what it bears when it is cold.
         let wanted = asked as f64 / 4.0 * work / (END - BEGIN).as_secs_f64();
-        assert!(wanted > 2.0 * COLD.multiple * COLD.share * LINK, "{wanted} offers too little");
+        assert!(
+            wanted > 2.0 * COLD.overload_multiple * COLD.initial_share * LINK,
+            "{wanted} offers too little"
+        );
         assert!(fullest <= 1.0, "seed {seed}: {fullest:.2} of what it bears");
         assert!(fullest > 0.05, "seed {seed}: {fullest:.2}: it never warms up");
         println!("seed {seed}: {fullest:.2}, {} legs", sent.len());
--- a/crates/rockflow/tests/largest.rs
+++ b/crates/rockflow/tests/largest.rs
@@ -2,8 +2,8 @@
 //! way on them, requests of very different sizes. On a quiet day the largest are answered nearly as often as the rest, on
 //! one with too much to do at least half as often.
 
-use rockflow::interface::*;
-use rockflow_world::{listing, World, STREAM};
+use rockflow::{CacheStatus, EndpointEntry, Event, HostId, ListScope, Outcome, Readiness, Role};
+use rockflow_routing_simulation::{listing, World, STREAM};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use test_case::test_case;
@@ -39,9 +39,9 @@
         world.ask_from(BEGIN + every * number as u32, number);
         if cold {
             let at = BEGIN + (END - BEGIN).mul_f64(0.5);
-            let gone = Listing { readiness: Readiness::Gone, ..hosts[0].clone() };
+            let gone = EndpointEntry { readiness: Readiness::Gone, ..hosts[0].clone() };
             let new = listing(50, Role::Cache, LINK, Some(at));
-            let news = Event::Listed { scope: ListScope::Changes, hosts: vec![gone, new] };
+            let news = Event::EndpointsListed { scope: ListScope::Changes, entries: vec![gone, new] };
             world.tell(at, number, news);
         }
     }
@@ -49,24 +49,24 @@
     let mut busy: BTreeMap<HostId, Vec<Duration>> = BTreeMap::new();
     let mut chance = oorandom::Rand64::new(u128::from(seed) + 99);
     world.play(END + Duration::from_secs(10), |sent| {
-        let under_way = busy.entry(sent.leg.host).or_default();
+        let under_way = busy.entry(sent.attempt.host).or_default();
         under_way.retain(|ends| *ends > sent.at);
         let crowd = ((under_way.len() + 1) as f64 / LINK).max(1.0);
         let took = Duration::from_secs_f64(sent.size_kb / STREAM * crowd);
         let held = chance.rand_float() < 0.75;
         let (outcome, note, took) = match (held, sent.looks()) {
-            (true, _) => (Outcome::Succeeded, Note::Hit, took),
-            (false, true) => (Outcome::Miss, Note::Untold, Duration::from_millis(2)),
-            (false, false) => (Outcome::Succeeded, Note::Filled, took + Duration::from_millis(15)),
+            (true, _) => (Outcome::Succeeded, CacheStatus::Hit, took),
+            (false, true) => (Outcome::Miss, CacheStatus::Unknown, Duration::from_millis(2)),
+            (false, false) => (Outcome::Succeeded, CacheStatus::Filled, took + Duration::from_millis(15)),
         };
         under_way.push(sent.at + took);
         (outcome, note, took)
     });
     let day: Vec<_> = world.asked.values().filter(|asked| asked.at < END).collect();
-    let share = |which: &dyn Fn(&&&rockflow_world::Asked) -> bool| {
+    let share = |which: &dyn Fn(&&&rockflow_routing_simulation::Asked) -> bool| {
         let those: Vec<_> = day.iter().filter(which).collect();
-        let served = |asked: &&&&rockflow_world::Asked| {
-            asked.finals.iter().any(|(_, how)| *how == rockflow_world::Final::Succeeded)
+        let served = |asked: &&&&rockflow_routing_simulation::Asked| {
+            asked.finals.iter().any(|(_, how)| *how == rockflow_routing_simulation::Final::Succeeded)
         };
         assert!(those.len() > 100, "{}", those.len());
         those.iter().filter(|asked| served(asked)).count() as f64 / those.len() as f64
--- a/crates/rockflow/tests/replaced.rs
+++ b/crates/rockflow/tests/replaced.rs
@@ -1,9 +1,9 @@
 //! All caches of a location replaced within seven seconds, while each dispatcher hears of it late and in an order of
-//! its own: every query gets one final answer in time, nothing goes where a drain is known, no newcomer is pushed over,
+//! its own: every request gets one final answer in time, nothing goes where a drain is known, no newcomer is pushed over,
 //! and what is lost ends with the last word of the list.
 
-use rockflow::interface::*;
-use rockflow_world::{fullest, listing, Final, Sent, World, LONGEST, STREAM};
+use rockflow::{CacheStatus, EndpointEntry, Event, HostId, ListScope, Outcome, Readiness, Role};
+use rockflow_routing_simulation::{fullest, listing, Final, Sent, World, LONGEST, STREAM};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use test_case::test_case;
@@ -51,7 +51,7 @@
             let start = drains(n) + DYING + STARTING;
             let mut told = BEGIN;
             let newcomer = listing(50 + n, Role::Cache, LINK, Some(start));
-            let with = |readiness| Listing { readiness, ..old(n) };
+            let with = |readiness| EndpointEntry { readiness, ..old(n) };
             let changes = [
                 (drains(n), with(Readiness::Draining)),
                 (drains(n) + DYING, with(Readiness::Gone)),
@@ -65,24 +65,28 @@
                     heard.insert((number, listing.host), told);
                 }
                 let hosts = vec![listing];
-                world.tell(told, number, Event::Listed { scope: ListScope::Changes, hosts });
+                world.tell(
+                    told,
+                    number,
+                    Event::EndpointsListed { scope: ListScope::Changes, entries: hosts },
+                );
             }
         }
     }
     let mut held = BTreeSet::new();
     world.play(END, |sent: &Sent| {
-        let (host, at) = (sent.leg.host, sent.at);
+        let (host, at) = (sent.attempt.host, sent.at);
         let up = match host.0 {
             n if n < CACHES => at < drains(n) + DYING,
             n => at >= drains(n - 50) + DYING + STARTING,
         };
         match () {
-            _ if !up => (Outcome::NotConnected, Note::Untold, Duration::from_millis(1)),
-            _ if held.contains(&(host, sent.object)) => (Outcome::Succeeded, Note::Hit, TOOK),
-            _ if sent.looks() => (Outcome::Miss, Note::Untold, Duration::from_millis(2)),
+            _ if !up => (Outcome::ConnectFailed, CacheStatus::Unknown, Duration::from_millis(1)),
+            _ if held.contains(&(host, sent.object)) => (Outcome::Succeeded, CacheStatus::Hit, TOOK),
+            _ if sent.looks() => (Outcome::Miss, CacheStatus::Unknown, Duration::from_millis(2)),
             _ => {
                 held.insert((host, sent.object));
-                (Outcome::Succeeded, Note::Filled, TOOK)
+                (Outcome::Succeeded, CacheStatus::Filled, TOOK)
             }
         }
     });
@@ -109,13 +113,14 @@
             assert!(at <= asked.at + LONGEST, "seed {seed}: {asked:?}");
         }
         for sent in &world.sent {
-            let heard = outcomes.heard.get(&(sent.number, sent.leg.host));
+            let heard = outcomes.heard.get(&(sent.number, sent.attempt.host));
             assert!(heard.is_none_or(|heard| sent.at < *heard), "seed {seed}: {sent:?}");
         }
         let mut most: f64 = 0.0;
         for n in 0..CACHES {
             let start = drains(n) + DYING + STARTING;
-            let there = world.sent.iter().filter(|sent| sent.leg.host == HostId(50 + n) && sent.at >= start);
+            let there =
+                world.sent.iter().filter(|sent| sent.attempt.host == HostId(50 + n) && sent.at >= start);
             let there: Vec<_> = there.map(|sent| sent.at).collect();
             most = most.max(fullest(&there, start, LINK, SIZE_KB / STREAM));
         }
