--- a/crates/rockflow/tests/scenarios.rs
+++ b/crates/rockflow/tests/scenarios.rs
@@ -3,8 +3,12 @@
 //! Timers run by themselves. A host is a name (c cache, p parent, o origin, then a number), `$x` (bound when first
 //! seen, the same from then on), `!$x` (another one) or `any`; `%` in an id is the round of the loop.
 
-use rockflow::interface::*;
-use rockflow::Dispatcher;
+use rockflow::{
+    Action, AttemptEnd, AttemptNumber, CacheStatus, CacheStatusDetail, CellId, Class, ClassId,
+    DeploymentConfig, Dispatcher, Effect, EndpointEntry, Event, GroupId, HostId, KeyScope, ListScope,
+    LocationId, ObjectId, Outcome, PreviousAttempt, Readiness, Request, RequestId, Role, SlowStart, TimerId,
+    WeightMeaning,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use test_case::test_case;
@@ -32,66 +36,74 @@
     words(line)(key).map_or(default, |text| text.parse().unwrap_or_else(|_| panic!("no number: {key}")))
 }
 
-fn facts(line: &[&str]) -> Deployment {
+fn facts(line: &[&str]) -> DeploymentConfig {
     let get = words(line);
     let remembered = span(get("remembered").unwrap_or("5s"));
-    let labelled = |scope| Effect::Labelled { scope, remembered };
+    let labelled = |scope| Effect::IdempotencyKey { scope, deduplication_window: remembered };
     let effect = match get("effect").unwrap_or("redoable") {
-        "redoable" => Effect::Redoable,
-        "irreversible" => Effect::Irreversible,
-        "labelled-all" => labelled(LabelScope::All),
-        "labelled-location" => labelled(LabelScope::Location),
-        "labelled-cell" => labelled(LabelScope::Cell),
+        "redoable" => Effect::Idempotent,
+        "irreversible" => Effect::AtMostOnce,
+        "labelled-all" => labelled(KeyScope::All),
+        "labelled-location" => labelled(KeyScope::Location),
+        "labelled-cell" => labelled(KeyScope::Cell),
         other => panic!("no effect: {other}"),
     };
-    let product = |due: u64, outer_limit: u64, fresh: u64, grace: u64| Product {
+    let class = |due: u64, deadline: u64, fresh: u64, grace: u64| Class {
         effect,
-        due: Duration::from_millis(due),
-        stretch: 2.0,
-        outer_limit: Duration::from_secs(outer_limit),
-        payoff: 1.0,
-        late_payoff: 0.2,
-        fresh: Duration::from_secs(fresh),
+        latency_objective: Duration::from_millis(due),
+        transfer_stretch: 2.0,
+        deadline: Duration::from_secs(deadline),
+        priority_weight: 1.0,
+        late_priority_weight: 0.2,
+        fresh_lifetime: Duration::from_secs(fresh),
         grace: Duration::from_secs(grace),
         cacheable: get("cacheable") != Some("no"),
     };
-    let cold = |share: f64| ColdStart {
-        share,
+    let cold = |share: f64| SlowStart {
+        initial_share: share,
         ramp: Duration::from_secs(20),
-        multiple: 2.0,
-        span: Duration::from_secs(2),
+        overload_multiple: 2.0,
+        window: Duration::from_secs(2),
     };
-    Deployment {
+    DeploymentConfig {
         location: LocationId(1),
-        seats: number(line, "seats", 1) as usize,
-        dispatchers: number(line, "dispatchers", 2) as usize,
-        number: number(line, "number", 0) as usize,
-        products: vec![product(500, 5, 0, 0), product(300, 3, 10, 20)],
-        weights: if get("weights") == Some("unknown") { Weights::Unknown } else { Weights::Link },
-        cold_cache: cold(0.25),
-        cold_parent: cold(0.1),
-        purge_done: Duration::from_secs(6),
+        location_dispatchers: number(line, "seats", 1) as usize,
+        dispatcher_count: number(line, "dispatchers", 2) as usize,
+        dispatcher_index: number(line, "number", 0) as usize,
+        classes: vec![class(500, 5, 0, 0), class(300, 3, 10, 20)],
+        weight_meaning: if get("weights") == Some("unknown") {
+            WeightMeaning::Unknown
+        } else {
+            WeightMeaning::LinkCapacity
+        },
+        cache_slow_start: cold(0.25),
+        parent_slow_start: cold(0.1),
+        purge_window: Duration::from_secs(6),
         stream_kb_per_s: 1000.0,
-        notes: if get("notes") == Some("none") { Notes::None } else { Notes::All },
-        joins: true,
-        direct: get("direct") == Some("yes"),
-        second_copies: get("second") != Some("no"),
-        cancel: get("cancel") != Some("no"),
-        probes: false,
-        leg_limit: number(line, "legs", 8) as usize,
-        most_held: number(line, "held", 1000) as usize,
-        longest_pause: get("pause").map(span),
-        ask_within: get("ask").map(span),
+        cache_status_detail: if get("notes") == Some("none") {
+            CacheStatusDetail::None
+        } else {
+            CacheStatusDetail::All
+        },
+        coalescing: true,
+        direct_source_access: get("direct") == Some("yes"),
+        hedging: get("second") != Some("no"),
+        cancellation: get("cancel") != Some("no"),
+        health_checks: false,
+        max_attempts: number(line, "legs", 8) as usize,
+        max_tracked: number(line, "held", 1000) as usize,
+        max_retry_after: get("pause").map(span),
+        endpoint_list_max_age: get("ask").map(span),
     }
 }
 
-/// `HOST@TIME`: a leg that another may have begun.
-fn former(word: &str) -> Former {
+/// `HOST@TIME`: an attempt that another may have begun.
+fn former(word: &str) -> PreviousAttempt {
     let (name, sent) = word.split_once('@').expect("a host and a time");
-    Former { host: host(name), sent: span(sent) }
+    PreviousAttempt { host: host(name), sent: span(sent) }
 }
 
-fn listing(word: &str) -> Listing {
+fn listing(word: &str) -> EndpointEntry {
     let (name, rest) = word.split_once(':').unwrap_or((word, ""));
     let attributes: Vec<&str> = rest.split(',').collect();
     let get = words(&attributes);
@@ -105,7 +117,7 @@
         "p" => Role::Parent,
         _ => Role::Origin,
     };
-    Listing {
+    EndpointEntry {
         host: host(name),
         cell: CellId(number(&attributes, "cell", 0) as u16),
         location: LocationId(number(&attributes, "at", 1) as u16),
@@ -119,22 +131,22 @@
 const OUTCOMES: [(&str, Outcome); 10] = [
     ("ok", Outcome::Succeeded),
     ("error", Outcome::HostError),
-    ("away", Outcome::TurnedAway),
+    ("away", Outcome::Rejected),
     ("timeout", Outcome::TimedOut),
-    ("unreached", Outcome::NotConnected),
-    ("broken", Outcome::Broken),
-    ("spoilt", Outcome::Garbled),
-    ("off", Outcome::CalledOff),
+    ("unreached", Outcome::ConnectFailed),
+    ("broken", Outcome::ConnectionLost),
+    ("spoilt", Outcome::MalformedResponse),
+    ("off", Outcome::Cancelled),
     ("unsent", Outcome::NotSent),
     ("miss", Outcome::Miss),
 ];
-const NOTES: [(&str, Note); 6] = [
-    ("hit", Note::Hit),
-    ("filled", Note::Filled),
-    ("source-refused", Note::SourceRefused),
-    ("source-unreached", Note::SourceUnreached),
-    ("no-place", Note::NoPlace),
-    ("origin-failed", Note::OriginFailed),
+const NOTES: [(&str, CacheStatus); 6] = [
+    ("hit", CacheStatus::Hit),
+    ("filled", CacheStatus::Filled),
+    ("source-refused", CacheStatus::SourceRejected),
+    ("source-unreached", CacheStatus::SourceUnreachable),
+    ("no-place", CacheStatus::NoFillCapacity),
+    ("origin-failed", CacheStatus::OriginFailed),
 ];
 
 fn named<T: Copy>(line: &[&str], names: &[(&str, T)]) -> Option<T> {
@@ -144,7 +156,7 @@
 #[derive(Default)]
 struct Player {
     dispatcher: Option<Dispatcher>,
-    legs: BTreeMap<QueryId, Vec<HostId>>,
+    attempts: BTreeMap<RequestId, Vec<HostId>>,
     bound: BTreeMap<String, HostId>,
     timers: Vec<(Duration, TimerId)>,
     actions: VecDeque<Action>,
@@ -154,9 +166,9 @@
     fn handle(&mut self, now: Duration, event: Event) {
         for action in self.dispatcher.as_mut().expect("facts come first").handle(now, event) {
             match action {
-                Action::SetTimer { timer, span } => self.timers.push((now + span, timer)),
-                Action::Send { query, leg } => {
-                    self.legs.entry(query).or_default().push(leg.host);
+                Action::SetTimer { timer, delay } => self.timers.push((now + delay, timer)),
+                Action::SendAttempt { request, attempt } => {
+                    self.attempts.entry(request).or_default().push(attempt.host);
                     self.actions.push_back(action);
                 }
                 other => self.actions.push_back(other),
@@ -168,7 +180,7 @@
         self.timers.sort();
         while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= until) {
             self.timers.remove(0);
-            self.handle(at, Event::TimerDue(timer));
+            self.handle(at, Event::TimerFired(timer));
             self.timers.sort();
         }
     }
@@ -176,52 +188,60 @@
     fn event(&self, line: &[&str]) -> Option<Event> {
         let get = words(line);
         let group = GroupId(number(line, "group", 0));
-        let query = QueryId(line.get(1).and_then(|word| word.strip_prefix('q')?.parse().ok()).unwrap_or(0));
-        let leg = LegNo(number(line, "leg", 0) as u16);
+        let request =
+            RequestId(line.get(1).and_then(|word| word.strip_prefix('q')?.parse().ok()).unwrap_or(0));
+        let attempt = AttemptNumber(number(line, "leg", 0) as u16);
         Some(match line[0] {
             "pass" => return None,
             "list" => {
                 let scope = match line[1] {
-                    "whole" => ListScope::Whole,
-                    "remembered" => ListScope::Remembered,
+                    "whole" => ListScope::Full,
+                    "remembered" => ListScope::Restored,
                     "changes" => ListScope::Changes,
                     _ => ListScope::Failed,
                 };
-                Event::Listed { scope, hosts: line[2..].iter().map(|word| listing(word)).collect() }
+                Event::EndpointsListed {
+                    scope,
+                    entries: line[2..].iter().map(|word| listing(word)).collect(),
+                }
             }
-            "ask" => Event::Asked(Query {
-                id: query,
-                product: ProductId(number(line, "product", 0) as usize),
+            "ask" => Event::RequestArrived(Request {
+                id: request,
+                class: ClassId(number(line, "product", 0) as usize),
                 object: ObjectId(number(line, "obj", 7)),
                 part: number(line, "part", 0) as u32,
                 group,
                 time_left: span(get("left").unwrap_or("5s")),
                 size_kb: number(line, "size", 100) as f64,
-                former: get("former").into_iter().flat_map(|legs| legs.split(',')).map(former).collect(),
+                previous_attempts: get("former")
+                    .into_iter()
+                    .flat_map(|attempts| attempts.split(','))
+                    .map(former)
+                    .collect(),
             }),
-            "end" => Event::LegEnded(LegEnd {
-                query,
-                leg,
+            "end" => Event::AttemptEnded(AttemptEnd {
+                request,
+                attempt,
                 host: self
-                    .legs
-                    .get(&query)
-                    .and_then(|legs| legs.get(leg.0 as usize))
+                    .attempts
+                    .get(&request)
+                    .and_then(|attempts| attempts.get(attempt.0 as usize))
                     .copied()
                     .unwrap_or(HostId(0)),
                 outcome: named(line, &OUTCOMES).expect("an outcome"),
-                took: Duration::from_millis(50),
-                over: line.contains(&"over"),
-                note: named(line, &NOTES).unwrap_or(Note::Untold),
+                duration: Duration::from_millis(50),
+                request_finished: line.contains(&"over"),
+                cache_status: named(line, &NOTES).unwrap_or(CacheStatus::Unknown),
                 fill_wait: Duration::ZERO,
-                begun: !line.contains(&"unbegun"),
+                first_byte_sent: !line.contains(&"unbegun"),
             }),
-            "left" => Event::ClientLeft(query),
-            "ending" => Event::Ending { by: span(get("by").expect("a time")) },
-            "began" => Event::LegBegan { query, leg },
-            "timer" => Event::TimerDue(TimerId(number(line, "id", 0) as u32)),
+            "left" => Event::ClientDisconnected(request),
+            "ending" => Event::ShutdownStarted { deadline: span(get("by").expect("a time")) },
+            "began" => Event::ResponseStarted { request, attempt },
+            "timer" => Event::TimerFired(TimerId(number(line, "id", 0) as u32)),
             "purge" => {
                 let object = get("obj").map(|text| ObjectId(text.parse().expect("an object")));
-                Event::Purged { object, group: Some(group), ago: span(get("ago").unwrap_or("0ms")) }
+                Event::Purged { object, group: Some(group), age: span(get("ago").unwrap_or("0ms")) }
             }
             other => panic!("no event: {other}"),
         })
@@ -243,29 +263,31 @@
             return Ok(());
         }
         let action = self.actions.pop_front().ok_or("no action came")?;
-        let is = |query: QueryId| line.get(1).is_some_and(|word| *word == format!("q{}", query.0));
+        let is = |request: RequestId| line.get(1).is_some_and(|word| *word == format!("q{}", request.0));
         let as_told = match &action {
-            Action::Send { query, leg } if line[0] == "send" => {
-                let from = match (line.iter().position(|word| *word == "from"), leg.source) {
+            Action::SendAttempt { request, attempt } if line[0] == "send" => {
+                let from = match (line.iter().position(|word| *word == "from"), attempt.source) {
                     (Some(at), Some(source)) => line[at + 1] != "own" && self.matches(line[at + 1], source),
                     (Some(at), None) => line[at + 1] == "own",
                     (None, _) => true,
                 };
                 let get = words(line);
                 let oldest = get("oldest").is_none_or(|text| match text {
-                    "any" => leg.oldest.is_none(),
-                    text => leg.oldest == Some(span(text)),
+                    "any" => attempt.max_age.is_none(),
+                    text => attempt.max_age == Some(span(text)),
                 });
-                let under = get("under").is_none_or(|text| leg.limit.is_some_and(|limit| limit < span(text)));
+                let under = get("under")
+                    .is_none_or(|text| attempt.timeout.is_some_and(|timeout| timeout < span(text)));
                 let by = get("by").is_none_or(|text| match text {
-                    "any" => leg.begin_by.is_none(),
-                    text => leg.begin_by == Some(span(text)),
+                    "any" => attempt.send_by.is_none(),
+                    text => attempt.send_by == Some(span(text)),
                 });
-                let renew = get("renew").is_none_or(|text| leg.renew == (text == "yes"));
-                let held = get("held").is_none_or(|text| leg.held_at_source == (text == "yes"));
-                let keep = get("keep").is_none_or(|text| format!("{:?}", leg.keep).to_lowercase() == text);
-                is(*query)
-                    && self.matches(line[2], leg.host)
+                let renew = get("renew").is_none_or(|text| attempt.revalidate == (text == "yes"));
+                let held = get("held").is_none_or(|text| attempt.cached_at_source_only == (text == "yes"));
+                let keep = get("keep")
+                    .is_none_or(|text| format!("{:?}", attempt.cache_priority).to_lowercase() == text);
+                is(*request)
+                    && self.matches(line[2], attempt.host)
                     && from
                     && oldest
                     && under
@@ -274,13 +296,13 @@
                     && keep
                     && held
             }
-            Action::CallOff { query, leg } if line[0] == "off" => {
-                is(*query) && leg.0 as u64 == number(line, "leg", 0)
+            Action::CancelAttempt { request, attempt } if line[0] == "off" => {
+                is(*request) && attempt.0 as u64 == number(line, "leg", 0)
             }
-            Action::Dismiss { query, pause } if line[0] == "dismiss" => {
-                is(*query) && pause.is_some() == line.contains(&"pause")
+            Action::Reject { request, retry_after } if line[0] == "dismiss" => {
+                is(*request) && retry_after.is_some() == line.contains(&"pause")
             }
-            Action::Terminate { query } => line[0] == "terminate" && is(*query),
+            Action::Fail { request } => line[0] == "terminate" && is(*request),
             Action::Subscribe { on: true } => line[0] == "subscribe",
             _ => false,
         };
--- a/crates/rockflow/tests/way_back.rs
+++ b/crates/rockflow/tests/way_back.rs
@@ -1,8 +1,8 @@
 //! A gate shut by a burst of late answers, then parents that are well: until fills go out as ever again takes at most
-//! three of the longest outer limit after the last late one, however few queries there are and whatever the lot.
+//! three of the longest outer limit after the last late one, however few requests there are and whatever the lot.
 
-use rockflow::interface::*;
-use rockflow_world::{listing, Final, World, LONGEST};
+use rockflow::{CacheStatus, Outcome, Role};
+use rockflow_routing_simulation::{listing, Final, World, LONGEST};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -19,8 +19,10 @@
     world.play(BURST + 12 * LONGEST, |sent| {
         let slow = sent.at < BURST || chance.rand_float() < late;
         match sent.looks() {
-            true => (Outcome::Miss, Note::Untold, Duration::from_millis(1)),
-            false => (Outcome::Succeeded, Note::Filled, Duration::from_millis(if slow { 1500 } else { 60 })),
+            true => (Outcome::Miss, CacheStatus::Unknown, Duration::from_millis(1)),
+            false => {
+                (Outcome::Succeeded, CacheStatus::Filled, Duration::from_millis(if slow { 1500 } else { 60 }))
+            }
         }
     });
     // The last late one of the burst ends this much after it.
