--- a/crates/rockflow-scale/tests/rows.rs
+++ b/crates/rockflow-scale/tests/rows.rs
@@ -88,6 +88,19 @@
     std::fs::remove_file(&path).expect("removed");
 }
 
+const MEASURED: &str = r#"{"series":"membership","x":{"name":"members","value":30.0},"y":{"name":"heap a member","value":23815.466666666667,"unit":"B"},"seed":1,"parameters":{"round_trip_ms":4.0,"rows":49.0},"command":"rockflow-scale slopes --series membership --seed 1 --budget 400","how":"measured"}"#;
+const NOT_PLAYED: &str = r#"{"series":"membership-start","x":{"name":"members","value":900.0},"y":{"name":"frames till all agree","value":null,"unit":"frames"},"seed":1,"parameters":{},"command":"rockflow-scale slopes","how":"reckoned","note":"not all agreed"}"#;
+const READ: &str = r#"{"series":"run","x":{"name":"members","value":1050.0},"y":{"name":"median","value":1e-9,"unit":"s"},"seed":18446744073709551615,"parameters":{"calm":0.0},"command":"c","how":"read"}"#;
+
+// As in `docs/capacity/rows`: files that lie there are read by every later program.
+#[test_case(MEASURED, MEASURED; "measured")]
+#[test_case(NOT_PLAYED, NOT_PLAYED; "not played")]
+#[test_case(READ, READ; "read from the code")]
+fn lines_keep_their_text(line: &str, written: &str) {
+    let row: Row = serde_json::from_str(line).expect("a row");
+    assert_eq!(serde_json::to_string(&row).expect("a line"), written);
+}
+
 #[test]
 fn curves_keep_what_was_chosen_apart_and_leave_out_what_was_not_finished() {
     let rows = [
--- a/crates/rockflow-yang/tests/published.rs
+++ b/crates/rockflow-yang/tests/published.rs
@@ -3,6 +3,7 @@
 use rockflow_yang::data::{self, EditError};
 use rockflow_yang::{json, Data, Edit, Fields, Kind, Op, Path, Pattern, Schema};
 use serde_json::json;
+use std::collections::BTreeSet;
 use test_case::test_case;
 use yang_rs::config::Config;
 use yang_rs::parser::Parser;
@@ -68,6 +69,24 @@
     assert_eq!(json::write(&schema, &fields), marked());
 }
 
+/// A value of every leaf of the model, as JSON writes it.
+const EVERY_LEAF: &str = include_str!("every_leaf.json");
+
+#[test]
+fn every_leaf_keeps_its_path_and_json_form() {
+    let schema = Schema::published();
+    let fields = tree(&schema, serde_json::from_str(EVERY_LEAF).unwrap());
+    assert_eq!(serde_json::to_string_pretty(&json::write(&schema, &fields)).unwrap() + "\n", EVERY_LEAF);
+    let held: BTreeSet<_> = data::leaves(&fields).keys().map(|path| path.node().unwrap()).collect();
+    let of_data = |path: &str| path.starts_with("/rockflow-router:router/");
+    for node in schema.nodes() {
+        let path = schema.path_of(node.id);
+        if matches!(node.kind, Kind::Leaf { .. } | Kind::LeafList { .. }) && of_data(&path) {
+            assert!(held.contains(&node.id), "{path}");
+        }
+    }
+}
+
 #[test_case(json!({"rockflow-router:router": {"nothing": 1}}); "unknown name")]
 #[test_case(json!({"other:router": {}}); "unknown module")]
 #[test_case(json!({"rockflow-router:router": {"marks": {"mark": [{"state": "gone"}]}}}); "no key")]
