--- a/crates/rockflow-dispatcher/src/module.rs
+++ b/crates/rockflow-dispatcher/src/module.rs
@@ -252,7 +252,7 @@
                 }
             }
             Word::Survey { mut survey, reply } => {
-                survey.views = self.decisions.views();
+                survey.views = self.decisions.host_statuses();
                 survey.ended = self.ended.clone();
                 (survey.open, survey.words) = (self.open.len(), self.given.mail.len());
                 survey.overdue = self.overdue;
--- /dev/null
+++ b/crates/rockflow/src/effects.rs
@@ -0,0 +1,76 @@
+//! What a repeated execution of a request would do: whether an attempt may follow others, and until when.
+
+use crate::config::{Effect, KeyScope};
+use crate::event::{AttemptEnd, Outcome, PreviousAttempt};
+use crate::ids::HostId;
+use crate::request::{AttemptPhase, OpenRequest};
+use crate::state::RoutingState;
+use std::time::Duration;
+
+/// Whether an attempt may have executed, by its end.
+pub(crate) fn may_have_executed(end: &AttemptEnd) -> bool {
+    let surely_not =
+        matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
+    end.first_byte_sent && !surely_not
+}
+
+/// The attempts of a request that may have executed, those of a previous dispatcher included.
+fn attempts_maybe_executed(open: &OpenRequest) -> impl Iterator<Item = PreviousAttempt> + '_ {
+    let own = open
+        .attempts
+        .iter()
+        .filter(|attempt| attempt.phase != AttemptPhase::Ended { may_have_executed: false })
+        .map(|attempt| PreviousAttempt { host: attempt.attempt.host, sent: attempt.sent });
+    own.chain(open.request.previous_attempts.iter().copied())
+}
+
+fn has_surely_not_executed(open: &OpenRequest) -> bool {
+    attempts_maybe_executed(open).next().is_none()
+}
+
+impl RoutingState {
+    /// Whether one more attempt may go to this host, by what earlier ones may have done.
+    pub(crate) fn may_repeat(&self, open: &OpenRequest, host: HostId) -> bool {
+        match self.class(open).effect {
+            Effect::Idempotent => true,
+            Effect::AtMostOnce => has_surely_not_executed(open),
+            Effect::IdempotencyKey { scope, .. } => {
+                let in_window = self.repeat_by(open).is_none_or(|by| self.now < by);
+                let scope_id = self.key_scope_id(scope, host);
+                in_window
+                    && attempts_maybe_executed(open)
+                        .all(|attempt| self.key_scope_id(scope, attempt.host) == scope_id)
+            }
+        }
+    }
+
+    /// When a repeat must have been sent so that it is dropped. None: nothing may have executed, or any time will do.
+    ///
+    /// It ends before the deduplication window does: an attempt takes a while.
+    pub(crate) fn repeat_by(&self, open: &OpenRequest) -> Option<Duration> {
+        let Effect::IdempotencyKey { deduplication_window, .. } = self.class(open).effect else {
+            return None;
+        };
+        let first_end =
+            attempts_maybe_executed(open).map(|attempt| attempt.sent + deduplication_window).min()?;
+        Some(first_end.saturating_sub(open.usual_duration))
+    }
+
+    /// Whether the request can be answered as one that had no effect and may be sent again.
+    pub(crate) fn may_reject(&self, open: &OpenRequest) -> bool {
+        match self.class(open).effect {
+            Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. } => true,
+            Effect::IdempotencyKey { .. } | Effect::AtMostOnce => has_surely_not_executed(open),
+        }
+    }
+
+    /// The hosts that share their deduplication records with a host have the same id. None: the host is not listed.
+    fn key_scope_id(&self, scope: KeyScope, host: HostId) -> Option<u16> {
+        let entry = self.endpoints.get(host)?.entry();
+        Some(match scope {
+            KeyScope::All => 0,
+            KeyScope::Location => entry.location.0,
+            KeyScope::Cell => entry.cell.0,
+        })
+    }
+}
--- /dev/null
+++ b/crates/rockflow/src/endpoint_table.rs
@@ -0,0 +1,160 @@
+//! The table of listed hosts, and which of them this dispatcher may use.
+
+use crate::config::DeploymentConfig;
+use crate::decay::DecayingSum;
+use crate::endpoints::{EndpointEntry, HostStatus, ListScope, Readiness, Role};
+use crate::health::HealthSample;
+use crate::host::Host;
+use crate::ids::HostId;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// The hosts of one role.
+#[derive(Debug, Default)]
+struct RoleHosts {
+    /// Those that this dispatcher may use, by id.
+    usable: Vec<HostId>,
+    /// The best odds of a success among them.
+    best_odds: f64,
+}
+
+/// All listed hosts.
+#[derive(Debug)]
+pub(crate) struct EndpointTable {
+    hosts: BTreeMap<HostId, Host>,
+    /// Whether a list has come since the start of the dispatcher.
+    is_listed: bool,
+    caches: RoleHosts,
+    parents: RoleHosts,
+    origins: RoleHosts,
+    empty: DecayingSum,
+}
+
+impl EndpointTable {
+    /// No hosts; `empty` has the memory of the longest deadline.
+    pub(crate) fn new(empty: DecayingSum) -> Self {
+        EndpointTable {
+            hosts: BTreeMap::new(),
+            is_listed: false,
+            caches: RoleHosts::default(),
+            parents: RoleHosts::default(),
+            origins: RoleHosts::default(),
+            empty,
+        }
+    }
+
+    /// A listed host.
+    pub(crate) fn get(&self, id: HostId) -> Option<&Host> {
+        self.hosts.get(&id)
+    }
+
+    /// A listed host, to be changed.
+    pub(crate) fn get_mut(&mut self, id: HostId) -> Option<&mut Host> {
+        self.hosts.get_mut(&id)
+    }
+
+    /// The hosts of a role that take new attempts of this dispatcher, by id.
+    pub(crate) fn ready(&self, role: Role) -> impl Iterator<Item = &Host> {
+        let usable = self.of_role(role).usable.iter().map(|id| &self.hosts[id]);
+        usable.filter(|host| host.entry().readiness == Readiness::Ready)
+    }
+
+    /// Whether a host is an origin that this dispatcher may use.
+    pub(crate) fn is_usable_origin(&self, id: HostId) -> bool {
+        self.origins.usable.contains(&id)
+    }
+
+    /// Whether a host is ejected as an outlier.
+    pub(crate) fn is_ejected(&self, id: HostId, now: Duration) -> bool {
+        let Some(host) = self.hosts.get(&id) else { return false };
+        host.health.is_outlier(now, self.of_role(host.entry().role).best_odds)
+    }
+
+    /// Records what an outcome says of a host, and finds the best odds of its role anew.
+    pub(crate) fn record_health(&mut self, id: HostId, now: Duration, sample: HealthSample) {
+        let Some(host) = self.hosts.get_mut(&id) else { return };
+        host.health.record(now, sample);
+        let role = host.entry().role;
+        let odds = |id: &HostId| self.hosts.get(id).map_or(0.0, |host| host.health.odds(now));
+        let best_odds = self.of_role(role).usable.iter().map(odds).fold(0.0, f64::max);
+        self.of_role_mut(role).best_odds = best_odds;
+    }
+
+    /// Applies an update of the endpoint list.
+    pub(crate) fn apply(
+        &mut self,
+        config: &DeploymentConfig,
+        now: Duration,
+        scope: ListScope,
+        entries: Vec<EndpointEntry>,
+    ) {
+        if scope != ListScope::Changes {
+            self.hosts.retain(|id, _| entries.iter().any(|entry| entry.host == *id));
+        }
+        for entry in entries {
+            self.apply_entry(config, now, entry);
+        }
+        self.is_listed = true;
+        for role in [Role::Cache, Role::Parent, Role::Origin] {
+            self.find_usable(config, role);
+        }
+    }
+
+    /// What is known of each host.
+    pub(crate) fn statuses(&self, now: Duration) -> Vec<HostStatus> {
+        let status = |(id, host): (&HostId, &Host)| HostStatus {
+            host: *id,
+            in_flight: host.load.in_flight(),
+            ejected: self.is_ejected(*id, now),
+            health: host.health.success_rate(now),
+            warming_until: host.warm_up.ends_at(host.entry(), now),
+        };
+        self.hosts.iter().map(status).collect()
+    }
+
+    fn apply_entry(&mut self, config: &DeploymentConfig, now: Duration, entry: EndpointEntry) {
+        let id = entry.host;
+        if entry.readiness == Readiness::Gone {
+            self.hosts.remove(&id);
+            return;
+        }
+        let empty = self.empty;
+        if let Some(host) = self.hosts.get_mut(&id) {
+            host.update(entry, empty);
+        } else {
+            self.hosts.insert(id, Host::new(config, entry, empty));
+        }
+        if self.is_listed {
+            return;
+        }
+        if let Some(host) = self.hosts.get_mut(&id) {
+            host.spend_warm_up_budget(config, now);
+        }
+    }
+
+    /// Caches are used within the location only, parents and origins from anywhere.
+    fn find_usable(&mut self, config: &DeploymentConfig, role: Role) {
+        let is_usable = |entry: &EndpointEntry| {
+            entry.role == role && (role != Role::Cache || entry.location == config.location)
+        };
+        let usable = self.hosts.values().map(Host::entry).filter(|entry| is_usable(entry));
+        let usable = usable.map(|entry| entry.host).collect();
+        self.of_role_mut(role).usable = usable;
+    }
+
+    fn of_role(&self, role: Role) -> &RoleHosts {
+        match role {
+            Role::Cache => &self.caches,
+            Role::Parent => &self.parents,
+            Role::Origin => &self.origins,
+        }
+    }
+
+    fn of_role_mut(&mut self, role: Role) -> &mut RoleHosts {
+        match role {
+            Role::Cache => &mut self.caches,
+            Role::Parent => &mut self.parents,
+            Role::Origin => &mut self.origins,
+        }
+    }
+}
