--- /dev/null
+++ b/crates/rockflow-settings/tests/settings.rs
@@ -0,0 +1,310 @@
+//! The keys and values of a configuration, as text, against every field that is read from them.
+
+use rockflow::{CacheStatusDetail, Class, Effect, KeyScope, LocationId, SlowStart, WeightMeaning};
+use rockflow_settings::{facts, wiring, Facts, Pairs, Wiring};
+use std::time::Duration;
+use test_case::test_case;
+
+/// Every key that is read, as the simulator sends them.
+const LINES: &str = "az=1
+dcs=hub,shop,edge
+discovery=on_request
+models=box,parent,origin,spare
+peersTotal=7
+slotNo=3
+weights=nominal
+familyInfo.midKind=1
+familyInfo.rootKind=2
+familyInfo.seatsByZone=0,4,3
+familyInfo.lifetimeByClassUs=0,12000000,7000000
+familyInfo.staleForUs=0,20000000,8000000
+familyInfo.uncached=false,false,true
+familyInfo.noteLevel=hit
+familyInfo.sharesFills=true
+familyInfo.straight=false
+familyInfo.streamKbPerS=9700.5
+familyInfo.purgeDoneUs=6000001
+familyInfo.upperColdFrom=0.063
+familyInfo.parentColdUs=22000000
+familyInfo.parentFallMultiple=2.25
+grades.count=3
+grades.0.name=pages
+grades.0.repeat=idempotent
+grades.0.objectiveUs=500000
+grades.0.aimStretch=1.6
+grades.0.deadlineUs=5000000
+grades.0.importance=2.0
+grades.0.lateValue=0.15
+grades.1.name=orders
+grades.1.repeat=deduplicated
+grades.1.group=cell
+grades.1.keyTtlUs=2500000
+grades.1.objectiveUs=300000
+grades.1.deadlineUs=3000000
+grades.1.importance=1.0
+grades.1.lateValue=0.2
+grades.2.name=payments
+grades.2.repeat=at_most_once
+grades.2.objectiveUs=400000
+grades.2.aimStretch=2
+grades.2.deadlineUs=4000000
+grades.2.importance=3.5
+grades.2.lateValue=0
+limits.cancel=true
+limits.connIdleUs=30000000
+limits.dialTimeoutUs=400000
+limits.maxRetryAfterUs=1000000
+limits.maxStreams=100
+limits.mostHeld=20000
+limits.probes=true
+limits.retryAfter=true
+limits.secondCopies=false
+limits.tryLimit=6
+rules.answerSlackUs=8000
+rules.askWithinUs=9000000
+rules.fallMultiple=2.5
+rules.rampTimeUs=15000000
+rules.startCapacity=0.16
+rules.stopSendingWithinUs=2000000
+rules.tipAfterUs=1500000
+telemetry.how=pull
+telemetry.fields=utilization,outstanding,x1
+";
+
+/// The same as the platform writes it.
+const JSON: &str = r#"{
+    "az": 1,
+    "dcs": ["hub", "shop", "edge"],
+    "discovery": "on_request",
+    "models": ["box", "parent", "origin", "spare"],
+    "peersTotal": 7,
+    "slotNo": 3,
+    "weights": "nominal",
+    "familyInfo": {
+      "midKind": 1, "rootKind": 2, "seatsByZone": [0, 4, 3], "lifetimeByClassUs": [0, 12000000, 7000000],
+      "staleForUs": [0, 20000000, 8000000], "uncached": [false, false, true], "noteLevel": "hit",
+      "sharesFills": true, "straight": false, "streamKbPerS": 9700.5, "purgeDoneUs": 6000001,
+      "upperColdFrom": 0.063, "parentColdUs": 22000000, "parentFallMultiple": 2.25
+    },
+    "grades": [
+      {"name": "pages", "repeat": "idempotent", "objectiveUs": 500000, "aimStretch": 1.6, "deadlineUs": 5000000,
+       "importance": 2.0, "lateValue": 0.15},
+      {"name": "orders", "repeat": "deduplicated", "group": "cell", "keyTtlUs": 2500000, "objectiveUs": 300000,
+       "deadlineUs": 3000000, "importance": 1.0, "lateValue": 0.2},
+      {"name": "payments", "repeat": "at_most_once", "objectiveUs": 400000, "aimStretch": 2,
+       "deadlineUs": 4000000, "importance": 3.5, "lateValue": 0}
+    ],
+    "limits": {
+      "cancel": true, "connIdleUs": 30000000, "dialTimeoutUs": 400000, "maxRetryAfterUs": 1000000,
+      "maxStreams": 100, "mostHeld": 20000, "probes": true, "retryAfter": true, "secondCopies": false,
+      "tryLimit": 6
+    },
+    "rules": {
+      "answerSlackUs": 8000, "askWithinUs": 9000000, "fallMultiple": 2.5, "rampTimeUs": 15000000,
+      "startCapacity": 0.16, "stopSendingWithinUs": 2000000, "tipAfterUs": 1500000
+    },
+    "telemetry": {"how": "pull", "fields": ["utilization", "outstanding", "x1"]}
+}"#;
+
+/// Keys that may be missing.
+const OPTIONAL: [&str; 3] = ["grades.0.aimStretch", "grades.2.aimStretch", "unknown.key"];
+
+fn parse_lines(lines: &str) -> Result<(Facts, Wiring), String> {
+    parse(&Pairs::from_lines(lines))
+}
+
+fn parse_json(json: &str) -> Result<(Facts, Wiring), String> {
+    parse(&Pairs::from_json(&serde_json::from_str(json).expect("valid JSON")))
+}
+
+fn parse(pairs: &Pairs) -> Result<(Facts, Wiring), String> {
+    Ok((facts::parse(pairs)?, wiring::parse(pairs)?))
+}
+
+/// The lines with one of them replaced.
+fn with(key: &str, value: &str) -> String {
+    let line = LINES.lines().find(|line| line.starts_with(&format!("{key}="))).expect("a key of the text");
+    LINES.replace(&format!("{line}\n"), &format!("{key}={value}\n"))
+}
+
+fn without(key: &str) -> String {
+    LINES
+        .lines()
+        .filter(|line| !line.starts_with(&format!("{key}=")))
+        .map(|line| format!("{line}\n"))
+        .collect()
+}
+
+fn assert_slow_start(slow_start: SlowStart, initial_share: f64, ramp_us: u64, overload_multiple: f64) {
+    assert_eq!(slow_start.initial_share, initial_share);
+    assert_eq!(slow_start.ramp, Duration::from_micros(ramp_us));
+    assert_eq!(slow_start.overload_multiple, overload_multiple);
+    assert_eq!(slow_start.window, Duration::from_micros(1_500_000));
+}
+
+/// Its times in microseconds: latency objective, deadline, fresh lifetime, grace.
+fn assert_class(
+    class: &Class,
+    effect: Effect,
+    stretch: f64,
+    times_us: [u64; 4],
+    weights: [f64; 2],
+    cacheable: bool,
+) {
+    assert_eq!(class.effect, effect);
+    assert_eq!(class.transfer_stretch, stretch);
+    let times = [class.latency_objective, class.deadline, class.fresh_lifetime, class.grace];
+    assert_eq!(times, times_us.map(Duration::from_micros));
+    assert_eq!([class.priority_weight, class.late_priority_weight], weights);
+    assert_eq!(class.cacheable, cacheable);
+}
+
+#[test_case(parse_lines(LINES); "dotted lines")]
+#[test_case(parse_json(JSON); "nested JSON")]
+fn reads_every_field_of_the_deployment(parsed: Result<(Facts, Wiring), String>) {
+    let (facts, _) = parsed.expect("valid settings");
+    assert_eq!((facts.parent_kind, facts.origin_kind, facts.kinds, facts.locations), (1, 2, 4, 3));
+    let config = facts.deployment;
+    assert_eq!(config.location, LocationId(1));
+    assert_eq!(config.location_dispatchers, 4);
+    assert_eq!(config.dispatcher_count, 7);
+    assert_eq!(config.dispatcher_index, 3);
+    assert_eq!(config.weight_meaning, WeightMeaning::LinkCapacity);
+    assert_slow_start(config.cache_slow_start, 0.16, 15_000_000, 2.5);
+    assert_slow_start(config.parent_slow_start, 0.063, 22_000_000, 2.25);
+    assert_eq!(config.purge_window, Duration::from_micros(6_000_001));
+    assert_eq!(config.stream_kb_per_s, 9700.5);
+    assert_eq!(config.cache_status_detail, CacheStatusDetail::HitsOnly);
+    assert!(config.coalescing);
+    assert!(!config.direct_source_access);
+    assert!(!config.hedging);
+    assert!(config.cancellation);
+    assert!(config.health_checks);
+    assert_eq!(config.max_attempts, 6);
+    assert_eq!(config.max_tracked, 20_000);
+    assert_eq!(config.max_retry_after, Some(Duration::from_secs(1)));
+    assert_eq!(config.endpoint_list_max_age, Some(Duration::from_secs(9)));
+
+    let [pages, orders, payments] = &config.classes[..] else { panic!("{:?}", config.classes) };
+    assert_class(pages, Effect::Idempotent, 1.6, [500_000, 5_000_000, 0, 0], [2.0, 0.15], true);
+    let keyed = Effect::IdempotencyKey {
+        scope: KeyScope::Cell,
+        deduplication_window: Duration::from_micros(2_500_000),
+    };
+    assert_class(orders, keyed, 0.0, [300_000, 3_000_000, 12_000_000, 20_000_000], [1.0, 0.2], true);
+    let times_us = [400_000, 4_000_000, 7_000_000, 8_000_000];
+    assert_class(payments, Effect::AtMostOnce, 2.0, times_us, [3.5, 0.0], false);
+}
+
+#[test_case(parse_lines(LINES); "dotted lines")]
+#[test_case(parse_json(JSON); "nested JSON")]
+fn reads_every_field_of_the_network(parsed: Result<(Facts, Wiring), String>) {
+    let (_, wiring) = parsed.expect("valid settings");
+    assert_eq!(wiring.classes, ["pages", "orders", "payments"]);
+    assert_eq!(wiring.locations, ["hub", "shop", "edge"]);
+    assert_eq!(wiring.kinds, ["box", "parent", "origin", "spare"]);
+    assert_eq!(wiring.connect_limit, Duration::from_millis(400));
+    assert_eq!(wiring.idle_limit, Duration::from_secs(30));
+    assert_eq!(wiring.drain_limit, Duration::from_secs(2));
+    assert_eq!(wiring.answer_slack, Duration::from_millis(8));
+    assert_eq!(wiring.max_streams, 100);
+    assert_eq!(wiring.report, ["utilization", "outstanding", "x1"]);
+}
+
+#[test_case("weights", "nominal", WeightMeaning::LinkCapacity)]
+#[test_case("weights", "rough", WeightMeaning::LinkCapacity)]
+#[test_case("weights", "live", WeightMeaning::Unknown)]
+#[test_case("weights", "silent", WeightMeaning::Unknown)]
+fn reads_the_meaning_of_weights(key: &str, value: &str, meaning: WeightMeaning) {
+    let (facts, _) = parse_lines(&with(key, value)).expect("valid settings");
+    assert_eq!(facts.deployment.weight_meaning, meaning);
+}
+
+#[test_case("all", CacheStatusDetail::All)]
+#[test_case("hit", CacheStatusDetail::HitsOnly)]
+#[test_case("silent", CacheStatusDetail::None)]
+fn reads_the_detail_of_cache_status(value: &str, detail: CacheStatusDetail) {
+    let (facts, _) = parse_lines(&with("familyInfo.noteLevel", value)).expect("valid settings");
+    assert_eq!(facts.deployment.cache_status_detail, detail);
+}
+
+#[test_case("all", KeyScope::All)]
+#[test_case("zone", KeyScope::Location)]
+#[test_case("cell", KeyScope::Cell)]
+fn reads_the_scope_of_idempotency_keys(value: &str, expected: KeyScope) {
+    let (facts, _) = parse_lines(&with("grades.1.group", value)).expect("valid settings");
+    let Effect::IdempotencyKey { scope, .. } = facts.deployment.classes[1].effect else { panic!() };
+    assert_eq!(scope, expected);
+}
+
+#[test]
+fn parents_start_like_caches_where_there_are_none() {
+    let (facts, _) = parse_lines(&with("familyInfo.midKind", "-1")).expect("valid settings");
+    assert_eq!(facts.parent_kind, -1);
+    assert_slow_start(facts.deployment.parent_slow_start, 0.16, 15_000_000, 2.5);
+}
+
+#[test]
+fn optional_durations_are_read_only_where_they_apply() {
+    let lines = with("discovery", "pushed").replace("limits.retryAfter=true", "limits.retryAfter=false");
+    let lines =
+        lines.replace("rules.askWithinUs=9000000\n", "").replace("limits.maxRetryAfterUs=1000000\n", "");
+    let (facts, _) = parse_lines(&lines).expect("valid settings");
+    assert_eq!(facts.deployment.endpoint_list_max_age, None);
+    assert_eq!(facts.deployment.max_retry_after, None);
+}
+
+#[test]
+fn hosts_without_load_reports_need_no_fields() {
+    let lines = with("telemetry.how", "silent").replace("telemetry.fields=utilization,outstanding,x1\n", "");
+    let (_, wiring) = parse_lines(&lines).expect("valid settings");
+    assert!(wiring.report.is_empty());
+}
+
+#[test]
+fn a_connection_carries_one_stream_at_least() {
+    let (_, wiring) = parse_lines(&with("limits.maxStreams", "0")).expect("valid settings");
+    assert_eq!(wiring.max_streams, 1);
+}
+
+#[test]
+fn names_each_missing_key() {
+    for line in LINES.lines() {
+        let (key, _) = line.split_once('=').expect("a key and a value");
+        let error = parse_lines(&without(key)).err();
+        let expected = (!OPTIONAL.contains(&key)).then(|| format!("settings: {key} is missing"));
+        assert_eq!(error, expected, "{key}");
+    }
+}
+
+#[test]
+fn names_each_key_whose_value_does_not_parse() {
+    let texts = ["dcs", "models", "grades.0.name", "grades.1.name", "grades.2.name", "telemetry.how"];
+    for line in LINES.lines() {
+        let (key, _) = line.split_once('=').expect("a key and a value");
+        if texts.contains(&key) || key == "telemetry.fields" {
+            continue;
+        }
+        let error = parse_lines(&with(key, "?")).err();
+        assert_eq!(error, Some(format!("settings: {key} does not parse")), "{key}");
+    }
+}
+
+#[test_case("-1"; "negative")]
+#[test_case("inf"; "infinite")]
+#[test_case("NaN"; "not a number")]
+fn rejects_ratios_that_are_negative_or_not_finite(value: &str) {
+    let error = parse_lines(&with("rules.startCapacity", value)).err();
+    assert_eq!(error.as_deref(), Some("settings: rules.startCapacity does not parse"));
+}
+
+#[test]
+fn skips_unknown_keys_and_other_lines() {
+    assert!(parse_lines(&format!("# a comment\n{LINES}\nunknown.key=1\n")).is_ok());
+}
+
+#[test]
+fn spaces_and_commas_in_json_text_become_underscores() {
+    let (_, wiring) = parse_json(&JSON.replace("\"pages\"", "\"pages, all\"")).expect("valid settings");
+    assert_eq!(wiring.classes[0], "pages__all");
+}
