--- /dev/null
+++ b/crates/rockflow-transport/tests/dissemination_wire_format.rs
@@ -0,0 +1,159 @@
+//! Literal bytes of every message of dissemination and of the frame around it. A field or variant that changes its place
+//! fails here: the encoding carries order and no names.
+
+use rockflow_dissemination::*;
+use rockflow_transport::dissemination::frame::{Bounds, Frame};
+use std::fmt::Write;
+use test_case::test_case;
+
+fn stream(kind: Kind) -> StreamId {
+    StreamId { control: ControlId(1), kind, incarnation: Incarnation(1_700_000_000_123) }
+}
+
+fn setting(host: &str, wanted: Wanted) -> Setting {
+    let stamp = Stamp { at: 1_700_000_000_789, control: 1 };
+    Setting { host: host.to_string(), wanted, stamp, seen: Stamp { at: 1_700_000_000_456, control: 2 } }
+}
+
+fn version(number: u64, host: &str, wanted: Wanted) -> Version {
+    Version { stream: stream(Kind::Configuration), number: Number(number), setting: setting(host, wanted) }
+}
+
+fn peer(name: &str, address: &str) -> Peer {
+    Peer { node: NodeId::of(name), address: address.parse().unwrap() }
+}
+
+fn report() -> Report {
+    let (purges, configuration) = (stream(Kind::Purges), stream(Kind::Configuration));
+    Report {
+        region: 3,
+        near: 0xfeed_beef,
+        slots: Slots(vec![0x5a, 0x81]),
+        in_force: vec![(purges, Number(300)), (configuration, Number(7))],
+        behind: vec![(11, purges, Number(290))],
+        refused: vec![
+            (configuration, Number(5), Refusal::LastOne, 2),
+            (configuration, Number(6), Refusal::Full, 9),
+        ],
+    }
+}
+
+fn join() -> Message {
+    Message::Join { directory: 4711 }
+}
+
+fn near() -> Message {
+    let parents = vec![peer("parent", "127.0.0.1:7500"), peer("control", "[::1]:7501")];
+    Message::Near { directory: 4711, near: 0xfeed_beef, region: 3, slot: 5, slots: 600, parents }
+}
+
+fn unknown() -> Message {
+    Message::Unknown { directory: 4712 }
+}
+
+fn ack() -> Message {
+    let has = vec![(stream(Kind::Purges), Number(301)), (stream(Kind::Configuration), Number(8))];
+    Message::Ack { has, reports: vec![report()] }
+}
+
+fn pulse() -> Message {
+    let tips = vec![
+        Tip { stream: stream(Kind::Purges), first: Number(2), last: Number(301) },
+        Tip { stream: stream(Kind::Configuration), first: Number(1), last: Number(8) },
+    ];
+    Message::Pulse { stale_ms: 250, directory: 4711, near: 0xfeed_beef, tips, settings: Some(0xdead_cafe) }
+}
+
+fn batch_of_purges() -> Message {
+    let purges = [Purge::object(0x0102_0304_0506_0708), Purge::Group(77), Purge::Everything];
+    let entries = purges.map(|purge| Aged { age_ms: 1500, entry: Entry::Purge(purge) }).to_vec();
+    Message::Batch { stream: stream(Kind::Purges), first: Number(299), entries }
+}
+
+fn batch_of_settings() -> Message {
+    let settings =
+        [setting("c1", Wanted::Listed), setting("c2", Wanted::Draining), setting("c3", Wanted::Gone)];
+    let entries = settings.map(|setting| Aged { age_ms: 40, entry: Entry::Setting(setting) }).to_vec();
+    Message::Batch { stream: stream(Kind::Configuration), first: Number(6), entries }
+}
+
+fn ask() -> Message {
+    let ranges = vec![(Number(10), Number(12)), (Number(300), Number(301))];
+    Message::Ask { stream: stream(Kind::Purges), ranges }
+}
+
+fn snapshot() -> Message {
+    Message::Snapshot { stream: stream(Kind::Purges), next: Number(250), floor_age_ms: Some(9000) }
+}
+
+fn want_settings() -> Message {
+    Message::WantSettings { part: 130 }
+}
+
+fn settings() -> Message {
+    let settings = vec![version(7, "c1", Wanted::Draining), version(8, "c2", Wanted::Gone)];
+    Message::Settings { digest: 0xdead_cafe, part: 2, parts: 130, settings }
+}
+
+fn rows() -> Message {
+    let clock = Stamp { at: 1_700_000_000_999, control: 2 };
+    Message::Rows { directory: 4711, clock, rows: vec![Row { report: report(), age_ms: 750 }] }
+}
+
+fn outlived() -> Message {
+    Message::Outlived { control: ControlId(2), incarnation: Incarnation(1_700_000_000_124) }
+}
+
+fn fresh() -> Message {
+    Message::Fresh { stale_ms: 251 }
+}
+
+fn frame(messages: Vec<Message>) -> Frame {
+    let from = Identity { node: NodeId::of("d7"), incarnation: Incarnation(1_700_000_000_001) };
+    Frame { from, messages }
+}
+
+fn bounds() -> Bounds {
+    Bounds::new("fleet", 3, true)
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").unwrap();
+        text
+    })
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+#[test_case(join(), "00e724"; "join")]
+#[test_case(near(), "01e724effdb6f70f0305d80402baf4fedbe5bfa4aa79007f000001cc3ad6d1f0fdfe8ea39a280100000000000000000000000000000001cd3a"; "near")]
+#[test_case(unknown(), "02e824"; "unknown")]
+#[test_case(ack(), "03020100fbd095ffbc31ad020101fbd095ffbc31080103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109"; "ack")]
+#[test_case(Message::Leave, "04"; "leave")]
+#[test_case(Message::Full, "05"; "full")]
+#[test_case(pulse(), "06fa01e724effdb6f70f020100fbd095ffbc3102ad020101fbd095ffbc31010801fe95b7f50d"; "pulse")]
+#[test_case(batch_of_purges(), "070100fbd095ffbc31ab0203dc0b00000807060504030201dc0b00014ddc0b0002"; "batch of purges")]
+#[test_case(batch_of_settings(), "070101fbd095ffbc31060328010263310095d695ffbc3101c8d395ffbc310228010263320195d695ffbc3101c8d395ffbc310228010263330295d695ffbc3101c8d395ffbc3102"; "batch of settings")]
+#[test_case(ask(), "080100fbd095ffbc31020a0cac02ad02"; "ask")]
+#[test_case(snapshot(), "090100fbd095ffbc31fa0101a846"; "snapshot")]
+#[test_case(want_settings(), "0a8201"; "want settings")]
+#[test_case(settings(), "0bfe95b7f50d028201020101fbd095ffbc31070263310195d695ffbc3101c8d395ffbc31020101fbd095ffbc31080263320295d695ffbc3101c8d395ffbc3102"; "settings")]
+#[test_case(rows(), "0ce724e7d795ffbc31020103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109ee05"; "rows")]
+#[test_case(outlived(), "0d02fcd095ffbc31"; "outlived")]
+#[test_case(Message::Probe, "0e"; "probe")]
+#[test_case(fresh(), "0ffb01"; "fresh")]
+fn each_message_has_its_literal_bytes(message: Message, literal: &str) {
+    assert_eq!(hex(&postcard::to_stdvec(&message).unwrap()), literal);
+    assert_eq!(postcard::from_bytes::<Message>(&bytes(literal)).unwrap(), message);
+}
+
+#[test_case(vec![Message::Leave], "726402471e5ea0f1d0b1a1b3b59fc98c0181d095ffbc3101047bebc52b"; "one message")]
+#[test_case(vec![fresh(), join(), batch_of_purges()], "726402471e5ea0f1d0b1a1b3b59fc98c0181d095ffbc31030ffb0100e724070100fbd095ffbc31ab0203dc0b00000807060504030201dc0b00014ddc0b0002b02492af"; "several messages")]
+fn a_frame_has_its_literal_bytes(messages: Vec<Message>, literal: &str) {
+    let frame = frame(messages);
+    assert_eq!(bounds().encode(frame.from, &frame.messages), (vec![bytes(literal)], 0));
+    assert_eq!(bounds().decode(&bytes(literal)), Ok(frame));
+}
