--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -5,7 +5,7 @@
 use rockflow::{GroupId, ObjectId, Readiness};
 use rockflow_dispatcher::{Link, Purge, Told};
 use rockflow_dissemination as node;
-use rockflow_dissemination::{EntryId, Out, Ticket, Wanted};
+use rockflow_dissemination::{ApplyToken, DesiredState, EntryId, Output};
 use rockflow_endpoints::{Mark, Marks, Refused};
 use rockflow_operator_config::{DisseminationPart, OperatorFile};
 use rockflow_transport::dissemination::{self as carrier, Bounds, WeakLink, Word};
@@ -41,13 +41,13 @@
     if part.control.iter().any(|(name, _)| *name == told.name) {
         return Err(format!("[dissemination] control: {} is this dispatcher's own name", told.name));
     }
-    Ok(Some(Plan { told: told_of(part, &told.name), ..base(part, told.seed) }))
+    Ok(Some(Plan { config: told_of(part, &told.name), ..base(part, told.seed) }))
 }
 
 pub fn base(part: &DisseminationPart, seed: u64) -> Plan {
     Plan {
         bounds: Bounds::new(&part.fleet, part.control.len(), !part.trusted_network),
-        told: told_of(part, ""),
+        config: told_of(part, ""),
         directory: None,
         listen: part.listen,
         seed,
@@ -55,12 +55,12 @@
 }
 
 /// What a node of this name is told; a control node's place is that of its name.
-pub fn told_of(part: &DisseminationPart, name: &str) -> node::Told {
+pub fn told_of(part: &DisseminationPart, name: &str) -> node::NodeConfig {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let peer = |(name, address): &(String, _)| node::Peer { node: node::NodeId::of(name), address: *address };
     let place = part.control.iter().position(|(control, _)| control == name);
-    node::Told {
-        me: node::Identity {
+    node::NodeConfig {
+        identity: node::Identity {
             node: node::NodeId::of(name),
             incarnation: node::Incarnation(since.as_millis() as u64),
         },
@@ -69,7 +69,7 @@
         seeds: part.seeds.clone(),
         purge_window: part.purge_window,
         bytes_per_second: part.bytes_per_second,
-        pulse: part.pulse,
+        heartbeat_interval: part.pulse,
     }
 }
 
@@ -94,19 +94,19 @@
     Ok(Carried(carried))
 }
 
-fn fact(link: &Link, words: &WeakLink, unjudged: &Arc<Mutex<Unjudged>>, out: Out) {
+fn fact(link: &Link, words: &WeakLink, unjudged: &Arc<Mutex<Unjudged>>, out: Output) {
     match out {
-        Out::Purge { purges, ticket } => purge(link, words, purges, ticket),
-        Out::Configure { settings, changed, ticket } => {
+        Output::Purge { purges, token: ticket } => purge(link, words, purges, ticket),
+        Output::Configure { settings, changed, token: ticket } => {
             let hosts = changed.iter().map(|(_, host)| host.clone()).collect();
             let beyond = lock(unjudged).give(ticket, changed);
             beyond.into_iter().for_each(|(id, host)| refuse(words, id, &host, Refused::Full));
             configure(link, words, unjudged, (settings, hosts), ticket);
         }
-        Out::Outlived { incarnation } => {
+        Output::IncarnationSuperseded { incarnation } => {
             warn!(incarnation = incarnation.0, "a later life of this node is known")
         }
-        Out::Send { .. } | Out::Everywhere { .. } => {}
+        Output::Send { .. } | Output::ReplicatedToAll { .. } => {}
     }
 }
 
@@ -121,7 +121,7 @@
     (objects.join(","), wider.map(|(_, age)| *age).min())
 }
 
-fn purge(link: &Link, words: &WeakLink, purges: Vec<(node::Purge, Duration)>, ticket: Ticket) {
+fn purge(link: &Link, words: &WeakLink, purges: Vec<(node::Purge, Duration)>, ticket: ApplyToken) {
     let shown = enabled!(Level::DEBUG).then(|| (told_of_purges(&purges), Instant::now()));
     let purges = purges.into_iter().map(|(purge, age)| {
         let (object, group) = match purge {
@@ -144,7 +144,7 @@
     }
 }
 
-fn confirm(words: &WeakLink, ticket: Ticket) {
+fn confirm(words: &WeakLink, ticket: ApplyToken) {
     if !words.say(Word::InEffect(ticket)) {
         warn!(ticket = ticket.0, "dissemination does not hear what is in effect");
     }
@@ -158,8 +158,8 @@
     link: &Link,
     words: &WeakLink,
     unjudged: &Arc<Mutex<Unjudged>>,
-    (settings, changed): (BTreeMap<String, Wanted>, Vec<String>),
-    ticket: Ticket,
+    (settings, changed): (BTreeMap<String, DesiredState>, Vec<String>),
+    ticket: ApplyToken,
 ) {
     let marks: Marks =
         settings.into_iter().filter_map(|(host, wanted)| Some((host, mark(wanted)?))).collect();
@@ -182,18 +182,18 @@
 }
 
 /// None: as the board says.
-fn mark(wanted: Wanted) -> Option<Mark> {
+fn mark(wanted: DesiredState) -> Option<Mark> {
     let readiness = match wanted {
-        Wanted::Listed => return None,
-        Wanted::Draining => Readiness::Draining,
-        Wanted::Gone => Readiness::Gone,
+        DesiredState::Listed => return None,
+        DesiredState::Draining => Readiness::Draining,
+        DesiredState::Gone => Readiness::Gone,
     };
     Some(Mark { readiness, until: None, force: false })
 }
 
-fn refusal(why: Refused) -> node::Refusal {
+fn refusal(why: Refused) -> node::RejectionReason {
     match why {
-        Refused::LastOne => node::Refusal::LastOne,
-        Refused::Full => node::Refusal::Full,
+        Refused::LastOne => node::RejectionReason::LastOne,
+        Refused::Full => node::RejectionReason::Full,
     }
 }
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -9,7 +9,7 @@
 use rockflow::{GroupId, ObjectId};
 use rockflow_dispatcher::{Clock, Follow, Heard, Purge, Told};
 use rockflow_dissemination as node;
-use rockflow_dissemination::{Directory, Out, Publication};
+use rockflow_dissemination::{Directory, Output, Publication};
 use rockflow_operator_config::{read_marks, ControlPart, DisseminationPart};
 use rockflow_transport::dissemination::{Link, Tally, WeakLink, Word};
 use signal_hook::consts::SIGHUP;
@@ -98,7 +98,7 @@
     let clock = Clock::start();
     rockflow_dispatcher::Service::set_up();
     let mut plan = base(&given.part, given.told.seed);
-    plan.told = told_of(&given.part, &given.told.name);
+    plan.config = told_of(&given.part, &given.told.name);
     plan.directory = Some(given.directory.clone());
     let link = Link::start(plan, heard).map_err(|what| format!("dissemination: {what}"))?;
     let (name, members) = (&given.told.name, given.directory.members.len());
@@ -167,7 +167,7 @@
             if said.elapsed() >= SUMMARY {
                 said = Instant::now();
                 let troubled = self.troubled.clone();
-                self.carried.0.say(Word::Survey(Box::new(move |tally| summary(&tally, &troubled))));
+                self.carried.0.say(Word::Status(Box::new(move |tally| summary(&tally, &troubled))));
             }
             std::thread::sleep(LOOK);
         }
@@ -247,7 +247,8 @@
         let said = self.published.publish(&self.given.marks, |changes| {
             changes.iter().for_each(|(host, wanted)| info!(host, ?wanted, "published"));
             let publications = changes.into_iter();
-            let publications = publications.map(|(host, wanted)| Publication::Setting { host, wanted });
+            let publications =
+                publications.map(|(host, wanted)| Publication::Setting { host, desired: wanted });
             let reply = Box::new(|ids: Vec<node::EntryId>| {
                 if let (Some((_, first)), Some((_, last))) = (ids.first(), ids.last()) {
                     info!(first = first.0, last = last.0, "settings numbered");
@@ -262,56 +263,58 @@
     }
 }
 
-fn heard(_: &WeakLink, out: Out) {
+fn heard(_: &WeakLink, out: Output) {
     match out {
-        Out::Everywhere { stream, number, after } => info!(
+        Output::ReplicatedToAll { stream, number, after } => info!(
             control = stream.control.0,
             kind = ?stream.kind,
             number = number.0,
             seconds = after.as_secs_f64(),
             "everywhere"
         ),
-        Out::Outlived { incarnation } => {
+        Output::IncarnationSuperseded { incarnation } => {
             warn!(
                 incarnation = incarnation.0,
                 "a later life of this control node was known; begun again above it"
             )
         }
-        Out::Send { .. } | Out::Purge { .. } | Out::Configure { .. } => {}
+        Output::Send { .. } | Output::Purge { .. } | Output::Configure { .. } => {}
     }
 }
 
 /// One line while somebody is missing or behind, or refuses a setting, and one when nobody is any more.
 fn summary(tally: &Tally, troubled: &AtomicBool) {
     let Some(control) = &tally.survey.control else { return };
-    let well = control.present >= control.told && control.behind.is_empty() && control.refused.is_empty();
+    let well = control.present >= control.expected_members
+        && control.lagging.is_empty()
+        && control.rejected.is_empty();
     if troubled.swap(!well, Ordering::Relaxed) && well {
-        info!(told = control.told, "all members are there and go by what was published");
+        info!(told = control.expected_members, "all members are there and go by what was published");
     }
     if well {
         return;
     }
     let behind: Vec<_> = control
-        .behind
+        .lagging
         .iter()
         .map(|(name, stream, number)| format!("{name}:{}", numbered(stream, *number)))
         .collect();
     let refused = control
-        .refused
+        .rejected
         .iter()
         .map(|(stream, number, why, members)| format!("{}:{why:?} at {members}", numbered(stream, *number)));
     warn!(
-        told = control.told,
+        told = control.expected_members,
         present = control.present,
         missing = control.missing.join(" "),
         behind = behind.join(" "),
         refused = refused.collect::<Vec<_>>().join(" "),
-        publishing = control.publishing,
+        publishing = control.is_publishing,
         faults = tally.traffic.faults.values().sum::<u64>(),
         "not in force everywhere"
     );
 }
 
-fn numbered(stream: &node::StreamId, number: node::Number) -> String {
+fn numbered(stream: &node::StreamId, number: node::SequenceNumber) -> String {
     format!("{:?}@{}/{}", stream.kind, stream.control.0, number.0)
 }
--- a/crates/rockflow-cli/src/control/marks.rs
+++ b/crates/rockflow-cli/src/control/marks.rs
@@ -1,6 +1,6 @@
 //! What of the operators' marks has been published, and what is to be. Decides; does no I/O.
 
-use rockflow_dissemination::Wanted;
+use rockflow_dissemination::DesiredState;
 use rockflow_operator_config::Marked;
 use std::collections::BTreeMap;
 
@@ -12,15 +12,15 @@
 
 impl Published {
     /// What is wanted otherwise than it was published.
-    pub fn changes(&self, wanted: &Marks) -> Vec<(String, Wanted)> {
+    pub fn changes(&self, wanted: &Marks) -> Vec<(String, DesiredState)> {
         let news = wanted.iter().filter(|(host, mark)| self.0.get(*host) != Some(mark));
         let news = news.map(|(host, mark)| (host.clone(), as_wanted(*mark)));
         let back = self.0.keys().filter(|host| !wanted.contains_key(*host));
-        news.chain(back.map(|host| (host.clone(), Wanted::Listed))).collect()
+        news.chain(back.map(|host| (host.clone(), DesiredState::Listed))).collect()
     }
 
     /// Publishes what has changed; false: it found no place, and is to be published still.
-    pub fn publish(&mut self, wanted: &Marks, say: impl FnOnce(Vec<(String, Wanted)>) -> bool) -> bool {
+    pub fn publish(&mut self, wanted: &Marks, say: impl FnOnce(Vec<(String, DesiredState)>) -> bool) -> bool {
         let changes = self.changes(wanted);
         let said = changes.is_empty() || say(changes);
         if said {
@@ -30,9 +30,9 @@
     }
 }
 
-fn as_wanted(mark: Marked) -> Wanted {
+fn as_wanted(mark: Marked) -> DesiredState {
     match mark {
-        Marked::Draining => Wanted::Draining,
-        Marked::Gone => Wanted::Gone,
+        Marked::Draining => DesiredState::Draining,
+        Marked::Gone => DesiredState::Gone,
     }
 }
--- a/crates/rockflow-cli/tests/control_marks.rs
+++ b/crates/rockflow-cli/tests/control_marks.rs
@@ -5,14 +5,14 @@
 mod marks;
 
 use marks::{Marks, Published};
-use rockflow_dissemination::Wanted;
+use rockflow_dissemination::DesiredState;
 use rockflow_operator_config::Marked;
 
 fn marks(pairs: &[(&str, Marked)]) -> Marks {
     pairs.iter().map(|(host, mark)| (host.to_string(), *mark)).collect()
 }
 
-fn wants(pairs: &[(&str, Wanted)]) -> Vec<(String, Wanted)> {
+fn wants(pairs: &[(&str, DesiredState)]) -> Vec<(String, DesiredState)> {
     pairs.iter().map(|(host, wanted)| (host.to_string(), *wanted)).collect()
 }
 
@@ -21,11 +21,12 @@
     let mut published = Published::default();
     let first = marks(&[("c1", Marked::Draining), ("c2", Marked::Gone)]);
     assert!(published.publish(&first, |changes| {
-        assert_eq!(changes, wants(&[("c1", Wanted::Draining), ("c2", Wanted::Gone)]));
+        assert_eq!(changes, wants(&[("c1", DesiredState::Draining), ("c2", DesiredState::Gone)]));
         true
     }));
     let next = marks(&[("c1", Marked::Gone), ("c3", Marked::Draining)]);
-    let changes = wants(&[("c1", Wanted::Gone), ("c3", Wanted::Draining), ("c2", Wanted::Listed)]);
+    let changes =
+        wants(&[("c1", DesiredState::Gone), ("c3", DesiredState::Draining), ("c2", DesiredState::Listed)]);
     for place in [false, false, true] {
         let mut said = Vec::new();
         let went = published.publish(&next, |changes| {
--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use rig::*;
-use rockflow_dissemination::{Directory, Identity, Incarnation, NodeId, Out, Peer};
+use rockflow_dissemination::{Directory, Identity, Incarnation, NodeId, Output, Peer};
 use rockflow_process_harness::datagrams::{Path, Rule, Who};
 use rockflow_process_harness::until;
 use rockflow_transport::dissemination::{Bounds, Link, Plan, Word};
@@ -189,14 +189,14 @@
     let text = std::fs::read_to_string(rig.fleet.layout().folder.join("control-0.directory.csv")).unwrap();
     let plan = Plan {
         bounds: Bounds::new("processes", 2, true),
-        told: rockflow_dissemination::Told {
-            me: Identity { node: peer(0).node, incarnation: Incarnation(ahead) },
+        config: rockflow_dissemination::NodeConfig {
+            identity: Identity { node: peer(0).node, incarnation: Incarnation(ahead) },
             control_id: Some(rockflow_dissemination::ControlId(0)),
             control: (0..2).map(peer).collect(),
             seeds: Vec::new(),
             purge_window: WINDOW,
             bytes_per_second: 65_536,
-            pulse: PULSE,
+            heartbeat_interval: PULSE,
         },
         directory: Some(Directory::parse(&text).unwrap()),
         listen: rig.fleet.control[0].behind,
@@ -204,7 +204,7 @@
     };
     let (sender, said) = std::sync::mpsc::channel();
     let earlier = Link::start(plan, move |_, out| {
-        if let Out::Everywhere { number, .. } = out {
+        if let Output::ReplicatedToAll { number, .. } = out {
             let _ = sender.send(number);
         }
     });
--- a/crates/rockflow-dissemination/src/children.rs
+++ b/crates/rockflow-dissemination/src/children.rs
@@ -1,7 +1,8 @@
 //! Who follows this node, and what they report.
 
-use crate::messages::{Report, MAX_REPORTS};
-use crate::words::{Identity, NodeId};
+use crate::identity::{Identity, NodeId};
+use crate::message::MAX_REPORTS;
+use crate::subtree_report::SubtreeReport;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,14 +14,14 @@
 
 #[derive(Clone, Debug)]
 pub struct Child {
-    pub me: Identity,
-    pub at: SocketAddr,
-    pub heard: Duration,
-    pub reports: Vec<Report>,
+    pub identity: Identity,
+    pub address: SocketAddr,
+    pub last_received: Duration,
+    pub reports: Vec<SubtreeReport>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum AckOutcome {
     New,
     Known {
         changed: bool,
@@ -32,72 +33,76 @@
 
 #[derive(Clone, Debug)]
 pub struct Children {
-    map: BTreeMap<NodeId, Child>,
-    most: usize,
-    keep: Duration,
+    children: BTreeMap<NodeId, Child>,
+    max_children: usize,
+    ttl: Duration,
 }
 
 impl Children {
     /// Children are kept, and their reports count, for `keep` after an ack.
-    pub fn new(most: usize, keep: Duration) -> Children {
-        Children { map: BTreeMap::new(), most, keep }
+    pub fn new(max_children: usize, ttl: Duration) -> Children {
+        Children { children: BTreeMap::new(), max_children, ttl }
     }
 
     pub fn len(&self) -> usize {
-        self.map.len()
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+        self.children.len()
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &Child> {
-        self.map.values()
+        self.children.values()
     }
 
-    pub fn hear(&mut self, now: Duration, me: Identity, at: SocketAddr, mut reports: Vec<Report>) -> Heard {
+    pub fn on_acknowledgement(
+        &mut self,
+        now: Duration,
+        identity: Identity,
+        address: SocketAddr,
+        mut reports: Vec<SubtreeReport>,
+    ) -> AckOutcome {
         reports.truncate(MAX_REPORTS);
         for report in &mut reports {
-            report.cut();
+            report.truncate_to_limits();
         }
-        let full = self.map.len() >= self.most;
-        let heard = match self.map.get(&me.node) {
-            Some(child) if child.me.incarnation > me.incarnation => return Heard::Earlier,
-            Some(child) if child.me == me => Heard::Known { changed: child.reports != reports },
-            Some(_) => Heard::New,
-            None if full => return Heard::Full,
-            None => Heard::New,
+        let full = self.children.len() >= self.max_children;
+        let outcome = match self.children.get(&identity.node) {
+            Some(child) if child.identity.incarnation > identity.incarnation => return AckOutcome::Earlier,
+            Some(child) if child.identity == identity => {
+                AckOutcome::Known { changed: child.reports != reports }
+            }
+            Some(_) => AckOutcome::New,
+            None if full => return AckOutcome::Full,
+            None => AckOutcome::New,
         };
-        self.map.insert(me.node, Child { me, at, heard: now, reports });
-        heard
+        self.children.insert(identity.node, Child { identity, address, last_received: now, reports });
+        outcome
     }
 
     /// Whether an ack of this one would be taken.
     pub fn has_room_for(&self, node: NodeId) -> bool {
-        self.map.len() < self.most || self.map.contains_key(&node)
+        self.children.len() < self.max_children || self.children.contains_key(&node)
     }
 
-    pub fn leave(&mut self, me: Identity) -> bool {
-        let there = self.map.get(&me.node).is_some_and(|child| child.me == me);
-        there && self.map.remove(&me.node).is_some()
+    pub fn remove(&mut self, identity: Identity) -> bool {
+        let there = self.children.get(&identity.node).is_some_and(|child| child.identity == identity);
+        there && self.children.remove(&identity.node).is_some()
     }
 
     /// Drops those not heard of for too long. True: some were.
     pub fn expire(&mut self, now: Duration) -> bool {
-        let before = self.map.len();
-        let keep = self.keep;
-        self.map.retain(|_, child| now.saturating_sub(child.heard) <= keep);
-        self.map.len() < before
+        let before = self.children.len();
+        let ttl = self.ttl;
+        self.children.retain(|_, child| now.saturating_sub(child.last_received) <= ttl);
+        self.children.len() < before
     }
 
     /// What they said is too old to count; they say it again.
     pub fn forget_reports(&mut self) {
-        for child in self.map.values_mut() {
+        for child in self.children.values_mut() {
             child.reports.clear();
         }
     }
 
-    pub fn reports(&self) -> impl Iterator<Item = &Report> {
-        self.map.values().flat_map(|child| &child.reports)
+    pub fn reports(&self) -> impl Iterator<Item = &SubtreeReport> {
+        self.children.values().flat_map(|child| &child.reports)
     }
 }
--- a/crates/rockflow-dissemination/src/lib.rs
+++ b/crates/rockflow-dissemination/src/lib.rs
@@ -1,41 +1,65 @@
 //! Numbered dissemination with acknowledgement: purges and configuration go from a few control nodes through a tree of
-//! dispatchers to all of them, each entry once in effect, and control knows what is done everywhere. Without I/O: frames
-//! and time come in, frames and facts go out. `docs/design/dissemination.md` says what was weighed and what must hold.
+//! dispatchers to all of them, each entry is applied once, and control knows what is applied everywhere. Without I/O:
+//! messages and time come in, messages and outputs go out. `docs/design/dissemination.md` has the design and its
+//! invariants.
 
-pub mod children;
+mod anti_entropy;
+mod apply;
+mod apply_tokens;
+mod children;
+mod config;
 mod control;
-pub mod directory;
-mod effects;
-mod entries;
-pub mod everywhere;
-pub mod following;
-mod joining;
-mod log;
-pub mod made;
-pub mod messages;
-pub mod node;
-pub mod outs;
-pub mod pace;
-pub mod publisher;
+mod convergence;
+mod directory;
+mod encoded_size;
+mod entry;
+mod heartbeats;
+mod identity;
+mod ingest;
+mod join;
+mod message;
+mod node;
+mod output;
+mod publisher;
 mod publishing;
-mod pulses;
-mod repairs;
-pub mod reports;
-pub mod settings;
-mod sizes;
-pub mod stream;
-pub mod streams;
-pub mod survey;
-mod table_entries;
-pub mod tables;
-pub mod tickets;
-pub mod words;
+mod setting;
+mod settings;
+mod settings_exchange;
+mod slot_set;
+mod status;
+mod stream;
+mod stream_log;
+mod streams;
+mod subscription;
+mod subtree_report;
+mod table_sync;
+mod timestamp;
+mod token_bucket;
 
-pub use directory::{Directory, Fault, Listed, Placement};
-pub use messages::*;
+pub use apply_tokens::{ApplyToken, MAX_PENDING_TOKENS};
+pub use children::{MAX_CHILDREN, MAX_CONTROL_CHILDREN};
+pub use config::NodeConfig;
+pub use directory::{Directory, DirectoryError, DirectoryMember, Placement, Region};
+pub use entry::{AgedEntry, Entry, EntryId, Purge, SequenceNumber, StreamId, StreamKind};
+pub use identity::{ControlId, Identity, Incarnation, NodeId, Peer};
+pub use message::{
+    Message, MAX_BATCH_ENTRIES, MAX_PARENTS, MAX_RANGES, MAX_REGION_REPORTS, MAX_REPORTS,
+    MAX_SETTINGS_PER_PART, MAX_STREAMS, MAX_TIPS,
+};
 pub use node::Node;
-pub use outs::*;
-pub use publisher::Publisher;
-pub use publishing::MAX_UNSENT;
-pub use survey::{ControlSurvey, HeldNow, StreamSurvey, Survey};
-pub use words::*;
+pub use output::{Counters, MessageCounts, Output, Publication};
+pub use publisher::{
+    Publisher, BACKLOG_AGE_UNCERTAINTY, MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES,
+};
+pub use publishing::MAX_UNSENT_PUBLICATIONS;
+pub use setting::{
+    DesiredState, HostSetting, HybridTimestamp, RejectionReason, SettingVersion, MAX_NAME_BYTES,
+};
+pub use settings::{
+    SettingOutcome, SettingsTable, MAX_CLOCK_UNIX_MS, MAX_CONCURRENT_VERSIONS, MAX_HOSTS, MAX_PARTS_AT_ONCE,
+    MAX_QUARANTINED, MAX_TRUSTED_CLOCK_UNIX_MS,
+};
+pub use slot_set::{SlotSet, MAX_SLOTS};
+pub use status::{ControlStatus, NodeStatus, ResourceUsage, StreamStatus};
+pub use stream::{StreamTip, MAX_CONFIGURATION_LOG_ENTRIES, MAX_PURGE_LOG_ENTRIES};
+pub use subtree_report::{RegionReport, SubtreeReport, MAX_LAGGING, MAX_REJECTED};
--- a/crates/rockflow-dissemination/src/made.rs
+++ b/crates/rockflow-dissemination/src/timestamp.rs
@@ -4,19 +4,19 @@
 
 /// A moment by this machine's own clock, in microseconds since its start; before it: negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Made(i64);
+pub struct Timestamp(i64);
 
 fn micros(span: Duration) -> i64 {
     i64::try_from(span.as_micros()).unwrap_or(i64::MAX)
 }
 
-impl Made {
-    pub fn ago(now: Duration, age: Duration) -> Made {
-        Made(micros(now).saturating_sub(micros(age)))
+impl Timestamp {
+    pub fn ago(now: Duration, age: Duration) -> Timestamp {
+        Timestamp(micros(now).saturating_sub(micros(age)))
     }
 
-    pub fn ms_ago(now: Duration, age_ms: u32) -> Made {
-        Made::ago(now, Duration::from_millis(u64::from(age_ms)))
+    pub fn ms_ago(now: Duration, age_ms: u32) -> Timestamp {
+        Timestamp::ago(now, Duration::from_millis(u64::from(age_ms)))
     }
 
     pub fn age(self, now: Duration) -> Duration {
--- a/crates/rockflow-dissemination/tests/directory.rs
+++ b/crates/rockflow-dissemination/tests/directory.rs
@@ -69,14 +69,14 @@
 #[test]
 fn a_listing_changes_with_what_its_places_rest_on() {
     let text = "version,1\na,r,s,z,10.0.0.1:1\nb,r,s,z,10.0.0.2:1\nc,q,s,z,10.0.0.3:1\n";
-    let near = |text: &str, name: &str| {
+    let listing_hash = |text: &str, name: &str| {
         let directory = Directory::parse(text).expect("a directory");
-        directory.place(NodeId::of(name), &control()).expect("a place").near
+        directory.place(NodeId::of(name), &control()).expect("a place").listing_hash
     };
     for (from, to) in [("10.0.0.2:1", "10.0.0.2:2"), ("b,r,s", "b,r,t"), ("b,r", "d,r")] {
         let other = text.replace(from, to);
-        assert_ne!(near(text, "a"), near(&other, "a"), "{from}");
-        assert_eq!(near(text, "c"), near(&other, "c"), "{from}");
+        assert_ne!(listing_hash(text, "a"), listing_hash(&other, "a"), "{from}");
+        assert_eq!(listing_hash(text, "c"), listing_hash(&other, "c"), "{from}");
     }
-    assert_eq!(near(text, "a"), near(&text.replace("version,1", "version,2"), "a"));
+    assert_eq!(listing_hash(text, "a"), listing_hash(&text.replace("version,1", "version,2"), "a"));
 }
--- a/crates/rockflow-dissemination/tests/following.rs
+++ b/crates/rockflow-dissemination/tests/following.rs
@@ -1,7 +1,7 @@
 //! Whom a member goes to where its parent fails: candidates that are there, gone, stale or full are played, each after the
 //! same way there and back, and the time until a fresh one is followed is taken.
 
-use rockflow_dissemination::children::MAX_CHILDREN;
+use rockflow_dissemination::MAX_CHILDREN;
 use rockflow_dissemination::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -60,22 +60,28 @@
     fn new(are: &[Is]) -> Play {
         let control =
             Peer { node: NodeId::of("control-0"), address: SocketAddr::from(([10, 0, 0, 1], 7000)) };
-        let told = Told {
-            me: identity("me"),
+        let config = NodeConfig {
+            identity: identity("me"),
             control_id: None,
             control: vec![control],
             seeds: Vec::new(),
             purge_window: ms(8700),
             bytes_per_second: 6000,
-            pulse: ms(PULSE),
+            heartbeat_interval: ms(PULSE),
         };
-        let mut node = Node::new(told, None, 1, Duration::ZERO);
+        let mut node = Node::new(config, None, 1, Duration::ZERO);
         node.start(Duration::ZERO);
         let parents =
             (0..are.len()).map(|index| Peer { node: candidate(index).node, address: address(index) });
-        let near =
-            Message::Near { directory: 1, near: 7, region: 0, slot: 1, slots: 2, parents: parents.collect() };
-        let outs = node.hear(Duration::ZERO, identity("control-0"), control.address, near);
+        let listing_hash = Message::Placement {
+            directory_version: 1,
+            listing_hash: 7,
+            region: 0,
+            slot: 1,
+            slots: 2,
+            parents: parents.collect(),
+        };
+        let outputs = node.on_message(Duration::ZERO, identity("control-0"), control.address, listing_hash);
         let mut play = Play {
             node,
             now: 0,
@@ -88,20 +94,20 @@
             probes: Vec::new(),
             lose_pulse_at: None,
         };
-        play.take(outs);
+        play.take(outputs);
         play
     }
 
-    fn take(&mut self, outs: Vec<Out>) {
-        for out in outs {
-            let Out::Send { to, message } = out else { continue };
+    fn take(&mut self, outputs: Vec<Output>) {
+        for out in outputs {
+            let Output::Send { to, message } = out else { continue };
             let Some(index) = (0..self.are.len()).find(|index| address(*index) == to) else { continue };
             if matches!(message, Message::Probe) {
                 self.probes.push(self.now);
             }
             self.going.push((self.now + WAY, index, message));
         }
-        let parent = self.node.survey(ms(self.now)).parent.map(|parent| parent.address);
+        let parent = self.node.status(ms(self.now)).parent.map(|parent| parent.address);
         let parent = (0..self.are.len()).find(|index| Some(address(*index)) == parent);
         if let Some(index) = parent.filter(|index| self.turns.last().map(|(_, last)| last) != Some(index)) {
             self.turns.push((self.now, index));
@@ -124,12 +130,12 @@
     }
 
     fn pulse_of(&self, index: usize) -> Message {
-        Message::Pulse {
-            stale_ms: self.stale_ms(index),
-            directory: 1,
-            near: 7,
+        Message::Heartbeat {
+            staleness_ms: self.stale_ms(index),
+            directory_version: 1,
+            listing_hash: 7,
             tips: Vec::new(),
-            settings: None,
+            settings_digest: None,
         }
     }
 
@@ -138,7 +144,7 @@
         let is = self.is(index);
         let answer = match message {
             _ if is == Is::Gone => return,
-            Message::Ack { .. } => {
+            Message::Acknowledgement { .. } => {
                 if is == Is::Full {
                     Message::Full
                 } else if self.parents.insert(index) {
@@ -151,7 +157,7 @@
                 self.parents.remove(&index);
                 return;
             }
-            Message::Probe if is != Is::Full => Message::Fresh { stale_ms: self.stale_ms(index) },
+            Message::Probe if is != Is::Full => Message::ProbeReply { staleness_ms: self.stale_ms(index) },
             _ => return,
         };
         self.coming.push((self.now + WAY, index, answer));
@@ -177,12 +183,12 @@
             going.into_iter().for_each(|(_, index, message)| self.heard(index, message));
             let coming: Vec<_> = due(&mut self.coming);
             for (_, index, message) in coming {
-                let outs = self.node.hear(ms(now), candidate(index), address(index), message);
-                self.take(outs);
+                let outputs = self.node.on_message(ms(now), candidate(index), address(index), message);
+                self.take(outputs);
             }
             if self.node.next_due() <= ms(now) {
-                let outs = self.node.tick(ms(now));
-                self.take(outs);
+                let outputs = self.node.tick(ms(now));
+                self.take(outputs);
             }
         }
     }
@@ -268,17 +274,18 @@
     let mut play = Play::new(&[Fresh]);
     let probe = |play: &mut Play, name: &str, port: u16| {
         let at = SocketAddr::from(([10, 0, 2, 1], port));
-        let outs = play.node.hear(ms(play.now), identity(name), at, Message::Probe);
-        outs.into_iter()
-            .any(|out| matches!(out, Out::Send { to, message: Message::Fresh { .. } } if to == at))
+        let outputs = play.node.on_message(ms(play.now), identity(name), at, Message::Probe);
+        outputs
+            .into_iter()
+            .any(|out| matches!(out, Output::Send { to, message: Message::ProbeReply { .. } } if to == at))
     };
     assert!(!probe(&mut play, "asks", 1), "it knows of no control");
     play.run(2000);
     assert!(probe(&mut play, "asks", 1));
     for child in 0..MAX_CHILDREN as u16 {
         let at = SocketAddr::from(([10, 0, 2, 1], 100 + child));
-        let ack = Message::Ack { has: Vec::new(), reports: Vec::new() };
-        play.node.hear(ms(play.now), identity(&format!("child-{child}")), at, ack);
+        let ack = Message::Acknowledgement { received: Vec::new(), reports: Vec::new() };
+        play.node.on_message(ms(play.now), identity(&format!("child-{child}")), at, ack);
     }
     assert!(!probe(&mut play, "asks", 1), "it is full");
     assert!(probe(&mut play, "child-3", 103), "a child of its own has its place");
--- a/crates/rockflow-dissemination/tests/hostile.rs
+++ b/crates/rockflow-dissemination/tests/hostile.rs
@@ -1,10 +1,10 @@
 //! Whatever is heard: no panic, and no table above its cap.
 
-use rockflow_dissemination::children::{MAX_CHILDREN, MAX_CONTROL_CHILDREN};
-use rockflow_dissemination::settings::{MAX_CLOCK, MAX_HEARD, MAX_HOSTS, MAX_KEPT_APART};
-use rockflow_dissemination::stream::{MAX_PURGES, MAX_VERSIONS};
-use rockflow_dissemination::tickets::MAX_TICKETS;
+use rockflow_dissemination::MAX_PENDING_TOKENS;
 use rockflow_dissemination::*;
+use rockflow_dissemination::{MAX_CHILDREN, MAX_CONTROL_CHILDREN};
+use rockflow_dissemination::{MAX_CLOCK_UNIX_MS, MAX_HOSTS, MAX_QUARANTINED, MAX_TRUSTED_CLOCK_UNIX_MS};
+use rockflow_dissemination::{MAX_CONFIGURATION_LOG_ENTRIES, MAX_PURGE_LOG_ENTRIES};
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
@@ -28,8 +28,8 @@
         (0..count).map(|_| make(self)).collect()
     }
 
-    fn number(&mut self) -> Number {
-        Number(match self.below(12) {
+    fn number(&mut self) -> SequenceNumber {
+        SequenceNumber(match self.below(12) {
             0 => 0,
             1 => 1,
             2 => u64::MAX,
@@ -47,14 +47,14 @@
             2 => u64::MAX - 1,
             3 => self.0.rand_u64(),
             4 => LIFE + self.below(100),
-            5 => MAX_CLOCK - 1 + self.below(3),
+            5 => MAX_CLOCK_UNIX_MS - 1 + self.below(3),
             _ => LIFE + self.below(3),
         })
     }
 
     fn stream(&mut self) -> StreamId {
         let control = ControlId(if self.one_in(10) { self.below(256) as u8 } else { self.below(3) as u8 });
-        let kind = if self.one_in(3) { Kind::Configuration } else { Kind::Purges };
+        let kind = if self.one_in(3) { StreamKind::Configuration } else { StreamKind::Purges };
         StreamId { control, kind, incarnation: self.incarnation() }
     }
 
@@ -67,25 +67,26 @@
         }
     }
 
-    fn stamp(&mut self) -> Stamp {
+    fn timestamp(&mut self) -> HybridTimestamp {
         let at = match self.below(8) {
             0 => u64::MAX,
             1 => 0,
             2 => self.0.rand_u64(),
-            3 => [MAX_HEARD, MAX_CLOCK - 1][self.below(2) as usize] + self.below(3),
+            3 => [MAX_TRUSTED_CLOCK_UNIX_MS, MAX_CLOCK_UNIX_MS - 1][self.below(2) as usize] + self.below(3),
             _ => LIFE + self.below(10_000),
         };
-        Stamp { at, control: self.below(4) as u8 }
+        HybridTimestamp { unix_ms: at, control: self.below(4) as u8 }
     }
 
-    fn setting(&mut self) -> Setting {
+    fn setting(&mut self) -> HostSetting {
         let host = match self.below(20) {
             0 => String::new(),
             1 => "h".repeat(200),
             _ => format!("host-{}", self.below(self.1)),
         };
-        let wanted = [Wanted::Listed, Wanted::Draining, Wanted::Gone][self.below(3) as usize];
-        Setting { host, wanted, stamp: self.stamp(), seen: self.stamp() }
+        let desired =
+            [DesiredState::Listed, DesiredState::Draining, DesiredState::Gone][self.below(3) as usize];
+        HostSetting { host, desired, timestamp: self.timestamp(), replaced: self.timestamp() }
     }
 
     fn entry(&mut self) -> Entry {
@@ -97,15 +98,15 @@
         }
     }
 
-    fn entries(&mut self, stream: StreamId) -> Vec<Aged> {
+    fn entries(&mut self, stream: StreamId) -> Vec<AgedEntry> {
         let fits = !self.one_in(10);
-        self.some(MAX_ENTRIES as u64, |chance| {
+        self.some(MAX_BATCH_ENTRIES as u64, |chance| {
             let entry = match (fits, stream.kind) {
-                (true, Kind::Purges) => Entry::Purge(Purge::object(chance.below(1000))),
-                (true, Kind::Configuration) => Entry::Setting(chance.setting()),
+                (true, StreamKind::Purges) => Entry::Purge(Purge::object(chance.below(1000))),
+                (true, StreamKind::Configuration) => Entry::Setting(chance.setting()),
                 _ => chance.entry(),
             };
-            Aged { age_ms: chance.age(), entry }
+            AgedEntry { age_ms: chance.age(), entry }
         })
     }
 
@@ -121,85 +122,90 @@
         }
     }
 
-    fn report(&mut self) -> Report {
-        Report {
+    fn report(&mut self) -> SubtreeReport {
+        SubtreeReport {
             region: if self.one_in(4) { self.0.rand_u64() as u16 } else { self.below(2) as u16 },
-            near: self.0.rand_u64() as u32,
-            slots: Slots(self.some(200, |chance| chance.0.rand_u64() as u8)),
-            in_force: self.some(40, |chance| (chance.stream(), chance.number())),
-            behind: self.some(8, |chance| (chance.0.rand_u64() as u16, chance.stream(), chance.number())),
-            refused: self.some(8, |chance| (chance.stream(), chance.number(), Refusal::Full, u16::MAX)),
+            listing_hash: self.0.rand_u64() as u32,
+            slots: SlotSet(self.some(200, |chance| chance.0.rand_u64() as u8)),
+            applied: self.some(40, |chance| (chance.stream(), chance.number())),
+            lagging: self.some(8, |chance| (chance.0.rand_u64() as u16, chance.stream(), chance.number())),
+            rejected: self
+                .some(8, |chance| (chance.stream(), chance.number(), RejectionReason::Full, u16::MAX)),
         }
     }
 
     fn message(&mut self) -> Message {
         let stream = self.stream();
         match self.below(17) {
-            0 => Message::Join { directory: self.0.rand_u64() },
-            1 => Message::Near {
-                directory: self.below(9),
-                near: self.below(3) as u32,
+            0 => Message::Join { directory_version: self.0.rand_u64() },
+            1 => Message::Placement {
+                directory_version: self.below(9),
+                listing_hash: self.below(3) as u32,
                 region: self.below(3) as u16,
                 slot: if self.one_in(3) { self.0.rand_u64() as u16 } else { self.below(1100) as u16 },
                 slots: if self.one_in(3) { self.0.rand_u64() as u16 } else { 1024 },
                 parents: self.some(20, |chance| Peer { node: chance.node(), address: chance.address() }),
             },
-            2 => Message::Unknown { directory: self.below(9) },
-            3 => Message::Ack {
-                has: self.some(40, |chance| (chance.stream(), chance.number())),
+            2 => Message::NotListed { directory_version: self.below(9) },
+            3 => Message::Acknowledgement {
+                received: self.some(40, |chance| (chance.stream(), chance.number())),
                 reports: self.some(8, |chance| chance.report()),
             },
             4 => Message::Leave,
             5 => Message::Full,
-            6 => Message::Pulse {
-                stale_ms: self.age(),
-                directory: self.number().0,
-                near: self.below(3) as u32,
+            6 => Message::Heartbeat {
+                staleness_ms: self.age(),
+                directory_version: self.number().0,
+                listing_hash: self.below(3) as u32,
                 tips: self.some(40, |chance| {
                     let stream = chance.stream();
-                    Tip { stream, first: chance.number(), last: chance.number() }
+                    StreamTip { stream, first: chance.number(), last: chance.number() }
                 }),
-                settings: self.one_in(2).then_some(7),
+                settings_digest: self.one_in(2).then_some(7),
             },
             7..=10 => Message::Batch { stream, first: self.number(), entries: self.entries(stream) },
-            11 => Message::Ask { stream, ranges: self.some(20, |chance| (chance.number(), chance.number())) },
+            11 => Message::RepairRequest {
+                stream,
+                ranges: self.some(20, |chance| (chance.number(), chance.number())),
+            },
             12 => {
                 let floor_age_ms = self.one_in(2).then(|| self.age());
-                Message::Snapshot { stream, next: self.number(), floor_age_ms }
+                Message::Snapshot { stream, next: self.number(), min_accepted_age_ms: floor_age_ms }
             }
-            13 => Message::WantSettings { part: self.0.rand_u64() as u16 },
-            14 => Message::Settings {
+            13 => Message::SettingsRequest { part: self.0.rand_u64() as u16 },
+            14 => Message::SettingsPart {
                 digest: self.below(3) as u32,
                 part: if self.one_in(5) { u16::MAX } else { self.below(5) as u16 },
                 parts: if self.one_in(5) { u16::MAX } else { self.below(5) as u16 },
-                settings: self.some(40, |chance| Version {
+                settings: self.some(40, |chance| SettingVersion {
                     stream: chance.stream(),
                     number: chance.number(),
                     setting: chance.setting(),
                 }),
             },
-            15 => Message::Rows {
-                directory: self.below(3),
-                clock: self.stamp(),
-                rows: self.some(10, |chance| Row { report: chance.report(), age_ms: chance.age() }),
+            15 => Message::RegionReports {
+                directory_version: self.below(3),
+                clock: self.timestamp(),
+                reports: self
+                    .some(10, |chance| RegionReport { report: chance.report(), age_ms: chance.age() }),
             },
-            _ => Message::Outlived { control: stream.control, incarnation: stream.incarnation },
+            _ => Message::SupersededIncarnation { control: stream.control, incarnation: stream.incarnation },
         }
     }
 }
 
-fn told(control_id: Option<ControlId>) -> Told {
+fn config(control_id: Option<ControlId>) -> NodeConfig {
     let name = if control_id.is_some() { "control-1" } else { "m-1" };
     let address = |index: u8| SocketAddr::from(([10, 0, 0, index], 7000));
     let control = |index: u8| Peer { node: NodeId::of(&format!("control-{index}")), address: address(index) };
-    Told {
-        me: Identity { node: NodeId::of(name), incarnation: Incarnation(LIFE) },
+    NodeConfig {
+        identity: Identity { node: NodeId::of(name), incarnation: Incarnation(LIFE) },
         control_id,
         control: (0..3).map(control).collect(),
         seeds: Vec::new(),
         purge_window: Duration::from_millis(8700),
         bytes_per_second: 6000,
-        pulse: Duration::from_millis(500),
+        heartbeat_interval: Duration::from_millis(500),
     }
 }
 
@@ -210,19 +216,19 @@
 }
 
 fn within_caps(node: &Node, control: bool) {
-    let held = node.held();
+    let held = node.resource_usage();
     let children = if control { MAX_CONTROL_CHILDREN } else { MAX_CHILDREN };
     let caps = [
         ("streams", held.streams, MAX_STREAMS),
-        ("purges", held.purges, MAX_PURGES),
-        ("versions", held.versions, MAX_VERSIONS),
+        ("purges", held.purge_log_entries, MAX_PURGE_LOG_ENTRIES),
+        ("versions", held.configuration_log_entries, MAX_CONFIGURATION_LOG_ENTRIES),
         ("children", held.children, children),
         ("reports", held.reports, children * MAX_REPORTS),
-        ("rows", held.rows, 3 * 2),
+        ("rows", held.region_reports, 3 * 2),
         ("hosts", held.hosts, MAX_HOSTS),
-        ("kept apart", held.kept_apart, MAX_KEPT_APART),
-        ("purge tickets", held.purge_tickets, MAX_TICKETS),
-        ("setting tickets", held.setting_tickets, MAX_TICKETS),
+        ("kept apart", held.quarantined, MAX_QUARANTINED),
+        ("purge tickets", held.pending_purges, MAX_PENDING_TOKENS),
+        ("setting tickets", held.pending_settings, MAX_PENDING_TOKENS),
         ("candidates", held.candidates, MAX_PARENTS),
     ];
     for (what, is, most) in caps {
@@ -233,23 +239,23 @@
 /// Frames that a decoder would let through are within these.
 fn within_frames(message: &Message) {
     match message {
-        Message::Ack { has, reports } => {
+        Message::Acknowledgement { received: has, reports } => {
             assert!(has.len() <= MAX_STREAMS && reports.len() <= MAX_REPORTS);
             for report in reports {
-                assert!(report.slots.0.len() <= MAX_SLOTS / 8 && report.in_force.len() <= MAX_STREAMS);
-                assert!(report.behind.len() <= MAX_BEHIND && report.refused.len() <= MAX_REFUSED);
+                assert!(report.slots.0.len() <= MAX_SLOTS / 8 && report.applied.len() <= MAX_STREAMS);
+                assert!(report.lagging.len() <= MAX_LAGGING && report.rejected.len() <= MAX_REJECTED);
             }
         }
-        Message::Pulse { tips, .. } => assert!(tips.len() <= MAX_TIPS),
-        Message::Batch { entries, .. } => assert!((1..=MAX_ENTRIES).contains(&entries.len())),
-        Message::Ask { ranges, .. } => {
+        Message::Heartbeat { tips, .. } => assert!(tips.len() <= MAX_TIPS),
+        Message::Batch { entries, .. } => assert!((1..=MAX_BATCH_ENTRIES).contains(&entries.len())),
+        Message::RepairRequest { ranges, .. } => {
             assert!(ranges.len() <= MAX_RANGES && ranges.iter().all(|(from, to)| from <= to));
         }
-        Message::Settings { settings, part, parts, .. } => {
-            assert!(settings.len() <= MAX_SETTINGS && part < parts);
+        Message::SettingsPart { settings, part, parts, .. } => {
+            assert!(settings.len() <= MAX_SETTINGS_PER_PART && part < parts);
         }
-        Message::Rows { rows, .. } => assert!(rows.len() <= MAX_ROWS),
-        Message::Near { parents, .. } => assert!(parents.len() <= MAX_PARENTS),
+        Message::RegionReports { reports: rows, .. } => assert!(rows.len() <= MAX_REGION_REPORTS),
+        Message::Placement { parents, .. } => assert!(parents.len() <= MAX_PARENTS),
         _ => {}
     }
 }
@@ -269,21 +275,27 @@
     assert!(held.hosts > MAX_HOSTS / 2, "{held:?}");
 }
 
-fn hears(control_id: Option<ControlId>, seed: u64, confirms: bool, frames: usize, hosts: u64) -> HeldNow {
+fn hears(
+    control_id: Option<ControlId>,
+    seed: u64,
+    confirms: bool,
+    frames: usize,
+    hosts: u64,
+) -> ResourceUsage {
     let mut chance = Chance(oorandom::Rand64::new(u128::from(seed)), hosts);
     let mut now = Duration::from_secs(1);
-    let mut node = Node::new(told(control_id), control_id.map(|_| directory()), seed, now);
-    let mut outs = node.start(now);
+    let mut node = Node::new(config(control_id), control_id.map(|_| directory()), seed, now);
+    let mut outputs = node.start(now);
     for frame in 0..frames {
-        for out in std::mem::take(&mut outs) {
+        for out in std::mem::take(&mut outputs) {
             match out {
-                Out::Send { message, .. } => within_frames(&message),
-                Out::Purge { ticket, .. } if confirms => drop(node.in_effect(now, ticket)),
-                Out::Configure { changed, ticket, .. } if confirms => {
+                Output::Send { message, .. } => within_frames(&message),
+                Output::Purge { token, .. } if confirms => drop(node.confirm_applied(now, token)),
+                Output::Configure { changed, token, .. } if confirms => {
                     if let Some((id, _)) = changed.first().filter(|_| frame % 3 == 0) {
-                        node.refuse(now, *id, Refusal::LastOne);
+                        node.reject(now, *id, RejectionReason::LastOne);
                     }
-                    node.in_effect(now, ticket);
+                    node.confirm_applied(now, token);
                 }
                 _ => {}
             }
@@ -293,27 +305,30 @@
             now += Duration::from_secs(chance.below(120));
         }
         if now >= node.next_due() {
-            outs.extend(node.tick(now));
+            outputs.extend(node.tick(now));
         }
         let from = Identity { node: chance.node(), incarnation: chance.incarnation() };
         let (at, message) = (chance.address(), chance.message());
-        outs.extend(node.hear(now, from, at, message));
+        outputs.extend(node.on_message(now, from, at, message));
         if chance.one_in(500) {
             let publications = chance.some(3, |chance| match chance.below(2) {
                 0 => {
                     Publication::Purge { purge: Purge::Group(1), age: Duration::from_secs(chance.below(99)) }
                 }
-                _ => Publication::Setting { host: chance.setting().host, wanted: Wanted::Gone },
+                _ => Publication::Setting { host: chance.setting().host, desired: DesiredState::Gone },
             });
-            outs.extend(node.publish(now, publications).1);
+            outputs.extend(node.publish(now, publications).1);
         }
         if frame % 1000 == 0 {
             within_caps(&node, control_id.is_some());
-            node.survey(now);
+            node.status(now);
         }
     }
     within_caps(&node, control_id.is_some());
-    let counts = node.counts();
-    assert!(counts.taken > 0 && counts.not_taken > 0 && counts.stood_still > 0, "{counts:?}");
-    node.held()
+    let counters = node.counters();
+    assert!(
+        counters.accepted > 0 && counters.entries_rejected > 0 && counters.process_pauses > 0,
+        "{counters:?}"
+    );
+    node.resource_usage()
 }
--- a/crates/rockflow-dissemination/tests/listings.rs
+++ b/crates/rockflow-dissemination/tests/listings.rs
@@ -6,7 +6,7 @@
 use world::*;
 
 fn joins(world: &World) -> u64 {
-    world.members().map(|index| world.counts(index).frames_out.join).sum()
+    world.members().map(|index| world.counters(index).messages_out.join).sum()
 }
 
 /// All control nodes begin anew, with a directory of an earlier version.
@@ -18,8 +18,8 @@
     world.directory = Directory::parse(&later).expect("a directory");
     for control in 0..3 {
         let (now, directory) = (world.now, world.directory.clone());
-        let outs = world.nodes[control].node.set_directory(now, directory);
-        world.take(control, outs);
+        let outputs = world.nodes[control].node.set_directory(now, directory);
+        world.take(control, outputs);
     }
     world.run(s(20));
     world.directory = Directory::parse(&csv(3, 3, regions)).expect("a directory");
@@ -29,7 +29,7 @@
     // Places by the earlier one are taken when they are asked for anew, whatever is heard.
     world.run(s(1800));
     for index in world.members() {
-        assert_eq!(world.survey(index).directory, 3, "{}", world.nodes[index].name);
+        assert_eq!(world.status(index).directory, 3, "{}", world.nodes[index].name);
     }
     let before = joins(&world);
     world.run(s(60));
@@ -43,12 +43,17 @@
     let mut world = World::new(3, &[&[9, 5], &[6]], 91);
     world.run(s(6));
     for index in world.members() {
-        let parent = world.survey(index).parent.expect("a parent");
+        let parent = world.status(index).parent.expect("a parent");
         let (now, me) = (world.now, Identity { node: parent.node, incarnation: Incarnation(LIFE) });
-        let pulse =
-            Message::Pulse { stale_ms: 0, directory: u64::MAX, near: 1, tips: Vec::new(), settings: None };
-        let outs = world.nodes[index].node.hear(now, me, parent.address, pulse);
-        world.take(index, outs);
+        let pulse = Message::Heartbeat {
+            staleness_ms: 0,
+            directory_version: u64::MAX,
+            listing_hash: 1,
+            tips: Vec::new(),
+            settings_digest: None,
+        };
+        let outputs = world.nodes[index].node.on_message(now, me, parent.address, pulse);
+        world.take(index, outputs);
     }
     world.run(s(10));
     let before = joins(&world);
--- a/crates/rockflow-dissemination/tests/node.rs
+++ b/crates/rockflow-dissemination/tests/node.rs
@@ -10,15 +10,15 @@
 fn all_join_and_follow() {
     let world = settled(1);
     for index in world.members() {
-        let survey = world.survey(index);
-        assert!(survey.place.is_some(), "{} has no place", world.nodes[index].name);
-        assert!(survey.first_parent);
-        assert!(survey.stale.expect("heard") < ms(700), "{:?}", survey.stale);
+        let status = world.status(index);
+        assert!(status.place.is_some(), "{} has no place", world.nodes[index].name);
+        assert!(status.first_parent);
+        assert!(status.staleness.expect("heard") < ms(700), "{:?}", status.staleness);
     }
     for control in 0..3 {
-        let survey = world.control(control);
-        assert_eq!((survey.told, survey.present), (12, 12), "{survey:?}");
-        assert!(survey.missing.is_empty());
+        let status = world.control(control);
+        assert_eq!((status.expected_members, status.present), (12, 12), "{status:?}");
+        assert!(status.missing.is_empty());
     }
 }
 
@@ -34,9 +34,9 @@
     for control in 0..3 {
         assert!(world.everywhere(control, id), "{control}");
     }
-    let told = &world.nodes[0].done.everywhere;
-    assert_eq!(told.len(), 1);
-    assert!(told[0].2 < s(3), "{:?}", told[0].2);
+    let replicated = &world.nodes[0].done.replicated;
+    assert_eq!(replicated.len(), 1);
+    assert!(replicated[0].2 < s(3), "{:?}", replicated[0].2);
     assert!(world.largest <= 1400, "{}", world.largest);
 }
 
@@ -70,9 +70,11 @@
 fn a_killed_head_is_passed_by_and_left_out() {
     let mut world = settled(21);
     let parents: Vec<_> =
-        world.members().map(|index| world.survey(index).parent.expect("one").node).collect();
-    let head =
-        world.members().find(|index| parents.contains(&world.nodes[*index].told.me.node)).expect("a parent");
+        world.members().map(|index| world.status(index).parent.expect("one").node).collect();
+    let head = world
+        .members()
+        .find(|index| parents.contains(&world.nodes[*index].config.identity.node))
+        .expect("a parent");
     world.kill(head);
     let id = world.purge(1, 5);
     world.run(s(8));
@@ -88,7 +90,7 @@
     world.run(s(25));
     assert!(world.everywhere(1, id));
     for index in world.members() {
-        assert!(world.survey(index).first_parent, "{} is on a backup", world.nodes[index].name);
+        assert!(world.status(index).first_parent, "{} is on a backup", world.nodes[index].name);
     }
     assert_eq!(world.control(1).present, 12);
 }
@@ -120,16 +122,16 @@
     }));
     world.purge(0, 1);
     world.run(ms(520));
-    world.eats = Some(Box::new(|_, _, message| matches!(message, Message::Ask { .. })));
+    world.eats = Some(Box::new(|_, _, message| matches!(message, Message::RepairRequest { .. })));
     world.purge(0, 2);
     world.run(ms(1000));
     let member = world.members().next().expect("one");
     assert_eq!((world.times(member, 1), world.times(member, 2)), (0, 1));
-    assert_eq!(world.survey(member).streams[0].in_force, Number(0));
+    assert_eq!(world.status(member).streams[0].applied, SequenceNumber(0));
     world.eats = None;
     world.run(s(3));
     assert_eq!((world.times(member, 1), world.times(member, 2)), (1, 1));
-    assert_eq!(world.survey(member).streams[0].in_force, Number(2));
+    assert_eq!(world.status(member).streams[0].applied, SequenceNumber(2));
 }
 
 #[test]
@@ -165,7 +167,7 @@
     let purges = done.purges.len();
     assert!((5..=14).contains(&purges), "{purges}");
     assert_eq!(done.floors, 0, "what is before the log binds nobody");
-    assert_eq!(world.survey(member).streams[0].in_force, Number(40));
+    assert_eq!(world.status(member).streams[0].applied, SequenceNumber(40));
 }
 
 #[test]
@@ -201,7 +203,7 @@
     world.purge(0, 2);
     world.run(s(10));
     assert!(!world.nodes[0].done.outlived.is_empty());
-    let life = world.nodes[0].told.me.incarnation;
+    let life = world.nodes[0].config.identity.incarnation;
     assert!(life > Incarnation(LIFE));
     let id = world.purge(0, 3);
     assert_eq!(id.0.incarnation, life);
@@ -219,21 +221,21 @@
 fn of_settings_that_did_not_know_of_each_other_the_more_careful_holds() {
     let mut world = settled(28);
     // All before the next pulse, by which the control nodes hear of it.
-    world.want(0, "a", Wanted::Gone);
-    world.want(1, "a", Wanted::Draining);
-    world.want(1, "b", Wanted::Draining);
+    world.want(0, "a", DesiredState::Gone);
+    world.want(1, "a", DesiredState::Draining);
+    world.want(1, "b", DesiredState::Draining);
     world.run(s(8));
     for index in 0..world.nodes.len() {
-        let wanted = world.survey(index).wanted;
-        assert_eq!(wanted.get("a"), Some(&Wanted::Gone), "{}", world.nodes[index].name);
-        assert_eq!(wanted.get("b"), Some(&Wanted::Draining));
-        assert_eq!(world.survey(index).rivals.len(), 2, "both are shown");
+        let desired = world.status(index).desired;
+        assert_eq!(desired.get("a"), Some(&DesiredState::Gone), "{}", world.nodes[index].name);
+        assert_eq!(desired.get("b"), Some(&DesiredState::Draining));
+        assert_eq!(world.status(index).concurrent_settings.len(), 2, "both are shown");
     }
-    let id = world.want(2, "a", Wanted::Listed);
+    let id = world.want(2, "a", DesiredState::Listed);
     world.run(s(5));
     for index in world.members() {
         assert_eq!(world.nodes[index].done.settings.get("a"), None);
-        assert!(world.survey(index).rivals.is_empty());
+        assert!(world.status(index).concurrent_settings.is_empty());
     }
     assert!(world.everywhere(2, id));
 }
@@ -243,21 +245,21 @@
     let mut world = settled(29);
     let member = world.index("m-1-0-0");
     world.nodes[member].done.refuse.insert("a".to_owned());
-    let id = world.want(0, "a", Wanted::Gone);
+    let id = world.want(0, "a", DesiredState::Gone);
     world.run(s(5));
     assert!(world.everywhere(0, id));
-    assert_eq!(world.survey(member).refused, [(id.0, id.1, Refusal::LastOne)]);
+    assert_eq!(world.status(member).rejected, [(id.0, id.1, RejectionReason::LastOne)]);
     for control in 0..3 {
-        let refused = world.control(control).refused;
-        assert_eq!(refused, [(id.0, id.1, Refusal::LastOne, 1)], "{control}");
+        let refused = world.control(control).rejected;
+        assert_eq!(refused, [(id.0, id.1, RejectionReason::LastOne, 1)], "{control}");
     }
     let other = world.index("m-1-0-1");
-    assert_eq!(world.nodes[other].done.settings.get("a"), Some(&Wanted::Gone));
+    assert_eq!(world.nodes[other].done.settings.get("a"), Some(&DesiredState::Gone));
 
     world.nodes[member].done.refuse.clear();
-    world.want(0, "b", Wanted::Draining);
+    world.want(0, "b", DesiredState::Draining);
     world.run(s(5));
-    assert!(world.survey(member).refused.is_empty());
-    assert_eq!(world.nodes[member].done.settings.get("a"), Some(&Wanted::Gone));
-    assert!(world.control(0).refused.is_empty());
+    assert!(world.status(member).rejected.is_empty());
+    assert_eq!(world.nodes[member].done.settings.get("a"), Some(&DesiredState::Gone));
+    assert!(world.control(0).rejected.is_empty());
 }
--- a/crates/rockflow-dissemination/tests/publisher.rs
+++ b/crates/rockflow-dissemination/tests/publisher.rs
@@ -1,7 +1,7 @@
 //! Which of the board's purges a control node publishes.
 
-use rockflow_dissemination::publisher::{MAX_SEEN, MAX_WAITING, MAX_WORDS};
 use rockflow_dissemination::{Publication, Publisher, Purge};
+use rockflow_dissemination::{MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -22,13 +22,13 @@
 #[test]
 fn the_publishing_one_says_it_at_once_and_once() {
     let mut publisher = Publisher::new(WINDOW);
-    publisher.heard(ms(10_000), one(), ms(30));
+    publisher.on_purge_notice(ms(10_000), one(), ms(30));
     assert_eq!(publisher.tick(ms(10_010), true), [purge(1, 40)]);
     assert_eq!(publisher.tick(ms(10_500), true), []);
     // The same word again, as a board that was called anew tells it.
-    publisher.heard(ms(11_000), one(), ms(1030));
+    publisher.on_purge_notice(ms(11_000), one(), ms(1030));
     assert_eq!(publisher.tick(ms(11_000), true), []);
-    publisher.heard(ms(11_001), one(), ms(5));
+    publisher.on_purge_notice(ms(11_001), one(), ms(5));
     assert_eq!(publisher.tick(ms(11_001), true), [purge(1, 5)]);
 }
 
@@ -40,11 +40,11 @@
     for seen_first in [true, false] {
         let mut publisher = Publisher::new(WINDOW);
         if seen_first {
-            publisher.seen(ms(20_000), one(), ms(2000));
-            publisher.heard(ms(20_010), one(), age(2010));
+            publisher.on_published(ms(20_000), one(), ms(2000));
+            publisher.on_purge_notice(ms(20_010), one(), age(2010));
         } else {
-            publisher.heard(ms(20_000), one(), age(2000));
-            publisher.seen(ms(20_010), one(), ms(2000));
+            publisher.on_purge_notice(ms(20_000), one(), age(2000));
+            publisher.on_published(ms(20_010), one(), ms(2000));
         }
         for at in 0..10 {
             assert_eq!(publisher.tick(ms(20_000 + at * 1000), false), []);
@@ -56,11 +56,11 @@
 #[test]
 fn who_is_to_publish_goes_by_no_guess() {
     let mut publisher = Publisher::new(WINDOW);
-    publisher.heard(ms(20_000), one(), ms(0));
+    publisher.on_purge_notice(ms(20_000), one(), ms(0));
     assert_eq!(publisher.tick(ms(20_000), true), [purge(1, 0)]);
     // Another that thinks so too has said the same; the board's next word is another purge all the same.
-    publisher.seen(ms(20_100), one(), ms(100));
-    publisher.heard(ms(20_500), one(), ms(0));
+    publisher.on_published(ms(20_100), one(), ms(100));
+    publisher.on_purge_notice(ms(20_500), one(), ms(0));
     assert_eq!(publisher.tick(ms(20_500), true), [purge(1, 0)]);
 }
 
@@ -69,12 +69,12 @@
     for seen_first in [true, false] {
         let mut publisher = Publisher::new(WINDOW);
         if seen_first {
-            publisher.seen(ms(20_000), one(), ms(0));
+            publisher.on_published(ms(20_000), one(), ms(0));
         }
-        publisher.heard(ms(20_010), one(), ms(5));
-        publisher.heard(ms(20_300), one(), ms(0));
+        publisher.on_purge_notice(ms(20_010), one(), ms(5));
+        publisher.on_purge_notice(ms(20_300), one(), ms(0));
         if !seen_first {
-            publisher.seen(ms(20_310), one(), ms(300));
+            publisher.on_published(ms(20_310), one(), ms(300));
         }
         assert_eq!(publisher.tick(ms(24_400), false), [purge(1, 4100)], "seen first: {seen_first}");
     }
@@ -83,7 +83,7 @@
 #[test]
 fn what_nobody_has_published_in_half_the_window_is_said_by_any() {
     let mut publisher = Publisher::new(WINDOW);
-    publisher.heard(ms(20_000), one(), ms(0));
+    publisher.on_purge_notice(ms(20_000), one(), ms(0));
     assert_eq!(publisher.tick(ms(23_900), false), []);
     assert_eq!(publisher.tick(ms(24_000), false), [purge(1, 4000)]);
     assert_eq!(publisher.tick(ms(24_500), false), []);
@@ -92,9 +92,9 @@
 #[test]
 fn who_takes_over_says_what_is_left() {
     let mut publisher = Publisher::new(WINDOW);
-    publisher.heard(ms(20_000), one(), ms(0));
-    publisher.heard(ms(20_000), Purge::object(2), ms(0));
-    publisher.seen(ms(20_500), one(), ms(490));
+    publisher.on_purge_notice(ms(20_000), one(), ms(0));
+    publisher.on_purge_notice(ms(20_000), Purge::object(2), ms(0));
+    publisher.on_published(ms(20_500), one(), ms(490));
     assert_eq!(publisher.tick(ms(21_000), false), []);
     assert_eq!(publisher.tick(ms(22_000), true), [purge(2, 2000)]);
 }
@@ -102,22 +102,22 @@
 #[test]
 fn a_purge_of_everything_stands_for_all_before_it() {
     let mut publisher = Publisher::new(WINDOW);
-    publisher.heard(ms(20_000), one(), ms(0));
-    publisher.heard(ms(20_900), Purge::object(2), ms(0));
-    publisher.seen(ms(21_000), Purge::Everything, ms(500));
-    publisher.heard(ms(21_000), Purge::object(3), ms(700));
+    publisher.on_purge_notice(ms(20_000), one(), ms(0));
+    publisher.on_purge_notice(ms(20_900), Purge::object(2), ms(0));
+    publisher.on_published(ms(21_000), Purge::Everything, ms(500));
+    publisher.on_purge_notice(ms(21_000), Purge::object(3), ms(700));
     assert_eq!(publisher.tick(ms(21_000), true), [purge(2, 100)]);
 }
 
 #[test]
 fn when_full_a_purge_of_everything_stands_for_what_waits() {
     let mut publisher = Publisher::new(WINDOW);
-    for object in 0..=MAX_WAITING as u64 {
-        publisher.heard(ms(20_000), Purge::object(object), ms(10));
-        publisher.heard(ms(20_000), Purge::object(1), ms(10));
-        publisher.seen(ms(20_000), Purge::Group(object), ms(10));
+    for object in 0..=MAX_PENDING_PURGES as u64 {
+        publisher.on_purge_notice(ms(20_000), Purge::object(object), ms(10));
+        publisher.on_purge_notice(ms(20_000), Purge::object(1), ms(10));
+        publisher.on_published(ms(20_000), Purge::Group(object), ms(10));
     }
-    assert!(publisher.held() <= MAX_WAITING + MAX_WORDS + MAX_SEEN);
+    assert!(publisher.entry_count() <= MAX_PENDING_PURGES + MAX_NOTICES_PER_PURGE + MAX_PUBLISHED_PURGES);
     let said = publisher.tick(ms(20_000), true);
     assert!(said.contains(&Publication::Purge { purge: Purge::Everything, age: ms(0) }), "{}", said.len());
     assert!(said.len() <= 2);
@@ -145,7 +145,7 @@
     let mut publisher = begun();
     let published = |publisher: &mut Publisher| {
         for object in 0..9 {
-            publisher.seen(ms(20_000 + streams), Purge::object(object), ms(object * 900 + streams));
+            publisher.on_published(ms(20_000 + streams), Purge::object(object), ms(object * 900 + streams));
         }
     };
     if streams == 0 {
@@ -153,7 +153,7 @@
     }
     for object in 0..9_u64 {
         let age = (object * 900).saturating_add_signed(-younger).min(8000);
-        publisher.heard_backlog(ms(20_000), Purge::object(object), ms(age));
+        publisher.on_backlog_notice(ms(20_000), Purge::object(object), ms(age));
     }
     for now in (20_000..20_000 + streams).step_by(100) {
         assert_eq!(publisher.tick(ms(now), publishing), []);
@@ -168,8 +168,8 @@
 fn a_backlog_that_nobody_published_is_published() {
     for (publishing, wait) in [(true, 2000), (false, 4000)] {
         let mut publisher = begun();
-        publisher.heard_backlog(ms(20_000), one(), ms(7900));
-        publisher.heard_backlog(ms(20_000), Purge::object(2), ms(0));
+        publisher.on_backlog_notice(ms(20_000), one(), ms(7900));
+        publisher.on_backlog_notice(ms(20_000), Purge::object(2), ms(0));
         assert_eq!(publisher.tick(ms(19_900 + wait), publishing), []);
         let said = publisher.tick(ms(20_000 + wait), publishing);
         assert_eq!(said, [purge(1, 7900 + wait), purge(2, wait)]);
@@ -186,12 +186,12 @@
     for seen_first in [true, false] {
         let mut publisher = begun();
         if seen_first {
-            publisher.seen(ms(20_000), one(), ms(published));
+            publisher.on_published(ms(20_000), one(), ms(published));
         }
-        publisher.heard_backlog(ms(20_000), one(), ms(first));
-        publisher.heard_backlog(ms(20_000), one(), ms(second));
+        publisher.on_backlog_notice(ms(20_000), one(), ms(first));
+        publisher.on_backlog_notice(ms(20_000), one(), ms(second));
         if !seen_first {
-            publisher.seen(ms(20_000), one(), ms(published));
+            publisher.on_published(ms(20_000), one(), ms(published));
         }
         let said = said_from(&mut publisher, 20_000, true);
         assert_eq!(said, [purge(1, second + 2000)], "seen first: {seen_first}");
@@ -203,12 +203,12 @@
     for seen_first in [true, false] {
         let mut publisher = begun();
         if seen_first {
-            publisher.seen(ms(20_000), Purge::Everything, ms(500));
+            publisher.on_published(ms(20_000), Purge::Everything, ms(500));
         }
-        publisher.heard_backlog(ms(20_000), one(), ms(7600));
-        publisher.heard_backlog(ms(20_000), Purge::object(2), ms(7000));
+        publisher.on_backlog_notice(ms(20_000), one(), ms(7600));
+        publisher.on_backlog_notice(ms(20_000), Purge::object(2), ms(7000));
         if !seen_first {
-            publisher.seen(ms(20_000), Purge::Everything, ms(500));
+            publisher.on_published(ms(20_000), Purge::Everything, ms(500));
         }
         assert_eq!(said_from(&mut publisher, 20_000, true), [purge(2, 9000)], "seen first: {seen_first}");
     }
@@ -217,8 +217,8 @@
 #[test]
 fn what_is_said_after_the_backlog_is_published_at_once() {
     let mut publisher = begun();
-    publisher.heard_backlog(ms(20_000), one(), ms(100));
-    publisher.heard(ms(20_500), Purge::object(2), ms(0));
+    publisher.on_backlog_notice(ms(20_000), one(), ms(100));
+    publisher.on_purge_notice(ms(20_500), Purge::object(2), ms(0));
     assert_eq!(publisher.tick(ms(20_500), true), [purge(2, 0)]);
 }
 
@@ -226,8 +226,8 @@
 #[test]
 fn the_half_window_counts_from_when_it_was_heard() {
     let mut publisher = Publisher::new(WINDOW);
-    publisher.heard(ms(20_000), one(), ms(4500));
+    publisher.on_purge_notice(ms(20_000), one(), ms(4500));
     assert_eq!(publisher.tick(ms(20_100), false), []);
-    publisher.seen(ms(20_500), one(), ms(5000));
+    publisher.on_published(ms(20_500), one(), ms(5000));
     assert_eq!(said_from(&mut publisher, 20_500, false), []);
 }
--- a/crates/rockflow-dissemination/tests/publishing.rs
+++ b/crates/rockflow-dissemination/tests/publishing.rs
@@ -25,49 +25,49 @@
     waited: BTreeMap<EntryId, Duration>,
     bytes: u64,
     /// The last number of its purges that its pulses told of.
-    told: Number,
+    advertised: SequenceNumber,
 }
 
 impl Alone {
     fn new() -> Alone {
         let peer = |index| Peer { node: NodeId::of(&control_name(index)), address: address(index) };
-        let told = Told {
-            me: Identity { node: peer(0).node, incarnation: Incarnation(LIFE) },
+        let config = NodeConfig {
+            identity: Identity { node: peer(0).node, incarnation: Incarnation(LIFE) },
             control_id: Some(ControlId(0)),
             control: (0..2).map(peer).collect(),
             seeds: Vec::new(),
             purge_window: WINDOW,
             bytes_per_second: BYTES_PER_SECOND as u32,
-            pulse: PULSE,
+            heartbeat_interval: PULSE,
         };
-        let mut node = Node::new(told, None, 1, s(0));
+        let mut node = Node::new(config, None, 1, s(0));
         node.start(s(0));
         let (published, waited) = (BTreeMap::new(), BTreeMap::new());
-        Alone { now: s(0), node, names: 0, published, waited, bytes: 0, told: Number(0) }
+        Alone { now: s(0), node, names: 0, published, waited, bytes: 0, advertised: SequenceNumber(0) }
     }
 
     fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.node.next_due() <= until {
             self.now = self.now.max(self.node.next_due());
-            let outs = self.node.tick(self.now);
-            self.leave(outs);
+            let outputs = self.node.tick(self.now);
+            self.leave(outputs);
         }
         self.now = until;
     }
 
-    fn leave(&mut self, outs: Vec<Out>) {
-        for out in outs {
-            let Out::Send { message, .. } = out else { continue };
-            if let Message::Pulse { tips, .. } = &message {
-                let purges = tips.iter().filter(|tip| tip.stream.kind == Kind::Purges);
-                self.told = purges.map(|tip| tip.last).fold(self.told, Number::max);
+    fn leave(&mut self, outputs: Vec<Output>) {
+        for out in outputs {
+            let Output::Send { message, .. } = out else { continue };
+            if let Message::Heartbeat { tips, .. } = &message {
+                let purges = tips.iter().filter(|tip| tip.stream.kind == StreamKind::Purges);
+                self.advertised = purges.map(|tip| tip.last).fold(self.advertised, SequenceNumber::max);
             }
             let bytes = postcard::to_stdvec(&message).expect("encodes").len() as u64;
             let Message::Batch { stream, first, entries } = message else { continue };
             self.bytes += bytes;
             for number in first.0..first.0 + entries.len() as u64 {
-                let id = (stream, Number(number));
+                let id = (stream, SequenceNumber(number));
                 let waited = self.now - self.published[&id];
                 assert!(self.waited.insert(id, waited).is_none(), "{id:?} left twice");
             }
@@ -75,8 +75,8 @@
     }
 
     fn publish(&mut self, what: Vec<Publication>) -> Vec<EntryId> {
-        let (ids, outs) = self.node.publish(self.now, what);
-        self.leave(outs);
+        let (ids, outputs) = self.node.publish(self.now, what);
+        self.leave(outputs);
         self.published.extend(ids.iter().map(|id| (*id, self.now)));
         ids
     }
@@ -92,7 +92,7 @@
         let first = self.names;
         self.names += count;
         let setting =
-            |host| Publication::Setting { host: format!("cache-{host:05}"), wanted: Wanted::Draining };
+            |host| Publication::Setting { host: format!("cache-{host:05}"), desired: DesiredState::Draining };
         self.publish((first..self.names).map(setting).collect())
     }
 
@@ -155,7 +155,7 @@
         assert!(alone.bytes <= most, "{} bytes of {most} after {span} pulses", alone.bytes);
     }
     let left = |kind| alone.waited.keys().filter(|(stream, _)| stream.kind == kind).count();
-    let all = (left(Kind::Purges), left(Kind::Configuration));
+    let all = (left(StreamKind::Purges), left(StreamKind::Configuration));
     assert!(all.0 > 3000 && all.1 > 500, "{all:?}");
 }
 
@@ -164,12 +164,17 @@
 fn what_stands_for_many_was_not_told_of_before() {
     let mut alone = Alone::new();
     alone.run(s(60));
-    alone.purges(MAX_UNSENT);
+    alone.purges(MAX_UNSENT_PUBLICATIONS);
     let mut folded = 0;
     for _ in 0..40 {
         let ids = alone.purges(400);
         folded += ids.iter().filter(|id| id.1 == ids[399].1).count();
-        assert!(ids.iter().all(|id| id.1 > alone.told), "told up to {:?}, {:?}", alone.told, ids[399]);
+        assert!(
+            ids.iter().all(|id| id.1 > alone.advertised),
+            "told up to {:?}, {:?}",
+            alone.advertised,
+            ids[399]
+        );
         alone.run(PULSE / 2);
     }
     assert!(folded > 4000, "{folded}");
@@ -194,11 +199,11 @@
     }
     for host in ["a", "b", "c"] {
         world.run(s(1));
-        world.want(0, host, Wanted::Draining);
+        world.want(0, host, DesiredState::Draining);
         world.run(CHANGE);
         for index in world.members() {
-            let wanted = world.nodes[index].done.settings.get(host);
-            assert_eq!(wanted, Some(&Wanted::Draining), "{host} at {}", world.nodes[index].name);
+            let desired = world.nodes[index].done.settings.get(host);
+            assert_eq!(desired, Some(&DesiredState::Draining), "{host} at {}", world.nodes[index].name);
         }
     }
 }
--- a/crates/rockflow-dissemination/tests/tables.rs
+++ b/crates/rockflow-dissemination/tests/tables.rs
@@ -2,8 +2,8 @@
 
 mod world;
 
-use rockflow_dissemination::settings::{WantedHosts, MAX_PARTS_AT_ONCE};
 use rockflow_dissemination::*;
+use rockflow_dissemination::{SettingsTable, MAX_PARTS_AT_ONCE};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,13 +17,14 @@
 }
 
 fn configuration() -> StreamId {
-    StreamId { control: ControlId(0), kind: Kind::Configuration, incarnation: Incarnation(LIFE) }
+    StreamId { control: ControlId(0), kind: StreamKind::Configuration, incarnation: Incarnation(LIFE) }
 }
 
-fn version(host: &str, number: u64, wanted: Wanted) -> Version {
-    let stamp = Stamp { at: LIFE + number, control: 0 };
-    let setting = Setting { host: host.to_owned(), wanted, stamp, seen: Stamp::default() };
-    Version { stream: configuration(), number: Number(number), setting }
+fn version(host: &str, number: u64, desired: DesiredState) -> SettingVersion {
+    let timestamp = HybridTimestamp { unix_ms: LIFE + number, control: 0 };
+    let setting =
+        HostSetting { host: host.to_owned(), desired, timestamp, replaced: HybridTimestamp::default() };
+    SettingVersion { stream: configuration(), number: SequenceNumber(number), setting }
 }
 
 fn at(index: u8) -> SocketAddr {
@@ -36,26 +37,27 @@
 
 /// A member placed below a parent.
 fn placed() -> Node {
-    let told = Told {
-        me: identity("me"),
+    let config = NodeConfig {
+        identity: identity("me"),
         control_id: None,
         control: vec![Peer { node: NodeId::of(&control_name(0)), address: at(0) }],
         seeds: Vec::new(),
         purge_window: WINDOW,
         bytes_per_second: 6000,
-        pulse: PULSE,
+        heartbeat_interval: PULSE,
     };
-    let mut node = Node::new(told, None, 1, Duration::ZERO);
+    let mut node = Node::new(config, None, 1, Duration::ZERO);
     node.start(Duration::ZERO);
     let parents = vec![Peer { node: NodeId::of("parent"), address: at(1) }];
-    let near = Message::Near { directory: 1, near: 7, region: 0, slot: 1, slots: 2, parents };
-    node.hear(ms(10), identity(&control_name(0)), at(0), near);
+    let listing_hash =
+        Message::Placement { directory_version: 1, listing_hash: 7, region: 0, slot: 1, slots: 2, parents };
+    node.on_message(ms(10), identity(&control_name(0)), at(0), listing_hash);
     node
 }
 
-fn to_parent(outs: &[Out]) -> Vec<Message> {
-    let sent = outs.iter().filter_map(|out| match out {
-        Out::Send { to, message } if *to == at(1) => Some(message.clone()),
+fn to_parent(outputs: &[Output]) -> Vec<Message> {
+    let sent = outputs.iter().filter_map(|out| match out {
+        Output::Send { to, message } if *to == at(1) => Some(message.clone()),
         _ => None,
     });
     sent.collect()
@@ -66,54 +68,60 @@
     let mut world = World::new(3, &[&[5, 3], &[4]], 80);
     world.run(s(6));
     for index in 0..HOSTS {
-        world.want(index % 3, &host(index), Wanted::Draining);
+        world.want(index % 3, &host(index), DesiredState::Draining);
     }
     world.run(s(60));
-    assert_eq!(world.survey(world.controls).wanted.len(), HOSTS);
+    assert_eq!(world.status(world.controls).desired.len(), HOSTS);
     for control in 0..3 {
         world.restart(control, LIFE + 100_000);
     }
     world.run(s(60));
     for control in 0..3 {
-        assert_eq!(world.survey(control).wanted.len(), HOSTS, "control {control}");
+        assert_eq!(world.status(control).desired.len(), HOSTS, "control {control}");
     }
 }
 
 /// What goes up, part by part, in so long to a parent whose digest stays another.
 fn given_in_vain(span: Duration) -> Vec<(Duration, u16, u16)> {
     let mut node = placed();
-    let mut table = WantedHosts::default();
+    let mut table = SettingsTable::default();
     for index in 0..HOSTS {
-        table.take(version(&host(index), index as u64 + 1, Wanted::Draining));
+        table.insert(version(&host(index), index as u64 + 1, DesiredState::Draining));
     }
     let mut now = ms(20);
     let mut part = 0;
     loop {
         let frames = table.messages(part);
-        let Some(Message::Settings { .. }) = frames.last() else { break };
+        let Some(Message::SettingsPart { .. }) = frames.last() else { break };
         part += frames.len() as u16;
         for frame in frames {
-            node.hear(now, identity(&control_name(0)), at(0), frame);
+            node.on_message(now, identity(&control_name(0)), at(0), frame);
         }
     }
     assert!(usize::from(part) > MAX_PARTS_AT_ONCE, "{part} parts");
-    let mut parents = WantedHosts::default();
-    parents.take(version("other", 1, Wanted::Gone));
+    let mut parents = SettingsTable::default();
+    parents.insert(version("other", 1, DesiredState::Gone));
     let mut given = Vec::new();
     while now < span {
         let settings = Some(parents.digest());
-        let pulse = Message::Pulse { stale_ms: 0, directory: 1, near: 7, tips: Vec::new(), settings };
-        let mut sent = to_parent(&node.hear(now, identity("parent"), at(1), pulse));
+        let pulse = Message::Heartbeat {
+            staleness_ms: 0,
+            directory_version: 1,
+            listing_hash: 7,
+            tips: Vec::new(),
+            settings_digest: settings,
+        };
+        let mut sent = to_parent(&node.on_message(now, identity("parent"), at(1), pulse));
         now += PULSE;
         sent.extend(to_parent(&node.tick(now)));
         while let Some(message) = sent.pop() {
             match message {
-                Message::WantSettings { part } => {
+                Message::SettingsRequest { part } => {
                     for frame in parents.messages(part) {
-                        sent.extend(to_parent(&node.hear(now, identity("parent"), at(1), frame)));
+                        sent.extend(to_parent(&node.on_message(now, identity("parent"), at(1), frame)));
                     }
                 }
-                Message::Settings { part, parts, .. } => given.push((now, part, parts)),
+                Message::SettingsPart { part, parts, .. } => given.push((now, part, parts)),
                 _ => {}
             }
         }
@@ -143,41 +151,48 @@
 #[test]
 fn a_table_that_changes_while_it_is_fetched_is_not_taken_for_whole() {
     let mut node = placed();
-    let mut source = WantedHosts::default();
+    let mut source = SettingsTable::default();
     for index in 0..40 {
-        source.take(version(&format!("h{index:02}"), index + 1, Wanted::Gone));
+        source.insert(version(&format!("h{index:02}"), index + 1, DesiredState::Gone));
     }
     let id = configuration();
     let mut now = ms(20);
-    let tips = vec![Tip { stream: id, first: Number(41), last: Number(40) }];
-    let pulse = Message::Pulse { stale_ms: 0, directory: 1, near: 7, tips, settings: None };
-    node.hear(now, identity("parent"), at(1), pulse);
-    let snapshot = Message::Snapshot { stream: id, next: Number(41), floor_age_ms: None };
-    let mut asked = to_parent(&node.hear(now, identity("parent"), at(1), snapshot));
-    assert!(asked.contains(&Message::WantSettings { part: 0 }), "{asked:?}");
+    let tips = vec![StreamTip { stream: id, first: SequenceNumber(41), last: SequenceNumber(40) }];
+    let pulse = Message::Heartbeat {
+        staleness_ms: 0,
+        directory_version: 1,
+        listing_hash: 7,
+        tips,
+        settings_digest: None,
+    };
+    node.on_message(now, identity("parent"), at(1), pulse);
+    let snapshot = Message::Snapshot { stream: id, next: SequenceNumber(41), min_accepted_age_ms: None };
+    let mut asked = to_parent(&node.on_message(now, identity("parent"), at(1), snapshot));
+    assert!(asked.contains(&Message::SettingsRequest { part: 0 }), "{asked:?}");
     // The first part is lost, and a host that sorts before all others is listed before it is asked for again.
     let last = source.messages(1).pop().expect("two parts");
-    assert!(matches!(last, Message::Settings { part: 1, parts: 2, .. }));
+    assert!(matches!(last, Message::SettingsPart { part: 1, parts: 2, .. }));
     asked.clear();
-    node.hear(now, identity("parent"), at(1), last);
-    source.take(version("a", 41, Wanted::Listed));
+    node.on_message(now, identity("parent"), at(1), last);
+    source.insert(version("a", 41, DesiredState::Listed));
     let mut whole = false;
     for _ in 0..20 {
         now += PULSE;
         asked.extend(to_parent(&node.tick(now)));
         while let Some(message) = asked.pop() {
-            let Message::WantSettings { part } = message else { continue };
+            let Message::SettingsRequest { part } = message else { continue };
             for frame in source.messages(part) {
-                let outs = node.hear(now, identity("parent"), at(1), frame);
-                asked.extend(to_parent(&outs));
-                for out in outs {
-                    if let Out::Configure { ticket, .. } = out {
-                        node.in_effect(now, ticket);
+                let outputs = node.on_message(now, identity("parent"), at(1), frame);
+                asked.extend(to_parent(&outputs));
+                for out in outputs {
+                    if let Output::Configure { token, .. } = out {
+                        node.confirm_applied(now, token);
                     }
                 }
-                let survey = node.survey(now);
-                whole = survey.streams.iter().any(|held| held.stream == id && held.in_force >= Number(40));
-                assert!(!whole || survey.wanted.len() == 40, "in force with {}", survey.wanted.len());
+                let status = node.status(now);
+                whole =
+                    status.streams.iter().any(|held| held.stream == id && held.applied >= SequenceNumber(40));
+                assert!(!whole || status.desired.len() == 40, "in force with {}", status.desired.len());
             }
         }
     }
--- a/crates/rockflow-dissemination/tests/world/mod.rs
+++ b/crates/rockflow-dissemination/tests/world/mod.rs
@@ -30,20 +30,20 @@
 pub struct Done {
     pub purges: Vec<(Purge, Duration, Duration)>,
     pub floors: usize,
-    pub settings: BTreeMap<String, Wanted>,
+    pub settings: BTreeMap<String, DesiredState>,
     pub configured: usize,
-    pub everywhere: Vec<(StreamId, Number, Duration, Duration)>,
+    pub replicated: Vec<(StreamId, SequenceNumber, Duration, Duration)>,
     pub outlived: Vec<Incarnation>,
     pub refuse: BTreeSet<String>,
     /// Tickets are confirmed at once.
     pub withholds: bool,
-    pub tickets: Vec<Ticket>,
+    pub tokens: Vec<ApplyToken>,
 }
 
 pub struct Member {
     pub name: String,
     pub node: Node,
-    pub told: Told,
+    pub config: NodeConfig,
     pub up: bool,
     /// Stopped: frames wait unread.
     pub stopped: bool,
@@ -136,21 +136,21 @@
         let names: Vec<String> =
             names.chain(directory.members.iter().map(|member| member.name.clone())).collect();
         for (index, name) in names.into_iter().enumerate() {
-            let told = Told {
-                me: Identity { node: NodeId::of(&name), incarnation: Incarnation(LIFE) },
+            let config = NodeConfig {
+                identity: Identity { node: NodeId::of(&name), incarnation: Incarnation(LIFE) },
                 control_id: (index < controls).then_some(ControlId(index as u8)),
                 control: control.clone(),
                 seeds: Vec::new(),
                 purge_window: WINDOW,
                 bytes_per_second: 6000,
-                pulse: PULSE,
+                heartbeat_interval: PULSE,
             };
             let listing = (index < controls).then(|| directory.clone());
-            let node = Node::new(told.clone(), listing, index as u64, Duration::ZERO);
+            let node = Node::new(config.clone(), listing, index as u64, Duration::ZERO);
             world.nodes.push(Member {
                 name,
                 node,
-                told,
+                config,
                 up: true,
                 stopped: false,
                 unread: Vec::new(),
@@ -159,8 +159,8 @@
             });
         }
         for index in 0..world.nodes.len() {
-            let outs = world.nodes[index].node.start(Duration::ZERO);
-            world.take(index, outs);
+            let outputs = world.nodes[index].node.start(Duration::ZERO);
+            world.take(index, outputs);
         }
         world
     }
@@ -173,61 +173,63 @@
         self.controls..self.nodes.len()
     }
 
-    pub fn take(&mut self, index: usize, outs: Vec<Out>) {
-        for out in outs {
+    pub fn take(&mut self, index: usize, outputs: Vec<Output>) {
+        for out in outputs {
             match out {
-                Out::Send { to, message } => self.send(index, to, message),
-                Out::Purge { purges, ticket } => {
+                Output::Send { to, message } => self.send(index, to, message),
+                Output::Purge { purges, token } => {
                     let now = self.now;
                     let done = &mut self.nodes[index].done;
                     done.floors += purges.iter().filter(|(purge, _)| *purge == Purge::Everything).count();
                     done.purges.extend(purges.into_iter().map(|(purge, age)| (purge, age, now)));
-                    self.confirm(index, ticket);
+                    self.confirm(index, token);
                 }
-                Out::Configure { settings, changed, ticket } => {
+                Output::Configure { settings, changed, token } => {
                     let done = &mut self.nodes[index].done;
                     done.configured += 1;
                     done.settings = settings;
                     for (id, host) in changed {
                         if self.nodes[index].done.refuse.contains(&host) {
                             self.nodes[index].done.settings.remove(&host);
-                            let outs = self.nodes[index].node.refuse(self.now, id, Refusal::LastOne);
-                            self.take(index, outs);
+                            let outputs =
+                                self.nodes[index].node.reject(self.now, id, RejectionReason::LastOne);
+                            self.take(index, outputs);
                         }
                     }
-                    self.confirm(index, ticket);
+                    self.confirm(index, token);
                 }
-                Out::Everywhere { stream, number, after } => {
+                Output::ReplicatedToAll { stream, number, after } => {
                     let now = self.now;
                     self.check_everywhere(stream, number);
-                    self.nodes[index].done.everywhere.push((stream, number, after, now));
+                    self.nodes[index].done.replicated.push((stream, number, after, now));
                 }
-                Out::Outlived { incarnation } => {
-                    self.nodes[index].told.me.incarnation = incarnation;
+                Output::IncarnationSuperseded { incarnation } => {
+                    self.nodes[index].config.identity.incarnation = incarnation;
                     self.nodes[index].done.outlived.push(incarnation);
                 }
             }
         }
     }
 
-    fn confirm(&mut self, index: usize, ticket: Ticket) {
+    fn confirm(&mut self, index: usize, token: ApplyToken) {
         if self.nodes[index].done.withholds {
-            self.nodes[index].done.tickets.push(ticket);
+            self.nodes[index].done.tokens.push(token);
             return;
         }
-        let outs = self.nodes[index].node.in_effect(self.now, ticket);
-        self.take(index, outs);
+        let outputs = self.nodes[index].node.confirm_applied(self.now, token);
+        self.take(index, outputs);
     }
 
     /// What is said to be everywhere is in force by each member's own word; where that has dropped the stream of a life
     /// that is over, by what it has put in effect.
-    fn check_everywhere(&self, stream: StreamId, number: Number) {
+    fn check_everywhere(&self, stream: StreamId, number: SequenceNumber) {
         for index in self.members().filter(|index| self.nodes[*index].up) {
-            let survey = self.nodes[index].node.survey(self.now);
-            let held = survey.streams.iter().find(|held| held.stream == stream);
+            let status = self.nodes[index].node.status(self.now);
+            let held = status.streams.iter().find(|held| held.stream == stream);
             let name = &self.nodes[index].name;
-            if held.is_none() && stream.kind == Kind::Purges && self.counts(index).retired > 0 {
-                let ids = (1..=number.0).map(|number| (stream, Number(number)));
+            if held.is_none() && stream.kind == StreamKind::Purges && self.counters(index).streams_retired > 0
+            {
+                let ids = (1..=number.0).map(|number| (stream, SequenceNumber(number)));
                 for (id, object) in ids.filter_map(|id| self.purged.get(&id).map(|object| (id, *object))) {
                     assert!(
                         self.covered(index, object, self.published[&id]),
@@ -237,7 +239,7 @@
                 continue;
             }
             assert!(
-                held.is_some_and(|held| held.in_force >= number),
+                held.is_some_and(|held| held.applied >= number),
                 "{stream:?} {number:?} everywhere, {name} has {held:?}"
             );
         }
@@ -259,7 +261,7 @@
             }
             let delay = self.chance.rand_range(self.delay.0..self.delay.1);
             self.serial += 1;
-            let identity = self.nodes[from].told.me;
+            let identity = self.nodes[from].config.identity;
             self.messages.insert(self.serial, (identity, message.clone()));
             let at = self.now + ms(delay);
             self.frames.push(std::cmp::Reverse((at, self.serial, from, to, self.serial, true)));
@@ -282,10 +284,10 @@
                 let (identity, message) = self.messages.remove(&id).expect("its message");
                 self.deliver(from, to, identity, message);
             } else if let Some((_, index)) = tick {
-                let outs = self.nodes[index].node.tick(self.now);
+                let outputs = self.nodes[index].node.tick(self.now);
                 let due = self.nodes[index].node.next_due();
                 assert!(due > self.now, "{} doesn't rest", self.nodes[index].name);
-                self.take(index, outs);
+                self.take(index, outputs);
             }
         }
         self.now = until;
@@ -299,13 +301,13 @@
             self.nodes[to].unread.push((identity, address(from), message));
             return;
         }
-        let outs = self.nodes[to].node.hear(self.now, identity, address(from), message);
-        self.take(to, outs);
+        let outputs = self.nodes[to].node.on_message(self.now, identity, address(from), message);
+        self.take(to, outputs);
     }
 
     pub fn publish(&mut self, index: usize, what: Vec<Publication>) -> Vec<EntryId> {
-        let (ids, outs) = self.nodes[index].node.publish(self.now, what);
-        self.take(index, outs);
+        let (ids, outputs) = self.nodes[index].node.publish(self.now, what);
+        self.take(index, outputs);
         for id in &ids {
             self.published.insert(*id, self.now);
         }
@@ -319,8 +321,8 @@
         id
     }
 
-    pub fn want(&mut self, index: usize, host: &str, wanted: Wanted) -> EntryId {
-        self.publish(index, vec![Publication::Setting { host: host.to_owned(), wanted }])[0]
+    pub fn want(&mut self, index: usize, host: &str, desired: DesiredState) -> EntryId {
+        self.publish(index, vec![Publication::Setting { host: host.to_owned(), desired }])[0]
     }
 
     pub fn kill(&mut self, index: usize) {
@@ -329,18 +331,18 @@
 
     /// A later life of a process, its clock so many milliseconds after the first life's start.
     pub fn restart(&mut self, index: usize, unix_ms: u64) {
-        let mut told = self.nodes[index].told.clone();
-        told.me.incarnation = Incarnation(unix_ms);
-        let listing = told.control_id.is_some().then(|| self.directory.clone());
-        let node = Node::new(told.clone(), listing, unix_ms, self.now);
+        let mut config = self.nodes[index].config.clone();
+        config.identity.incarnation = Incarnation(unix_ms);
+        let listing = config.control_id.is_some().then(|| self.directory.clone());
+        let node = Node::new(config.clone(), listing, unix_ms, self.now);
         let member = &mut self.nodes[index];
         member.node = node;
-        member.told = told;
+        member.config = config;
         member.up = true;
         member.stopped = false;
         member.done = Done::default();
-        let outs = self.nodes[index].node.start(self.now);
-        self.take(index, outs);
+        let outputs = self.nodes[index].node.start(self.now);
+        self.take(index, outputs);
     }
 
     pub fn stop(&mut self, index: usize) {
@@ -351,21 +353,21 @@
     pub fn wake(&mut self, index: usize) {
         self.nodes[index].stopped = false;
         for (identity, at, message) in std::mem::take(&mut self.nodes[index].unread) {
-            let outs = self.nodes[index].node.hear(self.now, identity, at, message);
-            self.take(index, outs);
+            let outputs = self.nodes[index].node.on_message(self.now, identity, at, message);
+            self.take(index, outputs);
         }
     }
 
-    pub fn survey(&self, index: usize) -> Survey {
-        self.nodes[index].node.survey(self.now)
+    pub fn status(&self, index: usize) -> NodeStatus {
+        self.nodes[index].node.status(self.now)
     }
 
-    pub fn control(&self, index: usize) -> ControlSurvey {
-        self.survey(index).control.expect("a control node")
+    pub fn control(&self, index: usize) -> ControlStatus {
+        self.status(index).control.expect("a control node")
     }
 
-    pub fn counts(&self, index: usize) -> Counts {
-        *self.nodes[index].node.counts()
+    pub fn counters(&self, index: usize) -> Counters {
+        *self.nodes[index].node.counters()
     }
 
     /// How often a member put the purge of an object in effect.
@@ -384,6 +386,6 @@
     }
 
     pub fn everywhere(&self, index: usize, id: EntryId) -> bool {
-        self.control(index).everywhere.get(&id.0).is_some_and(|number| *number >= id.1)
+        self.control(index).replicated_to_all.get(&id.0).is_some_and(|number| *number >= id.1)
     }
 }
--- a/crates/rockflow-scale/src/run/hollow.rs
+++ b/crates/rockflow-scale/src/run/hollow.rs
@@ -3,7 +3,7 @@
 
 use super::ledger::Ledger;
 use crate::Fault;
-use rockflow_dissemination::Out;
+use rockflow_dissemination::Output;
 use rockflow_transport::dissemination::{Link, Plan, Tally, Word};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -32,7 +32,7 @@
     End(usize),
     /// It stands still, as by SIGSTOP, or goes on.
     Stop(usize, bool),
-    Survey(SyncSender<BTreeMap<usize, Tally>>),
+    NodeStatus(SyncSender<BTreeMap<usize, Tally>>),
 }
 
 /// All hollow dispatchers, and the way to them.
@@ -77,7 +77,7 @@
     /// Those that run and do not stand still, as they are now.
     pub fn survey(&self) -> Result<BTreeMap<usize, Tally>, Fault> {
         let (reply, tallies) = sync_channel(1);
-        self.order(Order::Survey(reply));
+        self.order(Order::NodeStatus(reply));
         tallies.recv_timeout(PATIENCE).map_err(|_| Fault("the hollow dispatchers do not answer".to_string()))
     }
 }
@@ -154,7 +154,7 @@
                     }
                 }
             }
-            Order::Survey(reply) => {
+            Order::NodeStatus(reply) => {
                 let _ = reply.send(survey(&running).await);
             }
         }
@@ -169,18 +169,20 @@
     let ledger = ledger.clone();
     let (link, node) = Link::shared(plan, move |words, out| {
         let ticket = match out {
-            Out::Purge { purges, ticket } => {
+            Output::Purge { purges, token: ticket } => {
                 let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
                 let now = Instant::now();
                 purges.into_iter().for_each(|(purge, age)| ledger.purge(now, member, purge, age));
                 ticket
             }
-            Out::Configure { settings, ticket, .. } => {
+            Output::Configure { settings, token: ticket, .. } => {
                 let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
                 ledger.configure(Instant::now(), member, settings.keys());
                 ticket
             }
-            Out::Send { .. } | Out::Everywhere { .. } | Out::Outlived { .. } => return,
+            Output::Send { .. } | Output::ReplicatedToAll { .. } | Output::IncarnationSuperseded { .. } => {
+                return
+            }
         };
         words.say(Word::InEffect(ticket));
     })?;
@@ -197,7 +199,7 @@
         }
         let (reply, tally) = tokio::sync::oneshot::channel();
         let reply = Box::new(|tally| drop(reply.send(tally)));
-        if node.link.say(Word::Survey(reply)) {
+        if node.link.say(Word::Status(reply)) {
             if let Ok(tally) = tally.await {
                 tallies.insert(*member, tally);
             }
--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -409,8 +409,8 @@
         };
         Plan {
             bounds: Bounds::new("processes", layout.control, true),
-            told: node::Told {
-                me: node::Identity {
+            config: node::NodeConfig {
+                identity: node::Identity {
                     node: node::NodeId::of(&own.name),
                     incarnation: node::Incarnation(unix_ms()),
                 },
@@ -419,7 +419,7 @@
                 seeds: Vec::new(),
                 purge_window: layout.purge_window,
                 bytes_per_second: layout.bytes_per_second,
-                pulse: layout.pulse,
+                heartbeat_interval: layout.pulse,
             },
             directory: None,
             listen: own.behind,
@@ -592,16 +592,16 @@
                 continue;
             }
             for ((control, purges), top) in &tops {
-                let of = |stream: &&node::StreamSurvey| {
+                let of = |stream: &&node::StreamStatus| {
                     usize::from(stream.stream.control.0) == *control
-                        && (stream.stream.kind == node::Kind::Purges) == *purges
+                        && (stream.stream.kind == node::StreamKind::Purges) == *purges
                 };
                 let newest =
                     tally.survey.streams.iter().filter(of).max_by_key(|stream| stream.stream.incarnation);
                 self.checked += 1;
-                if newest.is_none_or(|stream| stream.in_force.0 < *top) {
+                if newest.is_none_or(|stream| stream.applied.0 < *top) {
                     self.too_early += 1;
-                    let has = newest.map(|stream| stream.in_force.0);
+                    let has = newest.map(|stream| stream.applied.0);
                     println!(
                         "violation: member {member} has {has:?} of control {control}, said everywhere: {top}"
                     );
@@ -697,7 +697,7 @@
     fn children(&self) -> Vec<usize> {
         let listed = |at: usize| {
             let Place { name, region, site, zone } = self.fleet.layout().members[at].clone();
-            node::Listed { name, region, site, zone, address: self.fleet.member_at(at) }
+            node::DirectoryMember { name, region, site, zone, address: self.fleet.member_at(at) }
         };
         let mut children = vec![0; self.places];
         let Ok(directory) = node::Directory::of(1, (0..self.places).map(listed).collect()) else {
@@ -734,7 +734,8 @@
         let tallies = self.hollow.survey()?;
         let of = |purges: bool| {
             let streams = tallies.values().flat_map(|tally| tally.survey.streams.iter());
-            let streams = streams.filter(move |stream| (stream.stream.kind == node::Kind::Purges) == purges);
+            let streams =
+                streams.filter(move |stream| (stream.stream.kind == node::StreamKind::Purges) == purges);
             streams.fold(BTreeMap::new(), |mut tops: BTreeMap<node::StreamId, u64>, stream| {
                 let top = tops.entry(stream.stream).or_default();
                 *top = (*top).max(stream.last.0);
--- a/crates/rockflow-scale/src/virtual_fleet/checker.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/checker.rs
@@ -1,7 +1,7 @@
 //! What may never happen, and when what was in force, by one who sees all of the fleet at once. It goes by what was
 //! published and by what dispatchers were given, never by the machine's own tables.
 
-use rockflow_dissemination::{Entry, Number, Purge, StreamId, Wanted};
+use rockflow_dissemination::{DesiredState, Entry, Purge, SequenceNumber, StreamId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
     Purge(Purge),
-    Setting { host: String, wanted: Wanted },
+    Setting { host: String, wanted: DesiredState },
 }
 
 /// What was published, once by its content.
@@ -85,7 +85,7 @@
     clear_from: Duration,
     /// When it first heard of a stream.
     contact: Option<Duration>,
-    table: BTreeMap<String, Wanted>,
+    table: BTreeMap<String, DesiredState>,
     /// Settings that were there when it began, and whether it has gone by all of them.
     owed: usize,
     whole: bool,
@@ -136,7 +136,7 @@
     purges: HashMap<Purge, usize>,
     /// Published purges of everything.
     everything: Vec<usize>,
-    by_number: HashMap<(StreamId, Number), usize>,
+    by_number: HashMap<(StreamId, SequenceNumber), usize>,
     settings: Vec<usize>,
     settings_of: HashMap<String, Vec<usize>>,
     /// Settings that members keep apart.
@@ -146,9 +146,9 @@
     /// Who is told by the directory that a control node goes by, where that is not the last.
     reads: HashMap<usize, Vec<bool>>,
     /// Said to be everywhere, by control nodes that have read the last directory, and by others.
-    said: HashMap<(StreamId, bool), Number>,
+    said: HashMap<(StreamId, bool), SequenceNumber>,
     /// The last of each host, as published; settled by the world where two conflict.
-    expected: BTreeMap<String, (Duration, Wanted)>,
+    expected: BTreeMap<String, (Duration, DesiredState)>,
     /// Which side of a cut a member is on, and when the two met again.
     sides: Vec<Option<u8>>,
     met: Duration,
@@ -221,7 +221,7 @@
     }
 
     /// A member keeps a setting apart: it is not in force there, and control is told so.
-    pub fn refused(&mut self, member: usize, id: (StreamId, Number)) {
+    pub fn refused(&mut self, member: usize, id: (StreamId, SequenceNumber)) {
         if let Some(entry) = self.by_number.get(&id).copied() {
             self.found(entry);
             self.refusals.insert((member, entry));
@@ -305,7 +305,7 @@
     }
 
     /// Of two settings of a host that did not know of each other, this one is to hold.
-    pub fn expect(&mut self, host: &str, wanted: Wanted) {
+    pub fn expect(&mut self, host: &str, wanted: DesiredState) {
         let at = self.expected.get(host).map_or(Duration::ZERO, |(at, _)| *at);
         self.expected.insert(host.to_string(), (at, wanted));
     }
@@ -370,20 +370,20 @@
     }
 
     /// It went out under this number.
-    pub fn numbered(&mut self, entry: usize, stream: StreamId, number: Number) {
+    pub fn numbered(&mut self, entry: usize, stream: StreamId, number: SequenceNumber) {
         if self.by_number.insert((stream, number), entry).is_none() {
             self.entries[entry].numbers += 1;
         }
     }
 
     /// A control node's life that goes on above an outlived one sends, under its own numbers, what that one had published.
-    pub fn sent_anew(&mut self, stream: StreamId, number: Number, entry: &Entry) {
+    pub fn sent_anew(&mut self, stream: StreamId, number: SequenceNumber, entry: &Entry) {
         if self.by_number.contains_key(&(stream, number)) {
             return;
         }
         let same = match entry {
             Entry::Purge(purge) => self.entry_of(purge),
-            Entry::Setting(setting) => self.last_setting(&setting.host, setting.wanted),
+            Entry::Setting(setting) => self.last_setting(&setting.host, setting.desired),
         };
         match same {
             Some(same) => self.numbered(same, stream, number),
@@ -392,7 +392,7 @@
     }
 
     /// The last that said so of a host.
-    fn last_setting(&self, host: &str, wanted: Wanted) -> Option<usize> {
+    fn last_setting(&self, host: &str, wanted: DesiredState) -> Option<usize> {
         let of = self.settings_of.get(host)?.iter().rev().copied();
         let same = |at: &usize| matches!(&self.entries[*at].what, What::Setting { wanted: held, .. } if *held == wanted);
         of.into_iter().find(same)
@@ -528,8 +528,8 @@
         &mut self,
         now: Duration,
         member: usize,
-        settings: BTreeMap<String, Wanted>,
-        changed: &[((StreamId, Number), String)],
+        settings: BTreeMap<String, DesiredState>,
+        changed: &[((StreamId, SequenceNumber), String)],
     ) {
         let before = std::mem::replace(&mut self.lives[member].table, settings);
         for (id, host) in changed {
@@ -575,7 +575,7 @@
     /// Whether a member goes by the last version of the host that a setting is about.
     fn covered_setting(&self, member: usize, entry: usize) -> bool {
         let What::Setting { host, .. } = &self.entries[entry].what else { return false };
-        let held = self.lives[member].table.get(host).copied().unwrap_or(Wanted::Listed);
+        let held = self.lives[member].table.get(host).copied().unwrap_or(DesiredState::Listed);
         self.expected.get(host).is_some_and(|(_, wanted)| *wanted == held)
     }
 
@@ -603,13 +603,13 @@
     }
 
     /// Control says that a stream is in force everywhere up to a number.
-    pub fn everywhere(&mut self, now: Duration, stream: StreamId, number: Number, control: usize) {
+    pub fn everywhere(&mut self, now: Duration, stream: StreamId, number: SequenceNumber, control: usize) {
         // A control node can know only of those that its own directory names.
         let read = self.reads.get(&control).cloned();
         let said = (stream, read.is_some());
         let from = self.said.get(&said).copied().unwrap_or_default();
         for number in from.0 + 1..=number.0 {
-            let Some(entry) = self.by_number.get(&(stream, Number(number))).copied() else {
+            let Some(entry) = self.by_number.get(&(stream, SequenceNumber(number))).copied() else {
                 self.breaks(Broken::Unknown, || {
                     format!("{stream:?} {number} everywhere, by control {control}")
                 });
@@ -704,8 +704,8 @@
     }
 
     /// Whether a member goes by what was published last of a host.
-    pub fn wanted(&self, member: usize, host: &str) -> Wanted {
-        self.lives[member].table.get(host).copied().unwrap_or(Wanted::Listed)
+    pub fn wanted(&self, member: usize, host: &str) -> DesiredState {
+        self.lives[member].table.get(host).copied().unwrap_or(DesiredState::Listed)
     }
 
     /// Members that have an entry in force now.
--- a/crates/rockflow-scale/src/virtual_fleet/world.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/world.rs
@@ -82,7 +82,7 @@
 /// What a dispatcher was given, on its way into its decisions.
 enum Facts {
     Purges(Vec<(Purge, Duration)>),
-    Settings { settings: BTreeMap<String, Wanted>, changed: Vec<((StreamId, Number), String)> },
+    Settings { settings: BTreeMap<String, DesiredState>, changed: Vec<((StreamId, SequenceNumber), String)> },
 }
 
 enum Happens {
@@ -101,7 +101,7 @@
         at: usize,
         epoch: u32,
         given: Duration,
-        ticket: Ticket,
+        ticket: ApplyToken,
         facts: Facts,
     },
     /// The board's word of a purge reaches a control node.
@@ -151,7 +151,7 @@
 }
 
 /// Why a member refuses a setting, if it does: by its index, the host and what is wanted.
-pub type Refuses = Box<dyn Fn(usize, &str, Wanted) -> Option<Refusal>>;
+pub type Refuses = Box<dyn Fn(usize, &str, DesiredState) -> Option<RejectionReason>>;
 
 pub struct World {
     pub play: Play,
@@ -343,26 +343,26 @@
                 seeds.push(Layout::address(near[pick]));
             }
         }
-        let told = Told {
-            me: identity,
+        let config = NodeConfig {
+            identity,
             control_id: self.layout.control_id(at),
             control: self.layout.control_peers(),
             seeds,
             purge_window: self.play.window,
             bytes_per_second: self.play.bytes_per_second,
-            pulse: self.play.pulse,
+            heartbeat_interval: self.play.pulse,
         };
-        let control = told.control_id;
+        let control = config.control_id;
         let process = &mut self.processes[at];
         process.identity = identity;
         process.epoch += 1;
         process.anew = false;
         process.stopped = false;
         process.next_tick = None;
-        process.publisher = control.map(|_| Publisher::new(told.purge_window));
+        process.publisher = control.map(|_| Publisher::new(config.purge_window));
         let directory = control.is_some().then(|| process.directory.clone());
         let clock = processor();
-        let mut node = Node::new(told, directory, seed, now);
+        let mut node = Node::new(config, directory, seed, now);
         let outs = node.start(now);
         self.spent[at] += processor() - clock;
         process.node = Some(node);
@@ -558,7 +558,7 @@
     }
 
     /// An operator says at a control node what is wanted of a host. Gives its entry; none: that node is not there.
-    pub fn change(&mut self, control: usize, host: &str, wanted: Wanted) -> Option<usize> {
+    pub fn change(&mut self, control: usize, host: &str, wanted: DesiredState) -> Option<usize> {
         let at = self.layout.control(control);
         if !self.alive(at) || self.processes[at].stopped {
             return None;
@@ -567,7 +567,7 @@
         let what = What::Setting { host: host.to_string(), wanted };
         let (side, moment) = (self.sides[at].filter(|_| self.parted()), self.moment);
         let entry = self.checker.says(now, what, side, moment);
-        let publication = Publication::Setting { host: host.to_string(), wanted };
+        let publication = Publication::Setting { host: host.to_string(), desired: wanted };
         let ids = self.publish(at, vec![publication]);
         ids.into_iter().for_each(|(stream, number)| self.checker.numbered(entry, stream, number));
         self.by_control.push((at, entry));
@@ -578,7 +578,7 @@
         self.cuts.iter().any(|cut| cut.until > self.now) && self.sides.iter().any(|side| side.is_some())
     }
 
-    fn publish(&mut self, at: usize, what: Vec<Publication>) -> Vec<(StreamId, Number)> {
+    fn publish(&mut self, at: usize, what: Vec<Publication>) -> Vec<(StreamId, SequenceNumber)> {
         let now = self.now;
         let mut ids = Vec::new();
         self.does(at, |node| {
@@ -592,7 +592,7 @@
     // How it goes on.
 
     /// One call of a machine, and what it wants done.
-    fn does(&mut self, at: usize, call: impl FnOnce(&mut Node) -> Vec<Out>) {
+    fn does(&mut self, at: usize, call: impl FnOnce(&mut Node) -> Vec<Output>) {
         let Some(node) = &mut self.processes[at].node else { return };
         let clock = processor();
         let outs = call(node);
@@ -600,29 +600,29 @@
         self.carry(at, outs);
     }
 
-    fn carry(&mut self, at: usize, outs: Vec<Out>) {
+    fn carry(&mut self, at: usize, outs: Vec<Output>) {
         let now = self.now;
         let mut sends: Vec<(SocketAddr, Vec<Message>)> = Vec::new();
         for out in outs {
             self.sent_anew(at, &out);
             match out {
-                Out::Send { to, message } => match sends.iter_mut().find(|(other, _)| *other == to) {
+                Output::Send { to, message } => match sends.iter_mut().find(|(other, _)| *other == to) {
                     Some((_, messages)) => messages.push(message),
                     None => sends.push((to, vec![message])),
                 },
-                Out::Purge { purges, .. } if self.layout.is_control(at) => {
+                Output::Purge { purges, .. } if self.layout.is_control(at) => {
                     if let Some(publisher) = &mut self.processes[at].publisher {
-                        purges.into_iter().for_each(|(purge, age)| publisher.seen(now, purge, age));
+                        purges.into_iter().for_each(|(purge, age)| publisher.on_published(now, purge, age));
                     }
                 }
-                Out::Purge { purges, ticket } => self.decide(at, ticket, Facts::Purges(purges)),
-                Out::Configure { settings, changed, ticket } => {
+                Output::Purge { purges, token: ticket } => self.decide(at, ticket, Facts::Purges(purges)),
+                Output::Configure { settings, changed, token: ticket } => {
                     self.decide(at, ticket, Facts::Settings { settings, changed });
                 }
-                Out::Everywhere { stream, number, .. } => {
+                Output::ReplicatedToAll { stream, number, .. } => {
                     self.checker.everywhere(now, stream, number, at);
                 }
-                Out::Outlived { incarnation } => {
+                Output::IncarnationSuperseded { incarnation } => {
                     self.outlived += 1;
                     self.processes[at].identity.incarnation = incarnation;
                     self.processes[at].anew = true;
@@ -644,20 +644,20 @@
     }
 
     /// What a control node's life that goes on above another sends of its own, for the first time.
-    fn sent_anew(&mut self, at: usize, out: &Out) {
-        let Out::Send { message: Message::Batch { stream, first, entries }, .. } = out else { return };
+    fn sent_anew(&mut self, at: usize, out: &Output) {
+        let Output::Send { message: Message::Batch { stream, first, entries }, .. } = out else { return };
         let process = &self.processes[at];
         let own = Some(stream.control) == self.layout.control_id(at)
             && stream.incarnation == process.identity.incarnation;
         if !process.anew || !own {
             return;
         }
-        for (number, aged) in (first.0..).map(Number).zip(entries) {
+        for (number, aged) in (first.0..).map(SequenceNumber).zip(entries) {
             self.checker.sent_anew(*stream, number, &aged.entry);
         }
     }
 
-    fn decide(&mut self, at: usize, ticket: Ticket, facts: Facts) {
+    fn decide(&mut self, at: usize, ticket: ApplyToken, facts: Facts) {
         let (given, epoch) = (self.now, self.processes[at].epoch);
         // In the order given, as a dispatcher takes its events.
         let due = (given + self.within(self.play.decide)).max(self.processes[at].decides);
@@ -671,7 +671,7 @@
             self.lost[3] += 1;
             return;
         };
-        if messages.iter().any(|message| matches!(message, Message::Ack { .. })) {
+        if messages.iter().any(|message| matches!(message, Message::Acknowledgement { .. })) {
             self.follows[from] = Some(to);
         }
         let identity = self.processes[from].identity;
@@ -819,7 +819,7 @@
             self.next_host += (self.next_host % 2 + side) % 2;
         }
         let host = format!("cache-{:04}", self.next_host % self.play.hosts);
-        let wanted = [Wanted::Draining, Wanted::Gone, Wanted::Listed][self.below(3)];
+        let wanted = [DesiredState::Draining, DesiredState::Gone, DesiredState::Listed][self.below(3)];
         self.change(control, &host, wanted);
     }
 
@@ -829,7 +829,7 @@
         for message in messages {
             let Some(node) = &mut self.processes[to].node else { return };
             let tells = match &message {
-                Message::Pulse { tips, .. } => !tips.is_empty(),
+                Message::Heartbeat { tips, .. } => !tips.is_empty(),
                 Message::Batch { .. } | Message::Snapshot { .. } => true,
                 _ => false,
             };
@@ -837,7 +837,7 @@
                 self.checker.hears(now, to);
             }
             let clock = processor();
-            outs.extend(node.hear(now, identity, address, message));
+            outs.extend(node.on_message(now, identity, address, message));
             self.spent[to] += processor() - clock;
         }
         self.carry(to, outs);
@@ -849,7 +849,7 @@
         self.publish_waiting(at);
     }
 
-    fn decided(&mut self, at: usize, given: Duration, ticket: Ticket, facts: Facts) {
+    fn decided(&mut self, at: usize, given: Duration, ticket: ApplyToken, facts: Facts) {
         let now = self.now;
         if self.member(at) {
             match facts {
@@ -860,25 +860,25 @@
                         settings.remove(&host);
                         changed.retain(|(other, _)| *other != id);
                         self.checker.refused(at, id);
-                        self.does(at, |node| node.refuse(now, id, why));
+                        self.does(at, |node| node.reject(now, id, why));
                     }
                     self.checker.configured(now, at, settings, &changed);
                 }
             }
         }
-        self.does(at, |node| node.in_effect(now, ticket));
+        self.does(at, |node| node.confirm_applied(now, ticket));
     }
 
     #[allow(clippy::type_complexity)]
     fn refused(
         &self,
         at: usize,
-        settings: &BTreeMap<String, Wanted>,
-        changed: &[((StreamId, Number), String)],
-    ) -> Vec<((StreamId, Number), String, Refusal)> {
+        settings: &BTreeMap<String, DesiredState>,
+        changed: &[((StreamId, SequenceNumber), String)],
+    ) -> Vec<((StreamId, SequenceNumber), String, RejectionReason)> {
         let Some(refuses) = &self.refuses else { return Vec::new() };
         let judged = changed.iter().filter_map(|(id, host)| {
-            let wanted = settings.get(host).copied().unwrap_or(Wanted::Listed);
+            let wanted = settings.get(host).copied().unwrap_or(DesiredState::Listed);
             refuses(at, host, wanted).map(|why| (*id, host.clone(), why))
         });
         judged.collect()
@@ -889,9 +889,9 @@
         let process = &mut self.processes[at];
         let wrong = Duration::from_millis(process.board_behind.unsigned_abs());
         let seems = if process.board_behind < 0 { ago.saturating_sub(wrong) } else { ago + wrong };
-        let age = seems.min(publisher::TOLD_WITHIN).min(self.play.window);
+        let age = seems.min(BACKLOG_AGE_UNCERTAINTY).min(self.play.window);
         if let (Some(publisher), Some(entry)) = (&mut process.publisher, self.checker.entry_of(&purge)) {
-            publisher.heard(now, purge, age);
+            publisher.on_purge_notice(now, purge, age);
             self.checker.told_older(entry, age.saturating_sub(ago));
             self.publish_waiting(at);
         }
@@ -902,7 +902,7 @@
         let now = self.now;
         let process = &mut self.processes[at];
         let (Some(node), Some(publisher)) = (&process.node, &mut process.publisher) else { return };
-        let what = publisher.tick(now, node.publishing(now));
+        let what = publisher.tick(now, node.is_publishing(now));
         if what.is_empty() {
             return;
         }
@@ -951,22 +951,22 @@
     fn look(&mut self) {
         for at in 0..self.processes.len() {
             let Some(node) = &self.processes[at].node else { continue };
-            let survey = node.survey(self.now);
+            let survey = node.status(self.now);
             let held = |kind| {
                 let of = survey.streams.iter().filter(move |stream| stream.stream.kind == kind);
-                of.map(|stream| stream.held).max().unwrap_or_default()
+                of.map(|stream| stream.entries).max().unwrap_or_default()
             };
             let children = match self.layout.is_control(at) {
-                true => children::MAX_CONTROL_CHILDREN,
-                false => children::MAX_CHILDREN,
+                true => MAX_CONTROL_CHILDREN,
+                false => MAX_CHILDREN,
             };
             let tables = [
                 ("children", survey.children, children),
                 ("streams", survey.streams.len(), MAX_STREAMS),
-                ("purges of a log", held(Kind::Purges), stream::MAX_PURGES),
-                ("settings of a log", held(Kind::Configuration), stream::MAX_VERSIONS),
-                ("hosts with a setting", survey.settings, settings::MAX_HOSTS),
-                ("tickets", survey.unconfirmed, 2 * tickets::MAX_TICKETS),
+                ("purges of a log", held(StreamKind::Purges), MAX_PURGE_LOG_ENTRIES),
+                ("settings of a log", held(StreamKind::Configuration), MAX_CONFIGURATION_LOG_ENTRIES),
+                ("hosts with a setting", survey.setting_count, MAX_HOSTS),
+                ("tickets", survey.unconfirmed, 2 * MAX_PENDING_TOKENS),
             ];
             for (table, held, cap) in tables {
                 let most = self.most.entry(table).or_default();
@@ -983,7 +983,7 @@
 pub fn directory(layout: &Layout, version: u64, members: &[usize]) -> Directory {
     let listed = members.iter().map(|at| {
         let place = layout.places[*at];
-        Listed {
+        DirectoryMember {
             name: layout.name(*at),
             region: format!("r{}", place.region),
             site: format!("s{}", place.site),
--- a/crates/rockflow-scale/tests/hard_cases.rs
+++ b/crates/rockflow-scale/tests/hard_cases.rs
@@ -1,7 +1,7 @@
 //! The mechanism's hard cases in virtual time. Every one ends with a quiet time, after which a checker that sees all of the
 //! fleet finds nothing given twice, nothing passed over, nothing late and nothing said too early.
 
-use rockflow_dissemination::{Purge, Refusal, Wanted};
+use rockflow_dissemination::{DesiredState, Purge, RejectionReason};
 use rockflow_scale::virtual_fleet::layout::Shape;
 use rockflow_scale::virtual_fleet::moments::Times;
 use rockflow_scale::virtual_fleet::traffic::Way;
@@ -139,12 +139,12 @@
 #[derive(Clone, Copy)]
 enum Direction {
     In,
-    Out,
+    Output,
     Both,
 }
 
 #[test_case(Direction::In, 11)]
-#[test_case(Direction::Out, 12)]
+#[test_case(Direction::Output, 12)]
 #[test_case(Direction::Both, 13)]
 fn a_site_cut_off(direction: Direction, seed: u64) {
     let mut world = settled(play(120, seed));
@@ -158,7 +158,7 @@
     if matches!(direction, Direction::In | Direction::Both) {
         world.cut(&outside, &inside, until);
     }
-    if matches!(direction, Direction::Out | Direction::Both) {
+    if matches!(direction, Direction::Output | Direction::Both) {
         world.cut(&inside, &outside, until);
     }
     world.disturb(&inside, until);
@@ -395,27 +395,27 @@
     };
     let (a, b) = (side(&world, true), side(&world, false));
     world.play_for(seconds(5));
-    world.change(a, "cache-0001", Wanted::Gone);
+    world.change(a, "cache-0001", DesiredState::Gone);
     world.play_for(seconds(5));
-    world.change(b, "cache-0001", Wanted::Draining);
-    world.change(b, "cache-0002", Wanted::Draining);
+    world.change(b, "cache-0001", DesiredState::Draining);
+    world.change(b, "cache-0002", DesiredState::Draining);
     world.play_for(seconds(5));
-    world.change(a, "cache-0002", Wanted::Listed);
+    world.change(a, "cache-0002", DesiredState::Listed);
     world.play_to(meet + seconds(20));
     // The more careful holds, though the other is later.
-    world.checker.expect("cache-0001", Wanted::Gone);
-    world.checker.expect("cache-0002", Wanted::Draining);
+    world.checker.expect("cache-0001", DesiredState::Gone);
+    world.checker.expect("cache-0002", DesiredState::Draining);
     for member in 0..60 {
-        assert_eq!(world.checker.wanted(member, "cache-0001"), Wanted::Gone, "member {member}");
-        assert_eq!(world.checker.wanted(member, "cache-0002"), Wanted::Draining, "member {member}");
+        assert_eq!(world.checker.wanted(member, "cache-0001"), DesiredState::Gone, "member {member}");
+        assert_eq!(world.checker.wanted(member, "cache-0002"), DesiredState::Draining, "member {member}");
     }
     // Whoever knows of both settles it.
-    world.change(b, "cache-0001", Wanted::Listed);
-    world.change(a, "cache-0002", Wanted::Gone);
+    world.change(b, "cache-0001", DesiredState::Listed);
+    world.change(a, "cache-0002", DesiredState::Gone);
     world.play_for(seconds(10));
     for member in 0..60 {
-        assert_eq!(world.checker.wanted(member, "cache-0001"), Wanted::Listed, "member {member}");
-        assert_eq!(world.checker.wanted(member, "cache-0002"), Wanted::Gone, "member {member}");
+        assert_eq!(world.checker.wanted(member, "cache-0001"), DesiredState::Listed, "member {member}");
+        assert_eq!(world.checker.wanted(member, "cache-0002"), DesiredState::Gone, "member {member}");
     }
     judge(&mut world);
 }
@@ -447,7 +447,7 @@
 fn all_of_control_is_gone_for_minutes() {
     let mut world =
         settled(Play { seeds: 2, purges_per_second: 10.0, changes_per_second: 0.0, ..play(60, 46) });
-    world.change(2, "cache-0007", Wanted::Draining);
+    world.change(2, "cache-0007", DesiredState::Draining);
     world.play_for(seconds(10));
     for place in 0..6 {
         world.kill(world.layout.control(place));
@@ -456,14 +456,14 @@
     world.restart(11, seconds(1));
     world.play_for(seconds(90));
     for member in 0..60 {
-        assert_eq!(world.checker.wanted(member, "cache-0007"), Wanted::Draining, "member {member}");
+        assert_eq!(world.checker.wanted(member, "cache-0007"), DesiredState::Draining, "member {member}");
     }
     for place in 0..6 {
         world.start(world.layout.control(place));
     }
     world.play_for(seconds(30));
     // Control itself learns it again from those that it is to tell.
-    world.change(1, "cache-0008", Wanted::Gone);
+    world.change(1, "cache-0008", DesiredState::Gone);
     world.busy(world.now + seconds(20));
     world.play_for(seconds(30));
     judge(&mut world);
@@ -498,12 +498,12 @@
     world.busy(world.now + seconds(60));
     world.play_for(seconds(20));
     // The same host by a clock that is ahead, then by one that is behind: who knows of the first replaces it.
-    world.change(0, "cache-0900", Wanted::Gone);
+    world.change(0, "cache-0900", DesiredState::Gone);
     world.play_for(seconds(10));
-    world.change(1, "cache-0900", Wanted::Listed);
+    world.change(1, "cache-0900", DesiredState::Listed);
     world.play_for(seconds(10));
     for member in 0..60 {
-        assert_eq!(world.checker.wanted(member, "cache-0900"), Wanted::Listed, "member {member}");
+        assert_eq!(world.checker.wanted(member, "cache-0900"), DesiredState::Listed, "member {member}");
     }
     world.play_for(seconds(30));
     judge(&mut world);
@@ -538,21 +538,22 @@
 fn a_version_that_some_members_refuse() {
     let mut world = settled(Play { changes_per_second: 0.0, ..play(60, 53) });
     world.refuses = Some(Box::new(|member, host, wanted| {
-        (member % 10 == 3 && host == "cache-0001" && wanted != Wanted::Listed).then_some(Refusal::LastOne)
+        (member % 10 == 3 && host == "cache-0001" && wanted != DesiredState::Listed)
+            .then_some(RejectionReason::LastOne)
     }));
     world.busy(world.now + seconds(30));
-    world.change(0, "cache-0001", Wanted::Gone);
+    world.change(0, "cache-0001", DesiredState::Gone);
     // A host that the board never named.
-    world.change(0, "gone-long-ago", Wanted::Draining);
+    world.change(0, "gone-long-ago", DesiredState::Draining);
     world.play_for(seconds(10));
-    world.change(0, "cache-0002", Wanted::Draining);
+    world.change(0, "cache-0002", DesiredState::Draining);
     world.play_for(seconds(20));
     for member in 0..60 {
         let refuses = member % 10 == 3;
         let held = world.checker.wanted(member, "cache-0001");
-        assert_eq!(held, if refuses { Wanted::Listed } else { Wanted::Gone }, "member {member}");
-        assert_eq!(world.checker.wanted(member, "cache-0002"), Wanted::Draining, "member {member}");
-        assert_eq!(world.checker.wanted(member, "gone-long-ago"), Wanted::Draining, "member {member}");
+        assert_eq!(held, if refuses { DesiredState::Listed } else { DesiredState::Gone }, "member {member}");
+        assert_eq!(world.checker.wanted(member, "cache-0002"), DesiredState::Draining, "member {member}");
+        assert_eq!(world.checker.wanted(member, "gone-long-ago"), DesiredState::Draining, "member {member}");
     }
     assert!(world.checker.refusals.len() >= 6);
     judge(&mut world);
--- a/crates/rockflow-scale/tests/virtual_checker.rs
+++ b/crates/rockflow-scale/tests/virtual_checker.rs
@@ -1,6 +1,8 @@
 //! The checker of virtual fleets finds each thing that may never happen, and does not cry at what may.
 
-use rockflow_dissemination::{ControlId, Entry, Incarnation, Kind, Number, Purge, StreamId, Wanted};
+use rockflow_dissemination::{
+    ControlId, DesiredState, Entry, Incarnation, Purge, SequenceNumber, StreamId, StreamKind,
+};
 use rockflow_scale::virtual_fleet::checker::{Broken, Checker, What};
 use rockflow_scale::virtual_fleet::layout::{Layout, Shape};
 use rockflow_scale::virtual_fleet::traffic::{Traffic, Way};
@@ -14,7 +16,7 @@
     Duration::from_millis(count)
 }
 
-fn stream(kind: Kind) -> StreamId {
+fn stream(kind: StreamKind) -> StreamId {
     StreamId { control: ControlId(0), kind, incarnation: Incarnation(1) }
 }
 
@@ -23,7 +25,7 @@
     let mut checker = Checker::new(3, WINDOW, CHANGE);
     (0..3).for_each(|member| checker.begins(ms(0), member));
     let entry = checker.says(ms(1000), What::Purge(Purge::object(7)), None, 0);
-    checker.numbered(entry, stream(Kind::Purges), Number(1));
+    checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(1));
     (checker, entry)
 }
 
@@ -41,7 +43,7 @@
     for member in 0..3 {
         gives(&mut checker, ms(1200 + member as u64 * 100), member);
     }
-    checker.everywhere(ms(1500), stream(Kind::Purges), Number(1), 0);
+    checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 0);
     checker.ends_quiet(ms(60_000), true);
     assert_eq!(checker.violations(), 0, "{checker}");
     assert_eq!(checker.times(None, true), [ms(400)]);
@@ -59,7 +61,11 @@
 #[test]
 fn a_purge_that_two_numbers_brought_may_come_twice_and_not_three_times() {
     let (mut checker, entry) = checker();
-    checker.numbered(entry, StreamId { control: ControlId(1), ..stream(Kind::Purges) }, Number(1));
+    checker.numbered(
+        entry,
+        StreamId { control: ControlId(1), ..stream(StreamKind::Purges) },
+        SequenceNumber(1),
+    );
     gives(&mut checker, ms(1200), 1);
     gives(&mut checker, ms(1300), 1);
     assert_eq!(checker.violations(), 0, "{checker}");
@@ -145,7 +151,7 @@
         if dead {
             checker.ends(2);
         }
-        checker.everywhere(ms(1500), stream(Kind::Purges), Number(1), 0);
+        checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 0);
         only(&checker, Broken::EverywhereTooEarly);
     }
     // One that the directory does not name is not asked.
@@ -153,7 +159,7 @@
     gives(&mut checker, ms(1200), 0);
     gives(&mut checker, ms(1200), 1);
     checker.tell(2, false);
-    checker.everywhere(ms(1500), stream(Kind::Purges), Number(1), 0);
+    checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 0);
     assert_eq!(checker.violations(), 0, "{checker}");
 }
 
@@ -163,23 +169,27 @@
     checker.tell(3, false);
     (0..3).for_each(|member| checker.begins(ms(0), member));
     let entry = checker.says(ms(1000), What::Purge(Purge::object(7)), None, 0);
-    checker.numbered(entry, stream(Kind::Purges), Number(1));
+    checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(1));
     (0..3).for_each(|member| gives(&mut checker, ms(1200), member));
     checker.ends(0);
     checker.replaces(3, 0);
     checker.begins(ms(1300), 3);
     checker.hears(ms(1400), 3);
-    checker.everywhere(ms(1500), stream(Kind::Purges), Number(1), 0);
+    checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 0);
     only(&checker, Broken::EverywhereTooEarly);
 }
 
 #[test]
 fn what_an_outlived_life_published_may_come_once_more_and_nothing_else() {
-    let later = StreamId { incarnation: Incarnation(2), ..stream(Kind::Purges) };
+    let later = StreamId { incarnation: Incarnation(2), ..stream(StreamKind::Purges) };
     let (mut checker, _) = checker();
     let other = checker.says(ms(1000), What::Purge(Purge::object(8)), None, 0);
-    checker.numbered(other, StreamId { control: ControlId(1), ..stream(Kind::Purges) }, Number(1));
-    (0..3).for_each(|_| checker.sent_anew(later, Number(1), &Entry::Purge(Purge::object(7))));
+    checker.numbered(
+        other,
+        StreamId { control: ControlId(1), ..stream(StreamKind::Purges) },
+        SequenceNumber(1),
+    );
+    (0..3).for_each(|_| checker.sent_anew(later, SequenceNumber(1), &Entry::Purge(Purge::object(7))));
     gives(&mut checker, ms(1200), 1);
     gives(&mut checker, ms(1300), 1);
     assert_eq!(checker.violations(), 0, "{checker}");
@@ -190,10 +200,10 @@
     only(&checker, Broken::Twice);
     // Under its number there it is not everywhere before all have it.
     checker.broken.clear();
-    checker.everywhere(ms(1500), later, Number(1), 0);
+    checker.everywhere(ms(1500), later, SequenceNumber(1), 0);
     only(&checker, Broken::EverywhereTooEarly);
     checker.broken.clear();
-    checker.sent_anew(later, Number(2), &Entry::Purge(Purge::object(9)));
+    checker.sent_anew(later, SequenceNumber(2), &Entry::Purge(Purge::object(9)));
     only(&checker, Broken::Unknown);
 }
 
@@ -203,16 +213,16 @@
     checker.tell(3, false);
     (0..3).for_each(|member| checker.begins(ms(0), member));
     let entry = checker.says(ms(1000), What::Purge(Purge::object(7)), None, 0);
-    checker.numbered(entry, stream(Kind::Purges), Number(1));
+    checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(1));
     gives(&mut checker, ms(1200), 0);
     gives(&mut checker, ms(1200), 1);
     checker.ends(0);
     checker.replaces(3, 0);
     // By the directory before, which one control node still goes by, the third is missing; by the last the fourth too.
     checker.reads(9, vec![true, true, true, false]);
-    checker.everywhere(ms(1500), stream(Kind::Purges), Number(1), 9);
+    checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 9);
     assert_eq!(checker.broken[&Broken::EverywhereTooEarly], 1, "{checker}");
-    checker.everywhere(ms(1500), stream(Kind::Purges), Number(1), 8);
+    checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 8);
     assert_eq!(checker.broken[&Broken::EverywhereTooEarly], 3, "{checker}");
 }
 
@@ -221,8 +231,8 @@
     let (mut checker, _) = checker();
     checker.everywhere(
         ms(1500),
-        StreamId { incarnation: Incarnation(2), ..stream(Kind::Purges) },
-        Number(1),
+        StreamId { incarnation: Incarnation(2), ..stream(StreamKind::Purges) },
+        SequenceNumber(1),
         0,
     );
     only(&checker, Broken::Unknown);
@@ -239,12 +249,12 @@
 #[test]
 fn settings_twice_missing_and_wrong() {
     let say = |checker: &mut Checker| {
-        let what = What::Setting { host: "a".to_string(), wanted: Wanted::Gone };
+        let what = What::Setting { host: "a".to_string(), wanted: DesiredState::Gone };
         let entry = checker.says(ms(1000), what, None, 0);
-        checker.numbered(entry, stream(Kind::Configuration), Number(1));
+        checker.numbered(entry, stream(StreamKind::Configuration), SequenceNumber(1));
     };
     let table = |wanted| BTreeMap::from([("a".to_string(), wanted)]);
-    let id = ((stream(Kind::Configuration), Number(1)), "a".to_string());
+    let id = ((stream(StreamKind::Configuration), SequenceNumber(1)), "a".to_string());
     let mut checker = Checker::new(1, WINDOW, CHANGE);
     checker.begins(ms(0), 0);
     say(&mut checker);
@@ -253,12 +263,12 @@
     let mut checker = Checker::new(1, WINDOW, CHANGE);
     checker.begins(ms(0), 0);
     say(&mut checker);
-    checker.configured(ms(1100), 0, table(Wanted::Gone), std::slice::from_ref(&id));
+    checker.configured(ms(1100), 0, table(DesiredState::Gone), std::slice::from_ref(&id));
     assert_eq!((checker.violations(), checker.times(None, false)), (0, vec![ms(100)]));
-    checker.configured(ms(1200), 0, table(Wanted::Gone), std::slice::from_ref(&id));
+    checker.configured(ms(1200), 0, table(DesiredState::Gone), std::slice::from_ref(&id));
     only(&checker, Broken::Twice);
     checker.broken.clear();
-    checker.configured(ms(1300), 0, table(Wanted::Draining), &[]);
+    checker.configured(ms(1300), 0, table(DesiredState::Draining), &[]);
     checker.ends_quiet(ms(60_000), false);
     only(&checker, Broken::WrongSetting);
 }
@@ -267,41 +277,41 @@
 fn with_setting(members: usize) -> (Checker, usize) {
     let mut checker = Checker::new(members, WINDOW, CHANGE);
     (0..members).for_each(|member| checker.begins(ms(0), member));
-    let entry = set(&mut checker, 1, ms(1000), Wanted::Gone);
+    let entry = set(&mut checker, 1, ms(1000), DesiredState::Gone);
     (checker, entry)
 }
 
-fn set(checker: &mut Checker, number: u64, at: Duration, wanted: Wanted) -> usize {
+fn set(checker: &mut Checker, number: u64, at: Duration, wanted: DesiredState) -> usize {
     let entry = checker.says(at, What::Setting { host: "a".to_string(), wanted }, None, 0);
-    checker.numbered(entry, stream(Kind::Configuration), Number(number));
+    checker.numbered(entry, stream(StreamKind::Configuration), SequenceNumber(number));
     entry
 }
 
-fn goes_by(checker: &mut Checker, at: Duration, member: usize, number: u64, wanted: Wanted) {
-    let id = (stream(Kind::Configuration), Number(number));
+fn goes_by(checker: &mut Checker, at: Duration, member: usize, number: u64, wanted: DesiredState) {
+    let id = (stream(StreamKind::Configuration), SequenceNumber(number));
     checker.configured(at, member, BTreeMap::from([("a".to_string(), wanted)]), &[(id, "a".to_string())]);
 }
 
 #[test]
 fn a_change_has_less_time_than_a_purge() {
     let (mut checker, _) = with_setting(3);
-    goes_by(&mut checker, ms(5000), 0, 1, Wanted::Gone);
+    goes_by(&mut checker, ms(5000), 0, 1, DesiredState::Gone);
     assert_eq!(checker.violations(), 0, "{checker}");
-    goes_by(&mut checker, ms(5001), 1, 1, Wanted::Gone);
+    goes_by(&mut checker, ms(5001), 1, 1, DesiredState::Gone);
     only(&checker, Broken::Late);
     // Held up at its publisher, and no more after that.
     let (mut checker, entry) = with_setting(3);
     checker.held_up(entry, ms(3000));
-    goes_by(&mut checker, ms(7000), 0, 1, Wanted::Gone);
+    goes_by(&mut checker, ms(7000), 0, 1, DesiredState::Gone);
     assert_eq!(checker.violations(), 0, "{checker}");
-    goes_by(&mut checker, ms(7001), 1, 1, Wanted::Gone);
+    goes_by(&mut checker, ms(7001), 1, 1, DesiredState::Gone);
     only(&checker, Broken::Late);
     // Who was held up itself catches up within the window.
     let (mut checker, _) = with_setting(3);
     (0..2).for_each(|member| checker.disturbed(member, ms(3000)));
-    goes_by(&mut checker, ms(11_700), 0, 1, Wanted::Gone);
+    goes_by(&mut checker, ms(11_700), 0, 1, DesiredState::Gone);
     assert_eq!(checker.violations(), 0, "{checker}");
-    goes_by(&mut checker, ms(11_701), 1, 1, Wanted::Gone);
+    goes_by(&mut checker, ms(11_701), 1, 1, DesiredState::Gone);
     only(&checker, Broken::Late);
 }
 
@@ -311,22 +321,22 @@
     checker.doubt(entry);
     checker.ends_quiet(ms(60_000), false);
     assert_eq!(checker.violations(), 0, "{checker}");
-    goes_by(&mut checker, ms(1200), 1, 1, Wanted::Gone);
+    goes_by(&mut checker, ms(1200), 1, 1, DesiredState::Gone);
     checker.ends_quiet(ms(60_000), false);
     only(&checker, Broken::PassedOver);
     assert_eq!(checker.broken[&Broken::PassedOver], 2);
     // One that goes by what nobody said, or by what was before.
     let (mut checker, _) = with_setting(3);
-    let later = set(&mut checker, 2, ms(2000), Wanted::Listed);
-    (0..3).for_each(|member| goes_by(&mut checker, ms(1200), member, 1, Wanted::Gone));
+    let later = set(&mut checker, 2, ms(2000), DesiredState::Listed);
+    (0..3).for_each(|member| goes_by(&mut checker, ms(1200), member, 1, DesiredState::Gone));
     checker.doubt(later);
     checker.ends_quiet(ms(60_000), false);
     assert_eq!(checker.violations(), 0, "{checker}");
-    checker.configured(ms(3000), 2, BTreeMap::from([("a".to_string(), Wanted::Draining)]), &[]);
+    checker.configured(ms(3000), 2, BTreeMap::from([("a".to_string(), DesiredState::Draining)]), &[]);
     checker.ends_quiet(ms(60_000), false);
     only(&checker, Broken::WrongSetting);
     checker.broken.clear();
-    goes_by(&mut checker, ms(3100), 2, 2, Wanted::Listed);
+    goes_by(&mut checker, ms(3100), 2, 2, DesiredState::Listed);
     checker.ends_quiet(ms(60_000), false);
     assert_eq!(checker.broken[&Broken::WrongSetting], 2, "{checker}");
 }
@@ -366,7 +376,7 @@
     // One that was published, once.
     let (mut checker, _) = self::checker();
     let entry = checker.says(ms(2000), What::Purge(Purge::Everything), None, 0);
-    checker.numbered(entry, stream(Kind::Purges), Number(2));
+    checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(2));
     checker.purged(ms(3000), ms(3000), 2, &[(Purge::Everything, ms(1000))]);
     assert_eq!(checker.violations(), 0, "{checker}");
     checker.purged(ms(3100), ms(3100), 2, &[(Purge::Everything, ms(1100))]);
@@ -388,7 +398,7 @@
     let (mut checker, _) = self::checker();
     checker.parts(vec![Some(0), Some(1), Some(1)], ms(4000));
     let entry = checker.says(ms(2000), What::Purge(Purge::object(8)), Some(0), 0);
-    checker.numbered(entry, stream(Kind::Purges), Number(2));
+    checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(2));
     checker.purged(ms(12_800), ms(12_800), 1, &[(Purge::object(8), ms(10_800))]);
     only(&checker, Broken::Late);
 }
--- a/crates/rockflow-transport/src/dissemination/carry.rs
+++ b/crates/rockflow-transport/src/dissemination/carry.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub bounds: Bounds,
-    pub told: Told,
+    pub config: NodeConfig,
     /// At control alone.
     pub directory: Option<Directory>,
     pub listen: SocketAddr,
@@ -36,10 +36,10 @@
 /// From the dispatcher, or from control.
 pub enum Word {
     /// The decisions go by it.
-    InEffect(Ticket),
+    InEffect(ApplyToken),
     Refuse {
         id: EntryId,
-        why: Refusal,
+        why: RejectionReason,
     },
     /// At control: the notice board says so. Published by whichever control node it is to be published by.
     Board {
@@ -54,7 +54,7 @@
         reply: Reply<Vec<EntryId>>,
     },
     Directory(Directory),
-    Survey(Reply<Tally>),
+    Status(Reply<Tally>),
     /// A planned stop: this life leaves, and the thread ends.
     Stop,
 }
@@ -62,8 +62,8 @@
 /// What is known and counted here, for whoever looks on.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    pub survey: Survey,
-    pub counts: Counts,
+    pub survey: NodeStatus,
+    pub counts: Counters,
     pub traffic: Traffic,
 }
 
@@ -80,7 +80,7 @@
 
 impl Link {
     /// Starts the thread. `heard` is called in it with every word of the machine but those it sends itself.
-    pub fn start(plan: Plan, mut heard: impl FnMut(&WeakLink, Out) + Send + 'static) -> io::Result<Link> {
+    pub fn start(plan: Plan, mut heard: impl FnMut(&WeakLink, Output) + Send + 'static) -> io::Result<Link> {
         let (words, mut taken) = mpsc::channel(MAX_WORDS);
         let weak = WeakLink(words.downgrade());
         let listens_at = wire::spawn("dissemination", plan.listen, move |socket| {
@@ -98,7 +98,7 @@
     /// comes back is polled, within a runtime of tokio.
     pub fn shared(
         plan: Plan,
-        mut heard: impl FnMut(&WeakLink, Out) + Send + 'static,
+        mut heard: impl FnMut(&WeakLink, Output) + Send + 'static,
     ) -> io::Result<(Link, impl Future<Output = ()>)> {
         let socket = std::net::UdpSocket::bind(plan.listen)?;
         socket.set_nonblocking(true)?;
@@ -141,44 +141,44 @@
 
 struct Carrier {
     bounds: Bounds,
-    me: Identity,
+    identity: Identity,
     node: Node,
     /// At control alone.
     feed: Option<Feed>,
     wire: Wire,
-    heard: Box<dyn FnMut(Out) + Send>,
+    heard: Box<dyn FnMut(Output) + Send>,
     stopped: bool,
 }
 
 impl Carrier {
-    fn new(plan: Plan, wire: Wire, heard: Box<dyn FnMut(Out) + Send>) -> Carrier {
-        let others = plan.told.control.len() > 1;
-        let settle = if others { plan.told.pulse * SETTLE } else { Duration::ZERO };
-        let feed = plan.told.control_id.map(|_| Feed {
-            publisher: Publisher::new(plan.told.purge_window).settling(settle),
+    fn new(plan: Plan, wire: Wire, heard: Box<dyn FnMut(Output) + Send>) -> Carrier {
+        let others = plan.config.control.len() > 1;
+        let settle = if others { plan.config.heartbeat_interval * SETTLE } else { Duration::ZERO };
+        let feed = plan.config.control_id.map(|_| Feed {
+            publisher: Publisher::new(plan.config.purge_window).settling(settle),
             due: wire.now(),
-            every: plan.told.pulse,
+            every: plan.config.heartbeat_interval,
         });
-        let me = plan.told.me;
-        let node = Node::new(plan.told, plan.directory, plan.seed, wire.now());
-        Carrier { bounds: plan.bounds, me, node, feed, wire, heard, stopped: false }
+        let identity = plan.config.identity;
+        let node = Node::new(plan.config, plan.directory, plan.seed, wire.now());
+        Carrier { bounds: plan.bounds, identity, node, feed, wire, heard, stopped: false }
     }
 
     fn start(&mut self) {
-        info!(node = self.me.node.0, incarnation = self.me.incarnation.0, "dissemination");
+        info!(node = self.identity.node.0, incarnation = self.identity.incarnation.0, "dissemination");
         let outs = self.node.start(self.wire.now());
         self.carry(outs);
     }
 
     /// Sends what is to be sent, packed by peer, and passes the rest on.
-    fn carry(&mut self, outs: Vec<Out>) {
+    fn carry(&mut self, outs: Vec<Output>) {
         let mut sends: BTreeMap<SocketAddr, Vec<Message>> = BTreeMap::new();
         for out in outs {
             match out {
-                Out::Send { to, message } => sends.entry(to).or_default().push(message),
+                Output::Send { to, message } => sends.entry(to).or_default().push(message),
                 // What is sent from now on is of the life that has begun.
-                Out::Outlived { incarnation } => {
-                    self.me.incarnation = incarnation;
+                Output::IncarnationSuperseded { incarnation } => {
+                    self.identity.incarnation = incarnation;
                     (self.heard)(out);
                 }
                 other => {
@@ -188,23 +188,23 @@
             }
         }
         for (to, messages) in sends {
-            let packed = self.bounds.encode(self.me, &messages);
+            let packed = self.bounds.encode(self.identity, &messages);
             self.wire.send_packed(to, packed);
         }
     }
 
     /// What another control node has published need not be published here.
-    fn saw(&mut self, out: &Out) {
-        let (Some(feed), Out::Purge { purges, .. }) = (&mut self.feed, out) else { return };
+    fn saw(&mut self, out: &Output) {
+        let (Some(feed), Output::Purge { purges, .. }) = (&mut self.feed, out) else { return };
         let now = self.wire.now();
-        purges.iter().for_each(|(purge, age)| feed.publisher.seen(now, *purge, *age));
+        purges.iter().for_each(|(purge, age)| feed.publisher.on_published(now, *purge, *age));
     }
 
     fn board(&mut self, now: Duration, purge: Purge, age: Duration, backlog: bool) {
         let Some(feed) = &mut self.feed else { return };
         match backlog {
-            true => feed.publisher.heard_backlog(now, purge, age),
-            false => feed.publisher.heard(now, purge, age),
+            true => feed.publisher.on_backlog_notice(now, purge, age),
+            false => feed.publisher.on_purge_notice(now, purge, age),
         }
         feed.due = now;
     }
@@ -212,7 +212,7 @@
     fn publish(&mut self, now: Duration) {
         let Some(feed) = self.feed.as_mut().filter(|feed| feed.due <= now) else { return };
         feed.due = now + feed.every;
-        let publications = feed.publisher.tick(now, self.node.publishing(now));
+        let publications = feed.publisher.tick(now, self.node.is_publishing(now));
         if !publications.is_empty() {
             let (_, outs) = self.node.publish(now, publications);
             self.carry(outs);
@@ -221,8 +221,8 @@
 
     fn tally(&mut self, now: Duration) -> Tally {
         Tally {
-            survey: self.node.survey(now),
-            counts: *self.node.counts(),
+            survey: self.node.status(now),
+            counts: *self.node.counters(),
             traffic: self.wire.traffic.clone(),
         }
     }
@@ -237,11 +237,11 @@
 
     fn datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         match self.bounds.decode(bytes) {
-            Ok(frame) if frame.from.node != self.me.node => {
+            Ok(frame) if frame.from.node != self.identity.node => {
                 // Together, so that what comes of one datagram goes on in one to each peer.
                 let mut outs = Vec::new();
                 for message in frame.messages {
-                    outs.extend(self.node.hear(self.wire.now(), frame.from, from, message));
+                    outs.extend(self.node.on_message(self.wire.now(), frame.from, from, message));
                 }
                 self.carry(outs);
             }
@@ -254,8 +254,8 @@
     fn word(&mut self, word: Word) {
         let now = self.wire.now();
         let outs = match word {
-            Word::InEffect(ticket) => self.node.in_effect(now, ticket),
-            Word::Refuse { id, why } => self.node.refuse(now, id, why),
+            Word::InEffect(ticket) => self.node.confirm_applied(now, ticket),
+            Word::Refuse { id, why } => self.node.reject(now, id, why),
             Word::Board { purge, age, backlog } => {
                 self.board(now, purge, age, backlog);
                 Vec::new()
@@ -266,7 +266,7 @@
                 outs
             }
             Word::Directory(directory) => self.node.set_directory(now, directory),
-            Word::Survey(reply) => {
+            Word::Status(reply) => {
                 reply(self.tally(now));
                 Vec::new()
             }
--- a/crates/rockflow-transport/src/dissemination/frame.rs
+++ b/crates/rockflow-transport/src/dissemination/frame.rs
@@ -2,20 +2,20 @@
 //! others is judged here, strictly and once.
 
 use crate::datagram::{Fault, Head, MAX_MESSAGES};
-use rockflow_dissemination::settings::MAX_CLOCK;
+use rockflow_dissemination::MAX_CLOCK_UNIX_MS;
 use rockflow_dissemination::*;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
 pub const VERSION: u8 = 2;
-const MARK: [u8; 2] = [0x72, 0x64];
+const MAGIC: [u8; 2] = [0x72, 0x64];
 /// Guards against a peer's life or number from which nobody could go on: Unix milliseconds till the year 2248, and more
 /// numbers than any life gives out.
-pub const MAX_LIFE: u64 = 1 << 43;
+pub const MAX_INCARNATION: u64 = 1 << 43;
 pub const MAX_NUMBER: u64 = 1 << 53;
 /// Parts of a table of settings.
-pub const MAX_PARTS: u16 = 4096;
+pub const MAX_TABLE_PARTS: u16 = 4096;
 
 /// What is known beforehand of all that may come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     }
 
     fn head(&self) -> Head {
-        Head { mark: MARK, version: VERSION, fleet: self.fleet }
+        Head { mark: MAGIC, version: VERSION, fleet: self.fleet }
     }
 
     /// Packs messages to one peer into datagrams, in order. What does not fit even alone is left out, and counted.
@@ -67,20 +67,20 @@
 
     fn message(&self, message: &Message) -> Result<(), Fault> {
         match message {
-            Message::Join { .. } | Message::Unknown { .. } | Message::Leave | Message::Full => Ok(()),
-            Message::Probe | Message::Fresh { .. } => Ok(()),
-            Message::Near { slot, slots, parents, .. } => {
+            Message::Join { .. } | Message::NotListed { .. } | Message::Leave | Message::Full => Ok(()),
+            Message::Probe | Message::ProbeReply { .. } => Ok(()),
+            Message::Placement { slot, slots, parents, .. } => {
                 range(*slots, 1..=MAX_SLOTS as u16)?;
                 ensure(slot < slots, Fault::OutOfRange)?;
                 all(parents, MAX_PARENTS, |peer| self.address(peer.address))
             }
-            Message::Ack { has, reports } => {
-                all(has, MAX_STREAMS, |held| self.held(held))?;
+            Message::Acknowledgement { received, reports } => {
+                all(received, MAX_STREAMS, |held| self.held(held))?;
                 all(reports, MAX_REPORTS, |report| self.report(report))
             }
-            Message::Pulse { tips, .. } => all(tips, MAX_TIPS, |tip| self.tip(tip)),
+            Message::Heartbeat { tips, .. } => all(tips, MAX_TIPS, |tip| self.tip(tip)),
             Message::Batch { stream, first, entries } => self.batch(stream, *first, entries),
-            Message::Ask { stream, ranges } => {
+            Message::RepairRequest { stream, ranges } => {
                 self.stream(stream)?;
                 all(ranges, MAX_RANGES, |(first, last)| span(*first, *last))
             }
@@ -88,29 +88,29 @@
                 self.stream(stream)?;
                 numbered(*next)
             }
-            Message::WantSettings { part } => ensure(*part < MAX_PARTS, Fault::OutOfRange),
-            Message::Settings { part, parts, settings, .. } => {
-                range(*parts, 1..=MAX_PARTS)?;
+            Message::SettingsRequest { part } => ensure(*part < MAX_TABLE_PARTS, Fault::OutOfRange),
+            Message::SettingsPart { part, parts, settings, .. } => {
+                range(*parts, 1..=MAX_TABLE_PARTS)?;
                 ensure(part < parts, Fault::OutOfRange)?;
-                all(settings, MAX_SETTINGS, |version| self.version(version))
+                all(settings, MAX_SETTINGS_PER_PART, |version| self.version(version))
             }
-            Message::Rows { clock, rows, .. } => {
+            Message::RegionReports { clock, reports: rows, .. } => {
                 self.stamp(*clock)?;
-                all(rows, MAX_ROWS, |row| self.report(&row.report))
+                all(rows, MAX_REGION_REPORTS, |row| self.report(&row.report))
             }
-            Message::Outlived { control, incarnation: life } => {
+            Message::SupersededIncarnation { control, incarnation: life } => {
                 self.control(*control)?;
                 incarnation(*life)
             }
         }
     }
 
-    fn batch(&self, stream: &StreamId, first: Number, entries: &[Aged]) -> Result<(), Fault> {
+    fn batch(&self, stream: &StreamId, first: SequenceNumber, entries: &[AgedEntry]) -> Result<(), Fault> {
         self.stream(stream)?;
         numbered(first)?;
-        some(entries, MAX_ENTRIES, |aged| match (&aged.entry, stream.kind) {
-            (Entry::Purge(_), Kind::Purges) => Ok(()),
-            (Entry::Setting(setting), Kind::Configuration) => self.setting(setting),
+        some(entries, MAX_BATCH_ENTRIES, |aged| match (&aged.entry, stream.kind) {
+            (Entry::Purge(_), StreamKind::Purges) => Ok(()),
+            (Entry::Setting(setting), StreamKind::Configuration) => self.setting(setting),
             _ => Err(Fault::Kind),
         })
     }
@@ -125,48 +125,48 @@
     }
 
     /// The first may be the one behind the last: nothing is held.
-    fn tip(&self, tip: &Tip) -> Result<(), Fault> {
+    fn tip(&self, tip: &StreamTip) -> Result<(), Fault> {
         self.stream(&tip.stream)?;
         numbered(tip.first)?;
         ensure(tip.last.0 <= MAX_NUMBER && tip.first <= tip.last.next(), Fault::OutOfRange)
     }
 
-    fn held(&self, (stream, number): &(StreamId, Number)) -> Result<(), Fault> {
+    fn held(&self, (stream, number): &(StreamId, SequenceNumber)) -> Result<(), Fault> {
         self.stream(stream)?;
         ensure(number.0 <= MAX_NUMBER, Fault::OutOfRange)
     }
 
-    fn report(&self, report: &Report) -> Result<(), Fault> {
+    fn report(&self, report: &SubtreeReport) -> Result<(), Fault> {
         at_most(report.slots.0.len(), MAX_SLOTS / 8)?;
-        all(&report.in_force, MAX_STREAMS, |held| self.held(held))?;
-        all(&report.behind, MAX_BEHIND, |(slot, stream, number)| {
+        all(&report.applied, MAX_STREAMS, |held| self.held(held))?;
+        all(&report.lagging, MAX_LAGGING, |(slot, stream, number)| {
             ensure(usize::from(*slot) < MAX_SLOTS, Fault::OutOfRange)?;
             self.held(&(*stream, *number))
         })?;
-        all(&report.refused, MAX_REFUSED, |(stream, number, _, members)| {
-            ensure(stream.kind == Kind::Configuration, Fault::Kind)?;
+        all(&report.rejected, MAX_REJECTED, |(stream, number, _, members)| {
+            ensure(stream.kind == StreamKind::Configuration, Fault::Kind)?;
             ensure(usize::from(*members) <= MAX_SLOTS, Fault::OutOfRange)?;
             self.stream(stream)?;
             numbered(*number)
         })
     }
 
-    fn version(&self, version: &Version) -> Result<(), Fault> {
-        ensure(version.stream.kind == Kind::Configuration, Fault::Kind)?;
+    fn version(&self, version: &SettingVersion) -> Result<(), Fault> {
+        ensure(version.stream.kind == StreamKind::Configuration, Fault::Kind)?;
         self.stream(&version.stream)?;
         numbered(version.number)?;
         self.setting(&version.setting)
     }
 
-    fn setting(&self, setting: &Setting) -> Result<(), Fault> {
-        ensure((1..=MAX_NAME).contains(&setting.host.len()), Fault::Name)?;
-        self.stamp(setting.stamp)?;
-        self.stamp(setting.seen)?;
-        ensure(setting.stamp > setting.seen, Fault::OutOfRange)
+    fn setting(&self, setting: &HostSetting) -> Result<(), Fault> {
+        ensure((1..=MAX_NAME_BYTES).contains(&setting.host.len()), Fault::Name)?;
+        self.stamp(setting.timestamp)?;
+        self.stamp(setting.replaced)?;
+        ensure(setting.timestamp > setting.replaced, Fault::OutOfRange)
     }
 
-    fn stamp(&self, stamp: Stamp) -> Result<(), Fault> {
-        ensure(stamp.at <= MAX_CLOCK, Fault::OutOfRange)?;
+    fn stamp(&self, stamp: HybridTimestamp) -> Result<(), Fault> {
+        ensure(stamp.unix_ms <= MAX_CLOCK_UNIX_MS, Fault::OutOfRange)?;
         self.control(ControlId(stamp.control))
     }
 
@@ -207,16 +207,16 @@
     ensure(allowed.contains(&value), Fault::OutOfRange)
 }
 
-fn numbered(number: Number) -> Result<(), Fault> {
+fn numbered(number: SequenceNumber) -> Result<(), Fault> {
     ensure((1..=MAX_NUMBER).contains(&number.0), Fault::OutOfRange)
 }
 
-fn span(first: Number, last: Number) -> Result<(), Fault> {
+fn span(first: SequenceNumber, last: SequenceNumber) -> Result<(), Fault> {
     numbered(first)?;
     numbered(last)?;
     ensure(first <= last, Fault::OutOfRange)
 }
 
 fn incarnation(life: Incarnation) -> Result<(), Fault> {
-    ensure((1..=MAX_LIFE).contains(&life.0), Fault::OutOfRange)
+    ensure((1..=MAX_INCARNATION).contains(&life.0), Fault::OutOfRange)
 }
--- a/crates/rockflow-transport/tests/dissemination_frames.rs
+++ b/crates/rockflow-transport/tests/dissemination_frames.rs
@@ -3,9 +3,11 @@
 
 mod spoiled;
 
-use rockflow_dissemination::settings::MAX_CLOCK;
+use rockflow_dissemination::MAX_CLOCK_UNIX_MS;
 use rockflow_dissemination::*;
-use rockflow_transport::dissemination::frame::{Bounds, MAX_LIFE, MAX_NUMBER, MAX_PARTS, VERSION};
+use rockflow_transport::dissemination::frame::{
+    Bounds, MAX_INCARNATION, MAX_NUMBER, MAX_TABLE_PARTS, VERSION,
+};
 use rockflow_transport::Fault;
 use test_case::test_case;
 
@@ -17,115 +19,140 @@
     Identity { node: NodeId::of("d7"), incarnation: Incarnation(9) }
 }
 
-fn stream(kind: Kind) -> StreamId {
+fn stream(kind: StreamKind) -> StreamId {
     StreamId { control: ControlId(1), kind, incarnation: Incarnation(5) }
 }
 
-fn purge() -> Aged {
-    Aged { age_ms: 3, entry: Entry::Purge(Purge::object(77)) }
+fn purge() -> AgedEntry {
+    AgedEntry { age_ms: 3, entry: Entry::Purge(Purge::object(77)) }
 }
 
-fn stamp(at: u64) -> Stamp {
-    Stamp { at, control: 1 }
+fn timestamp(at: u64) -> HybridTimestamp {
+    HybridTimestamp { unix_ms: at, control: 1 }
 }
 
-fn setting(host: &str) -> Setting {
-    let wanted = Wanted::Draining;
-    Setting { host: host.to_string(), wanted, stamp: stamp(2), seen: stamp(1) }
+fn setting(host: &str) -> HostSetting {
+    let desired = DesiredState::Draining;
+    HostSetting { host: host.to_string(), desired, timestamp: timestamp(2), replaced: timestamp(1) }
 }
 
-fn set(setting: Setting) -> Aged {
-    Aged { age_ms: 3, entry: Entry::Setting(setting) }
+fn set(setting: HostSetting) -> AgedEntry {
+    AgedEntry { age_ms: 3, entry: Entry::Setting(setting) }
 }
 
-fn batch(kind: Kind, first: u64, entries: Vec<Aged>) -> Message {
-    Message::Batch { stream: stream(kind), first: Number(first), entries }
+fn batch(kind: StreamKind, first: u64, entries: Vec<AgedEntry>) -> Message {
+    Message::Batch { stream: stream(kind), first: SequenceNumber(first), entries }
 }
 
 fn ask(first: u64, last: u64) -> Message {
-    Message::Ask { stream: stream(Kind::Purges), ranges: vec![(Number(first), Number(last))] }
+    Message::RepairRequest {
+        stream: stream(StreamKind::Purges),
+        ranges: vec![(SequenceNumber(first), SequenceNumber(last))],
+    }
 }
 
 fn pulse(tips: usize, first: u64, last: u64) -> Message {
-    let tip = Tip { stream: stream(Kind::Purges), first: Number(first), last: Number(last) };
-    Message::Pulse { stale_ms: 1, directory: 2, near: 3, tips: vec![tip; tips], settings: Some(4) }
+    let tip = StreamTip {
+        stream: stream(StreamKind::Purges),
+        first: SequenceNumber(first),
+        last: SequenceNumber(last),
+    };
+    Message::Heartbeat {
+        staleness_ms: 1,
+        directory_version: 2,
+        listing_hash: 3,
+        tips: vec![tip; tips],
+        settings_digest: Some(4),
+    }
 }
 
-fn held(number: u64) -> (StreamId, Number) {
-    (stream(Kind::Configuration), Number(number))
+fn held(number: u64) -> (StreamId, SequenceNumber) {
+    (stream(StreamKind::Configuration), SequenceNumber(number))
 }
 
-fn report() -> Report {
+fn report() -> SubtreeReport {
     let (stream, number) = held(3);
-    Report {
+    SubtreeReport {
         region: 1,
-        near: 2,
-        slots: Slots(vec![255; MAX_SLOTS / 8]),
-        in_force: vec![held(3); MAX_STREAMS],
-        behind: vec![(MAX_SLOTS as u16 - 1, stream, number); MAX_BEHIND],
-        refused: vec![(stream, number, Refusal::LastOne, 7); MAX_REFUSED],
+        listing_hash: 2,
+        slots: SlotSet(vec![255; MAX_SLOTS / 8]),
+        applied: vec![held(3); MAX_STREAMS],
+        lagging: vec![(MAX_SLOTS as u16 - 1, stream, number); MAX_LAGGING],
+        rejected: vec![(stream, number, RejectionReason::LastOne, 7); MAX_REJECTED],
     }
 }
 
-fn ack(report: Report) -> Message {
-    Message::Ack { has: vec![held(0)], reports: vec![report] }
+fn ack(report: SubtreeReport) -> Message {
+    Message::Acknowledgement { received: vec![held(0)], reports: vec![report] }
 }
 
-fn near(slot: u16, slots: u16, parents: &[&str]) -> Message {
+fn placement(slot: u16, slots: u16, parents: &[&str]) -> Message {
     let node = NodeId::of("parent");
     let parents = parents.iter().map(|at| Peer { node, address: at.parse().unwrap() }).collect();
-    Message::Near { directory: 1, near: 2, region: 3, slot, slots, parents }
+    Message::Placement { directory_version: 1, listing_hash: 2, region: 3, slot, slots, parents }
 }
 
-fn version() -> Version {
-    Version { stream: stream(Kind::Configuration), number: Number(1), setting: setting("c1") }
+fn version() -> SettingVersion {
+    SettingVersion {
+        stream: stream(StreamKind::Configuration),
+        number: SequenceNumber(1),
+        setting: setting("c1"),
+    }
 }
 
 fn settings(part: u16, parts: u16, count: usize) -> Message {
-    Message::Settings { digest: 1, part, parts, settings: vec![version(); count] }
+    Message::SettingsPart { digest: 1, part, parts, settings: vec![version(); count] }
 }
 
-fn of_version(spoil: fn(&mut Version)) -> Message {
+fn of_version(spoil: fn(&mut SettingVersion)) -> Message {
     let mut version = version();
     spoil(&mut version);
-    Message::Settings { digest: 1, part: 0, parts: 1, settings: vec![version] }
+    Message::SettingsPart { digest: 1, part: 0, parts: 1, settings: vec![version] }
 }
 
 fn rows(count: usize, control: u8) -> Message {
-    let row = Row { report: report(), age_ms: 1 };
-    Message::Rows { directory: 1, clock: Stamp { at: 9, control }, rows: vec![row; count] }
+    let row = RegionReport { report: report(), age_ms: 1 };
+    Message::RegionReports {
+        directory_version: 1,
+        clock: HybridTimestamp { unix_ms: 9, control },
+        reports: vec![row; count],
+    }
 }
 
 fn of_clock(at: u64) -> Message {
-    Message::Rows { directory: 1, clock: stamp(at), rows: vec![] }
+    Message::RegionReports { directory_version: 1, clock: timestamp(at), reports: vec![] }
 }
 
 fn outlived(control: u8, incarnation: u64) -> Message {
-    Message::Outlived { control: ControlId(control), incarnation: Incarnation(incarnation) }
+    Message::SupersededIncarnation { control: ControlId(control), incarnation: Incarnation(incarnation) }
 }
 
 fn each() -> Vec<Message> {
     vec![
-        Message::Join { directory: 0 },
-        near(0, 1, &["127.0.0.1:7500", "[::1]:7500"]),
-        Message::Unknown { directory: 2 },
+        Message::Join { directory_version: 0 },
+        placement(0, 1, &["127.0.0.1:7500", "[::1]:7500"]),
+        Message::NotListed { directory_version: 2 },
         ack(report()),
         Message::Leave,
         Message::Full,
         pulse(MAX_TIPS, 4, 3),
-        batch(Kind::Purges, 1, vec![purge(); MAX_ENTRIES]),
-        batch(Kind::Configuration, 1, vec![set(setting(&"h".repeat(MAX_NAME)))]),
+        batch(StreamKind::Purges, 1, vec![purge(); MAX_BATCH_ENTRIES]),
+        batch(StreamKind::Configuration, 1, vec![set(setting(&"h".repeat(MAX_NAME_BYTES)))]),
         ask(1, 1),
-        Message::Snapshot { stream: stream(Kind::Purges), next: Number(1), floor_age_ms: None },
-        Message::WantSettings { part: MAX_PARTS - 1 },
-        Message::Ask { stream: stream(Kind::Purges), ranges: vec![] },
-        settings(0, 1, MAX_SETTINGS),
-        rows(MAX_ROWS, 0),
-        of_clock(MAX_CLOCK),
+        Message::Snapshot {
+            stream: stream(StreamKind::Purges),
+            next: SequenceNumber(1),
+            min_accepted_age_ms: None,
+        },
+        Message::SettingsRequest { part: MAX_TABLE_PARTS - 1 },
+        Message::RepairRequest { stream: stream(StreamKind::Purges), ranges: vec![] },
+        settings(0, 1, MAX_SETTINGS_PER_PART),
+        rows(MAX_REGION_REPORTS, 0),
+        of_clock(MAX_CLOCK_UNIX_MS),
         outlived(1, 5),
-        outlived(1, MAX_LIFE),
+        outlived(1, MAX_INCARNATION),
         Message::Probe,
-        Message::Fresh { stale_ms: u32::MAX },
+        Message::ProbeReply { staleness_ms: u32::MAX },
     ]
 }
 
@@ -145,7 +172,7 @@
 
 #[test]
 fn messages_are_packed_by_size_and_in_order() {
-    let messages: Vec<_> = (1..200).map(|first| batch(Kind::Purges, first, vec![purge(); 9])).collect();
+    let messages: Vec<_> = (1..200).map(|first| batch(StreamKind::Purges, first, vec![purge(); 9])).collect();
     let (frames, left_out) = bounds().encode(me(), &messages);
     assert!(frames.len() > 4 && frames.iter().all(|bytes| bytes.len() <= 1400), "{}", frames.len());
     let read: Vec<_> =
@@ -168,7 +195,7 @@
 
 #[test]
 fn what_is_not_whole_is_not_taken() {
-    let whole = sealed(&batch(Kind::Purges, 1, vec![purge(); 3]));
+    let whole = sealed(&batch(StreamKind::Purges, 1, vec![purge(); 3]));
     for (how, bytes, fault) in spoiled::not_whole(&whole) {
         assert_eq!(bounds().decode(&bytes), Err(fault), "{how}");
     }
@@ -177,79 +204,79 @@
     assert_eq!(bounds().decode(&spoiled::resealed(less)), Err(Fault::Unreadable), "less in it");
 }
 
-fn of_report(spoil: fn(&mut Report)) -> Message {
+fn of_report(spoil: fn(&mut SubtreeReport)) -> Message {
     let mut report = report();
     spoil(&mut report);
     ack(report)
 }
 
-fn of_setting(spoil: fn(&mut Setting)) -> Message {
+fn of_setting(spoil: fn(&mut HostSetting)) -> Message {
     let mut setting = setting("c1");
     spoil(&mut setting);
-    batch(Kind::Configuration, 1, vec![set(setting)])
+    batch(StreamKind::Configuration, 1, vec![set(setting)])
 }
 
-#[test_case(batch(Kind::Purges, 1, vec![purge(); MAX_ENTRIES + 1]), Fault::Amount; "entries")]
-#[test_case(batch(Kind::Purges, 1, vec![]), Fault::Amount; "no entries")]
-#[test_case(batch(Kind::Purges, 0, vec![purge()]), Fault::OutOfRange; "number zero")]
-#[test_case(batch(Kind::Purges, MAX_NUMBER + 1, vec![purge()]), Fault::OutOfRange; "number without end")]
-#[test_case(batch(Kind::Configuration, 1, vec![purge()]), Fault::Kind; "a purge among settings")]
-#[test_case(batch(Kind::Purges, 1, vec![set(setting("c1"))]), Fault::Kind; "a setting among purges")]
+#[test_case(batch(StreamKind::Purges, 1, vec![purge(); MAX_BATCH_ENTRIES + 1]), Fault::Amount; "entries")]
+#[test_case(batch(StreamKind::Purges, 1, vec![]), Fault::Amount; "no entries")]
+#[test_case(batch(StreamKind::Purges, 0, vec![purge()]), Fault::OutOfRange; "number zero")]
+#[test_case(batch(StreamKind::Purges, MAX_NUMBER + 1, vec![purge()]), Fault::OutOfRange; "number without end")]
+#[test_case(batch(StreamKind::Configuration, 1, vec![purge()]), Fault::Kind; "a purge among settings")]
+#[test_case(batch(StreamKind::Purges, 1, vec![set(setting("c1"))]), Fault::Kind; "a setting among purges")]
 #[test_case(of_setting(|setting| setting.host.clear()), Fault::Name; "no name")]
-#[test_case(of_setting(|setting| setting.host = "h".repeat(MAX_NAME + 1)), Fault::Name; "a long name")]
-#[test_case(of_setting(|setting| setting.stamp = stamp(MAX_CLOCK + 1)), Fault::OutOfRange; "a clock without end")]
-#[test_case(of_setting(|setting| setting.stamp.control = 2), Fault::OutOfRange; "a stamp of nobody")]
-#[test_case(of_setting(|setting| setting.seen.control = 2), Fault::OutOfRange; "seen of nobody")]
-#[test_case(of_setting(|setting| setting.seen = setting.stamp), Fault::OutOfRange; "seen itself")]
+#[test_case(of_setting(|setting| setting.host = "h".repeat(MAX_NAME_BYTES + 1)), Fault::Name; "a long name")]
+#[test_case(of_setting(|setting| setting.timestamp = timestamp(MAX_CLOCK_UNIX_MS + 1)), Fault::OutOfRange; "a clock without end")]
+#[test_case(of_setting(|setting| setting.timestamp.control = 2), Fault::OutOfRange; "a stamp of nobody")]
+#[test_case(of_setting(|setting| setting.replaced.control = 2), Fault::OutOfRange; "seen of nobody")]
+#[test_case(of_setting(|setting| setting.replaced = setting.timestamp), Fault::OutOfRange; "seen itself")]
 #[test_case(ask(2, 1), Fault::OutOfRange; "a range that ends before it begins")]
 #[test_case(ask(0, 1), Fault::OutOfRange; "a range from zero")]
 #[test_case(ask(1, MAX_NUMBER + 1), Fault::OutOfRange; "a range without end")]
-#[test_case(Message::WantSettings { part: MAX_PARTS }, Fault::OutOfRange; "a part that there is not")]
-#[test_case(of_version(|version| version.stream.kind = Kind::Purges), Fault::Kind; "a setting of a stream of purges")]
-#[test_case(of_version(|version| version.number = Number(0)), Fault::OutOfRange; "a setting of no number")]
+#[test_case(Message::SettingsRequest { part: MAX_TABLE_PARTS }, Fault::OutOfRange; "a part that there is not")]
+#[test_case(of_version(|version| version.stream.kind = StreamKind::Purges), Fault::Kind; "a setting of a stream of purges")]
+#[test_case(of_version(|version| version.number = SequenceNumber(0)), Fault::OutOfRange; "a setting of no number")]
 #[test_case(of_version(|version| version.setting.host.clear()), Fault::Name; "a setting of no host")]
-#[test_case(Message::Ask { stream: stream(Kind::Purges), ranges: vec![(Number(1), Number(1)); MAX_RANGES + 1] }, Fault::Amount; "ranges")]
+#[test_case(Message::RepairRequest { stream: stream(StreamKind::Purges), ranges: vec![(SequenceNumber(1), SequenceNumber(1)); MAX_RANGES + 1] }, Fault::Amount; "ranges")]
 #[test_case(pulse(MAX_TIPS + 1, 1, 1), Fault::Amount; "tips")]
 #[test_case(pulse(1, 3, 1), Fault::OutOfRange; "a tip before its first")]
 #[test_case(pulse(1, 0, 1), Fault::OutOfRange; "a tip from zero")]
 #[test_case(pulse(1, 1, u64::MAX), Fault::OutOfRange; "a tip without end")]
-#[test_case(near(1, 1, &[]), Fault::OutOfRange; "a slot behind the last")]
-#[test_case(near(0, 0, &[]), Fault::OutOfRange; "no slots")]
-#[test_case(near(0, MAX_SLOTS as u16 + 1, &[]), Fault::OutOfRange; "slots")]
-#[test_case(near(0, 1, &["127.0.0.1:1"; MAX_PARENTS + 1]), Fault::Amount; "parents")]
-#[test_case(near(0, 1, &["127.0.0.1:0"]), Fault::Address; "no port")]
-#[test_case(near(0, 1, &["0.0.0.0:1"]), Fault::Address; "no address")]
-#[test_case(near(0, 1, &["224.0.0.1:1"]), Fault::Address; "an address of many")]
-#[test_case(near(0, 1, &["192.0.2.1:1"]), Fault::Address; "an address outside")]
+#[test_case(placement(1, 1, &[]), Fault::OutOfRange; "a slot behind the last")]
+#[test_case(placement(0, 0, &[]), Fault::OutOfRange; "no slots")]
+#[test_case(placement(0, MAX_SLOTS as u16 + 1, &[]), Fault::OutOfRange; "slots")]
+#[test_case(placement(0, 1, &["127.0.0.1:1"; MAX_PARENTS + 1]), Fault::Amount; "parents")]
+#[test_case(placement(0, 1, &["127.0.0.1:0"]), Fault::Address; "no port")]
+#[test_case(placement(0, 1, &["0.0.0.0:1"]), Fault::Address; "no address")]
+#[test_case(placement(0, 1, &["224.0.0.1:1"]), Fault::Address; "an address of many")]
+#[test_case(placement(0, 1, &["192.0.2.1:1"]), Fault::Address; "an address outside")]
 #[test_case(settings(1, 1, 1), Fault::OutOfRange; "a part behind the last")]
 #[test_case(settings(0, 0, 1), Fault::OutOfRange; "no parts")]
-#[test_case(settings(0, MAX_PARTS + 1, 1), Fault::OutOfRange; "parts")]
-#[test_case(settings(0, 1, MAX_SETTINGS + 1), Fault::Amount; "settings")]
-#[test_case(rows(MAX_ROWS + 1, 0), Fault::Amount; "rows")]
+#[test_case(settings(0, MAX_TABLE_PARTS + 1, 1), Fault::OutOfRange; "parts")]
+#[test_case(settings(0, 1, MAX_SETTINGS_PER_PART + 1), Fault::Amount; "settings")]
+#[test_case(rows(MAX_REGION_REPORTS + 1, 0), Fault::Amount; "rows")]
 #[test_case(rows(1, 2), Fault::OutOfRange; "a clock of nobody")]
-#[test_case(of_clock(MAX_CLOCK + 1), Fault::OutOfRange; "a clock of rows without end")]
+#[test_case(of_clock(MAX_CLOCK_UNIX_MS + 1), Fault::OutOfRange; "a clock of rows without end")]
 #[test_case(outlived(2, 1), Fault::OutOfRange; "a control node that there is not")]
 #[test_case(outlived(0, 0), Fault::OutOfRange; "no life")]
-#[test_case(outlived(0, MAX_LIFE + 1), Fault::OutOfRange; "a life without end")]
-#[test_case(Message::Ack { has: vec![held(1); MAX_STREAMS + 1], reports: vec![] }, Fault::Amount; "streams")]
-#[test_case(Message::Ack { has: vec![held(MAX_NUMBER + 1)], reports: vec![] }, Fault::OutOfRange; "has without end")]
-#[test_case(Message::Ack { has: vec![], reports: vec![Report { slots: Slots(vec![]), ..report() }; MAX_REPORTS + 1] }, Fault::Amount; "reports")]
+#[test_case(outlived(0, MAX_INCARNATION + 1), Fault::OutOfRange; "a life without end")]
+#[test_case(Message::Acknowledgement { received: vec![held(1); MAX_STREAMS + 1], reports: vec![] }, Fault::Amount; "streams")]
+#[test_case(Message::Acknowledgement { received: vec![held(MAX_NUMBER + 1)], reports: vec![] }, Fault::OutOfRange; "has without end")]
+#[test_case(Message::Acknowledgement { received: vec![], reports: vec![SubtreeReport { slots: SlotSet(vec![]), ..report() }; MAX_REPORTS + 1] }, Fault::Amount; "reports")]
 #[test_case(of_report(|report| report.slots.0.push(0)), Fault::Amount; "slots of a report")]
-#[test_case(of_report(|report| report.in_force.push(held(1))), Fault::Amount; "in force")]
-#[test_case(of_report(|report| report.behind.push(report.behind[0])), Fault::Amount; "behind")]
-#[test_case(of_report(|report| report.behind[0].0 = MAX_SLOTS as u16), Fault::OutOfRange; "behind at a slot that there is not")]
-#[test_case(of_report(|report| report.refused.push(report.refused[0])), Fault::Amount; "refused")]
-#[test_case(of_report(|report| report.refused[0].0.kind = Kind::Purges), Fault::Kind; "a purge refused")]
-#[test_case(of_report(|report| report.refused[0].3 = MAX_SLOTS as u16 + 1), Fault::OutOfRange; "refused by more than there are")]
-#[test_case(of_report(|report| report.in_force[0].0.control = ControlId(2)), Fault::OutOfRange; "a stream of nobody")]
-#[test_case(of_report(|report| report.in_force[0].0.incarnation = Incarnation(0)), Fault::OutOfRange; "a stream of no life")]
+#[test_case(of_report(|report| report.applied.push(held(1))), Fault::Amount; "in force")]
+#[test_case(of_report(|report| report.lagging.push(report.lagging[0])), Fault::Amount; "behind")]
+#[test_case(of_report(|report| report.lagging[0].0 = MAX_SLOTS as u16), Fault::OutOfRange; "behind at a slot that there is not")]
+#[test_case(of_report(|report| report.rejected.push(report.rejected[0])), Fault::Amount; "refused")]
+#[test_case(of_report(|report| report.rejected[0].0.kind = StreamKind::Purges), Fault::Kind; "a purge refused")]
+#[test_case(of_report(|report| report.rejected[0].3 = MAX_SLOTS as u16 + 1), Fault::OutOfRange; "refused by more than there are")]
+#[test_case(of_report(|report| report.applied[0].0.control = ControlId(2)), Fault::OutOfRange; "a stream of nobody")]
+#[test_case(of_report(|report| report.applied[0].0.incarnation = Incarnation(0)), Fault::OutOfRange; "a stream of no life")]
 fn what_is_out_of_its_bounds_is_not_taken(message: Message, fault: Fault) {
     assert_eq!(bounds().decode(&sealed(&message)), Err(fault));
 }
 
 #[test]
 fn addresses_outside_the_loopback_go_where_they_are_told() {
-    let bytes = sealed(&near(0, 1, &["192.0.2.1:1"]));
+    let bytes = sealed(&placement(0, 1, &["192.0.2.1:1"]));
     assert!(Bounds::new("fleet", 2, false).decode(&bytes).is_ok());
 }
 
--- a/crates/rockflow-transport/tests/dissemination_wire_format.rs
+++ b/crates/rockflow-transport/tests/dissemination_wire_format.rs
@@ -6,106 +6,146 @@
 use std::fmt::Write;
 use test_case::test_case;
 
-fn stream(kind: Kind) -> StreamId {
+fn stream(kind: StreamKind) -> StreamId {
     StreamId { control: ControlId(1), kind, incarnation: Incarnation(1_700_000_000_123) }
 }
 
-fn setting(host: &str, wanted: Wanted) -> Setting {
-    let stamp = Stamp { at: 1_700_000_000_789, control: 1 };
-    Setting { host: host.to_string(), wanted, stamp, seen: Stamp { at: 1_700_000_000_456, control: 2 } }
+fn setting(host: &str, desired: DesiredState) -> HostSetting {
+    let timestamp = HybridTimestamp { unix_ms: 1_700_000_000_789, control: 1 };
+    HostSetting {
+        host: host.to_string(),
+        desired,
+        timestamp,
+        replaced: HybridTimestamp { unix_ms: 1_700_000_000_456, control: 2 },
+    }
 }
 
-fn version(number: u64, host: &str, wanted: Wanted) -> Version {
-    Version { stream: stream(Kind::Configuration), number: Number(number), setting: setting(host, wanted) }
+fn version(number: u64, host: &str, desired: DesiredState) -> SettingVersion {
+    SettingVersion {
+        stream: stream(StreamKind::Configuration),
+        number: SequenceNumber(number),
+        setting: setting(host, desired),
+    }
 }
 
 fn peer(name: &str, address: &str) -> Peer {
     Peer { node: NodeId::of(name), address: address.parse().unwrap() }
 }
 
-fn report() -> Report {
-    let (purges, configuration) = (stream(Kind::Purges), stream(Kind::Configuration));
-    Report {
+fn report() -> SubtreeReport {
+    let (purges, configuration) = (stream(StreamKind::Purges), stream(StreamKind::Configuration));
+    SubtreeReport {
         region: 3,
-        near: 0xfeed_beef,
-        slots: Slots(vec![0x5a, 0x81]),
-        in_force: vec![(purges, Number(300)), (configuration, Number(7))],
-        behind: vec![(11, purges, Number(290))],
-        refused: vec![
-            (configuration, Number(5), Refusal::LastOne, 2),
-            (configuration, Number(6), Refusal::Full, 9),
+        listing_hash: 0xfeed_beef,
+        slots: SlotSet(vec![0x5a, 0x81]),
+        applied: vec![(purges, SequenceNumber(300)), (configuration, SequenceNumber(7))],
+        lagging: vec![(11, purges, SequenceNumber(290))],
+        rejected: vec![
+            (configuration, SequenceNumber(5), RejectionReason::LastOne, 2),
+            (configuration, SequenceNumber(6), RejectionReason::Full, 9),
         ],
     }
 }
 
 fn join() -> Message {
-    Message::Join { directory: 4711 }
+    Message::Join { directory_version: 4711 }
 }
 
-fn near() -> Message {
+fn placement() -> Message {
     let parents = vec![peer("parent", "127.0.0.1:7500"), peer("control", "[::1]:7501")];
-    Message::Near { directory: 4711, near: 0xfeed_beef, region: 3, slot: 5, slots: 600, parents }
+    Message::Placement {
+        directory_version: 4711,
+        listing_hash: 0xfeed_beef,
+        region: 3,
+        slot: 5,
+        slots: 600,
+        parents,
+    }
 }
 
 fn unknown() -> Message {
-    Message::Unknown { directory: 4712 }
+    Message::NotListed { directory_version: 4712 }
 }
 
 fn ack() -> Message {
-    let has = vec![(stream(Kind::Purges), Number(301)), (stream(Kind::Configuration), Number(8))];
-    Message::Ack { has, reports: vec![report()] }
+    let has = vec![
+        (stream(StreamKind::Purges), SequenceNumber(301)),
+        (stream(StreamKind::Configuration), SequenceNumber(8)),
+    ];
+    Message::Acknowledgement { received: has, reports: vec![report()] }
 }
 
 fn pulse() -> Message {
     let tips = vec![
-        Tip { stream: stream(Kind::Purges), first: Number(2), last: Number(301) },
-        Tip { stream: stream(Kind::Configuration), first: Number(1), last: Number(8) },
+        StreamTip { stream: stream(StreamKind::Purges), first: SequenceNumber(2), last: SequenceNumber(301) },
+        StreamTip {
+            stream: stream(StreamKind::Configuration),
+            first: SequenceNumber(1),
+            last: SequenceNumber(8),
+        },
     ];
-    Message::Pulse { stale_ms: 250, directory: 4711, near: 0xfeed_beef, tips, settings: Some(0xdead_cafe) }
+    Message::Heartbeat {
+        staleness_ms: 250,
+        directory_version: 4711,
+        listing_hash: 0xfeed_beef,
+        tips,
+        settings_digest: Some(0xdead_cafe),
+    }
 }
 
 fn batch_of_purges() -> Message {
     let purges = [Purge::object(0x0102_0304_0506_0708), Purge::Group(77), Purge::Everything];
-    let entries = purges.map(|purge| Aged { age_ms: 1500, entry: Entry::Purge(purge) }).to_vec();
-    Message::Batch { stream: stream(Kind::Purges), first: Number(299), entries }
+    let entries = purges.map(|purge| AgedEntry { age_ms: 1500, entry: Entry::Purge(purge) }).to_vec();
+    Message::Batch { stream: stream(StreamKind::Purges), first: SequenceNumber(299), entries }
 }
 
 fn batch_of_settings() -> Message {
-    let settings =
-        [setting("c1", Wanted::Listed), setting("c2", Wanted::Draining), setting("c3", Wanted::Gone)];
-    let entries = settings.map(|setting| Aged { age_ms: 40, entry: Entry::Setting(setting) }).to_vec();
-    Message::Batch { stream: stream(Kind::Configuration), first: Number(6), entries }
+    let settings = [
+        setting("c1", DesiredState::Listed),
+        setting("c2", DesiredState::Draining),
+        setting("c3", DesiredState::Gone),
+    ];
+    let entries = settings.map(|setting| AgedEntry { age_ms: 40, entry: Entry::Setting(setting) }).to_vec();
+    Message::Batch { stream: stream(StreamKind::Configuration), first: SequenceNumber(6), entries }
 }
 
 fn ask() -> Message {
-    let ranges = vec![(Number(10), Number(12)), (Number(300), Number(301))];
-    Message::Ask { stream: stream(Kind::Purges), ranges }
+    let ranges = vec![(SequenceNumber(10), SequenceNumber(12)), (SequenceNumber(300), SequenceNumber(301))];
+    Message::RepairRequest { stream: stream(StreamKind::Purges), ranges }
 }
 
 fn snapshot() -> Message {
-    Message::Snapshot { stream: stream(Kind::Purges), next: Number(250), floor_age_ms: Some(9000) }
+    Message::Snapshot {
+        stream: stream(StreamKind::Purges),
+        next: SequenceNumber(250),
+        min_accepted_age_ms: Some(9000),
+    }
 }
 
 fn want_settings() -> Message {
-    Message::WantSettings { part: 130 }
+    Message::SettingsRequest { part: 130 }
 }
 
 fn settings() -> Message {
-    let settings = vec![version(7, "c1", Wanted::Draining), version(8, "c2", Wanted::Gone)];
-    Message::Settings { digest: 0xdead_cafe, part: 2, parts: 130, settings }
+    let settings = vec![version(7, "c1", DesiredState::Draining), version(8, "c2", DesiredState::Gone)];
+    Message::SettingsPart { digest: 0xdead_cafe, part: 2, parts: 130, settings }
 }
 
 fn rows() -> Message {
-    let clock = Stamp { at: 1_700_000_000_999, control: 2 };
-    Message::Rows { directory: 4711, clock, rows: vec![Row { report: report(), age_ms: 750 }] }
+    let clock = HybridTimestamp { unix_ms: 1_700_000_000_999, control: 2 };
+    Message::RegionReports {
+        directory_version: 4711,
+        clock,
+        reports: vec![RegionReport { report: report(), age_ms: 750 }],
+    }
 }
 
 fn outlived() -> Message {
-    Message::Outlived { control: ControlId(2), incarnation: Incarnation(1_700_000_000_124) }
+    Message::SupersededIncarnation { control: ControlId(2), incarnation: Incarnation(1_700_000_000_124) }
 }
 
 fn fresh() -> Message {
-    Message::Fresh { stale_ms: 251 }
+    Message::ProbeReply { staleness_ms: 251 }
 }
 
 fn frame(messages: Vec<Message>) -> Frame {
@@ -129,7 +169,7 @@
 }
 
 #[test_case(join(), "00e724"; "join")]
-#[test_case(near(), "01e724effdb6f70f0305d80402baf4fedbe5bfa4aa79007f000001cc3ad6d1f0fdfe8ea39a280100000000000000000000000000000001cd3a"; "near")]
+#[test_case(placement(), "01e724effdb6f70f0305d80402baf4fedbe5bfa4aa79007f000001cc3ad6d1f0fdfe8ea39a280100000000000000000000000000000001cd3a"; "near")]
 #[test_case(unknown(), "02e824"; "unknown")]
 #[test_case(ack(), "03020100fbd095ffbc31ad020101fbd095ffbc31080103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109"; "ack")]
 #[test_case(Message::Leave, "04"; "leave")]
