--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/beside.rs
@@ -7,7 +7,7 @@
 mod management;
 
 use dissemination::Carried;
-use rockflow_dispatcher::{Clock, Service, Told};
+use rockflow_dispatcher::{Clock, Config, Service};
 use rockflow_operator_config::{self as file, OperatorFile};
 use std::path::PathBuf;
 
@@ -50,7 +50,7 @@
     }
 
     /// Whether all that it names can be used with this configuration; what would listen, and where.
-    pub fn check(&self, told: &Told) -> Result<Vec<String>, String> {
+    pub fn check(&self, told: &Config) -> Result<Vec<String>, String> {
         let mut lines = management::check(&self.0)?;
         lines.extend(dissemination::check(&self.0, told)?);
         Ok(lines)
@@ -60,7 +60,7 @@
     pub fn start(
         &self,
         clock: Clock,
-        told: Told,
+        told: Config,
         set_level: SetLevel,
     ) -> Result<(Service, Option<Carried>), String> {
         let plan = dissemination::plan(&self.0, &told)?;
@@ -68,9 +68,10 @@
         Service::set_up();
         // Whoever can mark needs a list that marks are merged into.
         let marks = opened.marks().or_else(|| plan.is_some().then(Default::default));
-        let service = Service::start_marked(clock, told, marks).map_err(|what| format!("start: {what}"))?;
+        let service =
+            Service::start_with_overrides(clock, told, marks).map_err(|what| format!("start: {what}"))?;
         opened.run(&service, set_level)?;
-        let carried = plan.map(|plan| dissemination::serve(plan, service.link())).transpose()?;
+        let carried = plan.map(|plan| dissemination::serve(plan, service.handle())).transpose()?;
         Ok((service, carried))
     }
 }
--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -3,10 +3,10 @@
 mod unjudged;
 
 use rockflow::{GroupId, ObjectId, Readiness};
-use rockflow_dispatcher::{Link, Purge, Told};
+use rockflow_dispatcher::{Config, Purge, ServiceHandle};
 use rockflow_dissemination as node;
 use rockflow_dissemination::{EntryId, Out, Ticket, Wanted};
-use rockflow_endpoints::{Mark, Marks, Refused};
+use rockflow_endpoints::{AdminOverride, AdminOverrides, RejectedOverride};
 use rockflow_operator_config::{DisseminationPart, OperatorFile};
 use rockflow_transport::dissemination::{self as carrier, Bounds, WeakLink, Word};
 use std::collections::BTreeMap;
@@ -22,13 +22,13 @@
 const LAST_FRAMES: Duration = Duration::from_millis(500);
 const LOOK: Duration = Duration::from_millis(5);
 
-pub fn check(file: &OperatorFile, told: &Told) -> Result<Vec<String>, String> {
+pub fn check(file: &OperatorFile, told: &Config) -> Result<Vec<String>, String> {
     let plan = plan(file, told)?;
     Ok(plan.iter().map(|plan| format!("dissemination: at {}", plan.listen)).collect())
 }
 
 /// A member's; none: the operator's file has no such section.
-pub fn plan(file: &OperatorFile, told: &Told) -> Result<Option<Plan>, String> {
+pub fn plan(file: &OperatorFile, told: &Config) -> Result<Option<Plan>, String> {
     let Some(part) = &file.dissemination else { return Ok(None) };
     let binds = told.facts.deployment.purge_window;
     if binds > part.purge_window {
@@ -86,7 +86,7 @@
     }
 }
 
-pub fn serve(plan: Plan, link: Link) -> Result<Carried, String> {
+pub fn serve(plan: Plan, link: ServiceHandle) -> Result<Carried, String> {
     let unjudged = Arc::default();
     let heard = move |words: &WeakLink, out| fact(&link, words, &unjudged, out);
     let carried = carrier::Link::start(plan, heard).map_err(|what| format!("dissemination: {what}"))?;
@@ -94,13 +94,13 @@
     Ok(Carried(carried))
 }
 
-fn fact(link: &Link, words: &WeakLink, unjudged: &Arc<Mutex<Unjudged>>, out: Out) {
+fn fact(link: &ServiceHandle, words: &WeakLink, unjudged: &Arc<Mutex<Unjudged>>, out: Out) {
     match out {
         Out::Purge { purges, ticket } => purge(link, words, purges, ticket),
         Out::Configure { settings, changed, ticket } => {
             let hosts = changed.iter().map(|(_, host)| host.clone()).collect();
             let beyond = lock(unjudged).give(ticket, changed);
-            beyond.into_iter().for_each(|(id, host)| refuse(words, id, &host, Refused::Full));
+            beyond.into_iter().for_each(|(id, host)| refuse(words, id, &host, RejectedOverride::TooMany));
             configure(link, words, unjudged, (settings, hosts), ticket);
         }
         Out::Outlived { incarnation } => {
@@ -121,7 +121,7 @@
     (objects.join(","), wider.map(|(_, age)| *age).min())
 }
 
-fn purge(link: &Link, words: &WeakLink, purges: Vec<(node::Purge, Duration)>, ticket: Ticket) {
+fn purge(link: &ServiceHandle, words: &WeakLink, purges: Vec<(node::Purge, Duration)>, ticket: Ticket) {
     let shown = enabled!(Level::DEBUG).then(|| (told_of_purges(&purges), Instant::now()));
     let purges = purges.into_iter().map(|(purge, age)| {
         let (object, group) = match purge {
@@ -129,7 +129,7 @@
             node::Purge::Group(group) => (None, Some(GroupId(group))),
             node::Purge::Everything => (None, None),
         };
-        Purge { object, group, made: link.made(age) }
+        Purge { object, group, purged_at: link.timestamp_before_now(age) }
     });
     let words = words.clone();
     let done = move || {
@@ -155,45 +155,45 @@
 }
 
 fn configure(
-    link: &Link,
+    link: &ServiceHandle,
     words: &WeakLink,
     unjudged: &Arc<Mutex<Unjudged>>,
     (settings, changed): (BTreeMap<String, Wanted>, Vec<String>),
     ticket: Ticket,
 ) {
-    let marks: Marks =
+    let marks: AdminOverrides =
         settings.into_iter().filter_map(|(host, wanted)| Some((host, mark(wanted)?))).collect();
     info!(marks = marks.len(), changed = changed.len(), "the fleet's marks");
     let (words, unjudged) = (words.clone(), unjudged.clone());
-    let done = move |refused: BTreeMap<String, Refused>| {
+    let done = move |refused: BTreeMap<String, RejectedOverride>| {
         debug!(hosts = %changed.join(","), "marks in effect");
         let judged = lock(&unjudged).judged(ticket, &refused);
         judged.into_iter().for_each(|(id, host, why)| refuse(&words, id, &host, why));
         confirm(&words, ticket);
     };
-    if !link.configure(marks, done) {
+    if !link.set_control_overrides(marks, done) {
         warn!("too many changes wait at the list");
     }
 }
 
-fn refuse(words: &WeakLink, id: EntryId, host: &str, why: Refused) {
+fn refuse(words: &WeakLink, id: EntryId, host: &str, why: RejectedOverride) {
     warn!(host, ?why, "a mark of the fleet is kept apart");
     words.say(Word::Refuse { id, why: refusal(why) });
 }
 
 /// None: as the board says.
-fn mark(wanted: Wanted) -> Option<Mark> {
+fn mark(wanted: Wanted) -> Option<AdminOverride> {
     let readiness = match wanted {
         Wanted::Listed => return None,
         Wanted::Draining => Readiness::Draining,
         Wanted::Gone => Readiness::Gone,
     };
-    Some(Mark { readiness, until: None, force: false })
+    Some(AdminOverride { readiness, expires_at: None, force: false })
 }
 
-fn refusal(why: Refused) -> node::Refusal {
+fn refusal(why: RejectedOverride) -> node::Refusal {
     match why {
-        Refused::LastOne => node::Refusal::LastOne,
-        Refused::Full => node::Refusal::Full,
+        RejectedOverride::LastReadyEndpoint => node::Refusal::LastOne,
+        RejectedOverride::TooMany => node::Refusal::Full,
     }
 }
--- a/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
+++ b/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
@@ -1,7 +1,7 @@
 //! Settings that the list of hosts has not judged yet. Decides; does no I/O.
 
 use rockflow_dissemination::{EntryId, Ticket};
-use rockflow_endpoints::Refused;
+use rockflow_endpoints::RejectedOverride;
 use std::collections::BTreeMap;
 
 /// Settings that may wait to be judged: four times as many as marks are held. One more is refused, and the machine gives it
@@ -30,8 +30,8 @@
     pub fn judged(
         &mut self,
         ticket: Ticket,
-        refused: &BTreeMap<String, Refused>,
-    ) -> Vec<(EntryId, String, Refused)> {
+        refused: &BTreeMap<String, RejectedOverride>,
+    ) -> Vec<(EntryId, String, RejectedOverride)> {
         let later = self.waiting.split_off(&Ticket(ticket.0.saturating_add(1)));
         let judged = std::mem::replace(&mut self.waiting, later);
         let judged: Vec<_> = judged.into_values().flatten().collect();
--- a/crates/rockflow-cli/src/beside/management.rs
+++ b/crates/rockflow-cli/src/beside/management.rs
@@ -2,7 +2,7 @@
 
 use super::SetLevel;
 use rockflow_dispatcher::{Clock, Service};
-use rockflow_endpoints::Marks;
+use rockflow_endpoints::AdminOverrides;
 use rockflow_management_agent::Agent;
 use rockflow_operator_config::OperatorFile;
 
@@ -25,12 +25,12 @@
 }
 
 impl Opened {
-    pub fn marks(&self) -> Option<Marks> {
+    pub fn marks(&self) -> Option<AdminOverrides> {
         self.0.as_ref().map(Agent::marks)
     }
 
     pub fn run(self, service: &Service, set_level: SetLevel) -> Result<(), String> {
         let Some(agent) = self.0 else { return Ok(()) };
-        agent.run(service.link(), set_level).map(|_| ()).map_err(|what| format!("management: {what}"))
+        agent.run(service.handle(), set_level).map(|_| ()).map_err(|what| format!("management: {what}"))
     }
 }
--- a/crates/rockflow-cli/src/beside/no_dissemination.rs
+++ b/crates/rockflow-cli/src/beside/no_dissemination.rs
@@ -1,6 +1,6 @@
 //! In place of dissemination where the program is built without it.
 
-use rockflow_dispatcher::{Link, Told};
+use rockflow_dispatcher::{Config, ServiceHandle};
 use rockflow_operator_config::OperatorFile;
 
 pub const BUILT: bool = false;
@@ -8,14 +8,14 @@
 pub struct Plan;
 pub struct Carried;
 
-pub fn check(_: &OperatorFile, _: &Told) -> Result<Vec<String>, String> {
+pub fn check(_: &OperatorFile, _: &Config) -> Result<Vec<String>, String> {
     Ok(Vec::new())
 }
 
-pub fn plan(_: &OperatorFile, _: &Told) -> Result<Option<Plan>, String> {
+pub fn plan(_: &OperatorFile, _: &Config) -> Result<Option<Plan>, String> {
     Ok(None)
 }
 
-pub fn serve(_: Plan, _: Link) -> Result<Carried, String> {
+pub fn serve(_: Plan, _: ServiceHandle) -> Result<Carried, String> {
     Ok(Carried)
 }
--- a/crates/rockflow-cli/src/beside/no_management.rs
+++ b/crates/rockflow-cli/src/beside/no_management.rs
@@ -2,7 +2,7 @@
 
 use super::SetLevel;
 use rockflow_dispatcher::{Clock, Service};
-use rockflow_endpoints::Marks;
+use rockflow_endpoints::AdminOverrides;
 use rockflow_operator_config::OperatorFile;
 
 pub const BUILT: bool = false;
@@ -18,7 +18,7 @@
 }
 
 impl Opened {
-    pub fn marks(&self) -> Option<Marks> {
+    pub fn marks(&self) -> Option<AdminOverrides> {
         None
     }
 
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -7,7 +7,7 @@
 use crate::Source;
 use marks::{Marks, Published};
 use rockflow::{GroupId, ObjectId};
-use rockflow_dispatcher::{Clock, Follow, Heard, Purge, Told};
+use rockflow_dispatcher::{Clock, Config, ObservedPurge, Purge, PurgeFollower};
 use rockflow_dissemination as node;
 use rockflow_dissemination::{Directory, Out, Publication};
 use rockflow_operator_config::{read_marks, ControlPart, DisseminationPart};
@@ -26,7 +26,7 @@
 
 /// What a control process is told, read and judged as a whole.
 pub struct Given {
-    told: Told,
+    told: Config,
     part: DisseminationPart,
     files: ControlPart,
     directory: Directory,
@@ -112,9 +112,10 @@
         troubled: Arc::default(),
     };
     let (words, overflown) = (link, control.overflown.clone());
-    let follow = Follow::start(clock, &control.given.told, control.given.part.purge_window, move |heard| {
-        board(&words, &overflown, &heard);
-    });
+    let follow =
+        PurgeFollower::start(clock, &control.given.told, control.given.part.purge_window, move |heard| {
+            board(&words, &overflown, &heard);
+        });
     let follow = follow.map_err(|what| format!("board: {what}"))?;
     control.run(source, signals, &follow)
 }
@@ -140,15 +141,15 @@
 }
 
 /// Passes on what the board says. Where it finds no place, a purge of everything goes ahead of the next word.
-fn board(link: &Link, overflown: &AtomicBool, heard: &Heard) {
-    let (purge, age, backlog) = (named(&heard.purge), heard.age, heard.backlog);
+fn board(link: &Link, overflown: &AtomicBool, heard: &ObservedPurge) {
+    let (purge, age, backlog) = (named(&heard.purge), heard.age, heard.is_backlog);
     if !link.say(Word::Board { purge, age, backlog }) && !overflown.swap(true, Ordering::Relaxed) {
         warn!("too many purges of the board wait; one of everything stands for them");
     }
 }
 
 impl Control {
-    fn run(mut self, source: &Source, signals: &mut Signals, follow: &Follow) -> Result<(), String> {
+    fn run(mut self, source: &Source, signals: &mut Signals, follow: &PurgeFollower) -> Result<(), String> {
         let mut said = Instant::now();
         loop {
             for signal in signals.pending() {
@@ -182,12 +183,12 @@
     }
 
     /// Each file on its own: a fault in one leaves what it said before in force.
-    fn read_again(&mut self, source: &Source, follow: &Follow) {
+    fn read_again(&mut self, source: &Source, follow: &PurgeFollower) {
         match source.read() {
-            Ok(told) if told.board != self.given.told.board => {
-                info!(from = %self.given.told.board, to = %told.board, "the board has moved");
-                follow.move_to(told.board);
-                self.given.told.board = told.board;
+            Ok(told) if told.discovery_address != self.given.told.discovery_address => {
+                info!(from = %self.given.told.discovery_address, to = %told.discovery_address, "the board has moved");
+                follow.set_address(told.discovery_address);
+                self.given.told.discovery_address = told.discovery_address;
             }
             Ok(_) => {}
             Err(what) => error!(what, "configuration not taken; the old one stays in force"),
--- a/crates/rockflow-cli/src/main.rs
+++ b/crates/rockflow-cli/src/main.rs
@@ -8,7 +8,7 @@
 
 use beside::{Beside, Files};
 use clap::{CommandFactory, Parser, Subcommand};
-use rockflow_dispatcher::{Clock, Service, Told};
+use rockflow_dispatcher::{Clock, Config, Service};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::fmt::Display;
@@ -111,10 +111,10 @@
 }
 
 impl Source {
-    fn read(&self) -> Result<Told, String> {
+    fn read(&self) -> Result<Config, String> {
         let fault = |what: &dyn Display| format!("{}: {what}", self.config.display());
         let text = std::fs::read_to_string(&self.config).map_err(|what| fault(&what))?;
-        let mut told = Told::read(&text).map_err(|what| fault(&what))?;
+        let mut told = Config::parse(&text).map_err(|what| fault(&what))?;
         told.listen = self.listen.unwrap_or(told.listen);
         told.name = self.name.clone().unwrap_or(told.name);
         Ok(told)
@@ -185,7 +185,7 @@
     for _ in signals.forever().take_while(|signal| *signal == SIGHUP) {
         read_again(&mut service);
     }
-    service.stop_heeding(|service| {
+    service.stop_with(|service| {
         if signals.pending().any(|signal| signal == SIGHUP) {
             read_again(service);
         }
--- a/crates/rockflow-cli/src/no_beside.rs
+++ b/crates/rockflow-cli/src/no_beside.rs
@@ -1,7 +1,7 @@
 //! In place of all that runs beside the requests where the program is built with none of it: an operator's file is refused,
 //! so that nobody takes it for heeded.
 
-use rockflow_dispatcher::{Clock, Service, Told};
+use rockflow_dispatcher::{Clock, Config, Service};
 use std::path::PathBuf;
 
 /// Sets the log's level while running; none: as the program was started.
@@ -22,13 +22,14 @@
         }
     }
 
-    pub fn check(&self, _: &Told) -> Result<Vec<String>, String> {
+    pub fn check(&self, _: &Config) -> Result<Vec<String>, String> {
         Ok(Vec::new())
     }
 
-    pub fn start(&self, clock: Clock, told: Told, _: SetLevel) -> Result<(Service, ()), String> {
+    pub fn start(&self, clock: Clock, told: Config, _: SetLevel) -> Result<(Service, ()), String> {
         Service::set_up();
-        let service = Service::start_marked(clock, told, None).map_err(|what| format!("start: {what}"))?;
+        let service =
+            Service::start_with_overrides(clock, told, None).map_err(|what| format!("start: {what}"))?;
         Ok((service, ()))
     }
 }
--- a/crates/rockflow-cli/tests/unjudged.rs
+++ b/crates/rockflow-cli/tests/unjudged.rs
@@ -5,7 +5,7 @@
 mod unjudged;
 
 use rockflow_dissemination::{ControlId, EntryId, Incarnation, Kind, Number, StreamId, Ticket};
-use rockflow_endpoints::Refused;
+use rockflow_endpoints::RejectedOverride;
 use std::collections::BTreeMap;
 use unjudged::{Unjudged, MAX_UNJUDGED};
 
@@ -14,8 +14,8 @@
     ((stream, Number(number as u64)), host.to_string())
 }
 
-fn refused(hosts: &[&str]) -> BTreeMap<String, Refused> {
-    hosts.iter().map(|host| (host.to_string(), Refused::LastOne)).collect()
+fn refused(hosts: &[&str]) -> BTreeMap<String, RejectedOverride> {
+    hosts.iter().map(|host| (host.to_string(), RejectedOverride::LastReadyEndpoint)).collect()
 }
 
 #[test]
--- a/crates/rockflow-dispatcher/src/waiting.rs
+++ b/crates/rockflow-dispatcher/src/backpressure.rs
@@ -1,7 +1,7 @@
 //! What waits for an actor from a thread of its own: how many purges may, and what stands for those that have no place.
 //! Stricter, never laxer.
 
-use crate::messages::Done;
+use crate::messages::CompletionCallback;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,41 +15,41 @@
 
 /// How many purges wait.
 #[derive(Default)]
-pub struct Waiting(AtomicUsize);
+pub struct PurgeQuota(AtomicUsize);
 
 /// Places of purges that wait; free again once it is dropped.
-pub struct Places(Arc<Waiting>, usize);
+pub struct PurgeReservation(Arc<PurgeQuota>, usize);
 
-impl Drop for Places {
+impl Drop for PurgeReservation {
     fn drop(&mut self) {
         self.0 .0.fetch_sub(self.1, Ordering::Relaxed);
     }
 }
 
-impl Waiting {
+impl PurgeQuota {
     /// None: there is no place for so many.
-    pub fn places(self: &Arc<Self>, count: usize) -> Option<Places> {
-        let places = Places(self.clone(), count);
+    pub fn places(self: &Arc<Self>, count: usize) -> Option<PurgeReservation> {
+        let places = PurgeReservation(self.clone(), count);
         let before = self.0.fetch_add(count, Ordering::Relaxed);
         (before + count <= MAX_PURGES).then_some(places)
     }
 }
 
-type Held<T, R> = Option<(T, VecDeque<Done<R>>)>;
+type Held<T, R> = Option<(T, VecDeque<CompletionCallback<R>>)>;
 
 /// One value that waits in place of all that came before it, and who waits for it.
-pub struct Slot<T, R>(Mutex<Held<T, R>>);
+pub struct CoalescingSlot<T, R>(Mutex<Held<T, R>>);
 
-impl<T, R> Default for Slot<T, R> {
+impl<T, R> Default for CoalescingSlot<T, R> {
     fn default() -> Self {
-        Slot(Mutex::new(None))
+        CoalescingSlot(Mutex::new(None))
     }
 }
 
-impl<T, R: Clone> Slot<T, R> {
+impl<T, R: Clone> CoalescingSlot<T, R> {
     /// Whether the slot was empty, so that its reader must be told, and whether all who wait will be; else the earliest
     /// is not.
-    pub fn put(&self, join: impl FnOnce(Option<T>) -> T, done: Done<R>) -> (bool, bool) {
+    pub fn put(&self, join: impl FnOnce(Option<T>) -> T, done: CompletionCallback<R>) -> (bool, bool) {
         let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let (before, mut callers) =
             held.take().map_or((None, VecDeque::new()), |(value, all)| (Some(value), all));
--- a/crates/rockflow-dispatcher/src/caps.rs
+++ b/crates/rockflow-dispatcher/src/caps.rs
@@ -1,6 +1,6 @@
 //! Caps on what is held, each derived from the told limits.
 
-use crate::told::Limits;
+use crate::config::Limits;
 
 /// Descriptors besides connections: standard streams, epoll and wake-ups, listener, board, signals.
 const OTHER_DESCRIPTORS: usize = 32;
--- a/crates/rockflow-dispatcher/src/client.rs
+++ b/crates/rockflow-dispatcher/src/client.rs
@@ -2,11 +2,11 @@
 
 use crate::clock::Clock;
 use crate::mailbox::{Mailbox, Wake};
-use crate::messages::{ClientWord, Word};
+use crate::messages::{ClientMessage, DecisionMessage};
 use may::io::WaitIo;
 use may::net::TcpStream;
 use rockflow::RequestId;
-use rockflow_protocol::front::{self, Answer, Request};
+use rockflow_protocol::client::{self, ParsedRequest, Response};
 use rockflow_protocol::Buffer;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -28,8 +28,8 @@
 const ROUNDS: usize = 16;
 
 /// What others see of a connection.
-pub struct Seat {
-    mail: Arc<Mailbox<ClientWord>>,
+pub struct ClientSlot {
+    mail: Arc<Mailbox<ClientMessage>>,
     /// Since when nothing is owed on it, in microseconds; `OWED` while something is, or once it gives way.
     still: AtomicU64,
 }
@@ -37,9 +37,9 @@
 const OWED: u64 = u64::MAX;
 
 /// What all client connections share.
-pub struct Door {
+pub struct ClientRegistry {
     pub clock: Clock,
-    pub module: Arc<Mailbox<Word>>,
+    pub module: Arc<Mailbox<DecisionMessage>>,
     pub module_words: usize,
     /// Requests can be decided.
     pub ready: Arc<AtomicBool>,
@@ -52,7 +52,7 @@
     /// Bytes of answers that are held.
     pub held: Arc<AtomicUsize>,
     /// All connections, and how many may stay while nothing is owed on them.
-    pub clients: Mutex<BTreeMap<u64, Arc<Seat>>>,
+    pub clients: Mutex<BTreeMap<u64, Arc<ClientSlot>>>,
     pub location_dispatchers: usize,
     pub next_client: AtomicU64,
     pub next_request: AtomicU64,
@@ -60,9 +60,9 @@
     pub open: AtomicUsize,
 }
 
-impl Door {
+impl ClientRegistry {
     /// No coroutine gives way while it holds this lock.
-    fn clients(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<Seat>>> {
+    fn clients(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientSlot>>> {
         self.clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -72,7 +72,7 @@
 
     /// Has every connection look whether it has outlived its use.
     pub fn look(&self) {
-        self.clients().values().for_each(|seat| seat.mail.send(ClientWord::Look));
+        self.clients().values().for_each(|seat| seat.mail.send(ClientMessage::Inspect));
     }
 
     /// Guards against connections that keep their location_dispatchers for nothing while others come: past the location_dispatchers, the
@@ -82,10 +82,10 @@
         if clients.len() <= self.location_dispatchers {
             return;
         }
-        let still = |seat: &&Arc<Seat>| seat.still.load(Ordering::Relaxed);
+        let still = |seat: &&Arc<ClientSlot>| seat.still.load(Ordering::Relaxed);
         if let Some(seat) = clients.values().min_by_key(still).filter(|seat| still(seat) != OWED) {
             seat.still.store(OWED, Ordering::Relaxed);
-            seat.mail.send(ClientWord::GiveWay);
+            seat.mail.send(ClientMessage::Yield);
         }
     }
 }
@@ -97,9 +97,9 @@
 }
 
 struct Client<'a> {
-    door: &'a Door,
+    door: &'a ClientRegistry,
     stream: TcpStream,
-    seat: Arc<Seat>,
+    seat: Arc<ClientSlot>,
     buffer: Buffer,
     open: Option<Open>,
     /// Bytes that came behind the request that is open and were thrown away, as there was no room; the connection
@@ -123,12 +123,12 @@
     moved: Duration,
 }
 
-pub fn run(stream: TcpStream, door: &Door) {
+pub fn run(stream: TcpStream, door: &ClientRegistry) {
     let _ = stream.set_nodelay(true);
     let (mail, now) = (Mailbox::new(), door.clock.now());
     mail.wake_by(Wake::Io(stream.waker()));
     let number = door.next_client.fetch_add(1, Ordering::Relaxed);
-    let seat = Arc::new(Seat { mail, still: AtomicU64::new(now.as_micros() as u64) });
+    let seat = Arc::new(ClientSlot { mail, still: AtomicU64::new(now.as_micros() as u64) });
     door.clients().insert(number, seat.clone());
     door.make_room();
     let mut client = Client {
@@ -136,7 +136,7 @@
         stream,
         seat,
         // One head, and the start of the next.
-        buffer: Buffer::new(2 * front::MAX_HEAD),
+        buffer: Buffer::new(2 * client::MAX_HEAD_BYTES),
         open: None,
         overran: 0,
         parting: false,
@@ -159,7 +159,7 @@
     client.seat.mail.close();
     if let Some(open) = client.open.take() {
         debug!(request = open.request.0, ended, "client left");
-        door.module.send(Word::Left(open.request));
+        door.module.send(DecisionMessage::ClientDisconnected(open.request));
     }
     client.hold(Vec::new());
     client.settled();
@@ -172,15 +172,15 @@
             let mut moved = false;
             while let Some(word) = self.seat.mail.take() {
                 match word {
-                    ClientWord::Answer(request, answer) => moved |= self.answered(request, answer),
-                    ClientWord::Look if self.outlived() => {
+                    ClientMessage::Answer(request, answer) => moved |= self.answered(request, answer),
+                    ClientMessage::Inspect if self.outlived() => {
                         if self.open.is_some() || self.writing() || self.last {
                             return "outlived";
                         }
                         self.parting = true;
                     }
-                    ClientWord::Look => {}
-                    ClientWord::GiveWay => self.giving_way = true,
+                    ClientMessage::Inspect => {}
+                    ClientMessage::Yield => self.giving_way = true,
                 }
             }
             match self.write() {
@@ -219,8 +219,8 @@
             return false;
         }
         match here {
-            true if self.closing() => self.answer(Answer::Dismissed { pause: None }, false),
-            true => self.answer(Answer::Wrong(408, "Request Timeout"), false),
+            true if self.closing() => self.answer(Response::Rejected { retry_after: None }, false),
+            true => self.answer(Response::Invalid(408, "Request Timeout"), false),
             // What comes from here on was sent across our end of the connection: it is read and not taken.
             false => (self.last, self.moved) = (true, self.door.clock.now()),
         }
@@ -231,7 +231,7 @@
         self.door.closing.load(Ordering::Relaxed)
     }
 
-    fn answered(&mut self, request: RequestId, answer: Answer) -> bool {
+    fn answered(&mut self, request: RequestId, answer: Response) -> bool {
         let Some(open) = self.open.take_if(|open| open.request == request) else { return false };
         self.answer(answer, open.keep && self.overran == 0);
         true
@@ -286,7 +286,7 @@
         }
         // Guards against a client that leaves unseen behind more than the buffer holds: what follows its request
         // is thrown away, and past a cap so is the client.
-        if self.open.is_some() && self.buffer.room().is_none() {
+        if self.open.is_some() && self.buffer.spare().is_none() {
             let full = self.buffer.filled().len();
             self.buffer.consume(full);
             self.overran += full;
@@ -294,10 +294,10 @@
                 return Some(Err(ErrorKind::InvalidData.into()));
             }
         }
-        let room = self.buffer.room()?;
+        let room = self.buffer.spare()?;
         match self.stream.inner().read(room) {
             Ok(n) => {
-                self.buffer.add(n);
+                self.buffer.commit(n);
                 if self.open.is_none() && n > 0 {
                     self.begun.get_or_insert(self.door.clock.now());
                 }
@@ -314,42 +314,46 @@
         if self.buffer.filled().is_empty() {
             return false;
         }
-        let Some(head) = front::decode(self.buffer.filled()) else { return false };
+        let Some(head) = client::decode_request(self.buffer.filled()) else { return false };
         self.buffer.consume(head.length);
         self.begun = None;
-        let keep = head.keep;
+        let keep = head.keep_alive;
         match head.request {
-            Request::Health if self.door.ready.load(Ordering::Relaxed) => self.answer(Answer::Well, keep),
-            Request::Health => self.answer(Answer::Wrong(503, "Not Ready"), keep),
-            Request::Wrong(status, why) => {
+            ParsedRequest::HealthCheck if self.door.ready.load(Ordering::Relaxed) => {
+                self.answer(Response::Healthy, keep)
+            }
+            ParsedRequest::HealthCheck => self.answer(Response::Invalid(503, "Not Ready"), keep),
+            ParsedRequest::Invalid(status, why) => {
                 debug!(status, why, "request not taken");
-                self.answer(Answer::Wrong(status, why), false);
+                self.answer(Response::Invalid(status, why), false);
             }
             // Guards against work that nobody is left to end: what comes after the planned stop's time is refused.
-            Request::Ask(_) if self.closing() => self.answer(Answer::Dismissed { pause: None }, false),
-            Request::Ask(_) if self.door.module.len() >= self.door.module_words => {
-                self.answer(Answer::Dismissed { pause: None }, keep)
+            ParsedRequest::Fetch(_) if self.closing() => {
+                self.answer(Response::Rejected { retry_after: None }, false)
+            }
+            ParsedRequest::Fetch(_) if self.door.module.len() >= self.door.module_words => {
+                self.answer(Response::Rejected { retry_after: None }, keep)
             }
-            Request::Ask(ask) => {
+            ParsedRequest::Fetch(ask) => {
                 let request = RequestId(self.door.next_request.fetch_add(1, Ordering::Relaxed));
-                self.open = Some(Open { request, keep: head.keep });
+                self.open = Some(Open { request, keep: head.keep_alive });
                 self.door.open.fetch_add(1, Ordering::Relaxed);
                 self.owing = true;
                 let (client, arrived) = (self.seat.mail.clone(), self.door.clock.now());
                 self.moved = arrived;
                 self.seat.still.store(OWED, Ordering::Relaxed);
-                self.door.module.send(Word::Asked { request, ask, client, arrived });
+                self.door.module.send(DecisionMessage::RequestReceived { request, ask, client, arrived });
             }
         }
         true
     }
 
-    fn answer(&mut self, answer: Answer, keep: bool) {
+    fn answer(&mut self, answer: Response, keep: bool) {
         self.parting = false;
         let ending = [&self.door.closing, &self.door.crowded].iter().any(|flag| flag.load(Ordering::Relaxed));
         let keep = keep && !ending;
-        self.out = front::encode(&answer, keep);
-        self.hold(if let Answer::Succeeded { body, .. } = answer { body } else { Vec::new() });
+        self.out = client::encode_response(&answer, keep);
+        self.hold(if let Response::Succeeded { body, .. } = answer { body } else { Vec::new() });
         (self.written, self.last, self.moved) = (0, !keep, self.door.clock.now());
     }
 
--- a/crates/rockflow-dispatcher/src/told.rs
+++ b/crates/rockflow-dispatcher/src/config.rs
@@ -1,6 +1,6 @@
 //! What a dispatcher is told at its start, read from its configuration. Every fault names its key.
 
-use rockflow_protocol::board::Known;
+use rockflow_protocol::discovery::Snapshot;
 use rockflow_settings::{facts, wiring, Facts, Pairs, Wiring};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -16,20 +16,20 @@
 pub type Unchanging = BTreeMap<String, Value>;
 const UNCHANGING: [&str; 4] = ["name", "listen", "limits", "settings"];
 
-pub struct Told {
+pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    pub board: SocketAddr,
-    pub known: Known,
+    pub discovery_address: SocketAddr,
+    pub snapshot: Snapshot,
     pub facts: Facts,
     pub wiring: Wiring,
     pub unchanging: Unchanging,
 }
 
-impl Told {
-    pub fn read(text: &str) -> Result<Told, String> {
+impl Config {
+    pub fn parse(text: &str) -> Result<Config, String> {
         let value: Value = serde_json::from_str(text).map_err(|what| format!("not JSON: {what}"))?;
         let key = |path: &str| {
             let found = path.split('.').try_fold(&value, |value, name| value.get(name));
@@ -45,13 +45,14 @@
         };
         let seed = u64::from_str_radix(word("seed")?, 16).map_err(|_| "seed is no hexadecimal number")?;
         let pairs = Pairs::from_json(key("settings")?);
-        Ok(Told {
+        Ok(Config {
             name: word("name")?.to_string(),
             listen: address("listen")?,
             seed,
             limits: Limits { memory_mb: count("limits.memory_mb")?, sockets: count("limits.sockets")? },
-            board: address("board")?,
-            known: serde_json::from_value(key("known")?.clone()).map_err(|what| format!("known: {what}"))?,
+            discovery_address: address("board")?,
+            snapshot: serde_json::from_value(key("known")?.clone())
+                .map_err(|what| format!("known: {what}"))?,
             facts: facts::parse(&pairs)?,
             wiring: wiring::parse(&pairs)?,
             unchanging: UNCHANGING
--- a/crates/rockflow-dispatcher/src/pool.rs
+++ b/crates/rockflow-dispatcher/src/connection_pool.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::mailbox::Mailbox;
-use crate::messages::{AttemptKey, LineWord, Wanted, Word};
+use crate::messages::{AttemptKey, DecisionMessage, OutgoingAttempt, UpstreamMessage};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,7 +16,7 @@
 /// What all lines to hosts share.
 pub struct ConnectionPool {
     pub clock: Clock,
-    pub module: Arc<Mailbox<Word>>,
+    pub module: Arc<Mailbox<DecisionMessage>>,
     pub connect_limit: Duration,
     /// A host closes a connection that was idle for this time.
     pub idle_limit: Duration,
@@ -27,7 +27,7 @@
     /// Bytes that may wait to be written on one connection.
     pub line_out: usize,
     /// Connections to all hosts, and their cap.
-    pub lines: Mutex<BTreeMap<u64, Arc<Line>>>,
+    pub lines: Mutex<BTreeMap<u64, Arc<UpstreamConnection>>>,
     pub next_line: AtomicU64,
     pub max_lines: usize,
     /// Bytes of answers that are held, and their cap.
@@ -37,23 +37,26 @@
 
 impl ConnectionPool {
     /// No coroutine gives way while it holds this lock.
-    pub fn lines(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<Line>>> {
+    pub fn lines(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<UpstreamConnection>>> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Has every connection on which an answer has begun look whether it goes on.
     pub fn look(&self) {
-        self.lines().values().filter(|line| line.is_midway()).for_each(|line| line.send(LineWord::Look));
+        self.lines()
+            .values()
+            .filter(|line| line.is_midway())
+            .for_each(|line| line.send(UpstreamMessage::Inspect));
     }
 }
 
 /// Wants of one host for which no connection is free. They go on whichever is first: one that comes up, or one that
 /// has brought its answer. There are no more of them than attempts of open requests, which have a cap.
 #[derive(Default)]
-pub struct Queue(Mutex<VecDeque<Wanted>>);
+pub struct AttemptQueue(Mutex<VecDeque<OutgoingAttempt>>);
 
-impl Queue {
-    pub fn push(&self, wanted: Wanted) {
+impl AttemptQueue {
+    pub fn push(&self, wanted: OutgoingAttempt) {
         lock(&self.0).push_back(wanted);
     }
 
@@ -66,14 +69,14 @@
     }
 
     /// The one that has waited longest, of those that may go on the line.
-    pub fn pull(&self, line: &Line) -> Option<Wanted> {
+    pub fn pull(&self, line: &UpstreamConnection) -> Option<OutgoingAttempt> {
         let mut queue = lock(&self.0);
         let carried = lock(&line.carried);
         let at = queue.iter().position(|wanted| !carried.contains_key(&wanted.id))?;
         queue.remove(at)
     }
 
-    pub fn pop(&self) -> Option<Wanted> {
+    pub fn pop(&self) -> Option<OutgoingAttempt> {
         lock(&self.0).pop_front()
     }
 
@@ -83,8 +86,8 @@
 }
 
 /// What the host's actor sees of a line.
-pub struct Line {
-    pub mail: Arc<Mailbox<LineWord>>,
+pub struct UpstreamConnection {
+    pub mail: Arc<Mailbox<UpstreamMessage>>,
     pub up: AtomicBool,
     pub over: AtomicBool,
     /// An answer has begun.
@@ -105,7 +108,7 @@
     pub answered: bool,
 }
 
-impl Line {
+impl UpstreamConnection {
     /// The connection came up and has not ended.
     pub fn is_up(&self) -> bool {
         self.up.load(Ordering::Relaxed) && !self.is_over()
@@ -140,13 +143,13 @@
         carried.insert(id.to_string(), Carried { at, answered: false });
     }
 
-    pub fn want(&self, wanted: Wanted, pool: &ConnectionPool) {
+    pub fn want(&self, wanted: OutgoingAttempt, pool: &ConnectionPool) {
         self.carry(&wanted.id, pool);
         self.out.fetch_add(1, Ordering::Relaxed);
-        self.mail.send(LineWord::Want(wanted));
+        self.mail.send(UpstreamMessage::Send(wanted));
     }
 
-    pub fn send(&self, word: LineWord) {
+    pub fn send(&self, word: UpstreamMessage) {
         self.mail.send(word);
     }
 
--- a/crates/rockflow-dispatcher/src/module.rs
+++ b/crates/rockflow-dispatcher/src/decision.rs
@@ -1,21 +1,24 @@
 //! The actor of the module: the only holder of the decisions. It orders events, runs timers and the attempts'
 //! time limits, and carries out actions. It decides nothing.
 
+use crate::backpressure::MAX_PURGES;
 use crate::clock::Clock;
+use crate::connection_pool::ConnectionPool;
+use crate::endpoint::{id_from_name, Endpoint};
 use crate::host::Host;
 use crate::mailbox::{Mailbox, Wake};
 use crate::messages::*;
-use crate::pass::Pass;
-use crate::pool::ConnectionPool;
+use crate::purge::{Purge, PurgeTimestamp};
+use crate::send_permit::SendPermit;
+use crate::status::OutcomeCounts;
 use crate::timer;
-use crate::waiting::MAX_PURGES;
 use may::coroutine;
 use rockflow::{
     Action, Attempt, AttemptEnd, AttemptNumber, CacheStatus, ClassId, DeploymentConfig, Dispatcher, Event,
     GroupId, HostId, ListScope, ObjectId, Outcome, Readiness, Request, RequestId, TimerId,
 };
-use rockflow_protocol::front::{Answer, Ask};
-use rockflow_protocol::hostline::{self, Want};
+use rockflow_protocol::client::{ClientRequest, Response};
+use rockflow_protocol::upstream::{self, FetchRequest};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -31,16 +34,16 @@
     host: HostId,
     source: Option<HostId>,
     /// Where its host is reached, also once that is no longer listed.
-    mail: Option<Arc<Mailbox<Order>>>,
+    mail: Option<Arc<Mailbox<HostMessage>>>,
     sent: Duration,
     out: bool,
-    pass: Arc<Pass>,
+    pass: Arc<SendPermit>,
 }
 
 impl AttemptOut {
     fn never_mind(&self, key: AttemptKey, unheard: bool) {
         if let Some(mail) = &self.mail {
-            mail.send(Order::NeverMind { key, unheard });
+            mail.send(HostMessage::Cancel { key, unheard });
         }
     }
 }
@@ -48,8 +51,8 @@
 struct Open {
     /// Place of the class.
     class: usize,
-    ask: Box<Ask>,
-    client: Arc<Mailbox<ClientWord>>,
+    ask: Box<ClientRequest>,
+    client: Arc<Mailbox<ClientMessage>>,
     ends: Duration,
     answered: bool,
     attempts: Vec<AttemptOut>,
@@ -67,12 +70,12 @@
 }
 
 struct Peer {
-    entry: Entry,
-    mail: Option<Arc<Mailbox<Order>>>,
+    entry: Endpoint,
+    mail: Option<Arc<Mailbox<HostMessage>>>,
 }
 
 /// What the module's actor is given.
-pub struct Given {
+pub struct Dependencies {
     pub clock: Clock,
     pub deployment: DeploymentConfig,
     pub classes: Vec<String>,
@@ -84,11 +87,11 @@
     pub ready: Arc<AtomicBool>,
     /// How late after a request's end its answer still counts.
     pub slack: Duration,
-    pub mail: Arc<Mailbox<Word>>,
+    pub mail: Arc<Mailbox<DecisionMessage>>,
 }
 
-pub struct Module {
-    given: Given,
+pub struct DecisionActor {
+    given: Dependencies,
     decisions: Dispatcher,
     /// Probes that are out: whom they ask, and since when.
     probes: BTreeMap<u64, (HostId, Duration)>,
@@ -103,21 +106,21 @@
     due: BinaryHeap<Reverse<(Duration, Due)>>,
     events: VecDeque<Event>,
     /// Whoever waits till the decisions have heard of these events; one at the most, as no word is taken ahead of it.
-    waits: Option<Done<()>>,
+    waits: Option<CompletionCallback<()>>,
     until: Option<Duration>,
     /// How requests ended, by place of the class.
-    ended: Vec<Ended>,
+    ended: Vec<OutcomeCounts>,
     /// Those that the decisions left unanswered till their time was up.
     overdue: u64,
 }
 
-impl Module {
+impl DecisionActor {
     /// With what is known at the start, so that the first request finds it decided by.
-    pub fn new(given: Given, known: Vec<Entry>, purges: Vec<Purge>) -> Self {
-        let mut module = Module {
+    pub fn new(given: Dependencies, known: Vec<Endpoint>, purges: Vec<Purge>) -> Self {
+        let mut module = DecisionActor {
             decisions: Dispatcher::new(given.deployment.clone(), given.seed),
             overdue: 0,
-            ended: vec![Ended::default(); given.classes.len()],
+            ended: vec![OutcomeCounts::default(); given.classes.len()],
             given,
             probes: BTreeMap::new(),
             next_probe: 0,
@@ -180,12 +183,12 @@
                 attempt.never_mind((id, AttemptNumber(no as u16)), false);
             }
             if !open.answered {
-                self.ended[open.class].terminated += 1;
-                open.client.send(ClientWord::Answer(id, Answer::Terminated));
+                self.ended[open.class].failed += 1;
+                open.client.send(ClientMessage::Answer(id, Response::Failed));
             }
         }
         self.decisions = Dispatcher::new(self.given.deployment.clone(), self.given.seed);
-        let hosts = self.peers.values().map(|peer| peer.entry.listing.clone()).collect();
+        let hosts = self.peers.values().map(|peer| peer.entry.entry.clone()).collect();
         self.events.push_back(Event::EndpointsListed { scope: ListScope::Restored, entries: hosts });
         let purges = std::mem::take(&mut self.purges);
         self.purge(purges);
@@ -201,14 +204,16 @@
         }
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: DecisionMessage) {
         match word {
-            Word::Asked { request, ask, client, arrived } => self.ask(request, ask, client, arrived),
-            Word::Left(request) => {
+            DecisionMessage::RequestReceived { request, ask, client, arrived } => {
+                self.ask(request, ask, client, arrived)
+            }
+            DecisionMessage::ClientDisconnected(request) => {
                 if let Some(open) = self.open.get_mut(&request) {
                     if !std::mem::replace(&mut open.answered, true) {
                         self.calls.remove(&open.ask.call_id);
-                        self.ended[open.class].left += 1;
+                        self.ended[open.class].disconnected += 1;
                     }
                     self.events.push_back(Event::ClientDisconnected(request));
                     // Also where nothing may be called off: what has not begun need not begin.
@@ -216,7 +221,7 @@
                     self.forget(request);
                 }
             }
-            Word::Leaving { until } => {
+            DecisionMessage::ShutdownStarted { until } => {
                 self.until = Some(until);
                 // Their attempts end by then, and the decisions answer them as if their own time were up.
                 for (id, open) in self.open.iter_mut().filter(|(_, open)| open.ends > until) {
@@ -228,60 +233,68 @@
                 }
                 self.events.push_back(Event::ShutdownStarted { deadline: until });
             }
-            Word::Answered { key, answer } => self.answered(key, answer),
-            Word::Fell { key, outcome } => self.end_attempt(key, outcome, None, Duration::ZERO),
-            Word::Probed { tag, answer } => {
-                let well = answer.word == hostline::Word::Well;
+            DecisionMessage::ResponseReceived { key, answer } => self.answered(key, answer),
+            DecisionMessage::AttemptFailed { key, outcome } => {
+                self.end_attempt(key, outcome, None, Duration::ZERO)
+            }
+            DecisionMessage::HealthCheckAnswered { tag, answer } => {
+                let well = answer.status == upstream::Status::Healthy;
                 let named = |name: &String| answer.load.iter().find(|(known, _)| known == name);
                 let report =
                     self.given.report.iter().map(|name| named(name).map_or(0.0, |(_, value)| *value));
                 let report = if answer.load.is_empty() { Vec::new() } else { report.collect() };
                 self.end_probe(tag, if well { Outcome::Succeeded } else { Outcome::HostError }, report);
             }
-            Word::ProbeFell { tag, outcome } => self.end_probe(tag, outcome, Vec::new()),
-            Word::Listed { scope, entries, done } => {
+            DecisionMessage::HealthCheckFailed { tag, outcome } => self.end_probe(tag, outcome, Vec::new()),
+            DecisionMessage::EndpointsChanged { scope, entries, done } => {
                 if scope != ListScope::Changes || !entries.is_empty() {
                     self.list(scope, entries);
                 }
                 self.decide_news(done);
             }
-            Word::Purged { purges, done } => self.purged(purges, done),
-            Word::PurgedAll(slot) => {
+            DecisionMessage::PurgesReceived { purges, done } => self.purged(purges, done),
+            DecisionMessage::PurgeEverything(slot) => {
                 if let Some((made, tell)) = slot.take() {
-                    self.purged(vec![Purge::everything(Made::Here(made))], Some(Box::new(tell)));
+                    self.purged(vec![Purge::everything(PurgeTimestamp::Local(made))], Some(Box::new(tell)));
                 }
             }
-            Word::Survey { mut survey, reply } => {
-                survey.views = self.decisions.views();
-                survey.ended = self.ended.clone();
-                (survey.open, survey.words) = (self.open.len(), self.given.mail.len());
+            DecisionMessage::ReportStatus { mut survey, reply } => {
+                survey.host_statuses = self.decisions.views();
+                survey.outcomes = self.ended.clone();
+                (survey.open_requests, survey.queued_messages) = (self.open.len(), self.given.mail.len());
                 survey.overdue = self.overdue;
                 reply(survey);
             }
         }
     }
 
-    fn ask(&mut self, id: RequestId, ask: Box<Ask>, client: Arc<Mailbox<ClientWord>>, arrived: Duration) {
+    fn ask(
+        &mut self,
+        id: RequestId,
+        ask: Box<ClientRequest>,
+        client: Arc<Mailbox<ClientMessage>>,
+        arrived: Duration,
+    ) {
         let Some(class) = self.given.classes.iter().position(|name| *name == ask.class) else {
-            return client.send(ClientWord::Answer(id, Answer::Wrong(404, "unknown class")));
+            return client.send(ClientMessage::Answer(id, Response::Invalid(404, "unknown class")));
         };
         // Guards against work for a client that left while its request waited here.
         if client.is_closed() {
-            self.ended[class].left += 1;
+            self.ended[class].disconnected += 1;
             return;
         }
         // Guards against two requests under one id, whose answers could not be told apart on their way.
         if !self.calls.insert(ask.call_id.clone()) {
-            return client.send(ClientWord::Answer(id, Answer::Wrong(409, "id in use")));
+            return client.send(ClientMessage::Answer(id, Response::Invalid(409, "id in use")));
         }
         // No client waits longer than its class's outer limit, whatever its header says.
         let most = self.given.deployment.classes.get(class).map(|class| class.deadline);
-        let patience = most.map_or(ask.patience, |most| ask.patience.min(most));
+        let patience = most.map_or(ask.time_limit, |most| ask.time_limit.min(most));
         let ends = (arrived + patience).min(self.until.unwrap_or(Duration::MAX));
         let request = Request {
             id,
             class: ClassId(class),
-            object: ObjectId(id_of(&ask.object)),
+            object: ObjectId(id_from_name(&ask.object)),
             part: ask.part,
             group: GroupId(ask.group),
             time_left: ends.saturating_sub(self.given.clock.now()),
@@ -293,18 +306,18 @@
         self.events.push_back(Event::RequestArrived(request));
     }
 
-    fn list(&mut self, scope: ListScope, entries: Vec<Entry>) {
+    fn list(&mut self, scope: ListScope, entries: Vec<Endpoint>) {
         // Those to which nothing new may go, as hosts or as sources.
         let mut leaving = BTreeSet::new();
         if scope != ListScope::Changes {
-            let named = |id: &HostId| entries.iter().any(|entry| entry.listing.host == *id);
+            let named = |id: &HostId| entries.iter().any(|entry| entry.entry.host == *id);
             leaving.extend(self.peers.keys().copied().filter(|id| !named(id)));
             leaving.clone().into_iter().for_each(|id| self.retire(id));
         }
         for entry in &entries {
-            let (id, gone) = (entry.listing.host, entry.listing.readiness == Readiness::Gone);
+            let (id, gone) = (entry.entry.host, entry.entry.readiness == Readiness::Gone);
             let moved = self.peers.get(&id).is_some_and(|peer| peer.entry.address != entry.address);
-            if moved || entry.listing.readiness != Readiness::Ready {
+            if moved || entry.entry.readiness != Readiness::Ready {
                 leaving.insert(id);
             }
             if gone || moved {
@@ -318,7 +331,7 @@
         if !self.peers.is_empty() {
             self.given.ready.store(true, Ordering::Relaxed);
         }
-        let hosts = entries.into_iter().map(|entry| entry.listing).collect();
+        let hosts = entries.into_iter().map(|entry| entry.entry).collect();
         self.events.push_back(Event::EndpointsListed { scope, entries: hosts });
         if !leaving.is_empty() {
             self.withdraw(|_, _, attempt| {
@@ -348,13 +361,13 @@
         }
     }
 
-    fn purged(&mut self, purges: Vec<Purge>, done: Option<Done<()>>) {
+    fn purged(&mut self, purges: Vec<Purge>, done: Option<CompletionCallback<()>>) {
         self.purge(purges);
         self.decide_news(done);
     }
 
     /// Whoever waits is told once the decisions go by it: by those that begin anew, where these panic.
-    fn decide_news(&mut self, done: Option<Done<()>>) {
+    fn decide_news(&mut self, done: Option<CompletionCallback<()>>) {
         self.waits = done;
         debug!(events = self.events.len(), "news for the decisions");
         self.decide();
@@ -365,11 +378,11 @@
         self.events.extend(purges.iter().map(|purge| Event::Purged {
             object: purge.object,
             group: purge.group,
-            age: purge.made.ago(clock),
+            age: purge.purged_at.age(clock),
         }));
         // What has not begun was decided without these purges.
         self.withdraw(|_, open, _| {
-            let (object, group) = (ObjectId(id_of(&open.ask.object)), GroupId(open.ask.group));
+            let (object, group) = (ObjectId(id_from_name(&open.ask.object)), GroupId(open.ask.group));
             purges.iter().any(|purge| purge.concerns(object, group))
         });
         self.purges.extend(purges);
@@ -383,17 +396,18 @@
     /// stands for all. Stricter.
     fn fold(&mut self) {
         let (clock, within) = (self.given.clock, self.given.deployment.purge_window);
-        self.purges.retain(|old| old.made.ago(clock) <= within);
+        self.purges.retain(|old| old.purged_at.age(clock) <= within);
         if self.purges.len() <= MAX_PURGES {
             return;
         }
-        let youngest = self.purges.iter().map(|purge| purge.made).min_by_key(|made| made.ago(clock));
+        let youngest =
+            self.purges.iter().map(|purge| purge.purged_at).min_by_key(|purged_at| purged_at.age(clock));
         self.purges = youngest.map(Purge::everything).into_iter().collect();
     }
 
     fn retire(&mut self, id: HostId) {
         if let Some(mail) = self.peers.remove(&id).and_then(|peer| peer.mail) {
-            mail.send(Order::Retire);
+            mail.send(HostMessage::Retire);
         }
     }
 
@@ -404,9 +418,9 @@
                 self.call_off((request, attempt), Outcome::Cancelled)
             }
             Action::Reject { request, retry_after } => {
-                self.answer(request, Answer::Dismissed { pause: retry_after })
+                self.answer(request, Response::Rejected { retry_after })
             }
-            Action::Fail { request } => self.answer(request, Answer::Terminated),
+            Action::Fail { request } => self.answer(request, Response::Failed),
             Action::SetTimer { timer, delay } => {
                 self.due.push(Reverse((self.given.clock.now() + delay, Due::Timer(timer))));
             }
@@ -414,12 +428,12 @@
             Action::CheckHealth { host } => self.probe(host),
             Action::CloseIdleConnections { host } => {
                 if let Some(mail) = self.peers.get(&host).and_then(|peer| peer.mail.as_ref()) {
-                    mail.send(Order::CloseIdle);
+                    mail.send(HostMessage::CloseIdle);
                 }
             }
             // The board is followed all the time: what it has told is the answer.
             Action::Subscribe { .. } | Action::RequestEndpointList => {
-                let hosts = self.peers.values().map(|peer| peer.entry.listing.clone()).collect();
+                let hosts = self.peers.values().map(|peer| peer.entry.entry.clone()).collect();
                 self.events.push_back(Event::EndpointsListed { scope: ListScope::Full, entries: hosts });
             }
             Action::SendMessage { .. } => debug!("dispatchers share nothing on these sockets"),
@@ -436,7 +450,7 @@
         let left = open.ends.saturating_sub(now);
         let wait = attempt.timeout.map_or(left, |limit| limit.min(left));
         let by = attempt.send_by.map_or(now + wait, |by| by.min(now + wait));
-        let pass = Pass::new(by, open.client.clone());
+        let pass = SendPermit::new(by, open.client.clone());
         let (host, source, sent) = (attempt.host, attempt.source, now);
         open.attempts.push(AttemptOut {
             host,
@@ -457,23 +471,23 @@
             return self.end_attempt(key, Outcome::NotSent, None, Duration::ZERO);
         }
         let filled = source.is_some();
-        let line = Want {
+        let line = FetchRequest {
             id: &open.ask.call_id,
             class: &open.ask.class,
             object: &open.ask.object,
             part: open.ask.part,
-            wait,
+            timeout: wait,
             source,
-            rank: attempt.cache_priority as u8,
-            oldest: attempt.max_age,
+            cache_priority: attempt.cache_priority as u8,
+            max_age: attempt.max_age,
             coalesce: filled && attempt.coalesce,
-            shallow: filled && attempt.cached_at_source_only,
-            transit: filled && attempt.no_store_at_parent,
-            freshen: filled && attempt.revalidate,
-            seen: open.ask.seen.as_deref(),
+            cached_at_source_only: filled && attempt.cached_at_source_only,
+            no_store_at_parent: filled && attempt.no_store_at_parent,
+            revalidate: filled && attempt.revalidate,
+            cached_tag: open.ask.cached_tag.as_deref(),
         };
-        let (id, seen) = (open.ask.call_id.clone(), line.seen.is_some());
-        let order = Order::Want(Wanted { key, id, line: line.encode(), seen, pass });
+        let (id, seen) = (open.ask.call_id.clone(), line.cached_tag.is_some());
+        let order = HostMessage::Send(OutgoingAttempt { key, id, line: line.encode(), seen, pass });
         match mail {
             Some(mail) => mail.send(order),
             None => self.end_attempt(key, Outcome::NotSent, None, Duration::ZERO),
@@ -481,7 +495,7 @@
     }
 
     /// The mailbox of a listed host, whose actor starts with the first order.
-    fn mail_of(&mut self, id: HostId) -> Option<Arc<Mailbox<Order>>> {
+    fn mail_of(&mut self, id: HostId) -> Option<Arc<Mailbox<HostMessage>>> {
         let peer = self.peers.get_mut(&id)?;
         let (entry, pool) = (&peer.entry, &self.given.pool);
         let mail = peer.mail.get_or_insert_with(|| {
@@ -500,7 +514,7 @@
         self.due.push(Reverse((now + self.given.pool.connect_limit, Due::Probe(tag))));
         let load = !self.given.report.is_empty();
         match self.mail_of(host) {
-            Some(mail) => mail.send(Order::Probe { tag, load }),
+            Some(mail) => mail.send(HostMessage::CheckHealth { tag, load }),
             None => self.end_probe(tag, Outcome::NotSent, Vec::new()),
         }
     }
@@ -522,40 +536,40 @@
         self.end_attempt(key, outcome, None, Duration::ZERO);
     }
 
-    fn answered(&mut self, key: AttemptKey, answer: hostline::Answer) {
+    fn answered(&mut self, key: AttemptKey, answer: upstream::HostResponse) {
         let Some(open) = self.open.get(&key.0) else { return };
         if !open.attempts.get(usize::from(key.1 .0)).is_some_and(|attempt| attempt.out) {
             return;
         }
-        let outcome = match answer.word {
-            hostline::Word::Data | hostline::Word::Unchanged => Outcome::Succeeded,
-            hostline::Word::Absent => Outcome::Miss,
-            hostline::Word::Full => Outcome::Rejected,
-            hostline::Word::Moot => Outcome::NotSent,
+        let outcome = match answer.status {
+            upstream::Status::Data | upstream::Status::NotModified => Outcome::Succeeded,
+            upstream::Status::NotFound => Outcome::Miss,
+            upstream::Status::Overloaded => Outcome::Rejected,
+            upstream::Status::NotExecuted => Outcome::NotSent,
             _ => Outcome::HostError,
         };
-        let (note, waited) = (answer.note, answer.waited);
+        let (note, waited) = (answer.cache_note, answer.fill_wait);
         let tag = answer.tag;
-        match answer.word {
-            hostline::Word::Data => self.answer(key.0, Answer::Succeeded { tag, body: answer.body }),
-            hostline::Word::Unchanged => self.answer(key.0, Answer::Unchanged { tag }),
+        match answer.status {
+            upstream::Status::Data => self.answer(key.0, Response::Succeeded { tag, body: answer.body }),
+            upstream::Status::NotModified => self.answer(key.0, Response::NotModified { tag }),
             _ => {}
         }
         self.end_attempt(key, outcome, note, waited);
     }
 
     /// The one final answer of a request; whatever would follow it is dropped.
-    fn answer(&mut self, id: RequestId, answer: Answer) {
+    fn answer(&mut self, id: RequestId, answer: Response) {
         let Some(open) = self.open.get_mut(&id).filter(|open| !open.answered) else { return };
         open.answered = true;
         self.calls.remove(&open.ask.call_id);
         let ended = &mut self.ended[open.class];
         match &answer {
-            Answer::Succeeded { .. } | Answer::Unchanged { .. } => ended.succeeded += 1,
-            Answer::Dismissed { .. } => ended.dismissed += 1,
-            _ => ended.terminated += 1,
+            Response::Succeeded { .. } | Response::NotModified { .. } => ended.succeeded += 1,
+            Response::Rejected { .. } => ended.rejected += 1,
+            _ => ended.failed += 1,
         }
-        open.client.send(ClientWord::Answer(id, answer));
+        open.client.send(ClientMessage::Answer(id, answer));
         self.forget(id);
     }
 
@@ -563,7 +577,7 @@
         &mut self,
         key: AttemptKey,
         outcome: Outcome,
-        note: Option<hostline::Note>,
+        note: Option<upstream::CacheNote>,
         waited: Duration,
     ) {
         let now = self.given.clock.now();
@@ -619,7 +633,7 @@
                             "no answer from the module in time"
                         );
                         self.overdue += 1;
-                        self.answer(id, Answer::Terminated);
+                        self.answer(id, Response::Failed);
                         self.events.push_back(Event::ClientDisconnected(id));
                     }
                 }
@@ -629,17 +643,17 @@
     }
 }
 
-fn told(note: hostline::Note) -> CacheStatus {
+fn told(note: upstream::CacheNote) -> CacheStatus {
     match note {
-        hostline::Note::Warm => CacheStatus::Hit,
-        hostline::Note::Fill => CacheStatus::Filled,
-        hostline::Note::DeepFill => CacheStatus::FilledByOrigin,
-        hostline::Note::Piggy => CacheStatus::Coalesced,
-        hostline::Note::Aged => CacheStatus::Stale,
-        hostline::Note::Bounced => CacheStatus::SourceRejected,
-        hostline::Note::Dropped => CacheStatus::SourceUnreachable,
-        hostline::Note::Lacking => CacheStatus::SourceMiss,
-        hostline::Note::Jammed => CacheStatus::NoFillCapacity,
-        hostline::Note::Backfire => CacheStatus::OriginFailed,
+        upstream::CacheNote::Hit => CacheStatus::Hit,
+        upstream::CacheNote::Filled => CacheStatus::Filled,
+        upstream::CacheNote::FilledByOrigin => CacheStatus::FilledByOrigin,
+        upstream::CacheNote::Coalesced => CacheStatus::Coalesced,
+        upstream::CacheNote::Stale => CacheStatus::Stale,
+        upstream::CacheNote::SourceRejected => CacheStatus::SourceRejected,
+        upstream::CacheNote::SourceUnreachable => CacheStatus::SourceUnreachable,
+        upstream::CacheNote::SourceMiss => CacheStatus::SourceMiss,
+        upstream::CacheNote::NoFillCapacity => CacheStatus::NoFillCapacity,
+        upstream::CacheNote::OriginFailed => CacheStatus::OriginFailed,
     }
 }
--- a/crates/rockflow-dispatcher/src/board.rs
+++ b/crates/rockflow-dispatcher/src/discovery.rs
@@ -1,14 +1,14 @@
-//! The actor that reads the notice board and passes each notice on once, in order.
+//! The actor that reads the event board and passes each event on once, in order.
 
 use crate::clock::Clock;
+use crate::config::Config;
 use crate::mailbox::{Mailbox, Wake};
-use crate::messages::{BoardWord, ListWord};
+use crate::messages::{DiscoveryMessage, EndpointListMessage};
 use crate::timer;
-use crate::told::Told;
 use may::coroutine;
 use may::io::WaitIo;
 use may::net::TcpStream;
-use rockflow_protocol::board::{self, Stream};
+use rockflow_protocol::discovery::{self, WatchStream};
 use rockflow_protocol::Buffer;
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddr;
@@ -25,39 +25,54 @@
 /// Part of the time that a drain may take up to which a call, or the wait before it, may last.
 const DRAIN_PART: u32 = 4;
 
+/// What is known of the connection to the discovery service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DiscoveryStatus {
+    pub address: SocketAddr,
+    pub last_revision: u64,
+    pub last_received: Option<Duration>,
+}
+
 /// What others see of the board.
 #[derive(Debug)]
-pub struct Seen {
+pub struct SharedDiscoveryStatus {
     address: Mutex<SocketAddr>,
     last: AtomicU64,
     /// In milliseconds of the clock; 0: never.
     heard: AtomicU64,
 }
 
-impl Seen {
-    pub fn new(address: SocketAddr, last: u64) -> Arc<Seen> {
-        Arc::new(Seen { address: Mutex::new(address), last: AtomicU64::new(last), heard: AtomicU64::new(0) })
+impl SharedDiscoveryStatus {
+    pub fn new(address: SocketAddr, last: u64) -> Arc<SharedDiscoveryStatus> {
+        Arc::new(SharedDiscoveryStatus {
+            address: Mutex::new(address),
+            last: AtomicU64::new(last),
+            heard: AtomicU64::new(0),
+        })
     }
 
-    /// The address, the number of the last notice, and when it was last heard.
-    pub fn read(&self) -> (SocketAddr, u64, Option<Duration>) {
+    /// The address, the number of the last event, and when it was last heard.
+    pub fn read(&self) -> DiscoveryStatus {
         let heard = self.heard.load(Ordering::Relaxed);
-        let address = *self.address.lock().unwrap_or_else(PoisonError::into_inner);
-        (address, self.last.load(Ordering::Relaxed), (heard > 0).then(|| Duration::from_millis(heard)))
+        DiscoveryStatus {
+            address: *self.address.lock().unwrap_or_else(PoisonError::into_inner),
+            last_revision: self.last.load(Ordering::Relaxed),
+            last_received: (heard > 0).then(|| Duration::from_millis(heard)),
+        }
     }
 }
 
 /// How long nothing has been heard, and whether that has been said. Decides; does no I/O.
 #[derive(Debug)]
-pub struct Silence {
+pub struct SilenceDetector {
     since: Duration,
     limit: Duration,
     said: bool,
 }
 
-impl Silence {
-    pub fn new(now: Duration, limit: Duration) -> Silence {
-        Silence { since: now, limit, said: false }
+impl SilenceDetector {
+    pub fn new(now: Duration, limit: Duration) -> SilenceDetector {
+        SilenceDetector { since: now, limit, said: false }
     }
 
     pub fn limit(&self) -> Duration {
@@ -79,39 +94,39 @@
     }
 }
 
-/// Follows the board at its told address from its told number on, passing notices to `list`.
-impl Board {
-    pub fn new(clock: Clock, told: &Told, list: Arc<Mailbox<ListWord>>) -> Board {
-        Board {
+/// Follows the board at its told address from its told number on, passing events to `list`.
+impl DiscoveryClient {
+    pub fn new(clock: Clock, told: &Config, list: Arc<Mailbox<EndpointListMessage>>) -> DiscoveryClient {
+        DiscoveryClient {
             clock,
-            address: told.board,
-            last: told.known.rev,
+            address: told.discovery_address,
+            last: told.snapshot.revision,
             mail: Mailbox::new(),
             list,
-            seen: Seen::new(told.board, told.known.rev),
+            seen: SharedDiscoveryStatus::new(told.discovery_address, told.snapshot.revision),
             chance: oorandom::Rand64::new(u128::from(told.seed)),
-            silence: Silence::new(clock.now(), told.wiring.drain_limit),
+            silence: SilenceDetector::new(clock.now(), told.wiring.drain_limit),
             gap_borne: None,
             unread: None,
         }
     }
 }
 
-pub struct Board {
+pub struct DiscoveryClient {
     pub clock: Clock,
     pub address: SocketAddr,
     pub last: u64,
-    pub mail: Arc<Mailbox<BoardWord>>,
-    pub list: Arc<Mailbox<ListWord>>,
-    pub seen: Arc<Seen>,
+    pub mail: Arc<Mailbox<DiscoveryMessage>>,
+    pub list: Arc<Mailbox<EndpointListMessage>>,
+    pub seen: Arc<SharedDiscoveryStatus>,
     pub chance: oorandom::Rand64,
-    pub silence: Silence,
+    pub silence: SilenceDetector,
     /// What was asked for a second time: the number after a gap, and one that could not be read.
     pub gap_borne: Option<u64>,
     pub unread: Option<u64>,
 }
 
-impl Board {
+impl DiscoveryClient {
     pub fn run(&mut self) {
         let mut wait = WAIT.0;
         loop {
@@ -140,7 +155,7 @@
     fn moved(&mut self) -> bool {
         let at = self.address;
         while let Some(word) = self.mail.take() {
-            if let BoardWord::MoveTo(address) = word {
+            if let DiscoveryMessage::SetAddress(address) = word {
                 self.address = address;
                 *self.seen.address.lock().unwrap_or_else(PoisonError::into_inner) = address;
             }
@@ -155,9 +170,9 @@
         let stream = TcpStream::connect_timeout(&self.address, self.within_drain(CONNECT))
             .map_err(|what| format!("not connected: {what}"))?;
         self.mail.wake_by(Wake::Io(stream.waker()));
-        let call = board::call(&self.address.to_string(), self.last);
+        let call = discovery::encode_watch_request(&self.address.to_string(), self.last);
         let (mut unwritten, mut heard) = (&call[..], self.clock.now());
-        let (mut buffer, mut sent) = (Buffer::new(board::MAX_EVENT), Stream::default());
+        let (mut buffer, mut sent) = (Buffer::new(discovery::MAX_EVENT_BYTES), WatchStream::default());
         loop {
             if self.moved() {
                 return Ok("moved".to_string());
@@ -170,7 +185,7 @@
                     false
                 }),
             };
-            let room = buffer.room().ok_or("a head or chunk size without end")?;
+            let room = buffer.spare().ok_or("a head or chunk size without end")?;
             let read =
                 asked.and_then(|asked| if asked { stream.inner().read(room).map(Some) } else { Ok(None) });
             match read {
@@ -179,7 +194,7 @@
                 Ok(Some(n)) => {
                     heard = self.clock.now();
                     self.heard(heard);
-                    buffer.add(n);
+                    buffer.commit(n);
                     let taken = self.take(&mut sent, buffer.filled())?;
                     buffer.consume(taken);
                 }
@@ -213,11 +228,11 @@
     }
 
     /// Passes on what came whole, also ahead of a fault.
-    fn take(&mut self, sent: &mut Stream, bytes: &[u8]) -> Result<usize, String> {
-        let mut notices = Vec::new();
-        let taken = sent.take(bytes, &mut notices);
-        for notice in notices {
-            let (rev, next) = (notice.rev, self.last + 1);
+    fn take(&mut self, sent: &mut WatchStream, bytes: &[u8]) -> Result<usize, String> {
+        let mut events = Vec::new();
+        let taken = sent.decode(bytes, &mut events);
+        for event in events {
+            let (rev, next) = (event.revision, self.last + 1);
             if rev < next {
                 continue;
             }
@@ -225,20 +240,20 @@
             if rev > next && self.gap_borne != Some(next) {
                 // Asked for again once; what is missing after that is not to be had.
                 self.gap_borne = Some(next);
-                return Err(format!("notices {next} to {} are missing", rev - 1));
+                return Err(format!("events {next} to {} are missing", rev - 1));
             }
             if rev > next {
-                warn!(from = next, to = rev - 1, "notices lost");
+                warn!(from = next, to = rev - 1, "events lost");
             }
             self.last = rev;
             self.seen.last.store(rev, Ordering::Relaxed);
-            self.list.send(ListWord::Notice(notice));
+            self.list.send(EndpointListMessage::Event(event));
         }
-        if sent.unreadable() {
+        if sent.has_unreadable_event() {
             let next = self.last + 1;
             // Guards against asking for one that can't be read without end.
             if self.unread.replace(next) == Some(next) {
-                warn!(from = next, to = next, "notices lost");
+                warn!(from = next, to = next, "events lost");
                 self.last = next;
             }
         }
--- a/crates/rockflow-dispatcher/src/board_clock.rs
+++ b/crates/rockflow-dispatcher/src/discovery_clock.rs
@@ -1,13 +1,13 @@
 //! How old what a board tells is, whatever its clock is apart from this one. Decides; does no I/O.
 
-use crate::backlog::TOLD_WITHIN;
+use crate::purge_backlog::TOLD_WITHIN;
 use std::time::Duration;
 
 /// By the board's time alone, news seem older by as much as its clock is behind. So the age of a purge is counted from the
 /// youngest of those told lately, itself among them: never more than it is, as that one was made before it was told. Where
 /// a clock is right, an age is short by as long as the board took to tell of the youngest. Stricter.
 #[derive(Debug)]
-pub struct BoardClock {
+pub struct DiscoveryClock {
     /// What was told lately: between one and two of these.
     lately: Duration,
     oldest: Duration,
@@ -17,11 +17,11 @@
     before: Option<Duration>,
 }
 
-impl BoardClock {
+impl DiscoveryClock {
     /// A purge binds for so long: after that, a clock that was set counts no more.
-    pub fn new(binds: Duration, now: Duration) -> BoardClock {
+    pub fn new(binds: Duration, now: Duration) -> DiscoveryClock {
         let oldest = TOLD_WITHIN.min(binds);
-        BoardClock { lately: binds, oldest, since: now, youngest: None, before: None }
+        DiscoveryClock { lately: binds, oldest, since: now, youngest: None, before: None }
     }
 
     /// The age of a purge that is told now and is so old by the board's time. Nor is it older than a board takes to tell:
--- a/crates/rockflow-dispatcher/src/listener.rs
+++ b/crates/rockflow-dispatcher/src/listener.rs
@@ -1,9 +1,9 @@
 //! Takes in clients' connections, up to the cap; past it they wait unaccepted till a request has its answer.
 
-use crate::client::{self, Door};
+use crate::client::{self, ClientRegistry};
+use crate::connection_pool::ConnectionPool;
 use crate::mailbox::Mailbox;
-use crate::messages::BoardWord;
-use crate::pool::ConnectionPool;
+use crate::messages::DiscoveryMessage;
 use crate::timer;
 use may::net::TcpListener;
 use may::sync::Semphore;
@@ -18,16 +18,16 @@
 /// How often connections are looked through for such as have outlived their use.
 const LOOK: Duration = Duration::from_millis(200);
 
-pub fn look(door: &Door, pool: &ConnectionPool, board: &Mailbox<BoardWord>) {
+pub fn look(door: &ClientRegistry, pool: &ConnectionPool, board: &Mailbox<DiscoveryMessage>) {
     loop {
         timer::sleep(LOOK);
         door.look();
         pool.look();
-        board.send(BoardWord::Look);
+        board.send(DiscoveryMessage::Inspect);
     }
 }
 
-pub fn run(listener: &TcpListener, door: &Arc<Door>, location_dispatchers: &Arc<Semphore>) {
+pub fn run(listener: &TcpListener, door: &Arc<ClientRegistry>, location_dispatchers: &Arc<Semphore>) {
     loop {
         if !location_dispatchers.try_wait() {
             warn!("a query is open on every seat; connections end with their answers");
--- a/crates/rockflow-dispatcher/src/mailbox.rs
+++ b/crates/rockflow-dispatcher/src/mailbox.rs
@@ -10,7 +10,7 @@
     Io(WaitIoWaker),
 }
 
-struct Letters<T> {
+struct Queues<T> {
     /// What goes ahead of the rest, in its own order.
     urgent: VecDeque<T>,
     rest: VecDeque<T>,
@@ -19,11 +19,11 @@
     closed: bool,
 }
 
-pub struct Mailbox<T>(Mutex<Letters<T>>);
+pub struct Mailbox<T>(Mutex<Queues<T>>);
 
 impl<T> Mailbox<T> {
     pub fn new() -> Arc<Self> {
-        Arc::new(Mailbox(Mutex::new(Letters {
+        Arc::new(Mailbox(Mutex::new(Queues {
             urgent: VecDeque::new(),
             rest: VecDeque::new(),
             wake: None,
@@ -32,7 +32,7 @@
     }
 
     /// No coroutine gives way while it holds this lock, so it is never waited for long.
-    fn letters(&self) -> MutexGuard<'_, Letters<T>> {
+    fn letters(&self) -> MutexGuard<'_, Queues<T>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/rockflow-dispatcher/src/backlog.rs
+++ b/crates/rockflow-dispatcher/src/purge_backlog.rs
@@ -1,6 +1,6 @@
 //! What a board says to who has begun to follow it: all that it said before. Decides; does no I/O.
 
-use crate::messages::{Made, Purge};
+use crate::purge::{Purge, PurgeTimestamp};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 /// Holds purges until the board has caught up with the present, so that the newest of them tells the age of the others by
 /// the board's own clock. Let go of too early, they only seem younger.
 #[derive(Debug)]
-pub struct Backlog {
+pub struct PurgeBacklog {
     binds: Duration,
     /// With their Unix time by the board.
     held: VecDeque<(Purge, Duration)>,
@@ -29,14 +29,14 @@
     looked: Option<(Duration, Duration)>,
 }
 
-impl Backlog {
+impl PurgeBacklog {
     /// A purge binds for so long.
-    pub fn new(binds: Duration) -> Backlog {
-        Backlog { binds, held: VecDeque::new(), newest: Duration::ZERO, overflown: None, looked: None }
+    pub fn new(binds: Duration) -> PurgeBacklog {
+        PurgeBacklog { binds, held: VecDeque::new(), newest: Duration::ZERO, overflown: None, looked: None }
     }
 
     pub fn hold(&mut self, now: Duration, purge: Purge) {
-        let Made::Unix(ms) = purge.made else { return };
+        let PurgeTimestamp::Unix(ms) = purge.purged_at else { return };
         let made = Duration::from_millis(ms);
         // Guards against one that is told wrongly, and would make all others old.
         if made <= now + CLOCKS_APART {
--- a/crates/rockflow-dispatcher/src/pass.rs
+++ b/crates/rockflow-dispatcher/src/send_permit.rs
@@ -1,7 +1,7 @@
 //! An attempt's way from its decision to its first byte: it begins, or it is withdrawn, and never both.
 
 use crate::mailbox::Mailbox;
-use crate::messages::ClientWord;
+use crate::messages::ClientMessage;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 /// Guards against an attempt that goes out on a decision that no longer holds: while it waited for a connection its host
 /// was told to leave, its object was purged, its client left, or its time passed. What was decided is checked again
 /// where the first byte goes out.
-pub struct Pass {
+pub struct SendPermit {
     state: AtomicU8,
     /// The first byte goes out before this, or never.
     by: Duration,
-    client: Arc<Mailbox<ClientWord>>,
+    client: Arc<Mailbox<ClientMessage>>,
 }
 
-impl Pass {
-    pub fn new(by: Duration, client: Arc<Mailbox<ClientWord>>) -> Arc<Pass> {
-        Arc::new(Pass { state: AtomicU8::new(WAITING), by, client })
+impl SendPermit {
+    pub fn new(by: Duration, client: Arc<Mailbox<ClientMessage>>) -> Arc<SendPermit> {
+        Arc::new(SendPermit { state: AtomicU8::new(WAITING), by, client })
     }
 
     fn turn(&self, from: u8, to: u8) -> bool {
--- a/crates/rockflow-dispatcher/src/service.rs
+++ b/crates/rockflow-dispatcher/src/service.rs
@@ -1,22 +1,24 @@
 //! The program from start to exit: its phases as named states of one object.
 
-use crate::board::Board;
 use crate::caps::Caps;
-use crate::client::Door;
+use crate::client::ClientRegistry;
 use crate::clock::Clock;
-use crate::link::Link;
-use crate::list::{List, Reading};
+use crate::config::{Config, Unchanging};
+use crate::connection_pool::ConnectionPool;
+use crate::decision::{DecisionActor, Dependencies};
+use crate::discovery::DiscoveryClient;
+use crate::endpoint_list::{EndpointListActor, EndpointReader};
+use crate::handle::ServiceHandle;
 use crate::listener;
 use crate::mailbox::Mailbox;
-use crate::messages::{BoardWord, Phase, Word};
-use crate::module::{Given, Module};
-use crate::pool::ConnectionPool;
+use crate::messages::{DecisionMessage, DiscoveryMessage};
+use crate::phase::Phase;
 use crate::timer;
-use crate::told::{Told, Unchanging};
 use may::coroutine::Builder;
 use may::net::TcpListener;
 use may::sync::Semphore;
-use rockflow_endpoints::{Marks, Roll};
+use rockflow::ListScope;
+use rockflow_endpoints::{AdminOverrides, EndpointRegistry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -42,11 +44,11 @@
 pub struct Service {
     phase: Phase,
     listens_at: SocketAddr,
-    door: Arc<Door>,
-    board: Arc<Mailbox<BoardWord>>,
+    door: Arc<ClientRegistry>,
+    board: Arc<Mailbox<DiscoveryMessage>>,
     told: Unchanging,
     board_at: SocketAddr,
-    link: Link,
+    link: ServiceHandle,
 }
 
 impl Service {
@@ -56,20 +58,24 @@
         may::config().set_workers(1).set_stack_size(STACK);
     }
 
-    pub fn start(told: Told) -> std::io::Result<Service> {
-        Service::start_marked(Clock::start(), told, None)
+    pub fn start(told: Config) -> std::io::Result<Service> {
+        Service::start_with_overrides(Clock::start(), told, None)
     }
 
     /// With operators' marks, which hold from the first request on and can be changed through `link`; none: nobody
     /// can mark, and nothing is kept for it.
-    pub fn start_marked(clock: Clock, told: Told, marks: Option<Marks>) -> std::io::Result<Service> {
+    pub fn start_with_overrides(
+        clock: Clock,
+        told: Config,
+        marks: Option<AdminOverrides>,
+    ) -> std::io::Result<Service> {
         let caps = Caps::of(&told.limits);
         let unchanging = told.unchanging.clone();
         let (mail, list_mail) = (Mailbox::new(), Mailbox::new());
         let longest = told.facts.deployment.classes.iter().map(|class| class.deadline).max();
         let ready = Arc::new(AtomicBool::new(false));
         let held = Arc::new(AtomicUsize::new(0));
-        let door = Arc::new(Door {
+        let door = Arc::new(ClientRegistry {
             clock,
             module: mail.clone(),
             module_words: caps.module_words,
@@ -84,13 +90,13 @@
             next_request: AtomicU64::new(1),
             open: AtomicUsize::new(0),
         });
-        let reading = Reading::new(clock, &told.facts, &told.wiring);
-        let (mut known, purges) = reading.known(&told.known.notices);
-        let mut roll = marks.map(Roll::new);
+        let reading = EndpointReader::new(clock, &told.facts, &told.wiring);
+        let (mut known, purges) = reading.known(&told.snapshot.events);
+        let mut roll = marks.map(EndpointRegistry::new);
         if let Some(roll) = &mut roll {
-            known = roll.tell(true, known, clock.now());
+            known = roll.apply_update(ListScope::Full, known, clock.now());
         }
-        info!(name = told.name, listen = %told.listen, hosts = known.len(), rev = told.known.rev, ?caps, "starting");
+        info!(name = told.name, listen = %told.listen, hosts = known.len(), rev = told.snapshot.revision, ?caps, "starting");
         let pool = Arc::new(ConnectionPool {
             clock,
             module: mail.clone(),
@@ -106,11 +112,11 @@
             max_held: caps.held,
         });
         let looked = (door.clone(), pool.clone());
-        let mut board = Board::new(clock, &told, list_mail.clone());
+        let mut board = DiscoveryClient::new(clock, &told, list_mail.clone());
         let (board_mail, seen) = (board.mail.clone(), board.seen.clone());
         let classes = told.wiring.classes.iter().cloned();
         let named = classes.zip(told.facts.deployment.classes.iter().cloned()).collect();
-        let given = Given {
+        let given = Dependencies {
             clock,
             deployment: told.facts.deployment,
             classes: told.wiring.classes.clone(),
@@ -121,11 +127,11 @@
             slack: told.wiring.answer_slack,
             mail: mail.clone(),
         };
-        let mut module = Module::new(given, known, purges);
-        let mut list = List { reading, mail: list_mail.clone(), module: mail, roll };
+        let mut module = DecisionActor::new(given, known, purges);
+        let mut list = EndpointListActor { reading, mail: list_mail.clone(), module: mail, roll };
         let listener = TcpListener::bind(told.listen)?;
         let listens_at = listener.local_addr()?;
-        let link = Link {
+        let link = ServiceHandle {
             clock,
             name: told.name,
             caps,
@@ -146,7 +152,7 @@
             door: door.clone(),
             board: board_mail.clone(),
             told: unchanging,
-            board_at: told.board,
+            board_at: told.discovery_address,
             link,
         };
         spawn("module", BIG_STACK, move || module.run())?;
@@ -163,7 +169,7 @@
         self.phase
     }
 
-    pub fn listens_at(&self) -> SocketAddr {
+    pub fn listen_address(&self) -> SocketAddr {
         self.listens_at
     }
 
@@ -174,37 +180,37 @@
     }
 
     /// A way in for whoever manages this dispatcher, from any thread.
-    pub fn link(&self) -> Link {
+    pub fn handle(&self) -> ServiceHandle {
         self.link.clone()
     }
 
     /// Takes a new configuration under load: the board at its new address is asked at once from the last
     /// number. What can't change while the program runs stays as it was, and is named.
-    pub fn reload(&mut self, told: &Told) {
+    pub fn reload(&mut self, told: &Config) {
         let before = self.told.iter().zip(told.unchanging.iter());
         let keys: Vec<_> = before.filter(|(old, new)| old != new).map(|((key, _), _)| key.as_str()).collect();
         if !keys.is_empty() {
             warn!(?keys, "changed in the configuration; takes a restart");
         }
-        info!(phase = ?self.phase, from = %self.board_at, to = %told.board, "configuration read again");
-        self.board_at = told.board;
-        self.board.send_urgent(BoardWord::MoveTo(told.board));
+        info!(phase = ?self.phase, from = %self.board_at, to = %told.discovery_address, "configuration read again");
+        self.board_at = told.discovery_address;
+        self.board.send_urgent(DiscoveryMessage::SetAddress(told.discovery_address));
     }
 
     /// A planned stop, to its end; blocks the calling thread.
     pub fn stop(&mut self) {
-        self.stop_heeding(|_| {});
+        self.stop_with(|_| {});
     }
 
     /// The same; `between` is called every few milliseconds until the end. Guards against deafness in the time
     /// that a stop takes: what still comes goes by the list, and the board may move meanwhile.
-    pub fn stop_heeding(&mut self, mut between: impl FnMut(&mut Service)) {
-        self.enter(Phase::Leaving);
+    pub fn stop_with(&mut self, mut between: impl FnMut(&mut Service)) {
+        self.enter(Phase::Draining);
         let quiet = self.door.clock.now() + STILL_COMING;
         let end = quiet + self.door.longest.min(LONGEST_HEEDED);
-        self.door.module.send_urgent(Word::Leaving { until: end - TO_GO_OUT });
+        self.door.module.send_urgent(DecisionMessage::ShutdownStarted { until: end - TO_GO_OUT });
         self.pass(&mut between, |service| service.door.clock.now() >= quiet);
-        self.enter(Phase::Finishing);
+        self.enter(Phase::Closing);
         self.door.closing.store(true, Ordering::Relaxed);
         self.door.look();
         // Guards against an answer that is lost to the reset of a connection which ends with bytes unread: those
@@ -213,7 +219,7 @@
             let open = service.door.open.load(Ordering::Relaxed) + service.door.connections();
             open == 0 || service.door.clock.now() >= end
         });
-        self.enter(Phase::Over);
+        self.enter(Phase::Stopped);
     }
 
     fn pass(&mut self, between: &mut impl FnMut(&mut Service), over: impl Fn(&Service) -> bool) {
--- a/crates/rockflow-dispatcher/src/line.rs
+++ b/crates/rockflow-dispatcher/src/upstream.rs
@@ -1,12 +1,14 @@
 //! The actor of one connection to a host: the attempts that are out on it, and what becomes of them.
 
+use crate::connection_pool::{lock, AttemptQueue, ConnectionPool, UpstreamConnection};
 use crate::mailbox::{Mailbox, Wake};
-use crate::messages::{AttemptKey, Fallen, LineWord, Order, Wanted, Word};
-use crate::pool::{lock, ConnectionPool, Line, Queue};
+use crate::messages::{
+    AttemptKey, DecisionMessage, EndedAttempts, HostMessage, OutgoingAttempt, UpstreamMessage,
+};
 use may::io::WaitIo;
 use may::net::TcpStream;
 use rockflow::Outcome;
-use rockflow_protocol::{hostline, Buffer};
+use rockflow_protocol::{upstream, Buffer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddr;
@@ -24,10 +26,10 @@
     name: String,
     address: SocketAddr,
     pool: Arc<ConnectionPool>,
-    host: Arc<Mailbox<Order>>,
-    queue: Arc<Queue>,
-) -> Arc<Line> {
-    let line = Arc::new(Line {
+    host: Arc<Mailbox<HostMessage>>,
+    queue: Arc<AttemptQueue>,
+) -> Arc<UpstreamConnection> {
+    let line = Arc::new(UpstreamConnection {
         mail: Mailbox::new(),
         up: AtomicBool::new(false),
         over: AtomicBool::new(false),
@@ -44,7 +46,7 @@
     may::go!(move || {
         let (fallen, again) = run(&name, address, &pool, &shared, &queue);
         pool.lines().remove(&number);
-        host.send(Order::LineOver { fallen, again, failed: !shared.up.load(Ordering::Relaxed) });
+        host.send(HostMessage::ConnectionEnded { fallen, again, failed: !shared.up.load(Ordering::Relaxed) });
     });
     line
 }
@@ -55,11 +57,11 @@
     name: &str,
     address: SocketAddr,
     pool: &ConnectionPool,
-    shared: &Line,
-    queue: &Queue,
-) -> (Vec<Fallen>, Vec<Wanted>) {
+    shared: &UpstreamConnection,
+    queue: &AttemptQueue,
+) -> (Vec<EndedAttempts>, Vec<OutgoingAttempt>) {
     let (mut fallen, mut unbegun) = (Vec::new(), Vec::new());
-    let mut unsent = Fallen {
+    let mut unsent = EndedAttempts {
         attempts: Vec::new(),
         unless_heard: None,
         if_gone: Outcome::ConnectFailed,
@@ -72,7 +74,7 @@
             let _ = stream.set_nodelay(true);
             shared.mail.wake_by(Wake::Io(stream.waker()));
             shared.up.store(true, Ordering::Relaxed);
-            let mut wire = Wire {
+            let mut wire = ConnectionActor {
                 name,
                 pool,
                 shared,
@@ -82,7 +84,7 @@
                 waiting: VecDeque::new(),
                 attempts: BTreeMap::new(),
                 probes: BTreeSet::new(),
-                buffer: Buffer::new(hostline::MAX_ANSWER),
+                buffer: Buffer::new(upstream::MAX_RESPONSE_BYTES),
                 held: 0,
                 heard: Duration::ZERO,
                 began: None,
@@ -94,7 +96,7 @@
             }
             shared.over.store(true, Ordering::Relaxed);
             pool.held.fetch_sub(wire.held, Ordering::Relaxed);
-            fallen.push(Fallen {
+            fallen.push(EndedAttempts {
                 attempts: wire.attempts.into_values().map(|attempt| attempt.key).collect(),
                 unless_heard: None,
                 if_gone: wire.outcome,
@@ -102,7 +104,8 @@
             });
             unbegun.extend(wire.waiting);
             for tag in wire.probes {
-                pool.module.send(Word::ProbeFell { tag, outcome: Outcome::ConnectionLost });
+                pool.module
+                    .send(DecisionMessage::HealthCheckFailed { tag, outcome: Outcome::ConnectionLost });
             }
         }
         Err(what) => {
@@ -115,9 +118,9 @@
     }
     while let Some(word) = shared.mail.take() {
         match word {
-            LineWord::Want(wanted) => unbegun.push(wanted),
-            LineWord::Probe { tag, .. } => {
-                pool.module.send(Word::ProbeFell { tag, outcome: unsent.if_gone });
+            UpstreamMessage::Send(wanted) => unbegun.push(wanted),
+            UpstreamMessage::CheckHealth { tag, .. } => {
+                pool.module.send(DecisionMessage::HealthCheckFailed { tag, outcome: unsent.if_gone });
             }
             _ => {}
         }
@@ -135,15 +138,15 @@
     seen: bool,
 }
 
-struct Wire<'a> {
+struct ConnectionActor<'a> {
     name: &'a str,
     pool: &'a ConnectionPool,
-    shared: &'a Line,
-    queue: &'a Queue,
+    shared: &'a UpstreamConnection,
+    queue: &'a AttemptQueue,
     stream: TcpStream,
     /// What is on its way out, and the attempts that follow it.
     out: Vec<u8>,
-    waiting: VecDeque<Wanted>,
+    waiting: VecDeque<OutgoingAttempt>,
     /// Attempts out by their id on the line.
     attempts: BTreeMap<String, AttemptOut>,
     probes: BTreeSet<u64>,
@@ -158,7 +161,7 @@
     outcome: Outcome,
 }
 
-impl Wire<'_> {
+impl ConnectionActor<'_> {
     fn serve(&mut self) {
         loop {
             let mut moved = self.read_mail();
@@ -195,7 +198,7 @@
         }
         let Some(wanted) = self.queue.pull(self.shared) else { return false };
         self.shared.carry(&wanted.id, self.pool);
-        self.carry(LineWord::Want(wanted));
+        self.carry(UpstreamMessage::Send(wanted));
         true
     }
 
@@ -208,22 +211,22 @@
         some
     }
 
-    fn carry(&mut self, word: LineWord) {
+    fn carry(&mut self, word: UpstreamMessage) {
         let now = self.pool.clock.now();
         match word {
-            LineWord::Want(wanted) => {
+            UpstreamMessage::Send(wanted) => {
                 self.waiting.push_back(wanted);
                 *lock(&self.shared.used) = now;
             }
             // What was given up before it went out never does.
-            LineWord::NeverMind { key, .. } if self.waiting.iter().any(|wanted| wanted.key == key) => {
+            UpstreamMessage::Cancel { key, .. } if self.waiting.iter().any(|wanted| wanted.key == key) => {
                 self.waiting.retain(|wanted| wanted.key != key);
             }
-            LineWord::NeverMind { key, unheard } => {
+            UpstreamMessage::Cancel { key, unheard } => {
                 let found = self.attempts.iter().find(|(_, attempt)| attempt.key == key);
                 let Some((id, sent)) = found.map(|(id, attempt)| (id.clone(), attempt.sent)) else { return };
                 self.attempts.remove(&id);
-                self.out.extend_from_slice(&hostline::never_mind(&id));
+                self.out.extend_from_slice(&upstream::encode_cancel(&id));
                 let unanswered = lock(&self.shared.carried).values().filter(|id| !id.answered).count();
                 let many = unanswered >= MAX_UNANSWERED * self.pool.max_streams;
                 // Guards against a machine that vanished or was cut off: the connection would stay open and
@@ -234,12 +237,12 @@
                     self.retired = true;
                 }
             }
-            LineWord::Probe { tag, load } => {
-                self.out.extend_from_slice(&hostline::probe(&tag.to_string(), load));
+            UpstreamMessage::CheckHealth { tag, load } => {
+                self.out.extend_from_slice(&upstream::encode_health_check(&tag.to_string(), load));
                 self.probes.insert(tag);
             }
-            LineWord::Look => {}
-            LineWord::CloseIdle | LineWord::Retire => {
+            UpstreamMessage::Inspect => {}
+            UpstreamMessage::CloseIdle | UpstreamMessage::Retire => {
                 self.shared.spent.store(true, Ordering::Relaxed);
                 self.retired = true;
             }
@@ -269,16 +272,18 @@
     }
 
     /// Writes the first bytes of an attempt, if it still may begin; false: the host takes nothing now.
-    fn begin(&mut self, wanted: Wanted) -> Result<bool, String> {
+    fn begin(&mut self, wanted: OutgoingAttempt) -> Result<bool, String> {
         let now = self.pool.clock.now();
         if !wanted.pass.begin(now) {
-            self.pool.module.send(Word::Fell { key: wanted.key, outcome: Outcome::NotSent });
+            self.pool
+                .module
+                .send(DecisionMessage::AttemptFailed { key: wanted.key, outcome: Outcome::NotSent });
             return Ok(true);
         }
         match self.stream.inner().write(&wanted.line) {
             Ok(n) => {
                 self.out.extend_from_slice(&wanted.line[n..]);
-                let Wanted { key, id, seen, .. } = wanted;
+                let OutgoingAttempt { key, id, seen, .. } = wanted;
                 self.attempts.insert(id, AttemptOut { key, sent: now, seen });
                 Ok(true)
             }
@@ -320,39 +325,39 @@
     }
 
     fn read(&mut self) -> Result<bool, String> {
-        let Some(room) = self.buffer.room() else {
+        let Some(room) = self.buffer.spare() else {
             return Err("an answer that fills the buffer".to_string());
         };
         match self.stream.inner().read(room) {
             Ok(0) => return self.broken("end of stream".to_string()),
-            Ok(n) => self.buffer.add(n),
+            Ok(n) => self.buffer.commit(n),
             Err(what) if what.kind() == ErrorKind::WouldBlock => return Ok(false),
             Err(what) if what.kind() == ErrorKind::Interrupted => return Ok(true),
             Err(what) => return self.broken(what.to_string()),
         }
         self.heard = self.pool.clock.now();
         *lock(&self.shared.heard) = self.heard;
-        let was = std::mem::replace(&mut self.held, self.buffer.size());
+        let was = std::mem::replace(&mut self.held, self.buffer.capacity());
         let held = self.pool.held.fetch_add(self.held, Ordering::Relaxed) + self.held;
         self.pool.held.fetch_sub(was, Ordering::Relaxed);
         if self.held > was && held - was > self.pool.max_held {
             return Err("no memory left for an answer".to_string());
         }
-        while let Some((length, answer)) = hostline::decode(self.buffer.filled())? {
+        while let Some((length, answer)) = upstream::decode_response(self.buffer.filled())? {
             self.buffer.consume(length);
-            let probe = matches!(answer.word, hostline::Word::Well | hostline::Word::Ill);
+            let probe = matches!(answer.status, upstream::Status::Healthy | upstream::Status::Unhealthy);
             let tag = answer.id.parse().ok().filter(|_| probe);
             if let Some(carried) = lock(&self.shared.carried).get_mut(&answer.id) {
                 carried.answered = true;
             }
             if let Some(tag) = tag.filter(|tag| self.probes.remove(tag)) {
-                self.pool.module.send(Word::Probed { tag, answer });
+                self.pool.module.send(DecisionMessage::HealthCheckAnswered { tag, answer });
             } else if let Some(attempt) = self.attempts.get(&answer.id).filter(|_| !probe) {
-                if answer.word == hostline::Word::Unchanged && !attempt.seen {
+                if answer.status == upstream::Status::NotModified && !attempt.seen {
                     return Err("unchanged, where no copy was named".to_string());
                 }
                 let key = self.attempts.remove(&answer.id).expect("found above").key;
-                self.pool.module.send(Word::Answered { key, answer });
+                self.pool.module.send(DecisionMessage::ResponseReceived { key, answer });
             } else {
                 // Framed well and nobody's: an answer to what is over, a second one, or one ahead. It costs
                 // nobody anything.
--- a/crates/rockflow-dispatcher/tests/waiting.rs
+++ b/crates/rockflow-dispatcher/tests/backpressure.rs
@@ -1,12 +1,12 @@
 //! What waits for an actor is bounded, and what has no place is covered by something stricter.
 
-use rockflow_dispatcher::waiting::{Slot, Waiting, MAX_CALLERS, MAX_PURGES};
+use rockflow_dispatcher::backpressure::{CoalescingSlot, PurgeQuota, MAX_CALLERS, MAX_PURGES};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
 #[test]
 fn places_end_and_come_back() {
-    let waiting = Arc::new(Waiting::default());
+    let waiting = Arc::new(PurgeQuota::default());
     let all = waiting.places(MAX_PURGES).expect("room for all");
     assert!(waiting.places(1).is_none());
     drop(all);
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_slot_holds_one_value_and_tells_those_who_wait_for_it() {
-    let (slot, told) = (Slot::<u32, u32>::default(), Arc::new(AtomicUsize::new(0)));
+    let (slot, told) = (CoalescingSlot::<u32, u32>::default(), Arc::new(AtomicUsize::new(0)));
     let done = || {
         let told = told.clone();
         Box::new(move |by: u32| {
@@ -42,7 +42,7 @@
 #[test]
 fn those_who_wait_for_a_slot_are_bounded() {
     const BEYOND: usize = 100;
-    let (slot, told) = (Slot::<usize, ()>::default(), Arc::new(Mutex::new(Vec::new())));
+    let (slot, told) = (CoalescingSlot::<usize, ()>::default(), Arc::new(Mutex::new(Vec::new())));
     let all = (0..MAX_CALLERS + BEYOND).map(|n| {
         let told = told.clone();
         slot.put(|_| n, Box::new(move |()| told.lock().unwrap().push(n))).1
--- a/crates/rockflow-dispatcher/tests/common/mod.rs
+++ b/crates/rockflow-dispatcher/tests/common/mod.rs
@@ -47,9 +47,9 @@
 //!     overdue N                         requests so far that the decisions left without an answer in time
 
 use rockflow::{GroupId, ObjectId, Readiness};
-use rockflow_dispatcher::messages::id_of;
-use rockflow_dispatcher::{Clock, Link, Phase, Purge, Service, Told};
-use rockflow_endpoints::{Mark, Marks, Refused};
+use rockflow_dispatcher::endpoint::id_from_name;
+use rockflow_dispatcher::{Clock, Config, Phase, Purge, Service, ServiceHandle};
+use rockflow_endpoints::{AdminOverride, AdminOverrides, RejectedOverride};
 use serde_json::{json, Value};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -256,6 +256,14 @@
     }
 }
 
+/// The word of the play for a rejection.
+fn rejection_word(rejection: RejectedOverride) -> &'static str {
+    match rejection {
+        RejectedOverride::LastReadyEndpoint => "lastone",
+        RejectedOverride::TooMany => "full",
+    }
+}
+
 /// The words NAME=WORD of a line; `nothing` is none.
 fn pairs(text: &str) -> Vec<(String, String)> {
     let words = text.split_whitespace().filter(|word| *word != "nothing");
@@ -270,8 +278,8 @@
     address: Option<SocketAddr>,
     stopping: Option<JoinHandle<Service>>,
     /// Configurations for a dispatcher that is stopping.
-    reloads: Option<Sender<Told>>,
-    link: Option<Link>,
+    reloads: Option<Sender<Config>>,
+    link: Option<ServiceHandle>,
     got: Instant,
     /// Since when the last purge has been sent.
     purged: Instant,
@@ -326,7 +334,7 @@
             "lifecycle": "active", "weight": 8, "startedAtMs": 0}));
     }
 
-    fn told(&mut self, board: &str, words: &[&str]) -> Told {
+    fn told(&mut self, board: &str, words: &[&str]) -> Config {
         let mut value: Value = serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         value["board"] = json!(listener.local_addr().unwrap().to_string());
@@ -343,7 +351,7 @@
                 above[key] = serde_json::from_str(told).unwrap();
             }
         }
-        Told::read(&value.to_string()).unwrap()
+        Config::parse(&value.to_string()).unwrap()
     }
 
     /// Stops the one worker on which all of the dispatcher runs.
@@ -360,32 +368,35 @@
 
     /// Waits for what the dispatcher itself counts.
     fn until(&mut self, what: &str, count: usize) {
-        let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().link());
+        let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
         let mut end = Instant::now() + PATIENCE;
         let mut least = usize::MAX;
         loop {
-            let fill =
-                link.fills().iter().find(|(name, ..)| *name == what).map(|(_, _, fill)| fill.abs_diff(count));
+            let fill = link
+                .fill_levels()
+                .iter()
+                .find(|level| level.name == what)
+                .map(|level| level.fill.abs_diff(count));
             if fill.is_some_and(|left| left < least) {
                 // It is on its way; what counts is a standstill.
                 (least, end) = (fill.unwrap_or_default(), Instant::now() + PATIENCE);
             }
             let there = match what {
-                "leaving" => link.phase() == Phase::Leaving,
-                "finishing" => link.phase() == Phase::Finishing,
-                "rev" => link.board().1 >= count as u64,
+                "leaving" => link.phase() == Phase::Draining,
+                "finishing" => link.phase() == Phase::Closing,
+                "rev" => link.discovery_status().last_revision >= count as u64,
                 _ => fill == Some(0),
             };
             if there && what == "rev" {
                 // And the decisions have heard of it.
                 let (done, wait) = channel();
-                assert!(link.survey(move |_| done.send(()).unwrap()));
+                assert!(link.request_status(move |_| done.send(()).unwrap()));
                 return wait.recv_timeout(PATIENCE).unwrap();
             }
             if there {
                 return;
             }
-            assert!(Instant::now() < end, "{what} {count}: {:?}, {:?}", link.phase(), link.fills());
+            assert!(Instant::now() < end, "{what} {count}: {:?}, {:?}", link.phase(), link.fill_levels());
             std::thread::sleep(MS);
         }
     }
@@ -410,9 +421,9 @@
         }
         self.comments = words.contains(&"comments");
         SET_UP.call_once(Service::set_up);
-        let marked = words.contains(&"marked").then(Marks::new);
-        let service = Service::start_marked(Clock::start(), told, marked).unwrap();
-        self.address = Some(service.listens_at());
+        let marked = words.contains(&"marked").then(AdminOverrides::new);
+        let service = Service::start_with_overrides(Clock::start(), told, marked).unwrap();
+        self.address = Some(service.listen_address());
         self.service = Some(service);
     }
 
@@ -426,14 +437,14 @@
     }
 
     /// Gives the dispatcher marks or a purge; `done` is called once the decisions go by it, with what is kept apart.
-    fn put(&self, line: &str, done: Box<dyn FnOnce(BTreeMap<String, Refused>) + Send>) {
+    fn put(&self, line: &str, done: Box<dyn FnOnce(BTreeMap<String, RejectedOverride>) + Send>) {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let link = self.service.as_ref().unwrap().link();
-        let marks = |text: &str, until| -> Marks {
+        let link = self.service.as_ref().unwrap().handle();
+        let marks = |text: &str, until| -> AdminOverrides {
             let marks = pairs(text).into_iter().filter(|(name, _)| name != "until");
             let mark = |(name, state): (String, String)| {
                 let readiness = if state == "gone" { Readiness::Gone } else { Readiness::Draining };
-                (name, Mark { readiness, until, force: false })
+                (name, AdminOverride { readiness, expires_at: until, force: false })
             };
             marks.map(mark).collect()
         };
@@ -442,19 +453,21 @@
                 let until = words.iter().find_map(|word| word.strip_prefix("until="));
                 let until = until.map(|ms| link.clock.now() + Duration::from_millis(ms.parse().unwrap()));
                 let marks = marks(&line["mark".len()..], until);
-                assert!(link.mark(marks, move || done(BTreeMap::new())));
+                assert!(link.set_operator_overrides(marks, move || done(BTreeMap::new())));
             }
             "fleet" => {
                 let wanted = line["fleet".len()..].split('!').next().unwrap_or_default();
-                assert!(link.configure(marks(wanted, None), done));
+                assert!(link.set_control_overrides(marks(wanted, None), done));
             }
             _ => {
                 let ago = words.iter().find_map(|word| word.strip_prefix("ago=")).unwrap_or("0");
-                let made = link.made(Duration::from_millis(ago.parse().unwrap()));
+                let purged_at = link.timestamp_before_now(Duration::from_millis(ago.parse().unwrap()));
                 let purge = match words[1].strip_prefix("group=") {
-                    _ if words[1] == "all" => Purge::everything(made),
-                    Some(group) => Purge { object: None, group: Some(GroupId(group.parse().unwrap())), made },
-                    None => Purge { object: Some(ObjectId(id_of(words[1]))), group: None, made },
+                    _ if words[1] == "all" => Purge::everything(purged_at),
+                    Some(group) => {
+                        Purge { object: None, group: Some(GroupId(group.parse().unwrap())), purged_at }
+                    }
+                    None => Purge { object: Some(ObjectId(id_from_name(words[1]))), group: None, purged_at },
                 };
                 assert!(link.purge(vec![purge], move || done(BTreeMap::new())));
             }
@@ -478,14 +491,14 @@
             ("start", _) => self.start(&words),
             ("stop", _) => {
                 let mut service = self.service.take().unwrap();
-                self.link = Some(service.link());
+                self.link = Some(service.handle());
                 assert_eq!(service.phase(), Phase::Serving);
                 let (reloads, told) = channel();
                 self.reloads = Some(reloads);
                 *self.held.0.lock().unwrap() = words.contains(&"held");
                 let held = self.held.clone();
                 self.stopping = Some(std::thread::spawn(move || {
-                    service.stop_heeding(|service| loop {
+                    service.stop_with(|service| loop {
                         told.try_iter().for_each(|told| service.reload(&told));
                         let (held, released) = &*held;
                         let held = held.lock().unwrap();
@@ -498,13 +511,13 @@
                 }));
             }
             ("release", _) => {
-                assert_eq!(self.link.as_ref().expect("stopping").phase(), Phase::Leaving);
+                assert_eq!(self.link.as_ref().expect("stopping").phase(), Phase::Draining);
                 *self.held.0.lock().unwrap() = false;
                 self.held.1.notify_all();
             }
             ("over", _) => {
                 let service = self.stopping.take().unwrap().join().unwrap();
-                assert_eq!(service.phase(), Phase::Over);
+                assert_eq!(service.phase(), Phase::Stopped);
                 self.service = Some(service);
             }
             ("crowd", count) => {
@@ -526,8 +539,8 @@
             ("until", what) => self.until(what, rest.first().map_or(0, |count| count.parse().unwrap())),
             ("overdue", count) => {
                 let (done, wait) = channel();
-                let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().link());
-                assert!(link.survey(move |survey| done.send(survey.overdue).unwrap()));
+                let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
+                assert!(link.request_status(move |survey| done.send(survey.overdue).unwrap()));
                 assert_eq!(wait.recv_timeout(PATIENCE).unwrap().to_string(), count);
             }
             ("post", what) => {
@@ -550,17 +563,17 @@
                 let refused = wait.recv_timeout(PATIENCE).unwrap();
                 let refused: Vec<_> = refused
                     .iter()
-                    .map(|(name, why)| (name.clone(), format!("{why:?}").to_lowercase()))
+                    .map(|(name, why)| (name.clone(), rejection_word(*why).to_string()))
                     .collect();
                 assert_eq!(refused, pairs(line.split_once('!').map_or("", |(_, kept)| kept)), "{line}");
             }
             ("purges", count) => {
-                let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().link());
+                let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
                 let ago = words.iter().find_map(|word| word.strip_prefix("ago=")).unwrap_or("0");
                 self.purged = Instant::now();
-                let made = link.made(Duration::from_millis(ago.parse().unwrap()));
+                let purged_at = link.timestamp_before_now(Duration::from_millis(ago.parse().unwrap()));
                 for n in 0..count.parse::<u64>().unwrap() {
-                    let purge = Purge { object: Some(ObjectId(n)), group: None, made };
+                    let purge = Purge { object: Some(ObjectId(n)), group: None, purged_at };
                     link.purge(vec![purge], || {});
                 }
             }
@@ -725,7 +738,7 @@
         let ended = self.stopping.take().and_then(|stopping| stopping.join().ok());
         if let Some(mut service) = self.service.take().or(ended) {
             let mut told = self.told("nobody", &[]);
-            told.board = nobody.local_addr().unwrap();
+            told.discovery_address = nobody.local_addr().unwrap();
             service.reload(&told);
         }
     }
--- a/crates/rockflow-dispatcher/tests/told.rs
+++ b/crates/rockflow-dispatcher/tests/config.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher is told: faults name their key, and nested settings read as dotted ones do.
 
 use rockflow_dispatcher::caps::Caps;
-use rockflow_dispatcher::Told;
+use rockflow_dispatcher::Config;
 use rockflow_settings::Pairs;
 use serde_json::{json, Value};
 use test_case::test_case;
@@ -27,7 +27,7 @@
         Some(value) => parent.insert(key.to_string(), value),
         None => parent.remove(key),
     };
-    assert_eq!(Told::read(&told.to_string()).err().as_deref(), Some(what));
+    assert_eq!(Config::parse(&told.to_string()).err().as_deref(), Some(what));
 }
 
 #[test]
@@ -47,7 +47,7 @@
 fn caps_keep_the_told_limits(memory_mb: usize, sockets: usize) {
     let mut told = example();
     told["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
-    let caps = Caps::of(&Told::read(&told.to_string()).unwrap().limits);
+    let caps = Caps::of(&Config::parse(&told.to_string()).unwrap().limits);
     assert!(caps.location_dispatchers < caps.clients && caps.clients + caps.hosts < sockets);
     assert!(caps.held + caps.hosts * caps.line_out < memory_mb * 1024 * 1024 / 2);
 }
--- a/crates/rockflow-dispatcher/tests/board.rs
+++ b/crates/rockflow-dispatcher/tests/discovery.rs
@@ -2,7 +2,7 @@
 //! and from a client come and go, so that descriptors are used again at once. Each call must reach the board, and
 //! nothing may be left behind.
 
-use rockflow_dispatcher::{Service, Told};
+use rockflow_dispatcher::{Config, Service};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,12 +19,12 @@
 enum End {
     /// The configuration names another board.
     Moved,
-    Ended,
+    OutcomeCounts,
     Reset,
     /// Taken, answered, and then silent.
     Silent,
     /// Told of a board where nobody listens, then of one that does.
-    Refused,
+    RejectedOverride,
     /// The same, with one whose connections never come up.
     NeverUp,
 }
@@ -34,7 +34,7 @@
     match n {
         n if n % 33 == 20 => End::Silent,
         n if n % 25 == 13 => End::NeverUp,
-        n => [End::Moved, End::Ended, End::Reset, End::Refused][(n % 4) as usize],
+        n => [End::Moved, End::OutcomeCounts, End::Reset, End::RejectedOverride][(n % 4) as usize],
     }
 }
 
@@ -44,14 +44,14 @@
     (listener, address)
 }
 
-fn told(board: SocketAddr, host: SocketAddr) -> Told {
+fn told(board: SocketAddr, host: SocketAddr) -> Config {
     let mut value: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
     value["board"] = json!(board.to_string());
     value["listen"] = json!("127.0.0.1:0");
     let instances = &mut value["known"]["notices"][0]["pool"]["instances"];
     instances.as_array_mut().unwrap().truncate(1);
     instances[0]["hostPort"] = json!(host.to_string());
-    Told::read(&value.to_string()).unwrap()
+    Config::parse(&value.to_string()).unwrap()
 }
 
 /// Answers one attempt on each connection and closes it; one that rests is closed too, as a spare connection carries none.
@@ -113,7 +113,7 @@
 /// Waits till the number has come through to the dispatcher.
 fn heard(service: &Service, rev: u64) {
     let until = Instant::now() + PATIENCE;
-    while service.link().board().1 < rev {
+    while service.handle().discovery_status().last_revision < rev {
         assert!(Instant::now() < until, "notice {rev} was not heard");
         std::thread::yield_now();
     }
@@ -146,7 +146,7 @@
     let (over, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let mut counted = 0;
     let clients: Vec<_> =
-        (0..2).map(|_| client(service.listens_at(), over.clone(), served.clone())).collect();
+        (0..2).map(|_| client(service.listen_address(), over.clone(), served.clone())).collect();
     let mut last = 1;
     for n in 0..CALLS {
         let mut call = take(&board, last);
@@ -156,14 +156,14 @@
         call.write_all(format!("{head}id: {last}\ndata: {notice}\n\n").as_bytes()).unwrap();
         heard(&service, last);
         match end_of(n) {
-            End::Ended => drop(call),
+            End::OutcomeCounts => drop(call),
             End::Reset => {
                 socket2::SockRef::from(&call).set_linger(Some(Duration::ZERO)).unwrap();
             }
             // Left for its silence: its end is the dispatcher's.
             End::Silent => assert_eq!(call.read(&mut [0; 16]).unwrap(), 0),
             end => {
-                if end == End::Refused {
+                if end == End::RejectedOverride {
                     let nobody = listener().1;
                     service.reload(&told(nobody, host_at));
                     assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
@@ -189,11 +189,11 @@
     clients.into_iter().for_each(|client| client.join().unwrap());
     // Connections whose ends are still on their way may take a moment; what is left behind stays.
     let until = Instant::now() + PATIENCE;
-    let busy = || service.link().fills()[..2].iter().any(|(_, _, fill)| *fill > 0);
+    let busy = || service.handle().fill_levels()[..2].iter().any(|level| level.fill > 0);
     while (busy() || descriptors() > counted) && Instant::now() < until {
         std::thread::yield_now();
     }
-    assert!(!busy(), "{:?}", service.link().fills());
+    assert!(!busy(), "{:?}", service.handle().fill_levels());
     assert!(descriptors() <= counted, "{} descriptors, {counted} after the first call", descriptors());
     assert!(served.load(Ordering::Relaxed) > 100, "{served:?} served");
     drop(call);
--- a/crates/rockflow-dispatcher/tests/board_clock.rs
+++ b/crates/rockflow-dispatcher/tests/discovery_clock.rs
@@ -1,7 +1,7 @@
 //! The age of a board's news is never more than it is by a clock that is right, and not always none.
 
-use rockflow_dispatcher::backlog::TOLD_WITHIN;
-use rockflow_dispatcher::board_clock::BoardClock;
+use rockflow_dispatcher::discovery_clock::DiscoveryClock;
+use rockflow_dispatcher::purge_backlog::TOLD_WITHIN;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -13,7 +13,7 @@
 
 /// How far the board's clock is behind; a purge is told each 20 ms, `took` after it was made.
 fn ages(behind: Duration, took: impl Fn(u64) -> Duration) -> Vec<(Duration, Duration)> {
-    let mut clock = BoardClock::new(BINDS, Duration::ZERO);
+    let mut clock = DiscoveryClock::new(BINDS, Duration::ZERO);
     let told = |n| (ms(20 * n), took(n));
     (0..2000).map(told).map(|(now, took)| (took, clock.age(now, took + behind))).collect()
 }
@@ -48,7 +48,7 @@
 /// A board's clock that is set back: within two spans its news are counted by the new one.
 #[test]
 fn a_clock_that_is_set_counts_no_more() {
-    let mut clock = BoardClock::new(BINDS, Duration::ZERO);
+    let mut clock = DiscoveryClock::new(BINDS, Duration::ZERO);
     clock.age(Duration::ZERO, ms(10));
     let ages = (1..1500).map(|n| clock.age(ms(20 * n), ms(60_010))).collect::<Vec<_>>();
     assert_eq!(ages[0], TOLD_WITHIN);
@@ -57,7 +57,7 @@
 
 #[test]
 fn after_a_long_silence_only_what_is_told_then_counts() {
-    let mut clock = BoardClock::new(BINDS, Duration::ZERO);
+    let mut clock = DiscoveryClock::new(BINDS, Duration::ZERO);
     clock.age(Duration::ZERO, ms(10));
     assert_eq!(clock.age(BINDS * 3, ms(5000)), Duration::ZERO);
 }
--- a/crates/rockflow-dispatcher/tests/panics.rs
+++ b/crates/rockflow-dispatcher/tests/panics.rs
@@ -25,7 +25,7 @@
 
 impl Subscriber for Reader {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        metadata.target() == "rockflow_dispatcher::module"
+        metadata.target() == "rockflow_dispatcher::decision"
     }
 
     fn new_span(&self, _: &Attributes<'_>) -> Id {
--- a/crates/rockflow-dispatcher/tests/backlog.rs
+++ b/crates/rockflow-dispatcher/tests/purge_backlog.rs
@@ -1,7 +1,7 @@
 //! What a board said before is told by its own clock, whatever this one says.
 
-use rockflow_dispatcher::backlog::{Backlog, LOOK, MAX_HELD};
-use rockflow_dispatcher::{Made, Purge};
+use rockflow_dispatcher::purge_backlog::{PurgeBacklog, LOOK, MAX_HELD};
+use rockflow_dispatcher::{Purge, PurgeTimestamp};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -10,10 +10,10 @@
 const NOW: Duration = Duration::from_secs(1_000_000);
 
 fn purge(ago_ms: u64) -> Purge {
-    Purge::everything(Made::Unix((NOW - Duration::from_millis(ago_ms)).as_millis() as u64))
+    Purge::everything(PurgeTimestamp::Unix((NOW - Duration::from_millis(ago_ms)).as_millis() as u64))
 }
 
-fn ages(backlog: &mut Backlog, now: Duration) -> Vec<u64> {
+fn ages(backlog: &mut PurgeBacklog, now: Duration) -> Vec<u64> {
     backlog.take(now).iter().map(|(_, age)| age.as_millis() as u64).collect()
 }
 
@@ -22,7 +22,7 @@
 #[test_case(-60, [8050, 7850, 950, 0]; "a minute behind")]
 fn no_clock_makes_one_that_binds_too_old(skew: i64, expected: [u64; 4]) {
     let now = Duration::from_secs(NOW.as_secs().saturating_add_signed(skew));
-    let mut backlog = Backlog::new(BINDS);
+    let mut backlog = PurgeBacklog::new(BINDS);
     // The first two are long over by the board's clock.
     for ago in [300_000, 30_000, 8100, 7900, 1000, 50] {
         backlog.hold(now, purge(ago));
@@ -32,15 +32,15 @@
 
 #[test]
 fn a_time_far_ahead_makes_no_other_old() {
-    let mut backlog = Backlog::new(BINDS);
+    let mut backlog = PurgeBacklog::new(BINDS);
     backlog.hold(NOW, purge(1000));
-    backlog.hold(NOW, Purge::everything(Made::Unix((NOW.as_millis() as u64) + 600_000)));
+    backlog.hold(NOW, Purge::everything(PurgeTimestamp::Unix((NOW.as_millis() as u64) + 600_000)));
     assert_eq!(ages(&mut backlog, NOW), [1000, 0]);
 }
 
 #[test]
 fn it_is_whole_once_the_boards_time_goes_on_like_ours() {
-    let mut backlog = Backlog::new(BINDS);
+    let mut backlog = PurgeBacklog::new(BINDS);
     assert!(!backlog.is_whole(NOW - LOOK * 9, false));
     assert!(!backlog.is_whole(NOW - LOOK * 4, true));
     for (look, ago) in [(3, 100_000), (2, 2000)] {
@@ -54,14 +54,14 @@
 
 #[test]
 fn a_board_that_said_nothing_is_not_waited_for() {
-    let mut backlog = Backlog::new(BINDS);
+    let mut backlog = PurgeBacklog::new(BINDS);
     assert!(!backlog.is_whole(NOW, true));
     assert!(backlog.is_whole(NOW + LOOK, true));
 }
 
 #[test]
 fn when_full_one_of_everything_stands_for_what_was_held() {
-    let mut backlog = Backlog::new(BINDS);
+    let mut backlog = PurgeBacklog::new(BINDS);
     (0..MAX_HELD).for_each(|_| backlog.hold(NOW, purge(10)));
     assert!(!backlog.is_overflown(NOW));
     backlog.hold(NOW, purge(10));
@@ -71,7 +71,7 @@
 
 #[test]
 fn what_found_no_place_long_ago_needs_nothing_in_its_stead() {
-    let mut backlog = Backlog::new(BINDS);
+    let mut backlog = PurgeBacklog::new(BINDS);
     (0..=MAX_HELD).for_each(|_| backlog.hold(NOW, purge(3_600_000)));
     assert!(!backlog.is_overflown(NOW));
     backlog.hold(NOW, purge(10));
@@ -81,7 +81,7 @@
 
 #[test]
 fn what_is_over_by_any_clock_is_left_where_the_board_is_quiet() {
-    let mut backlog = Backlog::new(BINDS);
+    let mut backlog = PurgeBacklog::new(BINDS);
     [75_100, 75_000].into_iter().for_each(|ago| backlog.hold(NOW, purge(ago)));
     assert_eq!(ages(&mut backlog, NOW), [7000]);
 }
--- a/crates/rockflow-dispatcher/tests/follow.rs
+++ b/crates/rockflow-dispatcher/tests/purge_follower.rs
@@ -1,7 +1,7 @@
 //! Whoever follows a board for its purges alone takes none for older than it can be, whatever the board's clock says.
 
-use rockflow_dispatcher::backlog::TOLD_WITHIN;
-use rockflow_dispatcher::{Clock, Follow, Heard, Service, Told};
+use rockflow_dispatcher::purge_backlog::TOLD_WITHIN;
+use rockflow_dispatcher::{Clock, Config, ObservedPurge, PurgeFollower, Service};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,27 +15,27 @@
 const CUT: Duration = Duration::from_millis(1);
 static SET_UP: Once = Once::new();
 
-fn told(board: &TcpListener) -> Told {
+fn told(board: &TcpListener) -> Config {
     let mut value: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
     value["board"] = json!(board.local_addr().unwrap().to_string());
-    Told::read(&value.to_string()).unwrap()
+    Config::parse(&value.to_string()).unwrap()
 }
 
-struct Board {
+struct DiscoveryClient {
     stream: TcpStream,
-    heard: Receiver<Heard>,
+    heard: Receiver<ObservedPurge>,
     rev: u64,
     behind: Duration,
 }
 
-impl Board {
+impl DiscoveryClient {
     /// A board whose clock is so far behind, and who follows it.
-    fn start(behind: Duration, binds: Duration) -> Board {
+    fn start(behind: Duration, binds: Duration) -> DiscoveryClient {
         SET_UP.call_once(Service::set_up);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let told = told(&listener);
         let (say, heard) = channel();
-        Follow::start(Clock::start(), &told, binds, move |heard| say.send(heard).unwrap()).unwrap();
+        PurgeFollower::start(Clock::start(), &told, binds, move |heard| say.send(heard).unwrap()).unwrap();
         socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE)).unwrap();
         let (mut stream, _) = listener.accept().expect("a call");
         let mut call = Vec::new();
@@ -45,11 +45,11 @@
             call.push(byte[0]);
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n").unwrap();
-        Board { stream, heard, rev: told.known.rev, behind }
+        DiscoveryClient { stream, heard, rev: told.snapshot.revision, behind }
     }
 
     /// Tells of a purge that is made just now, by its own clock, and returns what is heard of it.
-    fn tells(&mut self) -> Heard {
+    fn tells(&mut self) -> ObservedPurge {
         self.rev += 1;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap() - self.behind;
         let event = json!({"rev": self.rev, "flush": {"asset": "7f", "ms": now.as_millis() as u64}});
@@ -64,21 +64,21 @@
 #[test_case(TOLD_WITHIN; "as long as a board takes to tell")]
 #[test_case(TOLD_WITHIN / 2; "shorter than a board takes to tell")]
 fn a_board_whose_clock_is_behind_makes_no_news_older_than_they_are(binds: Duration) {
-    let mut board = Board::start(Duration::from_secs(10), binds);
+    let mut board = DiscoveryClient::start(Duration::from_secs(10), binds);
     // The first is of what it said before; it is heard once that is whole, so that the next are news.
-    assert!(board.tells().backlog);
+    assert!(board.tells().is_backlog);
     for _ in 0..3 {
         let made = Instant::now();
         let heard = board.tells();
-        assert!(!heard.backlog);
+        assert!(!heard.is_backlog);
         assert!(heard.age <= made.elapsed() + CUT && heard.age <= binds, "{:?}", heard.age);
     }
 }
 
 #[test]
 fn a_clock_that_is_right_is_gone_by() {
-    let mut board = Board::start(Duration::ZERO, Duration::from_secs(8));
-    assert!(board.tells().backlog);
+    let mut board = DiscoveryClient::start(Duration::ZERO, Duration::from_secs(8));
+    assert!(board.tells().is_backlog);
     let made = Instant::now();
     assert!(board.tells().age <= made.elapsed() + CUT);
     let (made, before) = (Instant::now(), Duration::from_secs(2));
--- a/crates/rockflow-dispatcher/tests/line.rs
+++ b/crates/rockflow-dispatcher/tests/upstream.rs
@@ -1,11 +1,11 @@
 //! One connection to a host, with a scripted peer at its other end: what crosses there is held back till both are here.
 
 use rockflow::{AttemptNumber, Outcome, RequestId};
-use rockflow_dispatcher::line;
+use rockflow_dispatcher::connection_pool::{AttemptQueue, ConnectionPool, UpstreamConnection};
 use rockflow_dispatcher::mailbox::Mailbox;
-use rockflow_dispatcher::messages::{AttemptKey, Order, Wanted, Word};
-use rockflow_dispatcher::pass::Pass;
-use rockflow_dispatcher::pool::{ConnectionPool, Line, Queue};
+use rockflow_dispatcher::messages::{AttemptKey, DecisionMessage, HostMessage, OutgoingAttempt};
+use rockflow_dispatcher::send_permit::SendPermit;
+use rockflow_dispatcher::upstream;
 use rockflow_dispatcher::{Clock, Service};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -24,11 +24,11 @@
 
 struct Bed {
     clock: Clock,
-    module: Arc<Mailbox<Word>>,
-    host: Arc<Mailbox<Order>>,
-    queue: Arc<Queue>,
+    module: Arc<Mailbox<DecisionMessage>>,
+    host: Arc<Mailbox<HostMessage>>,
+    queue: Arc<AttemptQueue>,
     pool: Arc<ConnectionPool>,
-    line: Arc<Line>,
+    line: Arc<UpstreamConnection>,
     peer: BufReader<TcpStream>,
 }
 
@@ -67,17 +67,17 @@
         });
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let queue = Arc::new(Queue::default());
-        let line = line::start("c1".to_string(), at, pool.clone(), host.clone(), queue.clone());
+        let queue = Arc::new(AttemptQueue::default());
+        let line = upstream::start("c1".to_string(), at, pool.clone(), host.clone(), queue.clone());
         let (peer, _) = listener.accept().unwrap();
         peer.set_read_timeout(Some(PATIENCE)).unwrap();
         wait("the line is up", || line.is_up().then_some(()));
         Bed { clock, module, host, queue, pool, line, peer: BufReader::new(peer) }
     }
 
-    fn wanted(&self, number: u64, line: Vec<u8>) -> Wanted {
-        let pass = Pass::new(self.clock.now() + PATIENCE, Mailbox::new());
-        Wanted {
+    fn wanted(&self, number: u64, line: Vec<u8>) -> OutgoingAttempt {
+        let pass = SendPermit::new(self.clock.now() + PATIENCE, Mailbox::new());
+        OutgoingAttempt {
             key: (RequestId(number), AttemptNumber(0)),
             id: format!("{number:016x}"),
             line,
@@ -86,11 +86,11 @@
         }
     }
 
-    fn small(&self, number: u64) -> Wanted {
+    fn small(&self, number: u64) -> OutgoingAttempt {
         self.wanted(number, format!("want {number:016x} - 0\r\n\r\n").into_bytes())
     }
 
-    fn give(&self, wanted: &Wanted) {
+    fn give(&self, wanted: &OutgoingAttempt) {
         self.line.want(wanted.clone(), &self.pool);
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Answers an attempt, and waits till the module has it.
-    fn answers(&mut self, wanted: &Wanted) {
+    fn answers(&mut self, wanted: &OutgoingAttempt) {
         assert!(self.got().contains(&wanted.id));
         assert_eq!(self.got(), "\r\n");
         let answer = format!("{} data ver=t 2\r\nok\r\n", wanted.id);
@@ -111,14 +111,14 @@
 
     fn answered(&self) -> AttemptKey {
         match wait("a word to the module", || self.module.take()) {
-            Word::Answered { key, .. } => key,
+            DecisionMessage::ResponseReceived { key, .. } => key,
             _ => panic!("another word"),
         }
     }
 
     fn fell(&self) -> (AttemptKey, Outcome) {
         match wait("a word to the module", || self.module.take()) {
-            Word::Fell { key, outcome } => (key, outcome),
+            DecisionMessage::AttemptFailed { key, outcome } => (key, outcome),
             _ => panic!("another word"),
         }
     }
@@ -153,7 +153,7 @@
     bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     drop(gate);
     let over = wait("the line is over", || bed.host.take());
-    let Order::LineOver { fallen, again, failed } = over else { panic!("another order") };
+    let HostMessage::ConnectionEnded { fallen, again, failed } = over else { panic!("another order") };
     assert!(!second.pass.begun() && !failed);
     assert_eq!(again.iter().map(|wanted| wanted.key).collect::<Vec<_>>(), [second.key]);
     assert!(fallen.iter().all(|fallen| fallen.attempts.is_empty()), "{fallen:?}");
@@ -170,7 +170,7 @@
     bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     drop(gate);
     let over = wait("the line is over", || bed.host.take());
-    let Order::LineOver { fallen, again, .. } = over else { panic!("another order") };
+    let HostMessage::ConnectionEnded { fallen, again, .. } = over else { panic!("another order") };
     assert!(!wanted.pass.begun() && again.is_empty());
     let last = fallen.last().unwrap();
     assert_eq!((&last.attempts[..], last.if_it_lives), (&[wanted.key][..], Outcome::NotSent));
@@ -183,8 +183,9 @@
     let gate = freeze();
     let (gone, client_left, late, next) = (bed.small(1), bed.small(2), bed.small(3), bed.small(4));
     let client = Mailbox::new();
-    let client_left = Wanted { pass: Pass::new(bed.clock.now() + PATIENCE, client.clone()), ..client_left };
-    let late = Wanted { pass: Pass::new(bed.clock.now(), Mailbox::new()), ..late };
+    let client_left =
+        OutgoingAttempt { pass: SendPermit::new(bed.clock.now() + PATIENCE, client.clone()), ..client_left };
+    let late = OutgoingAttempt { pass: SendPermit::new(bed.clock.now(), Mailbox::new()), ..late };
     [&gone, &client_left, &late, &next].into_iter().for_each(|wanted| bed.give(wanted));
     assert!(gone.pass.withdraw());
     client.close();
--- a/crates/rockflow-management-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -2,8 +2,8 @@
 //! dispatcher; `run` starts the one thread in which all of it lives. Where the operator's file has no such
 //! section there is no agent, and nothing of it is started.
 
-use rockflow_dispatcher::{Clock, Link};
-use rockflow_endpoints::Marks;
+use rockflow_dispatcher::{Clock, ServiceHandle};
+use rockflow_endpoints::AdminOverrides;
 use rockflow_management_service::desk::SetLevel;
 use rockflow_management_service::{Desk, Opened, OperatorFile};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     }
 
     /// The marks that hold from the first request on.
-    pub fn marks(&self) -> Marks {
+    pub fn marks(&self) -> AdminOverrides {
         self.opened.marks()
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Starts the thread. It ends with the program: what was acknowledged is durable already.
-    pub fn run(self, link: Link, set_level: SetLevel) -> std::io::Result<Arc<Desk>> {
+    pub fn run(self, link: ServiceHandle, set_level: SetLevel) -> std::io::Result<Arc<Desk>> {
         let addresses = self.addresses();
         let desk = self.opened.desk(link, set_level);
         info!(?addresses, "management serves");
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -60,14 +60,14 @@
         let clock = Clock::start();
         let agent = Agent::open(clock, &file).unwrap().unwrap();
         let addresses = agent.addresses();
-        let service = Service::start_marked(clock, site.told(EXAMPLE), Some(agent.marks())).unwrap();
-        let desk = agent.run(service.link(), Box::new(|_| {})).unwrap();
+        let service = Service::start_with_overrides(clock, site.told(EXAMPLE), Some(agent.marks())).unwrap();
+        let desk = agent.run(service.handle(), Box::new(|_| {})).unwrap();
         let schema = desk.schema().clone();
         Rig { site, service, desk, addresses, folder, schema, authority, host: keys::host() }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.service.listens_at()
+        self.service.listen_address()
     }
 
     pub async fn ssh(&self, user: &str) -> Client {
--- a/crates/rockflow-management-agent/tests/netconf.rs
+++ b/crates/rockflow-management-agent/tests/netconf.rs
@@ -4,7 +4,7 @@
 
 use common::{block_on, key_of, Rig};
 use rockflow::Readiness;
-use rockflow_endpoints::Mark;
+use rockflow_endpoints::AdminOverride;
 use rockflow_management_client::Trouble;
 use rockflow_test_servers::{keys, Load, Turn};
 use serde_json::json;
@@ -271,10 +271,13 @@
 fn the_fleets_marks_and_operators_do_not_undo_each_other() {
     let rig = Rig::start(3, 1, Duration::ZERO);
     let fleet = |names: &[&str]| {
-        let mark = Mark { readiness: Readiness::Draining, until: None, force: false };
+        let mark = AdminOverride { readiness: Readiness::Draining, expires_at: None, force: false };
         let marks = names.iter().map(|name| (name.to_string(), mark)).collect();
         let (done, wait) = std::sync::mpsc::channel();
-        assert!(rig.service.link().configure(marks, move |refused| done.send(refused).unwrap()));
+        assert!(rig
+            .service
+            .handle()
+            .set_control_overrides(marks, move |refused| done.send(refused).unwrap()));
         wait.recv_timeout(Duration::from_secs(5)).unwrap()
     };
     block_on(async {
--- a/crates/rockflow-management-service/src/desk.rs
+++ b/crates/rockflow-management-service/src/desk.rs
@@ -5,9 +5,9 @@
 use crate::audit::Audit;
 use crate::file::ManagementPart;
 use crate::state;
-use rockflow_dispatcher::messages::Survey;
-use rockflow_dispatcher::{Clock, Link};
-use rockflow_endpoints::{merged, Marks, Says};
+use rockflow_dispatcher::StatusReport;
+use rockflow_dispatcher::{Clock, ServiceHandle};
+use rockflow_endpoints::{merge_readiness, AdminOverrides, EffectiveReadiness};
 use rockflow_management::*;
 use rockflow_store::{Folder, Store};
 use rockflow_yang::{data, Edit, Fields, Path, Pattern, Scalar, Schema};
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     Notice(Notice),
-    HostChanged { name: String, now: Option<(rockflow::Readiness, Says)> },
+    HostChanged { name: String, now: Option<EffectiveReadiness> },
     MarkExpired { host: String },
 }
 
@@ -52,7 +52,7 @@
 struct Inner {
     datastores: Datastores,
     audit: Audit,
-    survey: Option<(Duration, Arc<Survey>)>,
+    survey: Option<(Duration, Arc<StatusReport>)>,
     /// What followers of changes last saw; none while there are none.
     seen: Option<Fields>,
     followers: BTreeMap<u64, Follower>,
@@ -60,7 +60,7 @@
     /// Sessions that the desk has ended, each to be told by its front.
     ended: VecDeque<SessionId>,
     /// Whom the events last spoke of, and how each stood.
-    hosts: BTreeMap<String, (rockflow::Readiness, Says)>,
+    hosts: BTreeMap<String, EffectiveReadiness>,
     expired: BTreeMap<String, Duration>,
     level: Option<String>,
     /// The list has not been told of the last marks yet.
@@ -80,7 +80,7 @@
 pub struct Desk {
     inner: Mutex<Inner>,
     schema: Arc<Schema>,
-    link: Link,
+    link: ServiceHandle,
     started: Duration,
     events: broadcast::Sender<(Duration, Event)>,
     /// Something is due earlier than was known.
@@ -118,11 +118,11 @@
     }
 
     /// The marks that hold from the first request on.
-    pub fn marks(&self) -> Marks {
+    pub fn marks(&self) -> AdminOverrides {
         self.datastores.marks()
     }
 
-    pub fn desk(self, link: Link, set_level: SetLevel) -> Arc<Desk> {
+    pub fn desk(self, link: ServiceHandle, set_level: SetLevel) -> Arc<Desk> {
         let inner = Inner {
             datastores: self.datastores,
             audit: self.audit,
@@ -181,7 +181,7 @@
         &self.schema
     }
 
-    pub fn link(&self) -> &Link {
+    pub fn link(&self) -> &ServiceHandle {
         &self.link
     }
 
@@ -201,7 +201,7 @@
 
     /// What is known of the dispatcher, not older than `SURVEY_FRESH`; or the last known, if it does not answer;
     /// none if it never did.
-    pub async fn survey(&self) -> Option<Arc<Survey>> {
+    pub async fn survey(&self) -> Option<Arc<StatusReport>> {
         let now = self.now();
         let last = self.lock().survey.clone();
         if let Some((at, survey)) = &last {
@@ -210,12 +210,12 @@
             }
         }
         let (reply, wait) = oneshot::channel();
-        let asked = self.link.survey(move |survey| {
+        let asked = self.link.request_status(move |survey| {
             let _ = reply.send(survey);
         });
         if asked {
             if let Ok(Ok(survey)) = tokio::time::timeout(SURVEY_WAIT, wait).await {
-                let survey: Arc<Survey> = Arc::from(survey);
+                let survey: Arc<StatusReport> = Arc::from(survey);
                 self.lock().survey = Some((now, survey.clone()));
                 return Some(survey);
             }
@@ -313,7 +313,7 @@
     /// Sends the marks as they are to the list.
     fn apply(&self, inner: &mut Inner) -> Option<oneshot::Receiver<()>> {
         let (done, wait) = oneshot::channel();
-        let sent = self.link.mark(inner.datastores.marks(), move || {
+        let sent = self.link.set_operator_overrides(inner.datastores.marks(), move || {
             let _ = done.send(());
         });
         // A survey from before it would show what no longer holds.
@@ -378,11 +378,12 @@
         self.tell_of_hosts(&mut inner, &survey, now);
     }
 
-    fn tell_of_hosts(&self, inner: &mut Inner, survey: &Survey, now: Duration) {
+    fn tell_of_hosts(&self, inner: &mut Inner, survey: &StatusReport, now: Duration) {
         let mut hosts = BTreeMap::new();
-        for entry in &survey.told {
-            let marks = (survey.marks.get(&entry.name), survey.fleet.get(&entry.name));
-            if let Some(found) = merged(Some(entry.listing.readiness), marks.0, marks.1, now) {
+        for entry in &survey.discovered {
+            let marks =
+                (survey.operator_overrides.get(&entry.name), survey.control_overrides.get(&entry.name));
+            if let Some(found) = merge_readiness(Some(entry.entry.readiness), marks.0, marks.1, now) {
                 hosts.insert(entry.name.clone(), found);
             }
         }
@@ -399,12 +400,14 @@
             }
         }
         inner.hosts = hosts;
-        for (host, until) in survey.marks.iter().filter_map(|(host, mark)| Some((host, mark.until?))) {
+        for (host, until) in
+            survey.operator_overrides.iter().filter_map(|(host, mark)| Some((host, mark.expires_at?)))
+        {
             if until <= now && inner.expired.insert(host.clone(), until) != Some(until) {
                 let _ = self.events.send((now, Event::MarkExpired { host: host.clone() }));
             }
         }
-        inner.expired.retain(|host, _| survey.marks.contains_key(host));
+        inner.expired.retain(|host, _| survey.operator_overrides.contains_key(host));
     }
 
     /// Waits till the session has ended at the desk's word: killed, silent, or over.
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -1,9 +1,9 @@
 //! The dispatcher's state as the model has it, from a survey and what the datastores tell of themselves.
 
 use rockflow::{Effect, Readiness, Role};
-use rockflow_dispatcher::messages::Survey;
-use rockflow_dispatcher::{Link, Phase};
-use rockflow_endpoints::{beside, merged};
+use rockflow_dispatcher::StatusReport;
+use rockflow_dispatcher::{FillLevel, Phase, ServiceHandle};
+use rockflow_endpoints::{apply_overrides, merge_readiness};
 use rockflow_management::{moment, Durable, Management, Surroundings};
 use rockflow_yang::{Data, Fields, NodeId, Path, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,16 +97,16 @@
 }
 
 /// The hosts as listed, for the checks of a commit.
-pub fn surroundings(survey: &Survey, now: Duration) -> Surroundings {
-    let listed = survey.told.iter().map(|entry| (entry.name.clone(), entry.listed()));
-    Surroundings { hosts: beside(listed.collect(), &survey.fleet, now) }
+pub fn surroundings(survey: &StatusReport, now: Duration) -> Surroundings {
+    let listed = survey.discovered.iter().map(|entry| (entry.name.clone(), entry.to_listed()));
+    Surroundings { hosts: apply_overrides(listed.collect(), &survey.control_overrides, now) }
 }
 
 /// `/router/state`.
 pub fn state<S: Durable>(
     management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
+    link: &ServiceHandle,
+    survey: &StatusReport,
     started: Duration,
     now: Duration,
 ) -> Fields {
@@ -117,9 +117,9 @@
     let phase = match link.phase() {
         Phase::Starting => "starting",
         Phase::Serving => "serving",
-        Phase::Leaving => "leaving",
-        Phase::Finishing => "finishing",
-        Phase::Over => "over",
+        Phase::Draining => "leaving",
+        Phase::Closing => "finishing",
+        Phase::Stopped => "over",
     };
     top.text("phase", phase);
     top.number("up", millis(now.saturating_sub(started)));
@@ -131,26 +131,26 @@
             at.number("outer-limit", millis(told.deadline));
             at.number("fresh", millis(told.fresh_lifetime));
             at.number("grace", millis(told.grace));
-            let ended = survey.ended.get(place).copied().unwrap_or_default();
+            let ended = survey.outcomes.get(place).copied().unwrap_or_default();
             at.number("succeeded", ended.succeeded);
-            at.number("dismissed", ended.dismissed);
-            at.number("terminated", ended.terminated);
-            at.number("left", ended.left);
+            at.number("dismissed", ended.rejected);
+            at.number("terminated", ended.failed);
+            at.number("left", ended.disconnected);
         });
     });
     top.container("caps", |caps| {
-        let own = [("open-queries", link.caps.clients, survey.open)];
-        caps.list("cap", link.fills().into_iter().chain(own), |at, (name, limit, held)| {
-            at.text("name", name);
-            at.number("limit", limit as u64);
-            at.number("held", held as u64);
+        let own = [FillLevel { name: "open-queries", cap: link.caps.clients, fill: survey.open_requests }];
+        caps.list("cap", link.fill_levels().into_iter().chain(own), |at, level| {
+            at.text("name", level.name);
+            at.number("limit", level.cap as u64);
+            at.number("held", level.fill as u64);
         });
     });
-    let (address, last, heard) = link.board();
+    let discovery = link.discovery_status();
     top.container("board", |board| {
-        board.text("address", address.to_string());
-        board.number("last", last);
-        let age = heard.map(|heard| Scalar::Unsigned(millis(now.saturating_sub(heard))));
+        board.text("address", discovery.address.to_string());
+        board.number("last", discovery.last_revision);
+        let age = discovery.last_received.map(|heard| Scalar::Unsigned(millis(now.saturating_sub(heard))));
         board.maybe("heard", age);
     });
     top.container("history", |history| history_of(history, management));
@@ -165,18 +165,19 @@
     }
 }
 
-fn hosts_of(hosts: &mut Writer, link: &Link, survey: &Survey, now: Duration) {
+fn hosts_of(hosts: &mut Writer, link: &ServiceHandle, survey: &StatusReport, now: Duration) {
     // As the list has them: what is committed and not told yet does not hold yet.
-    let marks = &survey.marks;
-    let told: BTreeMap<&str, _> = survey.told.iter().map(|entry| (entry.name.as_str(), entry)).collect();
-    let views: BTreeMap<_, _> = survey.views.iter().map(|view| (view.host, view)).collect();
+    let marks = &survey.operator_overrides;
+    let told: BTreeMap<&str, _> =
+        survey.discovered.iter().map(|entry| (entry.name.as_str(), entry)).collect();
+    let views: BTreeMap<_, _> = survey.host_statuses.iter().map(|view| (view.host, view)).collect();
     let names: BTreeSet<&str> = told.keys().copied().chain(marks.keys().map(String::as_str)).collect();
     hosts.list("host", names, |at, name| {
         let (entry, mark) = (told.get(name), marks.get(name));
         at.text("name", name);
-        at.maybe("marked", mark.filter(|mark| mark.holds(now)).map(|mark| word(mark.readiness)));
+        at.maybe("marked", mark.filter(|mark| mark.is_active(now)).map(|mark| word(mark.readiness)));
         let Some(entry) = entry else { return };
-        let listing = &entry.listing;
+        let listing = &entry.entry;
         at.text("address", entry.address.to_string());
         at.text(
             "role",
@@ -190,10 +191,10 @@
         at.maybe("location", location.map(|name| Scalar::text(name.as_str())));
         at.number("cell", u64::from(listing.cell.0));
         at.leaf("listed", word(listing.readiness));
-        let fleet = survey.fleet.get(name);
-        if let Some((readiness, says)) = merged(Some(listing.readiness), mark, fleet, now) {
-            at.leaf("effective", word(readiness));
-            at.text("says", says.name());
+        let fleet = survey.control_overrides.get(name);
+        if let Some(effective) = merge_readiness(Some(listing.readiness), mark, fleet, now) {
+            at.leaf("effective", word(effective.readiness));
+            at.text("says", effective.source.as_str());
         }
         let Some(view) = views.get(&listing.host) else { return };
         at.number("legs-out", view.in_flight as u64);
@@ -255,8 +256,8 @@
 /// Everything: running with its notes, and state.
 pub fn operational<S: Durable>(
     management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
+    link: &ServiceHandle,
+    survey: &StatusReport,
     started: Duration,
     now: Duration,
 ) -> Fields {
--- a/crates/rockflow-management/src/machine.rs
+++ b/crates/rockflow-management/src/machine.rs
@@ -10,7 +10,7 @@
 use crate::marks::marks;
 use crate::record::{Record, Trial};
 use crate::words::{Commit, Operator, Origin, SessionId};
-use rockflow_endpoints::{none_left, Listed, Marks};
+use rockflow_endpoints::{find_emptied_group, AdminOverrides, ListedEndpoint};
 use rockflow_yang::data::{self, EditFault};
 use rockflow_yang::{Change, Data, Edit, Fields, Op, Path, Pattern, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -115,7 +115,7 @@
 /// What else a change is checked against: the hosts as they are listed.
 #[derive(Clone, Debug, Default)]
 pub struct Surroundings {
-    pub hosts: BTreeMap<String, Listed>,
+    pub hosts: BTreeMap<String, ListedEndpoint>,
 }
 
 /// What others are told of.
@@ -255,7 +255,7 @@
         &self.access
     }
 
-    pub fn marks(&self) -> Marks {
+    pub fn marks(&self) -> AdminOverrides {
         marks(&self.schema, &self.running)
     }
 
@@ -636,7 +636,7 @@
         Access::of(&self.schema, after, self.owner.clone())
             .map_err(|what| Fault::new(Tag::InvalidValue, what))?;
         let (old, new) = (self.marks(), marks(&self.schema, after));
-        if let Some(what) = none_left(&around.hosts, &old, &new, now) {
+        if let Some(what) = find_emptied_group(&around.hosts, &old, &new, now) {
             let message = format!("{what}; with force it is done all the same");
             return Err(Fault::new(Tag::OperationFailed, message).app("none-left"));
         }
--- a/crates/rockflow-management/src/marks.rs
+++ b/crates/rockflow-management/src/marks.rs
@@ -1,23 +1,26 @@
 //! Operators' marks on hosts, as the running configuration holds them.
 
 use rockflow::Readiness;
-use rockflow_endpoints::{Mark, Marks};
+use rockflow_endpoints::{AdminOverride, AdminOverrides};
 use rockflow_yang::{data, Data, Fields, Schema};
 
 /// The marks of a configuration.
-pub fn marks(schema: &Schema, running: &Fields) -> Marks {
+pub fn marks(schema: &Schema, running: &Fields) -> AdminOverrides {
     let find = |name: &str| schema.find(&["router", "marks", "mark", name]);
     let (Some(state), Some(expires), Some(force)) = (find("state"), find("expires"), find("force")) else {
-        return Marks::new();
+        return AdminOverrides::new();
     };
-    let mut marks = Marks::new();
+    let mut marks = AdminOverrides::new();
     for (keys, fields) in entries(schema, running) {
         let text = |id| fields.get(&id).and_then(Data::scalar).and_then(|value| value.as_text());
         let readiness = if text(state) == Some("gone") { Readiness::Gone } else { Readiness::Draining };
         let until = text(expires).and_then(crate::moment::read);
         let force = fields.get(&force).and_then(Data::scalar).and_then(|value| value.as_bool());
         if let Some(host) = keys.first().and_then(|key| key.as_text()) {
-            marks.insert(host.to_string(), Mark { readiness, until, force: force.unwrap_or(false) });
+            marks.insert(
+                host.to_string(),
+                AdminOverride { readiness, expires_at: until, force: force.unwrap_or(false) },
+            );
         }
     }
     marks
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -22,7 +22,7 @@
 //! `! TAG WORD...` at a line's end: it fails with that tag, and its message and finer tag hold the words.
 
 use rockflow::{Readiness, Role};
-use rockflow_endpoints::{Listed, Mark};
+use rockflow_endpoints::{AdminOverride, ListedEndpoint};
 use rockflow_management::*;
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
@@ -180,8 +180,8 @@
                     "parent" => Role::Parent,
                     _ => Role::Origin,
                 };
-                let told = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
-                let listed = Listed { role, location: location.parse().unwrap(), told };
+                let readiness = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
+                let listed = ListedEndpoint { role, location: location.parse().unwrap(), readiness };
                 self.around.hosts.insert(name.to_string(), listed);
             }
             ["rules", ..] => {
@@ -211,7 +211,13 @@
             }
             ["marked", told @ ..] => {
                 let marks = self.machine.marks();
-                let state = |mark: &Mark| if mark.readiness == Readiness::Gone { "gone" } else { "draining" };
+                let state = |mark: &AdminOverride| {
+                    if mark.readiness == Readiness::Gone {
+                        "gone"
+                    } else {
+                        "draining"
+                    }
+                };
                 let have: Vec<_> =
                     marks.iter().map(|(host, mark)| format!("{host}={}", state(mark))).collect();
                 let told: Vec<_> = told.iter().filter(|word| **word != "nothing").collect();
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -37,9 +37,9 @@
             vec![envelope(at, |out| {
                 out.open("host-changed", &[("xmlns", &ns)]);
                 out.leaf("name", &[], name);
-                if let Some((readiness, says)) = now {
-                    out.leaf("effective", &[], &format!("{readiness:?}").to_lowercase());
-                    out.leaf("says", &[], says.name());
+                if let Some(effective) = now {
+                    out.leaf("effective", &[], &format!("{:?}", effective.readiness).to_lowercase());
+                    out.leaf("says", &[], effective.source.as_str());
                 }
                 out.close("host-changed");
             })]
--- a/crates/rockflow-protocol/src/buffer.rs
+++ b/crates/rockflow-protocol/src/buffer.rs
@@ -1,22 +1,22 @@
 //! The one buffer of a connection: it grows as it needs up to its cap and is compacted in place.
 
 /// What a buffer starts with, and falls back to once it is empty.
-const LEAST: usize = 4096;
+const INITIAL_CAPACITY: usize = 4096;
 
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
     end: usize,
-    most: usize,
+    max_capacity: usize,
 }
 
 impl Buffer {
-    pub fn new(most: usize) -> Self {
-        Buffer { bytes: Vec::new(), start: 0, end: 0, most }
+    pub fn new(max_capacity: usize) -> Self {
+        Buffer { bytes: Vec::new(), start: 0, end: 0, max_capacity }
     }
 
     /// The memory that it takes.
-    pub fn size(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
 
@@ -25,20 +25,21 @@
     }
 
     /// Room to read into; none while what is held fills the cap.
-    pub fn room(&mut self) -> Option<&mut [u8]> {
+    pub fn spare(&mut self) -> Option<&mut [u8]> {
         if self.end == self.bytes.len() && self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
         }
         if self.end == self.bytes.len() {
-            let grown = (2 * self.bytes.len()).clamp(LEAST.min(self.most), self.most);
+            let grown =
+                (2 * self.bytes.len()).clamp(INITIAL_CAPACITY.min(self.max_capacity), self.max_capacity);
             self.bytes.resize(grown, 0);
         }
-        Some(&mut self.bytes[self.end..]).filter(|room| !room.is_empty())
+        Some(&mut self.bytes[self.end..]).filter(|spare| !spare.is_empty())
     }
 
     /// So many bytes of the room have been written.
-    pub fn add(&mut self, n: usize) {
+    pub fn commit(&mut self, n: usize) {
         self.end = (self.end + n).min(self.bytes.len());
     }
 
@@ -47,7 +48,7 @@
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
             // Guards against every connection that once carried a large body holding on to its size.
-            if self.bytes.len() > LEAST {
+            if self.bytes.len() > INITIAL_CAPACITY {
                 self.bytes = Vec::new();
             }
         }
--- a/crates/rockflow-protocol/src/front.rs
+++ b/crates/rockflow-protocol/src/client.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// The longest head that is read.
-pub const MAX_HEAD: usize = 8192;
+pub const MAX_HEAD_BYTES: usize = 8192;
 const MAX_HEADERS: usize = 64;
 const MAX_TOKEN: usize = 128;
 /// Figures past these are out of range: an hour's wait, a part of 4 GB.
@@ -14,44 +14,49 @@
 
 /// A request as the client worded it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     pub call_id: String,
     pub class: String,
     pub object: String,
     pub part: u32,
     pub group: u64,
-    pub patience: Duration,
+    pub time_limit: Duration,
     pub size_kb: f64,
     /// The bare tag of the copy that the client has.
-    pub seen: Option<String>,
+    pub cached_tag: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Request {
-    Health,
-    Ask(Box<Ask>),
+pub enum ParsedRequest {
+    HealthCheck,
+    Fetch(Box<ClientRequest>),
     /// What can't be taken, with the status that says why.
-    Wrong(u16, &'static str),
+    Invalid(u16, &'static str),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Head {
+pub struct RequestHead {
     pub length: usize,
-    pub keep: bool,
-    pub request: Request,
+    pub keep_alive: bool,
+    pub request: ParsedRequest,
 }
 
 /// Reads one head. None: it has not come whole yet.
-pub fn decode(bytes: &[u8]) -> Option<Head> {
+pub fn decode_request(bytes: &[u8]) -> Option<RequestHead> {
     // Clients may send empty lines between requests.
     let blank = bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
-    let wrong =
-        |status, why| Some(Head { length: bytes.len(), keep: false, request: Request::Wrong(status, why) });
+    let wrong = |status, why| {
+        Some(RequestHead {
+            length: bytes.len(),
+            keep_alive: false,
+            request: ParsedRequest::Invalid(status, why),
+        })
+    };
     let length = match parsed.parse(&bytes[blank..]) {
-        Ok(httparse::Status::Complete(length)) if blank + length <= MAX_HEAD => blank + length,
-        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD => return None,
+        Ok(httparse::Status::Complete(length)) if blank + length <= MAX_HEAD_BYTES => blank + length,
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return None,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return wrong(431, "head too long"),
         Err(_) => return wrong(400, "malformed head"),
     };
@@ -66,11 +71,11 @@
     }
     let asked = fields.one("connection").ok().flatten().unwrap_or("").to_ascii_lowercase();
     let named = |word: &str| asked.split(',').any(|token| token.trim() == word);
-    let keep = if parsed.version == Some(1) { !named("close") } else { named("keep-alive") };
+    let keep_alive = if parsed.version == Some(1) { !named("close") } else { named("keep-alive") };
     let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
     let request =
-        request(method, target, &fields).unwrap_or_else(|(status, why)| Request::Wrong(status, why));
-    Some(Head { length, keep, request })
+        request(method, target, &fields).unwrap_or_else(|(status, why)| ParsedRequest::Invalid(status, why));
+    Some(RequestHead { length, keep_alive, request })
 }
 
 struct Fields<'a>(&'a [httparse::Header<'a>]);
@@ -104,7 +109,7 @@
     (!text.is_empty() && text.len() <= MAX_TOKEN && text.bytes().all(fits)).then(|| text.to_string())
 }
 
-fn request(method: &str, target: &str, fields: &Fields) -> Result<Request, (u16, &'static str)> {
+fn request(method: &str, target: &str, fields: &Fields) -> Result<ParsedRequest, (u16, &'static str)> {
     let (path, arguments) = target.split_once('?').unwrap_or((target, ""));
     let names = path.strip_prefix("/invoke/").and_then(|rest| rest.split_once('/'));
     if path != "/_health" && names.is_none() {
@@ -113,7 +118,7 @@
     if method != "GET" {
         return Err((405, "unknown method"));
     }
-    let Some((class, object)) = names else { return Ok(Request::Health) };
+    let Some((class, object)) = names else { return Ok(ParsedRequest::HealthCheck) };
     let part = match arguments.strip_prefix("part=") {
         _ if arguments.is_empty() => Some(0.0),
         part => part.and_then(|part| decimal(part, MAX_PART)).filter(|part| part.fract() == 0.0),
@@ -124,66 +129,66 @@
         let text = fields.one(name).map_err(|_| (400, name))?;
         text.map(|text| decimal(text, most).ok_or((400, name))).transpose()
     };
-    let patience = figure("X-Patience-Ms", MAX_PATIENCE_MS)?.ok_or((400, "X-Patience-Ms"))?;
+    let time_limit = figure("X-Patience-Ms", MAX_PATIENCE_MS)?.ok_or((400, "X-Patience-Ms"))?;
     let size_kb = figure("X-Heap-Kb", MAX_SIZE_KB)?.unwrap_or(0.0);
     let group = figure("X-Group", MAX_GROUP)?.filter(|group| group.fract() == 0.0);
-    let seen = fields.one("if-none-match").map_err(|_| (400, "If-None-Match"))?;
+    let cached_tag = fields.one("if-none-match").map_err(|_| (400, "If-None-Match"))?;
     let tag = |text: &str| text.trim_start_matches("W/").strip_prefix('"')?.strip_suffix('"').and_then(token);
-    Ok(Request::Ask(Box::new(Ask {
+    Ok(ParsedRequest::Fetch(Box::new(ClientRequest {
         call_id: call_id.ok_or((400, "X-Call-Id"))?.to_string(),
         class: token(class).ok_or((400, "class"))?,
         object: token(object).filter(|object| !object.contains('/')).ok_or((400, "object"))?,
         part: part.ok_or((400, "part"))? as u32,
         group: group.ok_or((400, "X-Group"))? as u64,
-        patience: Duration::from_secs_f64(patience / 1e3),
+        time_limit: Duration::from_secs_f64(time_limit / 1e3),
         size_kb,
         // A tag that can't be passed on is as good as none.
-        seen: seen.and_then(tag),
+        cached_tag: cached_tag.and_then(tag),
     })))
 }
 
 /// The one answer to a request, and what is said to other requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum Response {
     Succeeded {
         tag: String,
         body: Vec<u8>,
     },
     /// The client's copy is the one that would be served.
-    Unchanged {
+    NotModified {
         tag: String,
     },
-    Dismissed {
-        pause: Option<Duration>,
+    Rejected {
+        retry_after: Option<Duration>,
     },
-    Terminated,
-    Well,
-    Wrong(u16, &'static str),
+    Failed,
+    Healthy,
+    Invalid(u16, &'static str),
 }
 
 /// The head of an answer; the body, if there is one, follows it.
-pub fn encode(answer: &Answer, keep: bool) -> Vec<u8> {
-    let (status, reason) = match answer {
-        Answer::Succeeded { .. } | Answer::Well => (200, "OK"),
-        Answer::Unchanged { .. } => (304, "Not Modified"),
-        Answer::Dismissed { .. } => (503, "Service Unavailable"),
-        Answer::Terminated => (502, "Bad Gateway"),
-        Answer::Wrong(status, why) => (*status, *why),
+pub fn encode_response(response: &Response, keep_alive: bool) -> Vec<u8> {
+    let (status, reason) = match response {
+        Response::Succeeded { .. } | Response::Healthy => (200, "OK"),
+        Response::NotModified { .. } => (304, "Not Modified"),
+        Response::Rejected { .. } => (503, "Service Unavailable"),
+        Response::Failed => (502, "Bad Gateway"),
+        Response::Invalid(status, why) => (*status, *why),
     };
     let mut head = format!("HTTP/1.1 {status} {reason}\r\n");
-    let length = if let Answer::Succeeded { body, .. } = answer { body.len() } else { 0 };
-    if !matches!(answer, Answer::Unchanged { .. }) {
+    let length = if let Response::Succeeded { body, .. } = response { body.len() } else { 0 };
+    if !matches!(response, Response::NotModified { .. }) {
         head += &format!("Content-Length: {length}\r\n");
     }
-    match answer {
-        Answer::Succeeded { tag, .. } | Answer::Unchanged { tag } if !tag.is_empty() => {
+    match response {
+        Response::Succeeded { tag, .. } | Response::NotModified { tag } if !tag.is_empty() => {
             head += &format!("ETag: \"{tag}\"\r\n");
         }
-        Answer::Dismissed { pause: Some(pause) } => {
-            head += &format!("X-Come-Back-Ms: {}\r\n", pause.as_millis());
+        Response::Rejected { retry_after: Some(retry_after) } => {
+            head += &format!("X-Come-Back-Ms: {}\r\n", retry_after.as_millis());
         }
         _ => {}
     }
-    head += if keep { "\r\n" } else { "Connection: close\r\n\r\n" };
+    head += if keep_alive { "\r\n" } else { "Connection: close\r\n\r\n" };
     head.into_bytes()
 }
--- a/crates/rockflow-protocol/src/board.rs
+++ b/crates/rockflow-protocol/src/discovery.rs
@@ -3,20 +3,25 @@
 use serde::Deserialize;
 
 /// The longest event that is read: a whole list of hosts.
-pub const MAX_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 const MAX_HEADERS: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Notice {
-    pub rev: u64,
-    pub pool: Option<Pool>,
-    pub flush: Option<Flush>,
+#[serde(expecting = "struct Notice")]
+pub struct WatchEvent {
+    #[serde(rename = "rev")]
+    pub revision: u64,
+    #[serde(rename = "pool")]
+    pub endpoints: Option<EndpointUpdate>,
+    #[serde(rename = "flush")]
+    pub purge: Option<PurgeEvent>,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Pool {
-    #[serde(default)]
-    pub reset: bool,
+#[serde(expecting = "struct Pool")]
+pub struct EndpointUpdate {
+    #[serde(default, rename = "reset")]
+    pub is_full: bool,
     pub instances: Vec<Instance>,
 }
 
@@ -46,20 +51,27 @@
 
 /// A purge of an object, or of a collection: a group.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Flush {
-    pub asset: Option<String>,
-    pub collection: Option<u64>,
-    pub ms: u64,
+#[serde(expecting = "struct Flush")]
+pub struct PurgeEvent {
+    #[serde(rename = "asset")]
+    pub object: Option<String>,
+    #[serde(rename = "collection")]
+    pub group: Option<u64>,
+    #[serde(rename = "ms")]
+    pub purged_at_ms: u64,
 }
 
 /// What is held at the start: the notices up to the last number.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Known {
-    pub rev: u64,
-    pub notices: Vec<Notice>,
+#[serde(expecting = "struct Known")]
+pub struct Snapshot {
+    #[serde(rename = "rev")]
+    pub revision: u64,
+    #[serde(rename = "notices")]
+    pub events: Vec<WatchEvent>,
 }
 
-pub fn call(host: &str, last: u64) -> Vec<u8> {
+pub fn encode_watch_request(host: &str, last: u64) -> Vec<u8> {
     let fields = "Accept: text/event-stream\r\nConnection: close\r\n";
     format!("GET /board/poll HTTP/1.1\r\nHost: {host}\r\nLast-Event-ID: {last}\r\n{fields}\r\n").into_bytes()
 }
@@ -75,27 +87,27 @@
 }
 
 /// Takes what the board sends, in any split, and gives the notices in their order.
-pub struct Stream {
+pub struct WatchStream {
     stage: Stage,
     line: Vec<u8>,
     data: String,
-    unreadable: bool,
+    has_unreadable_event: bool,
 }
 
-impl Default for Stream {
+impl Default for WatchStream {
     fn default() -> Self {
-        Stream { stage: Stage::Head, line: Vec::new(), data: String::new(), unreadable: false }
+        WatchStream { stage: Stage::Head, line: Vec::new(), data: String::new(), has_unreadable_event: false }
     }
 }
 
-impl Stream {
+impl WatchStream {
     /// An event came whole and could not be read.
-    pub fn unreadable(&self) -> bool {
-        self.unreadable
+    pub fn has_unreadable_event(&self) -> bool {
+        self.has_unreadable_event
     }
 
     /// Takes what it can of the bytes, says how many, and adds the notices that are whole.
-    pub fn take(&mut self, bytes: &[u8], notices: &mut Vec<Notice>) -> Result<usize, String> {
+    pub fn decode(&mut self, bytes: &[u8], events: &mut Vec<WatchEvent>) -> Result<usize, String> {
         let mut at = 0;
         while at < bytes.len() {
             let rest = &bytes[at..];
@@ -118,7 +130,7 @@
                     }
                 }
                 Stage::Plain => {
-                    self.text(rest, notices)?;
+                    self.text(rest, events)?;
                     at = bytes.len();
                 }
                 Stage::Size => match httparse::parse_chunk_size(rest) {
@@ -131,7 +143,7 @@
                 },
                 Stage::Chunk(left) => {
                     let n = left.min(rest.len());
-                    self.text(&rest[..n], notices)?;
+                    self.text(&rest[..n], events)?;
                     at += n;
                     self.stage = if n == left { Stage::ChunkEnd } else { Stage::Chunk(left - n) };
                 }
@@ -148,11 +160,11 @@
         Ok(at)
     }
 
-    fn text(&mut self, bytes: &[u8], notices: &mut Vec<Notice>) -> Result<(), String> {
+    fn text(&mut self, bytes: &[u8], events: &mut Vec<WatchEvent>) -> Result<(), String> {
         for byte in bytes {
             if *byte != b'\n' {
                 self.line.push(*byte);
-                if self.line.len() + self.data.len() > MAX_EVENT {
+                if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
                     return Err("an event without end".to_string());
                 }
                 continue;
@@ -164,9 +176,9 @@
                 self.data += data.strip_prefix(' ').unwrap_or(data);
             } else if line.is_empty() && !self.data.is_empty() {
                 let data = std::mem::take(&mut self.data);
-                let notice = serde_json::from_str(&data);
-                self.unreadable = notice.is_err();
-                notices.push(notice.map_err(|what| format!("event: {what}"))?);
+                let event = serde_json::from_str(&data);
+                self.has_unreadable_event = event.is_err();
+                events.push(event.map_err(|what| format!("event: {what}"))?);
             }
         }
         Ok(())
--- a/crates/rockflow-protocol/src/lib.rs
+++ b/crates/rockflow-protocol/src/lib.rs
@@ -1,9 +1,9 @@
 //! Codecs of the dispatcher's three protocols, without I/O: bytes in, messages out, and the other way round.
 
-pub mod board;
 pub mod buffer;
-pub mod front;
-pub mod hostline;
+pub mod client;
+pub mod discovery;
+pub mod upstream;
 
 pub use buffer::Buffer;
 
--- a/crates/rockflow-protocol/tests/codecs.rs
+++ b/crates/rockflow-protocol/tests/codecs.rs
@@ -1,8 +1,8 @@
 //! The codecs byte by byte: at every split, with what is malformed, and with junk from a fixed seed.
 
-use rockflow_protocol::board::{Notice, Stream};
-use rockflow_protocol::front::{self, Answer, Request};
-use rockflow_protocol::hostline::{self, Note, Want, Word};
+use rockflow_protocol::client::{self, ParsedRequest, Response};
+use rockflow_protocol::discovery::{WatchEvent, WatchStream};
+use rockflow_protocol::upstream::{self, CacheNote, FetchRequest, Status};
 use rockflow_protocol::Buffer;
 use std::time::Duration;
 use test_case::test_case;
@@ -14,15 +14,21 @@
 #[test]
 fn a_request_is_read_only_when_its_last_byte_is_there() {
     for cut in 0..ASK.len() {
-        assert_eq!(front::decode(&ASK.as_bytes()[..cut]), None, "cut at {cut}");
+        assert_eq!(client::decode_request(&ASK.as_bytes()[..cut]), None, "cut at {cut}");
     }
     let two = format!("{ASK}{ASK}");
-    let head = front::decode(two.as_bytes()).expect("whole");
-    assert_eq!((head.length, head.keep), (ASK.len(), true));
-    let Request::Ask(ask) = head.request else { panic!("{:?}", head.request) };
-    assert_eq!((ask.class.as_str(), ask.object.as_str(), ask.part), ("pages", "7f3a9c21e0b4d655", 3));
-    assert_eq!((ask.group, ask.patience, ask.size_kb), (17, Duration::from_millis(1500), 412.5));
-    assert_eq!(ask.seen.as_deref(), Some("4be0c1927d55a6f3"));
+    let head = client::decode_request(two.as_bytes()).expect("whole");
+    assert_eq!((head.length, head.keep_alive), (ASK.len(), true));
+    let ParsedRequest::Fetch(request) = head.request else { panic!("{:?}", head.request) };
+    assert_eq!(
+        (request.class.as_str(), request.object.as_str(), request.part),
+        ("pages", "7f3a9c21e0b4d655", 3)
+    );
+    assert_eq!(
+        (request.group, request.time_limit, request.size_kb),
+        (17, Duration::from_millis(1500), 412.5)
+    );
+    assert_eq!(request.cached_tag.as_deref(), Some("4be0c1927d55a6f3"));
 }
 
 #[test_case("HTTP/1.1\r\n", "HTTP/1.1\r\nConnection: close\r\n", Some(false); "closed on the client's word")]
@@ -53,45 +59,48 @@
 #[test_case("X-Group", "Content-Length: 0\r\nX-Group", Some(true); "no body, said so")]
 #[test_case("X-Group", "Transfer-Encoding: chunked\r\nX-Group", None; "a chunked body")]
 #[test_case("Host", "Ho st", None; "a malformed head")]
-fn heads(from: &str, to: &str, keep: Option<bool>) {
-    let head = front::decode(ASK.replacen(from, to, 1).as_bytes()).expect("whole");
-    match (head.request, keep) {
-        (Request::Ask(_), Some(keep)) => assert_eq!(head.keep, keep),
-        (Request::Wrong(status, _), None) => assert!((400..500).contains(&status)),
+fn heads(from: &str, to: &str, keep_alive: Option<bool>) {
+    let head = client::decode_request(ASK.replacen(from, to, 1).as_bytes()).expect("whole");
+    match (head.request, keep_alive) {
+        (ParsedRequest::Fetch(_), Some(keep_alive)) => assert_eq!(head.keep_alive, keep_alive),
+        (ParsedRequest::Invalid(status, _), None) => assert!((400..500).contains(&status)),
         (other, _) => panic!("{other:?}"),
     }
 }
 
 #[test]
 fn a_head_without_end_is_not_read_for_ever() {
-    let long = format!("GET /_health HTTP/1.1\r\nX: {}", "x".repeat(front::MAX_HEAD));
-    let head = front::decode(long.as_bytes()).expect("given up");
-    assert!(matches!(head.request, Request::Wrong(431, _)) && !head.keep);
+    let long = format!("GET /_health HTTP/1.1\r\nX: {}", "x".repeat(client::MAX_HEAD_BYTES));
+    let head = client::decode_request(long.as_bytes()).expect("given up");
+    assert!(matches!(head.request, ParsedRequest::Invalid(431, _)) && !head.keep_alive);
 }
 
-#[test_case(Answer::Succeeded { tag: "t1".into(), body: vec![7; 3] }, "200 OK\r\nContent-Length: 3\r\nETag: \"t1\"\r\n")]
-#[test_case(Answer::Unchanged { tag: "t1".into() }, "304 Not Modified\r\nETag: \"t1\"\r\n")]
-#[test_case(Answer::Dismissed { pause: Some(Duration::from_millis(250)) },
+#[test_case(Response::Succeeded { tag: "t1".into(), body: vec![7; 3] }, "200 OK\r\nContent-Length: 3\r\nETag: \"t1\"\r\n")]
+#[test_case(Response::NotModified { tag: "t1".into() }, "304 Not Modified\r\nETag: \"t1\"\r\n")]
+#[test_case(Response::Rejected { retry_after: Some(Duration::from_millis(250)) },
     "503 Service Unavailable\r\nContent-Length: 0\r\nX-Come-Back-Ms: 250\r\n")]
-#[test_case(Answer::Terminated, "502 Bad Gateway\r\nContent-Length: 0\r\n")]
-fn answers(answer: Answer, head: &str) {
-    assert_eq!(String::from_utf8(front::encode(&answer, true)).unwrap(), format!("HTTP/1.1 {head}\r\n"));
-    let last = front::encode(&answer, false);
+#[test_case(Response::Failed, "502 Bad Gateway\r\nContent-Length: 0\r\n")]
+fn answers(answer: Response, head: &str) {
+    assert_eq!(
+        String::from_utf8(client::encode_response(&answer, true)).unwrap(),
+        format!("HTTP/1.1 {head}\r\n")
+    );
+    let last = client::encode_response(&answer, false);
     assert_eq!(String::from_utf8(last).unwrap(), format!("HTTP/1.1 {head}Connection: close\r\n\r\n"));
 }
 
 #[test]
 fn a_want_names_only_what_is_asked() {
-    let bare = Want { id: "9b", class: "pages", object: "7f", part: 3, ..Want::default() };
+    let bare = FetchRequest { id: "9b", class: "pages", object: "7f", part: 3, ..FetchRequest::default() };
     assert_eq!(bare.encode(), b"want 9b c=pages,k=7f,p=3,w=1 0\r\n\r\n");
-    let full = Want {
-        wait: Duration::from_micros(900_900),
+    let full = FetchRequest {
+        timeout: Duration::from_micros(900_900),
         source: Some("p1"),
-        rank: 2,
-        oldest: Some(Duration::from_micros(1)),
+        cache_priority: 2,
+        max_age: Some(Duration::from_micros(1)),
         coalesce: true,
-        freshen: true,
-        seen: Some("t1"),
+        revalidate: true,
+        cached_tag: Some("t1"),
         ..bare
     };
     let line =
@@ -105,11 +114,17 @@
         b"9b data note=deep_fill,waited=12.5,ver=t1,born=1764576000123,new=1,load=inflight:7;util:0.61 4\r\n";
     let bytes = [&line[..], b"\r\nab\r\n9c"].concat();
     for cut in 0..line.len() + 6 {
-        assert_eq!(hostline::decode(&bytes[..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(upstream::decode_response(&bytes[..cut]), Ok(None), "cut at {cut}");
     }
-    let (length, answer) = hostline::decode(&bytes).unwrap().expect("whole");
-    assert_eq!((length, answer.word, answer.note), (line.len() + 6, Word::Data, Some(Note::DeepFill)));
-    assert_eq!((answer.waited, answer.born), (Duration::from_micros(12_500), Some(1_764_576_000_123)));
+    let (length, answer) = upstream::decode_response(&bytes).unwrap().expect("whole");
+    assert_eq!(
+        (length, answer.status, answer.cache_note),
+        (line.len() + 6, Status::Data, Some(CacheNote::FilledByOrigin))
+    );
+    assert_eq!(
+        (answer.fill_wait, answer.created_at_ms),
+        (Duration::from_micros(12_500), Some(1_764_576_000_123))
+    );
     assert_eq!((answer.tag.as_str(), &answer.body[..]), ("t1", &b"\r\nab"[..]));
     assert_eq!(answer.load, [("inflight".to_string(), 7.0), ("util".to_string(), 0.61)]);
 }
@@ -124,21 +139,21 @@
 #[test_case("9b data waited=x 0\r\n\r\n"; "a field that does not parse")]
 #[test_case("9b data - 0\n\n"; "a bare line feed")]
 fn answers_that_end_the_connection(bytes: &str) {
-    assert!(hostline::decode(bytes.as_bytes()).is_err());
+    assert!(upstream::decode_response(bytes.as_bytes()).is_err());
 }
 
 const EVENTS: &str =
     ": hello\n\nid: 41\ndata: {\"rev\":41,\"pool\":{\"generation\":7,\"reset\":false,\"instances\":[]}}\n\n\
     id: 42\r\ndata: {\"rev\":42,\r\ndata: \"flush\":{\"asset\":\"7f\",\"ms\":1764576000123}}\r\n\r\n";
 
-fn read(parts: &[&[u8]]) -> Result<Vec<Notice>, String> {
-    let (mut stream, mut held, mut notices) = (Stream::default(), Vec::new(), Vec::new());
+fn read(parts: &[&[u8]]) -> Result<Vec<WatchEvent>, String> {
+    let (mut stream, mut held, mut events) = (WatchStream::default(), Vec::new(), Vec::new());
     for part in parts {
         held.extend_from_slice(part);
-        let taken = stream.take(&held, &mut notices)?;
+        let taken = stream.decode(&held, &mut events)?;
         held.drain(..taken);
     }
-    Ok(notices)
+    Ok(events)
 }
 
 #[test_case(false; "to the end of the connection")]
@@ -155,11 +170,11 @@
     }
     for cut in 0..sent.len() {
         let (a, b) = sent.as_bytes().split_at(cut);
-        let notices = read(&[a, b]).expect("well formed");
-        assert_eq!(notices.iter().map(|notice| notice.rev).collect::<Vec<_>>(), [41, 42], "cut at {cut}");
-        let flush = notices[1].flush.as_ref().expect("a purge");
+        let events = read(&[a, b]).expect("well formed");
+        assert_eq!(events.iter().map(|event| event.revision).collect::<Vec<_>>(), [41, 42], "cut at {cut}");
+        let purge = events[1].purge.as_ref().expect("a purge");
         assert_eq!(
-            (flush.asset.as_deref(), flush.collection, flush.ms),
+            (purge.object.as_deref(), purge.group, purge.purged_at_ms),
             (Some("7f"), None, 1_764_576_000_123)
         );
     }
@@ -185,10 +200,10 @@
             bytes[at] = chance.rand_range(0..256) as u8;
         }
         bytes.truncate(chance.rand_range(1..bytes.len() as u32 + 1) as usize);
-        if let Some(head) = front::decode(&bytes) {
+        if let Some(head) = client::decode_request(&bytes) {
             assert!(head.length > 0 && head.length <= bytes.len());
         }
-        if let Ok(Some((length, _))) = hostline::decode(&bytes) {
+        if let Ok(Some((length, _))) = upstream::decode_response(&bytes) {
             assert!(length > 0 && length <= bytes.len());
         }
         let _ = read(&[b"HTTP/1.1 200 OK\r\n\r\n", &bytes]);
@@ -202,10 +217,10 @@
     let mut next = 0u8;
     let (mut wanted, mut held) = (0u8, 0);
     for step in 0..5_000 {
-        if let Some(room) = buffer.room() {
+        if let Some(room) = buffer.spare() {
             let n = room.len().min(1 + step % 700);
             room[..n].iter_mut().for_each(|byte| (*byte, next) = (next, next.wrapping_add(1)));
-            buffer.add(n);
+            buffer.commit(n);
             held += n;
         } else {
             assert_eq!(held, most);
--- a/crates/rockflow-scale/src/slopes/list.rs
+++ b/crates/rockflow-scale/src/slopes/list.rs
@@ -4,9 +4,9 @@
 use super::{Bench, Listed};
 use rockflow::Dispatcher;
 use rockflow::{CellId, EndpointEntry, Event, HostId, ListScope, LocationId, Readiness, Role};
-use rockflow_dispatcher::messages::{id_of, Entry};
-use rockflow_endpoints::{Marks, Roll};
-use rockflow_protocol::board::Notice;
+use rockflow_dispatcher::endpoint::{id_from_name, Endpoint};
+use rockflow_endpoints::{AdminOverrides, EndpointRegistry};
+use rockflow_protocol::discovery::WatchEvent;
 use std::time::Duration;
 
 pub const SERIES: &[Listed] =
@@ -38,7 +38,7 @@
 /// Hosts of one location with such links, none of them new.
 pub fn listings(hosts: usize, weight: f64) -> Vec<EndpointEntry> {
     let listing = |n| EndpointEntry {
-        host: HostId(id_of(&format!("cache-{n:05}"))),
+        host: HostId(id_from_name(&format!("cache-{n:05}"))),
         cell: CellId(0),
         location: LocationId(1),
         role: Role::Cache,
@@ -49,10 +49,12 @@
     (0..hosts).map(listing).collect()
 }
 
-fn entries(hosts: usize) -> Vec<Entry> {
+fn entries(hosts: usize) -> Vec<Endpoint> {
     let address = |n: usize| ([10, (n / 256) as u8, (n % 256) as u8, 1], 8080).into();
     let named = listings(hosts, LINK).into_iter().enumerate();
-    named.map(|(n, listing)| Entry { name: format!("cache-{n:05}"), address: address(n), listing }).collect()
+    named
+        .map(|(n, listing)| Endpoint { name: format!("cache-{n:05}"), address: address(n), entry: listing })
+        .collect()
 }
 
 fn list(bench: &mut Bench) {
@@ -63,24 +65,25 @@
         let event = |text: &str| format!("id: 42\ndata: {text}\n\n").len() as f64;
         bench.found(x, ("whole list: bytes", event(&whole), "B"), &[]);
         bench.found(x, ("one change: bytes", event(&one), "B"), &[]);
-        let read = |text: &str| serde_json::from_str::<Notice>(text).expect("a notice as the board words it");
+        let read =
+            |text: &str| serde_json::from_str::<WatchEvent>(text).expect("a notice as the board words it");
         bench.found(x, ("whole list: read", nanoseconds(|| read(&whole)), "ns"), &[]);
         bench.found(x, ("one change: read", nanoseconds(|| read(&one)), "ns"), &[]);
 
         let all = entries(hosts);
         let roll = || {
-            let mut roll = Roll::new(Marks::new());
-            roll.tell(true, all.clone(), now);
+            let mut roll = EndpointRegistry::new(AdminOverrides::new());
+            roll.apply_update(ListScope::Full, all.clone(), now);
             roll
         };
         let (mut held, clone) = (roll(), nanoseconds(|| all.clone()));
-        let took = nanoseconds(|| held.tell(true, all.clone(), now)) - clone;
+        let took = nanoseconds(|| held.apply_update(ListScope::Full, all.clone(), now)) - clone;
         bench.found(x, ("whole list: merged", took, "ns"), &[]);
         let mut changed = all[0].clone();
         let took = nanoseconds(|| {
-            let leaves = changed.listing.readiness == Readiness::Ready;
-            changed.listing.readiness = if leaves { Readiness::Draining } else { Readiness::Ready };
-            held.tell(false, vec![changed.clone()], now)
+            let leaves = changed.entry.readiness == Readiness::Ready;
+            changed.entry.readiness = if leaves { Readiness::Draining } else { Readiness::Ready };
+            held.apply_update(ListScope::Changes, vec![changed.clone()], now)
         });
         bench.found(x, ("one change: merged", took, "ns"), &[]);
         bench.found(x, ("merged list: heap", bytes_of(COPIES, |_| roll()), "B"), &[]);
--- a/crates/rockflow-scale/src/slopes/purges.rs
+++ b/crates/rockflow-scale/src/slopes/purges.rs
@@ -4,7 +4,7 @@
 use super::{Bench, Listed};
 use rockflow::Dispatcher;
 use rockflow::{Event, ObjectId};
-use rockflow_protocol::board::{Notice, Stream};
+use rockflow_protocol::discovery::{WatchEvent, WatchStream};
 use std::time::Duration;
 
 pub const SERIES: &[Listed] = &[
@@ -33,11 +33,11 @@
         let each = (events.len() as f64 + HEADS) / together as f64;
         bench.found(x, ("bytes a purge with heads", each, "B"), &[]);
         let took = nanoseconds(|| {
-            let mut stream = Stream::default();
-            let mut notices: Vec<Notice> = Vec::new();
+            let mut stream = WatchStream::default();
+            let mut notices: Vec<WatchEvent> = Vec::new();
             let head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-            let taken = stream.take(head, &mut notices).expect("a head");
-            stream.take(events.as_bytes(), &mut notices).expect("purges");
+            let taken = stream.decode(head, &mut notices).expect("a head");
+            stream.decode(events.as_bytes(), &mut notices).expect("purges");
             (taken, notices)
         });
         bench.found(x, ("time a packet", took, "ns"), &[]);
--- a/crates/rockflow-test-servers/src/site.rs
+++ b/crates/rockflow-test-servers/src/site.rs
@@ -2,7 +2,7 @@
 
 use crate::board::Board;
 use crate::host::Host;
-use rockflow_dispatcher::Told;
+use rockflow_dispatcher::Config;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -48,8 +48,8 @@
         value
     }
 
-    pub fn told(&self, example: &str) -> Told {
-        Told::read(&self.configuration(example).to_string()).expect("a configuration")
+    pub fn told(&self, example: &str) -> Config {
+        Config::parse(&self.configuration(example).to_string()).expect("a configuration")
     }
 
     /// The board says of a host: active, leaving or left.
