--- a/crates/rockflow-dispatcher/src/endpoint_list.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list.rs
@@ -9,7 +9,7 @@
 use crate::timer;
 use may::coroutine;
 use rockflow::{CellId, EndpointEntry, HostId, ListScope, LocationId, Readiness, Role};
-use rockflow_endpoints::{AdminOverrides, EndpointRegistry, RejectedOverride};
+use rockflow_endpoints::{AdminOverrides, ControlUpdate, EndpointRegistry, RejectedOverride};
 use rockflow_protocol::discovery::{EndpointUpdate, Instance, Lifecycle, WatchEvent};
 use rockflow_settings::{dotted, Facts, Wiring};
 use std::collections::BTreeMap;
@@ -179,7 +179,8 @@
     ) {
         let Some(roll) = &mut self.roll else { return };
         let hosts = roll.discovered().map(|entry| (entry.name.clone(), entry.to_listed())).collect();
-        let (news, refused) = roll.replace_control_overrides(wanted, hosts, now);
+        let ControlUpdate { changes: news, rejected: refused } =
+            roll.replace_control_overrides(wanted, hosts, now);
         self.tell(news, Some(Box::new(move |()| done(refused))));
     }
 
--- /dev/null
+++ b/crates/rockflow-endpoints/src/registry.rs
@@ -0,0 +1,182 @@
+//! The registry: the discovered endpoints, the overrides of both sources, and the effective list that follows from them.
+
+use crate::availability::{apply_overrides, find_emptied_group, ListedEndpoint};
+use crate::overrides::{merge_readiness, severity, AdminOverride, AdminOverrides};
+use rockflow::{ListScope, Readiness};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Overrides of control that are held at most; further ones are rejected.
+pub const MAX_CONTROL_OVERRIDES: usize = 4096;
+
+/// Why an override of control is not applied. It is judged again with the next change.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RejectedOverride {
+    /// It would leave its group without a ready endpoint.
+    LastReadyEndpoint,
+    /// [`MAX_CONTROL_OVERRIDES`] are held already.
+    TooMany,
+}
+
+/// An entry of the endpoint list, in the form in which the user of the registry holds it.
+pub trait RegistryEntry: Clone + PartialEq {
+    /// The name that identifies the endpoint.
+    fn name(&self) -> &str;
+    /// The readiness that discovery lists.
+    fn discovered_readiness(&self) -> Readiness;
+    /// The same entry with another readiness.
+    fn with_readiness(&self, readiness: Readiness) -> Self;
+}
+
+/// What became of a set of control's overrides.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ControlUpdate<E> {
+    /// Entries of the effective list that changed.
+    pub changes: Vec<E>,
+    /// Overrides that are not applied, by endpoint name.
+    pub rejected: BTreeMap<String, RejectedOverride>,
+}
+
+/// Owns the endpoint list and all overrides. Each change returns the entries of the effective list that differ from
+/// those returned before; one that is no longer in it is returned once as [`Readiness::Gone`].
+#[derive(Debug)]
+pub struct EndpointRegistry<E> {
+    discovered: BTreeMap<String, E>,
+    operator_overrides: AdminOverrides,
+    control_overrides: AdminOverrides,
+    effective: BTreeMap<String, E>,
+}
+
+impl<E: RegistryEntry> EndpointRegistry<E> {
+    /// An empty list with these overrides of operators.
+    pub fn new(operator_overrides: AdminOverrides) -> Self {
+        EndpointRegistry {
+            discovered: BTreeMap::new(),
+            operator_overrides,
+            control_overrides: AdminOverrides::new(),
+            effective: BTreeMap::new(),
+        }
+    }
+
+    /// Applies an update of discovery: changes, or (any other scope) a list that replaces the one before.
+    pub fn apply_update(&mut self, scope: ListScope, entries: Vec<E>, now: Duration) -> Vec<E> {
+        if scope != ListScope::Changes {
+            self.discovered.clear();
+        }
+        for entry in entries {
+            if entry.discovered_readiness() == Readiness::Gone {
+                self.discovered.remove(entry.name());
+            } else {
+                self.discovered.insert(entry.name().to_string(), entry);
+            }
+        }
+        self.take_changes(now)
+    }
+
+    /// Replaces all overrides of operators.
+    pub fn replace_operator_overrides(&mut self, overrides: AdminOverrides, now: Duration) -> Vec<E> {
+        self.operator_overrides = overrides;
+        self.take_changes(now)
+    }
+
+    /// Replaces all overrides of control. Withdrawn ones are removed first; new ones are applied one by one, the less
+    /// restrictive first, and rejected where `endpoints` (the discovered list) would be left without a ready one.
+    pub fn replace_control_overrides(
+        &mut self,
+        mut overrides: AdminOverrides,
+        endpoints: BTreeMap<String, ListedEndpoint>,
+        now: Duration,
+    ) -> ControlUpdate<E> {
+        let endpoints = apply_overrides(endpoints, &self.operator_overrides, now);
+        self.control_overrides.retain(|name, _| overrides.contains_key(name));
+        overrides.retain(|name, new| self.control_overrides.get(name) != Some(new));
+        let mut by_severity: Vec<_> = overrides.into_iter().collect();
+        by_severity.sort_by_key(|(_, new)| severity(new.readiness));
+        let mut rejected = BTreeMap::new();
+        for (name, new) in by_severity {
+            if let Err(reason) = self.apply_control_override(&name, new, &endpoints, now) {
+                rejected.insert(name, reason);
+            }
+        }
+        ControlUpdate { changes: self.take_changes(now), rejected }
+    }
+
+    /// Returns the entries whose overrides have expired by now.
+    pub fn expire_overrides(&mut self, now: Duration) -> Vec<E> {
+        self.take_changes(now)
+    }
+
+    /// When the next override expires.
+    pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
+        let overrides = self.operator_overrides.values().chain(self.control_overrides.values());
+        overrides.filter_map(|applied| applied.expires_at).filter(|expires_at| *expires_at > now).min()
+    }
+
+    /// The entries as discovery lists them, without overrides.
+    pub fn discovered(&self) -> impl Iterator<Item = &E> {
+        self.discovered.values()
+    }
+
+    /// The overrides of operators.
+    pub fn operator_overrides(&self) -> &AdminOverrides {
+        &self.operator_overrides
+    }
+
+    /// The overrides of control that are applied.
+    pub fn control_overrides(&self) -> &AdminOverrides {
+        &self.control_overrides
+    }
+
+    fn apply_control_override(
+        &mut self,
+        name: &str,
+        new: AdminOverride,
+        endpoints: &BTreeMap<String, ListedEndpoint>,
+        now: Duration,
+    ) -> Result<(), RejectedOverride> {
+        if self.control_overrides.len() >= MAX_CONTROL_OVERRIDES && !self.control_overrides.contains_key(name)
+        {
+            return Err(RejectedOverride::TooMany);
+        }
+        let previous = self.control_overrides.insert(name.to_string(), new);
+        // An endpoint that is not listed leaves no group empty.
+        if !endpoints.contains_key(name) {
+            return Ok(());
+        }
+        let mut before = self.control_overrides.clone();
+        match previous {
+            Some(previous) => before.insert(name.to_string(), previous),
+            None => before.remove(name),
+        };
+        if find_emptied_group(endpoints, &before, &self.control_overrides, now).is_none() {
+            return Ok(());
+        }
+        self.control_overrides = before;
+        Err(RejectedOverride::LastReadyEndpoint)
+    }
+
+    /// Computes the effective list anew and returns where it differs from the one before.
+    fn take_changes(&mut self, now: Duration) -> Vec<E> {
+        let current = self.compute_effective(now);
+        let removed = self.effective.iter().filter(|(name, _)| !current.contains_key(*name));
+        let mut changes: Vec<E> = removed.map(|(_, entry)| entry.with_readiness(Readiness::Gone)).collect();
+        let changed = current.iter().filter(|(name, entry)| self.effective.get(*name) != Some(entry));
+        changes.extend(changed.map(|(_, entry)| entry.clone()));
+        self.effective = current;
+        changes
+    }
+
+    fn compute_effective(&self, now: Duration) -> BTreeMap<String, E> {
+        let mut list = BTreeMap::new();
+        for (name, entry) in &self.discovered {
+            let operator = self.operator_overrides.get(name);
+            let control = self.control_overrides.get(name);
+            let merged = merge_readiness(Some(entry.discovered_readiness()), operator, control, now);
+            let Some(effective) = merged.filter(|merged| merged.readiness != Readiness::Gone) else {
+                continue;
+            };
+            list.insert(name.clone(), entry.with_readiness(effective.readiness));
+        }
+        list
+    }
+}
