--- /dev/null
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -0,0 +1,271 @@
+//! A snapshot file as an earlier program wrote it: it is read back whole, value by value, and the same commits
+//! write the same bytes.
+//!
+//! `fixtures/config.00000000000000000009` was written by the program at 6b9cfcc; it never changes.
+
+use rockflow_management::*;
+use rockflow_store::faulty::Disk;
+use rockflow_store::Store;
+use rockflow_yang::{json, Data, Edit, Op, Path, Scalar, Schema};
+use serde_json::{json, Value};
+use std::sync::Arc;
+use std::time::Duration;
+
+const FIXTURE: &[u8] = include_bytes!("fixtures/config.00000000000000000009");
+const FIXTURE_NAME: &str = "config.00000000000000000009";
+const FIXTURE_GENERATION: u64 = 9;
+const HEAD_BYTES: usize = 36;
+const START: Duration = Duration::from_millis(1_780_000_000_123);
+
+type Datastores = Management<Store<Disk>>;
+
+fn seconds_after_start(seconds: u64) -> Duration {
+    START + Duration::from_secs(seconds)
+}
+
+fn operator(user: &str, protocol: Protocol, source: &str) -> Operator {
+    Operator { user: user.into(), protocol, source: source.into() }
+}
+
+fn merge(schema: &Schema, tree: &Value) -> Edit {
+    let fields = json::read(schema, None, tree, false).unwrap();
+    Edit { path: Path::default(), op: Op::Merge, value: Some(Data::Container(fields)) }
+}
+
+fn mark_edit(schema: &Schema, host: &str, leaves: &Value) -> Edit {
+    let path = Path::read(schema, &format!("/router/marks/mark[host='{host}']")).unwrap();
+    let fields = json::read(schema, path.node(), leaves, false).unwrap();
+    Edit { path, op: Op::Merge, value: Some(Data::Container(fields)) }
+}
+
+fn access_rules() -> Value {
+    json!({"rockflow-router:router": {
+        "rockflow-access:access": {
+            "group": [{"name": "operators", "user": ["ana", "bert"]}],
+            "rule": [{"number": 1, "group": ["operators"], "path": "/router/marks", "action": "permit"}],
+        },
+        "logging": {"level": "info"},
+    }})
+}
+
+/// Startup written by itself, four commits over three protocols, and a fifth that waits for its confirmation.
+fn commit_everything(schema: &Arc<Schema>) -> Datastores {
+    let (store, _, _) = Store::open(Disk::default(), "config", record::VERSION, record::MOST).unwrap();
+    let (mut datastores, _) =
+        Management::new(START, schema.clone(), store, None, Some("root".into()), true).unwrap();
+    let around = Surroundings::default();
+    let root = datastores.open(START, operator("root", Protocol::NetconfTls, "192.0.2.1:5000")).unwrap();
+    let ana = datastores.open(START, operator("ana", Protocol::NetconfSsh, "192.0.2.2:5001")).unwrap();
+    let bert = datastores.open(START, operator("bert", Protocol::Gnmi, "[2001:db8::3]:5002")).unwrap();
+    let plain = Confirm::default();
+
+    let rules = [merge(schema, &access_rules())];
+    datastores.edit(root, Datastore::Candidate, &rules, ErrorOption::Rollback, false).unwrap();
+    datastores.commit(seconds_after_start(1), root, &plain, "access for operators", &around).unwrap();
+    let startup = [mark_edit(schema, "c0", &json!({"state": "gone", "reason": "not \"built\" yet"}))];
+    datastores.edit(root, Datastore::Startup, &startup, ErrorOption::Rollback, false).unwrap();
+    let marks = [
+        mark_edit(schema, "c1", &json!({"state": "draining", "reason": "disk \u{e4}", "force": true})),
+        mark_edit(schema, "c2", &json!({"expires": "2026-06-01T00:00:00Z"})),
+    ];
+    datastores.edit(ana, Datastore::Candidate, &marks, ErrorOption::Rollback, false).unwrap();
+    datastores.commit(seconds_after_start(2), ana, &plain, "two hosts", &around).unwrap();
+    let set = [mark_edit(schema, "c1", &json!({"reason": "disk swapped"}))];
+    datastores.set(seconds_after_start(3), bert, &set, None, "", &around).unwrap();
+    let gone = [("state", Scalar::text("gone"))];
+    datastores.mark(seconds_after_start(4), root, "drain", "c3", &gone, &around).unwrap();
+    datastores.mark(seconds_after_start(5), root, "undrain", "c2", &[], &around).unwrap();
+    // A confirmed commit that runs out, so that one commit is the dispatcher's own.
+    let confirmed =
+        Confirm { within: Some(Duration::from_secs(5)), persist: Some("p".into()), persist_id: None };
+    let fourth = [mark_edit(schema, "c4", &json!({"state": "draining"}))];
+    datastores.edit(ana, Datastore::Candidate, &fourth, ErrorOption::Rollback, false).unwrap();
+    datastores.commit(seconds_after_start(6), ana, &confirmed, "", &around).unwrap();
+    datastores.tick(seconds_after_start(11));
+    // And one that is pending as the last snapshot is written.
+    let fifth = [mark_edit(schema, "c5", &json!({"state": "gone"}))];
+    datastores.edit(ana, Datastore::Candidate, &fifth, ErrorOption::Rollback, false).unwrap();
+    let confirmed = Confirm { within: Some(Duration::from_secs(60)), ..Confirm::default() };
+    datastores.commit(seconds_after_start(12), ana, &confirmed, "on trial", &around).unwrap();
+    datastores
+}
+
+fn read_fixture() -> rockflow_store::Found {
+    let mut disk = Disk::default();
+    disk.plant(FIXTURE_NAME, FIXTURE);
+    let (_, found, complaints) = Store::open(disk, "config", record::VERSION, record::MOST).unwrap();
+    assert_eq!(complaints, Vec::<String>::new());
+    found.unwrap()
+}
+
+fn read_record(schema: &Schema) -> record::Record {
+    let (record, complaints) = record::Record::read(schema, &read_fixture().payload).unwrap();
+    assert_eq!(complaints, Vec::<String>::new());
+    record
+}
+
+/// A commit as `version user protocol source milliseconds "comment"`, then each change as the model's text.
+fn commit_lines(schema: &Schema, commit: &Commit) -> Vec<String> {
+    let who = &commit.who;
+    let head = format!(
+        "{} {} {} {} {} {:?}",
+        commit.version,
+        who.user,
+        who.protocol.name(),
+        who.source,
+        commit.time.as_millis(),
+        commit.comment
+    );
+    let value = |value: &Option<Scalar>| value.as_ref().map_or("-".to_string(), Scalar::to_string);
+    let change = |change: &rockflow_yang::Change| {
+        format!("  {} {} -> {}", change.path.text(schema), value(&change.before), value(&change.after))
+    };
+    std::iter::once(head).chain(commit.changes.iter().map(change)).collect()
+}
+
+const HISTORY: &str = r#"1 root netconf-tls 192.0.2.1:5000 1780000001123 "access for operators"
+  /rockflow-router:router/logging/level - -> info
+  /rockflow-router:router/rockflow-access:access/group[name='operators']/name - -> operators
+  /rockflow-router:router/rockflow-access:access/group[name='operators']/user[.='ana'] - -> ana
+  /rockflow-router:router/rockflow-access:access/group[name='operators']/user[.='bert'] - -> bert
+  /rockflow-router:router/rockflow-access:access/rule[number='1']/number - -> 1
+  /rockflow-router:router/rockflow-access:access/rule[number='1']/group[.='operators'] - -> operators
+  /rockflow-router:router/rockflow-access:access/rule[number='1']/path - -> /router/marks
+  /rockflow-router:router/rockflow-access:access/rule[number='1']/action - -> permit
+2 ana netconf-ssh 192.0.2.2:5001 1780000002123 "two hosts"
+  /rockflow-router:router/marks/mark[host='c1']/host - -> c1
+  /rockflow-router:router/marks/mark[host='c1']/state - -> draining
+  /rockflow-router:router/marks/mark[host='c1']/reason - -> disk ä
+  /rockflow-router:router/marks/mark[host='c1']/force - -> true
+  /rockflow-router:router/marks/mark[host='c2']/host - -> c2
+  /rockflow-router:router/marks/mark[host='c2']/expires - -> 2026-06-01T00:00:00Z
+3 bert gnmi [2001:db8::3]:5002 1780000003123 ""
+  /rockflow-router:router/marks/mark[host='c1']/reason disk ä -> disk swapped
+4 root netconf-tls 192.0.2.1:5000 1780000004123 "drain c3"
+  /rockflow-router:router/marks/mark[host='c3']/host - -> c3
+  /rockflow-router:router/marks/mark[host='c3']/state - -> gone
+5 root netconf-tls 192.0.2.1:5000 1780000005123 "undrain c2"
+  /rockflow-router:router/marks/mark[host='c2']/host c2 -> -
+  /rockflow-router:router/marks/mark[host='c2']/expires 2026-06-01T00:00:00Z -> -
+6 ana netconf-ssh 192.0.2.2:5001 1780000006123 ""
+  /rockflow-router:router/marks/mark[host='c4']/host - -> c4
+  /rockflow-router:router/marks/mark[host='c4']/state - -> draining
+7 rockflow system - 1780000011123 "commit 6 of ana was not confirmed"
+  /rockflow-router:router/marks/mark[host='c4']/host c4 -> -
+  /rockflow-router:router/marks/mark[host='c4']/state draining -> -"#;
+
+const ORIGINS: &str = "/rockflow-router:router/marks/mark[host='c1']/host ana 2 1780000002123
+/rockflow-router:router/marks/mark[host='c1']/state ana 2 1780000002123
+/rockflow-router:router/marks/mark[host='c1']/reason bert 3 1780000003123
+/rockflow-router:router/marks/mark[host='c1']/force ana 2 1780000002123
+/rockflow-router:router/marks/mark[host='c3']/host root 4 1780000004123
+/rockflow-router:router/marks/mark[host='c3']/state root 4 1780000004123
+/rockflow-router:router/logging/level root 1 1780000001123
+/rockflow-router:router/rockflow-access:access/group[name='operators']/name root 1 1780000001123
+/rockflow-router:router/rockflow-access:access/group[name='operators']/user[.='ana'] root 1 1780000001123
+/rockflow-router:router/rockflow-access:access/group[name='operators']/user[.='bert'] root 1 1780000001123
+/rockflow-router:router/rockflow-access:access/rule[number='1']/number root 1 1780000001123
+/rockflow-router:router/rockflow-access:access/rule[number='1']/group[.='operators'] root 1 1780000001123
+/rockflow-router:router/rockflow-access:access/rule[number='1']/path root 1 1780000001123
+/rockflow-router:router/rockflow-access:access/rule[number='1']/action root 1 1780000001123";
+
+#[test]
+fn holds_head_of_snapshot_by_its_bytes() {
+    let head: [u8; HEAD_BYTES] = [
+        b'r', b'o', b'c', b'k', b'f', b'l', b'o', b'w', // magic
+        1, 0, // form of the file
+        1, 0, // version of the payload
+        9, 0, 0, 0, 0, 0, 0, 0, // generation
+        0xae, 0x11, 0, 0, 0, 0, 0, 0, // bytes of payload
+        4, 91, 111, 54, // CRC-32 of the payload
+        224, 142, 110, 216, // CRC-32 of all before
+    ];
+    assert_eq!(FIXTURE[..HEAD_BYTES], head);
+    let found = read_fixture();
+    assert_eq!((found.generation, found.version), (FIXTURE_GENERATION, 1));
+    assert_eq!(found.payload, FIXTURE[HEAD_BYTES..]);
+}
+
+#[test]
+fn reads_stored_snapshot_value_by_value() {
+    let schema = Schema::published();
+    let record = read_record(&schema);
+    assert_eq!((record.version, record.used), (7, 8));
+    let trial = record.trial.as_ref().unwrap();
+    assert_eq!((trial.version, trial.author.as_str()), (8, "ana"));
+    let mut running = access_rules();
+    running["rockflow-router:router"]["marks"] = json!({"mark": [
+        {"host": "c1", "state": "draining", "reason": "disk swapped", "force": true},
+        {"host": "c3", "state": "gone"},
+    ]});
+    assert_eq!(json::write(&schema, &record.running), running);
+    let startup = json!({"rockflow-router:router": {"marks": {"mark": [
+        {"host": "c0", "state": "gone", "reason": "not \"built\" yet"},
+    ]}}});
+    assert_eq!(json::write(&schema, &record.startup), startup);
+    let history: Vec<_> = record.history.iter().flat_map(|commit| commit_lines(&schema, commit)).collect();
+    assert_eq!(history.join("\n"), HISTORY);
+    let origin = |(path, origin): (&Path, &Origin)| {
+        format!("{} {} {} {}", path.text(&schema), origin.author, origin.version, origin.time.as_millis())
+    };
+    let origins: Vec<_> = record.origins.iter().map(origin).collect();
+    assert_eq!(origins.join("\n"), ORIGINS);
+}
+
+#[test]
+fn writes_same_bytes_for_a_record_that_was_read() {
+    let schema = Schema::published();
+    let payload = read_record(&schema).write(&schema);
+    assert_eq!(
+        String::from_utf8(payload.clone()).unwrap(),
+        std::str::from_utf8(&FIXTURE[HEAD_BYTES..]).unwrap()
+    );
+    // The next after generation 8, so that the whole file is the same.
+    let mut disk = Disk::default();
+    disk.plant("config.00000000000000000008", b"");
+    let (mut store, ..) = Store::open(disk, "config", record::VERSION, record::MOST).unwrap();
+    assert_eq!(store.save(&payload).unwrap(), FIXTURE_GENERATION);
+    assert_eq!(store.disk().bytes(FIXTURE_NAME), Some(FIXTURE));
+}
+
+#[test]
+fn writes_same_bytes_for_the_same_commits() {
+    let datastores = commit_everything(&Arc::new(Schema::published()));
+    assert_eq!(datastores.saved().disk().bytes(FIXTURE_NAME), Some(FIXTURE));
+}
+
+#[test]
+fn restart_from_stored_snapshot_reverts_unconfirmed_commit() {
+    let schema = Arc::new(Schema::published());
+    let (datastores, complaints) = Management::new(
+        seconds_after_start(20),
+        schema.clone(),
+        Memory,
+        Some(&read_fixture().payload),
+        Some("root".into()),
+        false,
+    )
+    .unwrap();
+    let comment = "commit 8 of ana was not confirmed before the restart, and is undone";
+    assert_eq!(complaints, [comment]);
+    assert_eq!(datastores.version(), 9);
+    assert_eq!(datastores.marks().into_keys().collect::<Vec<_>>(), ["c1", "c3"]);
+    let last = datastores.history().next_back().unwrap();
+    assert_eq!(commit_lines(&schema, last), [format!("9 rockflow system - 1780000020123 {comment:?}")]);
+}
+
+#[test]
+fn restart_from_stored_startup_takes_it_in_place_of_running() {
+    let schema = Arc::new(Schema::published());
+    let (datastores, _) = Management::new(
+        seconds_after_start(20),
+        schema,
+        Memory,
+        Some(&read_fixture().payload),
+        Some("root".into()),
+        true,
+    )
+    .unwrap();
+    assert_eq!(datastores.marks().into_keys().collect::<Vec<_>>(), ["c0"]);
+    assert_eq!((datastores.version(), datastores.history().count()), (10, 0));
+}
