--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/beside.rs
@@ -8,14 +8,14 @@
 
 use dissemination::Carried;
 use rockflow_dispatcher::{Clock, Service, Told};
-use rockflow_operator_config::{self as file, OperatorFile};
+use rockflow_operator_config::{self as file, OperatorConfig};
 use std::path::PathBuf;
 
 /// Sets the log's level while running; none: as the program was started.
 pub type SetLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
 #[derive(PartialEq)]
-pub struct Beside(OperatorFile);
+pub struct Beside(OperatorConfig);
 
 impl Beside {
     /// Every fault of the operator's file comes on a line of its own.
@@ -25,7 +25,7 @@
             Ok((path.display().to_string(), text))
         };
         let layers = paths.iter().map(layer).collect::<Result<Vec<_>, String>>()?;
-        let read = file::read(&layers).map_err(|faults| {
+        let read = file::parse(&layers).map_err(|faults| {
             let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
             faults.join("\n")
         })?;
@@ -45,7 +45,7 @@
     }
 
     #[cfg(feature = "dissemination")]
-    pub fn file(&self) -> &OperatorFile {
+    pub fn file(&self) -> &OperatorConfig {
         &self.0
     }
 
--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -7,7 +7,7 @@
 use rockflow_dissemination as node;
 use rockflow_dissemination::{EntryId, Out, Ticket, Wanted};
 use rockflow_endpoints::{Mark, Marks, Refused};
-use rockflow_operator_config::{DisseminationPart, OperatorFile};
+use rockflow_operator_config::{DisseminationSection, OperatorConfig};
 use rockflow_transport::dissemination::{self as carrier, Bounds, WeakLink, Word};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,13 +22,13 @@
 const LAST_FRAMES: Duration = Duration::from_millis(500);
 const LOOK: Duration = Duration::from_millis(5);
 
-pub fn check(file: &OperatorFile, told: &Told) -> Result<Vec<String>, String> {
+pub fn check(file: &OperatorConfig, told: &Told) -> Result<Vec<String>, String> {
     let plan = plan(file, told)?;
     Ok(plan.iter().map(|plan| format!("dissemination: at {}", plan.listen)).collect())
 }
 
 /// A member's; none: the operator's file has no such section.
-pub fn plan(file: &OperatorFile, told: &Told) -> Result<Option<Plan>, String> {
+pub fn plan(file: &OperatorConfig, told: &Told) -> Result<Option<Plan>, String> {
     let Some(part) = &file.dissemination else { return Ok(None) };
     let binds = told.facts.deployment.purge_window;
     if binds > part.purge_window {
@@ -44,7 +44,7 @@
     Ok(Some(Plan { told: told_of(part, &told.name), ..base(part, told.seed) }))
 }
 
-pub fn base(part: &DisseminationPart, seed: u64) -> Plan {
+pub fn base(part: &DisseminationSection, seed: u64) -> Plan {
     Plan {
         bounds: Bounds::new(&part.fleet, part.control.len(), !part.trusted_network),
         told: told_of(part, ""),
@@ -55,7 +55,7 @@
 }
 
 /// What a node of this name is told; a control node's place is that of its name.
-pub fn told_of(part: &DisseminationPart, name: &str) -> node::Told {
+pub fn told_of(part: &DisseminationSection, name: &str) -> node::Told {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let peer = |(name, address): &(String, _)| node::Peer { node: node::NodeId::of(name), address: *address };
     let place = part.control.iter().position(|(control, _)| control == name);
@@ -69,7 +69,7 @@
         seeds: part.seeds.clone(),
         purge_window: part.purge_window,
         bytes_per_second: part.bytes_per_second,
-        pulse: part.pulse,
+        pulse: part.heartbeat_interval,
     }
 }
 
--- a/crates/rockflow-cli/src/beside/management.rs
+++ b/crates/rockflow-cli/src/beside/management.rs
@@ -4,14 +4,14 @@
 use rockflow_dispatcher::{Clock, Service};
 use rockflow_endpoints::Marks;
 use rockflow_management_agent::Agent;
-use rockflow_operator_config::OperatorFile;
+use rockflow_operator_config::OperatorConfig;
 
 pub const BUILT: bool = true;
 
 /// None: the operator's file names no front.
 pub struct Opened(Option<Agent>);
 
-pub fn check(file: &OperatorFile) -> Result<Vec<String>, String> {
+pub fn check(file: &OperatorConfig) -> Result<Vec<String>, String> {
     Agent::check(file)?;
     let netconf = file.netconf.iter();
     let netconf =
@@ -20,7 +20,7 @@
     Ok(netconf.map(|at| format!("netconf: at {at}")).chain(gnmi).collect())
 }
 
-pub fn open(clock: Clock, file: &OperatorFile) -> Result<Opened, String> {
+pub fn open(clock: Clock, file: &OperatorConfig) -> Result<Opened, String> {
     Agent::open(clock, file).map(Opened)
 }
 
--- a/crates/rockflow-cli/src/beside/no_management.rs
+++ b/crates/rockflow-cli/src/beside/no_management.rs
@@ -3,17 +3,17 @@
 use super::SetLevel;
 use rockflow_dispatcher::{Clock, Service};
 use rockflow_endpoints::Marks;
-use rockflow_operator_config::OperatorFile;
+use rockflow_operator_config::OperatorConfig;
 
 pub const BUILT: bool = false;
 
 pub struct Opened;
 
-pub fn check(_: &OperatorFile) -> Result<Vec<String>, String> {
+pub fn check(_: &OperatorConfig) -> Result<Vec<String>, String> {
     Ok(Vec::new())
 }
 
-pub fn open(_: Clock, _: &OperatorFile) -> Result<Opened, String> {
+pub fn open(_: Clock, _: &OperatorConfig) -> Result<Opened, String> {
     Ok(Opened)
 }
 
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -10,7 +10,7 @@
 use rockflow_dispatcher::{Clock, Follow, Heard, Purge, Told};
 use rockflow_dissemination as node;
 use rockflow_dissemination::{Directory, Out, Publication};
-use rockflow_operator_config::{read_marks, ControlPart, DisseminationPart};
+use rockflow_operator_config::{parse_overrides, ControlSection, DisseminationSection};
 use rockflow_transport::dissemination::{Link, Tally, WeakLink, Word};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
@@ -27,8 +27,8 @@
 /// What a control process is told, read and judged as a whole.
 pub struct Given {
     told: Told,
-    part: DisseminationPart,
-    files: ControlPart,
+    part: DisseminationSection,
+    files: ControlSection,
     directory: Directory,
     marks: Marks,
 }
@@ -70,7 +70,7 @@
     std::fs::read_to_string(path).map_err(|what| format!("{}: {what}", path.display()))
 }
 
-fn directory(path: &Path, part: &DisseminationPart) -> Result<Directory, String> {
+fn directory(path: &Path, part: &DisseminationSection) -> Result<Directory, String> {
     let fault = |what: String| format!("{}: {what}", path.display());
     let directory = Directory::parse(&text(path)?).map_err(|what| fault(what.to_string()))?;
     let outside = directory.members.iter().find(|member| !member.address.ip().is_loopback());
@@ -85,7 +85,7 @@
 
 fn marks(path: Option<&Path>) -> Result<Marks, String> {
     let Some(path) = path else { return Ok(Marks::new()) };
-    read_marks(&path.display().to_string(), &text(path)?).map_err(|faults| {
+    parse_overrides(&path.display().to_string(), &text(path)?).map_err(|faults| {
         let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
         faults.join("\n")
     })
--- a/crates/rockflow-cli/src/control/marks.rs
+++ b/crates/rockflow-cli/src/control/marks.rs
@@ -1,10 +1,10 @@
 //! What of the operators' marks has been published, and what is to be. Decides; does no I/O.
 
 use rockflow_dissemination::Wanted;
-use rockflow_operator_config::Marked;
+use rockflow_operator_config::AdministrativeState;
 use std::collections::BTreeMap;
 
-pub type Marks = BTreeMap<String, Marked>;
+pub type Marks = BTreeMap<String, AdministrativeState>;
 
 /// The marks that are in force by what was published.
 #[derive(Debug, Default)]
@@ -30,9 +30,9 @@
     }
 }
 
-fn as_wanted(mark: Marked) -> Wanted {
+fn as_wanted(mark: AdministrativeState) -> Wanted {
     match mark {
-        Marked::Draining => Wanted::Draining,
-        Marked::Gone => Wanted::Gone,
+        AdministrativeState::Draining => Wanted::Draining,
+        AdministrativeState::Gone => Wanted::Gone,
     }
 }
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -216,7 +216,7 @@
                 if let Some(seconds) = expires_in {
                     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
                     let until = now.unwrap_or_default() + Duration::from_secs(seconds.into());
-                    mark["expires"] = json!(rockflow_management::moment::write(until));
+                    mark["expires"] = json!(rockflow_management::timestamp::format(until));
                 }
                 if force {
                     mark["force"] = json!(true);
--- a/crates/rockflow-cli/tests/control_marks.rs
+++ b/crates/rockflow-cli/tests/control_marks.rs
@@ -6,9 +6,9 @@
 
 use marks::{Marks, Published};
 use rockflow_dissemination::Wanted;
-use rockflow_operator_config::Marked;
+use rockflow_operator_config::AdministrativeState;
 
-fn marks(pairs: &[(&str, Marked)]) -> Marks {
+fn marks(pairs: &[(&str, AdministrativeState)]) -> Marks {
     pairs.iter().map(|(host, mark)| (host.to_string(), *mark)).collect()
 }
 
@@ -19,12 +19,12 @@
 #[test]
 fn what_found_no_place_is_to_be_published_still() {
     let mut published = Published::default();
-    let first = marks(&[("c1", Marked::Draining), ("c2", Marked::Gone)]);
+    let first = marks(&[("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
     assert!(published.publish(&first, |changes| {
         assert_eq!(changes, wants(&[("c1", Wanted::Draining), ("c2", Wanted::Gone)]));
         true
     }));
-    let next = marks(&[("c1", Marked::Gone), ("c3", Marked::Draining)]);
+    let next = marks(&[("c1", AdministrativeState::Gone), ("c3", AdministrativeState::Draining)]);
     let changes = wants(&[("c1", Wanted::Gone), ("c3", Wanted::Draining), ("c2", Wanted::Listed)]);
     for place in [false, false, true] {
         let mut said = Vec::new();
--- a/crates/rockflow-gnmi/src/paths.rs
+++ b/crates/rockflow-gnmi/src/paths.rs
@@ -1,7 +1,7 @@
 //! Paths and values of gNMI, to and from those of the model. Strict: what names nothing is a fault.
 
 use crate::wire;
-use rockflow_management::{Fault, Tag};
+use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::data::{self, Found};
 use rockflow_yang::path::{Loose, MAX_STEPS};
 use rockflow_yang::{json, Data, Fields, Kind, NodeId, Path, Pattern, Scalar, Schema, Step};
@@ -14,8 +14,8 @@
 /// Instances that one path with open keys may lead to.
 pub const MAX_INSTANCES: usize = 20_000;
 
-fn invalid(what: impl Into<String>) -> Fault {
-    Fault::new(Tag::InvalidValue, what)
+fn invalid(what: impl Into<String>) -> ManagementError {
+    ManagementError::new(ErrorTag::InvalidValue, what)
 }
 
 /// A path behind its prefix; keys that are not told, or `*`, are open.
@@ -23,7 +23,7 @@
     schema: &Schema,
     prefix: Option<&wire::Path>,
     path: Option<&wire::Path>,
-) -> Result<Pattern, Fault> {
+) -> Result<Pattern, ManagementError> {
     let mut steps: Vec<Loose> = Vec::new();
     for path in prefix.into_iter().chain(path) {
         if !matches!(path.origin.as_str(), "" | "rfc7951" | "rockflow") {
@@ -35,7 +35,7 @@
             }
             if matches!(elem.name.as_str(), "*" | "...") {
                 let what = format!("{}: open steps are not served, open keys are", elem.name);
-                return Err(Fault::new(Tag::OperationNotSupported, what));
+                return Err(ManagementError::new(ErrorTag::OperationNotSupported, what));
             }
             let told = elem.key.iter().map(|(key, value)| (key.as_str(), value.as_str()));
             let step = Loose::read(schema, steps.last(), &elem.name, told).map_err(invalid)?;
@@ -89,13 +89,18 @@
 }
 
 /// Each instance that the pattern names, with its value; entries of a list come one by one.
-pub fn instances(schema: &Schema, fields: &Fields, pattern: &Pattern) -> Result<Vec<(Path, Value)>, Fault> {
+pub fn instances(
+    schema: &Schema,
+    fields: &Fields,
+    pattern: &Pattern,
+) -> Result<Vec<(Path, Value)>, ManagementError> {
     if pattern.0.is_empty() {
         return Ok(vec![(Path::default(), object(schema, fields))]);
     }
     let found = data::instances(fields, pattern, MAX_INSTANCES);
-    let found =
-        found.ok_or_else(|| Fault::new(Tag::TooBig, format!("more than {MAX_INSTANCES} instances")))?;
+    let found = found.ok_or_else(|| {
+        ManagementError::new(ErrorTag::TooBig, format!("more than {MAX_INSTANCES} instances"))
+    })?;
     let value = |path: &Path, found: Found| match (found, path.node()) {
         (Found::Entry(inner) | Found::Data(Data::Container(inner)), _) => object(schema, inner),
         (Found::Data(data), Some(node)) => json::write_data(schema, node, data),
@@ -117,10 +122,14 @@
 }
 
 /// The value for a path, as the model has it.
-pub fn value(schema: &Schema, path: &Path, typed: Option<&wire::TypedValue>) -> Result<Data, Fault> {
+pub fn value(
+    schema: &Schema,
+    path: &Path,
+    typed: Option<&wire::TypedValue>,
+) -> Result<Data, ManagementError> {
     let typed = typed.and_then(|typed| typed.value.as_ref());
-    let typed = typed.ok_or_else(|| invalid("an update has no value").at(path))?;
-    let fault = |what: String| invalid(what).at(path);
+    let typed = typed.ok_or_else(|| invalid("an update has no value").with_path(path))?;
+    let fault = |what: String| invalid(what).with_path(path);
     let parsed = match typed {
         Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes) => {
             serde_json::from_slice::<Value>(bytes).map_err(|what| fault(what.to_string()))?
@@ -144,9 +153,9 @@
     }
 }
 
-fn scalars(schema: &Schema, path: &Path, typed: &Typed) -> Result<Data, Fault> {
+fn scalars(schema: &Schema, path: &Path, typed: &Typed) -> Result<Data, ManagementError> {
     let node = path.node().ok_or_else(|| invalid("the top holds no value"))?;
-    let of = schema.type_of(node).ok_or_else(|| invalid("holds no value").at(path))?;
+    let of = schema.type_of(node).ok_or_else(|| invalid("holds no value").with_path(path))?;
     let text = |typed: &Typed| {
         Ok(match typed {
             Typed::StringVal(text) | Typed::AsciiVal(text) => text.clone(),
@@ -154,10 +163,10 @@
             Typed::UintVal(number) => number.to_string(),
             Typed::BoolVal(value) => value.to_string(),
             Typed::DoubleVal(number) => number.to_string(),
-            _ => return Err(invalid("a value of a kind that is not served").at(path)),
+            _ => return Err(invalid("a value of a kind that is not served").with_path(path)),
         })
     };
-    let read = |typed: &Typed| of.read(&text(typed)?).map_err(|what| invalid(what).at(path));
+    let read = |typed: &Typed| of.read(&text(typed)?).map_err(|what| invalid(what).with_path(path));
     match (&schema.node(node).kind, typed) {
         (Kind::LeafList { .. }, Typed::LeaflistVal(all)) => {
             let values = all.element.iter().filter_map(|one| one.value.as_ref()).map(read);
--- a/crates/rockflow-gnmi/src/server.rs
+++ b/crates/rockflow-gnmi/src/server.rs
@@ -2,7 +2,9 @@
 
 use crate::service::{Peer, Service};
 use crate::wire::g_nmi_server::GNmiServer;
-use rockflow_management_service::{doorway, secrets, Desk, Doorway, GnmiPart};
+use rockflow_management_service::{
+    authentication, secrets, GnmiSection, ManagementService, UnauthenticatedConnections,
+};
 use std::net::{SocketAddr, TcpListener as Listener};
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,17 +31,17 @@
 
 /// Bound and read, ahead of the thread that serves.
 pub struct Bound {
-    part: GnmiPart,
+    part: GnmiSection,
     listener: Listener,
     acceptor: TlsAcceptor,
 }
 
 impl Bound {
-    pub fn check(part: &GnmiPart) -> Result<(), String> {
+    pub fn check(part: &GnmiSection) -> Result<(), String> {
         secrets::server(&part.tls, &[b"h2"]).map(|_| ())
     }
 
-    pub fn new(part: &GnmiPart) -> Result<Bound, String> {
+    pub fn new(part: &GnmiSection) -> Result<Bound, String> {
         let acceptor = TlsAcceptor::from(secrets::server(&part.tls, &[b"h2"])?);
         let fault = |what: std::io::Error| format!("gnmi {}: {what}", part.tls.listen);
         let listener = Listener::bind(part.tls.listen).map_err(fault)?;
@@ -99,7 +101,7 @@
 
 impl Server {
     /// Serves as long as the runtime does that this is called in.
-    pub fn start(bound: Bound, desk: Arc<Desk>) -> Result<(), String> {
+    pub fn start(bound: Bound, desk: Arc<ManagementService>) -> Result<(), String> {
         let Bound { part, listener, acceptor } = bound;
         let listener = TcpListener::from_std(listener).map_err(|what| what.to_string())?;
         let service = Service {
@@ -111,20 +113,25 @@
         let service = GNmiServer::new(service).max_decoding_message_size(most);
         let (proved, connections) = mpsc::channel::<std::io::Result<Proved>>(1);
         let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-        tokio::spawn(doorway::accept(listener, Doorway::new(MAX_UNPROVED), move |stream, from, unproved| {
-            let (acceptor, proved, places) = (acceptor.clone(), proved.clone(), places.clone());
-            tokio::spawn(async move {
-                let shaken = doorway::shake(acceptor, stream, from, unproved, HANDSHAKE).await;
-                let Some((stream, user)) = shaken else { return };
-                match places.try_acquire_owned() {
-                    Ok(permit) => {
-                        let peer = Peer { user, from };
-                        let _ = proved.send(Ok(Proved { stream, peer, _permit: permit })).await;
+        tokio::spawn(authentication::accept_connections(
+            listener,
+            UnauthenticatedConnections::new(MAX_UNPROVED),
+            move |stream, from, unproved| {
+                let (acceptor, proved, places) = (acceptor.clone(), proved.clone(), places.clone());
+                tokio::spawn(async move {
+                    let shaken =
+                        authentication::tls_handshake(acceptor, stream, from, unproved, HANDSHAKE).await;
+                    let Some((stream, user)) = shaken else { return };
+                    match places.try_acquire_owned() {
+                        Ok(permit) => {
+                            let peer = Peer { user, from };
+                            let _ = proved.send(Ok(Proved { stream, peer, _permit: permit })).await;
+                        }
+                        Err(_) => info!(%from, user, "too many gnmi connections at once"),
                     }
-                    Err(_) => info!(%from, user, "too many gnmi connections at once"),
-                }
-            });
-        }));
+                });
+            },
+        ));
         let server = tonic::transport::Server::builder()
             .max_concurrent_streams(MAX_STREAMS)
             .initial_stream_window_size(WINDOW)
--- a/crates/rockflow-gnmi/src/service.rs
+++ b/crates/rockflow-gnmi/src/service.rs
@@ -2,8 +2,8 @@
 
 use crate::paths;
 use crate::wire;
-use rockflow_management::{Datastore, Fault, Operator, Protocol, Tag, Trigger, Update};
-use rockflow_management_service::{Asker, Desk};
+use rockflow_management::{Datastore, ErrorTag, ManagementError, Operator, Protocol, Trigger, Update};
+use rockflow_management_service::{ManagementService, SessionHandle};
 use rockflow_yang::{data, Edit, Fields, Op, Path, Pattern, Schema};
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -35,22 +35,22 @@
 }
 
 pub struct Service {
-    pub desk: Arc<Desk>,
+    pub desk: Arc<ManagementService>,
     pub subscribers: Arc<Semaphore>,
     pub least_interval: Duration,
 }
 
-fn status(schema: &Schema, fault: &Fault) -> Status {
+fn status(schema: &Schema, fault: &ManagementError) -> Status {
     let path = fault.path.as_ref().map(|path| format!(" at {}", path.text(schema))).unwrap_or_default();
     let message = format!("{}{path}", fault.message);
     match (fault.tag, fault.app_tag) {
-        (_, Some("conflict")) | (Tag::InUse | Tag::LockDenied, _) => Status::aborted(message),
-        (Tag::AccessDenied, _) => Status::permission_denied(message),
-        (Tag::DataMissing, _) => Status::not_found(message),
-        (Tag::DataExists, _) => Status::already_exists(message),
-        (Tag::ResourceDenied | Tag::TooBig, _) => Status::resource_exhausted(message),
-        (Tag::OperationNotSupported, _) => Status::unimplemented(message),
-        (Tag::OperationFailed | Tag::RollbackFailed, _) => Status::failed_precondition(message),
+        (_, Some("conflict")) | (ErrorTag::InUse | ErrorTag::LockDenied, _) => Status::aborted(message),
+        (ErrorTag::AccessDenied, _) => Status::permission_denied(message),
+        (ErrorTag::DataMissing, _) => Status::not_found(message),
+        (ErrorTag::DataExists, _) => Status::already_exists(message),
+        (ErrorTag::ResourceDenied | ErrorTag::TooBig, _) => Status::resource_exhausted(message),
+        (ErrorTag::OperationNotSupported, _) => Status::unimplemented(message),
+        (ErrorTag::OperationFailed | ErrorTag::RollbackFailed, _) => Status::failed_precondition(message),
         _ => Status::invalid_argument(message),
     }
 }
@@ -72,19 +72,19 @@
         self.desk.schema()
     }
 
-    fn refuse(&self, fault: Fault) -> Status {
+    fn refuse(&self, fault: ManagementError) -> Status {
         status(self.schema(), &fault)
     }
 
-    fn enter<T>(&self, request: &Request<T>) -> Result<Asker, Status> {
+    fn enter<T>(&self, request: &Request<T>) -> Result<SessionHandle, Status> {
         let peer = request.extensions().get::<Peer>().cloned();
         let peer = peer.ok_or_else(|| Status::unauthenticated("who asks is not known"))?;
         let source = peer.from.ip().to_string();
         let who = Operator { user: peer.user, protocol: Protocol::Gnmi, source };
-        self.desk.enter(who).map_err(|fault| self.refuse(fault))
+        self.desk.open_session(who).map_err(|fault| self.refuse(fault))
     }
 
-    fn edits(&self, request: &wire::SetRequest, running: &Fields) -> Result<Vec<Edit>, Fault> {
+    fn edits(&self, request: &wire::SetRequest, running: &Fields) -> Result<Vec<Edit>, ManagementError> {
         let schema = self.schema();
         let prefix = request.prefix.as_ref();
         let mut edits = Vec::new();
@@ -104,7 +104,7 @@
         for (op, update) in replaced.chain(updated) {
             let pattern = paths::pattern(schema, prefix, update.path.as_ref())?;
             let path = paths::closed(&pattern)
-                .ok_or_else(|| Fault::new(Tag::InvalidValue, "a value is set at open keys"))?;
+                .ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "a value is set at open keys"))?;
             let value = paths::value(schema, &path, update.val.as_ref())?;
             edits.push(Edit { path, op, value: Some(value) });
         }
@@ -151,8 +151,8 @@
 
 /// One subscriber, from its list on.
 struct Follower {
-    desk: Arc<Desk>,
-    asker: Asker,
+    desk: Arc<ManagementService>,
+    asker: SessionHandle,
     out: Out,
     encoding: Encoding,
     target: String,
@@ -204,7 +204,7 @@
 
     async fn tell(&self, update: Update) -> bool {
         match update {
-            Update::Whole(all) => {
+            Update::Snapshot(all) => {
                 let updates = all.iter().map(|(path, value)| self.update(path, value, 0)).collect();
                 self.notify(updates, Vec::new()).await
             }
@@ -212,7 +212,7 @@
                 let (mut updates, mut deleted) = (Vec::new(), Vec::new());
                 for (path, changed) in &changes {
                     match &changed.value {
-                        Some(value) => updates.push(self.update(path, value, changed.overtook)),
+                        Some(value) => updates.push(self.update(path, value, changed.coalesced)),
                         None => deleted.push(paths::path(self.desk.schema(), path)),
                     }
                 }
@@ -235,7 +235,7 @@
             patterns.iter().for_each(|pattern| data::merge(&mut part, &data::select(&fields, pattern)));
             let fits = |path: &Path| patterns.iter().any(|pattern| pattern.holds(path));
             let all = data::leaves(&part).into_iter().filter(|(path, _)| fits(path)).collect();
-            if !self.tell(Update::Whole(all)).await {
+            if !self.tell(Update::Snapshot(all)).await {
                 return false;
             }
         }
@@ -254,7 +254,7 @@
             return;
         }
         while let Some(Ok(request)) = requests.next().await {
-            self.asker.with(|_, _| ());
+            self.asker.update(|_, _| ());
             if !matches!(request.request, Some(Asked::Poll(_))) {
                 let _ = self.out.send(Err(Status::invalid_argument("a poll is wanted"))).await;
                 return;
@@ -274,7 +274,7 @@
     ) {
         let mut followed = Vec::new();
         for (pattern, trigger) in plans {
-            match self.asker.follow(vec![pattern], trigger, updates_only).await {
+            match self.asker.subscribe(vec![pattern], trigger, updates_only).await {
                 Ok(following) => followed.push(following),
                 Err(fault) => {
                     let _ = self.out.send(Err(status(self.desk.schema(), &fault))).await;
@@ -319,7 +319,7 @@
                     Some(Err(_)) => break,
                 },
                 () = out.closed() => break,
-                () = self.desk.over(id) => {
+                () = self.desk.session_closed(id) => {
                     let _ = out.try_send(Err(Status::aborted("the session was ended")));
                     break;
                 }
@@ -397,7 +397,7 @@
             return Err(Status::unimplemented("no extension of Set is served"));
         }
         self.too_many(asked.delete.len() + asked.replace.len() + asked.update.len())?;
-        let running = self.desk.look(|all| all.running().clone());
+        let running = self.desk.inspect(|all| all.running().clone());
         let edits = self.edits(&asked, &running).map_err(|fault| self.refuse(fault))?;
         asker.set(&edits, None, "").await.map_err(|fault| self.refuse(fault))?;
         let result = |path: Option<wire::Path>, op: Operation| wire::UpdateResult { path, op: op as i32 };
--- a/crates/rockflow-management-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -4,14 +4,14 @@
 
 use rockflow_dispatcher::{Clock, Link};
 use rockflow_endpoints::Marks;
-use rockflow_management_service::desk::SetLevel;
-use rockflow_management_service::{Desk, Opened, OperatorFile};
+use rockflow_management_service::SetLogLevel;
+use rockflow_management_service::{ManagementService, OperatorConfig, RestoredState};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tracing::{error, info};
 
 pub struct Agent {
-    opened: Opened,
+    opened: RestoredState,
     #[cfg(feature = "netconf")]
     netconf: Option<rockflow_netconf::Bound>,
     #[cfg(feature = "gnmi")]
@@ -28,7 +28,7 @@
 
 impl Agent {
     /// None: the file asks for no management.
-    pub fn open(clock: Clock, file: &OperatorFile) -> Result<Option<Agent>, String> {
+    pub fn open(clock: Clock, file: &OperatorConfig) -> Result<Option<Agent>, String> {
         let Some(part) = &file.management else { return Ok(None) };
         #[cfg(not(feature = "netconf"))]
         if file.netconf.is_some() {
@@ -43,12 +43,12 @@
             gnmi: file.gnmi.as_ref().map(rockflow_gnmi::Bound::new).transpose()?,
             #[cfg(feature = "netconf")]
             netconf: file.netconf.as_ref().map(rockflow_netconf::Bound::new).transpose()?,
-            opened: Opened::open(clock, part)?,
+            opened: RestoredState::open(clock, part)?,
         }))
     }
 
     /// Whether all that the file names can be used, with nothing opened for good.
-    pub fn check(file: &OperatorFile) -> Result<(), String> {
+    pub fn check(file: &OperatorConfig) -> Result<(), String> {
         #[cfg(feature = "netconf")]
         if let Some(part) = &file.netconf {
             rockflow_netconf::Bound::check(part)?;
@@ -80,9 +80,9 @@
     }
 
     /// Starts the thread. It ends with the program: what was acknowledged is durable already.
-    pub fn run(self, link: Link, set_level: SetLevel) -> std::io::Result<Arc<Desk>> {
+    pub fn run(self, link: Link, set_level: SetLogLevel) -> std::io::Result<Arc<ManagementService>> {
         let addresses = self.addresses();
-        let desk = self.opened.desk(link, set_level);
+        let desk = self.opened.into_service(link, set_level);
         info!(?addresses, "management serves");
         let served = desk.clone();
         #[cfg(feature = "netconf")]
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use rockflow_management_agent::{Addresses, Agent};
 use rockflow_management_client::netconf::Client;
 use rockflow_management_client::Trouble;
-use rockflow_management_service::{file, Desk, OperatorFile};
+use rockflow_management_service::{operator_config, ManagementService, OperatorConfig};
 use rockflow_test_servers::{keys, Site};
 use rockflow_yang::{json, Fields, Schema};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 pub struct Rig {
     pub site: Site,
     pub service: Service,
-    pub desk: Arc<Desk>,
+    pub desk: Arc<ManagementService>,
     pub addresses: Addresses,
     pub folder: keys::Folder,
     pub schema: Arc<Schema>,
@@ -34,7 +34,7 @@
 }
 
 /// The operator's file of a rig: all fronts, at ports of their own.
-pub fn operator(folder: &keys::Folder, store: bool, more: &str) -> (OperatorFile, keys::Authority) {
+pub fn operator(folder: &keys::Folder, store: bool, more: &str) -> (OperatorConfig, keys::Authority) {
     let authority = folder.furnish(&USERS.map(|user| (user, key_of(user))));
     let at = |name: &str| folder.file(name).display().to_string();
     let (ssh, tls) = folder.operator_keys();
@@ -44,7 +44,7 @@
          {tls}{more}[gnmi]\nlisten = 127.0.0.1:0\n{tls}",
         at("audit"),
     );
-    (file::read(&[("rig.ini".to_string(), text)]).unwrap(), authority)
+    (operator_config::parse(&[("rig.ini".to_string(), text)]).unwrap(), authority)
 }
 
 impl Rig {
--- a/crates/rockflow-management-service/src/audit.rs
+++ b/crates/rockflow-management-service/src/audit.rs
@@ -1,7 +1,7 @@
 //! Who changed what, from where: one structured line a commit, in the log under the target `audit` and, where
 //! the operator's file names one, appended to a file.
 
-use rockflow_management::{moment, Commit};
+use rockflow_management::{timestamp, Commit};
 use rockflow_yang::Schema;
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -50,11 +50,11 @@
         })
     });
     serde_json::json!({
-        "time": moment::write(commit.time),
+        "time": timestamp::format(commit.time),
         "version": commit.version,
-        "user": commit.who.user,
-        "protocol": commit.who.protocol.name(),
-        "source": commit.who.source,
+        "user": commit.operator.user,
+        "protocol": commit.operator.protocol.name(),
+        "source": commit.operator.source,
         "comment": commit.comment,
         "changes": named.collect::<Vec<_>>(),
         "more": commit.changes.len().saturating_sub(MAX_NAMED),
--- a/crates/rockflow-management-service/src/doorway.rs
+++ b/crates/rockflow-management-service/src/authentication.rs
@@ -22,28 +22,28 @@
 }
 
 #[derive(Clone)]
-pub struct Doorway {
+pub struct UnauthenticatedConnections {
     most: usize,
     waiting: Arc<Mutex<Waiting>>,
 }
 
 /// One that has not proved who it is, as long as this lives.
-pub struct Unproved {
-    doorway: Doorway,
+pub struct UnauthenticatedConnection {
+    doorway: UnauthenticatedConnections,
     number: u64,
     evicted: Arc<Notify>,
 }
 
-impl Doorway {
-    pub fn new(most: usize) -> Doorway {
-        Doorway { most: most.max(1), waiting: Arc::default() }
+impl UnauthenticatedConnections {
+    pub fn new(most: usize) -> UnauthenticatedConnections {
+        UnauthenticatedConnections { most: most.max(1), waiting: Arc::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, Waiting> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn admit(&self) -> Unproved {
+    pub fn admit(&self) -> UnauthenticatedConnection {
         let mut waiting = self.lock();
         while waiting.all.len() >= self.most {
             if let Some((_, oldest)) = waiting.all.pop_first() {
@@ -55,7 +55,7 @@
         waiting.next += 1;
         waiting.all.insert(number, evicted.clone());
         drop(waiting);
-        Unproved { doorway: self.clone(), number, evicted }
+        UnauthenticatedConnection { doorway: self.clone(), number, evicted }
     }
 
     pub fn len(&self) -> usize {
@@ -68,10 +68,10 @@
 }
 
 /// Takes connections in as long as it runs, each with its place at the doorway.
-pub async fn accept(
+pub async fn accept_connections(
     listener: TcpListener,
-    doorway: Doorway,
-    mut serve: impl FnMut(TcpStream, SocketAddr, Unproved),
+    doorway: UnauthenticatedConnections,
+    mut serve: impl FnMut(TcpStream, SocketAddr, UnauthenticatedConnection),
 ) {
     loop {
         match listener.accept().await {
@@ -88,11 +88,11 @@
 }
 
 /// Shakes hands by TLS within the limit; the stream, and the user whom its certificate names.
-pub async fn shake(
+pub async fn tls_handshake(
     acceptor: TlsAcceptor,
     stream: TcpStream,
     from: SocketAddr,
-    unproved: Unproved,
+    unproved: UnauthenticatedConnection,
     limit: Duration,
 ) -> Option<(TlsStream<TcpStream>, String)> {
     let shaken = tokio::select! {
@@ -117,14 +117,14 @@
     None
 }
 
-impl Unproved {
+impl UnauthenticatedConnection {
     /// Waits till another takes its place.
     pub async fn evicted(&self) {
         self.evicted.notified().await;
     }
 }
 
-impl Drop for Unproved {
+impl Drop for UnauthenticatedConnection {
     fn drop(&mut self) {
         self.doorway.lock().all.remove(&self.number);
     }
@@ -136,7 +136,7 @@
 
     #[tokio::test]
     async fn the_oldest_gives_way_and_the_proved_leave_their_place() {
-        let doorway = Doorway::new(2);
+        let doorway = UnauthenticatedConnections::new(2);
         let (first, second) = (doorway.admit(), doorway.admit());
         drop(second);
         let third = doorway.admit();
--- a/crates/rockflow-management-service/src/desk.rs
+++ b/crates/rockflow-management-service/src/desk.rs
@@ -3,7 +3,7 @@
 //! it. All of this runs in the management thread; the dispatcher sees words in mailboxes.
 
 use crate::audit::Audit;
-use crate::file::ManagementPart;
+use crate::operator_config::ManagementSection;
 use crate::state;
 use rockflow_dispatcher::messages::Survey;
 use rockflow_dispatcher::{Clock, Link};
@@ -37,10 +37,10 @@
 
 /// What is told to followers of events (RFC 5277), by the model's notifications or those of RFC 6470.
 #[derive(Clone, Debug)]
-pub enum Event {
-    Notice(Notice),
-    HostChanged { name: String, now: Option<(rockflow::Readiness, Says)> },
-    MarkExpired { host: String },
+pub enum ManagementEvent {
+    Notification(Notification),
+    EndpointChanged { name: String, now: Option<(rockflow::Readiness, Says)> },
+    OverrideExpired { host: String },
 }
 
 struct Follower {
@@ -68,31 +68,31 @@
 }
 
 /// Sets the log's level while running; none: as the program was started.
-pub type SetLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
+pub type SetLogLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
 /// The datastores as they come back at a start, ahead of the dispatcher.
-pub struct Opened {
+pub struct RestoredState {
     datastores: Datastores,
     audit: Audit,
     clock: Clock,
 }
 
-pub struct Desk {
+pub struct ManagementService {
     inner: Mutex<Inner>,
     schema: Arc<Schema>,
     link: Link,
     started: Duration,
-    events: broadcast::Sender<(Duration, Event)>,
+    events: broadcast::Sender<(Duration, ManagementEvent)>,
     /// Something is due earlier than was known.
     moved: Notify,
     /// A session has ended at the desk's word.
     ended: Notify,
-    set_level: SetLevel,
+    set_level: SetLogLevel,
 }
 
-impl Opened {
+impl RestoredState {
     /// Opens what lasts, and reads it back. A folder that can't be used is an error, not an empty one.
-    pub fn open(clock: Clock, part: &ManagementPart) -> Result<Opened, String> {
+    pub fn open(clock: Clock, part: &ManagementSection) -> Result<RestoredState, String> {
         let schema = Arc::new(Schema::published());
         let mut restored = None;
         let kept: Kept = match &part.store {
@@ -114,7 +114,7 @@
         let (datastores, complaints) = made.map_err(|what| format!("stored configuration: {what}"))?;
         complaints.iter().for_each(|what| warn!(what, "configuration restored"));
         info!(version = datastores.version(), marks = datastores.marks().len(), "management opened");
-        Ok(Opened { datastores, audit: Audit::open(part.audit.as_deref())?, clock })
+        Ok(RestoredState { datastores, audit: Audit::open(part.audit.as_deref())?, clock })
     }
 
     /// The marks that hold from the first request on.
@@ -122,7 +122,7 @@
         self.datastores.marks()
     }
 
-    pub fn desk(self, link: Link, set_level: SetLevel) -> Arc<Desk> {
+    pub fn into_service(self, link: Link, set_level: SetLogLevel) -> Arc<ManagementService> {
         let inner = Inner {
             datastores: self.datastores,
             audit: self.audit,
@@ -136,7 +136,7 @@
             level: None,
             unapplied: false,
         };
-        let desk = Arc::new(Desk {
+        let desk = Arc::new(ManagementService {
             schema: inner.datastores.schema().clone(),
             inner: Mutex::new(inner),
             link,
@@ -152,14 +152,14 @@
 }
 
 /// One session at the desk. Dropping it ends the session, with all that it holds.
-pub struct Asker {
-    desk: Arc<Desk>,
+pub struct SessionHandle {
+    desk: Arc<ManagementService>,
     pub id: SessionId,
     pub user: String,
     follows: usize,
 }
 
-impl Drop for Asker {
+impl Drop for SessionHandle {
     fn drop(&mut self) {
         let now = self.desk.now();
         let mut inner = self.desk.lock();
@@ -168,7 +168,7 @@
     }
 }
 
-impl Desk {
+impl ManagementService {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -186,17 +186,17 @@
     }
 
     /// Reads the datastores; no change is made this way.
-    pub fn look<T>(&self, look: impl FnOnce(&Datastores) -> T) -> T {
+    pub fn inspect<T>(&self, look: impl FnOnce(&Datastores) -> T) -> T {
         look(&self.lock().datastores)
     }
 
-    pub fn enter(self: &Arc<Self>, who: Operator) -> Result<Asker, Fault> {
-        let (now, user) = (self.now(), who.user.clone());
+    pub fn open_session(self: &Arc<Self>, operator: Operator) -> Result<SessionHandle, ManagementError> {
+        let (now, user) = (self.now(), operator.user.clone());
         let mut inner = self.lock();
-        let id = inner.datastores.open(now, who)?;
+        let id = inner.datastores.open(now, operator)?;
         let _ = self.settle(&mut inner);
         self.moved.notify_one();
-        Ok(Asker { desk: self.clone(), id, user, follows: 0 })
+        Ok(SessionHandle { desk: self.clone(), id, user, follows: 0 })
     }
 
     /// What is known of the dispatcher, not older than `SURVEY_FRESH`; or the last known, if it does not answer;
@@ -239,16 +239,16 @@
         let (now, mut committed) = (self.now(), false);
         for notice in inner.datastores.take_notices() {
             match &notice {
-                Notice::Committed(commit) => {
+                Notification::Committed(commit) => {
                     inner.audit.write(&self.schema, commit);
                     committed = true;
                 }
-                Notice::SessionEnded { session, who, reason } => {
+                Notification::SessionEnded { session, operator, reason } => {
                     // Each call of gNMI is a session: told of only where single ones are searched for.
-                    if who.protocol == Protocol::Gnmi {
-                        debug!(session = session.0, user = who.user, reason, "management session over");
+                    if operator.protocol == Protocol::Gnmi {
+                        debug!(session = session.0, user = operator.user, reason, "management session over");
                     } else {
-                        info!(session = session.0, user = who.user, reason, "management session over");
+                        info!(session = session.0, user = operator.user, reason, "management session over");
                     }
                     inner.ended.push_back(*session);
                     while inner.ended.len() > MAX_EVENTS {
@@ -256,19 +256,31 @@
                     }
                     self.ended.notify_waiters();
                 }
-                Notice::SessionBegan { session, who } => {
-                    let (session, protocol) = (session.0, who.protocol.name());
-                    if who.protocol == Protocol::Gnmi {
-                        debug!(session, user = who.user, protocol, source = who.source, "management session");
+                Notification::SessionStarted { session, operator } => {
+                    let (session, protocol) = (session.0, operator.protocol.name());
+                    if operator.protocol == Protocol::Gnmi {
+                        debug!(
+                            session,
+                            user = operator.user,
+                            protocol,
+                            source = operator.source,
+                            "management session"
+                        );
                     } else {
-                        info!(session, user = who.user, protocol, source = who.source, "management session");
+                        info!(
+                            session,
+                            user = operator.user,
+                            protocol,
+                            source = operator.source,
+                            "management session"
+                        );
                     }
                 }
-                Notice::Confirming { event, who } => {
-                    info!(event, user = who.user, "confirmed commit");
+                Notification::ConfirmedCommit { event, operator } => {
+                    info!(event, user = operator.user, "confirmed commit");
                 }
             }
-            let _ = self.events.send((now, Event::Notice(notice)));
+            let _ = self.events.send((now, ManagementEvent::Notification(notice)));
         }
         let names = ["router", "logging", "level"];
         let told = data::leaf(&self.schema, inner.datastores.running(), &names).map(Scalar::to_string);
@@ -287,11 +299,14 @@
     async fn change<T>(
         &self,
         id: SessionId,
-        make: impl FnOnce(&mut Datastores, Duration, &Surroundings) -> Result<T, Fault>,
-    ) -> Result<T, Fault> {
+        make: impl FnOnce(&mut Datastores, Duration, &ValidationContext) -> Result<T, ManagementError>,
+    ) -> Result<T, ManagementError> {
         // Guards against draining the last of a location while nothing is known of the list.
         let survey = self.survey().await.ok_or_else(|| {
-            Fault::new(Tag::ResourceDenied, "the dispatcher does not tell its hosts; nothing is changed")
+            ManagementError::new(
+                ErrorTag::ResourceDenied,
+                "the dispatcher does not tell its hosts; nothing is changed",
+            )
         })?;
         let around = state::surroundings(&survey, self.now());
         let (made, applied) = {
@@ -394,21 +409,21 @@
         for name in names {
             let found = hosts.get(name).copied();
             if found != inner.hosts.get(name).copied() {
-                let event = Event::HostChanged { name: name.clone(), now: found };
+                let event = ManagementEvent::EndpointChanged { name: name.clone(), now: found };
                 let _ = self.events.send((now, event));
             }
         }
         inner.hosts = hosts;
         for (host, until) in survey.marks.iter().filter_map(|(host, mark)| Some((host, mark.until?))) {
             if until <= now && inner.expired.insert(host.clone(), until) != Some(until) {
-                let _ = self.events.send((now, Event::MarkExpired { host: host.clone() }));
+                let _ = self.events.send((now, ManagementEvent::OverrideExpired { host: host.clone() }));
             }
         }
         inner.expired.retain(|host, _| survey.marks.contains_key(host));
     }
 
     /// Waits till the session has ended at the desk's word: killed, silent, or over.
-    pub async fn over(&self, id: SessionId) {
+    pub async fn session_closed(&self, id: SessionId) {
         loop {
             let told = self.ended.notified();
             if !self.lock().datastores.is_open(id) {
@@ -426,8 +441,8 @@
     }
 }
 
-impl Asker {
-    pub fn desk(&self) -> &Arc<Desk> {
+impl SessionHandle {
+    pub fn desk(&self) -> &Arc<ManagementService> {
         &self.desk
     }
 
@@ -440,7 +455,7 @@
     }
 
     /// Reads or changes what needs no commit: edits of the candidate, locks, discards.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Datastores, Duration) -> T) -> T {
+    pub fn update<T>(&self, act: impl FnOnce(&mut Datastores, Duration) -> T) -> T {
         let now = self.desk.now();
         let mut inner = self.touched();
         let done = act(&mut inner.datastores, now);
@@ -448,14 +463,14 @@
         done
     }
 
-    pub fn may_call(&self, call: &str) -> Result<(), Fault> {
-        self.touched().datastores.may_call(self.id, call)
+    pub fn authorize_call(&self, call: &str) -> Result<(), ManagementError> {
+        self.touched().datastores.authorize_call(self.id, call)
     }
 
     /// A configuration, or with `state` all that is operational, as far as the user may read it.
-    pub async fn read(&self, which: Option<Datastore>) -> Result<Fields, Fault> {
+    pub async fn read(&self, which: Option<Datastore>) -> Result<Fields, ManagementError> {
         let call = if which.is_some() { "get-config" } else { "get" };
-        self.may_call(call)?;
+        self.authorize_call(call)?;
         let fields = match which {
             Some(which) => self.touched().datastores.datastore(self.id, which).clone(),
             None => self.desk.operational().await,
@@ -464,28 +479,33 @@
         Ok(inner.datastores.access().readable(&self.desk.schema, &self.user, &fields))
     }
 
-    pub async fn commit(&self, confirm: &Confirm, comment: &str) -> Result<u64, Fault> {
+    pub async fn commit(&self, confirm: &CommitOptions, comment: &str) -> Result<u64, ManagementError> {
         let id = self.id;
         self.desk.change(id, |all, now, around| all.commit(now, id, confirm, comment, around)).await
     }
 
-    pub async fn validate(&self, which: Result<Datastore, Fields>) -> Result<(), Fault> {
+    pub async fn validate(&self, which: Result<Datastore, Fields>) -> Result<(), ManagementError> {
         let id = self.id;
         let which = which.as_ref().map(|which| *which);
         self.desk.change(id, |all, now, around| all.validate(now, id, which, around)).await
     }
 
-    pub async fn cancel(&self, persist_id: Option<&str>) -> Result<(), Fault> {
+    pub async fn cancel_commit(&self, persist_id: Option<&str>) -> Result<(), ManagementError> {
         let id = self.id;
         self.desk.change(id, |all, now, _| all.cancel(now, id, persist_id)).await
     }
 
-    pub async fn set(&self, edits: &[Edit], expected: Option<u64>, comment: &str) -> Result<u64, Fault> {
+    pub async fn set(
+        &self,
+        edits: &[Edit],
+        expected: Option<u64>,
+        comment: &str,
+    ) -> Result<u64, ManagementError> {
         let id = self.id;
         self.desk.change(id, |all, now, around| all.set(now, id, edits, expected, comment, around)).await
     }
 
-    pub async fn rollback(&self, version: u64, expected: Option<u64>) -> Result<u64, Fault> {
+    pub async fn rollback(&self, version: u64, expected: Option<u64>) -> Result<u64, ManagementError> {
         let id = self.id;
         self.desk.change(id, |all, now, around| all.rollback(now, id, version, expected, around)).await
     }
@@ -497,11 +517,11 @@
         reason: Option<&str>,
         expires_in: Option<Duration>,
         force: bool,
-    ) -> Result<u64, Fault> {
+    ) -> Result<u64, ManagementError> {
         let mut leaves = vec![("state", Scalar::text("draining"))];
         leaves.extend(reason.map(|reason| ("reason", Scalar::text(reason))));
         let until = expires_in.map(|span| self.desk.now() + span);
-        leaves.extend(until.map(|until| ("expires", Scalar::Text(moment::write(until)))));
+        leaves.extend(until.map(|until| ("expires", Scalar::Text(timestamp::format(until)))));
         if force {
             leaves.push(("force", Scalar::Bool(true)));
         }
@@ -509,18 +529,18 @@
         self.desk.change(id, |all, now, around| all.mark(now, id, "drain", host, &leaves, around)).await
     }
 
-    pub async fn undrain(&self, host: &str) -> Result<u64, Fault> {
+    pub async fn undrain(&self, host: &str) -> Result<u64, ManagementError> {
         let id = self.id;
         self.desk.change(id, |all, now, around| all.mark(now, id, "undrain", host, &[], around)).await
     }
 
-    pub async fn kill(&self, victim: SessionId) -> Result<(), Fault> {
+    pub async fn kill_session(&self, victim: SessionId) -> Result<(), ManagementError> {
         let id = self.id;
         self.desk.change(id, |all, now, _| all.kill(now, id, victim)).await
     }
 
     /// Events from now on; a receiver that falls too far behind is told how many it missed.
-    pub fn events(&mut self) -> broadcast::Receiver<(Duration, Event)> {
+    pub fn subscribe_events(&mut self) -> broadcast::Receiver<(Duration, ManagementEvent)> {
         self.follows += 1;
         drop(self.touched());
         self.desk.moved.notify_one();
@@ -528,13 +548,13 @@
     }
 
     /// Begins to follow values; the number is for `next` and `unfollow`.
-    pub async fn follow(
+    pub async fn subscribe(
         &mut self,
         patterns: Vec<Pattern>,
         trigger: Trigger,
         updates_only: bool,
-    ) -> Result<Following, Fault> {
-        self.may_call("establish-subscription")?;
+    ) -> Result<ValueSubscription, ManagementError> {
+        self.authorize_call("establish-subscription")?;
         // Guards against a change that falls between the first picture and the first pulse: what is compared
         // with must not be younger than that picture.
         let present = self.desk.operational().await;
@@ -542,7 +562,7 @@
         let wake = Arc::new(Notify::new());
         if self.desk.lock().followers.len() >= MAX_FOLLOWERS {
             let message = format!("all {MAX_FOLLOWERS} subscriptions are in use");
-            return Err(Fault::new(Tag::ResourceDenied, message));
+            return Err(ManagementError::new(ErrorTag::ResourceDenied, message));
         }
         self.follows += 1;
         let mut inner = self.touched();
@@ -554,31 +574,31 @@
         inner.followers.insert(number, follower);
         drop(inner);
         self.desk.moved.notify_one();
-        Ok(Following { desk: self.desk.clone(), number, wake, patterns })
+        Ok(ValueSubscription { desk: self.desk.clone(), number, wake, patterns })
     }
 
     /// One fewer thing is followed.
-    pub fn unfollowed(&mut self) {
+    pub fn release_subscription(&mut self) {
         self.follows = self.follows.saturating_sub(1);
         drop(self.touched());
     }
 }
 
 /// A subscription under way; dropping it ends it.
-pub struct Following {
-    desk: Arc<Desk>,
+pub struct ValueSubscription {
+    desk: Arc<ManagementService>,
     pub number: u64,
     wake: Arc<Notify>,
     patterns: Vec<Pattern>,
 }
 
-impl Drop for Following {
+impl Drop for ValueSubscription {
     fn drop(&mut self) {
         self.desk.lock().followers.remove(&self.number);
     }
 }
 
-impl Following {
+impl ValueSubscription {
     /// The next thing owed, waited for; without those values that the user may not read.
     pub async fn next(&self) -> Update {
         loop {
@@ -617,10 +637,12 @@
         let access = inner.datastores.access();
         let may = |path: &Path| {
             let plain = plain(path);
-            access.may(&follower.user, Operation::Read, plain.as_ref().unwrap_or(path))
+            access.is_permitted(&follower.user, Operation::Read, plain.as_ref().unwrap_or(path))
         };
         Some(match update {
-            Update::Whole(all) => Update::Whole(all.into_iter().filter(|(path, _)| may(path)).collect()),
+            Update::Snapshot(all) => {
+                Update::Snapshot(all.into_iter().filter(|(path, _)| may(path)).collect())
+            }
             Update::Changes(changes) => {
                 Update::Changes(changes.into_iter().filter(|(path, _)| may(path)).collect())
             }
--- a/crates/rockflow-management-service/src/lib.rs
+++ b/crates/rockflow-management-service/src/lib.rs
@@ -3,12 +3,14 @@
 //! encodes; it decides nothing.
 
 pub mod audit;
+pub mod authentication;
 pub mod desk;
-pub mod doorway;
 pub mod secrets;
 pub mod state;
 
-pub use desk::{Asker, Desk, Event, Opened};
-pub use doorway::{Doorway, Unproved};
-pub use rockflow_operator_config as file;
-pub use rockflow_operator_config::{Fault, GnmiPart, ManagementPart, NetconfPart, OperatorFile, TlsPart};
+pub use authentication::{UnauthenticatedConnection, UnauthenticatedConnections};
+pub use desk::{ManagementEvent, ManagementService, RestoredState, SessionHandle, SetLogLevel};
+pub use rockflow_operator_config as operator_config;
+pub use rockflow_operator_config::{
+    ConfigError, GnmiSection, ManagementSection, NetconfSection, OperatorConfig, TlsSection,
+};
--- a/crates/rockflow-management-service/src/secrets.rs
+++ b/crates/rockflow-management-service/src/secrets.rs
@@ -1,6 +1,6 @@
 //! Files that must not be read or written by others, and TLS from them.
 
-use crate::file::TlsPart;
+use crate::operator_config::TlsSection;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::server::WebPkiClientVerifier;
@@ -39,7 +39,7 @@
 }
 
 /// A server that lets in whoever has a certificate of the client authority. `protocols`: as in ALPN.
-pub fn server(part: &TlsPart, protocols: &[&[u8]]) -> Result<Arc<ServerConfig>, String> {
+pub fn server(part: &TlsSection, protocols: &[&[u8]]) -> Result<Arc<ServerConfig>, String> {
     let fault = |path: &Path, what: &dyn std::fmt::Display| format!("{}: {what}", path.display());
     let chain = |path: &Path| -> Result<Vec<CertificateDer<'static>>, String> {
         let bytes = read(path, false)?;
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -4,7 +4,7 @@
 use rockflow_dispatcher::messages::Survey;
 use rockflow_dispatcher::{Link, Phase};
 use rockflow_endpoints::{beside, merged};
-use rockflow_management::{moment, Durable, Management, Surroundings};
+use rockflow_management::{timestamp, Durable, Management, ValidationContext};
 use rockflow_yang::{Data, Fields, NodeId, Path, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -89,7 +89,7 @@
 }
 
 fn moment_of(at: Duration) -> Scalar {
-    Scalar::Text(moment::write(at))
+    Scalar::Text(timestamp::format(at))
 }
 
 fn millis(span: Duration) -> u64 {
@@ -97,9 +97,9 @@
 }
 
 /// The hosts as listed, for the checks of a commit.
-pub fn surroundings(survey: &Survey, now: Duration) -> Surroundings {
+pub fn surroundings(survey: &Survey, now: Duration) -> ValidationContext {
     let listed = survey.told.iter().map(|entry| (entry.name.clone(), entry.listed()));
-    Surroundings { hosts: beside(listed.collect(), &survey.fleet, now) }
+    ValidationContext { hosts: beside(listed.collect(), &survey.fleet, now) }
 }
 
 /// `/router/state`.
@@ -207,17 +207,17 @@
     let schema = management.schema();
     history.number("version", management.version());
     history.container("pending", |at| {
-        if let Some((who, session, due)) = management.pending() {
-            at.text("author", &*who.user);
+        if let Some((operator, session, due)) = management.pending() {
+            at.text("author", &*operator.user);
             at.maybe("session", session.map(|session| Scalar::Unsigned(session.0.into())));
             at.leaf("due", moment_of(due));
         }
     });
     history.list("commit", management.history(), |at, commit| {
         at.number("version", commit.version);
-        at.text("author", &*commit.who.user);
-        at.text("protocol", commit.who.protocol.name());
-        at.text("source", &*commit.who.source);
+        at.text("author", &*commit.operator.user);
+        at.text("protocol", commit.operator.protocol.name());
+        at.text("source", &*commit.operator.source);
         at.leaf("time", moment_of(commit.time));
         if !commit.comment.is_empty() {
             at.text("comment", &*commit.comment);
--- a/crates/rockflow-management-service/tests/audit_line.rs
+++ b/crates/rockflow-management-service/tests/audit_line.rs
@@ -16,7 +16,11 @@
     };
     Commit {
         version: 7,
-        who: Operator { user: "ana".into(), protocol: Protocol::NetconfSsh, source: "192.0.2.2:5001".into() },
+        operator: Operator {
+            user: "ana".into(),
+            protocol: Protocol::NetconfSsh,
+            source: "192.0.2.2:5001".into(),
+        },
         time: Duration::from_millis(1_780_000_000_123),
         comment: "disk swapped".into(),
         changes: (0..changes).map(change).collect(),
--- a/crates/rockflow-management/src/access.rs
+++ b/crates/rockflow-management/src/access.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether the user may do that to the node, or read it.
-    pub fn may(&self, user: &str, operation: Operation, path: &Path) -> bool {
+    pub fn is_permitted(&self, user: &str, operation: Operation, path: &Path) -> bool {
         if self.owns(user) {
             return true;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Whether the user may make the call.
-    pub fn may_call(&self, user: &str, call: &str) -> bool {
+    pub fn is_call_permitted(&self, user: &str, call: &str) -> bool {
         if self.owns(user) {
             return true;
         }
@@ -179,7 +179,7 @@
         if self.owns(user) {
             return fields.clone();
         }
-        data::prune(schema, fields, &Path::default(), &|path| self.may(user, Operation::Read, path))
+        data::prune(schema, fields, &Path::default(), &|path| self.is_permitted(user, Operation::Read, path))
     }
 }
 
--- a/crates/rockflow-management/src/lib.rs
+++ b/crates/rockflow-management/src/lib.rs
@@ -6,16 +6,19 @@
 //! rules compiled; `Subscription` says what a follower is owed and when.
 
 pub mod access;
-pub mod fault;
+pub mod error;
 pub mod machine;
 pub mod marks;
-pub mod moment;
 pub mod record;
 pub mod subscription;
+pub mod timestamp;
 pub mod words;
 
 pub use access::{Access, Operation};
-pub use fault::{Fault, Tag};
-pub use machine::{Confirm, Datastore, Durable, ErrorOption, Management, Memory, Notice, Surroundings};
-pub use subscription::{Changed, Subscription, Trigger, Update};
+pub use error::{ErrorTag, ManagementError};
+pub use machine::{
+    CommitOptions, Datastore, Durable, ErrorOption, Management, Memory, Notification, ValidationContext,
+    DEFAULT_CONFIRM_TIMEOUT,
+};
+pub use subscription::{ChangedValue, Subscription, Trigger, Update};
 pub use words::{Commit, Operator, Origin, Protocol, SessionId};
--- a/crates/rockflow-management/src/machine.rs
+++ b/crates/rockflow-management/src/machine.rs
@@ -6,7 +6,7 @@
 //! of who was first. A commit is durable before it is in force, and in force before it is acknowledged.
 
 use crate::access::{Access, Operation};
-use crate::fault::{Fault, Tag};
+use crate::error::{ErrorTag, ManagementError};
 use crate::marks::marks;
 use crate::record::{Record, Trial};
 use crate::words::{Commit, Operator, Origin, SessionId};
@@ -72,9 +72,9 @@
 
 /// How a commit is to be made.
 #[derive(Clone, Debug, Default)]
-pub struct Confirm {
+pub struct CommitOptions {
     /// Undone after so long unless confirmed; none: for good.
-    pub within: Option<Duration>,
+    pub confirm_timeout: Option<Duration>,
     /// The name by which another session may confirm it; it then outlives its own.
     pub persist: Option<String>,
     /// The name of the pending commit that this one confirms or extends.
@@ -99,7 +99,7 @@
 }
 
 struct Session {
-    who: Operator,
+    operator: Operator,
     since: Duration,
     heard: Duration,
     /// It follows something, and may be silent for it.
@@ -114,27 +114,27 @@
 
 /// What else a change is checked against: the hosts as they are listed.
 #[derive(Clone, Debug, Default)]
-pub struct Surroundings {
+pub struct ValidationContext {
     pub hosts: BTreeMap<String, Listed>,
 }
 
 /// What others are told of.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice {
+pub enum Notification {
     Committed(Commit),
-    SessionBegan {
+    SessionStarted {
         session: SessionId,
-        who: Operator,
+        operator: Operator,
     },
     SessionEnded {
         session: SessionId,
-        who: Operator,
+        operator: Operator,
         reason: &'static str,
     },
     /// A confirmed commit began, was extended, confirmed, cancelled or timed out (RFC 6470).
-    Confirming {
+    ConfirmedCommit {
         event: &'static str,
-        who: Operator,
+        operator: Operator,
     },
 }
 
@@ -148,7 +148,7 @@
 const MAX_PERSIST: usize = 256;
 const MAX_COMMENT: usize = 1024;
 /// RFC 6241, section 8.4.5.1; the most is a day.
-pub const CONFIRM_WITHIN: Duration = Duration::from_secs(600);
+pub const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
 const MAX_CONFIRM: Duration = Duration::from_secs(86_400);
 
 pub struct Management<S> {
@@ -168,7 +168,7 @@
     partial: BTreeMap<u32, Partial>,
     next_partial: u32,
     pending: Option<Pending>,
-    notices: VecDeque<Notice>,
+    notices: VecDeque<Notification>,
     /// With a startup of its own, a restart begins with that; else with the last commit in force.
     separate_startup: bool,
 }
@@ -196,8 +196,8 @@
             complaints.push(comment.clone());
             record.used += 1;
             record.version = record.used;
-            let (version, who) = (record.version, Operator::system());
-            record.history.push_back(Commit { version, who, time: now, comment, changes: Vec::new() });
+            let (version, operator) = (record.version, Operator::system());
+            record.history.push_back(Commit { version, operator, time: now, comment, changes: Vec::new() });
         }
         if separate_startup && record.startup != record.running {
             // The history tells of what was committed; a start that goes back ends it.
@@ -259,7 +259,7 @@
         marks(&self.schema, &self.running)
     }
 
-    pub fn separate_startup(&self) -> bool {
+    pub fn has_separate_startup(&self) -> bool {
         self.separate_startup
     }
 
@@ -276,11 +276,11 @@
         }
     }
 
-    pub fn take_notices(&mut self) -> Vec<Notice> {
+    pub fn take_notices(&mut self) -> Vec<Notification> {
         self.notices.drain(..).collect()
     }
 
-    fn tell(&mut self, notice: Notice) {
+    fn tell(&mut self, notice: Notification) {
         if self.notices.len() >= MAX_NOTICES {
             self.notices.pop_front();
         }
@@ -296,15 +296,19 @@
         told.or(default).unwrap_or(1)
     }
 
-    pub fn open(&mut self, now: Duration, who: Operator) -> Result<SessionId, Fault> {
+    pub fn open(&mut self, now: Duration, operator: Operator) -> Result<SessionId, ManagementError> {
         let most = self.number("most-sessions") as usize;
         if self.sessions.len() >= most {
-            return Err(Fault::new(Tag::ResourceDenied, format!("all {most} sessions are in use")));
+            return Err(ManagementError::new(
+                ErrorTag::ResourceDenied,
+                format!("all {most} sessions are in use"),
+            ));
         }
         let id = SessionId(self.next_session);
         self.next_session += 1;
-        self.tell(Notice::SessionBegan { session: id, who: who.clone() });
-        self.sessions.insert(id, Session { who, since: now, heard: now, follows: false, candidate: None });
+        self.tell(Notification::SessionStarted { session: id, operator: operator.clone() });
+        self.sessions
+            .insert(id, Session { operator, since: now, heard: now, follows: false, candidate: None });
         Ok(id)
     }
 
@@ -327,7 +331,7 @@
     }
 
     pub fn sessions(&self) -> impl Iterator<Item = (SessionId, &Operator, Duration)> {
-        self.sessions.iter().map(|(id, session)| (*id, &session.who, session.since))
+        self.sessions.iter().map(|(id, session)| (*id, &session.operator, session.since))
     }
 
     pub fn locks(&self) -> impl Iterator<Item = (Datastore, SessionId, Duration)> + '_ {
@@ -342,44 +346,52 @@
         if self.pending.as_ref().is_some_and(|pending| pending.session == Some(id)) {
             self.undo(now, "cancel");
         }
-        self.tell(Notice::SessionEnded { session: id, who: session.who, reason });
+        self.tell(Notification::SessionEnded { session: id, operator: session.operator, reason });
     }
 
-    pub fn kill(&mut self, now: Duration, id: SessionId, victim: SessionId) -> Result<(), Fault> {
-        self.may_call(id, "kill-session")?;
+    pub fn kill(&mut self, now: Duration, id: SessionId, victim: SessionId) -> Result<(), ManagementError> {
+        self.authorize_call(id, "kill-session")?;
         if id == victim {
-            return Err(Fault::new(Tag::InvalidValue, "a session ends itself with close-session"));
+            return Err(ManagementError::new(
+                ErrorTag::InvalidValue,
+                "a session ends itself with close-session",
+            ));
         }
         if !self.sessions.contains_key(&victim) {
-            return Err(Fault::new(Tag::InvalidValue, format!("there is no session {}", victim.0)));
+            return Err(ManagementError::new(
+                ErrorTag::InvalidValue,
+                format!("there is no session {}", victim.0),
+            ));
         }
         self.close(now, victim, "killed");
         Ok(())
     }
 
-    fn session(&self, id: SessionId) -> Result<&Session, Fault> {
-        self.sessions.get(&id).ok_or_else(|| Fault::new(Tag::OperationFailed, "the session has ended"))
+    fn session(&self, id: SessionId) -> Result<&Session, ManagementError> {
+        self.sessions
+            .get(&id)
+            .ok_or_else(|| ManagementError::new(ErrorTag::OperationFailed, "the session has ended"))
     }
 
-    pub fn who(&self, id: SessionId) -> Result<&Operator, Fault> {
-        self.session(id).map(|session| &session.who)
+    pub fn operator(&self, id: SessionId) -> Result<&Operator, ManagementError> {
+        self.session(id).map(|session| &session.operator)
     }
 
-    pub fn may_call(&self, id: SessionId, call: &str) -> Result<(), Fault> {
-        let user = &self.session(id)?.who.user;
-        if self.access.may_call(user, call) {
+    pub fn authorize_call(&self, id: SessionId, call: &str) -> Result<(), ManagementError> {
+        let user = &self.session(id)?.operator.user;
+        if self.access.is_call_permitted(user, call) {
             return Ok(());
         }
-        Err(Fault::new(Tag::AccessDenied, format!("{user} may not call {call}")))
+        Err(ManagementError::new(ErrorTag::AccessDenied, format!("{user} may not call {call}")))
     }
 
     // Locks.
 
-    pub fn lock(&mut self, now: Duration, id: SessionId, which: Datastore) -> Result<(), Fault> {
-        self.may_call(id, "lock")?;
+    pub fn lock(&mut self, now: Duration, id: SessionId, which: Datastore) -> Result<(), ManagementError> {
+        self.authorize_call(id, "lock")?;
         let denied = |holder: SessionId, what: &str| {
             let message = format!("{what} by session {}", holder.0);
-            Err(Fault::new(Tag::LockDenied, message).held_by(holder))
+            Err(ManagementError::new(ErrorTag::LockDenied, message).with_holder(holder))
         };
         if let Some((holder, _)) = self.locks.get(&which) {
             return denied(*holder, "locked");
@@ -396,50 +408,63 @@
         Ok(())
     }
 
-    pub fn unlock(&mut self, id: SessionId, which: Datastore) -> Result<(), Fault> {
-        self.may_call(id, "unlock")?;
+    pub fn unlock(&mut self, id: SessionId, which: Datastore) -> Result<(), ManagementError> {
+        self.authorize_call(id, "unlock")?;
         match self.locks.get(&which) {
             Some((holder, _)) if *holder == id => {
                 self.locks.remove(&which);
                 if which == Datastore::Candidate {
-                    self.discard(id)?;
+                    self.discard_changes(id)?;
                 }
                 Ok(())
             }
             Some((holder, _)) => {
                 let message = format!("{} is locked by session {}", which.name(), holder.0);
-                Err(Fault::new(Tag::OperationFailed, message).held_by(*holder))
+                Err(ManagementError::new(ErrorTag::OperationFailed, message).with_holder(*holder))
             }
-            None => Err(Fault::new(Tag::OperationFailed, format!("{} is not locked", which.name()))),
+            None => Err(ManagementError::new(
+                ErrorTag::OperationFailed,
+                format!("{} is not locked", which.name()),
+            )),
         }
     }
 
     /// Locks what the patterns name in running now (RFC 5717), and returns the lock's number and what it holds.
-    pub fn partial_lock(&mut self, id: SessionId, select: &[Pattern]) -> Result<(u32, Vec<Path>), Fault> {
-        self.may_call(id, "partial-lock")?;
-        let user = self.session(id)?.who.user.clone();
+    pub fn partial_lock(
+        &mut self,
+        id: SessionId,
+        select: &[Pattern],
+    ) -> Result<(u32, Vec<Path>), ManagementError> {
+        self.authorize_call(id, "partial-lock")?;
+        let user = self.session(id)?.operator.user.clone();
         let mut held: Vec<Path> = Vec::new();
         for pattern in select {
             let found = data::instances(&self.running, pattern, MAX_LOCKED);
-            let found = found.ok_or_else(|| Fault::new(Tag::TooBig, "too much to lock in part"))?;
+            let found =
+                found.ok_or_else(|| ManagementError::new(ErrorTag::TooBig, "too much to lock in part"))?;
             held.extend(found.into_iter().map(|(path, _)| path));
         }
         if held.is_empty() {
-            return Err(Fault::new(Tag::OperationFailed, "nothing there to lock").app("no-matches"));
+            return Err(ManagementError::new(ErrorTag::OperationFailed, "nothing there to lock")
+                .with_app_tag("no-matches"));
         }
-        if let Some(path) = held.iter().find(|path| !self.access.may(&user, Operation::Update, path)) {
-            return Err(Fault::new(Tag::AccessDenied, "may not be changed, so not locked").at(path));
+        if let Some(path) = held.iter().find(|path| !self.access.is_permitted(&user, Operation::Update, path))
+        {
+            return Err(ManagementError::new(ErrorTag::AccessDenied, "may not be changed, so not locked")
+                .with_path(path));
         }
         let denied = |holder: SessionId| {
-            Err(Fault::new(Tag::LockDenied, format!("locked by session {}", holder.0)).held_by(holder))
+            Err(ManagementError::new(ErrorTag::LockDenied, format!("locked by session {}", holder.0))
+                .with_holder(holder))
         };
         if let Some((holder, _)) = self.locks.get(&Datastore::Running).filter(|(holder, _)| *holder != id) {
             return denied(*holder);
         }
         if let Some(pending) = self.pending.as_ref().filter(|pending| pending.session != Some(id)) {
             let holder = pending.session.unwrap_or(SessionId(0));
-            let fault = Fault::new(Tag::LockDenied, "a confirmed commit is pending").held_by(holder);
-            return Err(fault.app("outstanding-confirmed-commit"));
+            let fault = ManagementError::new(ErrorTag::LockDenied, "a confirmed commit is pending")
+                .with_holder(holder);
+            return Err(fault.with_app_tag("outstanding-confirmed-commit"));
         }
         let overlaps = |other: &Partial| {
             other.held.iter().any(|held_there| held.iter().any(|mine| overlap(mine, held_there)))
@@ -448,7 +473,7 @@
             return denied(other.session);
         }
         if self.partial.len() >= MAX_PARTIAL_LOCKS {
-            return Err(Fault::new(Tag::ResourceDenied, "too many partial locks"));
+            return Err(ManagementError::new(ErrorTag::ResourceDenied, "too many partial locks"));
         }
         let lock = self.next_partial;
         self.next_partial += 1;
@@ -456,19 +481,23 @@
         Ok((lock, held))
     }
 
-    pub fn partial_unlock(&mut self, id: SessionId, lock: u32) -> Result<(), Fault> {
-        self.may_call(id, "partial-unlock")?;
+    pub fn partial_unlock(&mut self, id: SessionId, lock: u32) -> Result<(), ManagementError> {
+        self.authorize_call(id, "partial-unlock")?;
         if self.partial.get(&lock).is_none_or(|partial| partial.session != id) {
-            return Err(Fault::new(Tag::InvalidValue, format!("no partial lock {lock} of this session")));
+            return Err(ManagementError::new(
+                ErrorTag::InvalidValue,
+                format!("no partial lock {lock} of this session"),
+            ));
         }
         self.partial.remove(&lock);
         Ok(())
     }
 
     /// Whether another's lock stands in the way of these changes to running.
-    fn unlocked(&self, id: SessionId, changes: &[Change]) -> Result<(), Fault> {
+    fn unlocked(&self, id: SessionId, changes: &[Change]) -> Result<(), ManagementError> {
         let in_use = |holder: SessionId, what: &str| {
-            Err(Fault::new(Tag::InUse, format!("{what} by session {}", holder.0)).held_by(holder))
+            Err(ManagementError::new(ErrorTag::InUse, format!("{what} by session {}", holder.0))
+                .with_holder(holder))
         };
         if let Some((holder, _)) = self.locks.get(&Datastore::Running).filter(|(holder, _)| *holder != id) {
             return in_use(*holder, "running is locked");
@@ -477,7 +506,7 @@
             let hit = |held: &Path| changes.iter().any(|change| overlap(held, &change.path));
             if let Some(held) = partial.held.iter().find(|held| hit(held)) {
                 let what = format!("{} is locked", held.text(&self.schema));
-                return in_use(partial.session, &what).map_err(|fault| fault.at(held));
+                return in_use(partial.session, &what).map_err(|fault| fault.with_path(held));
             }
         }
         Ok(())
@@ -485,11 +514,11 @@
 
     // Editing.
 
-    fn candidate_free(&self, id: SessionId) -> Result<(), Fault> {
+    fn candidate_free(&self, id: SessionId) -> Result<(), ManagementError> {
         match self.locks.get(&Datastore::Candidate) {
             Some((holder, _)) if *holder != id => {
                 let message = format!("candidate is locked by session {}", holder.0);
-                Err(Fault::new(Tag::InUse, message).held_by(*holder))
+                Err(ManagementError::new(ErrorTag::InUse, message).with_holder(*holder))
             }
             _ => Ok(()),
         }
@@ -497,21 +526,24 @@
 
     /// Edits the session's candidate, or startup where that is kept apart. `test_only`: nothing is kept.
     /// Faults of a `Continue` come together; the edits beside them hold.
-    pub fn edit(
+    pub fn edit_config(
         &mut self,
         id: SessionId,
         which: Datastore,
         edits: &[Edit],
         option: ErrorOption,
         test_only: bool,
-    ) -> Result<(), Vec<Fault>> {
-        let ready = self.may_call(id, "edit-config").and_then(|()| match which {
+    ) -> Result<(), Vec<ManagementError>> {
+        let ready = self.authorize_call(id, "edit-config").and_then(|()| match which {
             Datastore::Candidate => self.candidate_free(id),
             Datastore::Startup if self.separate_startup => Ok(()),
-            _ => Err(Fault::new(Tag::OperationNotSupported, "only the candidate is edited, then committed")),
+            _ => Err(ManagementError::new(
+                ErrorTag::OperationNotSupported,
+                "only the candidate is edited, then committed",
+            )),
         });
         ready.map_err(|fault| vec![fault])?;
-        let user = self.session(id).map_err(|fault| vec![fault])?.who.user.clone();
+        let user = self.session(id).map_err(|fault| vec![fault])?.operator.user.clone();
         let before = self.datastore(id, which).clone();
         let (mut after, mut faults) = (before.clone(), Vec::new());
         for edit in edits {
@@ -524,7 +556,7 @@
         }
         if data::count(&after) > MAX_VALUES {
             let message = format!("more than {MAX_VALUES} values");
-            return Err(vec![Fault::new(Tag::ResourceDenied, message)]);
+            return Err(vec![ManagementError::new(ErrorTag::ResourceDenied, message)]);
         }
         let keep = !test_only && (faults.is_empty() || option != ErrorOption::Rollback);
         if keep && after != before {
@@ -533,7 +565,7 @@
                     let old = std::mem::replace(&mut self.startup, after);
                     if let Err(what) = self.save() {
                         self.startup = old;
-                        return Err(vec![Fault::new(Tag::OperationFailed, what)]);
+                        return Err(vec![ManagementError::new(ErrorTag::OperationFailed, what)]);
                     }
                 }
                 _ => self.put_candidate(id, after),
@@ -546,7 +578,7 @@
         }
     }
 
-    fn allowed_edit(&self, user: &str, fields: &mut Fields, edit: &Edit) -> Result<(), Fault> {
+    fn allowed_edit(&self, user: &str, fields: &mut Fields, edit: &Edit) -> Result<(), ManagementError> {
         let mut after = fields.clone();
         data::apply(&self.schema, &mut after, edit)?;
         self.allowed(user, &data::differences(fields, &after))?;
@@ -555,16 +587,16 @@
     }
 
     /// RFC 8341, section 3.4.5: each node by what is done to it.
-    fn allowed(&self, user: &str, changes: &[Change]) -> Result<(), Fault> {
+    fn allowed(&self, user: &str, changes: &[Change]) -> Result<(), ManagementError> {
         for change in changes {
             let operation = match (&change.before, &change.after) {
                 (None, _) => Operation::Create,
                 (_, None) => Operation::Delete,
                 _ => Operation::Update,
             };
-            if !self.access.may(user, operation, &change.path) {
+            if !self.access.is_permitted(user, operation, &change.path) {
                 let message = format!("{user} may not {operation:?} this").to_lowercase();
-                return Err(Fault::new(Tag::AccessDenied, message).at(&change.path));
+                return Err(ManagementError::new(ErrorTag::AccessDenied, message).with_path(&change.path));
             }
         }
         Ok(())
@@ -578,8 +610,8 @@
         }
     }
 
-    pub fn discard(&mut self, id: SessionId) -> Result<(), Fault> {
-        self.may_call(id, "discard-changes")?;
+    pub fn discard_changes(&mut self, id: SessionId) -> Result<(), ManagementError> {
+        self.authorize_call(id, "discard-changes")?;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.candidate = None;
         }
@@ -587,58 +619,74 @@
     }
 
     /// Copies one whole configuration over another (RFC 6241, section 7.3); `from` none: the tree given.
-    pub fn copy(
+    pub fn copy_config(
         &mut self,
         id: SessionId,
         from: Result<Datastore, Fields>,
         to: Datastore,
-    ) -> Result<(), Fault> {
-        self.may_call(id, "copy-config")?;
+    ) -> Result<(), ManagementError> {
+        self.authorize_call(id, "copy-config")?;
         let fields = match from {
-            Ok(which) if which == to => return Err(Fault::new(Tag::InvalidValue, "copied onto itself")),
+            Ok(which) if which == to => {
+                return Err(ManagementError::new(ErrorTag::InvalidValue, "copied onto itself"))
+            }
             Ok(which) => self.datastore(id, which).clone(),
             Err(fields) => fields,
         };
         let value = Some(Data::Container(fields));
         let edit = Edit { path: Path::default(), op: Op::Replace, value };
         match to {
-            Datastore::Running => {
-                Err(Fault::new(Tag::OperationNotSupported, "running is changed by commits alone"))
-            }
+            Datastore::Running => Err(ManagementError::new(
+                ErrorTag::OperationNotSupported,
+                "running is changed by commits alone",
+            )),
             Datastore::Startup if !self.separate_startup => {
-                Err(Fault::new(Tag::OperationNotSupported, "startup follows each commit"))
+                Err(ManagementError::new(ErrorTag::OperationNotSupported, "startup follows each commit"))
             }
             Datastore::Startup => {
                 if let Some((holder, _)) = self.locks.get(&to).filter(|(holder, _)| *holder != id) {
-                    return Err(Fault::new(Tag::InUse, "startup is locked").held_by(*holder));
+                    return Err(
+                        ManagementError::new(ErrorTag::InUse, "startup is locked").with_holder(*holder)
+                    );
                 }
-                self.edit(id, to, &[edit], ErrorOption::Rollback, false).map_err(first)
+                self.edit_config(id, to, &[edit], ErrorOption::Rollback, false).map_err(first)
+            }
+            Datastore::Candidate => {
+                self.edit_config(id, to, &[edit], ErrorOption::Rollback, false).map_err(first)
             }
-            Datastore::Candidate => self.edit(id, to, &[edit], ErrorOption::Rollback, false).map_err(first),
         }
     }
 
     /// Empties startup; only where it is kept apart.
-    pub fn delete_startup(&mut self, id: SessionId) -> Result<(), Fault> {
-        self.may_call(id, "delete-config")?;
+    pub fn delete_startup(&mut self, id: SessionId) -> Result<(), ManagementError> {
+        self.authorize_call(id, "delete-config")?;
         let edit = Edit { path: Path::default(), op: Op::Remove, value: None };
-        self.edit(id, Datastore::Startup, &[edit], ErrorOption::Rollback, false).map_err(first)
+        self.edit_config(id, Datastore::Startup, &[edit], ErrorOption::Rollback, false).map_err(first)
     }
 
     // Validating and committing.
 
     /// What the model, the rules' own form and the list of hosts demand of a configuration.
-    fn valid(&self, now: Duration, after: &Fields, around: &Surroundings) -> Result<(), Fault> {
-        data::check(&self.schema, after, &Path::default()).map_err(|fault: EditFault| Fault::from(fault))?;
+    fn valid(
+        &self,
+        now: Duration,
+        after: &Fields,
+        around: &ValidationContext,
+    ) -> Result<(), ManagementError> {
+        data::check(&self.schema, after, &Path::default())
+            .map_err(|fault: EditFault| ManagementError::from(fault))?;
         if data::count(after) > MAX_VALUES {
-            return Err(Fault::new(Tag::ResourceDenied, format!("more than {MAX_VALUES} values")));
+            return Err(ManagementError::new(
+                ErrorTag::ResourceDenied,
+                format!("more than {MAX_VALUES} values"),
+            ));
         }
         Access::of(&self.schema, after, self.owner.clone())
-            .map_err(|what| Fault::new(Tag::InvalidValue, what))?;
+            .map_err(|what| ManagementError::new(ErrorTag::InvalidValue, what))?;
         let (old, new) = (self.marks(), marks(&self.schema, after));
         if let Some(what) = none_left(&around.hosts, &old, &new, now) {
             let message = format!("{what}; with force it is done all the same");
-            return Err(Fault::new(Tag::OperationFailed, message).app("none-left"));
+            return Err(ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("none-left"));
         }
         Ok(())
     }
@@ -648,9 +696,9 @@
         now: Duration,
         id: SessionId,
         which: Result<Datastore, &Fields>,
-        around: &Surroundings,
-    ) -> Result<(), Fault> {
-        self.may_call(id, "validate")?;
+        around: &ValidationContext,
+    ) -> Result<(), ManagementError> {
+        self.authorize_call(id, "validate")?;
         match which {
             Ok(Datastore::Candidate) => self.valid(now, &self.rebased(id)?, around),
             Ok(which) => self.valid(now, self.datastore(id, which), around),
@@ -659,7 +707,7 @@
     }
 
     /// The candidate laid over what has become of running since it was begun.
-    fn rebased(&self, id: SessionId) -> Result<Fields, Fault> {
+    fn rebased(&self, id: SessionId) -> Result<Fields, ManagementError> {
         let Some(candidate) = &self.session(id)?.candidate else {
             return Ok((*self.running).clone());
         };
@@ -675,10 +723,12 @@
             };
             let first = self.history.iter().rev().find(touches);
             let by = first.map_or("meanwhile".to_string(), |commit| {
-                format!("by {} in commit {}", commit.who.user, commit.version)
+                format!("by {} in commit {}", commit.operator.user, commit.version)
             });
             let message = format!("{} was changed {by}; discard and begin anew", path.text(&self.schema));
-            return Err(Fault::new(Tag::OperationFailed, message).app("conflict").at(path));
+            return Err(ManagementError::new(ErrorTag::OperationFailed, message)
+                .with_app_tag("conflict")
+                .with_path(path));
         }
         let mut merged = (*self.running).clone();
         data::replay(&self.schema, &mut merged, &mine);
@@ -686,24 +736,26 @@
     }
 
     /// Guards against a call that would confirm a pending commit by the way.
-    fn none_pending(&self) -> Result<(), Fault> {
+    fn none_pending(&self) -> Result<(), ManagementError> {
         match &self.pending {
             None => Ok(()),
-            Some(pending) => Err(waits(pending, Tag::InUse)),
+            Some(pending) => Err(waits(pending, ErrorTag::InUse)),
         }
     }
 
     /// Whether the session may commit while a confirmed commit is pending (RFC 6241, section 8.4).
-    fn entitled(&self, id: SessionId, persist_id: Option<&str>) -> Result<(), Fault> {
+    fn entitled(&self, id: SessionId, persist_id: Option<&str>) -> Result<(), ManagementError> {
         match (&self.pending, persist_id) {
             (None, None) => Ok(()),
-            (None, Some(_)) => Err(Fault::new(Tag::InvalidValue, "no confirmed commit is pending")),
+            (None, Some(_)) => {
+                Err(ManagementError::new(ErrorTag::InvalidValue, "no confirmed commit is pending"))
+            }
             (Some(pending), given) => {
                 let own = pending.persist.is_none() && pending.session == Some(id) && given.is_none();
                 if own || pending.persist.as_deref().is_some_and(|name| Some(name) == given) {
                     return Ok(());
                 }
-                Err(waits(pending, if given.is_some() { Tag::InvalidValue } else { Tag::InUse }))
+                Err(waits(pending, if given.is_some() { ErrorTag::InvalidValue } else { ErrorTag::InUse }))
             }
         }
     }
@@ -714,15 +766,15 @@
         &mut self,
         now: Duration,
         id: SessionId,
-        confirm: &Confirm,
+        confirm: &CommitOptions,
         comment: &str,
-        around: &Surroundings,
-    ) -> Result<u64, Fault> {
-        self.may_call(id, "commit")?;
+        around: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, "commit")?;
         self.entitled(id, confirm.persist_id.as_deref())?;
         self.candidate_free(id)?;
         if confirm.persist.as_ref().is_some_and(|name| name.len() > MAX_PERSIST) {
-            return Err(Fault::new(Tag::TooBig, "the persist id is too long"));
+            return Err(ManagementError::new(ErrorTag::TooBig, "the persist id is too long"));
         }
         let after = self.rebased(id)?;
         let version = self.change(now, id, after, confirm, comment, around, true)?;
@@ -741,25 +793,25 @@
         edits: &[Edit],
         expected: Option<u64>,
         comment: &str,
-        around: &Surroundings,
-    ) -> Result<u64, Fault> {
-        self.may_call(id, "set")?;
+        around: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, "set")?;
         self.none_pending()?;
         self.expect(expected)?;
         let mut after = (*self.running).clone();
         for edit in edits {
             data::apply(&self.schema, &mut after, edit)?;
         }
-        self.change(now, id, after, &Confirm::default(), comment, around, true)
+        self.change(now, id, after, &CommitOptions::default(), comment, around, true)
     }
 
-    fn expect(&self, expected: Option<u64>) -> Result<(), Fault> {
+    fn expect(&self, expected: Option<u64>) -> Result<(), ManagementError> {
         if expected.is_none_or(|expected| expected == self.version) {
             return Ok(());
         }
-        let last = self.history.back().map_or("-", |commit| &commit.who.user);
+        let last = self.history.back().map_or("-", |commit| &commit.operator.user);
         let message = format!("commit {} of {last} is in force", self.version);
-        Err(Fault::new(Tag::OperationFailed, message).app("conflict"))
+        Err(ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("conflict"))
     }
 
     /// Marks a host, or takes its mark away, in a commit of its own; who may make the call may do that.
@@ -770,29 +822,33 @@
         call: &str,
         host: &str,
         leaves: &[(&str, Scalar)],
-        around: &Surroundings,
-    ) -> Result<u64, Fault> {
-        self.may_call(id, call)?;
+        around: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, call)?;
         self.none_pending()?;
         let text = format!("/rockflow-router:router/marks/mark[host=\"{host}\"]");
-        let path = Path::read(&self.schema, &text).map_err(|what| Fault::new(Tag::InvalidValue, what))?;
+        let path = Path::read(&self.schema, &text)
+            .map_err(|what| ManagementError::new(ErrorTag::InvalidValue, what))?;
         let mut after = (*self.running).clone();
         if leaves.is_empty() {
             let edit = Edit { path: path.clone(), op: Op::Delete, value: None };
-            data::apply(&self.schema, &mut after, &edit)
-                .map_err(|_| Fault::new(Tag::DataMissing, format!("{host} has no mark")).at(&path))?;
+            data::apply(&self.schema, &mut after, &edit).map_err(|_| {
+                ManagementError::new(ErrorTag::DataMissing, format!("{host} has no mark")).with_path(&path)
+            })?;
         } else {
             let mut fields = Fields::new();
             for (name, value) in leaves {
                 let node = path.node().and_then(|list| self.schema.child(Some(list), None, name));
-                let node = node.ok_or_else(|| Fault::new(Tag::OperationFailed, format!("no leaf {name}")))?;
+                let node = node.ok_or_else(|| {
+                    ManagementError::new(ErrorTag::OperationFailed, format!("no leaf {name}"))
+                })?;
                 fields.insert(node, Data::Leaf(value.clone()));
             }
             let edit = Edit { path, op: Op::Replace, value: Some(Data::Container(fields)) };
             data::apply(&self.schema, &mut after, &edit)?;
         }
         let comment = format!("{call} {host}");
-        self.change(now, id, after, &Confirm::default(), &comment, around, false)
+        self.change(now, id, after, &CommitOptions::default(), &comment, around, false)
     }
 
     /// The configuration as it was when that commit was in force.
@@ -816,18 +872,18 @@
         id: SessionId,
         version: u64,
         expected: Option<u64>,
-        around: &Surroundings,
-    ) -> Result<u64, Fault> {
-        self.may_call(id, "rollback")?;
+        around: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, "rollback")?;
         self.none_pending()?;
         self.expect(expected)?;
         let after = self.at_version(version).ok_or_else(|| {
             let oldest = self.history.front().map_or(self.version, |commit| commit.version);
             let message = format!("commit {version} is not held; the oldest is {oldest}");
-            Fault::new(Tag::DataMissing, message)
+            ManagementError::new(ErrorTag::DataMissing, message)
         })?;
         let comment = format!("rollback to {version}");
-        self.change(now, id, after, &Confirm::default(), &comment, around, true)
+        self.change(now, id, after, &CommitOptions::default(), &comment, around, true)
     }
 
     /// The one way by which running changes at a session's word.
@@ -837,31 +893,32 @@
         now: Duration,
         id: SessionId,
         after: Fields,
-        confirm: &Confirm,
+        confirm: &CommitOptions,
         comment: &str,
-        around: &Surroundings,
+        around: &ValidationContext,
         judged: bool,
-    ) -> Result<u64, Fault> {
-        let who = self.session(id)?.who.clone();
+    ) -> Result<u64, ManagementError> {
+        let operator = self.session(id)?.operator.clone();
         let changes = data::differences(&self.running, &after);
         self.unlocked(id, &changes)?;
         if judged {
-            self.allowed(&who.user, &changes)?;
+            self.allowed(&operator.user, &changes)?;
         }
         self.valid(now, &after, around)?;
-        if changes.is_empty() && self.pending.is_none() && confirm.within.is_none() {
+        if changes.is_empty() && self.pending.is_none() && confirm.confirm_timeout.is_none() {
             return Ok(self.version);
         }
         let comment = comment.chars().take(MAX_COMMENT).collect::<String>();
-        let commit = Commit { version: self.used + 1, who: who.clone(), time: now, comment, changes };
-        let Some(within) = confirm.within else {
+        let commit =
+            Commit { version: self.used + 1, operator: operator.clone(), time: now, comment, changes };
+        let Some(within) = confirm.confirm_timeout else {
             let confirming = self.pending.take();
             if let Err(fault) = self.install(commit, after, false) {
                 self.pending = confirming;
                 return Err(fault);
             }
             if confirming.is_some() {
-                self.tell(Notice::Confirming { event: "complete", who });
+                self.tell(Notification::ConfirmedCommit { event: "complete", operator });
             }
             return Ok(self.version);
         };
@@ -873,7 +930,7 @@
         let pending = Pending {
             session: confirm.persist.is_none().then_some(id),
             persist: confirm.persist.clone(),
-            author: who.clone(),
+            author: operator.clone(),
             version,
             before,
             before_version,
@@ -884,18 +941,18 @@
             self.pending = old;
             return Err(fault);
         }
-        self.tell(Notice::Confirming { event, who });
+        self.tell(Notification::ConfirmedCommit { event, operator });
         Ok(self.version)
     }
 
     /// Saves, then puts in force. `trial`: what is saved is what holds again unless it is confirmed.
-    fn install(&mut self, commit: Commit, after: Fields, trial: bool) -> Result<(), Fault> {
+    fn install(&mut self, commit: Commit, after: Fields, trial: bool) -> Result<(), ManagementError> {
         let old = (self.running.clone(), self.version, self.used, self.origins.clone());
         let (version, unchanged) = (commit.version, commit.changes.is_empty());
         self.used = version;
         for change in &commit.changes {
             if change.after.is_some() {
-                let origin = Origin { author: commit.who.user.clone(), version, time: commit.time };
+                let origin = Origin { author: commit.operator.user.clone(), version, time: commit.time };
                 self.origins.insert(change.path.clone(), origin);
             } else {
                 self.origins.remove(&change.path);
@@ -916,14 +973,14 @@
             // Not used again: it may have reached the disk.
             (self.running, self.version, self.origins) = (old.0, old.1, old.3);
             debug_assert!(trial || self.pending.is_none());
-            return Err(Fault::new(Tag::OperationFailed, what));
+            return Err(ManagementError::new(ErrorTag::OperationFailed, what));
         }
         self.bound_history();
         if let Ok(access) = Access::of(&self.schema, &self.running, self.owner.clone()) {
             self.access = access;
         }
         if !unchanged {
-            self.tell(Notice::Committed(commit));
+            self.tell(Notification::Committed(commit));
         }
         Ok(())
     }
@@ -967,7 +1024,8 @@
         let Some(pending) = self.pending.take() else { return };
         let changes = data::differences(&self.running, &pending.before);
         let comment = format!("commit {} of {} was not confirmed", pending.version, pending.author.user);
-        let commit = Commit { version: self.used + 1, who: Operator::system(), time: now, comment, changes };
+        let commit =
+            Commit { version: self.used + 1, operator: Operator::system(), time: now, comment, changes };
         let before = (*pending.before).clone();
         if self.install(commit.clone(), before.clone(), false).is_err() {
             // What is durable already is what holds again, so that a disk that fails must not keep it back.
@@ -979,15 +1037,20 @@
             if let Ok(access) = Access::of(&self.schema, &self.running, self.owner.clone()) {
                 self.access = access;
             }
-            self.tell(Notice::Committed(commit));
+            self.tell(Notification::Committed(commit));
         }
-        self.tell(Notice::Confirming { event, who: pending.author });
+        self.tell(Notification::ConfirmedCommit { event, operator: pending.author });
     }
 
-    pub fn cancel(&mut self, now: Duration, id: SessionId, persist_id: Option<&str>) -> Result<(), Fault> {
-        self.may_call(id, "cancel-commit")?;
+    pub fn cancel(
+        &mut self,
+        now: Duration,
+        id: SessionId,
+        persist_id: Option<&str>,
+    ) -> Result<(), ManagementError> {
+        self.authorize_call(id, "cancel-commit")?;
         if self.pending.is_none() {
-            return Err(Fault::new(Tag::OperationFailed, "no confirmed commit is pending"));
+            return Err(ManagementError::new(ErrorTag::OperationFailed, "no confirmed commit is pending"));
         }
         self.entitled(id, persist_id)?;
         self.undo(now, "cancel");
@@ -1040,14 +1103,14 @@
     }
 }
 
-fn waits(pending: &Pending, tag: Tag) -> Fault {
+fn waits(pending: &Pending, tag: ErrorTag) -> ManagementError {
     let message = format!("commit {} of {} waits for its confirmation", pending.version, pending.author.user);
-    Fault::new(tag, message).held_by(pending.session.unwrap_or(SessionId(0)))
+    ManagementError::new(tag, message).with_holder(pending.session.unwrap_or(SessionId(0)))
 }
 
-fn first(mut faults: Vec<Fault>) -> Fault {
+fn first(mut faults: Vec<ManagementError>) -> ManagementError {
     if faults.is_empty() {
-        return Fault::new(Tag::OperationFailed, "failed");
+        return ManagementError::new(ErrorTag::OperationFailed, "failed");
     }
     faults.remove(0)
 }
--- a/crates/rockflow-management/src/marks.rs
+++ b/crates/rockflow-management/src/marks.rs
@@ -14,7 +14,7 @@
     for (keys, fields) in entries(schema, running) {
         let text = |id| fields.get(&id).and_then(Data::scalar).and_then(|value| value.as_text());
         let readiness = if text(state) == Some("gone") { Readiness::Gone } else { Readiness::Draining };
-        let until = text(expires).and_then(crate::moment::read);
+        let until = text(expires).and_then(crate::timestamp::parse);
         let force = fields.get(&force).and_then(Data::scalar).and_then(|value| value.as_bool());
         if let Some(host) = keys.first().and_then(|key| key.as_text()) {
             marks.insert(host.to_string(), Mark { readiness, until, force: force.unwrap_or(false) });
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -38,8 +38,8 @@
             |change: &Change| json!([change.path.text(schema), text(&change.before), text(&change.after)]);
         let commit = |commit: &Commit| {
             json!({
-                "version": commit.version, "user": commit.who.user, "protocol": commit.who.protocol.name(),
-                "source": commit.who.source, "time": millis(commit.time), "comment": commit.comment,
+                "version": commit.version, "user": commit.operator.user, "protocol": commit.operator.protocol.name(),
+                "source": commit.operator.source, "time": millis(commit.time), "comment": commit.comment,
                 "changes": commit.changes.iter().map(change).collect::<Vec<_>>(),
             })
         };
@@ -124,7 +124,7 @@
     let changes: Option<Vec<_>> = changes.collect();
     Some(Commit {
         version: entry.get("version")?.as_u64()?,
-        who: Operator {
+        operator: Operator {
             user: text("user")?,
             protocol: Protocol::named(&text("protocol")?),
             source: text("source")?,
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -22,17 +22,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// All that is followed, as it is now.
-    Whole(BTreeMap<Path, Scalar>),
+    Snapshot(BTreeMap<Path, Scalar>),
     /// What has changed.
-    Changes(BTreeMap<Path, Changed>),
+    Changes(BTreeMap<Path, ChangedValue>),
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changed {
+pub struct ChangedValue {
     /// None: it is gone.
     pub value: Option<Scalar>,
     /// Changes that this one overtook before it was sent.
-    pub overtook: u32,
+    pub coalesced: u32,
 }
 
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     patterns: Vec<Pattern>,
     trigger: Trigger,
     /// What has changed and was not sent.
-    waiting: BTreeMap<Path, Changed>,
+    waiting: BTreeMap<Path, ChangedValue>,
     /// The whole is owed.
     whole: bool,
     /// What was sent last, where what has not changed is left out.
@@ -78,8 +78,8 @@
             return;
         }
         for change in changes.iter().filter(|change| self.patterns.iter().any(|p| p.holds(&change.path))) {
-            let overtook = self.waiting.get(&change.path).map_or(0, |old| old.overtook + 1);
-            let changed = Changed { value: change.after.clone(), overtook };
+            let coalesced = self.waiting.get(&change.path).map_or(0, |old| old.coalesced + 1);
+            let changed = ChangedValue { value: change.after.clone(), coalesced };
             self.waiting.insert(change.path.clone(), changed);
         }
         if self.waiting.len() > MAX_WAITING {
@@ -119,7 +119,7 @@
                     self.last_whole = now;
                     self.whole = false;
                     self.waiting.clear();
-                    return Some(Update::Whole(self.picture(present())));
+                    return Some(Update::Snapshot(self.picture(present())));
                 }
                 Some(Update::Changes(std::mem::take(&mut self.waiting)))
             }
@@ -135,15 +135,15 @@
                     if suppress {
                         self.sent = picture.clone();
                     }
-                    return Some(Update::Whole(picture));
+                    return Some(Update::Snapshot(picture));
                 }
                 let old = std::mem::replace(&mut self.sent, picture.clone());
                 let mut changes = BTreeMap::new();
                 for path in old.keys().filter(|path| !picture.contains_key(*path)) {
-                    changes.insert(path.clone(), Changed::default());
+                    changes.insert(path.clone(), ChangedValue::default());
                 }
                 let new = picture.into_iter().filter(|(path, value)| old.get(path) != Some(value));
-                let changed = |value| Changed { value: Some(value), overtook: 0 };
+                let changed = |value| ChangedValue { value: Some(value), coalesced: 0 };
                 changes.extend(new.map(|(path, value)| (path, changed(value))));
                 (!changes.is_empty()).then_some(Update::Changes(changes))
             }
--- a/crates/rockflow-management/src/words.rs
+++ b/crates/rockflow-management/src/words.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Commit {
     pub version: u64,
-    pub who: Operator,
+    pub operator: Operator,
     pub time: Duration,
     pub comment: String,
     pub changes: Vec<Change>,
--- a/crates/rockflow-management/tests/authorization.rs
+++ b/crates/rockflow-management/tests/authorization.rs
@@ -63,11 +63,12 @@
     for (user, rights, calls) in TABLE {
         for (text, wanted) in PATHS.into_iter().zip(rights) {
             let path = Path::read(&schema, text).unwrap();
-            let letter = |(operation, letter)| if access.may(user, operation, &path) { letter } else { '-' };
+            let letter =
+                |(operation, letter)| if access.is_permitted(user, operation, &path) { letter } else { '-' };
             let found: String = operations.map(letter).iter().collect();
             assert_eq!(found, wanted, "{user} {text}");
         }
-        let found: Vec<_> = CALLS.into_iter().filter(|call| access.may_call(user, call)).collect();
+        let found: Vec<_> = CALLS.into_iter().filter(|call| access.is_call_permitted(user, call)).collect();
         assert_eq!(found.join(" "), calls, "{user}");
     }
 }
--- a/crates/rockflow-management/tests/crashes.rs
+++ b/crates/rockflow-management/tests/crashes.rs
@@ -22,9 +22,9 @@
     machine.open(NOW, who).unwrap()
 }
 
-fn drain(machine: &mut Machine, id: SessionId, host: &str) -> Result<u64, Fault> {
+fn drain(machine: &mut Machine, id: SessionId, host: &str) -> Result<u64, ManagementError> {
     let leaves = [("state", Scalar::text("draining")), ("reason", Scalar::text("r".repeat(50)))];
-    machine.mark(NOW, id, "drain", host, &leaves, &Surroundings::default())
+    machine.mark(NOW, id, "drain", host, &leaves, &ValidationContext::default())
 }
 
 fn candidate(machine: &mut Machine, id: SessionId, schema: &Schema, host: &str) {
@@ -35,12 +35,19 @@
         op: rockflow_yang::Op::Merge,
         value: Some(rockflow_yang::Data::Container(fields)),
     };
-    machine.edit(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, false).unwrap();
+    machine.edit_config(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, false).unwrap();
 }
 
-fn commit(machine: &mut Machine, id: SessionId, within: Option<u64>) -> Result<u64, Fault> {
-    let confirm = Confirm { within: within.map(Duration::from_secs), ..Confirm::default() };
-    machine.commit(NOW, id, &confirm, "", &Surroundings::default())
+fn commit(
+    machine: &mut Machine,
+    id: SessionId,
+    confirm_timeout: Option<u64>,
+) -> Result<u64, ManagementError> {
+    let confirm = CommitOptions {
+        confirm_timeout: confirm_timeout.map(Duration::from_secs),
+        ..CommitOptions::default()
+    };
+    machine.commit(NOW, id, &confirm, "", &ValidationContext::default())
 }
 
 /// What holds, as the marks' names.
@@ -54,7 +61,7 @@
     Drain(&'static str),
     /// Acknowledged, and undone by a restart.
     Trial(&'static str),
-    Confirm,
+    CommitOptions,
     Cancel,
     Rollback(u64),
 }
@@ -63,7 +70,7 @@
     Act::Drain("c1"),
     Act::Drain("c2"),
     Act::Trial("c3"),
-    Act::Confirm,
+    Act::CommitOptions,
     Act::Trial("c4"),
     Act::Cancel,
     Act::Drain("c5"),
@@ -87,10 +94,10 @@
                     candidate(&mut machine, id, &schema, host);
                     commit(&mut machine, id, Some(60)).map(|_| ())
                 }
-                Act::Confirm => commit(&mut machine, id, None).map(|_| ()),
+                Act::CommitOptions => commit(&mut machine, id, None).map(|_| ()),
                 Act::Cancel => machine.cancel(NOW, id, None),
                 Act::Rollback(version) => {
-                    machine.rollback(NOW, id, version, None, &Surroundings::default()).map(|_| ())
+                    machine.rollback(NOW, id, version, None, &ValidationContext::default()).map(|_| ())
                 }
             };
             let trial = matches!(act, Act::Trial(_));
@@ -110,7 +117,7 @@
                             after
                         }
                         Act::Rollback(_) => vec!["c1".to_string()],
-                        Act::Confirm => marks(&machine),
+                        Act::CommitOptions => marks(&machine),
                         Act::Trial(_) | Act::Cancel => lasting.clone(),
                     };
                     break;
--- a/crates/rockflow-management/tests/followers.rs
+++ b/crates/rockflow-management/tests/followers.rs
@@ -24,7 +24,7 @@
 fn changed(update: Option<Update>) -> (usize, u32) {
     match update {
         Some(Update::Changes(changes)) => {
-            (changes.len(), changes.values().map(|changed| changed.overtook).sum())
+            (changes.len(), changes.values().map(|changed| changed.coalesced).sum())
         }
         other => panic!("{other:?}"),
     }
@@ -36,7 +36,7 @@
     let mut follower = on_change(&schema, 100, None);
     let (one, two, three) =
         (tree(&schema, &[("c1", "a")]), tree(&schema, &[("c1", "b")]), tree(&schema, &[("c1", "c")]));
-    assert!(matches!(follower.take(at(1), || one.clone()), Some(Update::Whole(all)) if all.len() == 1));
+    assert!(matches!(follower.take(at(1), || one.clone()), Some(Update::Snapshot(all)) if all.len() == 1));
     assert_eq!(follower.due(), None);
     // Two changes of the same value within the dampening are one, and it says so.
     follower.offer(&data::differences(&one, &two));
@@ -56,7 +56,7 @@
     let one = tree(&schema, &[("c1", "a")]);
     follower.take(at(0), || one.clone());
     assert_eq!(follower.due(), Some(at(1000)));
-    assert!(matches!(follower.take(at(1000), || one), Some(Update::Whole(_))));
+    assert!(matches!(follower.take(at(1000), || one), Some(Update::Snapshot(_))));
     assert_eq!(follower.due(), Some(at(2000)));
 }
 
@@ -71,7 +71,7 @@
         let marks: Vec<_> = names.iter().map(|name| (name.as_str(), "a")).collect();
         follower.offer(&data::differences(&Fields::new(), &tree(&schema, &marks)));
     }
-    assert!(matches!(follower.take(at(20), Fields::new), Some(Update::Whole(_))));
+    assert!(matches!(follower.take(at(20), Fields::new), Some(Update::Snapshot(_))));
 }
 
 #[test]
@@ -82,12 +82,12 @@
     let mut follower = Subscription::new(vec![pattern], trigger, false, at(0));
     let one = tree(&schema, &[("c1", "a"), ("c2", "b")]);
     let two = tree(&schema, &[("c1", "z")]);
-    assert!(matches!(follower.take(at(0), || one.clone()), Some(Update::Whole(_))));
+    assert!(matches!(follower.take(at(0), || one.clone()), Some(Update::Snapshot(_))));
     assert!(follower.take(at(130), || one.clone()).is_none());
     assert_eq!(follower.due(), Some(at(200)));
     // One changed; the other's two leaves are gone.
     assert_eq!(changed(follower.take(at(200), || two.clone())), (3, 0));
-    assert!(matches!(follower.take(at(300), || two.clone()), Some(Update::Whole(_))));
+    assert!(matches!(follower.take(at(300), || two.clone()), Some(Update::Snapshot(_))));
     // Long late: what was missed is not made up for.
     follower.take(at(900), || two.clone());
     assert_eq!(follower.due(), Some(at(1000)));
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -40,7 +40,7 @@
     schema: Arc<Schema>,
     machine: Machine,
     now: Duration,
-    around: Surroundings,
+    around: ValidationContext,
     sessions: BTreeMap<String, SessionId>,
     notices: Vec<String>,
 }
@@ -86,7 +86,7 @@
                 Some(("reason", reason)) => leaves.insert("reason".into(), reason.into()),
                 Some(("expires", seconds)) => {
                     let at = self.now + Duration::from_secs(seconds.parse().unwrap());
-                    leaves.insert("expires".into(), moment::write(at).into())
+                    leaves.insert("expires".into(), timestamp::format(at).into())
                 }
                 _ if *word == "force" => leaves.insert("force".into(), true.into()),
                 _ => leaves.insert("state".into(), (*word).into()),
@@ -96,7 +96,7 @@
         vec![self.edit(&["merge", &path, &leaves])]
     }
 
-    fn act(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), Fault> {
+    fn act(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), ManagementError> {
         let now = self.now;
         let option = |name: &str| words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
         let number = |name: &str| option(name).map(|word| word.parse::<u64>().unwrap());
@@ -115,7 +115,8 @@
             _ => Datastore::Candidate,
         };
         let edit = |play: &mut Play, edits: &[Edit]| {
-            let made = play.machine.edit(id, Datastore::Candidate, edits, ErrorOption::Rollback, false);
+            let made =
+                play.machine.edit_config(id, Datastore::Candidate, edits, ErrorOption::Rollback, false);
             made.map_err(|faults| faults[0].clone())
         };
         match what {
@@ -126,8 +127,8 @@
             }
             "edits" => edit(self, &[self.edit(words)]),
             "commits" => {
-                let confirm = Confirm {
-                    within: number("within").map(Duration::from_secs),
+                let confirm = CommitOptions {
+                    confirm_timeout: number("within").map(Duration::from_secs),
                     persist: option("persist").map(str::to_string),
                     persist_id: option("id").map(str::to_string),
                 };
@@ -138,7 +139,7 @@
                 self.machine.follows(id, true);
                 Ok(())
             }
-            "discards" => self.machine.discard(id),
+            "discards" => self.machine.discard_changes(id),
             "validates" => self.machine.validate(now, id, Ok(Datastore::Candidate), &self.around),
             "closes" => {
                 self.machine.close(now, id, "closed");
@@ -262,7 +263,7 @@
         machine: machine(&schema, Disk::default()),
         schema,
         now: START,
-        around: Surroundings::default(),
+        around: ValidationContext::default(),
         sessions: BTreeMap::new(),
         notices: Vec::new(),
     };
--- a/crates/rockflow-management/tests/serial.rs
+++ b/crates/rockflow-management/tests/serial.rs
@@ -194,7 +194,7 @@
     }
 
     fn play(&mut self, step: &Step) -> Result<(), TestCaseError> {
-        let around = Surroundings::default();
+        let around = ValidationContext::default();
         let now = self.now;
         for writer in &self.writers {
             self.machine.touch(now, writer.id);
@@ -203,7 +203,11 @@
             Step::Edit { who, host, reason } => {
                 let edits = [edit(&self.schema, host, reason)];
                 let id = self.writers[who as usize].id;
-                if self.machine.edit(id, Datastore::Candidate, &edits, ErrorOption::Rollback, false).is_ok() {
+                if self
+                    .machine
+                    .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, false)
+                    .is_ok()
+                {
                     self.edited(who, |mine| put(mine, host, reason));
                 }
             }
@@ -211,7 +215,11 @@
                 let path = Path::read(&self.schema, &format!("/router/marks/mark[host='h{host}']")).unwrap();
                 let edits = [Edit { path, op: Op::Remove, value: None }];
                 let id = self.writers[who as usize].id;
-                if self.machine.edit(id, Datastore::Candidate, &edits, ErrorOption::Rollback, false).is_ok() {
+                if self
+                    .machine
+                    .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, false)
+                    .is_ok()
+                {
                     self.edited(who, |mine| mine.retain(|(at, _), _| *at != host));
                 }
             }
@@ -224,8 +232,8 @@
                 };
                 let persist_id = (persist && self.trial.as_ref().is_some_and(|trial| trial.owner.is_none()))
                     .then(|| "name".to_string());
-                let confirm = Confirm {
-                    within: within.map(|seconds| Duration::from_secs(seconds.into())),
+                let confirm = CommitOptions {
+                    confirm_timeout: within.map(|seconds| Duration::from_secs(seconds.into())),
                     persist: (persist && within.is_some()).then(|| "name".to_string()),
                     persist_id,
                 };
@@ -235,7 +243,7 @@
                             return Err(TestCaseError::fail("a clash was acknowledged"));
                         };
                         self.writers[who as usize].mine = None;
-                        match confirm.within {
+                        match confirm.confirm_timeout {
                             None => self.committed(after),
                             Some(within) => {
                                 let held = self.trial.take().map(|trial| trial.before);
@@ -285,7 +293,7 @@
                 let _ = self.machine.partial_lock(self.writers[who as usize].id, &[pattern]);
             }
             Step::Discard { who } => {
-                self.machine.discard(self.writers[who as usize].id).unwrap();
+                self.machine.discard_changes(self.writers[who as usize].id).unwrap();
                 self.writers[who as usize].mine = None;
             }
             Step::Close { who } => {
@@ -365,7 +373,7 @@
         *disk = disk.clone().failing_at([]);
         for host in 0..4 {
             let (edits, id) = ([edit(&schema, host, Some(9))], world.writers[0].id);
-            let set = world.machine.set(world.now, id, &edits, None, "", &Surroundings::default());
+            let set = world.machine.set(world.now, id, &edits, None, "", &ValidationContext::default());
             prop_assert!(set.is_ok(), "a lock is stuck: {:?}", set);
         }
         steps.set(steps.get() + all.len());
--- a/crates/rockflow-management/tests/stored_snapshot.rs
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -53,22 +53,22 @@
     let (store, _, _) = Store::open(Disk::default(), "config", record::VERSION, record::MOST).unwrap();
     let (mut datastores, _) =
         Management::new(START, schema.clone(), store, None, Some("root".into()), true).unwrap();
-    let around = Surroundings::default();
+    let around = ValidationContext::default();
     let root = datastores.open(START, operator("root", Protocol::NetconfTls, "192.0.2.1:5000")).unwrap();
     let ana = datastores.open(START, operator("ana", Protocol::NetconfSsh, "192.0.2.2:5001")).unwrap();
     let bert = datastores.open(START, operator("bert", Protocol::Gnmi, "[2001:db8::3]:5002")).unwrap();
-    let plain = Confirm::default();
+    let plain = CommitOptions::default();
 
     let rules = [merge(schema, &access_rules())];
-    datastores.edit(root, Datastore::Candidate, &rules, ErrorOption::Rollback, false).unwrap();
+    datastores.edit_config(root, Datastore::Candidate, &rules, ErrorOption::Rollback, false).unwrap();
     datastores.commit(seconds_after_start(1), root, &plain, "access for operators", &around).unwrap();
     let startup = [mark_edit(schema, "c0", &json!({"state": "gone", "reason": "not \"built\" yet"}))];
-    datastores.edit(root, Datastore::Startup, &startup, ErrorOption::Rollback, false).unwrap();
+    datastores.edit_config(root, Datastore::Startup, &startup, ErrorOption::Rollback, false).unwrap();
     let marks = [
         mark_edit(schema, "c1", &json!({"state": "draining", "reason": "disk \u{e4}", "force": true})),
         mark_edit(schema, "c2", &json!({"expires": "2026-06-01T00:00:00Z"})),
     ];
-    datastores.edit(ana, Datastore::Candidate, &marks, ErrorOption::Rollback, false).unwrap();
+    datastores.edit_config(ana, Datastore::Candidate, &marks, ErrorOption::Rollback, false).unwrap();
     datastores.commit(seconds_after_start(2), ana, &plain, "two hosts", &around).unwrap();
     let set = [mark_edit(schema, "c1", &json!({"reason": "disk swapped"}))];
     datastores.set(seconds_after_start(3), bert, &set, None, "", &around).unwrap();
@@ -76,16 +76,20 @@
     datastores.mark(seconds_after_start(4), root, "drain", "c3", &gone, &around).unwrap();
     datastores.mark(seconds_after_start(5), root, "undrain", "c2", &[], &around).unwrap();
     // A confirmed commit that runs out, so that one commit is the dispatcher's own.
-    let confirmed =
-        Confirm { within: Some(Duration::from_secs(5)), persist: Some("p".into()), persist_id: None };
+    let confirmed = CommitOptions {
+        confirm_timeout: Some(Duration::from_secs(5)),
+        persist: Some("p".into()),
+        persist_id: None,
+    };
     let fourth = [mark_edit(schema, "c4", &json!({"state": "draining"}))];
-    datastores.edit(ana, Datastore::Candidate, &fourth, ErrorOption::Rollback, false).unwrap();
+    datastores.edit_config(ana, Datastore::Candidate, &fourth, ErrorOption::Rollback, false).unwrap();
     datastores.commit(seconds_after_start(6), ana, &confirmed, "", &around).unwrap();
     datastores.tick(seconds_after_start(11));
     // And one that is pending as the last snapshot is written.
     let fifth = [mark_edit(schema, "c5", &json!({"state": "gone"}))];
-    datastores.edit(ana, Datastore::Candidate, &fifth, ErrorOption::Rollback, false).unwrap();
-    let confirmed = Confirm { within: Some(Duration::from_secs(60)), ..Confirm::default() };
+    datastores.edit_config(ana, Datastore::Candidate, &fifth, ErrorOption::Rollback, false).unwrap();
+    let confirmed =
+        CommitOptions { confirm_timeout: Some(Duration::from_secs(60)), ..CommitOptions::default() };
     datastores.commit(seconds_after_start(12), ana, &confirmed, "on trial", &around).unwrap();
     datastores
 }
@@ -106,7 +110,7 @@
 
 /// A commit as `version user protocol source milliseconds "comment"`, then each change as the model's text.
 fn commit_lines(schema: &Schema, commit: &Commit) -> Vec<String> {
-    let who = &commit.who;
+    let who = &commit.operator;
     let head = format!(
         "{} {} {} {} {} {:?}",
         commit.version,
--- a/crates/rockflow-netconf/src/codec.rs
+++ b/crates/rockflow-netconf/src/codec.rs
@@ -2,7 +2,7 @@
 
 use crate::ns;
 use crate::xml::{Element, Writer};
-use rockflow_management::{Fault, Tag};
+use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::{Data, Edit, Fields, Keys, Kind, NodeId, Op, Path, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,39 +60,49 @@
 }
 
 /// The node that an element names below `parent`.
-pub fn node_of(schema: &Schema, parent: Option<NodeId>, element: &Element) -> Result<NodeId, Fault> {
+pub fn node_of(
+    schema: &Schema,
+    parent: Option<NodeId>,
+    element: &Element,
+) -> Result<NodeId, ManagementError> {
     let module = schema.modules().iter().position(|module| module.namespace == element.ns);
     let Some(module) = module else {
         let message = format!("{}: no such namespace", element.ns);
-        return Err(Fault::new(Tag::UnknownNamespace, message).element(&element.name));
+        return Err(ManagementError::new(ErrorTag::UnknownNamespace, message).with_element(&element.name));
     };
     let module = rockflow_yang::ModuleId(module as u8);
     schema.child(parent, Some(module), &element.name).ok_or_else(|| {
-        Fault::new(Tag::UnknownElement, format!("{}: no such node", element.name)).element(&element.name)
+        ManagementError::new(ErrorTag::UnknownElement, format!("{}: no such node", element.name))
+            .with_element(&element.name)
     })
 }
 
-fn scalar(schema: &Schema, node: NodeId, element: &Element, path: &Path) -> Result<Scalar, Fault> {
+fn scalar(schema: &Schema, node: NodeId, element: &Element, path: &Path) -> Result<Scalar, ManagementError> {
     let of = schema.type_of(node);
-    let of = of.ok_or_else(|| Fault::new(Tag::InvalidValue, "holds no value").at(path))?;
+    let of =
+        of.ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "holds no value").with_path(path))?;
     if !element.children.is_empty() {
-        return Err(Fault::new(Tag::UnknownElement, "a value is wanted").at(path).element(&element.name));
+        return Err(ManagementError::new(ErrorTag::UnknownElement, "a value is wanted")
+            .with_path(path)
+            .with_element(&element.name));
     }
     let text = if matches!(of, rockflow_yang::Type::Text { .. }) { &element.text } else { element.text() };
     of.read(text).map_err(|what| {
         let message = format!("{}: {what}", element.name);
-        Fault::new(Tag::InvalidValue, message).at(path).element(&element.name)
+        ManagementError::new(ErrorTag::InvalidValue, message).with_path(path).with_element(&element.name)
     })
 }
 
 /// The keys of an entry, each told once.
-fn keys_of(schema: &Schema, list: NodeId, element: &Element, path: &Path) -> Result<Keys, Fault> {
+fn keys_of(schema: &Schema, list: NodeId, element: &Element, path: &Path) -> Result<Keys, ManagementError> {
     let key = |key: &NodeId| {
         let name = &schema.node(*key).name;
         let mut told = element.children.iter().filter(|child| child.name == *name);
         let (Some(child), None) = (told.next(), told.next()) else {
             let message = format!("the key {name} must stand once");
-            return Err(Fault::new(Tag::MissingElement, message).at(path).element(name));
+            return Err(ManagementError::new(ErrorTag::MissingElement, message)
+                .with_path(path)
+                .with_element(name));
         };
         scalar(schema, *key, child, path)
     };
@@ -106,16 +116,21 @@
     elements: &[Element],
     at: &Path,
     state: bool,
-) -> Result<Fields, Fault> {
+) -> Result<Fields, ManagementError> {
     let mut fields = Fields::new();
     for element in elements {
         let id = node_of(schema, parent, element)?;
         let node = schema.node(id);
         let here = at.then(id, Vec::new());
         if !state && !node.config {
-            return Err(Fault::new(Tag::InvalidValue, "is state, which can't be written").at(&here));
+            return Err(ManagementError::new(ErrorTag::InvalidValue, "is state, which can't be written")
+                .with_path(&here));
         }
-        let twice = || Fault::new(Tag::BadElement, "stands twice").at(&here).element(&element.name);
+        let twice = || {
+            ManagementError::new(ErrorTag::BadElement, "stands twice")
+                .with_path(&here)
+                .with_element(&element.name)
+        };
         match &node.kind {
             Kind::Leaf { .. } => {
                 let value = scalar(schema, id, element, &here)?;
@@ -153,13 +168,13 @@
 }
 
 /// Reads the content of `<config>` as edits, in their order.
-pub fn edits(schema: &Schema, config: &Element, default: Op) -> Result<Vec<Edit>, Fault> {
+pub fn edits(schema: &Schema, config: &Element, default: Op) -> Result<Vec<Edit>, ManagementError> {
     let mut edits = Vec::new();
     children(schema, None, config, &Path::default(), default, &mut edits)?;
     Ok(edits)
 }
 
-fn operation(element: &Element, otherwise: Op, path: &Path) -> Result<(Op, bool), Fault> {
+fn operation(element: &Element, otherwise: Op, path: &Path) -> Result<(Op, bool), ManagementError> {
     let op = match element.attribute(ns::BASE, "operation") {
         None => return Ok((otherwise, false)),
         Some("merge") => Op::Merge,
@@ -169,7 +184,9 @@
         Some("remove") => Op::Remove,
         Some(other) => {
             let message = format!("{other}: no such operation");
-            return Err(Fault::new(Tag::BadAttribute, message).at(path).element(&element.name));
+            return Err(ManagementError::new(ErrorTag::BadAttribute, message)
+                .with_path(path)
+                .with_element(&element.name));
         }
     };
     Ok((op, true))
@@ -182,7 +199,7 @@
     at: &Path,
     op: Op,
     edits: &mut Vec<Edit>,
-) -> Result<(), Fault> {
+) -> Result<(), ManagementError> {
     for child in &element.children {
         one(schema, parent, child, at, op, edits)?;
     }
@@ -196,7 +213,7 @@
     at: &Path,
     above: Op,
     edits: &mut Vec<Edit>,
-) -> Result<(), Fault> {
+) -> Result<(), ManagementError> {
     let id = node_of(schema, parent, element)?;
     let kind = &schema.node(id).kind;
     let keys = match kind {
@@ -216,7 +233,10 @@
             Some(Data::Container(read(schema, Some(id), &element.children, &path, false)?))
         }
         Kind::Container | Kind::List { .. } => None,
-        _ => return Err(Fault::new(Tag::UnknownElement, "no configuration").element(&element.name)),
+        _ => {
+            return Err(ManagementError::new(ErrorTag::UnknownElement, "no configuration")
+                .with_element(&element.name))
+        }
     };
     let leaf = matches!(kind, Kind::Leaf { .. } | Kind::LeafList { .. });
     match op {
@@ -235,7 +255,9 @@
                     one(schema, Some(id), child, &path, op, edits)?;
                 } else if operation(child, Op::Merge, &path)?.1 {
                     let message = "a key bears no operation of its own";
-                    return Err(Fault::new(Tag::BadAttribute, message).at(&path).element(&child.name));
+                    return Err(ManagementError::new(ErrorTag::BadAttribute, message)
+                        .with_path(&path)
+                        .with_element(&child.name));
                 }
             }
         }
@@ -247,12 +269,14 @@
 }
 
 /// Guards against an operation within what is replaced or created as a whole, which would have no clear order.
-fn plain(elements: &[Element], path: &Path) -> Result<(), Fault> {
+fn plain(elements: &[Element], path: &Path) -> Result<(), ManagementError> {
     for element in elements {
         if let Some(op) = element.attribute(ns::BASE, "operation") {
             if !matches!(op, "merge" | "replace" | "create") {
                 let message = format!("{op} within what is replaced or created as a whole");
-                return Err(Fault::new(Tag::BadAttribute, message).at(path).element(&element.name));
+                return Err(ManagementError::new(ErrorTag::BadAttribute, message)
+                    .with_path(path)
+                    .with_element(&element.name));
             }
         }
         plain(&element.children, path)?;
--- a/crates/rockflow-netconf/src/filter.rs
+++ b/crates/rockflow-netconf/src/filter.rs
@@ -2,7 +2,7 @@
 //! absolute ones, with keys compared to literals, `*` for any key by leaving it out, joined by `|`.
 
 use crate::xml::{Element, Prefixes};
-use rockflow_management::{Fault, Tag};
+use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::{data, Data, Fields, NodeId, Pattern, Schema};
 use std::collections::BTreeMap;
 
@@ -91,8 +91,12 @@
 }
 
 /// The paths of an expression; prefixes stand for namespaces, names without one for any.
-pub fn patterns(schema: &Schema, expression: &str, prefixes: &Prefixes) -> Result<Vec<Pattern>, Fault> {
-    let bad = |what: String| Fault::new(Tag::InvalidValue, what).element("select");
+pub fn patterns(
+    schema: &Schema,
+    expression: &str,
+    prefixes: &Prefixes,
+) -> Result<Vec<Pattern>, ManagementError> {
+    let bad = |what: String| ManagementError::new(ErrorTag::InvalidValue, what).with_element("select");
     let paths: Vec<&str> = expression.split('|').map(str::trim).collect();
     if paths.len() > MAX_PATHS {
         return Err(bad(format!("more than {MAX_PATHS} paths")));
@@ -102,7 +106,7 @@
         let mut quoted = None;
         let mut name = String::new();
         // Names bear the module's name in place of the prefix that stands for its namespace.
-        let flush = |name: &mut String, plain: &mut String| -> Result<(), Fault> {
+        let flush = |name: &mut String, plain: &mut String| -> Result<(), ManagementError> {
             if let Some((prefix, local)) = name.split_once(':') {
                 let known = prefixes.get(prefix);
                 let module = schema.modules().iter().find(|module| Some(&module.namespace) == known);
--- a/crates/rockflow-netconf/src/monitoring.rs
+++ b/crates/rockflow-netconf/src/monitoring.rs
@@ -2,8 +2,8 @@
 
 use crate::ns;
 use crate::xml::Writer;
-use rockflow_management::{moment, Datastore, Protocol};
-use rockflow_management_service::Desk;
+use rockflow_management::{timestamp, Datastore, Protocol};
+use rockflow_management_service::ManagementService;
 use rockflow_yang::Schema;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -75,7 +75,7 @@
 
 /// `<netconf-state>`, of which `wanted` says which parts (RFC 6022, section 2.1).
 pub fn netconf_state(
-    desk: &Desk,
+    desk: &ManagementService,
     counts: &Counts,
     started: Duration,
     wanted: &dyn Fn(&str) -> bool,
@@ -83,7 +83,7 @@
     let schema = desk.schema();
     let mut out = Writer::new();
     out.open("netconf-state", &[("xmlns", ns::MONITORING)]);
-    let separate = desk.look(|all| all.separate_startup());
+    let separate = desk.inspect(|all| all.has_separate_startup());
     if wanted("capabilities") {
         out.open("capabilities", &[]);
         capabilities(schema, separate).iter().for_each(|one| out.leaf("capability", &[], one));
@@ -91,7 +91,7 @@
     }
     if wanted("datastores") {
         out.open("datastores", &[]);
-        let locks: Vec<_> = desk.look(|all| all.locks().collect());
+        let locks: Vec<_> = desk.inspect(|all| all.locks().collect());
         for which in [Datastore::Running, Datastore::Candidate, Datastore::Startup] {
             if which == Datastore::Startup && !separate {
                 continue;
@@ -102,7 +102,7 @@
                 out.open("locks", &[]);
                 out.open("global-lock", &[]);
                 out.leaf("locked-by-session", &[], &session.0.to_string());
-                out.leaf("locked-time", &[], &moment::write(*since));
+                out.leaf("locked-time", &[], &timestamp::format(*since));
                 out.close("global-lock");
                 out.close("locks");
             }
@@ -126,21 +126,21 @@
     if wanted("sessions") {
         out.open("sessions", &[]);
         let sessions: Vec<_> =
-            desk.look(|all| all.sessions().map(|(id, who, since)| (id, who.clone(), since)).collect());
+            desk.inspect(|all| all.sessions().map(|(id, who, since)| (id, who.clone(), since)).collect());
         for (id, who, since) in sessions.iter().filter(|(_, who, _)| who.protocol != Protocol::Gnmi) {
             out.open("session", &[]);
             out.leaf("session-id", &[], &id.0.to_string());
             out.leaf("transport", &[], who.protocol.name());
             out.leaf("username", &[], &who.user);
             out.leaf("source-host", &[], &who.source);
-            out.leaf("login-time", &[], &moment::write(*since));
+            out.leaf("login-time", &[], &timestamp::format(*since));
             out.close("session");
         }
         out.close("sessions");
     }
     if wanted("statistics") {
         out.open("statistics", &[]);
-        out.leaf("netconf-start-time", &[], &moment::write(started));
+        out.leaf("netconf-start-time", &[], &timestamp::format(started));
         let all = [
             ("in-bad-hellos", &counts.bad_hellos),
             ("in-sessions", &counts.sessions),
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -4,8 +4,8 @@
 use crate::codec::{self, Notes};
 use crate::ns;
 use crate::xml::Writer;
-use rockflow_management::{moment, Notice, Operator, Update};
-use rockflow_management_service::Event;
+use rockflow_management::{timestamp, Notification, Operator, Update};
+use rockflow_management_service::ManagementEvent;
 use rockflow_yang::{data, Change, Fields, Path, Scalar, Schema};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,26 +13,26 @@
 fn envelope(at: Duration, fill: impl FnOnce(&mut Writer)) -> String {
     let mut out = Writer::new();
     out.open("notification", &[("xmlns", ns::NOTIFICATION)]);
-    out.leaf("eventTime", &[], &moment::write(at));
+    out.leaf("eventTime", &[], &timestamp::format(at));
     fill(&mut out);
     out.close("notification");
     out.finish()
 }
 
-fn common(out: &mut Writer, who: &Operator, session: u32) {
-    out.leaf("username", &[], &who.user);
+fn common(out: &mut Writer, operator: &Operator, session: u32) {
+    out.leaf("username", &[], &operator.user);
     out.leaf("session-id", &[], &session.to_string());
-    out.leaf("source-host", &[], &who.source);
+    out.leaf("source-host", &[], &operator.source);
 }
 
 /// An event as it is sent, by its namespace and name; most commits are two.
-pub fn event(schema: &Schema, at: Duration, event: &Event) -> Vec<String> {
+pub fn event(schema: &Schema, at: Duration, event: &ManagementEvent) -> Vec<String> {
     let own = |name: &str| {
         let id = schema.find(&[name]);
         id.map(|id| schema.module_of(id).namespace.clone()).unwrap_or_default()
     };
     match event {
-        Event::HostChanged { name, now } => {
+        ManagementEvent::EndpointChanged { name, now } => {
             let ns = own("host-changed");
             vec![envelope(at, |out| {
                 out.open("host-changed", &[("xmlns", &ns)]);
@@ -44,7 +44,7 @@
                 out.close("host-changed");
             })]
         }
-        Event::MarkExpired { host } => {
+        ManagementEvent::OverrideExpired { host } => {
             let ns = own("mark-expired");
             vec![envelope(at, |out| {
                 out.open("mark-expired", &[("xmlns", &ns)]);
@@ -52,12 +52,12 @@
                 out.close("mark-expired");
             })]
         }
-        Event::Notice(Notice::Committed(commit)) => {
+        ManagementEvent::Notification(Notification::Committed(commit)) => {
             let ns = own("committed");
             let standard = envelope(at, |out| {
                 out.open("netconf-config-change", &[("xmlns", ns::NOTIFICATIONS)]);
                 out.open("changed-by", &[]);
-                common(out, &commit.who, 0);
+                common(out, &commit.operator, 0);
                 out.close("changed-by");
                 out.leaf("datastore", &[], "running");
                 for change in &commit.changes {
@@ -76,29 +76,35 @@
             let mine = envelope(at, |out| {
                 out.open("committed", &[("xmlns", &ns)]);
                 out.leaf("version", &[], &commit.version.to_string());
-                out.leaf("author", &[], &commit.who.user);
+                out.leaf("author", &[], &commit.operator.user);
                 commit.changes.iter().for_each(|change| out.leaf("change", &[], &change.text(schema)));
                 out.close("committed");
             });
             vec![standard, mine]
         }
-        Event::Notice(Notice::SessionBegan { session, who }) => vec![envelope(at, |out| {
-            out.open("netconf-session-start", &[("xmlns", ns::NOTIFICATIONS)]);
-            common(out, who, session.0);
-            out.close("netconf-session-start");
-        })],
-        Event::Notice(Notice::SessionEnded { session, who, reason }) => vec![envelope(at, |out| {
-            out.open("netconf-session-end", &[("xmlns", ns::NOTIFICATIONS)]);
-            common(out, who, session.0);
-            out.leaf("termination-reason", &[], reason);
-            out.close("netconf-session-end");
-        })],
-        Event::Notice(Notice::Confirming { event, who }) => vec![envelope(at, |out| {
-            out.open("netconf-confirmed-commit", &[("xmlns", ns::NOTIFICATIONS)]);
-            common(out, who, 0);
-            out.leaf("confirm-event", &[], event);
-            out.close("netconf-confirmed-commit");
-        })],
+        ManagementEvent::Notification(Notification::SessionStarted { session, operator }) => {
+            vec![envelope(at, |out| {
+                out.open("netconf-session-start", &[("xmlns", ns::NOTIFICATIONS)]);
+                common(out, operator, session.0);
+                out.close("netconf-session-start");
+            })]
+        }
+        ManagementEvent::Notification(Notification::SessionEnded { session, operator, reason }) => {
+            vec![envelope(at, |out| {
+                out.open("netconf-session-end", &[("xmlns", ns::NOTIFICATIONS)]);
+                common(out, operator, session.0);
+                out.leaf("termination-reason", &[], reason);
+                out.close("netconf-session-end");
+            })]
+        }
+        ManagementEvent::Notification(Notification::ConfirmedCommit { event, operator }) => {
+            vec![envelope(at, |out| {
+                out.open("netconf-confirmed-commit", &[("xmlns", ns::NOTIFICATIONS)]);
+                common(out, operator, 0);
+                out.leaf("confirm-event", &[], event);
+                out.close("netconf-confirmed-commit");
+            })]
+        }
     }
 }
 
@@ -114,7 +120,7 @@
 /// `push-update` or `push-change-update`.
 pub fn push(schema: &Schema, at: Duration, id: u64, update: Update) -> String {
     envelope(at, |out| match update {
-        Update::Whole(values) => {
+        Update::Snapshot(values) => {
             out.open("push-update", &[("xmlns", ns::PUSH)]);
             out.leaf("id", &[], &id.to_string());
             out.open("datastore-contents", &[]);
--- a/crates/rockflow-netconf/src/rpc.rs
+++ b/crates/rockflow-netconf/src/rpc.rs
@@ -5,9 +5,11 @@
 use crate::monitoring::{self, Counts};
 use crate::ns;
 use crate::xml::{Element, Writer};
-use rockflow_management::machine::CONFIRM_WITHIN;
-use rockflow_management::{Confirm, Datastore, ErrorOption, Fault, SessionId, Tag, Trigger};
-use rockflow_management_service::{Asker, Desk};
+use rockflow_management::DEFAULT_CONFIRM_TIMEOUT;
+use rockflow_management::{
+    CommitOptions, Datastore, ErrorOption, ErrorTag, ManagementError, SessionId, Trigger,
+};
+use rockflow_management_service::{ManagementService, SessionHandle};
 use rockflow_yang::path::Loose;
 use rockflow_yang::{data, Data, Fields, Kind, NodeId, Op, Path, Pattern, Scalar, Schema};
 use std::sync::Arc;
@@ -34,21 +36,21 @@
 
 /// What all sessions share.
 pub struct Server {
-    pub desk: Arc<Desk>,
+    pub desk: Arc<ManagementService>,
     pub counts: Counts,
     pub started: Duration,
 }
 
-fn missing(name: &str) -> Fault {
-    Fault::new(Tag::MissingElement, format!("{name} is missing")).element(name)
+fn missing(name: &str) -> ManagementError {
+    ManagementError::new(ErrorTag::MissingElement, format!("{name} is missing")).with_element(name)
 }
 
-fn invalid(what: impl Into<String>) -> Fault {
-    Fault::new(Tag::InvalidValue, what)
+fn invalid(what: impl Into<String>) -> ManagementError {
+    ManagementError::new(ErrorTag::InvalidValue, what)
 }
 
 /// The one datastore that an element such as `<target>` holds.
-fn datastore(operation: &Element, name: &str) -> Result<Datastore, Fault> {
+fn datastore(operation: &Element, name: &str) -> Result<Datastore, ManagementError> {
     let holder = operation.child(name).ok_or_else(|| missing(name))?;
     let inner = holder.children.first().ok_or_else(|| missing(name))?;
     match inner.name.as_str() {
@@ -56,34 +58,39 @@
         "candidate" => Ok(Datastore::Candidate),
         "startup" => Ok(Datastore::Startup),
         other => {
-            let fault = Fault::new(Tag::OperationNotSupported, format!("{other}: not a datastore here"));
-            Err(fault.element(other))
+            let fault = ManagementError::new(
+                ErrorTag::OperationNotSupported,
+                format!("{other}: not a datastore here"),
+            );
+            Err(fault.with_element(other))
         }
     }
 }
 
 /// A datastore by its identity (RFC 8342); none: operational.
-fn named_datastore(operation: &Element) -> Result<Option<Datastore>, Fault> {
+fn named_datastore(operation: &Element) -> Result<Option<Datastore>, ManagementError> {
     let name = operation.word("datastore").ok_or_else(|| missing("datastore"))?;
     match name.split_once(':').map_or(name, |(_, name)| name) {
         "running" | "intended" => Ok(Some(Datastore::Running)),
         "candidate" => Ok(Some(Datastore::Candidate)),
         "startup" => Ok(Some(Datastore::Startup)),
         "operational" => Ok(None),
-        other => Err(invalid(format!("{other}: not a datastore here")).element("datastore")),
+        other => Err(invalid(format!("{other}: not a datastore here")).with_element("datastore")),
     }
 }
 
-fn default_operation(operation: &Element) -> Result<Op, Fault> {
+fn default_operation(operation: &Element) -> Result<Op, ManagementError> {
     match operation.word("default-operation") {
         None | Some("merge") => Ok(Op::Merge),
         Some("replace") => Ok(Op::Replace),
         Some("none") => Ok(Op::Expect),
-        Some(other) => Err(invalid(format!("{other}: no default-operation")).element("default-operation")),
+        Some(other) => {
+            Err(invalid(format!("{other}: no default-operation")).with_element("default-operation"))
+        }
     }
 }
 
-fn seconds(operation: &Element, name: &str) -> Result<Option<Duration>, Fault> {
+fn seconds(operation: &Element, name: &str) -> Result<Option<Duration>, ManagementError> {
     let Some(text) = operation.word(name) else { return Ok(None) };
     let number = text.parse::<u32>().ok().filter(|number| *number > 0);
     let number = number.ok_or_else(|| invalid(format!("{name}: {text:?} is no number of seconds")))?;
@@ -101,26 +108,32 @@
 
 impl Wanted {
     /// `<filter>` of get and get-config.
-    fn filter(schema: &Schema, operation: &Element) -> Result<Wanted, Fault> {
+    fn filter(schema: &Schema, operation: &Element) -> Result<Wanted, ManagementError> {
         let Some(filter) = operation.child("filter") else { return Ok(Wanted::All) };
         match filter.attribute(ns::BASE, "type").or_else(|| filter.attribute("", "type")) {
             None | Some("subtree") => Ok(Wanted::Subtree(filter.children.clone())),
             Some("xpath") => {
                 let select = filter.attribute(ns::BASE, "select").or_else(|| filter.attribute("", "select"));
                 let select = select.ok_or_else(|| {
-                    Fault::new(Tag::MissingAttribute, "select is missing").element("filter")
+                    ManagementError::new(ErrorTag::MissingAttribute, "select is missing")
+                        .with_element("filter")
                 })?;
                 Ok(Wanted::Paths(filter::patterns(schema, select, &filter.prefixes)?))
             }
             Some(other) => {
                 let message = format!("{other}: no type of filter");
-                Err(Fault::new(Tag::BadAttribute, message).element("filter"))
+                Err(ManagementError::new(ErrorTag::BadAttribute, message).with_element("filter"))
             }
         }
     }
 
     /// The filters of get-data and of subscriptions.
-    fn named(schema: &Schema, operation: &Element, subtree: &str, xpath: &str) -> Result<Wanted, Fault> {
+    fn named(
+        schema: &Schema,
+        operation: &Element,
+        subtree: &str,
+        xpath: &str,
+    ) -> Result<Wanted, ManagementError> {
         if let Some(filter) = operation.child(subtree) {
             return Ok(Wanted::Subtree(filter.children.clone()));
         }
@@ -139,7 +152,7 @@
     }
 
     /// As patterns, which is what followers go by.
-    fn patterns(&self, schema: &Schema) -> Result<Vec<Pattern>, Fault> {
+    fn patterns(&self, schema: &Schema) -> Result<Vec<Pattern>, ManagementError> {
         match self {
             Wanted::All => Ok(vec![Pattern::default()]),
             Wanted::Paths(patterns) => Ok(patterns.clone()),
@@ -174,7 +187,7 @@
     filter: &[Element],
     at: &Pattern,
     found: &mut Vec<Pattern>,
-) -> Result<(), Fault> {
+) -> Result<(), ManagementError> {
     for element in filter {
         let module = schema.modules().iter().find(|module| module.namespace == element.ns);
         let name = match module {
@@ -203,7 +216,11 @@
 }
 
 /// What becomes of defaults (RFC 6243).
-fn with_defaults(schema: &Schema, operation: &Element, fields: Fields) -> Result<(Fields, Notes), Fault> {
+fn with_defaults(
+    schema: &Schema,
+    operation: &Element,
+    fields: Fields,
+) -> Result<(Fields, Notes), ManagementError> {
     match operation.word("with-defaults") {
         None | Some("explicit") => Ok((fields, Notes::default())),
         Some("report-all") => Ok((data::with_defaults(schema, &fields, true), Notes::default())),
@@ -212,21 +229,25 @@
             Ok((data::with_defaults(schema, &fields, true), notes))
         }
         Some("trim") => Ok((data::without_defaults(schema, &fields), Notes::default())),
-        Some(other) => Err(invalid(format!("{other}: no mode of defaults")).element("with-defaults")),
+        Some(other) => Err(invalid(format!("{other}: no mode of defaults")).with_element("with-defaults")),
     }
 }
 
 impl Server {
     /// Carries one operation out.
-    pub async fn call(&self, asker: &Asker, operation: &Element) -> Result<Reply, Vec<Fault>> {
-        let one = |fault: Fault| vec![fault];
+    pub async fn call(
+        &self,
+        asker: &SessionHandle,
+        operation: &Element,
+    ) -> Result<Reply, Vec<ManagementError>> {
+        let one = |fault: ManagementError| vec![fault];
         match (operation.ns.as_str(), operation.name.as_str()) {
             (ns::BASE, "edit-config") | (ns::NMDA, "edit-data") => self.edit(asker, operation).await,
             _ => self.plain(asker, operation).await.map_err(one),
         }
     }
 
-    async fn plain(&self, asker: &Asker, operation: &Element) -> Result<Reply, Fault> {
+    async fn plain(&self, asker: &SessionHandle, operation: &Element) -> Result<Reply, ManagementError> {
         let schema = self.desk.schema();
         match (operation.ns.as_str(), operation.name.as_str()) {
             (ns::BASE, "get") => {
@@ -252,26 +273,27 @@
                     }
                     None => Ok(datastore(operation, "source")?),
                 };
-                asker.with(|all, _| all.copy(asker.id, from, to))?;
+                asker.update(|all, _| all.copy_config(asker.id, from, to))?;
                 Ok(Reply::Ok)
             }
             (ns::BASE, "delete-config") => match datastore(operation, "target")? {
                 Datastore::Startup => {
-                    asker.with(|all, _| all.delete_startup(asker.id))?;
+                    asker.update(|all, _| all.delete_startup(asker.id))?;
                     Ok(Reply::Ok)
                 }
-                other => {
-                    Err(Fault::new(Tag::OperationNotSupported, format!("{} can't be deleted", other.name())))
-                }
+                other => Err(ManagementError::new(
+                    ErrorTag::OperationNotSupported,
+                    format!("{} can't be deleted", other.name()),
+                )),
             },
             (ns::BASE, "lock") => {
                 let which = datastore(operation, "target")?;
-                asker.with(|all, now| all.lock(now, asker.id, which))?;
+                asker.update(|all, now| all.lock(now, asker.id, which))?;
                 Ok(Reply::Ok)
             }
             (ns::BASE, "unlock") => {
                 let which = datastore(operation, "target")?;
-                asker.with(|all, _| all.unlock(asker.id, which))?;
+                asker.update(|all, _| all.unlock(asker.id, which))?;
                 Ok(Reply::Ok)
             }
             (ns::PARTIAL_LOCK, "partial-lock") => {
@@ -282,7 +304,7 @@
                 if patterns.is_empty() {
                     return Err(missing("select"));
                 }
-                let (lock, held) = asker.with(|all, _| all.partial_lock(asker.id, &patterns))?;
+                let (lock, held) = asker.update(|all, _| all.partial_lock(asker.id, &patterns))?;
                 let mut out = Writer::new();
                 out.leaf("lock-id", &[("xmlns", ns::PARTIAL_LOCK)], &lock.to_string());
                 for path in held {
@@ -293,14 +315,14 @@
             (ns::PARTIAL_LOCK, "partial-unlock") => {
                 let lock = operation.word("lock-id").ok_or_else(|| missing("lock-id"))?;
                 let lock = lock.parse().map_err(|_| invalid("lock-id is no number"))?;
-                asker.with(|all, _| all.partial_unlock(asker.id, lock))?;
+                asker.update(|all, _| all.partial_unlock(asker.id, lock))?;
                 Ok(Reply::Ok)
             }
             (ns::BASE, "commit") => {
                 let confirmed = operation.child("confirmed").is_some();
                 let timeout = seconds(operation, "confirm-timeout")?;
-                let confirm = Confirm {
-                    within: confirmed.then(|| timeout.unwrap_or(CONFIRM_WITHIN)),
+                let confirm = CommitOptions {
+                    confirm_timeout: confirmed.then(|| timeout.unwrap_or(DEFAULT_CONFIRM_TIMEOUT)),
                     persist: operation.word("persist").filter(|_| confirmed).map(str::to_string),
                     persist_id: operation.word("persist-id").map(str::to_string),
                 };
@@ -308,11 +330,11 @@
                 Ok(Reply::Ok)
             }
             (ns::BASE, "cancel-commit") => {
-                asker.cancel(operation.word("persist-id")).await?;
+                asker.cancel_commit(operation.word("persist-id")).await?;
                 Ok(Reply::Ok)
             }
             (ns::BASE, "discard-changes") => {
-                asker.with(|all, _| all.discard(asker.id))?;
+                asker.update(|all, _| all.discard_changes(asker.id))?;
                 Ok(Reply::Ok)
             }
             (ns::BASE, "validate") => {
@@ -329,15 +351,15 @@
             (ns::BASE, "kill-session") => {
                 let victim = operation.word("session-id").ok_or_else(|| missing("session-id"))?;
                 let victim = victim.parse().map_err(|_| invalid("session-id is no number"))?;
-                asker.kill(SessionId(victim)).await?;
+                asker.kill_session(SessionId(victim)).await?;
                 Ok(Reply::Ok)
             }
             (ns::MONITORING, "get-schema") => {
-                asker.may_call("get-schema")?;
+                asker.authorize_call("get-schema")?;
                 let name = operation.word("identifier").ok_or_else(|| missing("identifier"))?;
                 let version = operation.word("version").filter(|version| !version.is_empty());
                 if operation.word("format").is_some_and(|format| !format.ends_with("yang")) {
-                    return Err(invalid("only yang is served").element("format"));
+                    return Err(invalid("only yang is served").with_element("format"));
                 }
                 let fits = |module: &&rockflow_yang::Module| {
                     module.name == name && version.is_none_or(|version| version == module.revision)
@@ -349,10 +371,10 @@
                 Ok(Reply::Content(out.finish()))
             }
             (ns::NOTIFICATION, "create-subscription") => {
-                asker.may_call("create-subscription")?;
+                asker.authorize_call("create-subscription")?;
                 self.stream_only(operation)?;
                 if operation.child("startTime").is_some() || operation.child("stopTime").is_some() {
-                    return Err(invalid("there is no replay").element("startTime"));
+                    return Err(invalid("there is no replay").with_element("startTime"));
                 }
                 Ok(Reply::Events)
             }
@@ -365,15 +387,15 @@
         }
     }
 
-    fn stream_only(&self, operation: &Element) -> Result<(), Fault> {
+    fn stream_only(&self, operation: &Element) -> Result<(), ManagementError> {
         match operation.word("stream") {
             None | Some("NETCONF") => Ok(()),
-            Some(other) => Err(invalid(format!("{other}: no such stream")).element("stream")),
+            Some(other) => Err(invalid(format!("{other}: no such stream")).with_element("stream")),
         }
     }
 
-    fn establish(&self, asker: &Asker, operation: &Element) -> Result<Reply, Fault> {
-        asker.may_call("establish-subscription")?;
+    fn establish(&self, asker: &SessionHandle, operation: &Element) -> Result<Reply, ManagementError> {
+        asker.authorize_call("establish-subscription")?;
         if operation.child("stream").is_some() {
             self.stream_only(operation)?;
             return Ok(Reply::Events);
@@ -387,7 +409,7 @@
             None => Ok(None),
             Some(text) => match text.parse::<u32>() {
                 Ok(hundredths) => Ok(Some(Duration::from_millis(u64::from(hundredths) * 10))),
-                Err(_) => Err(invalid(format!("{name} is no number")).element(name)),
+                Err(_) => Err(invalid(format!("{name} is no number")).with_element(name)),
             },
         };
         let least = Duration::from_millis(100);
@@ -395,7 +417,7 @@
             let period = span(periodic, "period")?.ok_or_else(|| missing("period"))?;
             if period < least {
                 let fault = invalid("the least period is 10 hundredths of a second");
-                return Err(fault.app("period-unsupported").element("period"));
+                return Err(fault.with_app_tag("period-unsupported").with_element("period"));
             }
             let trigger = Trigger::Periodic { period, suppress: false, heartbeat: None };
             return Ok(Reply::Push { patterns, trigger, updates_only: false });
@@ -409,13 +431,13 @@
 
     async fn content(
         &self,
-        asker: &Asker,
+        asker: &SessionHandle,
         which: Option<Datastore>,
         operation: &Element,
         wanted: Wanted,
         name: &str,
         space: &str,
-    ) -> Result<Reply, Fault> {
+    ) -> Result<Reply, ManagementError> {
         let schema = self.desk.schema();
         let mut fields = asker.read(which).await?;
         match operation.word("config-filter") {
@@ -442,13 +464,13 @@
         Ok(Reply::Content(out.finish()))
     }
 
-    async fn edit(&self, asker: &Asker, operation: &Element) -> Result<Reply, Vec<Fault>> {
-        let one = |fault: Fault| vec![fault];
+    async fn edit(&self, asker: &SessionHandle, operation: &Element) -> Result<Reply, Vec<ManagementError>> {
+        let one = |fault: ManagementError| vec![fault];
         let schema = self.desk.schema();
         let nmda = operation.ns == ns::NMDA;
         let target = if nmda {
             named_datastore(operation).and_then(|which| {
-                which.ok_or_else(|| invalid("operational can't be written").element("datastore"))
+                which.ok_or_else(|| invalid("operational can't be written").with_element("datastore"))
             })
         } else {
             datastore(operation, "target")
@@ -472,18 +494,18 @@
         let edits = codec::edits(schema, config, default).map_err(one)?;
         if check {
             // On a copy, so that what is refused leaves nothing behind.
-            let tested = asker.with(|all, _| {
-                all.edit(asker.id, target, &edits, ErrorOption::Rollback, true)?;
+            let tested = asker.update(|all, _| {
+                all.edit_config(asker.id, target, &edits, ErrorOption::Rollback, true)?;
                 let mut fields = all.datastore(asker.id, target).clone();
                 for edit in &edits {
                     data::apply(schema, &mut fields, edit).map_err(|fault| vec![fault.into()])?;
                 }
-                Ok::<_, Vec<Fault>>(fields)
+                Ok::<_, Vec<ManagementError>>(fields)
             })?;
             asker.validate(Err(tested)).await.map_err(one)?;
         }
         if keep {
-            asker.with(|all, _| all.edit(asker.id, target, &edits, option, false))?;
+            asker.update(|all, _| all.edit_config(asker.id, target, &edits, option, false))?;
         }
         Ok(Reply::Ok)
     }
@@ -491,11 +513,11 @@
     /// The model's own calls.
     async fn modelled(
         &self,
-        asker: &Asker,
+        asker: &SessionHandle,
         space: &str,
         name: &str,
         operation: &Element,
-    ) -> Result<Reply, Fault> {
+    ) -> Result<Reply, ManagementError> {
         let schema = self.desk.schema();
         let call = schema.roots().iter().map(|id| schema.node(*id)).find(|node| {
             matches!(node.kind, Kind::Rpc)
@@ -504,7 +526,7 @@
         });
         let Some(call) = call else {
             let message = format!("{name}: no such operation");
-            return Err(Fault::new(Tag::OperationNotSupported, message).element(name));
+            return Err(ManagementError::new(ErrorTag::OperationNotSupported, message).with_element(name));
         };
         let input = schema.child(Some(call.id), None, "input");
         let told = codec::read(schema, input, &operation.children, &Path::default(), true)?;
@@ -528,7 +550,7 @@
             "rollback" => asker.rollback(number("version").unwrap_or_default(), number("expected")).await?,
             other => {
                 let message = format!("{other}: not served");
-                return Err(Fault::new(Tag::OperationNotSupported, message));
+                return Err(ManagementError::new(ErrorTag::OperationNotSupported, message));
             }
         };
         let mut out = Writer::new();
@@ -542,20 +564,20 @@
 }
 
 /// `<rpc-error>`, one for each fault.
-pub fn errors(schema: &Schema, faults: &[Fault]) -> String {
+pub fn errors(schema: &Schema, faults: &[ManagementError]) -> String {
     let mut out = Writer::new();
     for fault in faults {
         let kind = match fault.tag {
-            Tag::MalformedMessage => "rpc",
-            Tag::MissingAttribute
-            | Tag::BadAttribute
-            | Tag::UnknownAttribute
-            | Tag::MissingElement
-            | Tag::BadElement
-            | Tag::UnknownElement
-            | Tag::UnknownNamespace
-            | Tag::LockDenied
-            | Tag::OperationNotSupported => "protocol",
+            ErrorTag::MalformedMessage => "rpc",
+            ErrorTag::MissingAttribute
+            | ErrorTag::BadAttribute
+            | ErrorTag::UnknownAttribute
+            | ErrorTag::MissingElement
+            | ErrorTag::BadElement
+            | ErrorTag::UnknownElement
+            | ErrorTag::UnknownNamespace
+            | ErrorTag::LockDenied
+            | ErrorTag::OperationNotSupported => "protocol",
             _ => "application",
         };
         out.open("rpc-error", &[]);
--- a/crates/rockflow-netconf/src/server.rs
+++ b/crates/rockflow-netconf/src/server.rs
@@ -6,7 +6,9 @@
 use crate::session::{self, Bounds};
 use crate::ssh::{self, Ssh};
 use rockflow_management::{Operator, Protocol};
-use rockflow_management_service::{doorway, secrets, Desk, Doorway, NetconfPart};
+use rockflow_management_service::{
+    authentication, secrets, ManagementService, NetconfSection, UnauthenticatedConnections,
+};
 use std::net::{SocketAddr, TcpListener as Listener};
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,13 +21,13 @@
 
 /// Bound and read, ahead of the thread that serves: what is wrong is known at the start.
 pub struct Bound {
-    part: NetconfPart,
+    part: NetconfSection,
     ssh: Option<(Listener, Arc<russh::server::Config>)>,
     tls: Option<(Listener, TlsAcceptor)>,
 }
 
 impl Bound {
-    pub fn new(part: &NetconfPart) -> Result<Bound, String> {
+    pub fn new(part: &NetconfSection) -> Result<Bound, String> {
         let listen = |address: SocketAddr| {
             let fault = |what: std::io::Error| format!("netconf {address}: {what}");
             let listener = Listener::bind(address).map_err(fault)?;
@@ -51,7 +53,7 @@
     }
 
     /// Whether the keys and certificates can be used.
-    pub fn check(part: &NetconfPart) -> Result<(), String> {
+    pub fn check(part: &NetconfSection) -> Result<(), String> {
         if let (Some(key), Some(folder)) = (&part.host_key, &part.authorized_keys) {
             secrets::judge(folder, false)?;
             ssh::host_key(key)?;
@@ -74,7 +76,7 @@
 
 impl Server {
     /// Serves as long as the runtime does that this is called in.
-    pub fn start(bound: Bound, desk: Arc<Desk>) -> Result<(), String> {
+    pub fn start(bound: Bound, desk: Arc<ManagementService>) -> Result<(), String> {
         let Bound { part, ssh, tls } = bound;
         let bounds = Bounds {
             message: part.message_kb as usize * 1024,
@@ -83,27 +85,37 @@
         let started = desk.now();
         let server = Arc::new(rpc::Server { desk, counts: Counts::default(), started });
         // One for each listener, so that a flood at one keeps nobody out of the other.
-        let waiting = || Doorway::new(part.handshakes as usize);
+        let waiting = || UnauthenticatedConnections::new(part.handshakes as usize);
         if let (Some((listener, config)), Some(keys)) = (ssh, part.authorized_keys.clone()) {
             let listener = TcpListener::from_std(listener).map_err(|what| what.to_string())?;
             let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
             let ssh = Arc::new(Ssh { server: server.clone(), keys, bounds, config, places });
-            tokio::spawn(doorway::accept(listener, waiting(), move |stream, from, unproved| {
-                tokio::spawn(ssh::serve(ssh.clone(), stream, from, unproved));
-            }));
+            tokio::spawn(authentication::accept_connections(
+                listener,
+                waiting(),
+                move |stream, from, unproved| {
+                    tokio::spawn(ssh::serve(ssh.clone(), stream, from, unproved));
+                },
+            ));
         }
         if let Some((listener, acceptor)) = tls {
             let listener = TcpListener::from_std(listener).map_err(|what| what.to_string())?;
-            tokio::spawn(doorway::accept(listener, waiting(), move |stream, from, unproved| {
-                let (acceptor, server) = (acceptor.clone(), server.clone());
-                tokio::spawn(async move {
-                    let shaken = doorway::shake(acceptor, stream, from, unproved, bounds.hello).await;
-                    let Some((stream, user)) = shaken else { return };
-                    let source = from.ip().to_string();
-                    let who = Operator { user, protocol: Protocol::NetconfTls, source };
-                    session::run(server, who, stream, bounds).await;
-                });
-            }));
+            tokio::spawn(authentication::accept_connections(
+                listener,
+                waiting(),
+                move |stream, from, unproved| {
+                    let (acceptor, server) = (acceptor.clone(), server.clone());
+                    tokio::spawn(async move {
+                        let shaken =
+                            authentication::tls_handshake(acceptor, stream, from, unproved, bounds.hello)
+                                .await;
+                        let Some((stream, user)) = shaken else { return };
+                        let source = from.ip().to_string();
+                        let who = Operator { user, protocol: Protocol::NetconfTls, source };
+                        session::run(server, who, stream, bounds).await;
+                    });
+                },
+            ));
         }
         Ok(())
     }
--- a/crates/rockflow-netconf/src/session.rs
+++ b/crates/rockflow-netconf/src/session.rs
@@ -6,8 +6,8 @@
 use crate::ns;
 use crate::rpc::{self, Reply, Server};
 use crate::xml::{self, Element, Writer};
-use rockflow_management::{Fault, Operator, Tag};
-use rockflow_management_service::{Asker, Event};
+use rockflow_management::{ErrorTag, ManagementError, Operator};
+use rockflow_management_service::{ManagementEvent, SessionHandle};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     S: AsyncRead + AsyncWrite + Unpin + Send,
 {
     let user = who.user.clone();
-    let asker = match server.desk.enter(who) {
+    let asker = match server.desk.open_session(who) {
         Ok(asker) => asker,
         Err(fault) => {
             info!(user, %fault, "netconf session not begun");
@@ -69,7 +69,7 @@
 
 struct Session<S> {
     server: Arc<Server>,
-    asker: Asker,
+    asker: SessionHandle,
     stream: S,
     framing: Framing,
     sender: mpsc::Sender<String>,
@@ -88,7 +88,7 @@
 impl<S: AsyncRead + AsyncWrite + Unpin + Send> Session<S> {
     async fn serve(&mut self, bounds: Bounds) -> &'static str {
         let (server, id) = (self.server.clone(), self.asker.id);
-        let separate = server.desk.look(|all| all.separate_startup());
+        let separate = server.desk.inspect(|all| all.has_separate_startup());
         let hello = monitoring::hello(server.desk.schema(), separate, id.0);
         if !self.write(&hello).await {
             return "not read";
@@ -136,7 +136,7 @@
                         return "not read";
                     }
                 }
-                () = server.desk.over(id) => return "killed or silent",
+                () = server.desk.session_closed(id) => return "killed or silent",
             }
         }
     }
@@ -177,7 +177,7 @@
             read => {
                 Counts::add(&server.counts.bad_rpcs);
                 let what = read.err().unwrap_or_else(|| "no rpc".to_string());
-                let fault = Fault::new(Tag::MalformedMessage, what);
+                let fault = ManagementError::new(ErrorTag::MalformedMessage, what);
                 // Only base:1.1 has a word for it; either way nothing more can be made of this peer.
                 let reply = reply(&[], &rpc::errors(schema, &[fault]));
                 self.write(&reply).await;
@@ -186,19 +186,22 @@
         };
         let attributes: Vec<(&str, &str)> =
             request.attributes.iter().map(|one| (one.qualified.as_str(), one.value.as_str())).collect();
-        let fail = |faults: &[Fault]| {
+        let fail = |faults: &[ManagementError]| {
             Counts::add(&server.counts.errors);
             reply(&attributes, &rpc::errors(schema, faults))
         };
         if request.attribute("", "message-id").is_none() {
             Counts::add(&server.counts.bad_rpcs);
-            let fault = Fault::new(Tag::MissingAttribute, "message-id is missing").element("rpc");
+            let fault =
+                ManagementError::new(ErrorTag::MissingAttribute, "message-id is missing").with_element("rpc");
             let out = fail(&[fault]);
             return (!self.write(&out).await).then_some("not read");
         }
         let [operation] = request.children.as_slice() else {
             Counts::add(&server.counts.bad_rpcs);
-            let out = fail(&[Fault::new(Tag::MissingElement, "one operation is wanted").element("rpc")]);
+            let out =
+                fail(&[ManagementError::new(ErrorTag::MissingElement, "one operation is wanted")
+                    .with_element("rpc")]);
             return (!self.write(&out).await).then_some("not read");
         };
         let mut over = None;
@@ -221,22 +224,22 @@
         over
     }
 
-    async fn follow(&mut self, operation: &Element, begun: Reply) -> Result<String, Fault> {
+    async fn follow(&mut self, operation: &Element, begun: Reply) -> Result<String, ManagementError> {
         let schema = self.server.desk.schema().clone();
         if self.followed.len() >= MAX_FOLLOWED && !matches!(begun, Reply::Unfollow(_)) {
             let message = format!("more than {MAX_FOLLOWED} subscriptions in a session");
-            return Err(Fault::new(Tag::ResourceDenied, message));
+            return Err(ManagementError::new(ErrorTag::ResourceDenied, message));
         }
         let sender = self.sender.clone();
         let (number, task) = match begun {
             Reply::Events => {
                 if std::mem::replace(&mut self.events, true) {
-                    return Err(Fault::new(Tag::InUse, "this session follows events already"));
+                    return Err(ManagementError::new(ErrorTag::InUse, "this session follows events already"));
                 }
-                let mut events = self.asker.events();
+                let mut events = self.asker.subscribe_events();
                 let task = tokio::spawn(async move {
                     loop {
-                        let (at, event): (Duration, Event) = match events.recv().await {
+                        let (at, event): (Duration, ManagementEvent) = match events.recv().await {
                             Ok(event) => event,
                             // What a slow reader missed is told by the next picture it asks for.
                             Err(broadcast::error::RecvError::Lagged(missed)) => {
@@ -255,7 +258,7 @@
                 (0, task)
             }
             Reply::Push { patterns, trigger, updates_only } => {
-                let following = self.asker.follow(patterns, trigger, updates_only).await?;
+                let following = self.asker.subscribe(patterns, trigger, updates_only).await?;
                 let (number, desk) = (following.number, self.server.desk.clone());
                 let task = tokio::spawn(async move {
                     loop {
@@ -271,11 +274,11 @@
             Reply::Unfollow(number) => {
                 let task = self.followed.remove(&number);
                 let task = task.ok_or_else(|| {
-                    Fault::new(Tag::InvalidValue, format!("no subscription {number} here"))
-                        .app("no-such-subscription")
+                    ManagementError::new(ErrorTag::InvalidValue, format!("no subscription {number} here"))
+                        .with_app_tag("no-such-subscription")
                 })?;
                 task.abort();
-                self.asker.unfollowed();
+                self.asker.release_subscription();
                 return Ok("<ok/>".to_string());
             }
             _ => return Ok("<ok/>".to_string()),
--- a/crates/rockflow-netconf/src/ssh.rs
+++ b/crates/rockflow-netconf/src/ssh.rs
@@ -4,7 +4,7 @@
 use crate::rpc::Server;
 use crate::session::{self, Bounds};
 use rockflow_management::{Operator, Protocol};
-use rockflow_management_service::{secrets, Unproved};
+use rockflow_management_service::{secrets, UnauthenticatedConnection};
 use russh::keys::ssh_key::{AuthorizedKeys, PublicKey};
 use russh::keys::PrivateKey;
 use russh::server::{Auth, ChannelOpenHandle, Handler, Msg, Session, VerifiedPublicKey};
@@ -151,7 +151,7 @@
 }
 
 /// Serves one connection, which is one of those that have not proved who they are until it has.
-pub async fn serve(ssh: Arc<Ssh>, stream: TcpStream, from: SocketAddr, unproved: Unproved) {
+pub async fn serve(ssh: Arc<Ssh>, stream: TcpStream, from: SocketAddr, unproved: UnauthenticatedConnection) {
     let (proved, wait) = oneshot::channel();
     let peer = Peer {
         ssh: ssh.clone(),
--- a/crates/rockflow-operator-config/src/dissemination.rs
+++ b/crates/rockflow-operator-config/src/dissemination.rs
@@ -1,6 +1,6 @@
 //! The sections `[dissemination]` and `[control]`, and the file of marks that a control process reads.
 
-use crate::{Fault, Reader};
+use crate::{ConfigError, Reader};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,7 +21,7 @@
 
 /// `[dissemination]`: purges and configuration come from control.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DisseminationPart {
+pub struct DisseminationSection {
     /// The same everywhere; frames of another are left alone.
     pub fleet: String,
     pub listen: SocketAddr,
@@ -32,27 +32,27 @@
     /// Within so long a purge is done everywhere.
     pub purge_window: Duration,
     pub bytes_per_second: u32,
-    pub pulse: Duration,
+    pub heartbeat_interval: Duration,
     /// The network itself keeps strangers out; without it all addresses are of the loopback.
     pub trusted_network: bool,
 }
 
 /// `[control]`: what a control process publishes, and to whom.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ControlPart {
+pub struct ControlSection {
     /// The members, as CSV.
     pub directory: PathBuf,
     pub marks: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Marked {
+pub enum AdministrativeState {
     Draining,
     Gone,
 }
 
 impl Reader {
-    pub(crate) fn dissemination(&mut self) -> Option<DisseminationPart> {
+    pub(crate) fn dissemination(&mut self) -> Option<DisseminationSection> {
         let section = "dissemination";
         if !self.stands(section) {
             return None;
@@ -64,14 +64,14 @@
         self.need(section, "purge-seconds", &format!("{} to {}", PURGE_SECONDS.start(), PURGE_SECONDS.end()));
         // All are read before any is missed, so that all faults come at once.
         let (fleet, listen) = (self.name(section, "fleet"), self.address(section, "listen"));
-        let part = DisseminationPart {
+        let part = DisseminationSection {
             fleet: fleet.unwrap_or_default(),
             listen: listen.unwrap_or((Ipv4Addr::LOCALHOST, 0).into()),
             control: self.control_nodes(section),
             seeds: self.seeds(section),
             purge_window: Duration::from_secs_f64(self.within(section, "purge-seconds", PURGE_SECONDS, 10.0)),
             bytes_per_second: self.within(section, "bytes-per-second", BYTES, 6144),
-            pulse: Duration::from_millis(self.within(section, "pulse-ms", PULSE_MS, 500).into()),
+            heartbeat_interval: Duration::from_millis(self.within(section, "pulse-ms", PULSE_MS, 500).into()),
             trusted_network: self.yes(section, "trusted-network"),
         };
         if !part.trusted_network {
@@ -80,7 +80,7 @@
         (self.faults.len() == before).then_some(part)
     }
 
-    pub(crate) fn control(&mut self) -> Option<ControlPart> {
+    pub(crate) fn control(&mut self) -> Option<ControlSection> {
         let section = "control";
         if !self.stands(section) {
             return None;
@@ -89,7 +89,10 @@
             self.section_fault(section, "needs a section [dissemination]; `rockflow control` reads both");
         }
         self.need(section, "directory", "a file with a line a member");
-        Some(ControlPart { directory: self.path(section, "directory")?, marks: self.path(section, "marks") })
+        Some(ControlSection {
+            directory: self.path(section, "directory")?,
+            marks: self.path(section, "marks"),
+        })
     }
 
     fn name(&mut self, section: &str, key: &str) -> Option<String> {
@@ -182,7 +185,7 @@
         }
     }
 
-    fn loopback(&mut self, section: &str, part: &DisseminationPart) {
+    fn loopback(&mut self, section: &str, part: &DisseminationSection) {
         let control = part.control.iter().map(|(_, at)| ("control", at));
         let told = std::iter::once(("listen", &part.listen)).chain(control);
         let told = told.chain(part.seeds.iter().map(|at| ("seeds", at)));
@@ -196,7 +199,10 @@
 }
 
 /// Reads a file of marks: `HOST = draining|gone` a line, `#` before a comment.
-pub fn read_marks(file: &str, text: &str) -> Result<BTreeMap<String, Marked>, Vec<Fault>> {
+pub fn parse_overrides(
+    file: &str,
+    text: &str,
+) -> Result<BTreeMap<String, AdministrativeState>, Vec<ConfigError>> {
     let (mut marks, mut faults) = (BTreeMap::new(), Vec::new());
     for (number, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or_default().trim();
@@ -205,7 +211,7 @@
         }
         if let Err(what) = mark(line, &mut marks) {
             let (section, key) = (String::new(), String::new());
-            faults.push(Fault { file: file.to_string(), line: number + 1, section, key, what });
+            faults.push(ConfigError { file: file.to_string(), line: number + 1, section, key, what });
         }
     }
     if faults.is_empty() {
@@ -215,15 +221,15 @@
     }
 }
 
-fn mark(line: &str, marks: &mut BTreeMap<String, Marked>) -> Result<(), String> {
+fn mark(line: &str, marks: &mut BTreeMap<String, AdministrativeState>) -> Result<(), String> {
     let (host, state) = line.split_once('=').ok_or("no line of the form HOST = draining|gone")?;
     let (host, state) = (host.trim(), state.trim());
     if !(1..=MAX_NAME).contains(&host.len()) {
         return Err(format!("{host:?} is no host's name: 1 to {MAX_NAME} bytes are allowed"));
     }
     let state = match state {
-        "draining" => Marked::Draining,
-        "gone" => Marked::Gone,
+        "draining" => AdministrativeState::Draining,
+        "gone" => AdministrativeState::Gone,
         other => return Err(format!("{other:?} is neither draining nor gone")),
     };
     if marks.len() >= MAX_MARKS {
--- a/crates/rockflow-operator-config/src/lib.rs
+++ b/crates/rockflow-operator-config/src/lib.rs
@@ -4,7 +4,7 @@
 
 mod dissemination;
 
-pub use dissemination::{read_marks, ControlPart, DisseminationPart, Marked};
+pub use dissemination::{parse_overrides, AdministrativeState, ControlSection, DisseminationSection};
 
 use garde::Validate;
 use ini::Ini;
@@ -18,7 +18,7 @@
 pub const MAX_BYTES: usize = 256 * 1024;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ConfigError {
     pub file: String,
     /// From 1; 0 where there is none.
     pub line: usize,
@@ -27,7 +27,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: ", self.file, self.line)?;
         if !self.section.is_empty() {
@@ -42,7 +42,7 @@
 
 /// `[management]`: what all fronts share. With any front it must stand.
 #[derive(Clone, Debug, PartialEq, Validate)]
-pub struct ManagementPart {
+pub struct ManagementSection {
     /// The user who passes by every access rule.
     #[garde(length(min = 1, max = 128), ascii)]
     pub owner: String,
@@ -59,7 +59,7 @@
 
 /// A listener with TLS, where clients prove themselves by certificates.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TlsPart {
+pub struct TlsSection {
     pub listen: SocketAddr,
     pub certificate: PathBuf,
     pub key: PathBuf,
@@ -68,7 +68,7 @@
 
 /// `[netconf]`.
 #[derive(Clone, Debug, PartialEq, Validate)]
-pub struct NetconfPart {
+pub struct NetconfSection {
     #[garde(skip)]
     pub ssh: Option<SocketAddr>,
     #[garde(skip)]
@@ -77,7 +77,7 @@
     #[garde(skip)]
     pub authorized_keys: Option<PathBuf>,
     #[garde(skip)]
-    pub tls: Option<TlsPart>,
+    pub tls: Option<TlsSection>,
     /// Connections that have not proved who they are.
     #[garde(range(min = 1, max = 1000))]
     pub handshakes: u32,
@@ -91,9 +91,9 @@
 
 /// `[gnmi]`.
 #[derive(Clone, Debug, PartialEq, Validate)]
-pub struct GnmiPart {
+pub struct GnmiSection {
     #[garde(skip)]
-    pub tls: TlsPart,
+    pub tls: TlsSection,
     #[garde(range(min = 1, max = 1000))]
     pub subscribers: u32,
     #[garde(range(min = 16, max = 16384))]
@@ -104,12 +104,12 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct OperatorFile {
-    pub management: Option<ManagementPart>,
-    pub netconf: Option<NetconfPart>,
-    pub gnmi: Option<GnmiPart>,
-    pub dissemination: Option<DisseminationPart>,
-    pub control: Option<ControlPart>,
+pub struct OperatorConfig {
+    pub management: Option<ManagementSection>,
+    pub netconf: Option<NetconfSection>,
+    pub gnmi: Option<GnmiSection>,
+    pub dissemination: Option<DisseminationSection>,
+    pub control: Option<ControlSection>,
 }
 
 /// The keys that may stand, by section.
@@ -168,13 +168,13 @@
 type Sections = BTreeMap<String, Section>;
 
 /// Reads layers, given by file name and text, in their order.
-pub fn read(layers: &[(String, String)]) -> Result<OperatorFile, Vec<Fault>> {
+pub fn parse(layers: &[(String, String)]) -> Result<OperatorConfig, Vec<ConfigError>> {
     let (mut all, mut faults) = (Sections::new(), Vec::new());
     for (file, text) in layers {
         layer(file, text, &mut all, &mut faults);
     }
     let mut reader = Reader { all, faults };
-    let file = OperatorFile {
+    let file = OperatorConfig {
         management: reader.management(),
         netconf: reader.netconf(),
         gnmi: reader.gnmi(),
@@ -193,8 +193,8 @@
     }
 }
 
-fn layer(file: &str, text: &str, all: &mut Sections, faults: &mut Vec<Fault>) {
-    let fault = |line: usize, section: &str, key: &str, what: String| Fault {
+fn layer(file: &str, text: &str, all: &mut Sections, faults: &mut Vec<ConfigError>) {
+    let fault = |line: usize, section: &str, key: &str, what: String| ConfigError {
         file: file.to_string(),
         line,
         section: section.to_string(),
@@ -268,7 +268,7 @@
 
 struct Reader {
     all: Sections,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
 }
 
 impl Reader {
@@ -280,13 +280,13 @@
         let at = self.value(section, key).map(|value| (value.file.clone(), value.line));
         let (file, line) = at.unwrap_or_else(|| self.somewhere(section));
         let (section, key) = (section.to_string(), key.to_string());
-        self.faults.push(Fault { file, line, section, key, what: what.into() });
+        self.faults.push(ConfigError { file, line, section, key, what: what.into() });
     }
 
     fn section_fault(&mut self, section: &str, what: &str) {
         let (file, line) = self.somewhere(section);
         let (section, key) = (section.to_string(), String::new());
-        self.faults.push(Fault { file, line, section, key, what: what.to_string() });
+        self.faults.push(ConfigError { file, line, section, key, what: what.to_string() });
     }
 
     fn stands(&self, section: &str) -> bool {
@@ -334,7 +334,7 @@
         None
     }
 
-    fn management(&mut self) -> Option<ManagementPart> {
+    fn management(&mut self) -> Option<ManagementSection> {
         let section = "management";
         self.all.get(section)?;
         self.need(section, "owner", "the user who passes by every access rule");
@@ -346,7 +346,7 @@
                 false
             }
         };
-        let part = ManagementPart {
+        let part = ManagementSection {
             owner: self.text(section, "owner").unwrap_or_default(),
             store: self.path(section, "store"),
             separate_startup,
@@ -362,12 +362,12 @@
         self.parsed(section, key, "whole number").unwrap_or(otherwise)
     }
 
-    fn tls(&mut self, section: &str, listen: &str) -> Option<TlsPart> {
+    fn tls(&mut self, section: &str, listen: &str) -> Option<TlsSection> {
         let address = self.parsed::<SocketAddr>(section, listen, "address with a port")?;
         for key in ["certificate", "key", "client-ca"] {
             self.need(section, key, "TLS needs it, and clients prove themselves by certificates");
         }
-        Some(TlsPart {
+        Some(TlsSection {
             listen: address,
             certificate: self.path(section, "certificate")?,
             key: self.path(section, "key")?,
@@ -375,7 +375,7 @@
         })
     }
 
-    fn netconf(&mut self) -> Option<NetconfPart> {
+    fn netconf(&mut self) -> Option<NetconfSection> {
         let section = "netconf";
         self.all.get(section)?;
         let ssh = self.parsed(section, "ssh", "address with a port");
@@ -383,7 +383,7 @@
             self.need(section, "host-key", "SSH needs it");
             self.need(section, "authorized-keys", "SSH lets in nobody else");
         }
-        let part = NetconfPart {
+        let part = NetconfSection {
             ssh,
             host_key: self.path(section, "host-key"),
             authorized_keys: self.path(section, "authorized-keys"),
@@ -398,11 +398,11 @@
         self.judged(section, part)
     }
 
-    fn gnmi(&mut self) -> Option<GnmiPart> {
+    fn gnmi(&mut self) -> Option<GnmiSection> {
         let section = "gnmi";
         self.all.get(section)?;
         self.need(section, "listen", "an address with a port");
-        let part = GnmiPart {
+        let part = GnmiSection {
             tls: self.tls(section, "listen")?,
             subscribers: self.number(section, "subscribers", 64),
             message_kb: self.number(section, "message-kb", 1024),
--- a/crates/rockflow-operator-config/tests/dissemination.rs
+++ b/crates/rockflow-operator-config/tests/dissemination.rs
@@ -1,6 +1,6 @@
 //! The sections of dissemination, and the file of marks: what is taken, and where each fault is said to be.
 
-use rockflow_operator_config::{read, read_marks, Fault, Marked, OperatorFile};
+use rockflow_operator_config::{parse, parse_overrides, AdministrativeState, ConfigError, OperatorConfig};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -11,8 +11,8 @@
 purge-seconds = 8.7
 ";
 
-fn one(text: &str) -> Result<OperatorFile, Vec<Fault>> {
-    read(&[("a.ini".to_string(), text.to_string())])
+fn one(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+    parse(&[("a.ini".to_string(), text.to_string())])
 }
 
 #[test]
@@ -21,7 +21,7 @@
     assert_eq!((part.fleet.as_str(), part.listen), ("shops", "127.0.0.1:7510".parse().unwrap()));
     let control: Vec<_> = part.control.iter().map(|(name, at)| (name.as_str(), at.to_string())).collect();
     assert_eq!(control, [("c0", "127.0.0.1:7500".to_string()), ("c1", "[::1]:7500".to_string())]);
-    assert_eq!((part.bytes_per_second, part.pulse), (6144, Duration::from_millis(500)));
+    assert_eq!((part.bytes_per_second, part.heartbeat_interval), (6144, Duration::from_millis(500)));
     assert_eq!((part.purge_window, part.seeds.len()), (Duration::from_millis(8700), 0));
     assert!(!part.trusted_network);
 }
@@ -33,7 +33,7 @@
     let file = one(&format!("{GOOD}{more}")).unwrap();
     let (part, control) = (file.dissemination.unwrap(), file.control.unwrap());
     assert_eq!((part.seeds.len(), part.bytes_per_second), (2, 1024));
-    assert_eq!(part.pulse, Duration::from_millis(50));
+    assert_eq!(part.heartbeat_interval, Duration::from_millis(50));
     assert_eq!(control.directory.to_str(), Some("members.csv"));
     assert_eq!(control.marks.unwrap().to_str(), Some("marks"));
 }
@@ -115,9 +115,9 @@
 
 #[test]
 fn marks_are_read_line_by_line() {
-    let marks = read_marks("marks", "# none\n\nc1 = draining # for now\n c2=gone\n").unwrap();
+    let marks = parse_overrides("marks", "# none\n\nc1 = draining # for now\n c2=gone\n").unwrap();
     let marks: Vec<_> = marks.iter().map(|(name, mark)| (name.as_str(), *mark)).collect();
-    assert_eq!(marks, [("c1", Marked::Draining), ("c2", Marked::Gone)]);
+    assert_eq!(marks, [("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
 }
 
 #[test_case("c1\n", "marks:1: no line of the form HOST = draining|gone"; "no state")]
@@ -125,6 +125,6 @@
 #[test_case(" = gone\n", "marks:1: \"\" is no host's name"; "no name")]
 #[test_case("c1 = gone\nc1 = draining\n", "marks:2: \"c1\" stands twice"; "twice")]
 fn a_fault_in_a_mark_names_its_line(text: &str, wanted: &str) {
-    let faults = read_marks("marks", text).unwrap_err();
+    let faults = parse_overrides("marks", text).unwrap_err();
     assert!(faults[0].to_string().starts_with(wanted), "{}", faults[0]);
 }
--- a/crates/rockflow-operator-config/tests/file.rs
+++ b/crates/rockflow-operator-config/tests/file.rs
@@ -1,10 +1,10 @@
 //! The operator's file: what is taken, and where each fault is said to be.
 
-use rockflow_operator_config::{read, OperatorFile};
+use rockflow_operator_config::{parse, OperatorConfig};
 use test_case::test_case;
 
-fn one(text: &str) -> Result<OperatorFile, Vec<rockflow_operator_config::Fault>> {
-    read(&[("a.ini".to_string(), text.to_string())])
+fn one(text: &str) -> Result<OperatorConfig, Vec<rockflow_operator_config::ConfigError>> {
+    parse(&[("a.ini".to_string(), text.to_string())])
 }
 
 const GOOD: &str = "[management]
@@ -20,7 +20,7 @@
 
 #[test]
 fn an_absent_file_and_an_absent_section_are_parts_that_do_not_exist() {
-    assert_eq!(read(&[]).unwrap(), OperatorFile::default());
+    assert_eq!(parse(&[]).unwrap(), OperatorConfig::default());
     let file = one(GOOD).unwrap();
     assert!(file.gnmi.is_none());
     let netconf = file.netconf.unwrap();
@@ -31,20 +31,20 @@
 #[test]
 fn the_example_reads() {
     let file = one(include_str!("../../../deploy/rockflow.ini"));
-    assert_eq!(file.unwrap(), OperatorFile::default());
+    assert_eq!(file.unwrap(), OperatorConfig::default());
 }
 
 #[test]
 fn a_later_layer_holds_key_by_key() {
     let over = "[netconf]\nmessage-kb = 128\n[management]\nrestart = startup\n";
     let layers = [("a.ini", GOOD), ("b.ini", over)].map(|(name, text)| (name.to_string(), text.to_string()));
-    let file = read(&layers).unwrap();
+    let file = parse(&layers).unwrap();
     assert_eq!(file.netconf.unwrap().message_kb, 128);
     let management = file.management.unwrap();
     assert!(management.separate_startup && management.owner == "ana");
     // A fault is where the layer has it.
     let layers = [("a.ini", GOOD), ("b.ini", "[netconf]\n\nmessage-kb = 3\n")];
-    let faults = read(&layers.map(|(name, text)| (name.to_string(), text.to_string()))).unwrap_err();
+    let faults = parse(&layers.map(|(name, text)| (name.to_string(), text.to_string()))).unwrap_err();
     assert!(faults[0].to_string().starts_with("b.ini:3: [netconf] message-kb: \"3\":"), "{}", faults[0]);
 }
 
--- a/crates/rockflow-operator-config/tests/literal_text.rs
+++ b/crates/rockflow-operator-config/tests/literal_text.rs
@@ -1,6 +1,6 @@
 //! Each section and key of `deploy/rockflow.ini`, by a literal text: operators' files outlive the program.
 
-use rockflow_operator_config::{read, OperatorFile};
+use rockflow_operator_config::{parse, OperatorConfig};
 use std::path::Path;
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
 marks = /etc/rockflow/marks
 ";
 
-fn read_every_key() -> OperatorFile {
-    read(&[("rockflow.ini".to_string(), EVERY_KEY.to_string())]).unwrap()
+fn read_every_key() -> OperatorConfig {
+    parse(&[("rockflow.ini".to_string(), EVERY_KEY.to_string())]).unwrap()
 }
 
 fn path(text: &str) -> &Path {
@@ -97,7 +97,7 @@
     assert_eq!(part.seeds, ["127.0.0.1:7502".parse().unwrap()]);
     assert_eq!(part.purge_window, Duration::from_millis(8700));
     assert_eq!(part.bytes_per_second, 6145);
-    assert_eq!(part.pulse, Duration::from_millis(501));
+    assert_eq!(part.heartbeat_interval, Duration::from_millis(501));
     assert!(part.trusted_network);
     let control = file.control.unwrap();
     assert_eq!(control.directory, path("/etc/rockflow/members.csv"));
@@ -130,7 +130,7 @@
         .skip_while(|line| *line != "# [management]")
         .map(|line| format!("{}\n", line.trim_start_matches('#').trim()))
         .collect();
-    let file = read(&[("rockflow.ini".to_string(), text)]).unwrap();
+    let file = parse(&[("rockflow.ini".to_string(), text)]).unwrap();
     assert!(!file.management.unwrap().separate_startup);
     assert_eq!(file.netconf.unwrap().handshakes, 32);
     assert_eq!(file.gnmi.unwrap().least_interval_ms, 100);
