--- a/crates/rockflow-cluster-simulation/src/main.rs
+++ b/crates/rockflow-cluster-simulation/src/main.rs
@@ -1,29 +1,30 @@
-//! Plays schedules of a node in virtual time and prints what they came to, as a table and as lines of JSON.
+//! Plays schedules of a cluster in virtual time and prints what they came to, as a table and as lines of JSON.
 
 use clap::Parser;
-use rockflow_cluster_simulation::{Faults, Row, Sum, ROUGH};
-use std::io::Write;
-use std::path::PathBuf;
+use rockflow_cluster_simulation::{Faults, Row, Summary, ROUGH};
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Seeded schedules of a node in virtual time: kills, stops, cuts, lost, doubled and late frames
+/// Seeded schedules of a cluster in virtual time: kills, pauses, cuts, lost, duplicated and late frames
 #[derive(Parser)]
-struct Line {
+struct Arguments {
     /// Members and replicas of each row, as 5:3
-    #[arg(long, value_delimiter = ',', default_value = "3:3,5:3,7:5,9:3", value_parser = row)]
-    rows: Vec<(usize, usize)>,
+    #[arg(long, value_delimiter = ',', default_value = "3:3,5:3,7:5,9:3", value_parser = parse_size)]
+    rows: Vec<ClusterSize>,
     /// Schedules of each row
     #[arg(long, default_value_t = 1000)]
     schedules: u64,
     /// The first seed
     #[arg(long, default_value_t = 0)]
     seed: u64,
-    /// Calls asked in each schedule
-    #[arg(long, default_value_t = 40)]
+    /// Requests sent in each schedule
+    #[arg(long = "calls", default_value_t = 40)]
     requests: u64,
     /// The share of the members that are killed at the same instant
-    #[arg(long, default_value_t = 0.0)]
-    at_once: f64,
+    #[arg(long = "at-once", default_value_t = 0.0)]
+    killed_at_once: f64,
+    /// Threads that play schedules
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get() as u64))]
     threads: u64,
     /// Where a line of JSON for each row is appended
@@ -31,54 +32,68 @@
     json: Option<PathBuf>,
 }
 
-fn row(text: &str) -> Result<(usize, usize), String> {
+#[derive(Clone, Copy, Debug)]
+struct ClusterSize {
+    members: usize,
+    replicas: usize,
+}
+
+fn parse_size(text: &str) -> Result<ClusterSize, &'static str> {
     let (members, replicas) = text.split_once(':').ok_or("two numbers, as 5:3")?;
     let number = |text: &str| text.parse().ok().filter(|n| (1..=1000).contains(n)).ok_or("from 1 to 1000");
-    Ok((number(members)?, number(replicas)?))
+    Ok(ClusterSize { members: number(members)?, replicas: number(replicas)? })
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let arguments = Arguments::parse();
     println!("members keepers schedules  answered   of calls  again served  claims run again      frames  violations");
-    let mut clean = true;
-    for (members, replicas) in &line.rows {
-        let at_once = (*members as f64 * line.at_once) as usize;
-        let faults = Faults { at_once, ..ROUGH };
-        let row = Row { members: *members, replicas: *replicas, requests: line.requests, faults };
-        let sum = row.play(line.seed, line.schedules, line.threads.max(1));
-        print(&sum);
-        clean &= sum.violations.is_empty();
-        if let Err(what) = line.json.as_ref().map_or(Ok(()), |path| append(path, &sum)) {
-            eprintln!("not written: {what}");
+    let mut is_clean = true;
+    for size in &arguments.rows {
+        let summary = play(&arguments, *size);
+        print(&summary);
+        is_clean &= summary.violations.is_empty();
+        let written = arguments.json.as_ref().map_or(Ok(()), |path| append(path, &summary));
+        if let Err(error) = written {
+            eprintln!("not written: {error}");
             return ExitCode::FAILURE;
         }
     }
-    if clean {
+    if is_clean {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn print(sum: &Sum) {
+fn play(arguments: &Arguments, size: ClusterSize) -> Summary {
+    let simultaneous_kills = (size.members as f64 * arguments.killed_at_once) as usize;
+    let faults = Faults { simultaneous_kills, ..ROUGH };
+    let ClusterSize { members, replicas } = size;
+    let row = Row { members, replicas, requests: arguments.requests, faults };
+    row.play(arguments.seed, arguments.schedules, arguments.threads.max(1))
+}
+
+fn print(summary: &Summary) {
     println!(
         "{:>7} {:>7} {:>9} {:>9} {:>10} {:>6} {:>6} {:>7} {:>9} {:>11} {:>11}",
-        sum.members,
-        sum.replicas,
-        sum.schedules,
-        sum.answered,
-        sum.asked,
-        sum.came_again,
-        sum.served_again,
-        sum.claims,
-        sum.run_again,
-        sum.frames,
-        sum.violations.len()
+        summary.members,
+        summary.replicas,
+        summary.schedules,
+        summary.answered,
+        summary.asked,
+        summary.asked_again,
+        summary.answered_again,
+        summary.takeovers,
+        summary.run_again,
+        summary.frames,
+        summary.violations.len()
     );
-    sum.violations.iter().for_each(|(seed, what)| println!("  seed {seed}: {what}"));
+    for (seed, violation) in &summary.violations {
+        println!("  seed {seed}: {violation}");
+    }
 }
 
-fn append(path: &PathBuf, sum: &Sum) -> std::io::Result<()> {
+fn append(path: &Path, summary: &Summary) -> io::Result<()> {
     let mut file = std::fs::File::options().create(true).append(true).open(path)?;
-    writeln!(file, "{}", serde_json::to_string(sum)?)
+    writeln!(file, "{}", serde_json::to_string(summary)?)
 }
--- a/crates/rockflow-cluster-simulation/tests/schedules.rs
+++ b/crates/rockflow-cluster-simulation/tests/schedules.rs
@@ -1,18 +1,19 @@
 //! A short row of each kind, the same on every machine.
 
-use rockflow_cluster_simulation::{Row, World, CALM, ROUGH};
+use rockflow_cluster_simulation::{Row, Summary, World, CALM, ROUGH};
 use test_case::test_case;
 
 #[test]
-fn a_calm_fleet_answers_all() {
+fn calm_cluster_answers_every_request() {
     for seed in 0..20 {
         let mut world = World::new(seed, 5, 3, CALM);
         world.play(60);
-        world.verdict().unwrap_or_else(|what| panic!("seed {seed}: {what}"));
-        let unanswered = |request: &&_| !world.seen.answers.contains_key(*request);
-        let unanswered: Vec<_> = world.seen.asked.keys().filter(unanswered).collect();
+        world.verdict().unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
+        let observed = &world.observations;
+        let unanswered: Vec<_> =
+            observed.asked.keys().filter(|request| !observed.answers.contains_key(*request)).collect();
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}");
-        assert!(world.seen.runs.values().all(|runs| runs.len() <= 2), "seed {seed}");
+        assert!(observed.runs.values().all(|runs| runs.len() <= 2), "seed {seed}");
     }
 }
 
@@ -20,10 +21,34 @@
 #[test_case(5, 3, 40, 80)]
 #[test_case(7, 5, 30, 80)]
 #[test_case(9, 3, 30, 80)]
-#[test_case(1, 1, 20, 0; "one alone, which has forgotten all when it restarts")]
-#[test_case(2, 3, 30, 0; "two, of whom both must be there")]
-fn no_schedule_runs_twice_or_answers_twice(members: usize, replicas: usize, schedules: u64, answered: u64) {
-    let sum = Row { members, replicas, requests: 40, faults: ROUGH }.play(0, schedules, 2);
-    assert!(sum.violations.is_empty(), "{:?}", sum.violations);
-    assert!(sum.answered * 100 >= sum.asked * answered, "{sum:?}");
+#[test_case(1, 1, 20, 0; "a single member, which loses its memory when it restarts")]
+#[test_case(2, 3, 30, 0; "two members, both of which must be present")]
+fn no_request_runs_twice_or_is_answered_twice(
+    members: usize,
+    replicas: usize,
+    schedules: u64,
+    answered_percent: u64,
+) {
+    let summary = Row { members, replicas, requests: 40, faults: ROUGH }.play(0, schedules, 2);
+    assert!(summary.violations.is_empty(), "{:?}", summary.violations);
+    assert!(summary.answered * 100 >= summary.asked * answered_percent, "{summary:?}");
+}
+
+#[test]
+fn json_line_keeps_its_names() {
+    let summary = Summary {
+        members: 5,
+        replicas: 3,
+        schedules: 2,
+        asked: 40,
+        answered: 39,
+        asked_again: 4,
+        answered_again: 3,
+        takeovers: 6,
+        run_again: 1,
+        frames: 700,
+        violations: vec![(9, "what".to_string())],
+    };
+    let line = r#"{"members":5,"keepers":3,"schedules":2,"asked":40,"answered":39,"came_again":4,"served_again":3,"claims":6,"run_again":1,"frames":700,"violations":[[9,"what"]]}"#;
+    assert_eq!(serde_json::to_string(&summary).unwrap(), line);
 }
--- a/crates/rockflow-scale/src/slopes/membership.rs
+++ b/crates/rockflow-scale/src/slopes/membership.rs
@@ -5,7 +5,7 @@
 use rockflow_cluster::{
     ClusterConfig, ClusterNode, Identity, Incarnation, MemberId, Membership, Message, Output, RequestId,
 };
-use rockflow_transport::frame;
+use rockflow_transport::cluster::frame;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 use std::hint::black_box;
--- a/crates/rockflow-scale/src/slopes/records.rs
+++ b/crates/rockflow-scale/src/slopes/records.rs
@@ -2,11 +2,12 @@
 
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
+use rockflow_cluster::replica::WriteRequest;
 use rockflow_cluster::{
     Ballot, ClusterConfig, EffectKind, Identity, Incarnation, MemberId, Message, Replica, RequestDescriptor,
     RequestId, RequestProgress, StartedAttempt, Step,
 };
-use rockflow_transport::frame;
+use rockflow_transport::cluster::frame;
 use std::time::Duration;
 
 pub const SERIES: &[Listed] =
@@ -46,7 +47,8 @@
 fn write(replica: &mut Replica, n: u64) -> Message {
     let replicas = [MemberId(0), MemberId(2), MemberId(3)];
     let (at, descriptor, progress) = message(n);
-    replica.on_write(Duration::from_secs(1), &replicas, at, descriptor, &progress, Duration::from_secs(3))
+    let write = WriteRequest { at, descriptor, progress: &progress, left: Duration::from_secs(3) };
+    replica.on_write(Duration::from_secs(1), &replicas, &write)
 }
 
 fn records(bench: &mut Bench) {
--- /dev/null
+++ b/crates/rockflow-transport/src/cluster/frame.rs
@@ -0,0 +1,129 @@
+//! The datagrams of a cluster: a head with version, cluster and sender, messages in the order in which they were sent, and
+//! a checksum over all. What others send is validated here, strictly and once.
+
+use crate::datagram::Head;
+use rockflow_cluster::replica::MAX_TRANSFERRED_RECORDS;
+use rockflow_cluster::{
+    Answer, ClusterConfig, Identity, Message, Record, RejectionReason, RequestProgress, StateTransfer, Step,
+};
+use serde::{Deserialize, Serialize};
+
+pub use crate::datagram::{Fault, MAX_BYTES, MAX_MESSAGES, PACKED};
+
+/// The version of these datagrams.
+pub const VERSION: u8 = 1;
+/// The first bytes of these datagrams.
+const MAGIC: [u8; 2] = [0x72, 0x66];
+/// The maximum number of started attempts of one request.
+pub const MAX_STARTED_ATTEMPTS: usize = 64;
+/// The maximum number of incarnations that go with a vote.
+pub const MAX_KNOWN_INCARNATIONS: usize = 16;
+/// The maximum size of an answer's entity tag, in bytes.
+pub const MAX_TAG_BYTES: usize = 256;
+
+/// What a datagram holds.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Frame {
+    /// The sender.
+    pub from: Identity,
+    /// Its messages, in the order in which they were sent.
+    pub messages: Vec<Message>,
+}
+
+/// Packs messages to one peer into datagrams, in order. What does not fit even alone is left out, and counted.
+pub fn encode(config: &ClusterConfig, from: Identity, messages: &[Message]) -> (Vec<Vec<u8>>, usize) {
+    let from = postcard::to_stdvec(&from).expect("an identity is always written");
+    head(config).pack(&from, messages)
+}
+
+/// Reads a datagram.
+///
+/// # Errors
+/// If it is not whole, not of this version or cluster, or holds anything that is out of its bounds.
+pub fn decode(config: &ClusterConfig, bytes: &[u8]) -> Result<Frame, Fault> {
+    let inner = head(config).open(bytes)?;
+    let (frame, rest) = postcard::take_from_bytes::<Frame>(inner).map_err(|_| Fault::Unreadable)?;
+    if !rest.is_empty() {
+        return Err(Fault::Unreadable);
+    }
+    let validator = Validator { config };
+    let is_valid = validator.is_member(&frame.from)
+        && frame.messages.len() <= MAX_MESSAGES
+        && frame.messages.iter().all(|message| validator.accepts(message));
+    is_valid.then_some(frame).ok_or(Fault::OutOfRange)
+}
+
+fn head(config: &ClusterConfig) -> Head {
+    Head { mark: MAGIC, version: VERSION, fleet: config.digest() }
+}
+
+/// Checks that a message names members that exist, and holds no more than it may.
+struct Validator<'a> {
+    config: &'a ClusterConfig,
+}
+
+impl Validator<'_> {
+    fn accepts(&self, message: &Message) -> bool {
+        match message {
+            Message::Swim(_) => true,
+            Message::Write { at, progress, .. } => self.accepts_step(at) && self.accepts_progress(progress),
+            Message::Prepare { at, .. } => self.accepts_step(at),
+            Message::Vote { at, incarnations, held } => {
+                self.accepts_step(at)
+                    && incarnations.len() <= MAX_KNOWN_INCARNATIONS
+                    && incarnations.iter().all(|identity| self.is_member(identity))
+                    && held.as_ref().is_none_or(|record| self.accepts_record(record))
+            }
+            Message::Reject { at, reason } => self.accepts_step(at) && self.accepts_reason(reason),
+            Message::RequestStateTransfer { identity, .. } => self.is_member(identity),
+            Message::StateTransfer(transfer) => self.accepts_transfer(transfer),
+            Message::FinalAnswer { answer, .. } => self.accepts_answer(answer),
+            Message::HandOver { progress, .. } => self.accepts_progress(progress),
+            Message::DropRecord { ballot, .. } => self.is_member(&ballot.identity),
+            Message::AwaitAnswer { .. } | Message::IncarnationSuperseded { .. } => true,
+        }
+    }
+
+    fn is_member(&self, identity: &Identity) -> bool {
+        usize::from(identity.member.0) < self.config.members.len()
+    }
+
+    fn accepts_step(&self, at: &Step) -> bool {
+        self.is_member(&at.ballot.identity)
+    }
+
+    fn accepts_answer(&self, answer: &Answer) -> bool {
+        let body_fits = answer.body.as_ref().is_none_or(|body| body.len() <= self.config.max_body_bytes);
+        body_fits && answer.tag.as_ref().is_none_or(|tag| tag.len() <= MAX_TAG_BYTES)
+    }
+
+    fn accepts_progress(&self, progress: &RequestProgress) -> bool {
+        let answer = progress.answer.as_ref();
+        let started = &progress.started_attempts;
+        answer.is_none_or(|(ballot, answer)| self.is_member(&ballot.identity) && self.accepts_answer(answer))
+            && started.len() <= MAX_STARTED_ATTEMPTS
+            && started.iter().all(|attempt| self.is_member(&attempt.ballot.identity))
+    }
+
+    fn accepts_record(&self, record: &Record) -> bool {
+        self.is_member(&record.promised.identity) && self.accepts_progress(&record.progress)
+    }
+
+    fn accepts_reason(&self, reason: &RejectionReason) -> bool {
+        match reason {
+            RejectionReason::Promised(ballot) => self.is_member(&ballot.identity),
+            RejectionReason::RequestMismatch | RejectionReason::Unsynchronized | RejectionReason::Full => {
+                true
+            }
+        }
+    }
+
+    fn accepts_transfer(&self, transfer: &StateTransfer) -> bool {
+        let members = self.config.members.len();
+        self.is_member(&transfer.identity)
+            && transfer.sources.as_ref().is_none_or(|sources| sources.len() < members)
+            && transfer.part < transfer.parts
+            && transfer.records.len() <= MAX_TRANSFERRED_RECORDS
+            && transfer.records.iter().all(|transferred| self.accepts_record(&transferred.record))
+    }
+}
--- a/crates/rockflow-transport/src/lib.rs
+++ b/crates/rockflow-transport/src/lib.rs
@@ -1,24 +1,17 @@
-//! Links between dispatchers: datagrams, internal to a fleet, with no outside protocol. `datagram` has what all of them
-//! share, `wire` what every thread with a socket does alike. Each link has a module that says what a datagram holds and
-//! judges what comes, and one with the thread in which its machine lives: `frame` and `carry` that of the covered
-//! requests, `dissemination` that of purges and configuration.
+//! Transport between dispatchers: datagrams with no outside protocol. `datagram` has what all of them share, `wire` what
+//! every thread with a socket does alike. `cluster` and `dissemination` say what their datagrams hold, validate what
+//! arrives, and run the thread in which their state machine lives.
 //!
-//! The machines decide everything; this package carries what they want sent, hands them what came and the time, and
-//! passes their other words to the dispatcher by a callback that must not wait.
+//! The state machines decide everything; this package sends what they want sent, hands them what arrived and the time,
+//! and passes their other outputs to the dispatcher by a callback that must not wait.
 
 pub mod datagram;
 pub mod wire;
 
-#[cfg(feature = "fleet")]
-pub mod carry;
+#[cfg(feature = "cluster")]
+pub mod cluster;
 #[cfg(feature = "dissemination")]
 pub mod dissemination;
-#[cfg(feature = "fleet")]
-pub mod frame;
 
-#[cfg(feature = "fleet")]
-pub use carry::{Link, Plan, Tally, Word};
 pub use datagram::{Fault, MAX_BYTES};
-#[cfg(feature = "fleet")]
-pub use frame::Frame;
 pub use wire::Traffic;
--- a/crates/rockflow-transport/tests/cluster_wire_format.rs
+++ b/crates/rockflow-transport/tests/cluster_wire_format.rs
@@ -1,7 +1,7 @@
 //! The bytes of every message between members of a cluster, as they travel: a member of another release must read them.
 
 use rockflow_cluster::*;
-use rockflow_transport::frame::{decode, encode, Frame};
+use rockflow_transport::cluster::frame::{decode, encode, Frame};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -27,15 +27,15 @@
 }
 
 fn answer(outcome: Outcome) -> Answer {
-    Answer { ended, tag: Some("t1".to_string()), body: Some(vec![0xab, 0xcd]) }
+    Answer { outcome, tag: Some("t1".to_string()), body: Some(vec![0xab, 0xcd]) }
 }
 
 fn progress() -> RequestProgress {
     let started = vec![StartedAttempt { ballot: Ballot::first(SENDER, 1), attempt: 1, host: 9 }];
-    RequestProgress { started, answer: Some((BALLOT, answer(Outcome::Succeeded))) }
+    RequestProgress { started_attempts: started, answer: Some((BALLOT, answer(Outcome::Succeeded))) }
 }
 
-fn kept() -> Record {
+fn record() -> Record {
     Record { descriptor: Some(descriptor(EffectKind::AtMostOnce)), promised: BALLOT, progress: progress() }
 }
 
@@ -48,42 +48,42 @@
     Message::Write { at: STEP, descriptor, progress: progress(), left }
 }
 
-fn claim() -> Message {
+fn prepare() -> Message {
     Message::Prepare { at: STEP, descriptor: Some(descriptor(EffectKind::AtMostOnce)) }
 }
 
-fn claim_of_unknown() -> Message {
+fn prepare_of_unknown() -> Message {
     Message::Prepare { at: STEP, descriptor: None }
 }
 
 fn vote() -> Message {
-    Message::Vote { at: STEP, incarnations: [SENDER, OTHER].into_iter().collect(), held: Some(kept()) }
+    Message::Vote { at: STEP, incarnations: [SENDER, OTHER].into_iter().collect(), held: Some(record()) }
 }
 
-fn refuse(reason: RejectionReason) -> Message {
+fn reject(reason: RejectionReason) -> Message {
     Message::Reject { at: STEP, reason }
 }
 
-fn learn() -> Message {
+fn request_state_transfer() -> Message {
     Message::RequestStateTransfer { identity: SENDER, number: 5 }
 }
 
 fn transfer() -> Message {
-    let (left, keeps) = (Duration::from_millis(20), Duration::from_secs(30));
-    let records = vec![TransferredRecord { request: REQUEST, kept: kept(), left, keeps }];
-    let by = Some(vec![MemberId(0), MemberId(2)]);
-    Message::StateTransfer(StateTransfer { identity: OTHER, number: 6, part: 1, parts: 2, by, records })
+    let (left, retained_for) = (Duration::from_millis(20), Duration::from_secs(30));
+    let records = vec![TransferredRecord { request: REQUEST, record: record(), left, retained_for }];
+    let sources = Some(vec![MemberId(0), MemberId(2)]);
+    Message::StateTransfer(StateTransfer { identity: OTHER, number: 6, part: 1, parts: 2, sources, records })
 }
 
-fn wait() -> Message {
+fn await_answer() -> Message {
     Message::AwaitAnswer { request: REQUEST, descriptor: descriptor(EffectKind::Idempotent) }
 }
 
-fn last(outcome: Outcome) -> Message {
-    Message::FinalAnswer { request: REQUEST, answer: answer(ended) }
+fn final_answer(outcome: Outcome) -> Message {
+    Message::FinalAnswer { request: REQUEST, answer: answer(outcome) }
 }
 
-fn last_without_body() -> Message {
+fn final_answer_without_body() -> Message {
     Message::FinalAnswer {
         request: REQUEST,
         answer: Answer { outcome: Outcome::Succeeded, tag: None, body: None },
@@ -113,20 +113,20 @@
 
 #[test_case(swim(), "72660173858f7101ac02010003010203e0586c45"; "membership")]
 #[test_case(write(), "72660173858f7101ac020101ef9bafcdf8acd19181deb7de9af1d9a2a302020209820103010bbafe010311d49619010001ac0201010901020209820100010274310102abcd0180cab5ee01c41dd973"; "write")]
-#[test_case(claim(), "72660173858f7101ac020102ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010301020bbafe010311d49619bd1b0dc2"; "claim")]
-#[test_case(claim_of_unknown(), "72660173858f7101ac020102ef9bafcdf8acd19181deb7de9af1d9a2a302020209820103008e89851f"; "claim without a subject")]
+#[test_case(prepare(), "72660173858f7101ac020102ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010301020bbafe010311d49619bd1b0dc2"; "claim")]
+#[test_case(prepare_of_unknown(), "72660173858f7101ac020102ef9bafcdf8acd19181deb7de9af1d9a2a302020209820103008e89851f"; "claim without a subject")]
 #[test_case(vote(), "72660173858f7101ac020103ef9bafcdf8acd19181deb7de9af1d9a2a3020202098201030201ac0202090101020bbafe010311d496190202098201010001ac0201010901020209820100010274310102abcd60b0eae3"; "vote")]
-#[test_case(refuse(RejectionReason::Promised(BALLOT)), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010300020209820177cffbf5"; "refusal: promised")]
-#[test_case(refuse(RejectionReason::RequestMismatch), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010301a9645c57"; "refusal: id in use")]
-#[test_case(refuse(RejectionReason::Unsynchronized), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010302133555ce"; "refusal: unsure")]
-#[test_case(refuse(RejectionReason::Full), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010303850552b9"; "refusal: full")]
-#[test_case(learn(), "72660173858f7101ac02010501ac02051d74461f"; "learn")]
+#[test_case(reject(RejectionReason::Promised(BALLOT)), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010300020209820177cffbf5"; "refusal: promised")]
+#[test_case(reject(RejectionReason::RequestMismatch), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010301a9645c57"; "refusal: id in use")]
+#[test_case(reject(RejectionReason::Unsynchronized), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010302133555ce"; "refusal: unsure")]
+#[test_case(reject(RejectionReason::Full), "72660173858f7101ac020104ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010303850552b9"; "refusal: full")]
+#[test_case(request_state_transfer(), "72660173858f7101ac02010501ac02051d74461f"; "learn")]
 #[test_case(transfer(), "72660173858f7101ac02010602090601020102000201ef9bafcdf8acd19181deb7de9af1d9a2a30201020bbafe010311d496190202098201010001ac0201010901020209820100010274310102abcd0080dac4091e009d12b53a"; "lesson")]
-#[test_case(wait(), "72660173858f7101ac020107ef9bafcdf8acd19181deb7de9af1d9a2a302000bbafe010311d49619e825a2ad"; "wait")]
-#[test_case(last(Outcome::Succeeded), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a30200010274310102abcd3e6f46bf"; "final: succeeded")]
-#[test_case(last(Outcome::Rejected), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a30201010274310102abcd7d7b3da8"; "final: dismissed")]
-#[test_case(last(Outcome::Failed), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a30202010274310102abcdb847b091"; "final: terminated")]
-#[test_case(last_without_body(), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a302000000055b194d"; "final: without tag and body")]
+#[test_case(await_answer(), "72660173858f7101ac020107ef9bafcdf8acd19181deb7de9af1d9a2a302000bbafe010311d49619e825a2ad"; "wait")]
+#[test_case(final_answer(Outcome::Succeeded), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a30200010274310102abcd3e6f46bf"; "final: succeeded")]
+#[test_case(final_answer(Outcome::Rejected), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a30201010274310102abcd7d7b3da8"; "final: dismissed")]
+#[test_case(final_answer(Outcome::Failed), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a30202010274310102abcdb847b091"; "final: terminated")]
+#[test_case(final_answer_without_body(), "72660173858f7101ac020108ef9bafcdf8acd19181deb7de9af1d9a2a302000000055b194d"; "final: without tag and body")]
 #[test_case(drop_record(), "72660173858f7101ac020109ef9bafcdf8acd19181deb7de9af1d9a2a3020202098201c32c98e0"; "drop")]
 #[test_case(superseded(), "72660173858f7101ac02010aad029e2716a3"; "outlived")]
 #[test_case(hand_over(), "72660173858f7101ac02010bef9bafcdf8acd19181deb7de9af1d9a2a302010bbafe010311d49619010001ac0201010901020209820100010274310102abcd0201b996879f"; "hand over")]
@@ -141,7 +141,7 @@
 fn several_messages_travel_in_one_frame() {
     let expected =
         "72660173858f7101ac02030501ac020509ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010aad029c73c878";
-    let messages = vec![learn(), drop_record(), superseded()];
+    let messages = vec![request_state_transfer(), drop_record(), superseded()];
     let (frames, left_out) = encode(&config(), SENDER, &messages);
     assert_eq!((frames.len(), left_out), (1, 0));
     assert_eq!(hex(&frames[0]), expected);
--- a/crates/rockflow-transport/tests/frames.rs
+++ b/crates/rockflow-transport/tests/frames.rs
@@ -1,10 +1,10 @@
-//! What comes from others is judged where it is read: nothing that is not whole, of this version and of this node, and
-//! within its bounds, gets through, and nothing makes it panic.
+//! What other members send is validated where it is read: only what is whole, of this version and of this cluster, and
+//! within its bounds, is accepted, and nothing makes the reader panic.
 
 mod spoiled;
 
 use rockflow_cluster::*;
-use rockflow_transport::frame::{decode, encode, Fault, MAX_BYTES, VERSION};
+use rockflow_transport::cluster::frame::{decode, encode, Fault, MAX_BYTES, VERSION};
 use std::time::Duration;
 
 fn config() -> ClusterConfig {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_is_sent_comes_out_as_it_was_packed_by_size() {
+fn packed_messages_are_read_as_they_were_sent() {
     let messages: Vec<_> = (0..40).map(|n| write(n * 10)).collect();
     let (frames, left_out) = encode(&config(), identity(1), &messages);
     assert!(frames.len() > 4 && frames.iter().all(|bytes| bytes.len() <= 1400), "{}", frames.len());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn another_version_or_fleet_is_told_apart() {
+fn rejects_another_version_or_cluster() {
     let bytes = sealed(&[write(1)]);
     let mut other = bytes.clone();
     other[2] = VERSION + 1;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_is_not_whole_is_not_taken() {
+fn rejects_incomplete_datagram() {
     let whole = sealed(&[write(1)]);
     for (how, bytes, fault) in spoiled::not_whole(&whole) {
         assert_eq!(decode(&config(), &bytes), Err(fault), "{how}");
@@ -86,20 +86,20 @@
 }
 
 #[test]
-fn what_is_longer_than_it_may_be_is_not_taken() {
+fn rejects_values_past_their_caps() {
     let within = sealed(&[write(1024)]);
     assert!(decode(&config(), &within).is_ok());
     let over = sealed(&[write(1025)]);
     assert_eq!(decode(&config(), &over), Err(Fault::OutOfRange));
     let transfer = |records: usize, part: u16| {
-        let kept = Record {
+        let record = Record {
             descriptor: None,
             promised: Ballot::first(identity(0), 1),
             progress: RequestProgress::default(),
         };
         let transferred = |n| {
-            let (request, kept) = (RequestId(n as u128), kept.clone());
-            TransferredRecord { request, kept, left: Duration::ZERO, keeps: Duration::ZERO }
+            let (request, record) = (RequestId(n as u128), record.clone());
+            TransferredRecord { request, record, left: Duration::ZERO, retained_for: Duration::ZERO }
         };
         let records = (0..records).map(transferred).collect();
         sealed(&[Message::StateTransfer(StateTransfer {
@@ -107,7 +107,7 @@
             number: 1,
             part,
             parts: 2,
-            by: None,
+            sources: None,
             records,
         })])
     };
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn nothing_that_comes_makes_it_panic() {
+fn malformed_datagrams_never_panic() {
     let good = sealed(&[
         write(20),
         Message::AwaitAnswer { request: RequestId(3), descriptor: descriptor() },
--- a/crates/rockflow-transport/tests/processes.rs
+++ b/crates/rockflow-transport/tests/processes.rs
@@ -1,9 +1,9 @@
-//! Five real processes on loopback, killed, stopped and restarted with nothing. This program is the members too: started
-//! again with `MEMBER` set, it runs one, takes its dispatcher's commands as lines and prints what comes of them.
+//! Five real processes on loopback, killed, paused and restarted with empty memory. This program is the members too:
+//! started again with `MEMBER` set, it runs one, takes its dispatcher's commands as lines and prints what comes of them.
 
 use rockflow_cluster::*;
 use rockflow_process_harness::{free_udp, Process, Signal, Start};
-use rockflow_transport::{Command, NodeHandle, Plan};
+use rockflow_transport::cluster::{Command, NodeHandle, Plan};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     RequestDescriptor { kind, class: 0, object: 1, part: 0, group: 0, size: 0 }
 }
 
-fn say(line: String) {
+fn print(line: String) {
     let mut out = std::io::stdout().lock();
     writeln!(out, "{line}").and_then(|()| out.flush()).expect("the parent reads");
 }
@@ -45,26 +45,26 @@
     let listen = addresses[usize::from(me)];
     let plan = Plan {
         config: config(),
-        me: MemberId(me),
+        member: MemberId(me),
         addresses,
         listen,
         incarnation: Incarnation(incarnation),
         seed: incarnation,
-        first,
+        is_new_cluster: first,
     };
     let heard = |out: Output| match out {
-        Output::MaySend { request, .. } => say(format!("may-begin {}", request.0)),
+        Output::MaySend { request, .. } => print(format!("may-send {}", request.0)),
         Output::FinalAnswer { request, answer } => {
             let body = answer.body.map(|body| String::from_utf8(body).unwrap()).unwrap_or_default();
-            say(format!("final {} {:?} {body}", request.0, answer.outcome));
+            print(format!("final {} {:?} {body}", request.0, answer.outcome));
         }
-        Output::OwnedElsewhere { request } => say(format!("joined {}", request.0)),
-        Output::QuorumUnavailable { request } => say(format!("uncovered {}", request.0)),
-        Output::IdInUse { request } => say(format!("in-use {}", request.0)),
-        Output::TakeOver { request, started, .. } => {
-            say(format!("take-over {} {}", request.0, started.len()))
+        Output::OwnedElsewhere { request } => print(format!("owned-elsewhere {}", request.0)),
+        Output::QuorumUnavailable { request } => print(format!("quorum-unavailable {}", request.0)),
+        Output::IdInUse { request } => print(format!("in-use {}", request.0)),
+        Output::TakeOver { request, started_attempts, .. } => {
+            print(format!("take-over {} {}", request.0, started_attempts.len()))
         }
-        Output::MembershipChanged(change) => say(format!("changed {change:?}")),
+        Output::MembershipChanged(change) => print(format!("changed {change:?}")),
         Output::Send { .. } | Output::IncarnationSuperseded { .. } => {}
     };
     let link = NodeHandle::start(plan, heard).unwrap();
@@ -73,15 +73,15 @@
         let commands: Vec<&str> = line.split(' ').collect();
         let request = RequestId(commands.get(1).map_or(0, |command| command.parse().unwrap()));
         let command = match commands[0] {
-            "take" => {
-                let kind = if commands[2] == "labelled" {
+            "request" => {
+                let kind = if commands[2] == "idempotency-key" {
                     EffectKind::IdempotencyKey
                 } else {
                     EffectKind::AtMostOnce
                 };
                 Command::RequestArrived { request, descriptor: descriptor(kind), left: PATIENCE }
             }
-            "begin" => Command::ProposeAttempt { request, attempt: 0, host: 1 },
+            "propose" => Command::ProposeAttempt { request, attempt: 0, host: 1 },
             "end" => {
                 let body = Some(commands[2].as_bytes().to_vec());
                 let answer = Answer { outcome: Outcome::Succeeded, tag: None, body };
@@ -89,10 +89,10 @@
             }
             "stop" => Command::ShutDown,
             _ => Command::ReportStatus(Box::new(|status_report| {
-                say(format!("present {} {}", status_report.present.len(), status_report.sure))
+                print(format!("present {} {}", status_report.present.len(), status_report.is_synchronized))
             })),
         };
-        assert!(link.say(command));
+        assert!(link.send(command));
     }
 }
 
@@ -102,26 +102,26 @@
 }
 
 impl Member {
-    fn tell(&mut self, line: &str) {
+    fn send_line(&mut self, line: &str) {
         self.process.tell(line).unwrap();
     }
 
-    /// A client's request comes.
-    fn takes(&mut self, request: u128) {
-        self.tell(&format!("take {request} irreversible"));
+    /// A client's request arrives.
+    fn request(&mut self, request: u128) {
+        self.send_line(&format!("request {request} at-most-once"));
     }
 
-    /// It asks whether it may run a request's attempt.
-    fn begins(&mut self, request: u128) {
-        self.tell(&format!("begin {request}"));
+    /// It proposes an attempt of the request.
+    fn propose(&mut self, request: u128) {
+        self.send_line(&format!("propose {request}"));
     }
 
-    fn takes_and_begins(&mut self, request: u128) {
-        self.takes(request);
-        self.begins(request);
+    fn request_and_propose(&mut self, request: u128) {
+        self.request(request);
+        self.propose(request);
     }
 
-    /// Reads on till a line that begins so, which it returns.
+    /// Reads up to a line that begins so, and returns it.
     fn wait(&mut self, begins: &str) -> String {
         let end = Instant::now() + PATIENCE;
         if let Some(at) = self.seen.iter().position(|line| line.starts_with(begins)) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether a line that begins so has come by now.
+    /// Whether a line that begins so has arrived by now.
     fn has(&mut self, begins: &str) -> bool {
         loop {
             match self.process.line_now() {
@@ -150,11 +150,11 @@
         self.process.signal(signal).unwrap();
     }
 
-    /// Till it sees so many, and is sure of what it kept.
-    fn settles(&mut self, present: usize) {
+    /// Until that many members are present, and it has recovered its records.
+    fn wait_until_settled(&mut self, present: usize) {
         let end = Instant::now() + PATIENCE;
         loop {
-            self.tell("survey");
+            self.send_line("status");
             if self.wait("present ") == format!("present {present} true") {
                 return;
             }
@@ -168,23 +168,23 @@
     }
 }
 
-/// One node at a time: between a port's choice and its member's start nobody else is to take it.
+/// One cluster at a time: between the choice of a port and the start of its member nobody else may take it.
 static ALONE: Mutex<()> = Mutex::new(());
 
-struct Fleet5 {
+struct TestCluster {
     _alone: MutexGuard<'static, ()>,
     addresses: Vec<SocketAddr>,
     members: BTreeMap<usize, Member>,
 }
 
-impl Fleet5 {
-    fn start() -> Fleet5 {
+impl TestCluster {
+    fn start() -> TestCluster {
         let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
         let addresses = free_udp(MEMBERS).unwrap();
-        let mut node = Fleet5 { _alone: alone, addresses, members: BTreeMap::new() };
-        (0..MEMBERS).for_each(|at| node.member(at, 1, true));
-        (0..MEMBERS).for_each(|at| node.on(at).settles(MEMBERS));
-        node
+        let mut cluster = TestCluster { _alone: alone, addresses, members: BTreeMap::new() };
+        (0..MEMBERS).for_each(|at| cluster.member(at, 1, true));
+        (0..MEMBERS).for_each(|at| cluster.on(at).wait_until_settled(MEMBERS));
+        cluster
     }
 
     fn member(&mut self, at: usize, incarnation: u64, first: bool) {
@@ -218,130 +218,137 @@
 }
 
 #[test]
-fn an_attempt_that_may_have_begun_is_never_begun_again() {
-    let mut node = Fleet5::start();
+fn attempt_that_may_have_executed_is_never_repeated() {
+    let mut cluster = TestCluster::start();
     let request = 11;
     let rank = ranked(request);
-    // The owner keeps the request too: the case with the fewest left.
+    // The owner is a replica of the request too: the case with the fewest replicas left.
     let (owner, other) = (rank[0], rank[4]);
-    node.on(owner).takes_and_begins(request);
-    node.on(owner).wait(&format!("may-begin {request}"));
-    node.kill(owner);
-    // Asked again before anybody has noticed.
-    node.on(other).takes_and_begins(request);
-    let line = node.on(other).wait(&format!("final {request}"));
-    assert_eq!(line, format!("final {request} Terminated "));
-    // And a third time, elsewhere, after the end: the same.
-    node.on(rank[3]).takes_and_begins(request);
-    assert_eq!(node.on(rank[3]).wait(&format!("final {request}")), line);
+    cluster.on(owner).request_and_propose(request);
+    cluster.on(owner).wait(&format!("may-send {request}"));
+    cluster.kill(owner);
+    // Asked again before anybody has noticed the loss.
+    cluster.on(other).request_and_propose(request);
+    let line = cluster.on(other).wait(&format!("final {request}"));
+    assert_eq!(line, format!("final {request} Failed "));
+    // And a third time, elsewhere, after the end: the same answer.
+    cluster.on(rank[3]).request_and_propose(request);
+    assert_eq!(cluster.on(rank[3]).wait(&format!("final {request}")), line);
     for at in 0..MEMBERS {
-        assert!(at == owner || !node.on(at).has(&format!("may-begin {request}")), "n{at}");
+        assert!(at == owner || !cluster.on(at).has(&format!("may-send {request}")), "n{at}");
     }
 }
 
 #[test]
-fn what_had_not_begun_is_run_where_it_is_asked_again_once() {
-    let mut node = Fleet5::start();
+fn unstarted_request_runs_once_where_the_client_asks_again() {
+    let mut cluster = TestCluster::start();
     let request = 12;
     let rank = ranked(request);
-    node.on(rank[4]).takes(request);
-    node.kill(rank[4]);
-    node.on(rank[3]).takes_and_begins(request);
-    node.on(rank[3]).wait(&format!("may-begin {request}"));
-    node.on(rank[3]).tell(&format!("end {request} done"));
-    assert_eq!(node.on(rank[3]).wait(&format!("final {request}")), format!("final {request} Succeeded done"));
+    cluster.on(rank[4]).request(request);
+    cluster.kill(rank[4]);
+    cluster.on(rank[3]).request_and_propose(request);
+    cluster.on(rank[3]).wait(&format!("may-send {request}"));
+    cluster.on(rank[3]).send_line(&format!("end {request} done"));
+    assert_eq!(
+        cluster.on(rank[3]).wait(&format!("final {request}")),
+        format!("final {request} Succeeded done")
+    );
 }
 
 #[test]
-fn one_id_at_two_dispatchers_at_once_runs_once_and_both_get_the_answer() {
-    let mut node = Fleet5::start();
+fn one_id_at_two_dispatchers_runs_once_and_both_get_the_answer() {
+    let mut cluster = TestCluster::start();
     for request in 20..30 {
         let rank = ranked(request);
         let two = [rank[3], rank[4]];
         for at in two {
-            node.on(at).takes_and_begins(request);
+            cluster.on(at).request_and_propose(request);
         }
-        // Whoever is let to begin ends it; the other is config.
+        // Whoever may send ends it; the other gets the answer.
         let end = Instant::now() + PATIENCE;
         let runs = loop {
             let let_to: Vec<_> =
-                two.into_iter().filter(|at| node.on(*at).has(&format!("may-begin {request}"))).collect();
+                two.into_iter().filter(|at| cluster.on(*at).has(&format!("may-send {request}"))).collect();
             if !let_to.is_empty() {
                 break let_to;
             }
-            assert!(Instant::now() < end, "call {request}: nobody may begin");
+            assert!(Instant::now() < end, "request {request}: nobody may begin");
             std::thread::yield_now();
         };
-        assert_eq!(runs.len(), 1, "call {request}");
-        node.on(runs[0]).tell(&format!("end {request} by-{}", runs[0]));
+        assert_eq!(runs.len(), 1, "request {request}");
+        cluster.on(runs[0]).send_line(&format!("end {request} by-{}", runs[0]));
         for at in two {
-            let line = node.on(at).wait(&format!("final {request}"));
-            assert_eq!(line, format!("final {request} Succeeded by-{}", runs[0]), "call {request} at n{at}");
+            let line = cluster.on(at).wait(&format!("final {request}"));
+            assert_eq!(
+                line,
+                format!("final {request} Succeeded by-{}", runs[0]),
+                "request {request} at n{at}"
+            );
         }
     }
 }
 
 #[test]
-fn an_owner_that_is_stopped_for_long_and_wakes_gives_no_second_answer() {
-    let mut node = Fleet5::start();
+fn owner_that_resumes_after_a_long_pause_gives_no_second_answer() {
+    let mut cluster = TestCluster::start();
     let request = 13;
     let rank = ranked(request);
     let owner = rank[4];
-    node.on(owner).takes_and_begins(request);
-    node.on(owner).wait(&format!("may-begin {request}"));
-    node.on(owner).signal(Signal::SIGSTOP);
-    // Longer than any suspicion: the first of its replicas has it for lost, and the request is ended there.
-    node.on(rank[0]).wait("changed Lost");
-    node.on(rank[3]).takes_and_begins(request);
-    let line = node.on(rank[3]).wait(&format!("final {request}"));
-    assert_eq!(line, format!("final {request} Terminated "));
-    // It wakes in the middle of its work, and its host's answer is there.
-    node.on(owner).signal(Signal::SIGCONT);
-    node.on(owner).tell(&format!("end {request} late"));
-    node.on(owner).settles(MEMBERS);
-    assert!(!node.on(owner).has(&format!("final {request} Succeeded")));
-    node.on(rank[2]).takes_and_begins(request);
-    assert_eq!(node.on(rank[2]).wait(&format!("final {request}")), line);
+    cluster.on(owner).request_and_propose(request);
+    cluster.on(owner).wait(&format!("may-send {request}"));
+    cluster.on(owner).signal(Signal::SIGSTOP);
+    // Longer than any suspicion: the first of its replicas takes it for lost, and ends the request.
+    cluster.on(rank[0]).wait("changed Lost");
+    cluster.on(rank[3]).request_and_propose(request);
+    let line = cluster.on(rank[3]).wait(&format!("final {request}"));
+    assert_eq!(line, format!("final {request} Failed "));
+    // It resumes in the middle of its work, and its host's answer is there.
+    cluster.on(owner).signal(Signal::SIGCONT);
+    cluster.on(owner).send_line(&format!("end {request} late"));
+    cluster.on(owner).wait_until_settled(MEMBERS);
+    assert!(!cluster.on(owner).has(&format!("final {request} Succeeded")));
+    cluster.on(rank[2]).request_and_propose(request);
+    assert_eq!(cluster.on(rank[2]).wait(&format!("final {request}")), line);
 }
 
 #[test]
-fn all_are_restarted_in_turn_and_nothing_kept_is_forgotten() {
-    let mut node = Fleet5::start();
+fn rolling_restart_forgets_no_record() {
+    let mut cluster = TestCluster::start();
     let request = 14;
     let rank = ranked(request);
-    node.on(rank[4]).takes_and_begins(request);
-    node.on(rank[4]).wait(&format!("may-begin {request}"));
-    node.on(rank[4]).tell(&format!("end {request} once"));
-    let line = node.on(rank[4]).wait(&format!("final {request}"));
+    cluster.on(rank[4]).request_and_propose(request);
+    cluster.on(rank[4]).wait(&format!("may-send {request}"));
+    cluster.on(rank[4]).send_line(&format!("end {request} once"));
+    let line = cluster.on(rank[4]).wait(&format!("final {request}"));
     for at in 0..MEMBERS {
-        node.kill(at);
-        node.member(at, 2, false);
-        node.on(at).settles(MEMBERS);
+        cluster.kill(at);
+        cluster.member(at, 2, false);
+        cluster.on(at).wait_until_settled(MEMBERS);
     }
-    node.on(rank[3]).takes_and_begins(request);
-    assert_eq!(node.on(rank[3]).wait(&format!("final {request}")), line);
+    cluster.on(rank[3]).request_and_propose(request);
+    assert_eq!(cluster.on(rank[3]).wait(&format!("final {request}")), line);
 }
 
 #[test]
-fn a_planned_stop_hands_over_what_it_has_not_ended() {
-    let mut node = Fleet5::start();
+fn graceful_shutdown_hands_over_open_requests() {
+    let mut cluster = TestCluster::start();
     let (fresh, started) = (15, 16);
-    // One that keeps neither request.
+    // One that is a replica of neither request.
     let owner =
         (0..MEMBERS).find(|at| !ranked(fresh)[..3].contains(at) && !ranked(started)[..3].contains(at));
-    let owner = owner.expect("a call each that somebody does not keep");
+    let owner = owner.expect("a request each of which somebody is no replica");
     for request in [fresh, started] {
-        node.on(owner).takes(request);
+        cluster.on(owner).request(request);
     }
-    node.on(owner).begins(started);
-    node.on(owner).wait(&format!("may-begin {started}"));
-    node.on(owner).tell("stop");
-    // What was not started is to be run elsewhere; what may have started has its end there, and only that.
-    node.on(ranked(fresh)[0]).wait(&format!("take-over {fresh} 0"));
+    cluster.on(owner).propose(started);
+    cluster.on(owner).wait(&format!("may-send {started}"));
+    cluster.on(owner).send_line("stop");
+    // What was not started is to run elsewhere; what may have executed is ended there, and only that.
+    cluster.on(ranked(fresh)[0]).wait(&format!("take-over {fresh} 0"));
     for at in (0..MEMBERS).filter(|at| *at != owner) {
-        node.on(at).wait("changed Lost");
+        cluster.on(at).wait("changed Lost");
     }
     let other = ranked(started).into_iter().rev().find(|at| *at != owner).expect("another");
-    node.on(other).takes_and_begins(started);
-    assert_eq!(node.on(other).wait(&format!("final {started}")), format!("final {started} Terminated "));
+    cluster.on(other).request_and_propose(started);
+    assert_eq!(cluster.on(other).wait(&format!("final {started}")), format!("final {started} Failed "));
 }
