--- a/crates/rockflow-cli/src/manage/output.rs
+++ b/crates/rockflow-cli/src/manage/output.rs
@@ -60,7 +60,7 @@
         match rockflow_yang::json::read(schema, None, found, true) {
             Ok(fields) => {
                 for (path, value) in rockflow_yang::data::leaves(&fields) {
-                    table.add_row([path.text(schema), value.to_string()]);
+                    table.add_row([path.to_text(schema), value.to_string()]);
                 }
             }
             // Parts of a tree, by path.
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -6,7 +6,7 @@
 use rockflow_gnmi::wire;
 use rockflow_management_client::{gnmi, netconf, Trouble};
 use rockflow_netconf::xml::Element;
-use rockflow_yang::{data, json, Data, Fields, Path, Schema};
+use rockflow_yang::{data, json, DataNode, DataTree, Path, Schema};
 use russh::keys::{PrivateKey, PublicKey};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -135,7 +135,7 @@
                     return Err(only_netconf());
                 }
                 let found = grpc.client.get(schema, paths).await?;
-                let mut fields = Fields::new();
+                let mut fields = DataTree::new();
                 for (text, value) in &found {
                     match put(schema, text, value) {
                         Ok(part) => data::merge(&mut fields, &part),
@@ -288,17 +288,17 @@
 }
 
 /// A value at its path, as a tree.
-fn put(schema: &Schema, text: &str, value: &Value) -> Result<Fields, String> {
+fn put(schema: &Schema, text: &str, value: &Value) -> Result<DataTree, String> {
     // Keys come without quotes here.
-    let path = Path::read(schema, text)?;
+    let path = Path::parse(schema, text)?;
     let Some(last) = path.0.last() else { return json::read(schema, None, value, true) };
     let data = if last.keys.is_empty() {
         json::read_data(schema, last.node, value, true)?
     } else {
-        Data::Container(json::read(schema, Some(last.node), value, true)?)
+        DataNode::Container(json::read(schema, Some(last.node), value, true)?)
     };
-    let mut fields = Fields::new();
-    data::place_at(schema, &mut fields, &path, data);
+    let mut fields = DataTree::new();
+    data::insert_at(schema, &mut fields, &path, data);
     Ok(fields)
 }
 
@@ -311,7 +311,7 @@
             .into_iter()
             .map(|(path, value)| {
                 let of = path.node().and_then(|node| schema.type_of(node));
-                (path.text(schema), Some(json::write_scalar(of, &value)))
+                (path.to_text(schema), Some(json::write_scalar(of, &value)))
             })
             .collect();
     }
--- a/crates/rockflow-gnmi/src/paths.rs
+++ b/crates/rockflow-gnmi/src/paths.rs
@@ -2,9 +2,9 @@
 
 use crate::wire;
 use rockflow_management::{Fault, Tag};
-use rockflow_yang::data::{self, Found};
-use rockflow_yang::path::{Loose, MAX_STEPS};
-use rockflow_yang::{json, Data, Fields, Kind, NodeId, Path, Pattern, Scalar, Schema, Step};
+use rockflow_yang::data::{self, Instance};
+use rockflow_yang::path::{PatternStep, MAX_STEPS};
+use rockflow_yang::{json, DataNode, DataTree, NodeId, NodeKind, Path, PathStep, Pattern, Scalar, Schema};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use wire::typed_value::Value as Typed;
@@ -24,7 +24,7 @@
     prefix: Option<&wire::Path>,
     path: Option<&wire::Path>,
 ) -> Result<Pattern, Fault> {
-    let mut steps: Vec<Loose> = Vec::new();
+    let mut steps: Vec<PatternStep> = Vec::new();
     for path in prefix.into_iter().chain(path) {
         if !matches!(path.origin.as_str(), "" | "rfc7951" | "rockflow") {
             return Err(invalid(format!("{}: no such origin", path.origin)));
@@ -38,10 +38,13 @@
                 return Err(Fault::new(Tag::OperationNotSupported, what));
             }
             let told = elem.key.iter().map(|(key, value)| (key.as_str(), value.as_str()));
-            let step = Loose::read(schema, steps.last(), &elem.name, told).map_err(invalid)?;
+            let step = PatternStep::parse(schema, steps.last(), &elem.name, told).map_err(invalid)?;
             if !matches!(
                 schema.node(step.node).kind,
-                Kind::Container | Kind::List { .. } | Kind::Leaf { .. } | Kind::LeafList { .. }
+                NodeKind::Container
+                    | NodeKind::List { .. }
+                    | NodeKind::Leaf { .. }
+                    | NodeKind::LeafList { .. }
             ) {
                 return Err(invalid(format!("{}: no data", elem.name)));
             }
@@ -59,10 +62,10 @@
 /// One instance; the last step may be a whole list.
 pub fn closed(pattern: &Pattern) -> Option<Path> {
     let last = pattern.0.len().saturating_sub(1);
-    let step = |(place, step): (usize, &Loose)| {
+    let step = |(place, step): (usize, &PatternStep)| {
         let open = place == last && step.keys.iter().all(Option::is_none);
         let keys = if open { Some(Vec::new()) } else { step.keys.iter().cloned().collect() };
-        keys.map(|keys| Step { node: step.node, keys })
+        keys.map(|keys| PathStep { node: step.node, keys })
     };
     pattern.0.iter().enumerate().map(step).collect::<Option<Vec<_>>>().map(Path)
 }
@@ -71,7 +74,7 @@
     let elem = path.0.iter().map(|step| {
         let keys = schema.keys(step.node).iter().zip(&step.keys);
         wire::PathElem {
-            name: schema.qualified(step.node),
+            name: schema.qualified_name(step.node),
             key: keys.map(|(key, value)| (schema.node(*key).name.clone(), value.to_string())).collect(),
         }
     });
@@ -79,7 +82,7 @@
 }
 
 /// Names at the top of a value bear their module, wherever it stands (RFC 7951, section 4).
-fn object(schema: &Schema, fields: &Fields) -> Value {
+fn object(schema: &Schema, fields: &DataTree) -> Value {
     let mut all = Map::new();
     for (id, data) in fields {
         let name = format!("{}:{}", schema.module_of(*id).name, schema.node(*id).name);
@@ -89,17 +92,19 @@
 }
 
 /// Each instance that the pattern names, with its value; entries of a list come one by one.
-pub fn instances(schema: &Schema, fields: &Fields, pattern: &Pattern) -> Result<Vec<(Path, Value)>, Fault> {
+pub fn instances(schema: &Schema, fields: &DataTree, pattern: &Pattern) -> Result<Vec<(Path, Value)>, Fault> {
     if pattern.0.is_empty() {
         return Ok(vec![(Path::default(), object(schema, fields))]);
     }
-    let found = data::instances(fields, pattern, MAX_INSTANCES);
+    let found = data::instances_matching(fields, pattern, MAX_INSTANCES);
     let found =
         found.ok_or_else(|| Fault::new(Tag::TooBig, format!("more than {MAX_INSTANCES} instances")))?;
-    let value = |path: &Path, found: Found| match (found, path.node()) {
-        (Found::Entry(inner) | Found::Data(Data::Container(inner)), _) => object(schema, inner),
-        (Found::Data(data), Some(node)) => json::write_data(schema, node, data),
-        (Found::Data(_), None) => Value::Null,
+    let value = |path: &Path, found: Instance| match (found, path.node()) {
+        (Instance::ListEntry(inner) | Instance::DataNode(DataNode::Container(inner)), _) => {
+            object(schema, inner)
+        }
+        (Instance::DataNode(data), Some(node)) => json::write_data(schema, node, data),
+        (Instance::DataNode(_), None) => Value::Null,
     };
     Ok(found.into_iter().map(|(path, found)| (path.clone(), value(&path, found))).collect())
 }
@@ -117,7 +122,7 @@
 }
 
 /// The value for a path, as the model has it.
-pub fn value(schema: &Schema, path: &Path, typed: Option<&wire::TypedValue>) -> Result<Data, Fault> {
+pub fn value(schema: &Schema, path: &Path, typed: Option<&wire::TypedValue>) -> Result<DataNode, Fault> {
     let typed = typed.and_then(|typed| typed.value.as_ref());
     let typed = typed.ok_or_else(|| invalid("an update has no value").at(path))?;
     let fault = |what: String| invalid(what).at(path);
@@ -128,23 +133,23 @@
         scalar => return scalars(schema, path, scalar),
     };
     let Some(last) = path.0.last() else {
-        return json::read(schema, None, &parsed, false).map(Data::Container).map_err(fault);
+        return json::read(schema, None, &parsed, false).map(DataNode::Container).map_err(fault);
     };
     match &schema.node(last.node).kind {
-        Kind::List { .. } if !last.keys.is_empty() => {
+        NodeKind::List { .. } if !last.keys.is_empty() => {
             let fields = json::read(schema, Some(last.node), &parsed, false).map_err(fault)?;
             for (key, told) in schema.keys(last.node).iter().zip(&last.keys) {
-                if fields.get(key).and_then(Data::scalar).is_some_and(|value| value != told) {
+                if fields.get(key).and_then(DataNode::scalar).is_some_and(|value| value != told) {
                     return Err(fault("the keys of the value are others than the path's".to_string()));
                 }
             }
-            Ok(Data::Container(fields))
+            Ok(DataNode::Container(fields))
         }
         _ => json::read_data(schema, last.node, &parsed, false).map_err(fault),
     }
 }
 
-fn scalars(schema: &Schema, path: &Path, typed: &Typed) -> Result<Data, Fault> {
+fn scalars(schema: &Schema, path: &Path, typed: &Typed) -> Result<DataNode, Fault> {
     let node = path.node().ok_or_else(|| invalid("the top holds no value"))?;
     let of = schema.type_of(node).ok_or_else(|| invalid("holds no value").at(path))?;
     let text = |typed: &Typed| {
@@ -157,13 +162,13 @@
             _ => return Err(invalid("a value of a kind that is not served").at(path)),
         })
     };
-    let read = |typed: &Typed| of.read(&text(typed)?).map_err(|what| invalid(what).at(path));
+    let read = |typed: &Typed| of.parse(&text(typed)?).map_err(|what| invalid(what).at(path));
     match (&schema.node(node).kind, typed) {
-        (Kind::LeafList { .. }, Typed::LeaflistVal(all)) => {
+        (NodeKind::LeafList { .. }, Typed::LeaflistVal(all)) => {
             let values = all.element.iter().filter_map(|one| one.value.as_ref()).map(read);
-            Ok(Data::LeafList(values.collect::<Result<BTreeSet<_>, _>>()?))
+            Ok(DataNode::LeafList(values.collect::<Result<BTreeSet<_>, _>>()?))
         }
-        (Kind::LeafList { .. }, one) => Ok(Data::LeafList(BTreeSet::from([read(one)?]))),
-        (_, one) => Ok(Data::Leaf(read(one)?)),
+        (NodeKind::LeafList { .. }, one) => Ok(DataNode::LeafList(BTreeSet::from([read(one)?]))),
+        (_, one) => Ok(DataNode::Leaf(read(one)?)),
     }
 }
--- a/crates/rockflow-gnmi/src/service.rs
+++ b/crates/rockflow-gnmi/src/service.rs
@@ -4,7 +4,7 @@
 use crate::wire;
 use rockflow_management::{Datastore, Fault, Operator, Protocol, Tag, Trigger, Update};
 use rockflow_management_service::{Asker, Desk};
-use rockflow_yang::{data, Edit, Fields, Op, Path, Pattern, Schema};
+use rockflow_yang::{data, DataTree, Edit, EditOperation, Path, Pattern, Schema};
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 }
 
 fn status(schema: &Schema, fault: &Fault) -> Status {
-    let path = fault.path.as_ref().map(|path| format!(" at {}", path.text(schema))).unwrap_or_default();
+    let path = fault.path.as_ref().map(|path| format!(" at {}", path.to_text(schema))).unwrap_or_default();
     let message = format!("{}{path}", fault.message);
     match (fault.tag, fault.app_tag) {
         (_, Some("conflict")) | (Tag::InUse | Tag::LockDenied, _) => Status::aborted(message),
@@ -84,23 +84,23 @@
         self.desk.enter(who).map_err(|fault| self.refuse(fault))
     }
 
-    fn edits(&self, request: &wire::SetRequest, running: &Fields) -> Result<Vec<Edit>, Fault> {
+    fn edits(&self, request: &wire::SetRequest, running: &DataTree) -> Result<Vec<Edit>, Fault> {
         let schema = self.schema();
         let prefix = request.prefix.as_ref();
         let mut edits = Vec::new();
         for path in &request.delete {
             let pattern = paths::pattern(schema, prefix, Some(path))?;
             if let Some(path) = paths::closed(&pattern) {
-                edits.push(Edit { path, op: Op::Remove, value: None });
+                edits.push(Edit { path, op: EditOperation::Remove, value: None });
                 continue;
             }
             // Open keys: whatever stands there now.
             for (path, _) in paths::instances(schema, running, &pattern)? {
-                edits.push(Edit { path, op: Op::Remove, value: None });
+                edits.push(Edit { path, op: EditOperation::Remove, value: None });
             }
         }
-        let replaced = request.replace.iter().map(|update| (Op::Replace, update));
-        let updated = request.update.iter().map(|update| (Op::Merge, update));
+        let replaced = request.replace.iter().map(|update| (EditOperation::Replace, update));
+        let updated = request.update.iter().map(|update| (EditOperation::Merge, update));
         for (op, update) in replaced.chain(updated) {
             let pattern = paths::pattern(schema, prefix, update.path.as_ref())?;
             let path = paths::closed(&pattern)
@@ -231,9 +231,11 @@
                     return false;
                 }
             };
-            let mut part = Fields::new();
-            patterns.iter().for_each(|pattern| data::merge(&mut part, &data::select(&fields, pattern)));
-            let fits = |path: &Path| patterns.iter().any(|pattern| pattern.holds(path));
+            let mut part = DataTree::new();
+            patterns
+                .iter()
+                .for_each(|pattern| data::merge(&mut part, &data::select_matching(&fields, pattern)));
+            let fits = |path: &Path| patterns.iter().any(|pattern| pattern.matches(path));
             let all = data::leaves(&part).into_iter().filter(|(path, _)| fits(path)).collect();
             if !self.tell(Update::Whole(all)).await {
                 return false;
@@ -358,7 +360,7 @@
         let mut fields = asker.read(which).await.map_err(|fault| self.refuse(fault))?;
         if matches!(kind, DataType::State | DataType::Operational) {
             let state = |path: &Path| path.node().is_some_and(|node| !schema.node(node).config);
-            fields = data::prune(schema, &fields, &Path::default(), &state);
+            fields = data::retain_leaves(schema, &fields, &Path::default(), &state);
         }
         let whole = [wire::Path::default()];
         let wanted = if asked.path.is_empty() { &whole[..] } else { &asked.path[..] };
--- a/crates/rockflow-gnmi/tests/fuzz.rs
+++ b/crates/rockflow-gnmi/tests/fuzz.rs
@@ -5,7 +5,7 @@
 use rockflow_gnmi::paths;
 use rockflow_gnmi::wire;
 use rockflow_test_servers::memory::Counting;
-use rockflow_yang::{data, Edit, Fields, Op, Schema};
+use rockflow_yang::{data, DataTree, Edit, EditOperation, Schema};
 
 #[global_allocator]
 static COUNTING: Counting = Counting::new();
@@ -61,15 +61,15 @@
     let (mut read, mut changed) = (false, false);
     if let Ok(set) = wire::SetRequest::decode(bytes) {
         read = true;
-        let mut fields = Fields::new();
+        let mut fields = DataTree::new();
         for update in set.replace.iter().chain(&set.update) {
             let Ok(pattern) = paths::pattern(schema, set.prefix.as_ref(), update.path.as_ref()) else {
                 continue;
             };
             let Some(path) = paths::closed(&pattern) else { continue };
             if let Ok(value) = paths::value(schema, &path, update.val.as_ref()) {
-                let edit = Edit { path, op: Op::Merge, value: Some(value) };
-                changed |= data::apply(schema, &mut fields, &edit).is_ok();
+                let edit = Edit { path, op: EditOperation::Merge, value: Some(value) };
+                changed |= data::apply_edit(schema, &mut fields, &edit).is_ok();
             }
         }
         for path in &set.delete {
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use rockflow_management_client::Trouble;
 use rockflow_management_service::{file, Desk, OperatorFile};
 use rockflow_test_servers::{keys, Site};
-use rockflow_yang::{json, Fields, Schema};
+use rockflow_yang::{json, DataTree, Schema};
 use std::net::SocketAddr;
 use std::sync::{Arc, Once};
 use std::time::Duration;
@@ -104,11 +104,11 @@
         rockflow_management_client::gnmi::Client::connect(&address, "localhost", config).await.unwrap()
     }
 
-    pub fn tree(&self, value: serde_json::Value) -> Fields {
+    pub fn tree(&self, value: serde_json::Value) -> DataTree {
         json::read(&self.schema, None, &value, false).unwrap()
     }
 
-    pub fn shown(&self, fields: &Fields) -> serde_json::Value {
+    pub fn shown(&self, fields: &DataTree) -> serde_json::Value {
         json::write(&self.schema, fields)
     }
 
--- a/crates/rockflow-management-agent/tests/model.rs
+++ b/crates/rockflow-management-agent/tests/model.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{block_on, Rig};
-use rockflow_yang::{data, Kind};
+use rockflow_yang::{data, NodeKind};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -25,8 +25,10 @@
             .schema
             .nodes()
             .iter()
-            .filter(|node| !node.config && matches!(node.kind, Kind::Leaf { .. } | Kind::LeafList { .. }))
-            .map(|node| rig.schema.path_of(node.id))
+            .filter(|node| {
+                !node.config && matches!(node.kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. })
+            })
+            .map(|node| rig.schema.schema_path(node.id))
             .filter(|path| path.starts_with("/rockflow-router:router/"))
             .collect();
         assert!(wanted.len() > 40, "{}", wanted.len());
@@ -37,8 +39,8 @@
             for (path, value) in data::leaves(&fields) {
                 let node = path.node().unwrap();
                 // Read back by the client against the type already; the text is canonical.
-                assert_eq!(rig.schema.type_of(node).unwrap().read(&value.to_string()).as_ref(), Ok(&value));
-                served.insert(rig.schema.path_of(node));
+                assert_eq!(rig.schema.type_of(node).unwrap().parse(&value.to_string()).as_ref(), Ok(&value));
+                served.insert(rig.schema.schema_path(node));
             }
             missing = wanted.difference(&served).cloned().collect();
             // A comment is made only where one was told.
--- a/crates/rockflow-management-agent/tests/netconf.rs
+++ b/crates/rockflow-management-agent/tests/netconf.rs
@@ -192,7 +192,7 @@
     let rig = Rig::start(2, 1, MS);
     block_on(async {
         let mut root = rig.ssh("root").await;
-        for (name, text) in rockflow_yang::PUBLISHED {
+        for (name, text) in rockflow_yang::PUBLISHED_MODULES {
             let call = format!(
                 "<get-schema xmlns=\"{}\"><identifier>{name}</identifier></get-schema>",
                 rockflow_netconf::ns::MONITORING
--- a/crates/rockflow-management-client/src/netconf.rs
+++ b/crates/rockflow-management-client/src/netconf.rs
@@ -5,7 +5,7 @@
 use rockflow_netconf::framing::{encode, Framing};
 use rockflow_netconf::ns;
 use rockflow_netconf::xml::{self, Element, Writer};
-use rockflow_yang::{Fields, Path, Schema};
+use rockflow_yang::{DataTree, Path, Schema};
 use russh::keys::{PrivateKey, PrivateKeyWithHashAlg, PublicKey, PublicKeyOrCertificate};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -195,7 +195,7 @@
         schema: &Schema,
         datastore: &str,
         paths: &[String],
-    ) -> Result<Fields, Trouble> {
+    ) -> Result<DataTree, Trouble> {
         let mut out = Writer::new();
         out.open("get-data", &[("xmlns", ns::NMDA), ("xmlns:ds", ns::DATASTORES)]);
         out.leaf("datastore", &[], &format!("ds:{datastore}"));
@@ -216,7 +216,7 @@
     }
 
     /// Edits the candidate with the tree, merged.
-    pub async fn edit(&mut self, schema: &Schema, fields: &Fields) -> Result<(), Trouble> {
+    pub async fn edit(&mut self, schema: &Schema, fields: &DataTree) -> Result<(), Trouble> {
         let mut inner = Writer::new();
         codec::write(schema, fields, None, codec::Notes::default(), &mut inner);
         self.edit_xml(&inner.finish()).await
--- a/crates/rockflow-management-service/src/audit.rs
+++ b/crates/rockflow-management-service/src/audit.rs
@@ -44,7 +44,7 @@
 fn line(schema: &Schema, commit: &Commit) -> serde_json::Value {
     let named = commit.changes.iter().take(MAX_NAMED).map(|change| {
         serde_json::json!({
-            "path": change.path.text(schema),
+            "path": change.path.to_text(schema),
             "before": change.before.as_ref().map(ToString::to_string),
             "after": change.after.as_ref().map(ToString::to_string),
         })
--- a/crates/rockflow-management-service/src/desk.rs
+++ b/crates/rockflow-management-service/src/desk.rs
@@ -10,7 +10,7 @@
 use rockflow_endpoints::{merged, Marks, Says};
 use rockflow_management::*;
 use rockflow_store::{Folder, Store};
-use rockflow_yang::{data, Edit, Fields, Path, Pattern, Scalar, Schema};
+use rockflow_yang::{data, DataTree, Edit, Path, Pattern, Scalar, Schema};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -54,7 +54,7 @@
     audit: Audit,
     survey: Option<(Duration, Arc<Survey>)>,
     /// What followers of changes last saw; none while there are none.
-    seen: Option<Fields>,
+    seen: Option<DataTree>,
     followers: BTreeMap<u64, Follower>,
     next_follower: u64,
     /// Sessions that the desk has ended, each to be told by its front.
@@ -225,7 +225,7 @@
     }
 
     /// Running with its notes, and state: the operational datastore (RFC 8342).
-    pub async fn operational(&self) -> Fields {
+    pub async fn operational(&self) -> DataTree {
         let survey = self.survey().await.unwrap_or_default();
         let inner = self.lock();
         state::operational(&inner.datastores, &self.link, &survey, self.started, self.now())
@@ -271,7 +271,8 @@
             let _ = self.events.send((now, Event::Notice(notice)));
         }
         let names = ["router", "logging", "level"];
-        let told = data::leaf(&self.schema, inner.datastores.running(), &names).map(Scalar::to_string);
+        let told =
+            data::leaf_by_names(&self.schema, inner.datastores.running(), &names).map(Scalar::to_string);
         if told != inner.level {
             (self.set_level)(told.as_deref());
             inner.level = told;
@@ -367,7 +368,7 @@
         let now = self.now();
         let mut inner = self.lock();
         let tree = state::operational(&inner.datastores, &self.link, &survey, self.started, now);
-        let changes = inner.seen.as_ref().map(|seen| data::differences(seen, &tree)).unwrap_or_default();
+        let changes = inner.seen.as_ref().map(|seen| data::diff(seen, &tree)).unwrap_or_default();
         inner.seen = Some(tree);
         if !changes.is_empty() {
             for follower in inner.followers.values_mut() {
@@ -453,7 +454,7 @@
     }
 
     /// A configuration, or with `state` all that is operational, as far as the user may read it.
-    pub async fn read(&self, which: Option<Datastore>) -> Result<Fields, Fault> {
+    pub async fn read(&self, which: Option<Datastore>) -> Result<DataTree, Fault> {
         let call = if which.is_some() { "get-config" } else { "get" };
         self.may_call(call)?;
         let fields = match which {
@@ -469,7 +470,7 @@
         self.desk.change(id, |all, now, around| all.commit(now, id, confirm, comment, around)).await
     }
 
-    pub async fn validate(&self, which: Result<Datastore, Fields>) -> Result<(), Fault> {
+    pub async fn validate(&self, which: Result<Datastore, DataTree>) -> Result<(), Fault> {
         let id = self.id;
         let which = which.as_ref().map(|which| *which);
         self.desk.change(id, |all, now, around| all.validate(now, id, which, around)).await
@@ -604,14 +605,16 @@
         }
     }
 
-    fn take(&self, now: Duration, present: &Fields) -> Option<Update> {
+    fn take(&self, now: Duration, present: &DataTree) -> Option<Update> {
         let mut inner = self.desk.lock();
         let inner = &mut *inner;
         let follower = inner.followers.get_mut(&self.number)?;
         let patterns = &self.patterns;
         let update = follower.subscription.take(now, || {
-            let mut part = Fields::new();
-            patterns.iter().for_each(|pattern| data::merge(&mut part, &data::select(present, pattern)));
+            let mut part = DataTree::new();
+            patterns
+                .iter()
+                .for_each(|pattern| data::merge(&mut part, &data::select_matching(present, pattern)));
             part
         })?;
         let access = inner.datastores.access();
@@ -631,5 +634,5 @@
 /// A leaf-list's value by the path of its leaf-list, which is what rules speak of.
 fn plain(path: &Path) -> Option<Path> {
     let last = path.0.last().filter(|step| !step.keys.is_empty())?;
-    Some(Path(path.0[..path.0.len() - 1].to_vec()).then(last.node, Vec::new()))
+    Some(Path(path.0[..path.0.len() - 1].to_vec()).child(last.node, Vec::new()))
 }
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -5,7 +5,7 @@
 use rockflow_dispatcher::{Link, Phase};
 use rockflow_endpoints::{beside, merged};
 use rockflow_management::{moment, Durable, Management, Surroundings};
-use rockflow_yang::{Data, Fields, NodeId, Path, Scalar, Schema, Step};
+use rockflow_yang::{DataNode, DataTree, NodeId, Path, PathStep, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 pub struct Writer<'a> {
     schema: &'a Schema,
     at: NodeId,
-    pub fields: Fields,
+    pub fields: DataTree,
 }
 
 impl<'a> Writer<'a> {
     pub fn new(schema: &'a Schema, names: &[&str]) -> Writer<'a> {
         let at = schema.find(names).unwrap_or_else(|| panic!("the model lacks {names:?}"));
-        Writer { schema, at, fields: Fields::new() }
+        Writer { schema, at, fields: DataTree::new() }
     }
 
     fn below(&self, name: &str) -> NodeId {
         let child = self.schema.child(Some(self.at), None, name);
-        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.path_of(self.at)))
+        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.schema_path(self.at)))
     }
 
     pub fn leaf(&mut self, name: &str, value: Scalar) {
-        self.fields.insert(self.below(name), Data::Leaf(value));
+        self.fields.insert(self.below(name), DataNode::Leaf(value));
     }
 
     pub fn text(&mut self, name: &str, value: impl Into<String>) {
@@ -48,14 +48,14 @@
 
     pub fn values(&mut self, name: &str, values: BTreeSet<Scalar>) {
         if !values.is_empty() {
-            self.fields.insert(self.below(name), Data::LeafList(values));
+            self.fields.insert(self.below(name), DataNode::LeafList(values));
         }
     }
 
     pub fn container(&mut self, name: &str, fill: impl FnOnce(&mut Writer)) {
-        let mut inner = Writer { schema: self.schema, at: self.below(name), fields: Fields::new() };
+        let mut inner = Writer { schema: self.schema, at: self.below(name), fields: DataTree::new() };
         fill(&mut inner);
-        self.fields.insert(inner.at, Data::Container(inner.fields));
+        self.fields.insert(inner.at, DataNode::Container(inner.fields));
     }
 
     /// A list's entries; each sets its keys.
@@ -68,14 +68,14 @@
         let at = self.below(name);
         let mut all = BTreeMap::new();
         for entry in entries {
-            let mut inner = Writer { schema: self.schema, at, fields: Fields::new() };
+            let mut inner = Writer { schema: self.schema, at, fields: DataTree::new() };
             fill(&mut inner, entry);
-            let key = |key: &NodeId| inner.fields.get(key).and_then(Data::scalar).cloned();
+            let key = |key: &NodeId| inner.fields.get(key).and_then(DataNode::scalar).cloned();
             let keys: Option<Vec<_>> = self.schema.keys(at).iter().map(key).collect();
             all.insert(keys.unwrap_or_default(), inner.fields);
         }
         if !all.is_empty() {
-            self.fields.insert(at, Data::List(all));
+            self.fields.insert(at, DataNode::List(all));
         }
     }
 }
@@ -109,7 +109,7 @@
     survey: &Survey,
     started: Duration,
     now: Duration,
-) -> Fields {
+) -> DataTree {
     let schema = management.schema();
     let mut top = Writer::new(schema, &["router", "state"]);
     top.text("name", &*link.name);
@@ -222,27 +222,30 @@
         if !commit.comment.is_empty() {
             at.text("comment", &*commit.comment);
         }
-        at.values("change", commit.changes.iter().map(|change| Scalar::Text(change.text(schema))).collect());
+        at.values(
+            "change",
+            commit.changes.iter().map(|change| Scalar::Text(change.to_text(schema))).collect(),
+        );
     });
 }
 
 /// Running, with what is only known of it: who made each mark, when and with which commit.
-pub fn annotated<S: Durable>(management: &Management<S>) -> Fields {
+pub fn annotated<S: Durable>(management: &Management<S>) -> DataTree {
     let schema = management.schema();
     let mut fields = (**management.running()).clone();
     let names = ["router", "marks", "mark"];
     let steps =
         (1..=3).map(|n| schema.find(&names[..n]).unwrap_or_else(|| panic!("the model lacks {names:?}")));
-    let steps: Vec<Step> = steps.map(|node| Step { node, keys: Vec::new() }).collect();
+    let steps: Vec<PathStep> = steps.map(|node| PathStep { node, keys: Vec::new() }).collect();
     let list = steps[2].node;
     let router = fields.get_mut(&steps[0].node);
-    let Some(Data::Container(router)) = router else { return fields };
-    let Some(Data::Container(marks)) = router.get_mut(&steps[1].node) else { return fields };
-    let Some(Data::List(entries)) = marks.get_mut(&list) else { return fields };
+    let Some(DataNode::Container(router)) = router else { return fields };
+    let Some(DataNode::Container(marks)) = router.get_mut(&steps[1].node) else { return fields };
+    let Some(DataNode::List(entries)) = marks.get_mut(&list) else { return fields };
     for (keys, entry) in entries {
-        let path = Path(steps[..2].to_vec()).then(list, keys.clone());
+        let path = Path(steps[..2].to_vec()).child(list, keys.clone());
         if let Some(origin) = management.last_origin(&path) {
-            let mut at = Writer { schema, at: list, fields: Fields::new() };
+            let mut at = Writer { schema, at: list, fields: DataTree::new() };
             at.text("author", &*origin.author);
             at.leaf("made", moment_of(origin.time));
             at.number("version", origin.version);
@@ -259,15 +262,15 @@
     survey: &Survey,
     started: Duration,
     now: Duration,
-) -> Fields {
+) -> DataTree {
     let schema = management.schema();
     let mut fields = annotated(management);
     let state = state(management, link, survey, started, now);
     let (router, below) = (schema.find(&["router"]), schema.find(&["router", "state"]));
     let (Some(router), Some(below)) = (router, below) else { return fields };
-    let inner = fields.entry(router).or_insert_with(|| Data::Container(Fields::new()));
-    if let Data::Container(inner) = inner {
-        inner.insert(below, Data::Container(state));
+    let inner = fields.entry(router).or_insert_with(|| DataNode::Container(DataTree::new()));
+    if let DataNode::Container(inner) = inner {
+        inner.insert(below, DataNode::Container(state));
     }
     fields
 }
--- a/crates/rockflow-management/src/access.rs
+++ b/crates/rockflow-management/src/access.rs
@@ -1,7 +1,7 @@
 //! Who may read, change and call what (RFC 8341, section 3.4): the first rule that fits decides, then the
 //! default. The owner passes by all of it, so that nobody can lock everybody out.
 
-use rockflow_yang::{data, Data, Fields, Path, Pattern, Scalar, Schema};
+use rockflow_yang::{data, DataNode, DataTree, Path, Pattern, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -81,7 +81,7 @@
 
 impl Access {
     /// Reads the rules of a configuration; one whose path can't be read is a fault that names it.
-    pub fn of(schema: &Schema, running: &Fields, owner: Option<String>) -> Result<Access, String> {
+    pub fn of(schema: &Schema, running: &DataTree, owner: Option<String>) -> Result<Access, String> {
         let mut access = Access {
             owner,
             groups: BTreeMap::new(),
@@ -89,9 +89,9 @@
             read: true,
             write: false,
             exec: false,
-            kept: Pattern::read(schema, "/rockflow-router:router/rockflow-access:access").ok(),
+            kept: Pattern::parse(schema, "/rockflow-router:router/rockflow-access:access").ok(),
         };
-        let leaf = |names: &[&str]| data::leaf(schema, running, names).and_then(Scalar::as_text);
+        let leaf = |names: &[&str]| data::leaf_by_names(schema, running, names).and_then(Scalar::as_text);
         let permit = |name: &str, otherwise| {
             leaf(&["router", "access", name]).map_or(otherwise, |word| word == "permit")
         };
@@ -106,7 +106,7 @@
             let number = one(schema, fields, "number").unwrap_or_default();
             let about = match (one(schema, fields, "path"), one(schema, fields, "rpc")) {
                 (Some(path), None) => About::Below(
-                    Pattern::read(schema, &path).map_err(|what| format!("rule {number}: {what}"))?,
+                    Pattern::parse(schema, &path).map_err(|what| format!("rule {number}: {what}"))?,
                 ),
                 (None, Some(call)) => About::Call(call),
                 (None, None) => About::Anything,
@@ -145,7 +145,7 @@
         let fits = |rule: &&Rule| {
             let here = match &rule.about {
                 About::Anything => true,
-                About::Below(pattern) => pattern.holds(path),
+                About::Below(pattern) => pattern.matches(path),
                 About::Call(_) => false,
             };
             here && self.concerns(rule, user, operation)
@@ -153,7 +153,7 @@
         if let Some(rule) = self.rules.iter().find(fits) {
             return rule.permit;
         }
-        let kept = self.kept.as_ref().is_some_and(|kept| kept.holds(path));
+        let kept = self.kept.as_ref().is_some_and(|kept| kept.matches(path));
         !kept && if operation == Operation::Read { self.read } else { self.write }
     }
 
@@ -175,35 +175,35 @@
     }
 
     /// What of a tree the user may see.
-    pub fn readable(&self, schema: &Schema, user: &str, fields: &Fields) -> Fields {
+    pub fn readable(&self, schema: &Schema, user: &str, fields: &DataTree) -> DataTree {
         if self.owns(user) {
             return fields.clone();
         }
-        data::prune(schema, fields, &Path::default(), &|path| self.may(user, Operation::Read, path))
+        data::retain_leaves(schema, fields, &Path::default(), &|path| self.may(user, Operation::Read, path))
     }
 }
 
-fn list<'a>(schema: &Schema, fields: &'a Fields, names: &[&str]) -> Vec<&'a Fields> {
+fn list<'a>(schema: &Schema, fields: &'a DataTree, names: &[&str]) -> Vec<&'a DataTree> {
     let ids: Option<Vec<_>> = (1..=names.len()).map(|n| schema.find(&names[..n])).collect();
     let path = ids.unwrap_or_default().into_iter();
-    let path: Vec<_> = path.map(|node| rockflow_yang::Step { node, keys: Vec::new() }).collect();
-    match data::get(fields, &path) {
-        Some(data::Found::Data(Data::List(entries))) => entries.values().collect(),
+    let path: Vec<_> = path.map(|node| rockflow_yang::PathStep { node, keys: Vec::new() }).collect();
+    match data::find_instance(fields, &path) {
+        Some(data::Instance::DataNode(DataNode::List(entries))) => entries.values().collect(),
         _ => Vec::new(),
     }
 }
 
-fn field<'a>(schema: &Schema, fields: &'a Fields, name: &str) -> Option<&'a Data> {
+fn field<'a>(schema: &Schema, fields: &'a DataTree, name: &str) -> Option<&'a DataNode> {
     fields.iter().find(|(id, _)| schema.node(**id).name == name).map(|(_, data)| data)
 }
 
-fn one(schema: &Schema, fields: &Fields, name: &str) -> Option<String> {
-    field(schema, fields, name).and_then(Data::scalar).map(Scalar::to_string)
+fn one(schema: &Schema, fields: &DataTree, name: &str) -> Option<String> {
+    field(schema, fields, name).and_then(DataNode::scalar).map(Scalar::to_string)
 }
 
-fn many(schema: &Schema, fields: &Fields, name: &str) -> BTreeSet<String> {
+fn many(schema: &Schema, fields: &DataTree, name: &str) -> BTreeSet<String> {
     match field(schema, fields, name) {
-        Some(Data::LeafList(values)) => values.iter().map(Scalar::to_string).collect(),
+        Some(DataNode::LeafList(values)) => values.iter().map(Scalar::to_string).collect(),
         _ => BTreeSet::new(),
     }
 }
--- a/crates/rockflow-management/src/fault.rs
+++ b/crates/rockflow-management/src/fault.rs
@@ -1,7 +1,7 @@
 //! What goes wrong, in the words of RFC 6241, appendix A; fronts of other protocols translate them.
 
 use crate::words::SessionId;
-use rockflow_yang::data::{EditError, EditFault};
+use rockflow_yang::data::{EditError, EditErrorKind};
 use rockflow_yang::Path;
 use std::fmt;
 
@@ -99,12 +99,12 @@
     }
 }
 
-impl From<EditFault> for Fault {
-    fn from(fault: EditFault) -> Fault {
+impl From<EditError> for Fault {
+    fn from(fault: EditError) -> Fault {
         let tag = match fault.error {
-            EditError::Exists => Tag::DataExists,
-            EditError::Missing => Tag::DataMissing,
-            EditError::NotWritable | EditError::BadValue => Tag::InvalidValue,
+            EditErrorKind::Exists => Tag::DataExists,
+            EditErrorKind::Missing => Tag::DataMissing,
+            EditErrorKind::NotWritable | EditErrorKind::BadValue => Tag::InvalidValue,
         };
         Fault::new(tag, fault.what).at(&fault.path)
     }
--- a/crates/rockflow-management/src/machine.rs
+++ b/crates/rockflow-management/src/machine.rs
@@ -11,8 +11,10 @@
 use crate::record::{Record, Trial};
 use crate::words::{Commit, Operator, Origin, SessionId};
 use rockflow_endpoints::{none_left, Listed, Marks};
-use rockflow_yang::data::{self, EditFault};
-use rockflow_yang::{Change, Data, Edit, Fields, Op, Path, Pattern, Scalar, Schema, Step};
+use rockflow_yang::data::{self, EditError};
+use rockflow_yang::{
+    Change, DataNode, DataTree, Edit, EditOperation, Path, PathStep, Pattern, Scalar, Schema,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -87,14 +89,14 @@
     author: Operator,
     version: u64,
     /// What holds again unless it is confirmed: the configuration, its number, and how long the history was.
-    before: Arc<Fields>,
+    before: Arc<DataTree>,
     before_version: u64,
     due: Duration,
 }
 
 struct Candidate {
-    fields: Fields,
-    base: Arc<Fields>,
+    fields: DataTree,
+    base: Arc<DataTree>,
     base_version: u64,
 }
 
@@ -154,8 +156,8 @@
 pub struct Management<S> {
     schema: Arc<Schema>,
     saved: S,
-    running: Arc<Fields>,
-    startup: Fields,
+    running: Arc<DataTree>,
+    startup: DataTree,
     version: u64,
     used: u64,
     access: Access,
@@ -243,7 +245,7 @@
         &mut self.saved
     }
 
-    pub fn running(&self) -> &Arc<Fields> {
+    pub fn running(&self) -> &Arc<DataTree> {
         &self.running
     }
 
@@ -264,7 +266,7 @@
     }
 
     /// The configuration that a session sees under that name.
-    pub fn datastore(&self, session: SessionId, which: Datastore) -> &Fields {
+    pub fn datastore(&self, session: SessionId, which: Datastore) -> &DataTree {
         match which {
             Datastore::Running => &self.running,
             Datastore::Startup if self.separate_startup => &self.startup,
@@ -291,7 +293,7 @@
 
     fn number(&self, name: &str) -> u64 {
         let names = ["router", "management", name];
-        let told = data::leaf(&self.schema, &self.running, &names).and_then(Scalar::as_u64);
+        let told = data::leaf_by_names(&self.schema, &self.running, &names).and_then(Scalar::as_u64);
         let default = self.schema.find(&names).and_then(|id| self.schema.default_of(id)?.as_u64());
         told.or(default).unwrap_or(1)
     }
@@ -420,7 +422,7 @@
         let user = self.session(id)?.who.user.clone();
         let mut held: Vec<Path> = Vec::new();
         for pattern in select {
-            let found = data::instances(&self.running, pattern, MAX_LOCKED);
+            let found = data::instances_matching(&self.running, pattern, MAX_LOCKED);
             let found = found.ok_or_else(|| Fault::new(Tag::TooBig, "too much to lock in part"))?;
             held.extend(found.into_iter().map(|(path, _)| path));
         }
@@ -476,7 +478,7 @@
         for partial in self.partial.values().filter(|partial| partial.session != id) {
             let hit = |held: &Path| changes.iter().any(|change| overlap(held, &change.path));
             if let Some(held) = partial.held.iter().find(|held| hit(held)) {
-                let what = format!("{} is locked", held.text(&self.schema));
+                let what = format!("{} is locked", held.to_text(&self.schema));
                 return in_use(partial.session, &what).map_err(|fault| fault.at(held));
             }
         }
@@ -522,7 +524,7 @@
                 }
             }
         }
-        if data::count(&after) > MAX_VALUES {
+        if data::count_values(&after) > MAX_VALUES {
             let message = format!("more than {MAX_VALUES} values");
             return Err(vec![Fault::new(Tag::ResourceDenied, message)]);
         }
@@ -546,10 +548,10 @@
         }
     }
 
-    fn allowed_edit(&self, user: &str, fields: &mut Fields, edit: &Edit) -> Result<(), Fault> {
+    fn allowed_edit(&self, user: &str, fields: &mut DataTree, edit: &Edit) -> Result<(), Fault> {
         let mut after = fields.clone();
-        data::apply(&self.schema, &mut after, edit)?;
-        self.allowed(user, &data::differences(fields, &after))?;
+        data::apply_edit(&self.schema, &mut after, edit)?;
+        self.allowed(user, &data::diff(fields, &after))?;
         *fields = after;
         Ok(())
     }
@@ -570,10 +572,10 @@
         Ok(())
     }
 
-    fn put_candidate(&mut self, id: SessionId, fields: Fields) {
+    fn put_candidate(&mut self, id: SessionId, fields: DataTree) {
         let (running, version) = (self.running.clone(), self.version);
         if let Some(session) = self.sessions.get_mut(&id) {
-            let fresh = || Candidate { fields: Fields::new(), base: running, base_version: version };
+            let fresh = || Candidate { fields: DataTree::new(), base: running, base_version: version };
             session.candidate.get_or_insert_with(fresh).fields = fields;
         }
     }
@@ -590,7 +592,7 @@
     pub fn copy(
         &mut self,
         id: SessionId,
-        from: Result<Datastore, Fields>,
+        from: Result<Datastore, DataTree>,
         to: Datastore,
     ) -> Result<(), Fault> {
         self.may_call(id, "copy-config")?;
@@ -599,8 +601,8 @@
             Ok(which) => self.datastore(id, which).clone(),
             Err(fields) => fields,
         };
-        let value = Some(Data::Container(fields));
-        let edit = Edit { path: Path::default(), op: Op::Replace, value };
+        let value = Some(DataNode::Container(fields));
+        let edit = Edit { path: Path::default(), op: EditOperation::Replace, value };
         match to {
             Datastore::Running => {
                 Err(Fault::new(Tag::OperationNotSupported, "running is changed by commits alone"))
@@ -621,16 +623,17 @@
     /// Empties startup; only where it is kept apart.
     pub fn delete_startup(&mut self, id: SessionId) -> Result<(), Fault> {
         self.may_call(id, "delete-config")?;
-        let edit = Edit { path: Path::default(), op: Op::Remove, value: None };
+        let edit = Edit { path: Path::default(), op: EditOperation::Remove, value: None };
         self.edit(id, Datastore::Startup, &[edit], ErrorOption::Rollback, false).map_err(first)
     }
 
     // Validating and committing.
 
     /// What the model, the rules' own form and the list of hosts demand of a configuration.
-    fn valid(&self, now: Duration, after: &Fields, around: &Surroundings) -> Result<(), Fault> {
-        data::check(&self.schema, after, &Path::default()).map_err(|fault: EditFault| Fault::from(fault))?;
-        if data::count(after) > MAX_VALUES {
+    fn valid(&self, now: Duration, after: &DataTree, around: &Surroundings) -> Result<(), Fault> {
+        data::check_constraints(&self.schema, after, &Path::default())
+            .map_err(|fault: EditError| Fault::from(fault))?;
+        if data::count_values(after) > MAX_VALUES {
             return Err(Fault::new(Tag::ResourceDenied, format!("more than {MAX_VALUES} values")));
         }
         Access::of(&self.schema, after, self.owner.clone())
@@ -647,7 +650,7 @@
         &self,
         now: Duration,
         id: SessionId,
-        which: Result<Datastore, &Fields>,
+        which: Result<Datastore, &DataTree>,
         around: &Surroundings,
     ) -> Result<(), Fault> {
         self.may_call(id, "validate")?;
@@ -659,15 +662,15 @@
     }
 
     /// The candidate laid over what has become of running since it was begun.
-    fn rebased(&self, id: SessionId) -> Result<Fields, Fault> {
+    fn rebased(&self, id: SessionId) -> Result<DataTree, Fault> {
         let Some(candidate) = &self.session(id)?.candidate else {
             return Ok((*self.running).clone());
         };
         if candidate.base_version == self.version {
             return Ok(candidate.fields.clone());
         }
-        let mine = data::differences(&candidate.base, &candidate.fields);
-        let theirs = data::differences(&candidate.base, &self.running);
+        let mine = data::diff(&candidate.base, &candidate.fields);
+        let theirs = data::diff(&candidate.base, &self.running);
         if let Some(path) = clash(&self.schema, &mine, &theirs) {
             let touches = |commit: &&Commit| {
                 commit.version > candidate.base_version
@@ -677,11 +680,11 @@
             let by = first.map_or("meanwhile".to_string(), |commit| {
                 format!("by {} in commit {}", commit.who.user, commit.version)
             });
-            let message = format!("{} was changed {by}; discard and begin anew", path.text(&self.schema));
+            let message = format!("{} was changed {by}; discard and begin anew", path.to_text(&self.schema));
             return Err(Fault::new(Tag::OperationFailed, message).app("conflict").at(path));
         }
         let mut merged = (*self.running).clone();
-        data::replay(&self.schema, &mut merged, &mine);
+        data::apply_changes(&self.schema, &mut merged, &mine);
         Ok(merged)
     }
 
@@ -748,7 +751,7 @@
         self.expect(expected)?;
         let mut after = (*self.running).clone();
         for edit in edits {
-            data::apply(&self.schema, &mut after, edit)?;
+            data::apply_edit(&self.schema, &mut after, edit)?;
         }
         self.change(now, id, after, &Confirm::default(), comment, around, true)
     }
@@ -775,28 +778,28 @@
         self.may_call(id, call)?;
         self.none_pending()?;
         let text = format!("/rockflow-router:router/marks/mark[host=\"{host}\"]");
-        let path = Path::read(&self.schema, &text).map_err(|what| Fault::new(Tag::InvalidValue, what))?;
+        let path = Path::parse(&self.schema, &text).map_err(|what| Fault::new(Tag::InvalidValue, what))?;
         let mut after = (*self.running).clone();
         if leaves.is_empty() {
-            let edit = Edit { path: path.clone(), op: Op::Delete, value: None };
-            data::apply(&self.schema, &mut after, &edit)
+            let edit = Edit { path: path.clone(), op: EditOperation::Delete, value: None };
+            data::apply_edit(&self.schema, &mut after, &edit)
                 .map_err(|_| Fault::new(Tag::DataMissing, format!("{host} has no mark")).at(&path))?;
         } else {
-            let mut fields = Fields::new();
+            let mut fields = DataTree::new();
             for (name, value) in leaves {
                 let node = path.node().and_then(|list| self.schema.child(Some(list), None, name));
                 let node = node.ok_or_else(|| Fault::new(Tag::OperationFailed, format!("no leaf {name}")))?;
-                fields.insert(node, Data::Leaf(value.clone()));
+                fields.insert(node, DataNode::Leaf(value.clone()));
             }
-            let edit = Edit { path, op: Op::Replace, value: Some(Data::Container(fields)) };
-            data::apply(&self.schema, &mut after, &edit)?;
+            let edit = Edit { path, op: EditOperation::Replace, value: Some(DataNode::Container(fields)) };
+            data::apply_edit(&self.schema, &mut after, &edit)?;
         }
         let comment = format!("{call} {host}");
         self.change(now, id, after, &Confirm::default(), &comment, around, false)
     }
 
     /// The configuration as it was when that commit was in force.
-    pub fn at_version(&self, version: u64) -> Option<Fields> {
+    pub fn at_version(&self, version: u64) -> Option<DataTree> {
         let reachable = version == self.version
             || self.history.iter().any(|commit| commit.version == version)
             || self.history.front().is_some_and(|oldest| oldest.version == version + 1);
@@ -805,7 +808,7 @@
         }
         let mut fields = (*self.running).clone();
         for commit in self.history.iter().rev().take_while(|commit| commit.version > version) {
-            data::replay(&self.schema, &mut fields, &inverse(&commit.changes));
+            data::apply_changes(&self.schema, &mut fields, &inverse(&commit.changes));
         }
         Some(fields)
     }
@@ -836,14 +839,14 @@
         &mut self,
         now: Duration,
         id: SessionId,
-        after: Fields,
+        after: DataTree,
         confirm: &Confirm,
         comment: &str,
         around: &Surroundings,
         judged: bool,
     ) -> Result<u64, Fault> {
         let who = self.session(id)?.who.clone();
-        let changes = data::differences(&self.running, &after);
+        let changes = data::diff(&self.running, &after);
         self.unlocked(id, &changes)?;
         if judged {
             self.allowed(&who.user, &changes)?;
@@ -889,7 +892,7 @@
     }
 
     /// Saves, then puts in force. `trial`: what is saved is what holds again unless it is confirmed.
-    fn install(&mut self, commit: Commit, after: Fields, trial: bool) -> Result<(), Fault> {
+    fn install(&mut self, commit: Commit, after: DataTree, trial: bool) -> Result<(), Fault> {
         let old = (self.running.clone(), self.version, self.used, self.origins.clone());
         let (version, unchanged) = (commit.version, commit.changes.is_empty());
         self.used = version;
@@ -941,7 +944,7 @@
     fn save(&mut self) -> Result<(), String> {
         let mut record = Record {
             running: (*self.running).clone(),
-            startup: if self.separate_startup { self.startup.clone() } else { Fields::new() },
+            startup: if self.separate_startup { self.startup.clone() } else { DataTree::new() },
             version: self.version,
             used: self.used,
             trial: None,
@@ -965,7 +968,7 @@
     /// Undoes the pending confirmed commit, as a commit of the dispatcher's own.
     fn undo(&mut self, now: Duration, event: &'static str) {
         let Some(pending) = self.pending.take() else { return };
-        let changes = data::differences(&self.running, &pending.before);
+        let changes = data::diff(&self.running, &pending.before);
         let comment = format!("commit {} of {} was not confirmed", pending.version, pending.author.user);
         let commit = Commit { version: self.used + 1, who: Operator::system(), time: now, comment, changes };
         let before = (*pending.before).clone();
@@ -1030,7 +1033,7 @@
 
     /// The last word on anything at or below the path.
     pub fn last_origin(&self, path: &Path) -> Option<&Origin> {
-        let below = self.origins.range(path.clone()..).take_while(|(at, _)| path.holds(at));
+        let below = self.origins.range(path.clone()..).take_while(|(at, _)| path.contains(at));
         below.map(|(_, origin)| origin).max_by_key(|origin| origin.version)
     }
 
@@ -1054,7 +1057,7 @@
 
 /// Whether one is the other, or lies below it.
 fn overlap(one: &Path, other: &Path) -> bool {
-    one.holds(other) || other.holds(one)
+    one.contains(other) || other.contains(one)
 }
 
 fn inverse(changes: &[Change]) -> Vec<Change> {
@@ -1079,9 +1082,9 @@
         let keys = changes.iter().filter(|change| {
             change.after.is_none() && change.path.node().is_some_and(|node| schema.is_key(node))
         });
-        keys.map(|change| &change.path.0[..change.path.0.len() - 1]).collect::<Vec<&'a [Step]>>()
+        keys.map(|change| &change.path.0[..change.path.0.len() - 1]).collect::<Vec<&'a [PathStep]>>()
     };
-    let put_in = |changes: &'a [Change], entries: &[&'a [Step]]| {
+    let put_in = |changes: &'a [Change], entries: &[&'a [PathStep]]| {
         let inside = |change: &&Change| {
             change.after.is_some() && entries.iter().any(|entry| change.path.0.starts_with(entry))
         };
--- a/crates/rockflow-management/src/marks.rs
+++ b/crates/rockflow-management/src/marks.rs
@@ -2,20 +2,20 @@
 
 use rockflow::Readiness;
 use rockflow_endpoints::{Mark, Marks};
-use rockflow_yang::{data, Data, Fields, Schema};
+use rockflow_yang::{data, DataNode, DataTree, Schema};
 
 /// The marks of a configuration.
-pub fn marks(schema: &Schema, running: &Fields) -> Marks {
+pub fn marks(schema: &Schema, running: &DataTree) -> Marks {
     let find = |name: &str| schema.find(&["router", "marks", "mark", name]);
     let (Some(state), Some(expires), Some(force)) = (find("state"), find("expires"), find("force")) else {
         return Marks::new();
     };
     let mut marks = Marks::new();
     for (keys, fields) in entries(schema, running) {
-        let text = |id| fields.get(&id).and_then(Data::scalar).and_then(|value| value.as_text());
+        let text = |id| fields.get(&id).and_then(DataNode::scalar).and_then(|value| value.as_text());
         let readiness = if text(state) == Some("gone") { Readiness::Gone } else { Readiness::Draining };
         let until = text(expires).and_then(crate::moment::read);
-        let force = fields.get(&force).and_then(Data::scalar).and_then(|value| value.as_bool());
+        let force = fields.get(&force).and_then(DataNode::scalar).and_then(|value| value.as_bool());
         if let Some(host) = keys.first().and_then(|key| key.as_text()) {
             marks.insert(host.to_string(), Mark { readiness, until, force: force.unwrap_or(false) });
         }
@@ -24,13 +24,13 @@
 }
 
 /// The entries under `marks/mark`.
-fn entries<'a>(schema: &Schema, running: &'a Fields) -> Vec<(&'a rockflow_yang::Keys, &'a Fields)> {
+fn entries<'a>(schema: &Schema, running: &'a DataTree) -> Vec<(&'a rockflow_yang::KeyValues, &'a DataTree)> {
     let steps = ["router", "marks", "mark"];
     let ids: Option<Vec<_>> = (1..=3).map(|n| schema.find(&steps[..n])).collect();
     let path = ids.unwrap_or_default().into_iter();
-    let path: Vec<_> = path.map(|node| rockflow_yang::Step { node, keys: Vec::new() }).collect();
-    match data::get(running, &path) {
-        Some(data::Found::Data(Data::List(entries))) => entries.iter().collect(),
+    let path: Vec<_> = path.map(|node| rockflow_yang::PathStep { node, keys: Vec::new() }).collect();
+    match data::find_instance(running, &path) {
+        Some(data::Instance::DataNode(DataNode::List(entries))) => entries.iter().collect(),
         _ => Vec::new(),
     }
 }
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -2,7 +2,7 @@
 //! a snapshot. Names are the model's, so that a later program reads what an earlier one wrote.
 
 use crate::words::{Commit, Operator, Origin, Protocol};
-use rockflow_yang::{data, json, Change, Fields, Path, Scalar, Schema};
+use rockflow_yang::{data, json, Change, DataTree, Path, Scalar, Schema};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -21,8 +21,8 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
-    pub running: Fields,
-    pub startup: Fields,
+    pub running: DataTree,
+    pub startup: DataTree,
     pub version: u64,
     /// The greatest number given to a commit, in force or not.
     pub used: u64,
@@ -35,7 +35,7 @@
     pub fn write(&self, schema: &Schema) -> Vec<u8> {
         let text = |value: &Option<Scalar>| value.as_ref().map(Scalar::to_string);
         let change =
-            |change: &Change| json!([change.path.text(schema), text(&change.before), text(&change.after)]);
+            |change: &Change| json!([change.path.to_text(schema), text(&change.before), text(&change.after)]);
         let commit = |commit: &Commit| {
             json!({
                 "version": commit.version, "user": commit.who.user, "protocol": commit.who.protocol.name(),
@@ -44,7 +44,7 @@
             })
         };
         let origin = |(path, origin): (&Path, &Origin)| {
-            json!([path.text(schema), origin.author, origin.version, millis(origin.time)])
+            json!([path.to_text(schema), origin.author, origin.version, millis(origin.time)])
         };
         let value = json!({
             "version": self.version,
@@ -67,7 +67,7 @@
         };
         let tree = |key: &str| {
             let fields = json::read(schema, None, value.get(key).unwrap_or(&Value::Null), false)?;
-            data::check(schema, &fields, &Path::default()).map_err(|what| what.to_string())?;
+            data::check_constraints(schema, &fields, &Path::default()).map_err(|what| what.to_string())?;
             Ok::<_, String>(fields)
         };
         let mut record = Record {
@@ -117,7 +117,7 @@
         let of = schema.type_of(path.node()?)?;
         let side = |at: usize| match change.get(at)? {
             Value::Null => Some(None),
-            value => Some(Some(of.read(value.as_str()?).ok()?)),
+            value => Some(Some(of.parse(value.as_str()?).ok()?)),
         };
         Some(Change { path, before: side(1)?, after: side(2)? })
     });
@@ -136,5 +136,5 @@
 }
 
 fn named(schema: &Schema, text: &str) -> Option<Path> {
-    Path::read(schema, text).ok()
+    Path::parse(schema, text).ok()
 }
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -2,7 +2,7 @@
 //! Changes are kept by path, the last one only, so that a slow reader costs no more than what it follows; past
 //! a cap it is owed the whole picture anew instead.
 
-use rockflow_yang::{data, Change, Fields, Path, Pattern, Scalar};
+use rockflow_yang::{data, Change, DataTree, Path, Pattern, Scalar};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
     }
 
     fn follows(&self, path: &Path) -> bool {
-        self.patterns.iter().any(|pattern| pattern.holds(path))
+        self.patterns.iter().any(|pattern| pattern.matches(path))
     }
 
     /// Takes changes as they come.
@@ -77,7 +77,7 @@
         if !matches!(self.trigger, Trigger::OnChange { .. }) || self.whole {
             return;
         }
-        for change in changes.iter().filter(|change| self.patterns.iter().any(|p| p.holds(&change.path))) {
+        for change in changes.iter().filter(|change| self.patterns.iter().any(|p| p.matches(&change.path))) {
             let overtook = self.waiting.get(&change.path).map_or(0, |old| old.overtook + 1);
             let changed = Changed { value: change.after.clone(), overtook };
             self.waiting.insert(change.path.clone(), changed);
@@ -102,7 +102,7 @@
     }
 
     /// What is owed by now; `present` is asked for the picture where that is needed.
-    pub fn take(&mut self, now: Duration, present: impl FnOnce() -> Fields) -> Option<Update> {
+    pub fn take(&mut self, now: Duration, present: impl FnOnce() -> DataTree) -> Option<Update> {
         if self.due().is_none_or(|due| due > now) {
             return None;
         }
@@ -150,7 +150,7 @@
         }
     }
 
-    fn picture(&self, present: Fields) -> BTreeMap<Path, Scalar> {
+    fn picture(&self, present: DataTree) -> BTreeMap<Path, Scalar> {
         data::leaves(&present).into_iter().filter(|(path, _)| self.follows(path)).collect()
     }
 }
--- a/crates/rockflow-management/tests/authorization.rs
+++ b/crates/rockflow-management/tests/authorization.rs
@@ -62,7 +62,7 @@
     ];
     for (user, rights, calls) in TABLE {
         for (text, wanted) in PATHS.into_iter().zip(rights) {
-            let path = Path::read(&schema, text).unwrap();
+            let path = Path::parse(&schema, text).unwrap();
             let letter = |(operation, letter)| if access.may(user, operation, &path) { letter } else { '-' };
             let found: String = operations.map(letter).iter().collect();
             assert_eq!(found, wanted, "{user} {text}");
--- a/crates/rockflow-management/tests/crashes.rs
+++ b/crates/rockflow-management/tests/crashes.rs
@@ -32,8 +32,8 @@
     let fields = json::read(schema, None, &value, false).unwrap();
     let merged = rockflow_yang::Edit {
         path: Default::default(),
-        op: rockflow_yang::Op::Merge,
-        value: Some(rockflow_yang::Data::Container(fields)),
+        op: rockflow_yang::EditOperation::Merge,
+        value: Some(rockflow_yang::DataNode::Container(fields)),
     };
     machine.edit(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, false).unwrap();
 }
--- a/crates/rockflow-management/tests/followers.rs
+++ b/crates/rockflow-management/tests/followers.rs
@@ -1,14 +1,14 @@
 //! What a follower is owed, on a virtual clock.
 
 use rockflow_management::{Subscription, Trigger, Update};
-use rockflow_yang::{data, json, Fields, Pattern, Schema};
+use rockflow_yang::{data, json, DataTree, Pattern, Schema};
 use std::time::Duration;
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn tree(schema: &Schema, marks: &[(&str, &str)]) -> Fields {
+fn tree(schema: &Schema, marks: &[(&str, &str)]) -> DataTree {
     let marks: Vec<_> =
         marks.iter().map(|(host, why)| serde_json::json!({"host": host, "reason": why})).collect();
     let value = serde_json::json!({"rockflow-router:router": {"marks": {"mark": marks}}});
@@ -16,7 +16,7 @@
 }
 
 fn on_change(schema: &Schema, dampening: u64, heartbeat: Option<u64>) -> Subscription {
-    let pattern = Pattern::read(schema, "/router/marks/mark[host=*]/reason").unwrap();
+    let pattern = Pattern::parse(schema, "/router/marks/mark[host=*]/reason").unwrap();
     let trigger = Trigger::OnChange { dampening: at(dampening), heartbeat: heartbeat.map(at) };
     Subscription::new(vec![pattern], trigger, false, at(0))
 }
@@ -39,13 +39,13 @@
     assert!(matches!(follower.take(at(1), || one.clone()), Some(Update::Whole(all)) if all.len() == 1));
     assert_eq!(follower.due(), None);
     // Two changes of the same value within the dampening are one, and it says so.
-    follower.offer(&data::differences(&one, &two));
+    follower.offer(&data::diff(&one, &two));
     assert_eq!(follower.due(), Some(at(101)));
-    assert!(follower.take(at(50), Fields::new).is_none());
-    follower.offer(&data::differences(&two, &three));
-    assert_eq!(changed(follower.take(at(101), Fields::new)), (1, 1));
+    assert!(follower.take(at(50), DataTree::new).is_none());
+    follower.offer(&data::diff(&two, &three));
+    assert_eq!(changed(follower.take(at(101), DataTree::new)), (1, 1));
     // What it does not follow is not owed.
-    follower.offer(&data::differences(&tree(&schema, &[]), &Fields::new()));
+    follower.offer(&data::diff(&tree(&schema, &[]), &DataTree::new()));
     assert_eq!(follower.due(), None);
 }
 
@@ -64,20 +64,20 @@
 fn one_that_never_reads_is_owed_the_whole_in_place_of_more_than_the_cap() {
     let schema = Schema::published();
     let mut follower = on_change(&schema, 10, None);
-    follower.take(at(0), Fields::new);
+    follower.take(at(0), DataTree::new);
     let most = rockflow_management::subscription::MAX_WAITING;
     for start in (0..most + 10).step_by(1000) {
         let names: Vec<_> = (start..start + 1000).map(|number| format!("c{number}")).collect();
         let marks: Vec<_> = names.iter().map(|name| (name.as_str(), "a")).collect();
-        follower.offer(&data::differences(&Fields::new(), &tree(&schema, &marks)));
+        follower.offer(&data::diff(&DataTree::new(), &tree(&schema, &marks)));
     }
-    assert!(matches!(follower.take(at(20), Fields::new), Some(Update::Whole(_))));
+    assert!(matches!(follower.take(at(20), DataTree::new), Some(Update::Whole(_))));
 }
 
 #[test]
 fn periods_keep_their_places_and_may_leave_out_what_stays() {
     let schema = Schema::published();
-    let pattern = Pattern::read(&schema, "/router/marks").unwrap();
+    let pattern = Pattern::parse(&schema, "/router/marks").unwrap();
     let trigger = Trigger::Periodic { period: at(100), suppress: true, heartbeat: Some(at(300)) };
     let mut follower = Subscription::new(vec![pattern], trigger, false, at(0));
     let one = tree(&schema, &[("c1", "a"), ("c2", "b")]);
@@ -96,10 +96,10 @@
 #[test]
 fn updates_only_owes_no_picture_at_the_start() {
     let schema = Schema::published();
-    let pattern = Pattern::read(&schema, "/router/marks").unwrap();
+    let pattern = Pattern::parse(&schema, "/router/marks").unwrap();
     let trigger = Trigger::OnChange { dampening: at(0), heartbeat: None };
     let mut follower = Subscription::new(vec![pattern], trigger, true, at(0));
-    assert!(follower.take(at(5), Fields::new).is_none());
-    follower.offer(&data::differences(&Fields::new(), &tree(&schema, &[("c1", "a")])));
-    assert_eq!(changed(follower.take(at(6), Fields::new)), (2, 0));
+    assert!(follower.take(at(5), DataTree::new).is_none());
+    follower.offer(&data::diff(&DataTree::new(), &tree(&schema, &[("c1", "a")])));
+    assert_eq!(changed(follower.take(at(6), DataTree::new)), (2, 0));
 }
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -26,7 +26,7 @@
 use rockflow_management::*;
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
-use rockflow_yang::{json, Data, Edit, Op, Path, Pattern, Scalar, Schema};
+use rockflow_yang::{json, DataNode, Edit, EditOperation, Path, Pattern, Scalar, Schema};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -51,20 +51,20 @@
     Management::new(START, schema.clone(), store, found.as_deref(), Some("owner".into()), false).unwrap().0
 }
 
-fn op(name: &str) -> Op {
+fn op(name: &str) -> EditOperation {
     match name {
-        "merge" => Op::Merge,
-        "replace" => Op::Replace,
-        "create" => Op::Create,
-        "delete" => Op::Delete,
-        "remove" => Op::Remove,
+        "merge" => EditOperation::Merge,
+        "replace" => EditOperation::Replace,
+        "create" => EditOperation::Create,
+        "delete" => EditOperation::Delete,
+        "remove" => EditOperation::Remove,
         other => panic!("{other}"),
     }
 }
 
 impl Play {
     fn edit(&self, words: &[&str]) -> Edit {
-        let path = Path::read(&self.schema, words[1]).unwrap();
+        let path = Path::parse(&self.schema, words[1]).unwrap();
         let node = path.node().unwrap();
         let whole = path.0.last().unwrap().keys.is_empty();
         let value = words.get(2).filter(|word| !word.contains('=')).map(|text| {
@@ -72,7 +72,7 @@
             if whole {
                 json::read_data(&self.schema, node, &value, true).unwrap()
             } else {
-                Data::Container(json::read(&self.schema, Some(node), &value, true).unwrap())
+                DataNode::Container(json::read(&self.schema, Some(node), &value, true).unwrap())
             }
         });
         Edit { path, op: op(words[0]), value }
@@ -148,7 +148,7 @@
             "locks" => self.machine.lock(now, id, which(words[0])),
             "unlocks" => self.machine.unlock(id, which(words[0])),
             "holds" => {
-                let pattern = Pattern::read(&self.schema, words[0]).unwrap();
+                let pattern = Pattern::parse(&self.schema, words[0]).unwrap();
                 self.machine.partial_lock(id, &[pattern]).map(|_| ())
             }
             "frees" => self.machine.partial_unlock(id, words[0].parse().unwrap()),
--- a/crates/rockflow-management/tests/serial.rs
+++ b/crates/rockflow-management/tests/serial.rs
@@ -10,7 +10,7 @@
 use rockflow_management::*;
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
-use rockflow_yang::{json, Data, Edit, Op, Path, Schema};
+use rockflow_yang::{json, DataNode, Edit, EditOperation, Path, Schema};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -91,7 +91,7 @@
     Management::new(START, schema.clone(), store, found.as_deref(), Some("owner".into()), false).unwrap().0
 }
 
-fn flat(schema: &Schema, fields: &rockflow_yang::Fields) -> Flat {
+fn flat(schema: &Schema, fields: &rockflow_yang::DataTree) -> Flat {
     let value = json::write(schema, fields);
     let marks = value["rockflow-router:router"]["marks"]["mark"].as_array().cloned().unwrap_or_default();
     let mut all = Flat::new();
@@ -106,13 +106,13 @@
 }
 
 fn edit(schema: &Schema, host: u8, reason: Option<u8>) -> Edit {
-    let path = Path::read(schema, &format!("/router/marks/mark[host='h{host}']")).unwrap();
+    let path = Path::parse(schema, &format!("/router/marks/mark[host='h{host}']")).unwrap();
     let value = match reason {
         Some(reason) => serde_json::json!({"reason": format!("r{reason}")}),
         None => serde_json::json!({}),
     };
     let fields = json::read(schema, path.node(), &value, false).unwrap();
-    Edit { path, op: Op::Merge, value: Some(Data::Container(fields)) }
+    Edit { path, op: EditOperation::Merge, value: Some(DataNode::Container(fields)) }
 }
 
 fn put(all: &mut Flat, host: u8, reason: Option<u8>) {
@@ -208,8 +208,8 @@
                 }
             }
             Step::Unmark { who, host } => {
-                let path = Path::read(&self.schema, &format!("/router/marks/mark[host='h{host}']")).unwrap();
-                let edits = [Edit { path, op: Op::Remove, value: None }];
+                let path = Path::parse(&self.schema, &format!("/router/marks/mark[host='h{host}']")).unwrap();
+                let edits = [Edit { path, op: EditOperation::Remove, value: None }];
                 let id = self.writers[who as usize].id;
                 if self.machine.edit(id, Datastore::Candidate, &edits, ErrorOption::Rollback, false).is_ok() {
                     self.edited(who, |mine| mine.retain(|(at, _), _| *at != host));
@@ -281,7 +281,7 @@
             }
             Step::Hold { who, host } => {
                 let text = format!("/router/marks/mark[host='h{host}']");
-                let pattern = rockflow_yang::Pattern::read(&self.schema, &text).unwrap();
+                let pattern = rockflow_yang::Pattern::parse(&self.schema, &text).unwrap();
                 let _ = self.machine.partial_lock(self.writers[who as usize].id, &[pattern]);
             }
             Step::Discard { who } => {
--- a/crates/rockflow-netconf/src/codec.rs
+++ b/crates/rockflow-netconf/src/codec.rs
@@ -3,7 +3,9 @@
 use crate::ns;
 use crate::xml::{Element, Writer};
 use rockflow_management::{Fault, Tag};
-use rockflow_yang::{Data, Edit, Fields, Keys, Kind, NodeId, Op, Path, Scalar, Schema};
+use rockflow_yang::{
+    DataNode, DataTree, Edit, EditOperation, KeyValues, NodeId, NodeKind, Path, Scalar, Schema,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is told beside the values.
@@ -16,7 +18,7 @@
 }
 
 /// The values below `parent`, as its content.
-pub fn write(schema: &Schema, fields: &Fields, parent: Option<NodeId>, notes: Notes, out: &mut Writer) {
+pub fn write(schema: &Schema, fields: &DataTree, parent: Option<NodeId>, notes: Notes, out: &mut Writer) {
     for (id, data) in fields {
         let node = schema.node(*id);
         let own = parent.is_none_or(|parent| schema.node(parent).module != node.module);
@@ -28,24 +30,24 @@
             attributes.extend([("xmlns:or", ns::ORIGIN), ("or:origin", "or:intended")]);
         }
         match data {
-            Data::Leaf(value) => {
+            DataNode::Leaf(value) => {
                 if notes.tag_defaults && schema.default_of(*id) == Some(value) {
                     attributes.extend([("xmlns:wd", ns::DEFAULT_TAG), ("wd:default", "true")]);
                 }
                 out.leaf(&node.name, &attributes, &value.to_string());
             }
-            Data::LeafList(values) => {
+            DataNode::LeafList(values) => {
                 values.iter().for_each(|value| out.leaf(&node.name, &attributes, &value.to_string()))
             }
-            Data::Container(inner) => {
+            DataNode::Container(inner) => {
                 out.open(&node.name, &attributes);
                 write(schema, inner, Some(*id), notes, out);
                 out.close(&node.name);
             }
-            Data::List(entries) => {
+            DataNode::List(entries) => {
                 for (keys, inner) in entries {
                     out.open(&node.name, &attributes);
-                    // Keys come first (RFC 7950, section 7.8.5).
+                    // KeyValues come first (RFC 7950, section 7.8.5).
                     for (key, value) in schema.keys(*id).iter().zip(keys) {
                         out.leaf(&schema.node(*key).name, &[], &value.to_string());
                     }
@@ -78,15 +80,16 @@
     if !element.children.is_empty() {
         return Err(Fault::new(Tag::UnknownElement, "a value is wanted").at(path).element(&element.name));
     }
-    let text = if matches!(of, rockflow_yang::Type::Text { .. }) { &element.text } else { element.text() };
-    of.read(text).map_err(|what| {
+    let text =
+        if matches!(of, rockflow_yang::LeafType::Text { .. }) { &element.text } else { element.text() };
+    of.parse(text).map_err(|what| {
         let message = format!("{}: {what}", element.name);
         Fault::new(Tag::InvalidValue, message).at(path).element(&element.name)
     })
 }
 
 /// The keys of an entry, each told once.
-fn keys_of(schema: &Schema, list: NodeId, element: &Element, path: &Path) -> Result<Keys, Fault> {
+fn keys_of(schema: &Schema, list: NodeId, element: &Element, path: &Path) -> Result<KeyValues, Fault> {
     let key = |key: &NodeId| {
         let name = &schema.node(*key).name;
         let mut told = element.children.iter().filter(|child| child.name == *name);
@@ -106,44 +109,44 @@
     elements: &[Element],
     at: &Path,
     state: bool,
-) -> Result<Fields, Fault> {
-    let mut fields = Fields::new();
+) -> Result<DataTree, Fault> {
+    let mut fields = DataTree::new();
     for element in elements {
         let id = node_of(schema, parent, element)?;
         let node = schema.node(id);
-        let here = at.then(id, Vec::new());
+        let here = at.child(id, Vec::new());
         if !state && !node.config {
             return Err(Fault::new(Tag::InvalidValue, "is state, which can't be written").at(&here));
         }
         let twice = || Fault::new(Tag::BadElement, "stands twice").at(&here).element(&element.name);
         match &node.kind {
-            Kind::Leaf { .. } => {
+            NodeKind::Leaf { .. } => {
                 let value = scalar(schema, id, element, &here)?;
-                if fields.insert(id, Data::Leaf(value)).is_some() {
+                if fields.insert(id, DataNode::Leaf(value)).is_some() {
                     return Err(twice());
                 }
             }
-            Kind::LeafList { .. } => {
+            NodeKind::LeafList { .. } => {
                 let value = scalar(schema, id, element, &here)?;
-                let values = fields.entry(id).or_insert_with(|| Data::LeafList(BTreeSet::new()));
-                let Data::LeafList(values) = values else { return Err(twice()) };
+                let values = fields.entry(id).or_insert_with(|| DataNode::LeafList(BTreeSet::new()));
+                let DataNode::LeafList(values) = values else { return Err(twice()) };
                 if !values.insert(value) {
                     return Err(twice());
                 }
             }
-            Kind::List { .. } => {
+            NodeKind::List { .. } => {
                 let keys = keys_of(schema, id, element, &here)?;
-                let entry = at.then(id, keys.clone());
+                let entry = at.child(id, keys.clone());
                 let inner = read(schema, Some(id), &element.children, &entry, state)?;
-                let entries = fields.entry(id).or_insert_with(|| Data::List(BTreeMap::new()));
-                let Data::List(entries) = entries else { return Err(twice()) };
+                let entries = fields.entry(id).or_insert_with(|| DataNode::List(BTreeMap::new()));
+                let DataNode::List(entries) = entries else { return Err(twice()) };
                 if entries.insert(keys, inner).is_some() {
                     return Err(twice());
                 }
             }
             _ => {
                 let inner = read(schema, Some(id), &element.children, &here, state)?;
-                if fields.insert(id, Data::Container(inner)).is_some() {
+                if fields.insert(id, DataNode::Container(inner)).is_some() {
                     return Err(twice());
                 }
             }
@@ -153,20 +156,24 @@
 }
 
 /// Reads the content of `<config>` as edits, in their order.
-pub fn edits(schema: &Schema, config: &Element, default: Op) -> Result<Vec<Edit>, Fault> {
+pub fn edits(schema: &Schema, config: &Element, default: EditOperation) -> Result<Vec<Edit>, Fault> {
     let mut edits = Vec::new();
     children(schema, None, config, &Path::default(), default, &mut edits)?;
     Ok(edits)
 }
 
-fn operation(element: &Element, otherwise: Op, path: &Path) -> Result<(Op, bool), Fault> {
+fn operation(
+    element: &Element,
+    otherwise: EditOperation,
+    path: &Path,
+) -> Result<(EditOperation, bool), Fault> {
     let op = match element.attribute(ns::BASE, "operation") {
         None => return Ok((otherwise, false)),
-        Some("merge") => Op::Merge,
-        Some("replace") => Op::Replace,
-        Some("create") => Op::Create,
-        Some("delete") => Op::Delete,
-        Some("remove") => Op::Remove,
+        Some("merge") => EditOperation::Merge,
+        Some("replace") => EditOperation::Replace,
+        Some("create") => EditOperation::Create,
+        Some("delete") => EditOperation::Delete,
+        Some("remove") => EditOperation::Remove,
         Some(other) => {
             let message = format!("{other}: no such operation");
             return Err(Fault::new(Tag::BadAttribute, message).at(path).element(&element.name));
@@ -180,7 +187,7 @@
     parent: Option<NodeId>,
     element: &Element,
     at: &Path,
-    op: Op,
+    op: EditOperation,
     edits: &mut Vec<Edit>,
 ) -> Result<(), Fault> {
     for child in &element.children {
@@ -194,46 +201,46 @@
     parent: Option<NodeId>,
     element: &Element,
     at: &Path,
-    above: Op,
+    above: EditOperation,
     edits: &mut Vec<Edit>,
 ) -> Result<(), Fault> {
     let id = node_of(schema, parent, element)?;
     let kind = &schema.node(id).kind;
     let keys = match kind {
-        Kind::List { .. } => keys_of(schema, id, element, &at.then(id, Vec::new()))?,
-        Kind::LeafList { .. } => vec![scalar(schema, id, element, &at.then(id, Vec::new()))?],
+        NodeKind::List { .. } => keys_of(schema, id, element, &at.child(id, Vec::new()))?,
+        NodeKind::LeafList { .. } => vec![scalar(schema, id, element, &at.child(id, Vec::new()))?],
         _ => Vec::new(),
     };
-    let path = at.then(id, keys);
+    let path = at.child(id, keys);
     let (op, _) = operation(element, above, &path)?;
-    let whole = matches!(op, Op::Replace | Op::Create);
+    let whole = matches!(op, EditOperation::Replace | EditOperation::Create);
     let value = match kind {
-        Kind::Leaf { .. } if matches!(op, Op::Delete | Op::Remove) => None,
-        Kind::Leaf { .. } => Some(Data::Leaf(scalar(schema, id, element, &path)?)),
-        Kind::LeafList { .. } => None,
-        Kind::Container | Kind::List { .. } if whole => {
+        NodeKind::Leaf { .. } if matches!(op, EditOperation::Delete | EditOperation::Remove) => None,
+        NodeKind::Leaf { .. } => Some(DataNode::Leaf(scalar(schema, id, element, &path)?)),
+        NodeKind::LeafList { .. } => None,
+        NodeKind::Container | NodeKind::List { .. } if whole => {
             plain(&element.children, &path)?;
-            Some(Data::Container(read(schema, Some(id), &element.children, &path, false)?))
+            Some(DataNode::Container(read(schema, Some(id), &element.children, &path, false)?))
         }
-        Kind::Container | Kind::List { .. } => None,
+        NodeKind::Container | NodeKind::List { .. } => None,
         _ => return Err(Fault::new(Tag::UnknownElement, "no configuration").element(&element.name)),
     };
-    let leaf = matches!(kind, Kind::Leaf { .. } | Kind::LeafList { .. });
+    let leaf = matches!(kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. });
     match op {
         // Nothing is asked of a leaf that only shows the way.
-        Op::Expect if leaf => {}
+        EditOperation::AssertExists if leaf => {}
         // A container is there where anything in it is; entries are there by themselves.
-        Op::Merge | Op::Expect if matches!(kind, Kind::Container) => {
+        EditOperation::Merge | EditOperation::AssertExists if matches!(kind, NodeKind::Container) => {
             children(schema, Some(id), element, &path, op, edits)?;
         }
-        Op::Merge | Op::Expect if !leaf => {
-            let value = (op == Op::Merge).then(|| Data::Container(Fields::new()));
+        EditOperation::Merge | EditOperation::AssertExists if !leaf => {
+            let value = (op == EditOperation::Merge).then(|| DataNode::Container(DataTree::new()));
             edits.push(Edit { path: path.clone(), op, value });
             for child in &element.children {
                 let inner = node_of(schema, Some(id), child)?;
                 if !schema.is_key(inner) {
                     one(schema, Some(id), child, &path, op, edits)?;
-                } else if operation(child, Op::Merge, &path)?.1 {
+                } else if operation(child, EditOperation::Merge, &path)?.1 {
                     let message = "a key bears no operation of its own";
                     return Err(Fault::new(Tag::BadAttribute, message).at(&path).element(&child.name));
                 }
--- a/crates/rockflow-netconf/src/filter.rs
+++ b/crates/rockflow-netconf/src/filter.rs
@@ -3,23 +3,23 @@
 
 use crate::xml::{Element, Prefixes};
 use rockflow_management::{Fault, Tag};
-use rockflow_yang::{data, Data, Fields, NodeId, Pattern, Schema};
+use rockflow_yang::{data, DataNode, DataTree, NodeId, Pattern, Schema};
 use std::collections::BTreeMap;
 
 /// Paths in one expression.
 pub const MAX_PATHS: usize = 64;
 
 /// What the elements of a subtree filter select below `parent`.
-pub fn subtree(schema: &Schema, fields: &Fields, parent: Option<NodeId>, filter: &[Element]) -> Fields {
-    let mut found = Fields::new();
+pub fn subtree(schema: &Schema, fields: &DataTree, parent: Option<NodeId>, filter: &[Element]) -> DataTree {
+    let mut found = DataTree::new();
     for element in filter {
         for (id, data) in fields.iter().filter(|(id, _)| names(schema, **id, element)) {
             debug_assert_eq!(schema.node(*id).parent, parent);
             if let Some(part) = part(schema, *id, data, element) {
                 match found.get_mut(id) {
                     Some(old) => {
-                        let mut both = Fields::from([(*id, old.clone())]);
-                        data::merge(&mut both, &Fields::from([(*id, part)]));
+                        let mut both = DataTree::from([(*id, old.clone())]);
+                        data::merge(&mut both, &DataTree::from([(*id, part)]));
                         found.extend(both);
                     }
                     None => {
@@ -37,31 +37,31 @@
     node.name == element.name && (element.ns.is_empty() || schema.module_of(id).namespace == element.ns)
 }
 
-fn part(schema: &Schema, id: NodeId, data: &Data, element: &Element) -> Option<Data> {
+fn part(schema: &Schema, id: NodeId, data: &DataNode, element: &Element) -> Option<DataNode> {
     match data {
-        Data::Leaf(value) => {
+        DataNode::Leaf(value) => {
             let told = element.text();
             (told.is_empty() || value.to_string() == told).then(|| data.clone())
         }
-        Data::LeafList(values) => {
+        DataNode::LeafList(values) => {
             let told = element.text();
             let fits: std::collections::BTreeSet<_> =
                 values.iter().filter(|value| told.is_empty() || value.to_string() == told).cloned().collect();
-            (!fits.is_empty()).then_some(Data::LeafList(fits))
+            (!fits.is_empty()).then_some(DataNode::LeafList(fits))
         }
-        Data::Container(inner) => within(schema, id, inner, element).map(Data::Container),
-        Data::List(entries) => {
+        DataNode::Container(inner) => within(schema, id, inner, element).map(DataNode::Container),
+        DataNode::List(entries) => {
             let kept: BTreeMap<_, _> = entries
                 .iter()
                 .filter_map(|(keys, inner)| Some((keys.clone(), within(schema, id, inner, element)?)))
                 .collect();
-            (!kept.is_empty()).then_some(Data::List(kept))
+            (!kept.is_empty()).then_some(DataNode::List(kept))
         }
     }
 }
 
 /// What is selected of one container or entry; none where a value that must match does not.
-fn within(schema: &Schema, id: NodeId, inner: &Fields, element: &Element) -> Option<Fields> {
+fn within(schema: &Schema, id: NodeId, inner: &DataTree, element: &Element) -> Option<DataTree> {
     if element.children.is_empty() {
         return Some(inner.clone());
     }
@@ -136,14 +136,14 @@
             }
         }
         flush(&mut name, &mut plain)?;
-        Pattern::read(schema, &plain).map_err(bad)
+        Pattern::parse(schema, &plain).map_err(bad)
     };
     paths.into_iter().map(read).collect()
 }
 
 /// What the patterns select.
-pub fn by_paths(fields: &Fields, patterns: &[Pattern]) -> Fields {
-    let mut found = Fields::new();
-    patterns.iter().for_each(|pattern| data::merge(&mut found, &data::select(fields, pattern)));
+pub fn by_paths(fields: &DataTree, patterns: &[Pattern]) -> DataTree {
+    let mut found = DataTree::new();
+    patterns.iter().for_each(|pattern| data::merge(&mut found, &data::select_matching(fields, pattern)));
     found
 }
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -6,7 +6,7 @@
 use crate::xml::Writer;
 use rockflow_management::{moment, Notice, Operator, Update};
 use rockflow_management_service::Event;
-use rockflow_yang::{data, Change, Fields, Path, Scalar, Schema};
+use rockflow_yang::{data, Change, DataTree, Path, Scalar, Schema};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
                 out.leaf("datastore", &[], "running");
                 for change in &commit.changes {
                     out.open("edit", &[]);
-                    out.leaf("target", &[], &change.path.text(schema));
+                    out.leaf("target", &[], &change.path.to_text(schema));
                     let operation = match (&change.before, &change.after) {
                         (None, _) => "create",
                         (_, None) => "delete",
@@ -77,7 +77,7 @@
                 out.open("committed", &[("xmlns", &ns)]);
                 out.leaf("version", &[], &commit.version.to_string());
                 out.leaf("author", &[], &commit.who.user);
-                commit.changes.iter().for_each(|change| out.leaf("change", &[], &change.text(schema)));
+                commit.changes.iter().for_each(|change| out.leaf("change", &[], &change.to_text(schema)));
                 out.close("committed");
             });
             vec![standard, mine]
@@ -103,11 +103,11 @@
 }
 
 /// The tree that values by path make.
-pub fn tree(schema: &Schema, values: BTreeMap<Path, Scalar>) -> Fields {
+pub fn tree(schema: &Schema, values: BTreeMap<Path, Scalar>) -> DataTree {
     let changes: Vec<Change> =
         values.into_iter().map(|(path, value)| Change { path, before: None, after: Some(value) }).collect();
-    let mut fields = Fields::new();
-    data::replay(schema, &mut fields, &changes);
+    let mut fields = DataTree::new();
+    data::apply_changes(schema, &mut fields, &changes);
     fields
 }
 
@@ -133,7 +133,7 @@
                 out.open("edit", &[]);
                 out.leaf("edit-id", &[], &format!("edit{}", number + 1));
                 out.leaf("operation", &[], if value.is_some() { "replace" } else { "delete" });
-                out.leaf("target", &[], &path.text(schema));
+                out.leaf("target", &[], &path.to_text(schema));
                 if let (Some(value), Some(node)) = (value, path.node()) {
                     out.open("value", &[]);
                     let name = &schema.node(node).name;
--- a/crates/rockflow-netconf/src/rpc.rs
+++ b/crates/rockflow-netconf/src/rpc.rs
@@ -8,8 +8,10 @@
 use rockflow_management::machine::CONFIRM_WITHIN;
 use rockflow_management::{Confirm, Datastore, ErrorOption, Fault, SessionId, Tag, Trigger};
 use rockflow_management_service::{Asker, Desk};
-use rockflow_yang::path::Loose;
-use rockflow_yang::{data, Data, Fields, Kind, NodeId, Op, Path, Pattern, Scalar, Schema};
+use rockflow_yang::path::PatternStep;
+use rockflow_yang::{
+    data, DataNode, DataTree, EditOperation, NodeId, NodeKind, Path, Pattern, Scalar, Schema,
+};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -74,11 +76,11 @@
     }
 }
 
-fn default_operation(operation: &Element) -> Result<Op, Fault> {
+fn default_operation(operation: &Element) -> Result<EditOperation, Fault> {
     match operation.word("default-operation") {
-        None | Some("merge") => Ok(Op::Merge),
-        Some("replace") => Ok(Op::Replace),
-        Some("none") => Ok(Op::Expect),
+        None | Some("merge") => Ok(EditOperation::Merge),
+        Some("replace") => Ok(EditOperation::Replace),
+        Some("none") => Ok(EditOperation::AssertExists),
         Some(other) => Err(invalid(format!("{other}: no default-operation")).element("default-operation")),
     }
 }
@@ -130,7 +132,7 @@
         }
     }
 
-    fn select(&self, schema: &Schema, fields: Fields) -> Fields {
+    fn select(&self, schema: &Schema, fields: DataTree) -> DataTree {
         match self {
             Wanted::All => fields,
             Wanted::Subtree(filter) => filter::subtree(schema, &fields, None, filter),
@@ -184,7 +186,7 @@
         let above = parent.and_then(|_| at.0.last());
         let told = element.children.iter().filter(|child| !child.text().is_empty());
         let told: Vec<(&str, &str)> = told.map(|child| (child.name.as_str(), child.text())).collect();
-        let step = Loose::read(schema, above, &name, told.iter().copied()).map_err(invalid)?;
+        let step = PatternStep::parse(schema, above, &name, told.iter().copied()).map_err(invalid)?;
         let mut here = at.clone();
         let node = step.node;
         here.0.push(step);
@@ -203,7 +205,7 @@
 }
 
 /// What becomes of defaults (RFC 6243).
-fn with_defaults(schema: &Schema, operation: &Element, fields: Fields) -> Result<(Fields, Notes), Fault> {
+fn with_defaults(schema: &Schema, operation: &Element, fields: DataTree) -> Result<(DataTree, Notes), Fault> {
     match operation.word("with-defaults") {
         None | Some("explicit") => Ok((fields, Notes::default())),
         Some("report-all") => Ok((data::with_defaults(schema, &fields, true), Notes::default())),
@@ -286,7 +288,7 @@
                 let mut out = Writer::new();
                 out.leaf("lock-id", &[("xmlns", ns::PARTIAL_LOCK)], &lock.to_string());
                 for path in held {
-                    out.leaf("locked-node", &[("xmlns", ns::PARTIAL_LOCK)], &path.text(schema));
+                    out.leaf("locked-node", &[("xmlns", ns::PARTIAL_LOCK)], &path.to_text(schema));
                 }
                 Ok(Reply::Content(out.finish()))
             }
@@ -420,10 +422,13 @@
         let mut fields = asker.read(which).await?;
         match operation.word("config-filter") {
             Some("true") => {
-                fields = data::prune(schema, &fields, &Path::default(), &|path| config(schema, path, true))
+                fields =
+                    data::retain_leaves(schema, &fields, &Path::default(), &|path| config(schema, path, true))
             }
             Some("false") => {
-                fields = data::prune(schema, &fields, &Path::default(), &|path| config(schema, path, false))
+                fields = data::retain_leaves(schema, &fields, &Path::default(), &|path| {
+                    config(schema, path, false)
+                })
             }
             _ => {}
         }
@@ -476,7 +481,7 @@
                 all.edit(asker.id, target, &edits, ErrorOption::Rollback, true)?;
                 let mut fields = all.datastore(asker.id, target).clone();
                 for edit in &edits {
-                    data::apply(schema, &mut fields, edit).map_err(|fault| vec![fault.into()])?;
+                    data::apply_edit(schema, &mut fields, edit).map_err(|fault| vec![fault.into()])?;
                 }
                 Ok::<_, Vec<Fault>>(fields)
             })?;
@@ -498,7 +503,7 @@
     ) -> Result<Reply, Fault> {
         let schema = self.desk.schema();
         let call = schema.roots().iter().map(|id| schema.node(*id)).find(|node| {
-            matches!(node.kind, Kind::Rpc)
+            matches!(node.kind, NodeKind::Rpc)
                 && node.name == name
                 && schema.module(node.module).namespace == space
         });
@@ -510,11 +515,13 @@
         let told = codec::read(schema, input, &operation.children, &Path::default(), true)?;
         let child = |name: &str| input.and_then(|input| schema.child(Some(input), None, name));
         for id in input.map(|input| schema.node(input).children.clone()).unwrap_or_default() {
-            if matches!(schema.node(id).kind, Kind::Leaf { mandatory: true, .. }) && !told.contains_key(&id) {
+            if matches!(schema.node(id).kind, NodeKind::Leaf { mandatory: true, .. })
+                && !told.contains_key(&id)
+            {
                 return Err(missing(&schema.node(id).name));
             }
         }
-        let value = |name: &str| child(name).and_then(|id| told.get(&id)).and_then(Data::scalar);
+        let value = |name: &str| child(name).and_then(|id| told.get(&id)).and_then(DataNode::scalar);
         let text = |name: &str| value(name).and_then(Scalar::as_text);
         let number = |name: &str| value(name).and_then(Scalar::as_u64);
         let host = text("host").unwrap_or_default();
@@ -566,7 +573,7 @@
             out.leaf("error-app-tag", &[], tag);
         }
         if let Some(path) = &fault.path {
-            out.leaf("error-path", &[], &path.text(schema));
+            out.leaf("error-path", &[], &path.to_text(schema));
         }
         out.leaf("error-message", &[("xml:lang", "en")], &fault.message);
         if fault.holder.is_some() || fault.element.is_some() {
--- a/crates/rockflow-netconf/tests/fuzz.rs
+++ b/crates/rockflow-netconf/tests/fuzz.rs
@@ -5,7 +5,7 @@
 use rockflow_netconf::framing::{encode, Framing};
 use rockflow_netconf::{codec, filter, xml};
 use rockflow_test_servers::memory::Counting;
-use rockflow_yang::{Op, Path, Schema};
+use rockflow_yang::{EditOperation, Path, Schema};
 
 #[global_allocator]
 static COUNTING: Counting = Counting::new();
@@ -102,8 +102,9 @@
             read += 1;
             let target = element.children.first().unwrap_or(&element);
             for config in [target, target.child("config").unwrap_or(target)] {
-                edited +=
-                    usize::from(codec::edits(&schema, config, Op::Merge).is_ok_and(|all| !all.is_empty()));
+                edited += usize::from(
+                    codec::edits(&schema, config, EditOperation::Merge).is_ok_and(|all| !all.is_empty()),
+                );
                 let _ = codec::read(&schema, None, &config.children, &Path::default(), true);
                 let _ = filter::subtree(&schema, &Default::default(), None, &config.children);
             }
--- a/crates/rockflow-yang/src/data.rs
+++ b/crates/rockflow-yang/src/data.rs
@@ -1,45 +1,45 @@
 //! Trees of values, what changes them, and how two of them differ.
 
-use crate::path::{Path, Pattern, Step};
-use crate::schema::{Kind, NodeId, Schema};
-use crate::types::{Keys, Scalar};
+use crate::path::{Path, PathStep, Pattern};
+use crate::schema::{NodeId, NodeKind, Schema};
+use crate::types::{KeyValues, Scalar};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// The values below one node, by child.
-pub type Fields = BTreeMap<NodeId, Data>;
+pub type DataTree = BTreeMap<NodeId, DataNode>;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Data {
+pub enum DataNode {
     Leaf(Scalar),
     LeafList(BTreeSet<Scalar>),
-    Container(Fields),
+    Container(DataTree),
     /// Entries by key; the keys stand among an entry's fields too.
-    List(BTreeMap<Keys, Fields>),
+    List(BTreeMap<KeyValues, DataTree>),
 }
 
 /// What is done to one node (RFC 6241, section 7.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Op {
+pub enum EditOperation {
     Merge,
     Replace,
     Create,
     Delete,
     Remove,
     /// Nothing is done, but it must be there: default-operation none.
-    Expect,
+    AssertExists,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
     pub path: Path,
-    pub op: Op,
+    pub op: EditOperation,
     /// What is merged, put or created; none for the other operations.
-    pub value: Option<Data>,
+    pub value: Option<DataNode>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EditError {
+pub enum EditErrorKind {
     /// Created, and there already; deleted or expected, and not there.
     Exists,
     Missing,
@@ -49,13 +49,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct EditFault {
-    pub error: EditError,
+pub struct EditError {
+    pub error: EditErrorKind,
     pub path: Path,
     pub what: String,
 }
 
-impl fmt::Display for EditFault {
+impl fmt::Display for EditError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.what)
     }
@@ -71,132 +71,136 @@
 
 impl Change {
     /// `path: before -> after`, on one line.
-    pub fn text(&self, schema: &Schema) -> String {
+    pub fn to_text(&self, schema: &Schema) -> String {
         let value = |value: &Option<Scalar>| value.as_ref().map_or("-".to_string(), Scalar::to_string);
-        let line = format!("{}: {} -> {}", self.path.text(schema), value(&self.before), value(&self.after));
+        let line =
+            format!("{}: {} -> {}", self.path.to_text(schema), value(&self.before), value(&self.after));
         line.replace(['\n', '\r'], " ")
     }
 }
 
-impl Data {
-    pub fn fields(&self) -> Option<&Fields> {
+impl DataNode {
+    pub fn fields(&self) -> Option<&DataTree> {
         match self {
-            Data::Container(fields) => Some(fields),
+            DataNode::Container(fields) => Some(fields),
             _ => None,
         }
     }
 
     pub fn scalar(&self) -> Option<&Scalar> {
         match self {
-            Data::Leaf(value) => Some(value),
+            DataNode::Leaf(value) => Some(value),
             _ => None,
         }
     }
 
     /// Values and entries, as a bound on what a tree takes.
-    pub fn count(&self) -> usize {
+    pub fn count_values(&self) -> usize {
         match self {
-            Data::Leaf(_) => 1,
-            Data::LeafList(values) => values.len(),
-            Data::Container(fields) => count(fields),
-            Data::List(entries) => entries.values().map(|fields| 1 + count(fields)).sum(),
+            DataNode::Leaf(_) => 1,
+            DataNode::LeafList(values) => values.len(),
+            DataNode::Container(fields) => count_values(fields),
+            DataNode::List(entries) => entries.values().map(|fields| 1 + count_values(fields)).sum(),
         }
     }
 }
 
-pub fn count(fields: &Fields) -> usize {
-    fields.values().map(Data::count).sum()
+pub fn count_values(fields: &DataTree) -> usize {
+    fields.values().map(DataNode::count_values).sum()
 }
 
 /// What the path names; the whole list where its last step has no keys.
-pub fn get<'a>(fields: &'a Fields, path: &[Step]) -> Option<Found<'a>> {
+pub fn find_instance<'a>(fields: &'a DataTree, path: &[PathStep]) -> Option<Instance<'a>> {
     let (step, rest) = path.split_first()?;
     let data = fields.get(&step.node)?;
     match data {
-        Data::List(entries) if !step.keys.is_empty() => {
+        DataNode::List(entries) if !step.keys.is_empty() => {
             let entry = entries.get(&step.keys)?;
             if rest.is_empty() {
-                Some(Found::Entry(entry))
+                Some(Instance::ListEntry(entry))
             } else {
-                get(entry, rest)
+                find_instance(entry, rest)
             }
         }
-        Data::Container(inner) if !rest.is_empty() => get(inner, rest),
-        _ if rest.is_empty() => Some(Found::Data(data)),
+        DataNode::Container(inner) if !rest.is_empty() => find_instance(inner, rest),
+        _ if rest.is_empty() => Some(Instance::DataNode(data)),
         _ => None,
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Found<'a> {
-    Data(&'a Data),
-    Entry(&'a Fields),
+pub enum Instance<'a> {
+    DataNode(&'a DataNode),
+    ListEntry(&'a DataTree),
 }
 
 /// The value of a leaf by the names on its way; keys are given for each list in turn.
-pub fn leaf<'a>(schema: &Schema, fields: &'a Fields, names: &[&str]) -> Option<&'a Scalar> {
+pub fn leaf_by_names<'a>(schema: &Schema, fields: &'a DataTree, names: &[&str]) -> Option<&'a Scalar> {
     let mut at = None;
     let mut steps = Vec::new();
     for name in names {
         let id = schema.child(at, None, name)?;
-        steps.push(Step { node: id, keys: Vec::new() });
+        steps.push(PathStep { node: id, keys: Vec::new() });
         at = Some(id);
     }
-    match get(fields, &steps)? {
-        Found::Data(data) => data.scalar(),
-        Found::Entry(_) => None,
+    match find_instance(fields, &steps)? {
+        Instance::DataNode(data) => data.scalar(),
+        Instance::ListEntry(_) => None,
     }
 }
 
 /// Carries one edit out. On a fault the tree is as it was.
-pub fn apply(schema: &Schema, fields: &mut Fields, edit: &Edit) -> Result<(), EditFault> {
-    let fault =
-        |error: EditError, what: &str| Err(EditFault { error, path: edit.path.clone(), what: what.into() });
+pub fn apply_edit(schema: &Schema, fields: &mut DataTree, edit: &Edit) -> Result<(), EditError> {
+    let fault = |error: EditErrorKind, what: &str| {
+        Err(EditError { error, path: edit.path.clone(), what: what.into() })
+    };
     let Some(last) = edit.path.0.last() else {
         return match edit.op {
-            Op::Replace | Op::Merge => {
-                let Some(Data::Container(new)) = &edit.value else {
-                    return fault(EditError::BadValue, "the top holds containers");
+            EditOperation::Replace | EditOperation::Merge => {
+                let Some(DataNode::Container(new)) = &edit.value else {
+                    return fault(EditErrorKind::BadValue, "the top holds containers");
                 };
-                if edit.op == Op::Replace {
+                if edit.op == EditOperation::Replace {
                     *fields = new.clone();
                 } else {
                     merge(fields, new);
                 }
                 Ok(())
             }
-            Op::Delete | Op::Remove => {
+            EditOperation::Delete | EditOperation::Remove => {
                 fields.clear();
                 Ok(())
             }
-            Op::Create => fault(EditError::Exists, "the top exists"),
-            Op::Expect => Ok(()),
+            EditOperation::Create => fault(EditErrorKind::Exists, "the top exists"),
+            EditOperation::AssertExists => Ok(()),
         };
     };
     let node = schema.node(last.node);
     if !node.config {
-        return fault(EditError::NotWritable, "is state, which can't be written");
+        return fault(EditErrorKind::NotWritable, "is state, which can't be written");
     }
-    if schema.is_key(last.node) && edit.op != Op::Expect {
-        let told = edit.value.as_ref().and_then(Data::scalar);
+    if schema.is_key(last.node) && edit.op != EditOperation::AssertExists {
+        let told = edit.value.as_ref().and_then(DataNode::scalar);
         let above = &edit.path.0[..edit.path.0.len() - 1];
         let place = schema.keys(above.last().map_or(last.node, |step| step.node));
         let place = place.iter().position(|id| *id == last.node);
         let known = above.last().and_then(|step| step.keys.get(place?));
-        if matches!(edit.op, Op::Delete | Op::Remove) || told != known {
-            return fault(EditError::NotWritable, "is a key, which can't be changed");
+        if matches!(edit.op, EditOperation::Delete | EditOperation::Remove) || told != known {
+            return fault(EditErrorKind::NotWritable, "is a key, which can't be changed");
         }
     }
-    if matches!(node.kind, Kind::LeafList { .. }) && !last.keys.is_empty() {
+    if matches!(node.kind, NodeKind::LeafList { .. }) && !last.keys.is_empty() {
         return apply_value(schema, fields, edit, last);
     }
-    let there = get(fields, &edit.path.0).is_some();
+    let there = find_instance(fields, &edit.path.0).is_some();
     match edit.op {
-        Op::Create if there => return fault(EditError::Exists, "exists already"),
-        Op::Delete | Op::Expect if !there => return fault(EditError::Missing, "does not exist"),
-        Op::Remove if !there => return Ok(()),
-        Op::Expect => return Ok(()),
-        Op::Delete | Op::Remove => {
+        EditOperation::Create if there => return fault(EditErrorKind::Exists, "exists already"),
+        EditOperation::Delete | EditOperation::AssertExists if !there => {
+            return fault(EditErrorKind::Missing, "does not exist")
+        }
+        EditOperation::Remove if !there => return Ok(()),
+        EditOperation::AssertExists => return Ok(()),
+        EditOperation::Delete | EditOperation::Remove => {
             remove(fields, &edit.path.0);
             return Ok(());
         }
@@ -204,27 +208,27 @@
     }
     let value = match (&edit.value, &node.kind) {
         (Some(value), _) => value.clone(),
-        (None, Kind::Container) => Data::Container(Fields::new()),
-        (None, Kind::List { .. }) => Data::List(BTreeMap::new()),
-        (None, _) => return fault(EditError::BadValue, "has no value"),
+        (None, NodeKind::Container) => DataNode::Container(DataTree::new()),
+        (None, NodeKind::List { .. }) => DataNode::List(BTreeMap::new()),
+        (None, _) => return fault(EditErrorKind::BadValue, "has no value"),
     };
     let fits = match (&node.kind, &value) {
-        (Kind::Container, Data::Container(_)) | (Kind::Leaf { .. }, Data::Leaf(_)) => true,
-        (Kind::LeafList { .. }, Data::LeafList(_)) => true,
-        (Kind::List { .. }, Data::List(_)) => true,
-        (Kind::List { .. }, Data::Container(_)) => !last.keys.is_empty(),
+        (NodeKind::Container, DataNode::Container(_)) | (NodeKind::Leaf { .. }, DataNode::Leaf(_)) => true,
+        (NodeKind::LeafList { .. }, DataNode::LeafList(_)) => true,
+        (NodeKind::List { .. }, DataNode::List(_)) => true,
+        (NodeKind::List { .. }, DataNode::Container(_)) => !last.keys.is_empty(),
         _ => false,
     };
     if !fits {
-        return fault(EditError::BadValue, "can't hold such a value");
+        return fault(EditErrorKind::BadValue, "can't hold such a value");
     }
-    if edit.op == Op::Replace && there {
+    if edit.op == EditOperation::Replace && there {
         remove(fields, &edit.path.0);
     }
     let at = place(schema, fields, &edit.path.0);
     match (at, value) {
-        (Place::Entry(entry), Data::Container(new)) => merge(entry, &new),
-        (Place::Entry(_), _) => return fault(EditError::BadValue, "can't hold such a value"),
+        (Place::ListEntry(entry), DataNode::Container(new)) => merge(entry, &new),
+        (Place::ListEntry(_), _) => return fault(EditErrorKind::BadValue, "can't hold such a value"),
         (Place::Slot(holder, node), value) => match holder.get_mut(&node) {
             Some(old) => merge_data(old, &value),
             None => {
@@ -236,53 +240,60 @@
 }
 
 /// One value of a leaf-list, which its path names.
-fn apply_value(schema: &Schema, fields: &mut Fields, edit: &Edit, last: &Step) -> Result<(), EditFault> {
-    let fault = |error: EditError, what: &str| {
-        Err(EditFault { error, path: edit.path.clone(), what: what.to_string() })
+fn apply_value(
+    schema: &Schema,
+    fields: &mut DataTree,
+    edit: &Edit,
+    last: &PathStep,
+) -> Result<(), EditError> {
+    let fault = |error: EditErrorKind, what: &str| {
+        Err(EditError { error, path: edit.path.clone(), what: what.to_string() })
     };
     let mut whole = edit.path.0.clone();
     whole.iter_mut().next_back().into_iter().for_each(|step| step.keys.clear());
-    let mut values = match get(fields, &whole) {
-        Some(Found::Data(Data::LeafList(values))) => values.clone(),
+    let mut values = match find_instance(fields, &whole) {
+        Some(Instance::DataNode(DataNode::LeafList(values))) => values.clone(),
         _ => BTreeSet::new(),
     };
     let Some(value) = last.keys.first() else {
-        return fault(EditError::BadValue, "names no value");
+        return fault(EditErrorKind::BadValue, "names no value");
     };
     let there = values.contains(value);
     match edit.op {
-        Op::Create if there => return fault(EditError::Exists, "exists already"),
-        Op::Delete | Op::Expect if !there => return fault(EditError::Missing, "does not exist"),
-        Op::Expect => return Ok(()),
-        Op::Delete | Op::Remove => values.remove(value),
-        Op::Merge | Op::Replace | Op::Create => values.insert(value.clone()),
+        EditOperation::Create if there => return fault(EditErrorKind::Exists, "exists already"),
+        EditOperation::Delete | EditOperation::AssertExists if !there => {
+            return fault(EditErrorKind::Missing, "does not exist")
+        }
+        EditOperation::AssertExists => return Ok(()),
+        EditOperation::Delete | EditOperation::Remove => values.remove(value),
+        EditOperation::Merge | EditOperation::Replace | EditOperation::Create => values.insert(value.clone()),
     };
     if values.is_empty() {
         remove(fields, &whole);
     } else {
-        put(schema, fields, &whole, Data::LeafList(values));
+        put(schema, fields, &whole, DataNode::LeafList(values));
     }
     Ok(())
 }
 
 enum Place<'a> {
-    Entry(&'a mut Fields),
-    Slot(&'a mut Fields, NodeId),
+    ListEntry(&'a mut DataTree),
+    Slot(&'a mut DataTree, NodeId),
 }
 
 /// Where the path leads, with entries and containers on the way made.
-fn place<'a>(schema: &Schema, fields: &'a mut Fields, path: &[Step]) -> Place<'a> {
+fn place<'a>(schema: &Schema, fields: &'a mut DataTree, path: &[PathStep]) -> Place<'a> {
     let Some((step, rest)) = path.split_first() else {
-        return Place::Entry(fields);
+        return Place::ListEntry(fields);
     };
     // A tree of another shape than the path's is put right where the value is put.
     if !step.keys.is_empty() {
-        if !matches!(fields.get(&step.node), Some(Data::List(_))) {
-            fields.insert(step.node, Data::List(BTreeMap::new()));
+        if !matches!(fields.get(&step.node), Some(DataNode::List(_))) {
+            fields.insert(step.node, DataNode::List(BTreeMap::new()));
         }
-        if let Some(Data::List(entries)) = fields.get_mut(&step.node) {
+        if let Some(DataNode::List(entries)) = fields.get_mut(&step.node) {
             let keys = schema.keys(step.node);
-            let fresh = || keys.iter().copied().zip(step.keys.iter().cloned().map(Data::Leaf)).collect();
+            let fresh = || keys.iter().copied().zip(step.keys.iter().cloned().map(DataNode::Leaf)).collect();
             return place(schema, entries.entry(step.keys.clone()).or_insert_with(fresh), rest);
         }
         unreachable!("put there above");
@@ -290,21 +301,21 @@
     if rest.is_empty() {
         return Place::Slot(fields, step.node);
     }
-    if !matches!(fields.get(&step.node), Some(Data::Container(_))) {
-        fields.insert(step.node, Data::Container(Fields::new()));
+    if !matches!(fields.get(&step.node), Some(DataNode::Container(_))) {
+        fields.insert(step.node, DataNode::Container(DataTree::new()));
     }
     match fields.get_mut(&step.node) {
-        Some(Data::Container(inner)) => place(schema, inner, rest),
+        Some(DataNode::Container(inner)) => place(schema, inner, rest),
         _ => unreachable!("put there above"),
     }
 }
 
 /// Takes away what the path names, and containers and lists that are empty for it.
-fn remove(fields: &mut Fields, path: &[Step]) {
+fn remove(fields: &mut DataTree, path: &[PathStep]) {
     let Some((step, rest)) = path.split_first() else { return };
     let Some(data) = fields.get_mut(&step.node) else { return };
     let empty = match data {
-        Data::List(entries) if !step.keys.is_empty() => {
+        DataNode::List(entries) if !step.keys.is_empty() => {
             if rest.is_empty() {
                 entries.remove(&step.keys);
             } else if let Some(entry) = entries.get_mut(&step.keys) {
@@ -312,7 +323,7 @@
             }
             entries.is_empty()
         }
-        Data::Container(inner) if !rest.is_empty() => {
+        DataNode::Container(inner) if !rest.is_empty() => {
             remove(inner, rest);
             inner.is_empty()
         }
@@ -323,7 +334,7 @@
     }
 }
 
-pub fn merge(into: &mut Fields, from: &Fields) {
+pub fn merge(into: &mut DataTree, from: &DataTree) {
     for (node, data) in from {
         match into.get_mut(node) {
             Some(old) => merge_data(old, data),
@@ -334,11 +345,11 @@
     }
 }
 
-fn merge_data(into: &mut Data, from: &Data) {
+fn merge_data(into: &mut DataNode, from: &DataNode) {
     match (into, from) {
-        (Data::Container(old), Data::Container(new)) => merge(old, new),
-        (Data::LeafList(old), Data::LeafList(new)) => old.extend(new.iter().cloned()),
-        (Data::List(old), Data::List(new)) => {
+        (DataNode::Container(old), DataNode::Container(new)) => merge(old, new),
+        (DataNode::LeafList(old), DataNode::LeafList(new)) => old.extend(new.iter().cloned()),
+        (DataNode::List(old), DataNode::List(new)) => {
             for (keys, fields) in new {
                 match old.get_mut(keys) {
                     Some(entry) => merge(entry, fields),
@@ -353,7 +364,7 @@
 }
 
 /// Every leaf with its path. Containers that hold nothing are nothing.
-pub fn leaves(fields: &Fields) -> BTreeMap<Path, Scalar> {
+pub fn leaves(fields: &DataTree) -> BTreeMap<Path, Scalar> {
     let mut found = BTreeMap::new();
     walk(fields, &Path::default(), &mut |path, value| {
         found.insert(path, value.clone());
@@ -361,24 +372,24 @@
     found
 }
 
-fn walk(fields: &Fields, at: &Path, each: &mut impl FnMut(Path, &Scalar)) {
+fn walk(fields: &DataTree, at: &Path, each: &mut impl FnMut(Path, &Scalar)) {
     for (node, data) in fields {
         match data {
-            Data::Leaf(value) => each(at.then(*node, Vec::new()), value),
+            DataNode::Leaf(value) => each(at.child(*node, Vec::new()), value),
             // A leaf-list's value is named by itself (RFC 7950, section 9.13).
-            Data::LeafList(values) => {
-                values.iter().for_each(|value| each(at.then(*node, vec![value.clone()]), value))
+            DataNode::LeafList(values) => {
+                values.iter().for_each(|value| each(at.child(*node, vec![value.clone()]), value))
             }
-            Data::Container(inner) => walk(inner, &at.then(*node, Vec::new()), each),
-            Data::List(entries) => {
-                entries.iter().for_each(|(keys, inner)| walk(inner, &at.then(*node, keys.clone()), each))
+            DataNode::Container(inner) => walk(inner, &at.child(*node, Vec::new()), each),
+            DataNode::List(entries) => {
+                entries.iter().for_each(|(keys, inner)| walk(inner, &at.child(*node, keys.clone()), each))
             }
         }
     }
 }
 
 /// What differs, in the order of the paths.
-pub fn differences(before: &Fields, after: &Fields) -> Vec<Change> {
+pub fn diff(before: &DataTree, after: &DataTree) -> Vec<Change> {
     let (old, new) = (leaves(before), leaves(after));
     let paths: BTreeSet<&Path> = old.keys().chain(new.keys()).collect();
     let changes = paths.into_iter().map(|path| Change {
@@ -390,17 +401,17 @@
 }
 
 /// Carries changes out that were found between two other trees.
-pub fn replay(schema: &Schema, fields: &mut Fields, changes: &[Change]) {
+pub fn apply_changes(schema: &Schema, fields: &mut DataTree, changes: &[Change]) {
     for change in changes {
         let Some(last) = change.path.0.last() else { continue };
-        let list = matches!(schema.node(last.node).kind, Kind::LeafList { .. });
+        let list = matches!(schema.node(last.node).kind, NodeKind::LeafList { .. });
         let steps = &change.path.0;
         if list {
             let above = &steps[..steps.len() - 1];
-            let whole: Vec<Step> =
-                above.iter().cloned().chain([Step { node: last.node, keys: Vec::new() }]).collect();
-            let mut values = match get(fields, &whole) {
-                Some(Found::Data(Data::LeafList(values))) => values.clone(),
+            let whole: Vec<PathStep> =
+                above.iter().cloned().chain([PathStep { node: last.node, keys: Vec::new() }]).collect();
+            let mut values = match find_instance(fields, &whole) {
+                Some(Instance::DataNode(DataNode::LeafList(values))) => values.clone(),
                 _ => BTreeSet::new(),
             };
             match (&change.before, &change.after) {
@@ -411,12 +422,12 @@
             if values.is_empty() {
                 remove(fields, &whole);
             } else {
-                put(schema, fields, &whole, Data::LeafList(values));
+                put(schema, fields, &whole, DataNode::LeafList(values));
             }
             continue;
         }
         match &change.after {
-            Some(value) => put(schema, fields, steps, Data::Leaf(value.clone())),
+            Some(value) => put(schema, fields, steps, DataNode::Leaf(value.clone())),
             // With its key the entry goes.
             None if schema.is_key(last.node) => remove(fields, &steps[..steps.len() - 1]),
             None => remove(fields, steps),
@@ -424,85 +435,91 @@
     }
 }
 
-fn put(schema: &Schema, fields: &mut Fields, path: &[Step], value: Data) {
+fn put(schema: &Schema, fields: &mut DataTree, path: &[PathStep], value: DataNode) {
     if let Place::Slot(holder, node) = place(schema, fields, path) {
         holder.insert(node, value);
     }
 }
 
 /// Puts data at a path, state or not, with what leads to it.
-pub fn place_at(schema: &Schema, fields: &mut Fields, path: &Path, data: Data) {
+pub fn insert_at(schema: &Schema, fields: &mut DataTree, path: &Path, data: DataNode) {
     match (place(schema, fields, &path.0), data) {
-        (Place::Entry(entry), Data::Container(inner)) => merge(entry, &inner),
+        (Place::ListEntry(entry), DataNode::Container(inner)) => merge(entry, &inner),
         (Place::Slot(holder, node), data) => {
             holder.insert(node, data);
         }
-        (Place::Entry(_), _) => {}
+        (Place::ListEntry(_), _) => {}
     }
 }
 
 /// The part that the pattern names, with what leads to it.
-pub fn select(fields: &Fields, pattern: &Pattern) -> Fields {
+pub fn select_matching(fields: &DataTree, pattern: &Pattern) -> DataTree {
     select_below(fields, &pattern.0)
 }
 
-fn select_below(fields: &Fields, steps: &[crate::path::Loose]) -> Fields {
+fn select_below(fields: &DataTree, steps: &[crate::path::PatternStep]) -> DataTree {
     let Some((step, rest)) = steps.split_first() else {
         return fields.clone();
     };
     let Some(data) = fields.get(&step.node) else {
-        return Fields::new();
+        return DataTree::new();
     };
     let found = match data {
-        Data::List(entries) => {
+        DataNode::List(entries) => {
             let mut kept = BTreeMap::new();
-            for (keys, inner) in entries.iter().filter(|(keys, _)| step.fits_keys(keys)) {
+            for (keys, inner) in entries.iter().filter(|(keys, _)| step.matches_keys(keys)) {
                 let below = select_below(inner, rest);
                 if rest.is_empty() || !below.is_empty() {
                     kept.insert(keys.clone(), below);
                 }
             }
-            (!kept.is_empty()).then_some(Data::List(kept))
+            (!kept.is_empty()).then_some(DataNode::List(kept))
         }
-        Data::Container(inner) if !rest.is_empty() => {
+        DataNode::Container(inner) if !rest.is_empty() => {
             let below = select_below(inner, rest);
-            (!below.is_empty()).then_some(Data::Container(below))
+            (!below.is_empty()).then_some(DataNode::Container(below))
         }
         _ => rest.is_empty().then(|| data.clone()),
     };
-    found.map(|data| Fields::from([(step.node, data)])).unwrap_or_default()
+    found.map(|data| DataTree::from([(step.node, data)])).unwrap_or_default()
 }
 
 /// Each instance that the pattern names, one path each; entries of a list come one by one. None: more than `most`.
-pub fn instances<'a>(fields: &'a Fields, pattern: &Pattern, most: usize) -> Option<Vec<(Path, Found<'a>)>> {
+pub fn instances_matching<'a>(
+    fields: &'a DataTree,
+    pattern: &Pattern,
+    most: usize,
+) -> Option<Vec<(Path, Instance<'a>)>> {
     let mut found = Vec::new();
     instances_below(fields, &pattern.0, &Path::default(), most, &mut found)?;
     Some(found)
 }
 
 fn instances_below<'a>(
-    fields: &'a Fields,
-    steps: &[crate::path::Loose],
+    fields: &'a DataTree,
+    steps: &[crate::path::PatternStep],
     at: &Path,
     most: usize,
-    found: &mut Vec<(Path, Found<'a>)>,
+    found: &mut Vec<(Path, Instance<'a>)>,
 ) -> Option<()> {
     let Some((step, rest)) = steps.split_first() else { return Some(()) };
     match fields.get(&step.node) {
-        Some(Data::List(entries)) => {
-            for (keys, inner) in entries.iter().filter(|(keys, _)| step.fits_keys(keys)) {
-                let here = at.then(step.node, keys.clone());
+        Some(DataNode::List(entries)) => {
+            for (keys, inner) in entries.iter().filter(|(keys, _)| step.matches_keys(keys)) {
+                let here = at.child(step.node, keys.clone());
                 if rest.is_empty() {
-                    found.push((here, Found::Entry(inner)));
+                    found.push((here, Instance::ListEntry(inner)));
                 } else {
                     instances_below(inner, rest, &here, most, found)?;
                 }
             }
         }
-        Some(Data::Container(inner)) if !rest.is_empty() => {
-            instances_below(inner, rest, &at.then(step.node, Vec::new()), most, found)?;
+        Some(DataNode::Container(inner)) if !rest.is_empty() => {
+            instances_below(inner, rest, &at.child(step.node, Vec::new()), most, found)?;
+        }
+        Some(data) if rest.is_empty() => {
+            found.push((at.child(step.node, Vec::new()), Instance::DataNode(data)))
         }
-        Some(data) if rest.is_empty() => found.push((at.then(step.node, Vec::new()), Found::Data(data))),
         _ => {}
     }
     (found.len() <= most).then_some(())
@@ -510,26 +527,31 @@
 
 /// Keeps what `wanted` says of each leaf; entries and containers that hold nothing by then go. A key stays
 /// where anything of its entry does.
-pub fn prune(schema: &Schema, fields: &Fields, at: &Path, wanted: &impl Fn(&Path) -> bool) -> Fields {
-    let mut kept = Fields::new();
+pub fn retain_leaves(
+    schema: &Schema,
+    fields: &DataTree,
+    at: &Path,
+    wanted: &impl Fn(&Path) -> bool,
+) -> DataTree {
+    let mut kept = DataTree::new();
     for (node, data) in fields {
-        let here = at.then(*node, Vec::new());
+        let here = at.child(*node, Vec::new());
         match data {
-            Data::Leaf(_) | Data::LeafList(_) => {
+            DataNode::Leaf(_) | DataNode::LeafList(_) => {
                 if wanted(&here) {
                     kept.insert(*node, data.clone());
                 }
             }
-            Data::Container(inner) => {
-                let inner = prune(schema, inner, &here, wanted);
+            DataNode::Container(inner) => {
+                let inner = retain_leaves(schema, inner, &here, wanted);
                 if !inner.is_empty() {
-                    kept.insert(*node, Data::Container(inner));
+                    kept.insert(*node, DataNode::Container(inner));
                 }
             }
-            Data::List(entries) => {
+            DataNode::List(entries) => {
                 let mut left = BTreeMap::new();
                 for (keys, inner) in entries {
-                    let mut inside = prune(schema, inner, &at.then(*node, keys.clone()), wanted);
+                    let mut inside = retain_leaves(schema, inner, &at.child(*node, keys.clone()), wanted);
                     if !inside.is_empty() {
                         for key in schema.keys(*node) {
                             if let Some(value) = inner.get(key) {
@@ -540,7 +562,7 @@
                     }
                 }
                 if !left.is_empty() {
-                    kept.insert(*node, Data::List(left));
+                    kept.insert(*node, DataNode::List(left));
                 }
             }
         }
@@ -550,11 +572,11 @@
 
 /// With every default that is not overridden, in containers and in entries that stand (RFC 6243, report-all).
 /// `config`: only what can be written.
-pub fn with_defaults(schema: &Schema, fields: &Fields, config: bool) -> Fields {
+pub fn with_defaults(schema: &Schema, fields: &DataTree, config: bool) -> DataTree {
     fill(schema, fields, schema.roots(), config)
 }
 
-fn fill(schema: &Schema, fields: &Fields, children: &[NodeId], config: bool) -> Fields {
+fn fill(schema: &Schema, fields: &DataTree, children: &[NodeId], config: bool) -> DataTree {
     let mut full = fields.clone();
     for id in children {
         let node = schema.node(*id);
@@ -562,22 +584,22 @@
             continue;
         }
         match (&node.kind, full.get(id)) {
-            (Kind::Leaf { default: Some(default), .. }, None) if node.config => {
-                full.insert(*id, Data::Leaf(default.clone()));
+            (NodeKind::Leaf { default: Some(default), .. }, None) if node.config => {
+                full.insert(*id, DataNode::Leaf(default.clone()));
             }
-            (Kind::Container, there) if node.config || there.is_some() => {
-                let empty = Fields::new();
-                let inner = there.and_then(Data::fields).unwrap_or(&empty);
+            (NodeKind::Container, there) if node.config || there.is_some() => {
+                let empty = DataTree::new();
+                let inner = there.and_then(DataNode::fields).unwrap_or(&empty);
                 let inner = fill(schema, inner, &node.children, config);
                 if !inner.is_empty() {
-                    full.insert(*id, Data::Container(inner));
+                    full.insert(*id, DataNode::Container(inner));
                 }
             }
-            (Kind::List { .. }, Some(Data::List(entries))) => {
+            (NodeKind::List { .. }, Some(DataNode::List(entries))) => {
                 let filled = entries
                     .iter()
                     .map(|(keys, inner)| (keys.clone(), fill(schema, inner, &node.children, config)));
-                let filled = Data::List(filled.collect());
+                let filled = DataNode::List(filled.collect());
                 full.insert(*id, filled);
             }
             _ => {}
@@ -587,21 +609,21 @@
 }
 
 /// Without values that equal their default (RFC 6243, trim).
-pub fn without_defaults(schema: &Schema, fields: &Fields) -> Fields {
-    let mut left = Fields::new();
+pub fn without_defaults(schema: &Schema, fields: &DataTree) -> DataTree {
+    let mut left = DataTree::new();
     for (id, data) in fields {
         match data {
-            Data::Leaf(value) if schema.default_of(*id) == Some(value) => {}
-            Data::Container(inner) => {
+            DataNode::Leaf(value) if schema.default_of(*id) == Some(value) => {}
+            DataNode::Container(inner) => {
                 let inner = without_defaults(schema, inner);
                 if !inner.is_empty() {
-                    left.insert(*id, Data::Container(inner));
+                    left.insert(*id, DataNode::Container(inner));
                 }
             }
-            Data::List(entries) => {
+            DataNode::List(entries) => {
                 let entries =
                     entries.iter().map(|(keys, inner)| (keys.clone(), without_defaults(schema, inner)));
-                left.insert(*id, Data::List(entries.collect()));
+                left.insert(*id, DataNode::List(entries.collect()));
             }
             _ => {
                 left.insert(*id, data.clone());
@@ -612,16 +634,18 @@
 }
 
 /// What the model demands of a whole tree: mandatory leaves, and how many entries may stand.
-pub fn check(schema: &Schema, fields: &Fields, at: &Path) -> Result<(), EditFault> {
-    let fault = |path: &Path, error: EditError, what: String| {
-        let what = format!("{}: {what}", path.text(schema));
-        Err(EditFault { error, path: path.clone(), what })
+pub fn check_constraints(schema: &Schema, fields: &DataTree, at: &Path) -> Result<(), EditError> {
+    let fault = |path: &Path, error: EditErrorKind, what: String| {
+        let what = format!("{}: {what}", path.to_text(schema));
+        Err(EditError { error, path: path.clone(), what })
     };
     for (id, data) in fields {
-        let here = at.then(*id, Vec::new());
+        let here = at.child(*id, Vec::new());
         let (least, most, have) = match (&schema.node(*id).kind, data) {
-            (Kind::List { least, most, .. }, Data::List(entries)) => (*least, *most, entries.len() as u64),
-            (Kind::LeafList { least, most, .. }, Data::LeafList(values)) => {
+            (NodeKind::List { least, most, .. }, DataNode::List(entries)) => {
+                (*least, *most, entries.len() as u64)
+            }
+            (NodeKind::LeafList { least, most, .. }, DataNode::LeafList(values)) => {
                 (*least, *most, values.len() as u64)
             }
             _ => (0, u64::MAX, 0),
@@ -629,27 +653,27 @@
         if have < least || have > most {
             return fault(
                 &here,
-                EditError::BadValue,
+                EditErrorKind::BadValue,
                 format!("{have} entries, from {least} to {most} may be"),
             );
         }
         match data {
-            Data::Container(inner) => check(schema, inner, &here)?,
-            Data::List(entries) => {
+            DataNode::Container(inner) => check_constraints(schema, inner, &here)?,
+            DataNode::List(entries) => {
                 for (keys, inner) in entries {
-                    let entry = at.then(*id, keys.clone());
+                    let entry = at.child(*id, keys.clone());
                     for child in &schema.node(*id).children {
                         let wanted = match &schema.node(*child).kind {
-                            Kind::Leaf { mandatory, .. } => *mandatory,
-                            Kind::LeafList { least, .. } => *least > 0,
+                            NodeKind::Leaf { mandatory, .. } => *mandatory,
+                            NodeKind::LeafList { least, .. } => *least > 0,
                             _ => false,
                         };
                         if wanted && !inner.contains_key(child) {
                             let what = format!("{} is missing", schema.node(*child).name);
-                            return fault(&entry, EditError::Missing, what);
+                            return fault(&entry, EditErrorKind::Missing, what);
                         }
                     }
-                    check(schema, inner, &entry)?;
+                    check_constraints(schema, inner, &entry)?;
                 }
             }
             _ => {}
--- a/crates/rockflow-yang/src/json.rs
+++ b/crates/rockflow-yang/src/json.rs
@@ -1,50 +1,52 @@
 //! Trees of values as JSON (RFC 7951), strictly both ways.
 
-use crate::data::{Data, Fields};
-use crate::schema::{Kind, NodeId, Schema};
-use crate::types::{Keys, Scalar, Type};
+use crate::data::{DataNode, DataTree};
+use crate::schema::{NodeId, NodeKind, Schema};
+use crate::types::{KeyValues, LeafType, Scalar};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The values below `parent`; at the top without one. A name bears its module where that changes.
-pub fn write(schema: &Schema, fields: &Fields) -> Value {
+pub fn write(schema: &Schema, fields: &DataTree) -> Value {
     let mut object = Map::new();
     for (id, data) in fields {
-        object.insert(schema.qualified(*id), write_data(schema, *id, data));
+        object.insert(schema.qualified_name(*id), write_data(schema, *id, data));
     }
     Value::Object(object)
 }
 
-pub fn write_data(schema: &Schema, id: NodeId, data: &Data) -> Value {
+pub fn write_data(schema: &Schema, id: NodeId, data: &DataNode) -> Value {
     match data {
-        Data::Leaf(value) => write_scalar(schema.type_of(id), value),
-        Data::LeafList(values) => {
+        DataNode::Leaf(value) => write_scalar(schema.type_of(id), value),
+        DataNode::LeafList(values) => {
             Value::Array(values.iter().map(|value| write_scalar(schema.type_of(id), value)).collect())
         }
-        Data::Container(fields) => write(schema, fields),
-        Data::List(entries) => Value::Array(entries.values().map(|fields| write(schema, fields)).collect()),
+        DataNode::Container(fields) => write(schema, fields),
+        DataNode::List(entries) => {
+            Value::Array(entries.values().map(|fields| write(schema, fields)).collect())
+        }
     }
 }
 
-pub fn write_scalar(of: Option<&Type>, value: &Scalar) -> Value {
+pub fn write_scalar(of: Option<&LeafType>, value: &Scalar) -> Value {
     match value {
         Scalar::Empty => Value::Array(vec![Value::Null]),
         Scalar::Bool(value) => Value::Bool(*value),
-        Scalar::Unsigned(number) if !of.is_some_and(|of| of.quoted(value)) => Value::from(*number),
-        Scalar::Signed(number) if !of.is_some_and(|of| of.quoted(value)) => Value::from(*number),
+        Scalar::Unsigned(number) if !of.is_some_and(|of| of.is_quoted_in_json(value)) => Value::from(*number),
+        Scalar::Signed(number) if !of.is_some_and(|of| of.is_quoted_in_json(value)) => Value::from(*number),
         value => Value::String(value.to_string()),
     }
 }
 
 /// Reads the values below `parent`; unknown names, state, doubled entries and odd values are faults. `state`:
 /// nodes that can't be written are read too.
-pub fn read(schema: &Schema, parent: Option<NodeId>, value: &Value, state: bool) -> Result<Fields, String> {
+pub fn read(schema: &Schema, parent: Option<NodeId>, value: &Value, state: bool) -> Result<DataTree, String> {
     let object = value.as_object().ok_or("an object is wanted")?;
-    let mut fields = Fields::new();
+    let mut fields = DataTree::new();
     for (name, value) in object {
         let (module, plain) = match name.split_once(':') {
             Some((module, plain)) => {
-                let known = schema.module_named(module);
+                let known = schema.module_by_name(module);
                 (Some(known.ok_or_else(|| format!("{name}: no such module"))?), plain)
             }
             None => (None, name.as_str()),
@@ -63,19 +65,19 @@
 }
 
 /// Reads the value of one node: a list's is an array of entries.
-pub fn read_data(schema: &Schema, id: NodeId, value: &Value, state: bool) -> Result<Data, String> {
+pub fn read_data(schema: &Schema, id: NodeId, value: &Value, state: bool) -> Result<DataNode, String> {
     match &schema.node(id).kind {
-        Kind::Leaf { of, .. } => Ok(Data::Leaf(read_scalar(of, value)?)),
-        Kind::LeafList { of, .. } => {
+        NodeKind::Leaf { of, .. } => Ok(DataNode::Leaf(read_scalar(of, value)?)),
+        NodeKind::LeafList { of, .. } => {
             let values = value.as_array().ok_or("an array is wanted")?;
             let read: BTreeSet<_> =
                 values.iter().map(|value| read_scalar(of, value)).collect::<Result<_, _>>()?;
             if read.len() < values.len() {
                 return Err("a value stands twice".to_string());
             }
-            Ok(Data::LeafList(read))
+            Ok(DataNode::LeafList(read))
         }
-        Kind::List { .. } => {
+        NodeKind::List { .. } => {
             let values = value.as_array().ok_or("an array is wanted")?;
             let mut entries = BTreeMap::new();
             for value in values {
@@ -84,10 +86,10 @@
                     return Err("an entry stands twice".to_string());
                 }
             }
-            Ok(Data::List(entries))
+            Ok(DataNode::List(entries))
         }
-        Kind::Container | Kind::Input | Kind::Output | Kind::Rpc | Kind::Notification => {
-            Ok(Data::Container(read(schema, Some(id), value, state)?))
+        NodeKind::Container | NodeKind::Input | NodeKind::Output | NodeKind::Rpc | NodeKind::Notification => {
+            Ok(DataNode::Container(read(schema, Some(id), value, state)?))
         }
     }
 }
@@ -98,17 +100,17 @@
     list: NodeId,
     value: &Value,
     state: bool,
-) -> Result<(Keys, Fields), String> {
+) -> Result<(KeyValues, DataTree), String> {
     let fields = read(schema, Some(list), value, state)?;
     let key = |key: &NodeId| {
-        let value = fields.get(key).and_then(Data::scalar).cloned();
+        let value = fields.get(key).and_then(DataNode::scalar).cloned();
         value.ok_or_else(|| format!("the key {} is missing", schema.node(*key).name))
     };
     let keys = schema.keys(list).iter().map(key).collect::<Result<_, _>>()?;
     Ok((keys, fields))
 }
 
-fn read_scalar(of: &Type, value: &Value) -> Result<Scalar, String> {
+fn read_scalar(of: &LeafType, value: &Value) -> Result<Scalar, String> {
     let text = match value {
         Value::String(text) => text.clone(),
         Value::Bool(value) => value.to_string(),
@@ -116,7 +118,7 @@
         Value::Array(inner) if matches!(inner.as_slice(), [Value::Null]) => String::new(),
         _ => return Err("a value is wanted".to_string()),
     };
-    let read = of.read(&text)?;
+    let read = of.parse(&text)?;
     let fits = match (&read, value) {
         (Scalar::Bool(_), value) => value.is_boolean(),
         (Scalar::Empty, value) => value.is_array(),
--- a/crates/rockflow-yang/src/schema.rs
+++ b/crates/rockflow-yang/src/schema.rs
@@ -1,7 +1,7 @@
 //! The modules compiled: one tree of nodes with their types, in the order in which they were written.
 
 use crate::statement::{self, Statement};
-use crate::types::{decimal, Scalar, Spans, Type};
+use crate::types::{decimal, LeafType, Scalar, Spans};
 use regex_lite::Regex;
 use std::collections::BTreeMap;
 
@@ -21,11 +21,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Kind {
+pub enum NodeKind {
     Container,
     List { keys: Vec<NodeId>, least: u64, most: u64 },
-    Leaf { of: Type, default: Option<Scalar>, mandatory: bool },
-    LeafList { of: Type, least: u64, most: u64 },
+    Leaf { of: LeafType, default: Option<Scalar>, mandatory: bool },
+    LeafList { of: LeafType, least: u64, most: u64 },
     Rpc,
     Input,
     Output,
@@ -38,7 +38,7 @@
     pub parent: Option<NodeId>,
     pub module: ModuleId,
     pub name: String,
-    pub kind: Kind,
+    pub kind: NodeKind,
     /// False: state, which nobody writes.
     pub config: bool,
     pub units: Option<String>,
@@ -90,7 +90,7 @@
     /// The published modules. They are part of the program, so that one that can't be read is a fault of the
     /// build, which the tests find.
     pub fn published() -> Schema {
-        Schema::compile(&crate::PUBLISHED).unwrap_or_else(|what| panic!("published modules: {what}"))
+        Schema::compile(&crate::PUBLISHED_MODULES).unwrap_or_else(|what| panic!("published modules: {what}"))
     }
 
     /// Compiles modules, given by name and text; one that others augment or import from stands ahead of them.
@@ -128,7 +128,7 @@
         self.module(self.node(id).module)
     }
 
-    pub fn module_named(&self, name: &str) -> Option<ModuleId> {
+    pub fn module_by_name(&self, name: &str) -> Option<ModuleId> {
         self.modules.iter().position(|module| module.name == name).map(|place| ModuleId(place as u8))
     }
 
@@ -148,14 +148,14 @@
     }
 
     /// The node's names from the top, each with its module where that changes (RFC 7951, section 6.11).
-    pub fn path_of(&self, id: NodeId) -> String {
+    pub fn schema_path(&self, id: NodeId) -> String {
         let node = self.node(id);
-        let above = node.parent.map(|parent| self.path_of(parent)).unwrap_or_default();
-        format!("{above}/{}", self.qualified(id))
+        let above = node.parent.map(|parent| self.schema_path(parent)).unwrap_or_default();
+        format!("{above}/{}", self.qualified_name(id))
     }
 
     /// The node's name, with its module's unless its parent is of the same.
-    pub fn qualified(&self, id: NodeId) -> String {
+    pub fn qualified_name(&self, id: NodeId) -> String {
         let node = self.node(id);
         match node.parent.filter(|parent| self.node(*parent).module == node.module) {
             Some(_) => node.name.clone(),
@@ -165,27 +165,27 @@
 
     pub fn is_key(&self, id: NodeId) -> bool {
         let parent = self.node(id).parent.map(|parent| &self.node(parent).kind);
-        matches!(parent, Some(Kind::List { keys, .. }) if keys.contains(&id))
+        matches!(parent, Some(NodeKind::List { keys, .. }) if keys.contains(&id))
     }
 
     pub fn keys(&self, id: NodeId) -> &[NodeId] {
         match &self.node(id).kind {
-            Kind::List { keys, .. } => keys,
+            NodeKind::List { keys, .. } => keys,
             _ => &[],
         }
     }
 
     /// The type of a leaf or leaf-list.
-    pub fn type_of(&self, id: NodeId) -> Option<&Type> {
+    pub fn type_of(&self, id: NodeId) -> Option<&LeafType> {
         match &self.node(id).kind {
-            Kind::Leaf { of, .. } | Kind::LeafList { of, .. } => Some(of),
+            NodeKind::Leaf { of, .. } | NodeKind::LeafList { of, .. } => Some(of),
             _ => None,
         }
     }
 
     pub fn default_of(&self, id: NodeId) -> Option<&Scalar> {
         match &self.node(id).kind {
-            Kind::Leaf { default, .. } => default.as_ref(),
+            NodeKind::Leaf { default, .. } => default.as_ref(),
             _ => None,
         }
     }
@@ -264,24 +264,24 @@
         let config = config && statement.word("config") != Some("false");
         let (least, most) = (number("min-elements", 0)?, number("max-elements", u64::MAX)?);
         let kind = match statement.keyword.as_str() {
-            "container" => Kind::Container,
-            "list" => Kind::List { keys: Vec::new(), least, most },
-            "leaf-list" => Kind::LeafList { of: self.type_in(statement, place)?.0, least, most },
+            "container" => NodeKind::Container,
+            "list" => NodeKind::List { keys: Vec::new(), least, most },
+            "leaf-list" => NodeKind::LeafList { of: self.type_in(statement, place)?.0, least, most },
             "leaf" => {
                 let (of, default) = self.type_in(statement, place)?;
                 let default = statement.word("default").map(str::to_string).or(default);
-                let default = default.map(|text| of.read(&text)).transpose();
+                let default = default.map(|text| of.parse(&text)).transpose();
                 let default = default.map_err(|what| statement.fault(&format!("default {what}")))?;
-                Kind::Leaf { of, default, mandatory: statement.word("mandatory") == Some("true") }
+                NodeKind::Leaf { of, default, mandatory: statement.word("mandatory") == Some("true") }
             }
-            "rpc" => Kind::Rpc,
-            "input" => Kind::Input,
-            "output" => Kind::Output,
-            "notification" => Kind::Notification,
+            "rpc" => NodeKind::Rpc,
+            "input" => NodeKind::Input,
+            "output" => NodeKind::Output,
+            "notification" => NodeKind::Notification,
             _ => return Err(statement.fault("not known here")),
         };
         let name = match kind {
-            Kind::Input | Kind::Output => statement.keyword.clone(),
+            NodeKind::Input | NodeKind::Output => statement.keyword.clone(),
             _ => statement.argument.clone(),
         };
         if self.schema.child(parent, Some(module), &name).is_some() {
@@ -315,7 +315,7 @@
             let words = statement.word("key").ok_or_else(|| statement.fault("no key"))?;
             let named = words.split_whitespace().map(|word| self.schema.child(Some(id), Some(module), word));
             let named: Vec<_> = named.collect::<Option<_>>().ok_or_else(|| statement.fault("no such key"))?;
-            if let Kind::List { keys, .. } = &mut self.schema.nodes[usize::from(id.0)].kind {
+            if let NodeKind::List { keys, .. } = &mut self.schema.nodes[usize::from(id.0)].kind {
                 *keys = named;
             }
         }
@@ -323,36 +323,36 @@
     }
 
     /// The type that a statement names, and the default that comes with it.
-    fn type_in(&self, statement: &Statement, place: usize) -> Result<(Type, Option<String>), String> {
+    fn type_in(&self, statement: &Statement, place: usize) -> Result<(LeafType, Option<String>), String> {
         let named = statement.one("type").ok_or_else(|| statement.fault("no type"))?;
         self.resolve(named, place)
     }
 
-    fn resolve(&self, named: &Statement, place: usize) -> Result<(Type, Option<String>), String> {
+    fn resolve(&self, named: &Statement, place: usize) -> Result<(LeafType, Option<String>), String> {
         let base = match named.argument.as_str() {
-            "string" => Type::Text { lengths: Vec::new(), patterns: Vec::new() },
-            "boolean" => Type::Bool,
-            "empty" => Type::Empty,
-            "uint8" => Type::Unsigned { bits: 8, spans: Vec::new() },
-            "uint16" => Type::Unsigned { bits: 16, spans: Vec::new() },
-            "uint32" => Type::Unsigned { bits: 32, spans: Vec::new() },
-            "uint64" => Type::Unsigned { bits: 64, spans: Vec::new() },
-            "int8" => Type::Signed { bits: 8, spans: Vec::new() },
-            "int16" => Type::Signed { bits: 16, spans: Vec::new() },
-            "int32" => Type::Signed { bits: 32, spans: Vec::new() },
-            "int64" => Type::Signed { bits: 64, spans: Vec::new() },
-            "enumeration" => Type::Enumeration(Vec::new()),
+            "string" => LeafType::Text { lengths: Vec::new(), patterns: Vec::new() },
+            "boolean" => LeafType::Bool,
+            "empty" => LeafType::Empty,
+            "uint8" => LeafType::Unsigned { bits: 8, spans: Vec::new() },
+            "uint16" => LeafType::Unsigned { bits: 16, spans: Vec::new() },
+            "uint32" => LeafType::Unsigned { bits: 32, spans: Vec::new() },
+            "uint64" => LeafType::Unsigned { bits: 64, spans: Vec::new() },
+            "int8" => LeafType::Signed { bits: 8, spans: Vec::new() },
+            "int16" => LeafType::Signed { bits: 16, spans: Vec::new() },
+            "int32" => LeafType::Signed { bits: 32, spans: Vec::new() },
+            "int64" => LeafType::Signed { bits: 64, spans: Vec::new() },
+            "enumeration" => LeafType::Enumeration(Vec::new()),
             "decimal64" => {
                 let digits = named.word("fraction-digits").and_then(|word| word.parse().ok());
                 let digits = digits.filter(|digits| (1..=18).contains(digits));
-                Type::Decimal {
+                LeafType::Decimal {
                     digits: digits.ok_or_else(|| named.fault("no fraction-digits"))?,
                     spans: Vec::new(),
                 }
             }
             "union" => {
                 let members = named.all("type").map(|member| Ok(self.resolve(member, place)?.0));
-                Type::Union(members.collect::<Result<_, String>>()?)
+                LeafType::Union(members.collect::<Result<_, String>>()?)
             }
             other => {
                 let (prefix, name) = other.split_once(':').unwrap_or(("", other));
@@ -374,10 +374,10 @@
     }
 }
 
-fn restrict(base: Type, named: &Statement) -> Result<Type, String> {
+fn restrict(base: LeafType, named: &Statement) -> Result<LeafType, String> {
     let fault = |what: &str| named.fault(what);
     Ok(match base {
-        Type::Text { lengths, mut patterns } => {
+        LeafType::Text { lengths, mut patterns } => {
             let own = named.word("length").map(|text| spans(text, |word| word.parse().ok(), 0, u64::MAX));
             let lengths = own.unwrap_or(Some(lengths)).ok_or_else(|| fault("a length can't be read"))?;
             for pattern in named.all("pattern") {
@@ -385,27 +385,27 @@
                 let regex = Regex::new(&format!("^(?:{})$", pattern.argument));
                 patterns.push((pattern.argument.clone(), regex.map_err(|what| fault(&what.to_string()))?));
             }
-            Type::Text { lengths, patterns }
+            LeafType::Text { lengths, patterns }
         }
-        Type::Unsigned { bits, spans: old } => {
+        LeafType::Unsigned { bits, spans: old } => {
             let most = u64::MAX >> (64 - u32::from(bits));
             let own = named.word("range").map(|text| spans(text, |word| word.parse().ok(), 0, most));
             let spans = own.unwrap_or(Some(old)).ok_or_else(|| fault("a range can't be read"))?;
-            Type::Unsigned { bits, spans }
+            LeafType::Unsigned { bits, spans }
         }
-        Type::Signed { bits, spans: old } => {
+        LeafType::Signed { bits, spans: old } => {
             let most = i64::MAX >> (64 - u32::from(bits));
             let own = named.word("range").map(|text| spans(text, |word| word.parse().ok(), -most - 1, most));
             let spans = own.unwrap_or(Some(old)).ok_or_else(|| fault("a range can't be read"))?;
-            Type::Signed { bits, spans }
+            LeafType::Signed { bits, spans }
         }
-        Type::Decimal { digits, spans: old } => {
+        LeafType::Decimal { digits, spans: old } => {
             let read = |word: &str| decimal(word, digits);
             let own = named.word("range").map(|text| spans(text, read, i64::MIN, i64::MAX));
             let spans = own.unwrap_or(Some(old)).ok_or_else(|| fault("a range can't be read"))?;
-            Type::Decimal { digits, spans }
+            LeafType::Decimal { digits, spans }
         }
-        Type::Enumeration(old) => {
+        LeafType::Enumeration(old) => {
             let own: Vec<String> = named.all("enum").map(|one| one.argument.clone()).collect();
             if let Some(odd) = own.iter().find(|name| !old.is_empty() && !old.contains(name)) {
                 return Err(fault(&format!("{odd} is not of the type that this narrows")));
@@ -413,7 +413,7 @@
             if own.is_empty() && old.is_empty() {
                 return Err(fault("no enum"));
             }
-            Type::Enumeration(if own.is_empty() { old } else { own })
+            LeafType::Enumeration(if own.is_empty() { old } else { own })
         }
         other => other,
     })
--- a/crates/rockflow-yang/src/types.rs
+++ b/crates/rockflow-yang/src/types.rs
@@ -16,7 +16,7 @@
 }
 
 /// A list entry's key values, in the order of the list's keys.
-pub type Keys = Vec<Scalar>;
+pub type KeyValues = Vec<Scalar>;
 
 impl fmt::Display for Scalar {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -69,14 +69,14 @@
 pub type Spans<T> = Vec<(T, T)>;
 
 #[derive(Clone, Debug)]
-pub enum Type {
+pub enum LeafType {
     Text { lengths: Spans<u64>, patterns: Vec<(String, Regex)> },
     Unsigned { bits: u8, spans: Spans<u64> },
     Signed { bits: u8, spans: Spans<i64> },
     Decimal { digits: u8, spans: Spans<i64> },
     Bool,
     Enumeration(Vec<String>),
-    Union(Vec<Type>),
+    Union(Vec<LeafType>),
     Empty,
 }
 
@@ -89,11 +89,11 @@
     texts.join(" | ")
 }
 
-impl Type {
+impl LeafType {
     /// Reads a value's lexical form; the fault says what is allowed.
-    pub fn read(&self, text: &str) -> Result<Scalar, String> {
+    pub fn parse(&self, text: &str) -> Result<Scalar, String> {
         match self {
-            Type::Text { lengths, patterns } => {
+            LeafType::Text { lengths, patterns } => {
                 if !within(lengths, text.chars().count() as u64) {
                     return Err(format!("must be {} characters long", listed(lengths)));
                 }
@@ -105,7 +105,7 @@
                     None => Ok(Scalar::Text(text.to_string())),
                 }
             }
-            Type::Unsigned { bits, spans } => {
+            LeafType::Unsigned { bits, spans } => {
                 let most = u64::MAX >> (64 - u32::from(*bits));
                 let number = text.trim().strip_prefix('+').unwrap_or(text.trim()).parse::<u64>();
                 let number = number.ok().filter(|number| *number <= most);
@@ -115,7 +115,7 @@
                     None => Err(format!("must be a number in {}", listed(spans))),
                 }
             }
-            Type::Signed { bits, spans } => {
+            LeafType::Signed { bits, spans } => {
                 let most = i64::MAX >> (64 - u32::from(*bits));
                 let number = text.trim().parse::<i64>().ok();
                 let number = number.filter(|number| (-most - 1..=most).contains(number));
@@ -125,7 +125,7 @@
                     None => Err(format!("must be a number in {}", listed(spans))),
                 }
             }
-            Type::Decimal { digits, spans } => match decimal(text.trim(), *digits) {
+            LeafType::Decimal { digits, spans } => match decimal(text.trim(), *digits) {
                 Some(units) if within(spans, units) => Ok(Scalar::Decimal(units, *digits)),
                 _ if spans.is_empty() => {
                     Err(format!("must be a number with {digits} digits behind the point at most"))
@@ -140,26 +140,26 @@
                     Err(format!("must be a number in {}", listed(&texts)))
                 }
             },
-            Type::Bool => match text.trim() {
+            LeafType::Bool => match text.trim() {
                 "true" => Ok(Scalar::Bool(true)),
                 "false" => Ok(Scalar::Bool(false)),
                 _ => Err("must be true or false".to_string()),
             },
-            Type::Enumeration(names) => match names.iter().find(|name| *name == text.trim()) {
+            LeafType::Enumeration(names) => match names.iter().find(|name| *name == text.trim()) {
                 Some(name) => Ok(Scalar::Text(name.clone())),
                 None => Err(format!("must be one of {}", names.join(", "))),
             },
-            Type::Union(members) => {
+            LeafType::Union(members) => {
                 let mut faults = Vec::new();
                 for member in members {
-                    match member.read(text) {
+                    match member.parse(text) {
                         Ok(value) => return Ok(value),
                         Err(fault) => faults.push(fault),
                     }
                 }
                 Err(faults.join(", or "))
             }
-            Type::Empty => match text.trim() {
+            LeafType::Empty => match text.trim() {
                 "" => Ok(Scalar::Empty),
                 _ => Err("must be empty".to_string()),
             },
@@ -167,14 +167,14 @@
     }
 
     /// Whether JSON writes it in quotes: text, and numbers of 64 bits (RFC 7951, section 6.1).
-    pub fn quoted(&self, value: &Scalar) -> bool {
+    pub fn is_quoted_in_json(&self, value: &Scalar) -> bool {
         match (self, value) {
-            (_, Scalar::Text(_)) | (Type::Decimal { .. }, _) => true,
-            (Type::Unsigned { bits, .. } | Type::Signed { bits, .. }, _) => *bits == 64,
-            (Type::Union(members), value) => {
+            (_, Scalar::Text(_)) | (LeafType::Decimal { .. }, _) => true,
+            (LeafType::Unsigned { bits, .. } | LeafType::Signed { bits, .. }, _) => *bits == 64,
+            (LeafType::Union(members), value) => {
                 let text = value.to_string();
-                let member = members.iter().find(|member| member.read(&text).as_ref() == Ok(value));
-                member.is_some_and(|member| member.quoted(value))
+                let member = members.iter().find(|member| member.parse(&text).as_ref() == Ok(value));
+                member.is_some_and(|member| member.is_quoted_in_json(value))
             }
             _ => false,
         }
@@ -219,6 +219,6 @@
     #[test_case(16, "-1", false)]
     #[test_case(16, "0x10", false)]
     fn numbers_keep_to_their_bits(bits: u8, text: &str, fits: bool) {
-        assert_eq!(Type::Unsigned { bits, spans: Vec::new() }.read(text).is_ok(), fits);
+        assert_eq!(LeafType::Unsigned { bits, spans: Vec::new() }.parse(text).is_ok(), fits);
     }
 }
--- a/crates/rockflow-yang/tests/published.rs
+++ b/crates/rockflow-yang/tests/published.rs
@@ -1,7 +1,7 @@
 //! The published modules and what is read from them.
 
-use rockflow_yang::data::{self, EditError};
-use rockflow_yang::{json, Data, Edit, Fields, Kind, Op, Path, Pattern, Schema};
+use rockflow_yang::data::{self, EditErrorKind};
+use rockflow_yang::{json, DataNode, DataTree, Edit, EditOperation, NodeKind, Path, Pattern, Schema};
 use serde_json::json;
 use std::collections::BTreeSet;
 use test_case::test_case;
@@ -10,7 +10,7 @@
 
 #[test]
 fn the_grammar_is_what_another_reader_takes() {
-    for (name, text) in rockflow_yang::PUBLISHED {
+    for (name, text) in rockflow_yang::PUBLISHED_MODULES {
         let read = Parser::parse_yang_from_string(text.to_string(), Config::new());
         assert!(read.is_ok(), "{name}: {:?}", read.err());
     }
@@ -20,16 +20,16 @@
 fn every_node_says_what_it_is() {
     let schema = Schema::published();
     for node in schema.nodes() {
-        let own = !matches!(node.kind, Kind::Input | Kind::Output);
-        assert!(!own || node.description.len() > 3, "{}", schema.path_of(node.id));
+        let own = !matches!(node.kind, NodeKind::Input | NodeKind::Output);
+        assert!(!own || node.description.len() > 3, "{}", schema.schema_path(node.id));
     }
     let state = schema.find(&["router", "state", "hosts", "host", "legs-out"]).unwrap();
     assert!(!schema.node(state).config);
     let mark = schema.find(&["router", "marks", "mark"]).unwrap();
     assert!(schema.node(mark).config);
-    assert_eq!(schema.path_of(mark), "/rockflow-router:router/marks/mark");
+    assert_eq!(schema.schema_path(mark), "/rockflow-router:router/marks/mark");
     let access = schema.find(&["router", "access"]).unwrap();
-    assert_eq!(schema.path_of(access), "/rockflow-router:router/rockflow-access:access");
+    assert_eq!(schema.schema_path(access), "/rockflow-router:router/rockflow-access:access");
 }
 
 const BROKEN: &str = "module m { namespace \"urn:m\"; prefix m; revision 2026-01-01; BODY }";
@@ -50,7 +50,7 @@
     assert_eq!(read.is_ok(), taken, "{:?}", read.err());
 }
 
-fn tree(schema: &Schema, value: serde_json::Value) -> Fields {
+fn tree(schema: &Schema, value: serde_json::Value) -> DataTree {
     json::read(schema, None, &value, true).unwrap()
 }
 
@@ -80,8 +80,8 @@
     let held: BTreeSet<_> = data::leaves(&fields).keys().map(|path| path.node().unwrap()).collect();
     let of_data = |path: &str| path.starts_with("/rockflow-router:router/");
     for node in schema.nodes() {
-        let path = schema.path_of(node.id);
-        if matches!(node.kind, Kind::Leaf { .. } | Kind::LeafList { .. }) && of_data(&path) {
+        let path = schema.schema_path(node.id);
+        if matches!(node.kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. }) && of_data(&path) {
             assert!(held.contains(&node.id), "{path}");
         }
     }
@@ -113,38 +113,43 @@
 #[test_case("/router//marks", false)]
 fn paths_name_one_thing(text: &str, reads: bool) {
     let schema = Schema::published();
-    let path = Path::read(&schema, text);
+    let path = Path::parse(&schema, text);
     assert_eq!(path.is_ok(), reads, "{path:?}");
     if let Ok(path) = path {
-        assert_eq!(Path::read(&schema, &path.text(&schema)).unwrap(), path);
+        assert_eq!(Path::parse(&schema, &path.to_text(&schema)).unwrap(), path);
     }
 }
 
-fn edit(schema: &Schema, path: &str, op: Op, value: Option<serde_json::Value>) -> Edit {
-    let path = Path::read(schema, path).unwrap();
+fn edit(schema: &Schema, path: &str, op: EditOperation, value: Option<serde_json::Value>) -> Edit {
+    let path = Path::parse(schema, path).unwrap();
     let node = path.node().unwrap();
     let entry = path.0.last().is_some_and(|step| !step.keys.is_empty());
     let value = value.map(|value| match entry {
-        true => Data::Container(json::read(schema, Some(node), &value, false).unwrap()),
+        true => DataNode::Container(json::read(schema, Some(node), &value, false).unwrap()),
         false => json::read_data(schema, node, &value, true).unwrap(),
     });
     Edit { path, op, value }
 }
 
-#[test_case("/router/marks/mark[host='c9']", Op::Create, Some(json!({"reason": "x"})), None; "create")]
-#[test_case("/router/marks/mark[host='c1']", Op::Create, Some(json!({})), Some(EditError::Exists); "create what is")]
-#[test_case("/router/marks/mark[host='c9']", Op::Delete, None, Some(EditError::Missing); "delete what is not")]
-#[test_case("/router/marks/mark[host='c9']", Op::Remove, None, None; "remove what is not")]
-#[test_case("/router/marks/mark[host='c9']", Op::Expect, None, Some(EditError::Missing); "expect what is not")]
-#[test_case("/router/marks/mark[host='c1']/host", Op::Merge, Some(json!("c2")), Some(EditError::NotWritable); "change a key")]
-#[test_case("/router/marks/mark[host='c1']/host", Op::Remove, None, Some(EditError::NotWritable); "remove a key")]
-#[test_case("/router/marks/mark[host='c1']/author", Op::Merge, Some(json!("me")), Some(EditError::NotWritable); "write state")]
-#[test_case("/router/marks", Op::Delete, None, None; "delete all")]
-fn edits_say_what_is_wrong(path: &str, op: Op, value: Option<serde_json::Value>, error: Option<EditError>) {
+#[test_case("/router/marks/mark[host='c9']", EditOperation::Create, Some(json!({"reason": "x"})), None; "create")]
+#[test_case("/router/marks/mark[host='c1']", EditOperation::Create, Some(json!({})), Some(EditErrorKind::Exists); "create what is")]
+#[test_case("/router/marks/mark[host='c9']", EditOperation::Delete, None, Some(EditErrorKind::Missing); "delete what is not")]
+#[test_case("/router/marks/mark[host='c9']", EditOperation::Remove, None, None; "remove what is not")]
+#[test_case("/router/marks/mark[host='c9']", EditOperation::AssertExists, None, Some(EditErrorKind::Missing); "expect what is not")]
+#[test_case("/router/marks/mark[host='c1']/host", EditOperation::Merge, Some(json!("c2")), Some(EditErrorKind::NotWritable); "change a key")]
+#[test_case("/router/marks/mark[host='c1']/host", EditOperation::Remove, None, Some(EditErrorKind::NotWritable); "remove a key")]
+#[test_case("/router/marks/mark[host='c1']/author", EditOperation::Merge, Some(json!("me")), Some(EditErrorKind::NotWritable); "write state")]
+#[test_case("/router/marks", EditOperation::Delete, None, None; "delete all")]
+fn edits_say_what_is_wrong(
+    path: &str,
+    op: EditOperation,
+    value: Option<serde_json::Value>,
+    error: Option<EditErrorKind>,
+) {
     let schema = Schema::published();
     let before = tree(&schema, marked());
     let mut after = before.clone();
-    let found = data::apply(&schema, &mut after, &edit(&schema, path, op, value));
+    let found = data::apply_edit(&schema, &mut after, &edit(&schema, path, op, value));
     assert_eq!(found.as_ref().err().map(|fault| fault.error), error);
     if found.is_err() {
         assert_eq!(before, after);
@@ -157,12 +162,13 @@
     let mut fields = tree(&schema, marked());
     let value = Some(json!({"expires": "2026-12-01T00:00:00Z"}));
     let path = "/router/marks/mark[host='c1']";
-    let reason = Path::read(&schema, "/router/marks/mark[host='c1']/reason").unwrap();
-    data::apply(&schema, &mut fields, &edit(&schema, path, Op::Merge, value.clone())).unwrap();
-    assert!(data::get(&fields, &reason.0).is_some());
-    data::apply(&schema, &mut fields, &edit(&schema, path, Op::Replace, value)).unwrap();
-    assert!(data::get(&fields, &reason.0).is_none());
-    assert!(data::get(&fields, &Path::read(&schema, path).unwrap().0).is_some());
+    let reason = Path::parse(&schema, "/router/marks/mark[host='c1']/reason").unwrap();
+    data::apply_edit(&schema, &mut fields, &edit(&schema, path, EditOperation::Merge, value.clone()))
+        .unwrap();
+    assert!(data::find_instance(&fields, &reason.0).is_some());
+    data::apply_edit(&schema, &mut fields, &edit(&schema, path, EditOperation::Replace, value)).unwrap();
+    assert!(data::find_instance(&fields, &reason.0).is_none());
+    assert!(data::find_instance(&fields, &Path::parse(&schema, path).unwrap().0).is_some());
 }
 
 #[test]
@@ -176,9 +182,9 @@
             "rockflow-access:access": {"rule": [{"number": 4, "group": ["all", "night"], "action": "deny"}]}
         }}),
     );
-    for (from, to) in [(&one, &other), (&other, &one), (&Fields::new(), &one), (&one, &Fields::new())] {
+    for (from, to) in [(&one, &other), (&other, &one), (&DataTree::new(), &one), (&one, &DataTree::new())] {
         let mut at = from.clone();
-        data::replay(&schema, &mut at, &data::differences(from, to));
+        data::apply_changes(&schema, &mut at, &data::diff(from, to));
         assert_eq!(json::write(&schema, &at), json::write(&schema, to));
     }
 }
@@ -187,15 +193,15 @@
 fn patterns_select_with_open_keys() {
     let schema = Schema::published();
     let fields = tree(&schema, marked());
-    let pattern = Pattern::read(&schema, "/router/marks/mark[host=*]/state").unwrap();
-    let found = data::select(&fields, &pattern);
+    let pattern = Pattern::parse(&schema, "/router/marks/mark[host=*]/state").unwrap();
+    let found = data::select_matching(&fields, &pattern);
     assert_eq!(
         json::write(&schema, &found),
         json!({"rockflow-router:router": {"marks": {"mark": [{"state": "draining"}]}}})
     );
-    let state = Path::read(&schema, "/router/marks/mark[host='c1']/state").unwrap();
-    assert!(pattern.holds(&state));
-    assert!(!pattern.holds(&Path::read(&schema, "/router/marks/mark[host='c1']/reason").unwrap()));
+    let state = Path::parse(&schema, "/router/marks/mark[host='c1']/state").unwrap();
+    assert!(pattern.matches(&state));
+    assert!(!pattern.matches(&Path::parse(&schema, "/router/marks/mark[host='c1']/reason").unwrap()));
 }
 
 #[test]
@@ -203,10 +209,10 @@
     let schema = Schema::published();
     let fields = tree(&schema, marked());
     let full = data::with_defaults(&schema, &fields, true);
-    let level = data::leaf(&schema, &full, &["router", "logging", "level"]);
+    let level = data::leaf_by_names(&schema, &full, &["router", "logging", "level"]);
     assert_eq!(level.map(ToString::to_string).as_deref(), Some("info"));
     let back = data::without_defaults(&schema, &full);
-    assert!(data::leaf(&schema, &back, &["router", "logging", "level"]).is_none());
+    assert!(data::leaf_by_names(&schema, &back, &["router", "logging", "level"]).is_none());
 }
 
 #[test_case(json!([{"number": 1, "group": ["all"]}]), false; "no action")]
@@ -216,5 +222,5 @@
     let schema = Schema::published();
     let fields =
         tree(&schema, json!({"rockflow-router:router": {"rockflow-access:access": {"rule": rules}}}));
-    assert_eq!(data::check(&schema, &fields, &Path::default()).is_ok(), holds);
+    assert_eq!(data::check_constraints(&schema, &fields, &Path::default()).is_ok(), holds);
 }
