--- a/crates/rockflow-cli/src/manage/mod.rs
+++ b/crates/rockflow-cli/src/manage/mod.rs
@@ -8,7 +8,7 @@
 use output::Output;
 use peer::{Peer, Trust};
 use rockflow_management_client::Trouble;
-use rockflow_yang::{json, Schema};
+use rockflow_yang::{json, NodeScope, Schema};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -195,7 +195,7 @@
             let value: Value = serde_json::from_str(&text)
                 .map_err(|what| Trouble::Unreadable(format!("{}: {what}", file.display())))?;
             // Judged here already, so that a fault names its key as it was written.
-            json::read(&schema, None, &value, false)
+            json::read(&schema, None, &value, NodeScope::ConfigOnly)
                 .map_err(|what| Trouble::Unreadable(format!("{}: {what}", file.display())))?;
             if confirm.is_some() && persist.is_none() {
                 let what = "--confirm needs --persist NAME: the session ends with this command";
--- a/crates/rockflow-cli/src/manage/output.rs
+++ b/crates/rockflow-cli/src/manage/output.rs
@@ -57,7 +57,7 @@
             return print(&found.to_string());
         }
         let mut table = table(&["path", "value"]);
-        match rockflow_yang::json::read(schema, None, found, true) {
+        match rockflow_yang::json::read(schema, None, found, rockflow_yang::NodeScope::ConfigAndState) {
             Ok(fields) => {
                 for (path, value) in rockflow_yang::data::leaves(&fields) {
                     table.add_row([path.to_text(schema), value.to_string()]);
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -6,7 +6,7 @@
 use rockflow_gnmi::wire;
 use rockflow_management_client::{gnmi, netconf, Trouble};
 use rockflow_netconf::xml::Element;
-use rockflow_yang::{data, json, DataNode, DataTree, Path, Schema};
+use rockflow_yang::{data, json, DataNode, DataTree, NodeScope, Path, Schema};
 use russh::keys::{PrivateKey, PublicKey};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -246,7 +246,8 @@
     ) -> Result<(), Trouble> {
         match self {
             Peer::Netconf(client) => {
-                let fields = json::read(schema, None, value, false).map_err(Trouble::Unreadable)?;
+                let fields = json::read(schema, None, value, NodeScope::ConfigOnly)
+                    .map_err(|error| Trouble::Unreadable(error.to_string()))?;
                 client.edit(schema, &fields).await?;
                 client.commit(within, persist, None).await
             }
@@ -290,12 +291,16 @@
 /// A value at its path, as a tree.
 fn put(schema: &Schema, text: &str, value: &Value) -> Result<DataTree, String> {
     // Keys come without quotes here.
-    let path = Path::parse(schema, text)?;
-    let Some(last) = path.0.last() else { return json::read(schema, None, value, true) };
+    let path = Path::parse(schema, text).map_err(|error| error.to_string())?;
+    let read = |parent| {
+        json::read(schema, parent, value, NodeScope::ConfigAndState).map_err(|error| error.to_string())
+    };
+    let Some(last) = path.0.last() else { return read(None) };
     let data = if last.keys.is_empty() {
-        json::read_data(schema, last.node, value, true)?
+        json::read_data(schema, last.node, value, NodeScope::ConfigAndState)
+            .map_err(|error| error.to_string())?
     } else {
-        DataNode::Container(json::read(schema, Some(last.node), value, true)?)
+        DataNode::Container(read(Some(last.node))?)
     };
     let mut fields = DataTree::new();
     data::insert_at(schema, &mut fields, &path, data);
--- a/crates/rockflow-gnmi/src/paths.rs
+++ b/crates/rockflow-gnmi/src/paths.rs
@@ -4,7 +4,9 @@
 use rockflow_management::{Fault, Tag};
 use rockflow_yang::data::{self, Instance};
 use rockflow_yang::path::{PatternStep, MAX_STEPS};
-use rockflow_yang::{json, DataNode, DataTree, NodeId, NodeKind, Path, PathStep, Pattern, Scalar, Schema};
+use rockflow_yang::{
+    json, DataNode, DataTree, JsonError, NodeId, NodeKind, NodeScope, Path, PathStep, Pattern, Scalar, Schema,
+};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use wire::typed_value::Value as Typed;
@@ -14,8 +16,8 @@
 /// Instances that one path with open keys may lead to.
 pub const MAX_INSTANCES: usize = 20_000;
 
-fn invalid(what: impl Into<String>) -> Fault {
-    Fault::new(Tag::InvalidValue, what)
+fn invalid(what: impl std::fmt::Display) -> Fault {
+    Fault::new(Tag::InvalidValue, what.to_string())
 }
 
 /// A path behind its prefix; keys that are not told, or `*`, are open.
@@ -125,27 +127,30 @@
 pub fn value(schema: &Schema, path: &Path, typed: Option<&wire::TypedValue>) -> Result<DataNode, Fault> {
     let typed = typed.and_then(|typed| typed.value.as_ref());
     let typed = typed.ok_or_else(|| invalid("an update has no value").at(path))?;
-    let fault = |what: String| invalid(what).at(path);
+    let wrong_json = |error: JsonError| invalid(error).at(path);
     let parsed = match typed {
         Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes) => {
-            serde_json::from_slice::<Value>(bytes).map_err(|what| fault(what.to_string()))?
+            serde_json::from_slice::<Value>(bytes).map_err(|error| invalid(error).at(path))?
         }
         scalar => return scalars(schema, path, scalar),
     };
     let Some(last) = path.0.last() else {
-        return json::read(schema, None, &parsed, false).map(DataNode::Container).map_err(fault);
+        return json::read(schema, None, &parsed, NodeScope::ConfigOnly)
+            .map(DataNode::Container)
+            .map_err(wrong_json);
     };
     match &schema.node(last.node).kind {
         NodeKind::List { .. } if !last.keys.is_empty() => {
-            let fields = json::read(schema, Some(last.node), &parsed, false).map_err(fault)?;
+            let fields =
+                json::read(schema, Some(last.node), &parsed, NodeScope::ConfigOnly).map_err(wrong_json)?;
             for (key, told) in schema.keys(last.node).iter().zip(&last.keys) {
                 if fields.get(key).and_then(DataNode::scalar).is_some_and(|value| value != told) {
-                    return Err(fault("the keys of the value are others than the path's".to_string()));
+                    return Err(invalid("the keys of the value are others than the path's").at(path));
                 }
             }
             Ok(DataNode::Container(fields))
         }
-        _ => json::read_data(schema, last.node, &parsed, false).map_err(fault),
+        _ => json::read_data(schema, last.node, &parsed, NodeScope::ConfigOnly).map_err(wrong_json),
     }
 }
 
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use rockflow_management_client::Trouble;
 use rockflow_management_service::{file, Desk, OperatorFile};
 use rockflow_test_servers::{keys, Site};
-use rockflow_yang::{json, DataTree, Schema};
+use rockflow_yang::{json, DataTree, NodeScope, Schema};
 use std::net::SocketAddr;
 use std::sync::{Arc, Once};
 use std::time::Duration;
@@ -105,7 +105,7 @@
     }
 
     pub fn tree(&self, value: serde_json::Value) -> DataTree {
-        json::read(&self.schema, None, &value, false).unwrap()
+        json::read(&self.schema, None, &value, NodeScope::ConfigOnly).unwrap()
     }
 
     pub fn shown(&self, fields: &DataTree) -> serde_json::Value {
--- a/crates/rockflow-management-client/src/gnmi.rs
+++ b/crates/rockflow-management-client/src/gnmi.rs
@@ -38,7 +38,7 @@
 
 /// A path as text, such as `/router/marks/mark[host=c1]`, in the form of the wire.
 pub fn path(schema: &Schema, text: &str) -> Result<wire::Path, Trouble> {
-    let pattern = Pattern::parse(schema, text).map_err(Trouble::Unreadable)?;
+    let pattern = Pattern::parse(schema, text).map_err(|error| Trouble::Unreadable(error.to_string()))?;
     let elem = pattern.0.iter().map(|step| {
         let names = schema.keys(step.node).iter().map(|key| schema.node(*key).name.clone());
         let told = names.zip(&step.keys).filter_map(|(name, key)| Some((name, key.as_ref()?.to_string())));
--- a/crates/rockflow-management/src/fault.rs
+++ b/crates/rockflow-management/src/fault.rs
@@ -1,8 +1,7 @@
 //! What goes wrong, in the words of RFC 6241, appendix A; fronts of other protocols translate them.
 
 use crate::words::SessionId;
-use rockflow_yang::data::{EditError, EditErrorKind};
-use rockflow_yang::Path;
+use rockflow_yang::{EditError, EditErrorKind, Path};
 use std::fmt;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,11 +100,11 @@
 
 impl From<EditError> for Fault {
     fn from(fault: EditError) -> Fault {
-        let tag = match fault.error {
+        let tag = match fault.kind {
             EditErrorKind::Exists => Tag::DataExists,
             EditErrorKind::Missing => Tag::DataMissing,
             EditErrorKind::NotWritable | EditErrorKind::BadValue => Tag::InvalidValue,
         };
-        Fault::new(tag, fault.what).at(&fault.path)
+        Fault::new(tag, fault.message).at(&fault.path)
     }
 }
--- a/crates/rockflow-management/src/machine.rs
+++ b/crates/rockflow-management/src/machine.rs
@@ -11,9 +11,8 @@
 use crate::record::{Record, Trial};
 use crate::words::{Commit, Operator, Origin, SessionId};
 use rockflow_endpoints::{none_left, Listed, Marks};
-use rockflow_yang::data::{self, EditError};
 use rockflow_yang::{
-    Change, DataNode, DataTree, Edit, EditOperation, Path, PathStep, Pattern, Scalar, Schema,
+    data, Change, DataNode, DataTree, Edit, EditError, EditOperation, Path, PathStep, Pattern, Scalar, Schema,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -778,7 +777,8 @@
         self.may_call(id, call)?;
         self.none_pending()?;
         let text = format!("/rockflow-router:router/marks/mark[host=\"{host}\"]");
-        let path = Path::parse(&self.schema, &text).map_err(|what| Fault::new(Tag::InvalidValue, what))?;
+        let path = Path::parse(&self.schema, &text)
+            .map_err(|what| Fault::new(Tag::InvalidValue, what.to_string()))?;
         let mut after = (*self.running).clone();
         if leaves.is_empty() {
             let edit = Edit { path: path.clone(), op: EditOperation::Delete, value: None };
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -2,7 +2,7 @@
 //! a snapshot. Names are the model's, so that a later program reads what an earlier one wrote.
 
 use crate::words::{Commit, Operator, Origin, Protocol};
-use rockflow_yang::{data, json, Change, DataTree, Path, Scalar, Schema};
+use rockflow_yang::{data, json, Change, DataTree, NodeScope, Path, Scalar, Schema};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -66,7 +66,9 @@
             value.get(key).and_then(Value::as_u64).ok_or_else(|| format!("{key} is no number"))
         };
         let tree = |key: &str| {
-            let fields = json::read(schema, None, value.get(key).unwrap_or(&Value::Null), false)?;
+            let value = value.get(key).unwrap_or(&Value::Null);
+            let fields = json::read(schema, None, value, NodeScope::ConfigOnly);
+            let fields = fields.map_err(|error| error.to_string())?;
             data::check_constraints(schema, &fields, &Path::default()).map_err(|what| what.to_string())?;
             Ok::<_, String>(fields)
         };
--- a/crates/rockflow-management/tests/authorization.rs
+++ b/crates/rockflow-management/tests/authorization.rs
@@ -1,7 +1,7 @@
 //! Each operation on each subtree, tried as each group: one table.
 
 use rockflow_management::{Access, Operation};
-use rockflow_yang::{json, Path, Schema};
+use rockflow_yang::{json, NodeScope, Path, Schema};
 
 const RULES: &str = r#"{"rockflow-router:router": {"rockflow-access:access": {
   "group": [
@@ -52,7 +52,8 @@
 #[test]
 fn the_table_holds() {
     let schema = Schema::published();
-    let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
+    let running =
+        json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), NodeScope::ConfigOnly).unwrap();
     let access = Access::of(&schema, &running, Some("root".into())).unwrap();
     let operations = [
         (Operation::Create, 'c'),
@@ -75,7 +76,8 @@
 #[test]
 fn what_may_not_be_read_is_not_told() {
     let schema = Schema::published();
-    let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
+    let running =
+        json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), NodeScope::ConfigOnly).unwrap();
     let access = Access::of(&schema, &running, Some("root".into())).unwrap();
     assert_eq!(access.readable(&schema, "root", &running), running);
     assert!(access.readable(&schema, "wim", &running).is_empty());
--- a/crates/rockflow-management/tests/crashes.rs
+++ b/crates/rockflow-management/tests/crashes.rs
@@ -4,7 +4,7 @@
 use rockflow_management::*;
 use rockflow_store::faulty::{Disk, EVERY_BYTES};
 use rockflow_store::Store;
-use rockflow_yang::{json, Scalar, Schema};
+use rockflow_yang::{json, NodeScope, Scalar, Schema};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 
 fn candidate(machine: &mut Machine, id: SessionId, schema: &Schema, host: &str) {
     let value = serde_json::json!({"rockflow-router:router": {"marks": {"mark": [{"host": host}]}}});
-    let fields = json::read(schema, None, &value, false).unwrap();
+    let fields = json::read(schema, None, &value, NodeScope::ConfigOnly).unwrap();
     let merged = rockflow_yang::Edit {
         path: Default::default(),
         op: rockflow_yang::EditOperation::Merge,
--- a/crates/rockflow-management/tests/followers.rs
+++ b/crates/rockflow-management/tests/followers.rs
@@ -1,7 +1,7 @@
 //! What a follower is owed, on a virtual clock.
 
 use rockflow_management::{Subscription, Trigger, Update};
-use rockflow_yang::{data, json, DataTree, Pattern, Schema};
+use rockflow_yang::{data, json, DataTree, NodeScope, Pattern, Schema};
 use std::time::Duration;
 
 fn at(millis: u64) -> Duration {
@@ -12,7 +12,7 @@
     let marks: Vec<_> =
         marks.iter().map(|(host, why)| serde_json::json!({"host": host, "reason": why})).collect();
     let value = serde_json::json!({"rockflow-router:router": {"marks": {"mark": marks}}});
-    json::read(schema, None, &value, false).unwrap()
+    json::read(schema, None, &value, NodeScope::ConfigOnly).unwrap()
 }
 
 fn on_change(schema: &Schema, dampening: u64, heartbeat: Option<u64>) -> Subscription {
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -26,7 +26,7 @@
 use rockflow_management::*;
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
-use rockflow_yang::{json, DataNode, Edit, EditOperation, Path, Pattern, Scalar, Schema};
+use rockflow_yang::{json, DataNode, Edit, EditOperation, NodeScope, Path, Pattern, Scalar, Schema};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -70,9 +70,11 @@
         let value = words.get(2).filter(|word| !word.contains('=')).map(|text| {
             let value: Value = serde_json::from_str(text).unwrap();
             if whole {
-                json::read_data(&self.schema, node, &value, true).unwrap()
+                json::read_data(&self.schema, node, &value, NodeScope::ConfigAndState).unwrap()
             } else {
-                DataNode::Container(json::read(&self.schema, Some(node), &value, true).unwrap())
+                DataNode::Container(
+                    json::read(&self.schema, Some(node), &value, NodeScope::ConfigAndState).unwrap(),
+                )
             }
         });
         Edit { path, op: op(words[0]), value }
--- a/crates/rockflow-management/tests/serial.rs
+++ b/crates/rockflow-management/tests/serial.rs
@@ -10,7 +10,7 @@
 use rockflow_management::*;
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
-use rockflow_yang::{json, DataNode, Edit, EditOperation, Path, Schema};
+use rockflow_yang::{json, DataNode, Edit, EditOperation, NodeScope, Path, Schema};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -111,7 +111,7 @@
         Some(reason) => serde_json::json!({"reason": format!("r{reason}")}),
         None => serde_json::json!({}),
     };
-    let fields = json::read(schema, path.node(), &value, false).unwrap();
+    let fields = json::read(schema, path.node(), &value, NodeScope::ConfigOnly).unwrap();
     Edit { path, op: EditOperation::Merge, value: Some(DataNode::Container(fields)) }
 }
 
--- a/crates/rockflow-netconf/src/filter.rs
+++ b/crates/rockflow-netconf/src/filter.rs
@@ -136,7 +136,7 @@
             }
         }
         flush(&mut name, &mut plain)?;
-        Pattern::parse(schema, &plain).map_err(bad)
+        Pattern::parse(schema, &plain).map_err(|error| bad(error.to_string()))
     };
     paths.into_iter().map(read).collect()
 }
--- a/crates/rockflow-netconf/src/rpc.rs
+++ b/crates/rockflow-netconf/src/rpc.rs
@@ -10,7 +10,7 @@
 use rockflow_management_service::{Asker, Desk};
 use rockflow_yang::path::PatternStep;
 use rockflow_yang::{
-    data, DataNode, DataTree, EditOperation, NodeId, NodeKind, Path, Pattern, Scalar, Schema,
+    data, DataNode, DataTree, EditOperation, NodeId, NodeKind, NodeScope, Path, Pattern, Scalar, Schema,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,8 +45,8 @@
     Fault::new(Tag::MissingElement, format!("{name} is missing")).element(name)
 }
 
-fn invalid(what: impl Into<String>) -> Fault {
-    Fault::new(Tag::InvalidValue, what)
+fn invalid(what: impl std::fmt::Display) -> Fault {
+    Fault::new(Tag::InvalidValue, what.to_string())
 }
 
 /// The one datastore that an element such as `<target>` holds.
@@ -208,10 +208,12 @@
 fn with_defaults(schema: &Schema, operation: &Element, fields: DataTree) -> Result<(DataTree, Notes), Fault> {
     match operation.word("with-defaults") {
         None | Some("explicit") => Ok((fields, Notes::default())),
-        Some("report-all") => Ok((data::with_defaults(schema, &fields, true), Notes::default())),
+        Some("report-all") => {
+            Ok((data::with_defaults(schema, &fields, NodeScope::ConfigOnly), Notes::default()))
+        }
         Some("report-all-tagged") => {
             let notes = Notes { tag_defaults: true, ..Notes::default() };
-            Ok((data::with_defaults(schema, &fields, true), notes))
+            Ok((data::with_defaults(schema, &fields, NodeScope::ConfigOnly), notes))
         }
         Some("trim") => Ok((data::without_defaults(schema, &fields), Notes::default())),
         Some(other) => Err(invalid(format!("{other}: no mode of defaults")).element("with-defaults")),
--- a/crates/rockflow-yang/src/path.rs
+++ b/crates/rockflow-yang/src/path.rs
@@ -1,52 +1,65 @@
-//! Names of values: a `Path` is one instance, a `Pattern` may leave keys open, or end in anything below.
-//! The text is that of an instance identifier (RFC 7951, section 6.11): `/rockflow-router:router/marks/
-//! mark[host='c1']/state`. Steps without a module are looked for by their plain name.
+//! Names of data nodes: a [`Path`] is one instance, a [`Pattern`] may leave list keys open and takes in all that lies
+//! below.
+//!
+//! The text is that of an instance identifier (RFC 7951, section 6.11), as in
+//! `/rockflow-router:router/marks/mark[host='c1']/state`. Steps without a module are looked for by their plain name.
 
+use crate::error::PathError;
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::{KeyValues, Scalar};
 
-/// More steps than any path of a model here can have.
+/// Steps of a path at the most.
 pub const MAX_STEPS: usize = 32;
-/// The longest text of a path that is read.
+/// Bytes of a path's text at the most.
 pub const MAX_TEXT: usize = 4096;
 
-/// One node on the way; the keys are empty but at a list's entry.
+/// One step of a path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PathStep {
+    /// The node that it leads to.
     pub node: NodeId,
+    /// The key values of a list entry, or the value of a leaf-list; empty otherwise.
     pub keys: KeyValues,
 }
 
+/// An instance identifier: the steps from the top of the tree to one data node. Without steps it is the whole tree.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Path(pub Vec<PathStep>);
 
-/// One node on the way, with each key told or left open.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PatternStep {
-    pub node: NodeId,
-    pub keys: Vec<Option<Scalar>>,
-}
-
-/// Where a pattern leads: along told nodes, each then with all that lies below it.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pattern(pub Vec<PatternStep>);
-
 impl Path {
+    /// Parses one instance: every list on the way has all its keys. The last step may be a whole list, or a value
+    /// of a leaf-list.
+    pub fn parse(schema: &Schema, text: &str) -> Result<Path, PathError> {
+        let pattern = Pattern::parse(schema, text)?;
+        let last = pattern.0.len().saturating_sub(1);
+        let mut steps = Vec::new();
+        for (position, PatternStep { node, keys }) in pattern.0.into_iter().enumerate() {
+            let is_whole_list = position == last && keys.iter().all(Option::is_none);
+            let keys = if is_whole_list { Some(Vec::new()) } else { keys.into_iter().collect() };
+            let keys = keys.ok_or_else(|| PathError::OpenKey { path: text.to_string() })?;
+            steps.push(PathStep { node, keys });
+        }
+        Ok(Path(steps))
+    }
+
+    /// The path one step further down.
     pub fn child(&self, node: NodeId, keys: KeyValues) -> Path {
         let mut steps = self.0.clone();
         steps.push(PathStep { node, keys });
         Path(steps)
     }
 
+    /// The schema node of the last step.
     pub fn node(&self) -> Option<NodeId> {
         self.0.last().map(|step| step.node)
     }
 
-    /// Whether the other is this one or lies below it.
+    /// Whether the other path is this one or lies below it.
     pub fn contains(&self, other: &Path) -> bool {
         other.0.len() >= self.0.len() && self.0.iter().zip(&other.0).all(|(mine, its)| mine == its)
     }
 
+    /// The text of the instance identifier.
     pub fn to_text(&self, schema: &Schema) -> String {
         let mut text = String::new();
         for step in &self.0 {
@@ -65,45 +78,26 @@
         }
         text
     }
-
-    /// Reads one instance: every list on the way has all its keys. The last may be a whole list, or a value of
-    /// a leaf-list.
-    pub fn parse(schema: &Schema, text: &str) -> Result<Path, String> {
-        let pattern = Pattern::parse(schema, text)?;
-        let last = pattern.0.len().saturating_sub(1);
-        let step = |(place, loose): (usize, PatternStep)| {
-            let whole = place == last && loose.keys.iter().all(Option::is_none);
-            let keys = if whole { Some(Vec::new()) } else { loose.keys.into_iter().collect() };
-            keys.map(|keys| PathStep { node: loose.node, keys })
-        };
-        let steps: Option<Vec<_>> = pattern.0.into_iter().enumerate().map(step).collect();
-        steps.map(Path).ok_or_else(|| format!("{text}: a list on the way has no key"))
-    }
 }
 
-impl Pattern {
-    /// One instance, or all that lies below it.
-    pub fn from_path(path: &Path) -> Pattern {
-        let loose = |step: &PathStep| PatternStep {
-            node: step.node,
-            keys: step.keys.iter().cloned().map(Some).collect(),
-        };
-        Pattern(path.0.iter().map(loose).collect())
-    }
-
-    /// Whether the path is named, or lies below what is.
-    pub fn matches(&self, path: &Path) -> bool {
-        path.0.len() >= self.0.len() && self.0.iter().zip(&path.0).all(|(loose, step)| loose.fits(step))
-    }
+/// One step of a pattern.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PatternStep {
+    /// The node that it leads to.
+    pub node: NodeId,
+    /// The key values of list entries, in the order of the list's keys; none: any value.
+    pub keys: Vec<Option<Scalar>>,
+}
 
-    pub fn node(&self) -> Option<NodeId> {
-        self.0.last().map(|loose| loose.node)
-    }
+/// A path with open keys: it matches every instance that its steps lead to, and all that lies below.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Pattern(pub Vec<PatternStep>);
 
-    /// Reads a pattern: `*` as a key's value, or no keys, leaves them open.
-    pub fn parse(schema: &Schema, text: &str) -> Result<Pattern, String> {
+impl Pattern {
+    /// Parses a pattern: `*` as a key's value, or no keys, leaves them open.
+    pub fn parse(schema: &Schema, text: &str) -> Result<Pattern, PathError> {
         if text.len() > MAX_TEXT {
-            return Err("the path is too long".to_string());
+            return Err(PathError::TooLong);
         }
         let mut rest = text.trim();
         let mut steps: Vec<PatternStep> = Vec::new();
@@ -111,85 +105,121 @@
             return Ok(Pattern(steps));
         }
         while !rest.is_empty() {
-            rest = rest.strip_prefix('/').ok_or_else(|| format!("{text}: a step begins with /"))?;
+            rest = rest.strip_prefix('/').ok_or_else(|| PathError::NoSlash { path: text.to_string() })?;
             if steps.len() >= MAX_STEPS {
-                return Err("the path has too many steps".to_string());
+                return Err(PathError::TooManySteps);
             }
             let end = rest.find(['/', '[']).unwrap_or(rest.len());
             let (name, more) = rest.split_at(end);
             rest = more;
-            let mut told = Vec::new();
+            let mut predicates = Vec::new();
             while let Some(inner) = rest.strip_prefix('[') {
-                let (key, value, more) = predicate(inner).ok_or_else(|| format!("{text}: a key is odd"))?;
-                told.push((key, value));
-                rest = more;
+                let predicate = Predicate::parse(inner);
+                let predicate =
+                    predicate.ok_or_else(|| PathError::BadPredicate { path: text.to_string() })?;
+                rest = predicate.rest;
+                predicates.push((predicate.key, predicate.value));
             }
-            let told = told.iter().map(|(key, value)| (key.as_str(), value.as_str()));
-            steps.push(PatternStep::parse(schema, steps.last(), name, told)?);
+            steps.push(PatternStep::parse(schema, steps.last(), name, predicates.into_iter())?);
         }
         Ok(Pattern(steps))
     }
-}
 
-impl PatternStep {
-    fn fits(&self, step: &PathStep) -> bool {
-        self.node == step.node && self.matches_keys(&step.keys)
+    /// The pattern of one instance and all that lies below it.
+    pub fn from_path(path: &Path) -> Pattern {
+        let with_keys = |step: &PathStep| PatternStep {
+            node: step.node,
+            keys: step.keys.iter().cloned().map(Some).collect(),
+        };
+        Pattern(path.0.iter().map(with_keys).collect())
     }
 
-    /// Whether an entry with those keys is named.
-    pub fn matches_keys(&self, keys: &[Scalar]) -> bool {
-        let open = |(told, key): (&Option<Scalar>, &Scalar)| told.as_ref().is_none_or(|told| told == key);
-        self.keys.iter().zip(keys).all(open)
+    /// Whether the path is matched, or lies below one that is.
+    pub fn matches(&self, path: &Path) -> bool {
+        path.0.len() >= self.0.len() && self.0.iter().zip(&path.0).all(|(mine, its)| mine.matches(its))
+    }
+
+    /// The schema node of the last step.
+    pub fn node(&self) -> Option<NodeId> {
+        self.0.last().map(|step| step.node)
     }
+}
 
-    /// A step by its name, with the keys that are told; `*`, `''` and untold ones are open.
+impl PatternStep {
+    /// Makes a step from a node's name and the given key values; `*` and keys that are not given are open.
+    /// `parent` is the step above it.
     pub fn parse<'a>(
         schema: &Schema,
-        above: Option<&PatternStep>,
+        parent: Option<&PatternStep>,
         name: &str,
-        told: impl Iterator<Item = (&'a str, &'a str)>,
-    ) -> Result<PatternStep, String> {
+        key_values: impl Iterator<Item = (&'a str, &'a str)>,
+    ) -> Result<PatternStep, PathError> {
+        let step = || name.to_string();
         let (module, plain) = match name.split_once(':') {
             Some((module, plain)) => {
-                let known = schema.module_by_name(module);
-                (Some(known.ok_or_else(|| format!("{name}: no such module"))?), plain)
+                let module = schema.module_by_name(module);
+                (Some(module.ok_or_else(|| PathError::NoSuchModule { step: step() })?), plain)
             }
             None => (None, name),
         };
-        let node = schema.child(above.map(|step| step.node), module, plain);
-        let node = node.ok_or_else(|| format!("{name}: no such node"))?;
-        let names = schema.keys(node);
-        let mut keys = vec![None; names.len()];
-        for (key, value) in told {
+        let node = schema.child(parent.map(|parent| parent.node), module, plain);
+        let node = node.ok_or_else(|| PathError::NoSuchNode { step: step() })?;
+        let key_nodes = schema.keys(node);
+        let mut keys = vec![None; key_nodes.len()];
+        for (key, text) in key_values {
             // A leaf-list's value is named by itself (RFC 7950, section 9.13).
-            if let (".", NodeKind::LeafList { of, .. }) = (key, &schema.node(node).kind) {
-                keys = vec![Some(of.parse(value).map_err(|what| format!("{name}: {what}"))?)];
+            if let (".", NodeKind::LeafList { value_type, .. }) = (key, &schema.node(node).kind) {
+                let value = value_type.parse(text);
+                let value = value.map_err(|source| PathError::LeafListValue { step: step(), source })?;
+                keys = vec![Some(value)];
                 continue;
             }
             let plain = key.split_once(':').map_or(key, |(_, plain)| plain);
-            let place = names.iter().position(|id| schema.node(*id).name == plain);
-            let place = place.ok_or_else(|| format!("{name}: {key} is no key of it"))?;
-            if value != "*" {
-                let of = schema.type_of(names[place]).ok_or("a key has no type")?;
-                keys[place] = Some(of.parse(value).map_err(|what| format!("{name}: {key} {what}"))?);
+            let position = key_nodes.iter().position(|id| schema.node(*id).name == plain);
+            let no_such_key = || PathError::NoSuchKey { step: step(), key: key.to_string() };
+            let position = position.ok_or_else(no_such_key)?;
+            if text != "*" {
+                let key_type = schema.type_of(key_nodes[position]).ok_or(PathError::KeyWithoutType)?;
+                let wrong = |source| PathError::KeyValue { step: step(), key: key.to_string(), source };
+                keys[position] = Some(key_type.parse(text).map_err(wrong)?);
             }
         }
         Ok(PatternStep { node, keys })
     }
+
+    /// Whether an entry with those key values is matched.
+    pub fn matches_keys(&self, keys: &[Scalar]) -> bool {
+        let fits =
+            |(wanted, key): (&Option<Scalar>, &Scalar)| wanted.as_ref().is_none_or(|wanted| wanted == key);
+        self.keys.iter().zip(keys).all(fits)
+    }
+
+    fn matches(&self, step: &PathStep) -> bool {
+        self.node == step.node && self.matches_keys(&step.keys)
+    }
 }
 
-/// `key='value']...` as its parts and what follows.
-fn predicate(text: &str) -> Option<(String, String, &str)> {
-    let (key, rest) = text.split_once('=')?;
-    let rest = rest.trim_start();
-    let (value, rest) = match rest.chars().next()? {
-        quote @ ('\'' | '"') => {
-            let (value, rest) = rest[1..].split_once(quote)?;
-            (value, rest.trim_start().strip_prefix(']')?)
-        }
-        _ => rest.split_once(']')?,
-    };
-    Some((key.trim().to_string(), value.trim().to_string(), rest))
+/// A key with its value, and the text that follows.
+struct Predicate<'a> {
+    key: &'a str,
+    value: &'a str,
+    rest: &'a str,
+}
+
+impl Predicate<'_> {
+    /// Parses what follows the opening bracket: `key='value']...`
+    fn parse(text: &str) -> Option<Predicate<'_>> {
+        let (key, rest) = text.split_once('=')?;
+        let rest = rest.trim_start();
+        let (value, rest) = match rest.chars().next()? {
+            quote @ ('\'' | '"') => {
+                let (value, rest) = rest[1..].split_once(quote)?;
+                (value, rest.trim_start().strip_prefix(']')?)
+            }
+            _ => rest.split_once(']')?,
+        };
+        Some(Predicate { key: key.trim(), value: value.trim(), rest })
+    }
 }
 
 fn quote(value: &str) -> String {
--- a/crates/rockflow-yang/src/statement.rs
+++ b/crates/rockflow-yang/src/statement.rs
@@ -1,85 +1,99 @@
-//! A module's text as a tree of statements (RFC 7950, section 6.3). The tokens, with comments, quoting and
-//! joined strings, are yang-rs's. Its typed statements are not used here: it takes enumerations, unions and
-//! leafrefs for strings without restrictions (0.1.1). The tests have it judge the published modules' grammar.
+//! A module's text as a tree of statements (RFC 7950, section 6.3).
+//!
+//! The tokens, with comments, quoting and joined strings, are yang-rs's. Its typed statements are not used: it takes
+//! enumerations, unions and leafrefs for strings without restrictions (0.1.1).
 
+use crate::error::{ModelError, StatementProblem};
 use yang_rs::parser::{Parser, Token};
 
-/// Deeper than any model that is read here; guards the stack.
-const MAX_DEEP: usize = 32;
+/// Nesting depth up to which statements are read; guards the stack.
+const MAX_DEPTH: usize = 32;
 
+/// A statement with its substatements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
+    /// What it states, as `leaf` or `description`.
     pub keyword: String,
+    /// Its argument; empty where it has none.
     pub argument: String,
+    /// Line in the module's text, from 1.
     pub line: usize,
-    pub within: Vec<Statement>,
+    /// In the order in which they were written.
+    pub substatements: Vec<Statement>,
 }
 
 impl Statement {
+    /// The substatements with that keyword.
     pub fn all<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
-        self.within.iter().filter(move |inner| inner.keyword == keyword)
+        self.substatements.iter().filter(move |inner| inner.keyword == keyword)
     }
 
-    pub fn one(&self, keyword: &str) -> Option<&Statement> {
-        self.within.iter().find(|inner| inner.keyword == keyword)
+    /// The first substatement with that keyword.
+    pub fn first(&self, keyword: &str) -> Option<&Statement> {
+        self.substatements.iter().find(|inner| inner.keyword == keyword)
     }
 
-    /// The argument of the one substatement of that name.
-    pub fn word(&self, keyword: &str) -> Option<&str> {
-        self.one(keyword).map(|inner| inner.argument.as_str())
+    /// The argument of the first substatement with that keyword.
+    pub fn argument_of(&self, keyword: &str) -> Option<&str> {
+        self.first(keyword).map(|inner| inner.argument.as_str())
     }
 
-    pub fn fault(&self, what: &str) -> String {
-        format!("line {}: {} {}: {what}", self.line, self.keyword, self.argument)
+    /// An error that names this statement.
+    pub fn error(&self, problem: StatementProblem) -> ModelError {
+        let (keyword, argument) = (self.keyword.clone(), self.argument.clone());
+        ModelError::Statement { line: self.line, keyword, argument, problem }
     }
 }
 
 /// Reads the one module that the text holds.
-pub fn read(text: &str) -> Result<Statement, String> {
+pub fn read(text: &str) -> Result<Statement, ModelError> {
     let mut parser = Parser::new(text.to_string());
-    let module = statement(&mut parser, 0)?.ok_or("no statement")?;
+    let module = read_statement(&mut parser, 0)?.ok_or(ModelError::Empty)?;
     if module.keyword != "module" {
-        return Err(module.fault("a module is wanted"));
+        return Err(module.error(StatementProblem::NotAModule));
     }
-    match statement(&mut parser, 0)? {
+    match read_statement(&mut parser, 0)? {
         None => Ok(module),
-        Some(more) => Err(more.fault("stands behind the module")),
+        Some(more) => Err(more.error(StatementProblem::AfterModule)),
     }
 }
 
-fn token(parser: &mut Parser) -> Result<Token, String> {
-    let found = parser.get_token();
-    found.map_err(|what| format!("line {}: {what}", parser.line() + 1))
+fn next_token(parser: &mut Parser) -> Result<Token, ModelError> {
+    let token = parser.get_token();
+    token.map_err(|error| ModelError::Syntax { line: parser.line() + 1, message: error.to_string() })
+}
+
+fn unexpected(parser: &Parser, token: &Token) -> ModelError {
+    ModelError::UnexpectedToken { line: parser.line() + 1, token: format!("{token:?}") }
 }
 
 /// The next statement; none at the end of a block or of the text.
-fn statement(parser: &mut Parser, depth: usize) -> Result<Option<Statement>, String> {
-    let odd = |parser: &Parser, token: &Token| format!("line {}: unexpected {token:?}", parser.line() + 1);
-    let keyword = match token(parser)? {
+fn read_statement(parser: &mut Parser, depth: usize) -> Result<Option<Statement>, ModelError> {
+    let keyword = match next_token(parser)? {
         Token::Identifier(word) => word,
         Token::BlockEnd if depth > 0 => return Ok(None),
         Token::EndOfInput if depth == 0 => return Ok(None),
-        other => return Err(odd(parser, &other)),
+        other => return Err(unexpected(parser, &other)),
     };
     let line = parser.line() + 1;
-    if depth >= MAX_DEEP {
-        return Err(format!("line {line}: too deep"));
+    if depth >= MAX_DEPTH {
+        return Err(ModelError::TooDeep { line });
     }
     let mut argument = String::new();
-    let mut end = token(parser)?;
+    let mut end = next_token(parser)?;
     if let Token::Identifier(word) | Token::QuotedString(word) = end {
         argument = word;
-        end = token(parser)?;
+        end = next_token(parser)?;
     }
-    let mut within = Vec::new();
+    let mut substatements = Vec::new();
     match end {
         Token::StatementEnd => {}
         Token::BlockBegin => {
-            while let Some(inner) = statement(parser, depth + 1)? {
-                within.push(inner);
+            while let Some(inner) = read_statement(parser, depth + 1)? {
+                substatements.push(inner);
             }
         }
-        other => return Err(odd(parser, &other)),
+        other => return Err(unexpected(parser, &other)),
     }
-    Ok(Some(Statement { keyword, argument, line, within }))
+    Ok(Some(Statement { keyword, argument, line, substatements }))
 }
--- a/crates/rockflow-yang/tests/published.rs
+++ b/crates/rockflow-yang/tests/published.rs
@@ -1,7 +1,9 @@
 //! The published modules and what is read from them.
 
-use rockflow_yang::data::{self, EditErrorKind};
-use rockflow_yang::{json, DataNode, DataTree, Edit, EditOperation, NodeKind, Path, Pattern, Schema};
+use rockflow_yang::{
+    data, json, DataNode, DataTree, Edit, EditErrorKind, EditOperation, NodeKind, NodeScope, Path, Pattern,
+    Schema,
+};
 use serde_json::json;
 use std::collections::BTreeSet;
 use test_case::test_case;
@@ -9,7 +11,7 @@
 use yang_rs::parser::Parser;
 
 #[test]
-fn the_grammar_is_what_another_reader_takes() {
+fn published_modules_parse_with_another_parser() {
     for (name, text) in rockflow_yang::PUBLISHED_MODULES {
         let read = Parser::parse_yang_from_string(text.to_string(), Config::new());
         assert!(read.is_ok(), "{name}: {:?}", read.err());
@@ -17,7 +19,7 @@
 }
 
 #[test]
-fn every_node_says_what_it_is() {
+fn every_node_has_a_description() {
     let schema = Schema::published();
     for node in schema.nodes() {
         let own = !matches!(node.kind, NodeKind::Input | NodeKind::Output);
@@ -44,14 +46,14 @@
 #[test_case("leaf a { type enumeration { enum x; } } leaf a { type string; }", false; "twice")]
 #[test_case("augment \"/n:x\" { leaf a { type string; } }", false; "nothing to augment")]
 #[test_case("leaf a { type string; ", false; "without end")]
-fn what_is_not_understood_is_refused(body: &str, taken: bool) {
+fn compile_rejects_unsupported_statements(body: &str, taken: bool) {
     let text = BROKEN.replace("BODY", body);
     let read = Schema::compile(&[("m", &text)]);
     assert_eq!(read.is_ok(), taken, "{:?}", read.err());
 }
 
 fn tree(schema: &Schema, value: serde_json::Value) -> DataTree {
-    json::read(schema, None, &value, true).unwrap()
+    json::read(schema, None, &value, NodeScope::ConfigAndState).unwrap()
 }
 
 fn marked() -> serde_json::Value {
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn json_comes_back_as_it_was() {
+fn json_survives_a_round_trip() {
     let schema = Schema::published();
     let fields = tree(&schema, marked());
     assert_eq!(json::write(&schema, &fields), marked());
@@ -98,8 +100,8 @@
 #[test_case(json!({"rockflow-router:router": {"management": {"most-sessions": true}}}); "another type")]
 #[test_case(json!({"rockflow-router:router": {"state": {"up": "1"}}}); "state")]
 #[test_case(json!([]); "no object")]
-fn json_is_judged_strictly(value: serde_json::Value) {
-    assert!(json::read(&Schema::published(), None, &value, false).is_err());
+fn json_read_rejects(value: serde_json::Value) {
+    assert!(json::read(&Schema::published(), None, &value, NodeScope::ConfigOnly).is_err());
 }
 
 #[test_case("/rockflow-router:router/marks/mark[host='c1']/state", true)]
@@ -111,7 +113,7 @@
 #[test_case("/router/marks/mark[host='c1'", false)]
 #[test_case("router", false)]
 #[test_case("/router//marks", false)]
-fn paths_name_one_thing(text: &str, reads: bool) {
+fn path_parses_only_if_it_names_one_instance(text: &str, reads: bool) {
     let schema = Schema::published();
     let path = Path::parse(&schema, text);
     assert_eq!(path.is_ok(), reads, "{path:?}");
@@ -125,8 +127,8 @@
     let node = path.node().unwrap();
     let entry = path.0.last().is_some_and(|step| !step.keys.is_empty());
     let value = value.map(|value| match entry {
-        true => DataNode::Container(json::read(schema, Some(node), &value, false).unwrap()),
-        false => json::read_data(schema, node, &value, true).unwrap(),
+        true => DataNode::Container(json::read(schema, Some(node), &value, NodeScope::ConfigOnly).unwrap()),
+        false => json::read_data(schema, node, &value, NodeScope::ConfigAndState).unwrap(),
     });
     Edit { path, op, value }
 }
@@ -140,7 +142,7 @@
 #[test_case("/router/marks/mark[host='c1']/host", EditOperation::Remove, None, Some(EditErrorKind::NotWritable); "remove a key")]
 #[test_case("/router/marks/mark[host='c1']/author", EditOperation::Merge, Some(json!("me")), Some(EditErrorKind::NotWritable); "write state")]
 #[test_case("/router/marks", EditOperation::Delete, None, None; "delete all")]
-fn edits_say_what_is_wrong(
+fn edit_reports_its_error_and_leaves_the_tree(
     path: &str,
     op: EditOperation,
     value: Option<serde_json::Value>,
@@ -150,14 +152,14 @@
     let before = tree(&schema, marked());
     let mut after = before.clone();
     let found = data::apply_edit(&schema, &mut after, &edit(&schema, path, op, value));
-    assert_eq!(found.as_ref().err().map(|fault| fault.error), error);
+    assert_eq!(found.as_ref().err().map(|error| error.kind), error);
     if found.is_err() {
         assert_eq!(before, after);
     }
 }
 
 #[test]
-fn replace_drops_what_merge_keeps() {
+fn replace_drops_leaves_that_merge_keeps() {
     let schema = Schema::published();
     let mut fields = tree(&schema, marked());
     let value = Some(json!({"expires": "2026-12-01T00:00:00Z"}));
@@ -172,7 +174,7 @@
 }
 
 #[test]
-fn differences_replayed_lead_from_one_to_the_other() {
+fn applying_a_diff_gives_the_other_tree() {
     let schema = Schema::published();
     let one = tree(&schema, marked());
     let other = tree(
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn patterns_select_with_open_keys() {
+fn pattern_with_open_keys_selects_entries() {
     let schema = Schema::published();
     let fields = tree(&schema, marked());
     let pattern = Pattern::parse(&schema, "/router/marks/mark[host=*]/state").unwrap();
@@ -205,10 +207,10 @@
 }
 
 #[test]
-fn defaults_are_told_and_left_out() {
+fn defaults_are_filled_in_and_trimmed() {
     let schema = Schema::published();
     let fields = tree(&schema, marked());
-    let full = data::with_defaults(&schema, &fields, true);
+    let full = data::with_defaults(&schema, &fields, NodeScope::ConfigOnly);
     let level = data::leaf_by_names(&schema, &full, &["router", "logging", "level"]);
     assert_eq!(level.map(ToString::to_string).as_deref(), Some("info"));
     let back = data::without_defaults(&schema, &full);
@@ -218,7 +220,7 @@
 #[test_case(json!([{"number": 1, "group": ["all"]}]), false; "no action")]
 #[test_case(json!([{"number": 1, "action": "deny"}]), false; "nobody")]
 #[test_case(json!([{"number": 1, "group": ["all"], "action": "deny"}]), true)]
-fn whole_trees_are_checked(rules: serde_json::Value, holds: bool) {
+fn constraints_hold_for_whole_trees(rules: serde_json::Value, holds: bool) {
     let schema = Schema::published();
     let fields =
         tree(&schema, json!({"rockflow-router:router": {"rockflow-access:access": {"rule": rules}}}));
