--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/beside.rs
@@ -7,15 +7,15 @@
 mod management;
 
 use dissemination::Carried;
-use rockflow_dispatcher::{Clock, Service, Told};
-use rockflow_operator_config::{self as file, OperatorFile};
+use rockflow_dispatcher::{Clock, Config, Service};
+use rockflow_operator_config::{self as file, OperatorConfig};
 use std::path::PathBuf;
 
 /// Sets the log's level while running; none: as the program was started.
 pub type SetLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
 #[derive(PartialEq)]
-pub struct Beside(OperatorFile);
+pub struct Beside(OperatorConfig);
 
 impl Beside {
     /// Every fault of the operator's file comes on a line of its own.
@@ -25,7 +25,7 @@
             Ok((path.display().to_string(), text))
         };
         let layers = paths.iter().map(layer).collect::<Result<Vec<_>, String>>()?;
-        let read = file::read(&layers).map_err(|faults| {
+        let read = file::parse(&layers).map_err(|faults| {
             let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
             faults.join("\n")
         })?;
@@ -45,12 +45,12 @@
     }
 
     #[cfg(feature = "dissemination")]
-    pub fn file(&self) -> &OperatorFile {
+    pub fn file(&self) -> &OperatorConfig {
         &self.0
     }
 
     /// Whether all that it names can be used with this configuration; what would listen, and where.
-    pub fn check(&self, told: &Told) -> Result<Vec<String>, String> {
+    pub fn check(&self, told: &Config) -> Result<Vec<String>, String> {
         let mut lines = management::check(&self.0)?;
         lines.extend(dissemination::check(&self.0, told)?);
         Ok(lines)
@@ -60,7 +60,7 @@
     pub fn start(
         &self,
         clock: Clock,
-        told: Told,
+        told: Config,
         set_level: SetLevel,
     ) -> Result<(Service, Option<Carried>), String> {
         let plan = dissemination::plan(&self.0, &told)?;
@@ -68,9 +68,10 @@
         Service::set_up();
         // Whoever can mark needs a list that marks are merged into.
         let marks = opened.marks().or_else(|| plan.is_some().then(Default::default));
-        let service = Service::start_marked(clock, told, marks).map_err(|what| format!("start: {what}"))?;
+        let service =
+            Service::start_with_overrides(clock, told, marks).map_err(|what| format!("start: {what}"))?;
         opened.run(&service, set_level)?;
-        let carried = plan.map(|plan| dissemination::serve(plan, service.link())).transpose()?;
+        let carried = plan.map(|plan| dissemination::serve(plan, service.handle())).transpose()?;
         Ok((service, carried))
     }
 }
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -22,7 +22,7 @@
 //! `! TAG WORD...` at a line's end: it fails with that tag, and its message and finer tag hold the words.
 
 use rockflow::{Readiness, Role};
-use rockflow_endpoints::{Listed, Mark};
+use rockflow_endpoints::{AdminOverride, ListedEndpoint};
 use rockflow_management::*;
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
@@ -40,7 +40,7 @@
     schema: Arc<Schema>,
     machine: Machine,
     now: Duration,
-    around: Surroundings,
+    around: ValidationContext,
     sessions: BTreeMap<String, SessionId>,
     notices: Vec<String>,
 }
@@ -88,7 +88,7 @@
                 Some(("reason", reason)) => leaves.insert("reason".into(), reason.into()),
                 Some(("expires", seconds)) => {
                     let at = self.now + Duration::from_secs(seconds.parse().unwrap());
-                    leaves.insert("expires".into(), moment::write(at).into())
+                    leaves.insert("expires".into(), timestamp::format(at).into())
                 }
                 _ if *word == "force" => leaves.insert("force".into(), true.into()),
                 _ => leaves.insert("state".into(), (*word).into()),
@@ -98,7 +98,7 @@
         vec![self.edit(&["merge", &path, &leaves])]
     }
 
-    fn act(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), Fault> {
+    fn act(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), ManagementError> {
         let now = self.now;
         let option = |name: &str| words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
         let number = |name: &str| option(name).map(|word| word.parse::<u64>().unwrap());
@@ -117,7 +117,8 @@
             _ => Datastore::Candidate,
         };
         let edit = |play: &mut Play, edits: &[Edit]| {
-            let made = play.machine.edit(id, Datastore::Candidate, edits, ErrorOption::Rollback, false);
+            let made =
+                play.machine.edit_config(id, Datastore::Candidate, edits, ErrorOption::Rollback, false);
             made.map_err(|faults| faults[0].clone())
         };
         match what {
@@ -128,8 +129,8 @@
             }
             "edits" => edit(self, &[self.edit(words)]),
             "commits" => {
-                let confirm = Confirm {
-                    within: number("within").map(Duration::from_secs),
+                let confirm = CommitOptions {
+                    confirm_timeout: number("within").map(Duration::from_secs),
                     persist: option("persist").map(str::to_string),
                     persist_id: option("id").map(str::to_string),
                 };
@@ -140,7 +141,7 @@
                 self.machine.follows(id, true);
                 Ok(())
             }
-            "discards" => self.machine.discard(id),
+            "discards" => self.machine.discard_changes(id),
             "validates" => self.machine.validate(now, id, Ok(Datastore::Candidate), &self.around),
             "closes" => {
                 self.machine.close(now, id, "closed");
@@ -182,8 +183,8 @@
                     "parent" => Role::Parent,
                     _ => Role::Origin,
                 };
-                let told = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
-                let listed = Listed { role, location: location.parse().unwrap(), told };
+                let readiness = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
+                let listed = ListedEndpoint { role, location: location.parse().unwrap(), readiness };
                 self.around.hosts.insert(name.to_string(), listed);
             }
             ["rules", ..] => {
@@ -213,7 +214,13 @@
             }
             ["marked", told @ ..] => {
                 let marks = self.machine.marks();
-                let state = |mark: &Mark| if mark.readiness == Readiness::Gone { "gone" } else { "draining" };
+                let state = |mark: &AdminOverride| {
+                    if mark.readiness == Readiness::Gone {
+                        "gone"
+                    } else {
+                        "draining"
+                    }
+                };
                 let have: Vec<_> =
                     marks.iter().map(|(host, mark)| format!("{host}={}", state(mark))).collect();
                 let told: Vec<_> = told.iter().filter(|word| **word != "nothing").collect();
@@ -264,7 +271,7 @@
         machine: machine(&schema, Disk::default()),
         schema,
         now: START,
-        around: Surroundings::default(),
+        around: ValidationContext::default(),
         sessions: BTreeMap::new(),
         notices: Vec::new(),
     };
