--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -310,7 +310,13 @@
 /// What a push tells: all values, or those that changed.
 fn pushed(schema: &Schema, told: &Element) -> Vec<Changed> {
     if let Some(update) = told.child("push-update").and_then(|update| update.child("datastore-contents")) {
-        let read = rockflow_netconf::codec::read(schema, None, &update.children, &Path::default(), true);
+        let read = rockflow_netconf::codec::read(
+            schema,
+            None,
+            &update.children,
+            &Path::default(),
+            rockflow_yang::NodeScope::ConfigAndState,
+        );
         let leaves = read.map(|fields| data::leaves(&fields)).unwrap_or_default();
         return leaves
             .into_iter()
@@ -326,7 +332,7 @@
     edits
         .map(|edit| {
             let value = edit.child("value").and_then(|value| value.children.first());
-            let target = edit.word("target").unwrap_or_default().to_string();
+            let target = edit.text_of("target").unwrap_or_default().to_string();
             (target, value.map(|value| Value::String(value.text().to_string())))
         })
         .collect()
--- a/crates/rockflow-management-agent/tests/netconf.rs
+++ b/crates/rockflow-management-agent/tests/netconf.rs
@@ -197,7 +197,7 @@
                 "<get-schema xmlns=\"{}\"><identifier>{name}</identifier></get-schema>",
                 rockflow_netconf::ns::MONITORING
             );
-            assert_eq!(root.call(&call).await.unwrap().word("data"), Some(text.trim()));
+            assert_eq!(root.call(&call).await.unwrap().text_of("data"), Some(text.trim()));
         }
         root.act(&rig.schema, "drain", &[("host", "c1"), ("reason", "a < b & \"c\"")]).await.unwrap();
         let ns = "xmlns=\"urn:rockflow:yang:router\"";
@@ -207,7 +207,7 @@
         let marks = |inner: &str| get(&format!("<router {ns}><marks><mark>{inner}</mark></marks></router>"));
         let found = root.call(&marks("<host>c1</host><reason/>")).await.unwrap();
         let mark = found.child("data").unwrap().children[0].children[0].children[0].clone();
-        assert_eq!(mark.word("reason"), Some("a < b & \"c\""));
+        assert_eq!(mark.text_of("reason"), Some("a < b & \"c\""));
         assert!(mark.child("state").is_none());
         let found = root.call(&marks("<host>c2</host>")).await.unwrap();
         assert!(found.child("data").unwrap().children.is_empty());
@@ -227,7 +227,7 @@
             .unwrap();
         let sessions =
             found.child("data").unwrap().child("netconf-state").unwrap().child("sessions").unwrap();
-        assert_eq!(sessions.children[0].word("username"), Some("root"));
+        assert_eq!(sessions.children[0].text_of("username"), Some("root"));
         let (tag, ..) =
             refused(root.call("<get-config><source><url>file:///etc</url></source></get-config>").await);
         assert_eq!(tag, "operation-not-supported");
@@ -253,7 +253,7 @@
         let edit =
             &changed.child("push-change-update").unwrap().child("datastore-changes").unwrap().children[0];
         let edit = edit.child("edit").unwrap();
-        assert!(edit.word("target").unwrap().contains("host[name='c1']/effective"), "{edit:?}");
+        assert!(edit.text_of("target").unwrap().contains("host[name='c1']/effective"), "{edit:?}");
         assert_eq!(edit.child("value").unwrap().children[0].text(), "draining");
         let mut told = Vec::new();
         while !told.contains(&"host-changed".to_string()) {
--- a/crates/rockflow-management-client/src/netconf.rs
+++ b/crates/rockflow-management-client/src/netconf.rs
@@ -109,7 +109,7 @@
         let hello = client.message().await?;
         let told = hello.child("capabilities").map(|all| all.children.as_slice()).unwrap_or_default();
         client.capabilities = told.iter().map(|one| one.text().to_string()).collect();
-        client.session = hello.word("session-id").and_then(|word| word.parse().ok()).unwrap_or(0);
+        client.session = hello.text_of("session-id").and_then(|word| word.parse().ok()).unwrap_or(0);
         if client.capabilities.iter().any(|one| one == "urn:ietf:params:netconf:base:1.1") {
             client.framing.chunked();
         }
@@ -162,9 +162,9 @@
         }
         match reply.children.iter().find(|child| child.name == "rpc-error") {
             Some(error) => Err(Trouble::Refused {
-                tag: error.word("error-tag").unwrap_or("operation-failed").to_string(),
-                app_tag: error.word("error-app-tag").map(str::to_string),
-                message: error.word("error-message").unwrap_or_default().to_string(),
+                tag: error.text_of("error-tag").unwrap_or("operation-failed").to_string(),
+                app_tag: error.text_of("error-app-tag").map(str::to_string),
+                message: error.text_of("error-message").unwrap_or_default().to_string(),
             }),
             None => Ok(reply),
         }
@@ -211,14 +211,15 @@
             .filter(|child| schema.modules().iter().any(|module| module.namespace == child.ns))
             .cloned()
             .collect();
-        let read = codec::read(schema, None, &known, &Path::default(), true);
+        let read =
+            codec::read(schema, None, &known, &Path::default(), rockflow_yang::NodeScope::ConfigAndState);
         read.map_err(|fault| Trouble::Unreadable(fault.to_string()))
     }
 
     /// Edits the candidate with the tree, merged.
     pub async fn edit(&mut self, schema: &Schema, fields: &DataTree) -> Result<(), Trouble> {
         let mut inner = Writer::new();
-        codec::write(schema, fields, None, codec::Notes::default(), &mut inner);
+        codec::write(schema, fields, None, codec::Annotations::default(), &mut inner);
         self.edit_xml(&inner.finish()).await
     }
 
@@ -265,7 +266,7 @@
         input.iter().for_each(|(name, value)| out.leaf(name, &[], value));
         out.close(name);
         let reply = self.call(&out.finish()).await?;
-        let version = reply.word("version").and_then(|word| word.parse().ok());
+        let version = reply.text_of("version").and_then(|word| word.parse().ok());
         version.ok_or_else(|| Trouble::Unreadable("no version in the reply".to_string()))
     }
 
@@ -285,7 +286,7 @@
         }
         out.close("establish-subscription");
         let reply = self.call(&out.finish()).await?;
-        let id = reply.word("id").and_then(|word| word.parse().ok());
+        let id = reply.text_of("id").and_then(|word| word.parse().ok());
         id.ok_or_else(|| Trouble::Unreadable("no id in the reply".to_string()))
     }
 
--- a/crates/rockflow-netconf/src/codec.rs
+++ b/crates/rockflow-netconf/src/codec.rs
@@ -4,13 +4,13 @@
 use crate::xml::{Element, Writer};
 use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::{
-    DataNode, DataTree, Edit, EditOperation, KeyValues, NodeId, NodeKind, Path, Scalar, Schema,
+    DataNode, DataTree, Edit, EditOperation, KeyValues, NodeId, NodeKind, NodeScope, Path, Scalar, Schema,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is told beside the values.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Notes {
+pub struct Annotations {
     /// Values that are the default's bear `wd:default` (RFC 6243, report-all-tagged).
     pub tag_defaults: bool,
     /// Where each part comes from (RFC 8526, with-origin).
@@ -18,7 +18,13 @@
 }
 
 /// The values below `parent`, as its content.
-pub fn write(schema: &Schema, fields: &DataTree, parent: Option<NodeId>, notes: Notes, out: &mut Writer) {
+pub fn write(
+    schema: &Schema,
+    fields: &DataTree,
+    parent: Option<NodeId>,
+    notes: Annotations,
+    out: &mut Writer,
+) {
     for (id, data) in fields {
         let node = schema.node(*id);
         let own = parent.is_none_or(|parent| schema.node(parent).module != node.module);
@@ -47,7 +53,7 @@
             DataNode::List(entries) => {
                 for (keys, inner) in entries {
                     out.open(&node.name, &attributes);
-                    // KeyValues come first (RFC 7950, section 7.8.5).
+                    // Keys come first (RFC 7950, section 7.8.5).
                     for (key, value) in schema.keys(*id).iter().zip(keys) {
                         out.leaf(&schema.node(*key).name, &[], &value.to_string());
                     }
@@ -123,14 +129,14 @@
     parent: Option<NodeId>,
     elements: &[Element],
     at: &Path,
-    state: bool,
+    scope: NodeScope,
 ) -> Result<DataTree, ManagementError> {
     let mut fields = DataTree::new();
     for element in elements {
         let id = node_of(schema, parent, element)?;
         let node = schema.node(id);
         let here = at.child(id, Vec::new());
-        if !state && !node.config {
+        if !scope.includes(node) {
             return Err(ManagementError::new(ErrorTag::InvalidValue, "is state, which can't be written")
                 .with_path(&here));
         }
@@ -157,7 +163,7 @@
             NodeKind::List { .. } => {
                 let keys = keys_of(schema, id, element, &here)?;
                 let entry = at.child(id, keys.clone());
-                let inner = read(schema, Some(id), &element.children, &entry, state)?;
+                let inner = read(schema, Some(id), &element.children, &entry, scope)?;
                 let entries = fields.entry(id).or_insert_with(|| DataNode::List(BTreeMap::new()));
                 let DataNode::List(entries) = entries else { return Err(twice()) };
                 if entries.insert(keys, inner).is_some() {
@@ -165,7 +171,7 @@
                 }
             }
             _ => {
-                let inner = read(schema, Some(id), &element.children, &here, state)?;
+                let inner = read(schema, Some(id), &element.children, &here, scope)?;
                 if fields.insert(id, DataNode::Container(inner)).is_some() {
                     return Err(twice());
                 }
@@ -246,7 +252,13 @@
         NodeKind::LeafList { .. } => None,
         NodeKind::Container | NodeKind::List { .. } if whole => {
             plain(&element.children, &path)?;
-            Some(DataNode::Container(read(schema, Some(id), &element.children, &path, false)?))
+            Some(DataNode::Container(read(
+                schema,
+                Some(id),
+                &element.children,
+                &path,
+                NodeScope::ConfigOnly,
+            )?))
         }
         NodeKind::Container | NodeKind::List { .. } => None,
         _ => {
--- a/crates/rockflow-netconf/src/framing.rs
+++ b/crates/rockflow-netconf/src/framing.rs
@@ -8,18 +8,18 @@
 const MAX_HEAD: usize = 13;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FramingFault {
+pub enum FramingError {
     /// The message is larger than what is taken.
     TooLarge(usize),
     /// What came is no chunk.
     NotAChunk,
 }
 
-impl fmt::Display for FramingFault {
+impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FramingFault::TooLarge(most) => write!(f, "a message of more than {most} bytes"),
-            FramingFault::NotAChunk => f.write_str("what came is no chunk"),
+            FramingError::TooLarge(most) => write!(f, "a message of more than {most} bytes"),
+            FramingError::NotAChunk => f.write_str("what came is no chunk"),
         }
     }
 }
@@ -77,7 +77,7 @@
     }
 
     /// The next whole message.
-    pub fn take(&mut self) -> Result<Option<Vec<u8>>, FramingFault> {
+    pub fn take(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         if self.chunked {
             self.take_chunks()
         } else {
@@ -85,19 +85,19 @@
         }
     }
 
-    fn take_ended(&mut self) -> Result<Option<Vec<u8>>, FramingFault> {
+    fn take_ended(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         let from = self.looked.saturating_sub(END.len() - 1);
         let found = self.held[from..].windows(END.len()).position(|window| window == END);
         let Some(at) = found.map(|at| from + at) else {
             self.looked = self.held.len();
             return if self.held.len() > self.most + END.len() {
-                Err(FramingFault::TooLarge(self.most))
+                Err(FramingError::TooLarge(self.most))
             } else {
                 Ok(None)
             };
         };
         if at > self.most {
-            return Err(FramingFault::TooLarge(self.most));
+            return Err(FramingError::TooLarge(self.most));
         }
         let message = self.held[..at].to_vec();
         self.held.drain(..at + END.len());
@@ -105,7 +105,7 @@
         Ok(Some(message))
     }
 
-    fn take_chunks(&mut self) -> Result<Option<Vec<u8>>, FramingFault> {
+    fn take_chunks(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         if self.fresh {
             // What leads to the first chunk's own line feed, and no more than such a line.
             let lead = self.held.iter().take(2).take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
@@ -131,11 +131,11 @@
             let rest = &self.held[used..];
             let head = &rest[..rest.len().min(MAX_HEAD)];
             if !b"\n#".starts_with(&head[..head.len().min(2)]) {
-                return Err(FramingFault::NotAChunk);
+                return Err(FramingError::NotAChunk);
             }
             let Some(end) = head.iter().skip(2).position(|byte| *byte == b'\n').map(|at| at + 2) else {
                 if head.len() >= MAX_HEAD {
-                    return Err(FramingFault::NotAChunk);
+                    return Err(FramingError::NotAChunk);
                 }
                 break;
             };
@@ -144,14 +144,14 @@
                 [first @ b'1'..=b'9', digits @ ..] if digits.iter().all(u8::is_ascii_digit) => {
                     let digits = [std::slice::from_ref(first), digits].concat();
                     let size = String::from_utf8_lossy(&digits).parse::<usize>();
-                    let size = size.map_err(|_| FramingFault::NotAChunk)?;
+                    let size = size.map_err(|_| FramingError::NotAChunk)?;
                     // Guards against a chunk that says to be huge: nothing is reserved for what has not come.
                     if size > self.most.saturating_sub(self.message.len()) {
-                        return Err(FramingFault::TooLarge(self.most));
+                        return Err(FramingError::TooLarge(self.most));
                     }
                     (self.left, self.within) = (size, true);
                 }
-                _ => return Err(FramingFault::NotAChunk),
+                _ => return Err(FramingError::NotAChunk),
             }
             used += end + 1;
         }
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -1,7 +1,7 @@
 //! What followers are sent: events (RFC 5277, with those of RFC 6470 and the model's own) and pushes of values
 //! (RFC 8641).
 
-use crate::codec::{self, Notes};
+use crate::codec::{self, Annotations};
 use crate::ns;
 use crate::xml::Writer;
 use rockflow_management::{timestamp, Notification, Operator, Update};
@@ -124,7 +124,7 @@
             out.open("push-update", &[("xmlns", ns::PUSH)]);
             out.leaf("id", &[], &id.to_string());
             out.open("datastore-contents", &[]);
-            codec::write(schema, &tree(schema, values), None, Notes::default(), out);
+            codec::write(schema, &tree(schema, values), None, Annotations::default(), out);
             out.close("datastore-contents");
             out.close("push-update");
         }
--- a/crates/rockflow-netconf/src/server.rs
+++ b/crates/rockflow-netconf/src/server.rs
@@ -76,14 +76,14 @@
 
 impl Server {
     /// Serves as long as the runtime does that this is called in.
-    pub fn start(bound: Bound, desk: Arc<ManagementService>) -> Result<(), String> {
+    pub fn start(bound: Bound, service: Arc<ManagementService>) -> Result<(), String> {
         let Bound { part, ssh, tls } = bound;
         let bounds = Bounds {
             message: part.message_kb as usize * 1024,
             hello: Duration::from_secs(part.handshake_seconds.into()),
         };
-        let started = desk.now();
-        let server = Arc::new(rpc::Server { desk, counts: Counts::default(), started });
+        let started = service.now();
+        let server = Arc::new(rpc::Server { service, counts: Counts::default(), started });
         // One for each listener, so that a flood at one keeps nobody out of the other.
         let waiting = || UnauthenticatedConnections::new(part.handshakes as usize);
         if let (Some((listener, config)), Some(keys)) = (ssh, part.authorized_keys.clone()) {
--- a/crates/rockflow-netconf/src/session.rs
+++ b/crates/rockflow-netconf/src/session.rs
@@ -37,8 +37,8 @@
     S: AsyncRead + AsyncWrite + Unpin + Send,
 {
     let user = who.user.clone();
-    let asker = match server.desk.open_session(who) {
-        Ok(asker) => asker,
+    let handle = match server.service.open_session(who) {
+        Ok(handle) => handle,
         Err(fault) => {
             info!(user, %fault, "netconf session not begun");
             Counts::add(&server.counts.dropped);
@@ -49,7 +49,7 @@
     let (sender, receiver) = mpsc::channel(MAX_WAITING);
     let mut session = Session {
         server: server.clone(),
-        asker,
+        handle,
         stream,
         framing: Framing::new(bounds.message),
         sender,
@@ -69,7 +69,7 @@
 
 struct Session<S> {
     server: Arc<Server>,
-    asker: SessionHandle,
+    handle: SessionHandle,
     stream: S,
     framing: Framing,
     sender: mpsc::Sender<String>,
@@ -87,9 +87,9 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin + Send> Session<S> {
     async fn serve(&mut self, bounds: Bounds) -> &'static str {
-        let (server, id) = (self.server.clone(), self.asker.id);
-        let separate = server.desk.inspect(|all| all.has_separate_startup());
-        let hello = monitoring::hello(server.desk.schema(), separate, id.0);
+        let (server, id) = (self.server.clone(), self.handle.id);
+        let separate = server.service.inspect(|all| all.has_separate_startup());
+        let hello = monitoring::hello(server.service.schema(), separate, id.0);
         if !self.write(&hello).await {
             return "not read";
         }
@@ -136,7 +136,7 @@
                         return "not read";
                     }
                 }
-                () = server.desk.session_closed(id) => return "killed or silent",
+                () = server.service.session_closed(id) => return "killed or silent",
             }
         }
     }
@@ -171,7 +171,7 @@
     async fn request(&mut self, message: &[u8]) -> Option<&'static str> {
         let server = self.server.clone();
         Counts::add(&server.counts.rpcs);
-        let schema = server.desk.schema();
+        let schema = server.service.schema();
         let request = match xml::read(message) {
             Ok(request) if request.name == "rpc" && request.ns == ns::BASE => request,
             read => {
@@ -179,7 +179,7 @@
                 let what = read.err().unwrap_or_else(|| "no rpc".to_string());
                 let fault = ManagementError::new(ErrorTag::MalformedMessage, what);
                 // Only base:1.1 has a word for it; either way nothing more can be made of this peer.
-                let reply = reply(&[], &rpc::errors(schema, &[fault]));
+                let reply = reply(&[], &rpc::write_errors(schema, &[fault]));
                 self.write(&reply).await;
                 return Some("malformed");
             }
@@ -188,7 +188,7 @@
             request.attributes.iter().map(|one| (one.qualified.as_str(), one.value.as_str())).collect();
         let fail = |faults: &[ManagementError]| {
             Counts::add(&server.counts.errors);
-            reply(&attributes, &rpc::errors(schema, faults))
+            reply(&attributes, &rpc::write_errors(schema, faults))
         };
         if request.attribute("", "message-id").is_none() {
             Counts::add(&server.counts.bad_rpcs);
@@ -205,7 +205,7 @@
             return (!self.write(&out).await).then_some("not read");
         };
         let mut over = None;
-        let out = match server.call(&self.asker, operation).await {
+        let out = match server.call(&self.handle, operation).await {
             Ok(Reply::Ok) => reply(&attributes, "<ok/>"),
             Ok(Reply::Content(content)) => reply(&attributes, &content),
             Ok(Reply::Close) => {
@@ -225,8 +225,8 @@
     }
 
     async fn follow(&mut self, operation: &Element, begun: Reply) -> Result<String, ManagementError> {
-        let schema = self.server.desk.schema().clone();
-        if self.followed.len() >= MAX_FOLLOWED && !matches!(begun, Reply::Unfollow(_)) {
+        let schema = self.server.service.schema().clone();
+        if self.followed.len() >= MAX_FOLLOWED && !matches!(begun, Reply::Unsubscribe(_)) {
             let message = format!("more than {MAX_FOLLOWED} subscriptions in a session");
             return Err(ManagementError::new(ErrorTag::ResourceDenied, message));
         }
@@ -236,7 +236,7 @@
                 if std::mem::replace(&mut self.events, true) {
                     return Err(ManagementError::new(ErrorTag::InUse, "this session follows events already"));
                 }
-                let mut events = self.asker.subscribe_events();
+                let mut events = self.handle.subscribe_events();
                 let task = tokio::spawn(async move {
                     loop {
                         let (at, event): (Duration, ManagementEvent) = match events.recv().await {
@@ -258,8 +258,8 @@
                 (0, task)
             }
             Reply::Push { patterns, trigger, updates_only } => {
-                let following = self.asker.subscribe(patterns, trigger, updates_only).await?;
-                let (number, desk) = (following.number, self.server.desk.clone());
+                let following = self.handle.subscribe(patterns, trigger, updates_only).await?;
+                let (number, desk) = (following.number, self.server.service.clone());
                 let task = tokio::spawn(async move {
                     loop {
                         let update = following.next().await;
@@ -271,14 +271,14 @@
                 });
                 (number, task)
             }
-            Reply::Unfollow(number) => {
+            Reply::Unsubscribe(number) => {
                 let task = self.followed.remove(&number);
                 let task = task.ok_or_else(|| {
                     ManagementError::new(ErrorTag::InvalidValue, format!("no subscription {number} here"))
                         .with_app_tag("no-such-subscription")
                 })?;
                 task.abort();
-                self.asker.release_subscription();
+                self.handle.release_subscription();
                 return Ok("<ok/>".to_string());
             }
             _ => return Ok("<ok/>".to_string()),
--- a/crates/rockflow-netconf/src/xml.rs
+++ b/crates/rockflow-netconf/src/xml.rs
@@ -47,7 +47,7 @@
     }
 
     /// The text of the one child of that name.
-    pub fn word(&self, name: &str) -> Option<&str> {
+    pub fn text_of(&self, name: &str) -> Option<&str> {
         self.child(name).map(Element::text)
     }
 
--- a/crates/rockflow-netconf/tests/framing.rs
+++ b/crates/rockflow-netconf/tests/framing.rs
@@ -1,9 +1,9 @@
 //! Messages on a stream, in parts of every size.
 
-use rockflow_netconf::framing::{encode, Framing, FramingFault};
+use rockflow_netconf::framing::{encode, Framing, FramingError};
 use test_case::test_case;
 
-fn parts(framing: &mut Framing, bytes: &[u8], size: usize) -> Result<Vec<String>, FramingFault> {
+fn parts(framing: &mut Framing, bytes: &[u8], size: usize) -> Result<Vec<String>, FramingError> {
     let mut all = Vec::new();
     for part in bytes.chunks(size) {
         framing.add(part);
@@ -40,14 +40,14 @@
     assert_eq!(framing.take().unwrap(), None);
 }
 
-#[test_case(b"\n#4294967295\n", FramingFault::TooLarge(100); "a chunk that says to be huge")]
-#[test_case(b"\n#60\n012345678901234567890123456789012345678901234567890123456789\n#60\n", FramingFault::TooLarge(100); "too much in parts")]
-#[test_case(b"\n#0\n", FramingFault::NotAChunk; "none")]
-#[test_case(b"\n#01\n", FramingFault::NotAChunk; "a leading nought")]
-#[test_case(b"\n##\n", FramingFault::NotAChunk; "an end of nothing")]
-#[test_case(b"x", FramingFault::NotAChunk; "something else")]
-#[test_case(b"\n#12345678901234567890", FramingFault::NotAChunk; "digits without end")]
-fn lies_are_told_at_once(bytes: &[u8], fault: FramingFault) {
+#[test_case(b"\n#4294967295\n", FramingError::TooLarge(100); "a chunk that says to be huge")]
+#[test_case(b"\n#60\n012345678901234567890123456789012345678901234567890123456789\n#60\n", FramingError::TooLarge(100); "too much in parts")]
+#[test_case(b"\n#0\n", FramingError::NotAChunk; "none")]
+#[test_case(b"\n#01\n", FramingError::NotAChunk; "a leading nought")]
+#[test_case(b"\n##\n", FramingError::NotAChunk; "an end of nothing")]
+#[test_case(b"x", FramingError::NotAChunk; "something else")]
+#[test_case(b"\n#12345678901234567890", FramingError::NotAChunk; "digits without end")]
+fn lies_are_told_at_once(bytes: &[u8], fault: FramingError) {
     let mut framing = Framing::new(100);
     framing.chunked();
     assert_eq!(parts(&mut framing, bytes, 3), Err(fault));
@@ -60,5 +60,5 @@
         framing.add(&[b'x'; 10]);
         framing.take().err()
     });
-    assert_eq!(ended, Some(FramingFault::TooLarge(100)));
+    assert_eq!(ended, Some(FramingError::TooLarge(100)));
 }
--- a/crates/rockflow-netconf/tests/fuzz.rs
+++ b/crates/rockflow-netconf/tests/fuzz.rs
@@ -105,7 +105,13 @@
                 edited += usize::from(
                     codec::edits(&schema, config, EditOperation::Merge).is_ok_and(|all| !all.is_empty()),
                 );
-                let _ = codec::read(&schema, None, &config.children, &Path::default(), true);
+                let _ = codec::read(
+                    &schema,
+                    None,
+                    &config.children,
+                    &Path::default(),
+                    rockflow_yang::NodeScope::ConfigAndState,
+                );
                 let _ = filter::subtree(&schema, &Default::default(), None, &config.children);
             }
         }
