--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -1,8 +1,7 @@
 //! What goes wrong, in the words of RFC 6241, appendix A; fronts of other protocols translate them.
 
 use crate::words::SessionId;
-use rockflow_yang::data::{EditError, EditFault};
-use rockflow_yang::Path;
+use rockflow_yang::{EditError, EditErrorKind, Path};
 use std::fmt;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -106,13 +105,13 @@
     }
 }
 
-impl From<EditFault> for ManagementError {
-    fn from(fault: EditFault) -> ManagementError {
-        let tag = match fault.error {
-            EditError::Exists => ErrorTag::DataExists,
-            EditError::Missing => ErrorTag::DataMissing,
-            EditError::NotWritable | EditError::BadValue => ErrorTag::InvalidValue,
+impl From<EditError> for ManagementError {
+    fn from(fault: EditError) -> ManagementError {
+        let tag = match fault.kind {
+            EditErrorKind::Exists => ErrorTag::DataExists,
+            EditErrorKind::Missing => ErrorTag::DataMissing,
+            EditErrorKind::NotWritable | EditErrorKind::BadValue => ErrorTag::InvalidValue,
         };
-        ManagementError::new(tag, fault.what).with_path(&fault.path)
+        ManagementError::new(tag, fault.message).with_path(&fault.path)
     }
 }
