--- a/crates/rockflow-dispatcher/src/board.rs
+++ b/crates/rockflow-dispatcher/src/board.rs
@@ -90,7 +90,7 @@
             list,
             seen: Seen::new(told.board, told.known.rev),
             chance: oorandom::Rand64::new(u128::from(told.seed)),
-            silence: Silence::new(clock.now(), told.wiring.drain_limit),
+            silence: Silence::new(clock.now(), told.wiring.drain_timeout),
             gap_borne: None,
             unread: None,
         }
--- a/crates/rockflow-dispatcher/src/list.rs
+++ b/crates/rockflow-dispatcher/src/list.rs
@@ -8,7 +8,7 @@
 use rockflow::{CellId, EndpointEntry, HostId, ListScope, LocationId, Readiness, Role};
 use rockflow_endpoints::{Marks, Refused, Roll};
 use rockflow_protocol::board::{Instance, Lifecycle, Notice, Pool};
-use rockflow_settings::{dotted, Facts, Wiring};
+use rockflow_settings::{normalize_value, DeploymentSettings, NetworkSettings};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,11 +24,11 @@
 }
 
 impl Reading {
-    pub fn new(clock: Clock, facts: &Facts, wiring: &Wiring) -> Self {
+    pub fn new(clock: Clock, facts: &DeploymentSettings, wiring: &NetworkSettings) -> Self {
         Reading {
             clock,
-            locations: wiring.locations.clone(),
-            kinds: wiring.kinds.clone(),
+            locations: wiring.location_names.clone(),
+            kinds: wiring.kind_names.clone(),
             parent_kind: facts.parent_kind,
             origin_kind: facts.origin_kind,
         }
@@ -36,7 +36,7 @@
 
     fn entry(&self, instance: &Instance) -> Result<Entry, String> {
         let place =
-            |names: &[String], name: &str| names.iter().position(|known| *known == dotted::plain(name));
+            |names: &[String], name: &str| names.iter().position(|known| *known == normalize_value(name));
         let bad = |what: &str| format!("{}: {what}", instance.instance_id);
         let location = place(&self.locations, &instance.zone).ok_or_else(|| bad("unknown zone"))?;
         let kind = place(&self.kinds, &instance.machine_type).ok_or_else(|| bad("unknown kind"))? as i64;
--- a/crates/rockflow-dispatcher/src/service.rs
+++ b/crates/rockflow-dispatcher/src/service.rs
@@ -94,10 +94,10 @@
         let pool = Arc::new(ConnectionPool {
             clock,
             module: mail.clone(),
-            connect_limit: told.wiring.connect_limit,
-            idle_limit: told.wiring.idle_limit,
+            connect_limit: told.wiring.connect_timeout,
+            idle_limit: told.wiring.idle_timeout,
             max_streams: told.wiring.max_streams,
-            longest: longest.unwrap_or_default() + told.wiring.connect_limit,
+            longest: longest.unwrap_or_default() + told.wiring.connect_timeout,
             line_out: caps.line_out,
             lines: Mutex::new(BTreeMap::new()),
             next_line: AtomicU64::new(1),
@@ -108,14 +108,14 @@
         let looked = (door.clone(), pool.clone());
         let mut board = Board::new(clock, &told, list_mail.clone());
         let (board_mail, seen) = (board.mail.clone(), board.seen.clone());
-        let classes = told.wiring.classes.iter().cloned();
+        let classes = told.wiring.class_names.iter().cloned();
         let named = classes.zip(told.facts.deployment.classes.iter().cloned()).collect();
         let given = Given {
             clock,
             deployment: told.facts.deployment,
-            classes: told.wiring.classes.clone(),
+            classes: told.wiring.class_names.clone(),
             seed: told.seed,
-            report: told.wiring.report,
+            report: told.wiring.load_report_fields,
             pool,
             ready: ready.clone(),
             slack: told.wiring.answer_slack,
@@ -130,7 +130,7 @@
             name: told.name,
             caps,
             classes: named,
-            locations: told.wiring.locations,
+            locations: told.wiring.location_names,
             list: list_mail,
             door: door.clone(),
             pool: looked.1.clone(),
--- a/crates/rockflow-dispatcher/src/told.rs
+++ b/crates/rockflow-dispatcher/src/told.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher is told at its start, read from its configuration. Every fault names its key.
 
 use rockflow_protocol::board::Known;
-use rockflow_settings::{facts, wiring, Facts, Pairs, Wiring};
+use rockflow_settings::{DeploymentSettings, DottedSettings, NetworkSettings};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
     pub limits: Limits,
     pub board: SocketAddr,
     pub known: Known,
-    pub facts: Facts,
-    pub wiring: Wiring,
+    pub facts: DeploymentSettings,
+    pub wiring: NetworkSettings,
     pub unchanging: Unchanging,
 }
 
@@ -44,7 +44,7 @@
             count.map(|count| count as usize).ok_or_else(|| format!("{path} is no count"))
         };
         let seed = u64::from_str_radix(word("seed")?, 16).map_err(|_| "seed is no hexadecimal number")?;
-        let pairs = Pairs::from_json(key("settings")?);
+        let pairs = DottedSettings::from_json(key("settings")?);
         Ok(Told {
             name: word("name")?.to_string(),
             listen: address("listen")?,
@@ -52,8 +52,8 @@
             limits: Limits { memory_mb: count("limits.memory_mb")?, sockets: count("limits.sockets")? },
             board: address("board")?,
             known: serde_json::from_value(key("known")?.clone()).map_err(|what| format!("known: {what}"))?,
-            facts: facts::parse(&pairs)?,
-            wiring: wiring::parse(&pairs)?,
+            facts: DeploymentSettings::parse(&pairs).map_err(|error| error.to_string())?,
+            wiring: NetworkSettings::parse(&pairs).map_err(|error| error.to_string())?,
             unchanging: UNCHANGING
                 .iter()
                 .map(|name| Ok((name.to_string(), key(name)?.clone())))
--- a/crates/rockflow-dispatcher/tests/common/mod.rs
+++ b/crates/rockflow-dispatcher/tests/common/mod.rs
@@ -406,7 +406,7 @@
     fn start(&mut self, words: &[&str]) {
         let mut told = self.told("board", words);
         if words.contains(&"unknown-product") {
-            told.wiring.classes.push("unknown".to_string());
+            told.wiring.class_names.push("unknown".to_string());
         }
         self.comments = words.contains(&"comments");
         SET_UP.call_once(Service::set_up);
--- a/crates/rockflow-dispatcher/tests/told.rs
+++ b/crates/rockflow-dispatcher/tests/told.rs
@@ -2,7 +2,7 @@
 
 use rockflow_dispatcher::caps::Caps;
 use rockflow_dispatcher::Told;
-use rockflow_settings::Pairs;
+use rockflow_settings::DottedSettings;
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -34,8 +34,9 @@
 fn nested_settings_read_as_dotted_lines() {
     let nested =
         json!({"az": 1, "a": {"b": [true, 2.5], "c": "one, two"}, "grades": [{"name": "x"}, {"name": "y"}]});
-    let (nested, dotted) = (Pairs::from_json(&nested), "az=1\na.b=true,2.5\na.c=one__two\ngrades.count=2\n");
-    let dotted = Pairs::from_lines(&format!("{dotted}grades.0.name=x\ngrades.1.name=y\n"));
+    let (nested, dotted) =
+        (DottedSettings::from_json(&nested), "az=1\na.b=true,2.5\na.c=one__two\ngrades.count=2\n");
+    let dotted = DottedSettings::from_lines(&format!("{dotted}grades.0.name=x\ngrades.1.name=y\n"));
     for key in ["az", "a.b", "a.c", "grades.count", "grades.0.name", "grades.1.name"] {
         assert_eq!(nested.text(key), dotted.text(key));
     }
--- a/crates/rockflow-settings/src/dotted.rs
+++ b/crates/rockflow-settings/src/dotted.rs
@@ -1,97 +1,137 @@
-//! Told settings as dotted keys with text values, from lines or from nested JSON; and how a value is read.
+//! Settings as dotted keys with text values, and how a value is read.
 
+use crate::error::SettingsError;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use std::time::Duration;
 
-pub struct Pairs(BTreeMap<String, String>);
+/// Settings by dotted key, as text.
+#[derive(Clone, Debug, Default)]
+pub struct DottedSettings {
+    values: BTreeMap<String, String>,
+}
 
-impl Pairs {
-    /// `key=value`, one a line; other lines are skipped.
+impl DottedSettings {
+    /// Reads `key=value`, one a line; other lines are skipped.
     pub fn from_lines(text: &str) -> Self {
         let pairs = text.lines().filter_map(|line| line.split_once('='));
-        Pairs(pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect())
+        let values = pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect();
+        DottedSettings { values }
     }
 
-    /// Nested JSON as the lines would have it: a list of plain values is joined by commas, one of objects
-    /// gives its length under `.count` and its items under `.0`, `.1` and so on.
+    /// Reads nested JSON as the lines would have it: a list of plain values is joined by commas, one of objects gives its
+    /// length under `.count` and its items under `.0`, `.1` and so on.
     pub fn from_json(value: &Value) -> Self {
-        let mut pairs = BTreeMap::new();
-        flatten("", value, &mut pairs);
-        Pairs(pairs)
+        let mut values = BTreeMap::new();
+        flatten("", value, &mut values);
+        DottedSettings { values }
     }
 
-    pub fn has(&self, key: &str) -> bool {
-        self.0.contains_key(key)
+    /// Whether a key is present.
+    pub fn contains(&self, key: &str) -> bool {
+        self.values.contains_key(key)
     }
 
-    pub fn text(&self, key: &str) -> Result<&str, String> {
-        self.0.get(key).map(String::as_str).ok_or_else(|| format!("settings: {key} is missing"))
+    /// The text of a key.
+    ///
+    /// # Errors
+    /// If the key is missing, as for all other readers.
+    pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
+        self.values.get(key).map(String::as_str).ok_or_else(|| SettingsError::missing(key))
     }
 
-    pub fn parsed<T: FromStr>(&self, key: &str) -> Result<T, String> {
-        self.text(key)?.parse().map_err(|_| bad(key))
+    /// A value of any type that is parsed from text.
+    ///
+    /// # Errors
+    /// If the key is missing or its text does not parse.
+    pub fn parse<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
+        self.text(key)?.parse().map_err(|_| SettingsError::malformed(key))
     }
 
-    pub fn ratio(&self, key: &str) -> Result<f64, String> {
-        self.parsed::<f64>(key).ok().filter(|value| value.is_finite() && *value >= 0.0).ok_or_else(|| {
-            match self.text(key) {
-                Err(missing) => missing,
-                Ok(_) => bad(key),
-            }
-        })
+    /// A finite number that is not negative.
+    ///
+    /// # Errors
+    /// If the key is missing or its text is no such number.
+    pub fn non_negative(&self, key: &str) -> Result<f64, SettingsError> {
+        let number: f64 = self.parse(key)?;
+        if number.is_finite() && number >= 0.0 {
+            Ok(number)
+        } else {
+            Err(SettingsError::malformed(key))
+        }
     }
 
-    pub fn span(&self, key: &str) -> Result<Duration, String> {
-        Ok(Duration::from_micros(self.parsed(key)?))
+    /// A duration, written in whole microseconds.
+    ///
+    /// # Errors
+    /// If the key is missing or its text is no whole number.
+    pub fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
+        Ok(Duration::from_micros(self.parse(key)?))
     }
 
-    pub fn list(&self, key: &str) -> Result<Vec<&str>, String> {
+    /// The items of a comma-separated list, without empty ones.
+    ///
+    /// # Errors
+    /// If the key is missing.
+    pub fn list(&self, key: &str) -> Result<Vec<&str>, SettingsError> {
         Ok(self.text(key)?.split(',').filter(|item| !item.is_empty()).collect())
     }
 
-    pub fn item<T: FromStr>(&self, key: &str, place: usize) -> Result<T, String> {
-        self.list(key)?.get(place).and_then(|item| item.parse().ok()).ok_or_else(|| bad(key))
+    /// The item of a list at an index, from 0.
+    ///
+    /// # Errors
+    /// If the key is missing, the list is too short or the item does not parse.
+    pub fn list_item<T: FromStr>(&self, key: &str, index: usize) -> Result<T, SettingsError> {
+        let items = self.list(key)?;
+        let item = items.get(index).and_then(|item| item.parse().ok());
+        item.ok_or_else(|| SettingsError::malformed(key))
     }
 
-    pub fn word<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Result<T, String> {
+    /// The value that the text of a key stands for.
+    ///
+    /// # Errors
+    /// If the key is missing or its text is none of the choices.
+    pub fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Result<T, SettingsError> {
         let text = self.text(key)?;
-        let found = words.iter().find(|(word, _)| *word == text);
-        found.map(|(_, value)| *value).ok_or_else(|| bad(key))
+        let found = choices.iter().find(|(name, _)| *name == text);
+        found.map(|(_, value)| *value).ok_or_else(|| SettingsError::malformed(key))
     }
 }
 
-fn bad(key: &str) -> String {
-    format!("settings: {key} does not parse")
-}
-
 /// Text as it stands in a value: spaces and commas become `_`.
-pub fn plain(text: &str) -> String {
+pub fn normalize_value(text: &str) -> String {
     text.replace([' ', ','], "_")
 }
 
-fn scalar(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
-        Value::String(text) => plain(text),
+        Value::String(text) => normalize_value(text),
         other => other.to_string(),
     }
 }
 
-fn flatten(path: &str, value: &Value, into: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+fn flatten(path: &str, value: &Value, values: &mut BTreeMap<String, String>) {
+    let child = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, value)| flatten(&below(name), value, into)),
+        Value::Object(fields) => {
+            for (name, value) in fields {
+                flatten(&child(name), value, values);
+            }
+        }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            into.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, item)| flatten(&below(&i.to_string()), item, into));
+            values.insert(child("count"), items.len().to_string());
+            for (index, item) in items.iter().enumerate() {
+                flatten(&child(&index.to_string()), item, values);
+            }
         }
         Value::Array(items) => {
-            into.insert(path.to_string(), items.iter().map(scalar).collect::<Vec<_>>().join(","));
+            let texts: Vec<String> = items.iter().map(scalar_text).collect();
+            values.insert(path.to_string(), texts.join(","));
         }
-        plain => {
-            into.insert(path.to_string(), scalar(plain));
+        scalar => {
+            values.insert(path.to_string(), scalar_text(scalar));
         }
     }
 }
--- a/crates/rockflow-settings/src/lib.rs
+++ b/crates/rockflow-settings/src/lib.rs
@@ -1,10 +1,16 @@
-//! What a deployment is told, as the facts that the decisions and the network go by. One reading serves the
-//! simulator's adapter and the dispatcher on sockets.
+//! Reads the settings of a deployment: the configuration of the decisions ([`DeploymentSettings`]) and what a dispatcher
+//! on sockets needs besides ([`NetworkSettings`]).
+//!
+//! Settings come as dotted `key=value` lines (from the simulator) or as nested JSON (from the platform).
+//! [`DottedSettings`] reads both alike. Unknown keys are skipped; a required key that is missing or does not parse is named
+//! by a [`SettingsError`].
 
-pub mod dotted;
-pub mod facts;
-pub mod wiring;
+mod deployment;
+mod dotted;
+mod error;
+mod network;
 
-pub use dotted::Pairs;
-pub use facts::{parse, Facts};
-pub use wiring::Wiring;
+pub use deployment::DeploymentSettings;
+pub use dotted::{normalize_value, DottedSettings};
+pub use error::SettingsError;
+pub use network::NetworkSettings;
--- a/crates/rockflow-settings/tests/settings.rs
+++ b/crates/rockflow-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The keys and values of a configuration, as text, against every field that is read from them.
 
 use rockflow::{CacheStatusDetail, Class, Effect, KeyScope, LocationId, SlowStart, WeightMeaning};
-use rockflow_settings::{facts, wiring, Facts, Pairs, Wiring};
+use rockflow_settings::{DeploymentSettings, DottedSettings, NetworkSettings, SettingsError};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -109,16 +109,19 @@
 /// Keys that may be missing.
 const OPTIONAL: [&str; 3] = ["grades.0.aimStretch", "grades.2.aimStretch", "unknown.key"];
 
-fn parse_lines(lines: &str) -> Result<(Facts, Wiring), String> {
-    parse(&Pairs::from_lines(lines))
+type Parsed = (DeploymentSettings, NetworkSettings);
+
+fn parse_lines(lines: &str) -> Result<Parsed, String> {
+    parse(&DottedSettings::from_lines(lines))
 }
 
-fn parse_json(json: &str) -> Result<(Facts, Wiring), String> {
-    parse(&Pairs::from_json(&serde_json::from_str(json).expect("valid JSON")))
+fn parse_json(json: &str) -> Result<Parsed, String> {
+    parse(&DottedSettings::from_json(&serde_json::from_str(json).expect("valid JSON")))
 }
 
-fn parse(pairs: &Pairs) -> Result<(Facts, Wiring), String> {
-    Ok((facts::parse(pairs)?, wiring::parse(pairs)?))
+fn parse(settings: &DottedSettings) -> Result<Parsed, String> {
+    let read = || Ok((DeploymentSettings::parse(settings)?, NetworkSettings::parse(settings)?));
+    read().map_err(|error: SettingsError| error.to_string())
 }
 
 /// The lines with one of them replaced.
@@ -161,10 +164,13 @@
 
 #[test_case(parse_lines(LINES); "dotted lines")]
 #[test_case(parse_json(JSON); "nested JSON")]
-fn reads_every_field_of_the_deployment(parsed: Result<(Facts, Wiring), String>) {
-    let (facts, _) = parsed.expect("valid settings");
-    assert_eq!((facts.parent_kind, facts.origin_kind, facts.kinds, facts.locations), (1, 2, 4, 3));
-    let config = facts.deployment;
+fn reads_every_field_of_the_deployment(parsed: Result<Parsed, String>) {
+    let (settings, _) = parsed.expect("valid settings");
+    assert_eq!(
+        (settings.parent_kind, settings.origin_kind, settings.kind_count, settings.location_count),
+        (1, 2, 4, 3)
+    );
+    let config = settings.deployment;
     assert_eq!(config.location, LocationId(1));
     assert_eq!(config.location_dispatchers, 4);
     assert_eq!(config.dispatcher_count, 7);
@@ -198,17 +204,17 @@
 
 #[test_case(parse_lines(LINES); "dotted lines")]
 #[test_case(parse_json(JSON); "nested JSON")]
-fn reads_every_field_of_the_network(parsed: Result<(Facts, Wiring), String>) {
-    let (_, wiring) = parsed.expect("valid settings");
-    assert_eq!(wiring.classes, ["pages", "orders", "payments"]);
-    assert_eq!(wiring.locations, ["hub", "shop", "edge"]);
-    assert_eq!(wiring.kinds, ["box", "parent", "origin", "spare"]);
-    assert_eq!(wiring.connect_limit, Duration::from_millis(400));
-    assert_eq!(wiring.idle_limit, Duration::from_secs(30));
-    assert_eq!(wiring.drain_limit, Duration::from_secs(2));
-    assert_eq!(wiring.answer_slack, Duration::from_millis(8));
-    assert_eq!(wiring.max_streams, 100);
-    assert_eq!(wiring.report, ["utilization", "outstanding", "x1"]);
+fn reads_every_field_of_the_network(parsed: Result<Parsed, String>) {
+    let (_, network) = parsed.expect("valid settings");
+    assert_eq!(network.class_names, ["pages", "orders", "payments"]);
+    assert_eq!(network.location_names, ["hub", "shop", "edge"]);
+    assert_eq!(network.kind_names, ["box", "parent", "origin", "spare"]);
+    assert_eq!(network.connect_timeout, Duration::from_millis(400));
+    assert_eq!(network.idle_timeout, Duration::from_secs(30));
+    assert_eq!(network.drain_timeout, Duration::from_secs(2));
+    assert_eq!(network.answer_slack, Duration::from_millis(8));
+    assert_eq!(network.max_streams, 100);
+    assert_eq!(network.load_report_fields, ["utilization", "outstanding", "x1"]);
 }
 
 #[test_case("weights", "nominal", WeightMeaning::LinkCapacity)]
@@ -216,32 +222,32 @@
 #[test_case("weights", "live", WeightMeaning::Unknown)]
 #[test_case("weights", "silent", WeightMeaning::Unknown)]
 fn reads_the_meaning_of_weights(key: &str, value: &str, meaning: WeightMeaning) {
-    let (facts, _) = parse_lines(&with(key, value)).expect("valid settings");
-    assert_eq!(facts.deployment.weight_meaning, meaning);
+    let (settings, _) = parse_lines(&with(key, value)).expect("valid settings");
+    assert_eq!(settings.deployment.weight_meaning, meaning);
 }
 
 #[test_case("all", CacheStatusDetail::All)]
 #[test_case("hit", CacheStatusDetail::HitsOnly)]
 #[test_case("silent", CacheStatusDetail::None)]
 fn reads_the_detail_of_cache_status(value: &str, detail: CacheStatusDetail) {
-    let (facts, _) = parse_lines(&with("familyInfo.noteLevel", value)).expect("valid settings");
-    assert_eq!(facts.deployment.cache_status_detail, detail);
+    let (settings, _) = parse_lines(&with("familyInfo.noteLevel", value)).expect("valid settings");
+    assert_eq!(settings.deployment.cache_status_detail, detail);
 }
 
 #[test_case("all", KeyScope::All)]
 #[test_case("zone", KeyScope::Location)]
 #[test_case("cell", KeyScope::Cell)]
 fn reads_the_scope_of_idempotency_keys(value: &str, expected: KeyScope) {
-    let (facts, _) = parse_lines(&with("grades.1.group", value)).expect("valid settings");
-    let Effect::IdempotencyKey { scope, .. } = facts.deployment.classes[1].effect else { panic!() };
+    let (settings, _) = parse_lines(&with("grades.1.group", value)).expect("valid settings");
+    let Effect::IdempotencyKey { scope, .. } = settings.deployment.classes[1].effect else { panic!() };
     assert_eq!(scope, expected);
 }
 
 #[test]
 fn parents_start_like_caches_where_there_are_none() {
-    let (facts, _) = parse_lines(&with("familyInfo.midKind", "-1")).expect("valid settings");
-    assert_eq!(facts.parent_kind, -1);
-    assert_slow_start(facts.deployment.parent_slow_start, 0.16, 15_000_000, 2.5);
+    let (settings, _) = parse_lines(&with("familyInfo.midKind", "-1")).expect("valid settings");
+    assert_eq!(settings.parent_kind, -1);
+    assert_slow_start(settings.deployment.parent_slow_start, 0.16, 15_000_000, 2.5);
 }
 
 #[test]
@@ -249,22 +255,22 @@
     let lines = with("discovery", "pushed").replace("limits.retryAfter=true", "limits.retryAfter=false");
     let lines =
         lines.replace("rules.askWithinUs=9000000\n", "").replace("limits.maxRetryAfterUs=1000000\n", "");
-    let (facts, _) = parse_lines(&lines).expect("valid settings");
-    assert_eq!(facts.deployment.endpoint_list_max_age, None);
-    assert_eq!(facts.deployment.max_retry_after, None);
+    let (settings, _) = parse_lines(&lines).expect("valid settings");
+    assert_eq!(settings.deployment.endpoint_list_max_age, None);
+    assert_eq!(settings.deployment.max_retry_after, None);
 }
 
 #[test]
 fn hosts_without_load_reports_need_no_fields() {
     let lines = with("telemetry.how", "silent").replace("telemetry.fields=utilization,outstanding,x1\n", "");
-    let (_, wiring) = parse_lines(&lines).expect("valid settings");
-    assert!(wiring.report.is_empty());
+    let (_, network) = parse_lines(&lines).expect("valid settings");
+    assert!(network.load_report_fields.is_empty());
 }
 
 #[test]
 fn a_connection_carries_one_stream_at_least() {
-    let (_, wiring) = parse_lines(&with("limits.maxStreams", "0")).expect("valid settings");
-    assert_eq!(wiring.max_streams, 1);
+    let (_, network) = parse_lines(&with("limits.maxStreams", "0")).expect("valid settings");
+    assert_eq!(network.max_streams, 1);
 }
 
 #[test]
@@ -305,6 +311,6 @@
 
 #[test]
 fn spaces_and_commas_in_json_text_become_underscores() {
-    let (_, wiring) = parse_json(&JSON.replace("\"pages\"", "\"pages, all\"")).expect("valid settings");
-    assert_eq!(wiring.classes[0], "pages__all");
+    let (_, network) = parse_json(&JSON.replace("\"pages\"", "\"pages, all\"")).expect("valid settings");
+    assert_eq!(network.class_names[0], "pages__all");
 }
--- a/crates/rockflow-simulator-adapter/src/lib.rs
+++ b/crates/rockflow-simulator-adapter/src/lib.rs
@@ -7,7 +7,7 @@
     EndpointEntry, Event, GroupId, ListScope, LocationId, ObjectId, Outcome, Readiness, Request, RequestId,
     Role, TimerId,
 };
-use rockflow_settings::{Facts, Pairs};
+use rockflow_settings::{DeploymentSettings, DottedSettings};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 struct Instance {
     dispatcher: Dispatcher,
-    facts: Facts,
+    facts: DeploymentSettings,
 }
 
 /// The lists of the process and its instances by number; none for one whose settings did not parse.
@@ -167,14 +167,14 @@
         let seed = r.u64()?;
         let length = r.u32()? as usize;
         let text = String::from_utf8_lossy(r.take(length)?);
-        let instance = match rockflow_settings::parse(&Pairs::from_lines(&text)) {
+        let instance = match DeploymentSettings::parse(&DottedSettings::from_lines(&text)) {
             Ok(facts) => {
                 let mut dispatcher = Dispatcher::new(facts.deployment.clone(), seed);
                 dispatcher.start().iter().for_each(|action| part.put(action));
                 Some(Instance { dispatcher, facts })
             }
             Err(what) => {
-                part.record(329, |out| put_bytes(out, what.as_bytes()));
+                part.record(329, |out| put_bytes(out, what.to_string().as_bytes()));
                 None
             }
         };
@@ -209,7 +209,7 @@
     r: &mut Reader,
     code: u16,
     lists: &[Option<Vec<Entry>>],
-    facts: Option<&Facts>,
+    facts: Option<&DeploymentSettings>,
 ) -> Result<Option<Event>, String> {
     let place = r.place();
     let event = match code {
@@ -230,8 +230,8 @@
             };
             let Some(facts) = facts else { return Ok(None) };
             let listing = |entry: &Entry| {
-                let place_known = usize::from(entry.listing.location.0) < facts.locations;
-                if !place_known || entry.kind >= facts.kinds as i64 {
+                let place_known = usize::from(entry.listing.location.0) < facts.location_count;
+                if !place_known || entry.kind >= facts.kind_count as i64 {
                     return Err(format!("list {number} names an unknown zone or kind at byte {place}"));
                 }
                 let role = match entry.kind {
