--- a/crates/rockflow-scale/src/slopes/cold.rs
+++ b/crates/rockflow-scale/src/slopes/cold.rs
@@ -3,7 +3,9 @@
 use super::measure::processor;
 use super::{Bench, Listed};
 use rockflow::Role;
-use rockflow_routing_simulation::cold::{play, Case, Course, GAP};
+use rockflow_routing_simulation::warm_up::{
+    simulate, Restarts, Traffic, WarmUpCase, WarmUpResult, REQUEST_INTERVAL,
+};
 use std::time::Duration;
 
 pub const SERIES: &[Listed] =
@@ -20,15 +22,23 @@
         for dispatchers in SIZES {
             let x = ("dispatchers", dispatchers as f64);
             let others = [("uneven", f64::from(u8::from(uneven))), ("again", f64::from(u8::from(again)))];
-            let (start, gap) = (processor(), GAP.min(EACH / dispatchers as u32));
+            let (start, gap) = (processor(), REQUEST_INTERVAL.min(EACH / dispatchers as u32));
             let (mut spare, mut least, mut worst) = (f64::INFINITY, f64::INFINITY, 0.0f64);
             for cold in [Role::Cache, Role::Parent] {
                 for size_kb in [50.0, 400.0] {
                     let told_within = Duration::from_millis(told_ms);
-                    let case = Case { cold, size_kb, uneven, told_within, again, gap };
-                    let Course { sent, over, share } = play(dispatchers, case, bench.seed);
-                    (spare, least) = (spare.min(-over), least.min(sent.len() as f64));
-                    worst = worst.max(share);
+                    let case = WarmUpCase {
+                        role: cold,
+                        size_kb,
+                        traffic: if uneven { Traffic::Uneven } else { Traffic::Even },
+                        notice_spread: told_within,
+                        restarts: if again { Restarts::Most } else { Restarts::None },
+                        request_interval: gap,
+                    };
+                    let WarmUpResult { sent, max_excess, max_share_of_bound } =
+                        simulate(dispatchers, case, bench.seed);
+                    (spare, least) = (spare.min(-max_excess), least.min(sent.len() as f64));
+                    worst = worst.max(max_share_of_bound);
                 }
             }
             if processor() - start > bench.budget {
--- a/crates/rockflow-scale/src/slopes/decisions.rs
+++ b/crates/rockflow-scale/src/slopes/decisions.rs
@@ -36,8 +36,10 @@
 
 impl Asked {
     fn new(hosts: usize) -> Asked {
-        let told =
-            DeploymentConfig { max_tracked: 1_000_000, ..rockflow_routing_simulation::deployment(0, 1) };
+        let told = DeploymentConfig {
+            max_tracked: 1_000_000,
+            ..rockflow_routing_simulation::deployment_config(0, 1)
+        };
         let mut dispatcher = Dispatcher::new(told, 1);
         let now = Duration::from_secs(100);
         dispatcher
--- a/crates/rockflow-scale/src/slopes/list.rs
+++ b/crates/rockflow-scale/src/slopes/list.rs
@@ -87,7 +87,7 @@
 
         let listings = listings(hosts, LINK);
         let told = |_| {
-            let mut dispatcher = Dispatcher::new(rockflow_routing_simulation::deployment(0, 1), 1);
+            let mut dispatcher = Dispatcher::new(rockflow_routing_simulation::deployment_config(0, 1), 1);
             dispatcher
                 .handle(now, Event::EndpointsListed { scope: ListScope::Full, entries: listings.clone() });
             dispatcher
--- a/crates/rockflow-scale/src/slopes/purges.rs
+++ b/crates/rockflow-scale/src/slopes/purges.rs
@@ -49,7 +49,7 @@
     let told = rockflow::DeploymentConfig {
         purge_window: done,
         max_tracked: 1_000_000,
-        ..rockflow_routing_simulation::deployment(0, 1)
+        ..rockflow_routing_simulation::deployment_config(0, 1)
     };
     let mut dispatcher = Dispatcher::new(told, 1);
     let mut now = Duration::from_secs(100);
--- /dev/null
+++ b/crates/rockflow/tests/fill_limit_recovery.rs
@@ -0,0 +1,81 @@
+//! A burst of late responses limits fills, then parents are healthy: until fills go out as before takes at most three of the
+//! longest deadline after the last late one, however few requests there are and whatever the random draws.
+
+use rockflow::{CacheStatus, Outcome, Role};
+use rockflow_routing_simulation::{
+    endpoint_entry, FinalAnswerKind, FleetOptions, FleetSimulation, HostResponse, DEADLINE,
+};
+use std::time::Duration;
+use test_case::test_case;
+
+const BURST: Duration = Duration::from_secs(10);
+const LATE_FILL: Duration = Duration::from_millis(1500);
+const TIMELY_FILL: Duration = Duration::from_millis(60);
+const MISS_TIME: Duration = Duration::from_millis(1);
+
+/// The share of the requests that was rejected.
+struct RejectedShares {
+    /// Of those in the last seconds of the burst.
+    while_limited: f64,
+    /// Of those in the time that the recovery may take.
+    while_recovering: f64,
+    after: f64,
+}
+
+/// Fills are late during the burst, and `late_share` of them after it.
+fn simulate(request_interval: Duration, late_share: f64, seed: u64) -> RejectedShares {
+    let mut fleet = FleetSimulation::new(FleetOptions {
+        seed,
+        dispatchers: 1,
+        request_interval,
+        mean_size_kb: 10.0,
+        object_count: None,
+    });
+    let cache = endpoint_entry(1, Role::Cache, 1000.0, None);
+    let parent = endpoint_entry(100, Role::Parent, 1000.0, None);
+    fleet.restart_dispatcher(Duration::ZERO, 0, vec![cache, parent]);
+    fleet.start_requests(Duration::ZERO, 0);
+    let mut rng = oorandom::Rand64::new(u128::from(seed));
+    fleet.run(BURST + 12 * DEADLINE, |sent| {
+        let is_late = sent.at < BURST || rng.rand_float() < late_share;
+        let (outcome, cache_status, duration) = match (sent.is_cached_only(), is_late) {
+            (true, _) => (Outcome::Miss, CacheStatus::Unknown, MISS_TIME),
+            (false, true) => (Outcome::Succeeded, CacheStatus::Filled, LATE_FILL),
+            (false, false) => (Outcome::Succeeded, CacheStatus::Filled, TIMELY_FILL),
+        };
+        HostResponse { outcome, cache_status, duration }
+    });
+    // The last late fill of the burst ends this much after it.
+    let healthy = BURST + LATE_FILL;
+    let recovered = healthy + 3 * DEADLINE;
+    RejectedShares {
+        while_limited: rejected_share(&fleet, BURST / 2, BURST),
+        while_recovering: rejected_share(&fleet, healthy, recovered),
+        after: rejected_share(&fleet, recovered, healthy + 10 * DEADLINE),
+    }
+}
+
+fn rejected_share(fleet: &FleetSimulation, from: Duration, to: Duration) -> f64 {
+    let requests = || fleet.requests.values().filter(|request| (from..to).contains(&request.at));
+    let rejected = requests().filter(|request| request.has_answer(FinalAnswerKind::Rejected));
+    rejected.count() as f64 / requests().count().max(1) as f64
+}
+
+#[test_case(20, 0.0; "many requests")]
+#[test_case(200, 0.0; "some")]
+#[test_case(1000, 0.0; "few")]
+#[test_case(20, 0.1; "many requests, a tenth of the responses still late")]
+#[test_case(200, 0.1; "some, a tenth still late")]
+fn fills_recover_within_a_bound_after_a_late_burst(request_interval_ms: u64, late_share: f64) {
+    for seed in 1..=20 {
+        let rejected = simulate(Duration::from_millis(request_interval_ms), late_share, seed);
+        let RejectedShares { while_limited, while_recovering, after } = rejected;
+        println!(
+            "seed {seed}: {while_limited:.2} rejected while limited, {while_recovering:.3} while recovering, \
+             {after:.3} after it"
+        );
+        assert!(while_limited > 0.8, "seed {seed}: fills were never limited");
+        // A fill that is late itself ends rejected; hardly one more does.
+        assert!(after <= 3.0 * late_share, "seed {seed}: {after} still rejected");
+    }
+}
--- /dev/null
+++ b/crates/rockflow/tests/rolling_replacement.rs
@@ -0,0 +1,221 @@
+//! All caches of a location replaced within seven seconds, while each dispatcher learns of it late and in an order of its
+//! own: every request gets one final answer in time, nothing goes to a host that is known to drain, no new host is
+//! overloaded, and nothing is lost any more once the last change of the list has arrived.
+
+use rockflow::{CacheStatus, EndpointEntry, Event, HostId, ListScope, ObjectId, Outcome, Readiness, Role};
+use rockflow_routing_simulation::{
+    endpoint_entry, FinalAnswerKind, FleetOptions, FleetSimulation, HostResponse, SentAttempt, SlowStartHost,
+    DEADLINE, STREAM_KB_PER_S,
+};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use test_case::test_case;
+
+const DISPATCHERS: usize = 30;
+const CACHES: u64 = 6;
+const FIRST_NEW_CACHE: u64 = 50;
+const LINK_WEIGHT: f64 = 6.0;
+const SIZE_KB: f64 = 50.0;
+const OBJECTS: u64 = 400;
+const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
+const RESPONSE_TIME: Duration = Duration::from_millis(60);
+const MISS_TIME: Duration = Duration::from_millis(2);
+const REFUSAL_TIME: Duration = Duration::from_millis(1);
+/// When the first cache is replaced; the fleet runs steadily by then.
+const BEGIN: Duration = Duration::from_secs(20);
+/// The time between the replacements of two caches.
+const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(1100);
+/// The time from a cache's drain until it has left.
+const DRAIN_TIME: Duration = Duration::from_millis(700);
+/// The time from then until its successor starts.
+const START_DELAY: Duration = Duration::from_millis(400);
+/// How late a dispatcher learns of a change at the latest.
+const MAX_NOTICE_DELAY: Duration = Duration::from_secs(4);
+/// When the last change has arrived everywhere.
+const LAST_CHANGE: Duration = Duration::from_secs(BEGIN.as_secs() + 6 + 2 + MAX_NOTICE_DELAY.as_secs());
+const END: Duration = Duration::from_secs(LAST_CHANGE.as_secs() + 15);
+
+#[derive(Clone, Copy, PartialEq)]
+enum Notice {
+    AtOnce,
+    /// At each dispatcher after a delay of its own for each change.
+    Delayed,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct HostAtDispatcher {
+    dispatcher: usize,
+    host: HostId,
+}
+
+struct Simulation {
+    fleet: FleetSimulation,
+    /// When a dispatcher learned that a host drains.
+    drain_notices: BTreeMap<HostAtDispatcher, Duration>,
+}
+
+struct Change {
+    at: Duration,
+    entry: EndpointEntry,
+}
+
+/// When a cache starts to drain.
+fn drain_begin(cache: u64) -> Duration {
+    BEGIN + REPLACEMENT_INTERVAL * cache as u32
+}
+
+/// When the successor of a cache starts.
+fn successor_start(cache: u64) -> Duration {
+    drain_begin(cache) + DRAIN_TIME + START_DELAY
+}
+
+fn old_cache(cache: u64) -> EndpointEntry {
+    endpoint_entry(cache, Role::Cache, LINK_WEIGHT, None)
+}
+
+/// The changes of the list by which a cache is replaced.
+fn changes(cache: u64) -> [Change; 3] {
+    let old = |readiness| EndpointEntry { readiness, ..old_cache(cache) };
+    let start = successor_start(cache);
+    let successor = endpoint_entry(FIRST_NEW_CACHE + cache, Role::Cache, LINK_WEIGHT, Some(start));
+    [
+        Change { at: drain_begin(cache), entry: old(Readiness::Draining) },
+        Change { at: drain_begin(cache) + DRAIN_TIME, entry: old(Readiness::Gone) },
+        Change { at: start, entry: successor },
+    ]
+}
+
+/// Whether the cache runs at a time, by its id.
+fn is_up(host: HostId, at: Duration) -> bool {
+    if host.0 < CACHES {
+        at < drain_begin(host.0) + DRAIN_TIME
+    } else {
+        at >= successor_start(host.0 - FIRST_NEW_CACHE)
+    }
+}
+
+/// Caches that hold what they were filled with.
+#[derive(Default)]
+struct Caches {
+    copies: BTreeSet<(HostId, ObjectId)>,
+}
+
+impl Caches {
+    fn respond(&mut self, sent: &SentAttempt) -> HostResponse {
+        let host = sent.attempt.host;
+        let (outcome, cache_status, duration) = if !is_up(host, sent.at) {
+            (Outcome::ConnectFailed, CacheStatus::Unknown, REFUSAL_TIME)
+        } else if self.copies.contains(&(host, sent.object)) {
+            (Outcome::Succeeded, CacheStatus::Hit, RESPONSE_TIME)
+        } else if sent.is_cached_only() {
+            (Outcome::Miss, CacheStatus::Unknown, MISS_TIME)
+        } else {
+            self.copies.insert((host, sent.object));
+            (Outcome::Succeeded, CacheStatus::Filled, RESPONSE_TIME)
+        };
+        HostResponse { outcome, cache_status, duration }
+    }
+}
+
+impl Simulation {
+    fn run(notice: Notice, seed: u64) -> Self {
+        let fleet = FleetSimulation::new(FleetOptions {
+            seed,
+            dispatchers: DISPATCHERS,
+            request_interval: REQUEST_INTERVAL,
+            mean_size_kb: SIZE_KB,
+            object_count: Some(OBJECTS),
+        });
+        let mut simulation = Simulation { fleet, drain_notices: BTreeMap::new() };
+        let parents = (100..104).map(|id| endpoint_entry(id, Role::Parent, 4.0 * LINK_WEIGHT, None));
+        let hosts: Vec<EndpointEntry> = (0..CACHES).map(old_cache).chain(parents).collect();
+        for dispatcher in 0..DISPATCHERS {
+            simulation.fleet.restart_dispatcher(Duration::ZERO, dispatcher, hosts.clone());
+            let phase = simulation.fleet.rng.rand_float();
+            simulation.fleet.start_requests(REQUEST_INTERVAL.mul_f64(phase), dispatcher);
+            for cache in 0..CACHES {
+                simulation.notify_of_replacement(notice, dispatcher, cache);
+            }
+        }
+        let mut caches = Caches::default();
+        simulation.fleet.run(END, |sent| caches.respond(sent));
+        simulation
+    }
+
+    /// The changes of one host arrive in order, those of several hosts in any.
+    fn notify_of_replacement(&mut self, notice: Notice, dispatcher: usize, cache: u64) {
+        let mut noticed = BEGIN;
+        for Change { at, entry } in changes(cache) {
+            let delay = match notice {
+                Notice::AtOnce => Duration::ZERO,
+                Notice::Delayed => MAX_NOTICE_DELAY.mul_f64(self.fleet.rng.rand_float()),
+            };
+            noticed = noticed.max(at + delay);
+            if entry.readiness == Readiness::Draining {
+                self.drain_notices.insert(HostAtDispatcher { dispatcher, host: entry.host }, noticed);
+            }
+            let event = Event::EndpointsListed { scope: ListScope::Changes, entries: vec![entry] };
+            self.fleet.deliver(noticed, dispatcher, event);
+        }
+    }
+
+    /// The share of the requests that arrived in that time that succeeded.
+    fn success_rate(&self, from: Duration, to: Duration) -> f64 {
+        let requests = || self.fleet.requests.values().filter(|request| (from..to).contains(&request.at));
+        let succeeded = requests().filter(|request| request.has_answer(FinalAnswerKind::Succeeded));
+        succeeded.count() as f64 / requests().count() as f64
+    }
+
+    fn assert_one_final_answer_in_time(&self, seed: u64) {
+        for request in self.fleet.requests.values().filter(|request| request.at + DEADLINE < END) {
+            let [answer] = request.final_answers[..] else { panic!("seed {seed}: {request:?}") };
+            assert!(answer.at <= request.at + DEADLINE, "seed {seed}: {request:?}");
+        }
+    }
+
+    fn assert_nothing_sent_to_known_drains(&self, seed: u64) {
+        for sent in &self.fleet.sent {
+            let key = HostAtDispatcher { dispatcher: sent.dispatcher, host: sent.attempt.host };
+            let noticed = self.drain_notices.get(&key);
+            assert!(noticed.is_none_or(|noticed| sent.at < *noticed), "seed {seed}: {sent:?}");
+        }
+    }
+
+    /// The most that a new cache got in a window, over what it tolerates.
+    fn max_relative_work_of_new_caches(&self) -> f64 {
+        let relative_work = |cache: u64| {
+            let started = successor_start(cache);
+            let host = HostId(FIRST_NEW_CACHE + cache);
+            let sent = self.fleet.sent.iter().filter(|sent| sent.attempt.host == host && sent.at >= started);
+            let sent: Vec<Duration> = sent.map(|sent| sent.at).collect();
+            let attempt_s = SIZE_KB / STREAM_KB_PER_S;
+            SlowStartHost { started, weight: LINK_WEIGHT, attempt_s }.max_relative_work(&sent)
+        };
+        (0..CACHES).map(relative_work).fold(0.0, f64::max)
+    }
+}
+
+#[test_case(Notice::AtOnce; "noticed at once")]
+#[test_case(Notice::Delayed; "noticed late, by each in an order of its own")]
+fn replacing_all_caches_loses_little_for_a_bounded_time(notice: Notice) {
+    for seed in 1..=5 {
+        let simulation = Simulation::run(notice, seed);
+        simulation.assert_one_final_answer_in_time(seed);
+        simulation.assert_nothing_sent_to_known_drains(seed);
+        let max_work = simulation.max_relative_work_of_new_caches();
+        let last = if notice == Notice::Delayed { LAST_CHANGE } else { LAST_CHANGE - MAX_NOTICE_DELAY };
+        let before = simulation.success_rate(BEGIN / 2, BEGIN);
+        let during = simulation.success_rate(BEGIN, last);
+        let after = simulation.success_rate(last + DEADLINE, END - DEADLINE);
+        println!(
+            "seed {seed}: {before:.3} succeeded before, {during:.3} during, {after:.3} after it; {max_work:.2}"
+        );
+        assert!(before > 0.99 && after > 0.99, "seed {seed}: {before} before, {after} after");
+        // What the new caches tolerate together at their start is three tenths of what is requested.
+        assert!(during > 0.85, "seed {seed}: {during} during");
+        assert!(
+            (0.3..=1.0).contains(&max_work),
+            "seed {seed}: a new cache got {max_work} of what it tolerates"
+        );
+    }
+}
