--- a/crates/rockflow/src/health.rs
+++ b/crates/rockflow/src/health.rs
@@ -8,7 +8,7 @@
 /// How many times worse its odds must be than the best of its role: what strikes all alike lies behind them.
 const EJECTION_ODDS: f64 = 2.0;
 /// The share of requests that try an ejected host, where it is first in hash order.
-const TRIAL_SHARE: f64 = 0.25;
+const EJECTED_TRY_SHARE: f64 = 0.25;
 
 /// What one outcome says of a host, as parts of a success and of a failure.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -78,7 +78,7 @@
 }
 
 /// Whether a request tries an ejected host, by its random draw. Only the first in hash order is tried, so that the
-/// trials of many dispatchers are no load of their own.
-pub(crate) fn is_trial(draw: f64) -> bool {
-    (draw / TRIAL_SHARE).fract() < TRIAL_SHARE
+/// attempts of many dispatchers are no load of their own.
+pub(crate) fn may_try_ejected(draw: f64) -> bool {
+    (draw / EJECTED_TRY_SHARE).fract() < EJECTED_TRY_SHARE
 }
--- a/crates/rockflow/src/placement.rs
+++ b/crates/rockflow/src/placement.rs
@@ -52,9 +52,9 @@
 
     /// Those of a ranking that can take an attempt now: the healthy ones, or the ejected if there are no others.
     pub(crate) fn candidates(&self, ranking: Vec<HostId>, open: &OpenRequest, work_s: f64) -> Vec<HostId> {
-        let trial = ranking.first().copied().filter(|_| health::is_trial(open.draw));
+        let tried_anyway = ranking.first().copied().filter(|_| health::may_try_ejected(open.draw));
         let can_take = |id: &HostId| self.has_capacity(*id, work_s) && !open.failed_hosts.contains(id);
-        let is_healthy = |id: &HostId| !self.endpoints.is_ejected(*id, self.now) || trial == Some(*id);
+        let is_healthy = |id: &HostId| !self.endpoints.is_ejected(*id, self.now) || tried_anyway == Some(*id);
         let (healthy, ejected): (Vec<HostId>, Vec<HostId>) =
             ranking.into_iter().filter(can_take).partition(is_healthy);
         if healthy.is_empty() {
--- a/crates/rockflow/src/popularity.rs
+++ b/crates/rockflow/src/popularity.rs
@@ -13,7 +13,7 @@
 /// An object is hot when its share of the traffic reaches this part of an even share for each cache.
 const HOT_SHARE: f64 = 0.15;
 /// Decayed requests below which a full table drops a part of an object.
-const KEPT_FROM: f64 = 1.0;
+const TRACKED_FROM: f64 = 1.0;
 
 /// A part of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -45,7 +45,7 @@
     pub(crate) fn record(&mut self, now: Duration, request: &Request) {
         self.total.add(now, 1.0);
         if self.parts.len() >= self.max_tracked {
-            self.parts.retain(|_, requests| requests.read(now) > KEPT_FROM);
+            self.parts.retain(|_, requests| requests.read(now) > TRACKED_FROM);
         }
         if self.parts.len() < self.max_tracked {
             let empty = self.total.emptied();
