--- a/crates/rockflow-dispatcher/src/discovery.rs
+++ b/crates/rockflow-dispatcher/src/discovery.rs
@@ -105,7 +105,7 @@
             list,
             seen: SharedDiscoveryStatus::new(told.discovery_address, told.snapshot.revision),
             chance: oorandom::Rand64::new(u128::from(told.seed)),
-            silence: SilenceDetector::new(clock.now(), told.wiring.drain_limit),
+            silence: SilenceDetector::new(clock.now(), told.wiring.drain_timeout),
             gap_borne: None,
             unread: None,
         }
--- a/crates/rockflow-dispatcher/src/endpoint_list.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list.rs
@@ -11,7 +11,7 @@
 use rockflow::{CellId, EndpointEntry, HostId, ListScope, LocationId, Readiness, Role};
 use rockflow_endpoints::{AdminOverrides, ControlUpdate, EndpointRegistry, RejectedOverride};
 use rockflow_protocol::discovery::{EndpointUpdate, Instance, Lifecycle, WatchEvent};
-use rockflow_settings::{dotted, Facts, Wiring};
+use rockflow_settings::{normalize_value, DeploymentSettings, NetworkSettings};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,11 +27,11 @@
 }
 
 impl EndpointReader {
-    pub fn new(clock: Clock, facts: &Facts, wiring: &Wiring) -> Self {
+    pub fn new(clock: Clock, facts: &DeploymentSettings, wiring: &NetworkSettings) -> Self {
         EndpointReader {
             clock,
-            locations: wiring.locations.clone(),
-            kinds: wiring.kinds.clone(),
+            locations: wiring.location_names.clone(),
+            kinds: wiring.kind_names.clone(),
             parent_kind: facts.parent_kind,
             origin_kind: facts.origin_kind,
         }
@@ -39,7 +39,7 @@
 
     fn entry(&self, instance: &Instance) -> Result<Endpoint, String> {
         let place =
-            |names: &[String], name: &str| names.iter().position(|known| *known == dotted::plain(name));
+            |names: &[String], name: &str| names.iter().position(|known| *known == normalize_value(name));
         let bad = |what: &str| format!("{}: {what}", instance.instance_id);
         let location = place(&self.locations, &instance.zone).ok_or_else(|| bad("unknown zone"))?;
         let kind = place(&self.kinds, &instance.machine_type).ok_or_else(|| bad("unknown kind"))? as i64;
--- a/crates/rockflow-scale/src/virtual_fleet/world.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/world.rs
@@ -80,7 +80,7 @@
 }
 
 /// What a dispatcher was given, on its way into its decisions.
-enum Facts {
+enum DeploymentSettings {
     Purges(Vec<(Purge, Duration)>),
     Settings { settings: BTreeMap<String, DesiredState>, changed: Vec<((StreamId, SequenceNumber), String)> },
 }
@@ -102,7 +102,7 @@
         epoch: u32,
         given: Duration,
         ticket: ApplyToken,
-        facts: Facts,
+        facts: DeploymentSettings,
     },
     /// The board's word of a purge reaches a control node.
     Board {
@@ -615,9 +615,11 @@
                         purges.into_iter().for_each(|(purge, age)| publisher.on_published(now, purge, age));
                     }
                 }
-                Output::Purge { purges, token: ticket } => self.decide(at, ticket, Facts::Purges(purges)),
+                Output::Purge { purges, token: ticket } => {
+                    self.decide(at, ticket, DeploymentSettings::Purges(purges))
+                }
                 Output::Configure { settings, changed, token: ticket } => {
-                    self.decide(at, ticket, Facts::Settings { settings, changed });
+                    self.decide(at, ticket, DeploymentSettings::Settings { settings, changed });
                 }
                 Output::ReplicatedToAll { stream, number, .. } => {
                     self.checker.everywhere(now, stream, number, at);
@@ -657,7 +659,7 @@
         }
     }
 
-    fn decide(&mut self, at: usize, ticket: ApplyToken, facts: Facts) {
+    fn decide(&mut self, at: usize, ticket: ApplyToken, facts: DeploymentSettings) {
         let (given, epoch) = (self.now, self.processes[at].epoch);
         // In the order given, as a dispatcher takes its events.
         let due = (given + self.within(self.play.decide)).max(self.processes[at].decides);
@@ -849,12 +851,12 @@
         self.publish_waiting(at);
     }
 
-    fn decided(&mut self, at: usize, given: Duration, ticket: ApplyToken, facts: Facts) {
+    fn decided(&mut self, at: usize, given: Duration, ticket: ApplyToken, facts: DeploymentSettings) {
         let now = self.now;
         if self.member(at) {
             match facts {
-                Facts::Purges(purges) => self.checker.purged(now, given, at, &purges),
-                Facts::Settings { mut settings, mut changed } => {
+                DeploymentSettings::Purges(purges) => self.checker.purged(now, given, at, &purges),
+                DeploymentSettings::Settings { mut settings, mut changed } => {
                     let refused = self.refused(at, &settings, &changed);
                     for (id, host, why) in refused {
                         settings.remove(&host);
