--- /dev/null
+++ b/crates/rockflow-dissemination/src/apply_queue.rs
@@ -0,0 +1,176 @@
+//! What the caller is to apply: purges and settings that wait to be handed over, and what it has not confirmed yet.
+
+use crate::apply_tokens::{ApplyToken, PendingTokens};
+use crate::entry::{EntryId, Purge, StreamId, StreamKind};
+use crate::output::{Counters, Output};
+use crate::settings::{QuarantinedSettings, SettingsTable};
+use crate::streams::Streams;
+use crate::timestamp::Timestamp;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Whether the caller applies and confirms what it is given.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Confirmation {
+    /// At a member.
+    Required,
+    /// At a control node, which serves nothing.
+    NotNeeded,
+}
+
+/// Work for the caller, in the order in which it was received.
+#[derive(Clone, Debug)]
+pub(crate) struct ApplyQueue {
+    confirmation: Confirmation,
+    purges: Vec<(Purge, Timestamp)>,
+    settings: Vec<(EntryId, String)>,
+    pending_purges: PendingTokens,
+    pending_settings: PendingTokens,
+    last_token: u64,
+    /// Streams that may have advanced since the last flush.
+    touched: BTreeSet<StreamId>,
+}
+
+impl ApplyQueue {
+    pub fn new(confirmation: Confirmation) -> ApplyQueue {
+        ApplyQueue {
+            confirmation,
+            purges: Vec::new(),
+            settings: Vec::new(),
+            pending_purges: PendingTokens::default(),
+            pending_settings: PendingTokens::default(),
+            last_token: 0,
+            touched: BTreeSet::new(),
+        }
+    }
+
+    pub fn push_purge(&mut self, purge: Purge, timestamp: Timestamp) {
+        self.purges.push((purge, timestamp));
+    }
+
+    /// Stands for purges that are lost: everything older than `timestamp` is purged. At a control node, where nothing
+    /// is served, it is only counted.
+    pub fn push_substitute_purge(&mut self, timestamp: Timestamp, counters: &mut Counters) {
+        counters.substitute_purges += 1;
+        if self.confirmation == Confirmation::Required {
+            self.purges.push((Purge::Everything, timestamp));
+        }
+    }
+
+    pub fn push_setting(&mut self, id: EntryId, host: String) {
+        self.settings.push((id, host));
+    }
+
+    /// A stream has changed: what is applied of it is brought up to date with the next flush.
+    pub fn touch(&mut self, stream: StreamId) {
+        self.touched.insert(stream);
+    }
+
+    pub fn touched(&self) -> impl Iterator<Item = StreamId> + '_ {
+        self.touched.iter().copied()
+    }
+
+    pub fn pending_purges(&self) -> usize {
+        self.pending_purges.len()
+    }
+
+    pub fn pending_settings(&self) -> usize {
+        self.pending_settings.len()
+    }
+
+    /// The caller has applied what it was given under this token. True: settings up to it are judged.
+    pub fn confirm(&mut self, token: ApplyToken) -> bool {
+        self.pending_purges.confirm(token);
+        self.pending_settings.confirm_up_to(token)
+    }
+
+    pub fn on_rejected(&mut self, id: EntryId) {
+        self.pending_settings.on_rejected(id);
+    }
+
+    /// The purges that wait, under a new token.
+    pub fn take_purges(
+        &mut self,
+        now: Duration,
+        streams: &Streams,
+        counters: &mut Counters,
+    ) -> Option<Output> {
+        if self.purges.is_empty() {
+            return None;
+        }
+        let token = self.next_token();
+        let mut purges = std::mem::take(&mut self.purges);
+        if self.confirmation == Confirmation::Required {
+            if self.pending_purges.is_full() {
+                counters.token_overflows += 1;
+                self.pending_purges.clear();
+                counters.substitute_purges += 1;
+                purges = vec![(Purge::Everything, Timestamp::ago(now, Duration::ZERO))];
+                self.touched.extend(streams.of_kind(StreamKind::Purges));
+            }
+            self.pending_purges.issue(token, BTreeSet::new());
+        }
+        let purges = purges.into_iter().map(|(purge, timestamp)| (purge, timestamp.age(now))).collect();
+        Some(Output::Purge { purges, token })
+    }
+
+    /// The whole table under a new token, where a setting has changed.
+    pub fn take_settings(
+        &mut self,
+        table: &SettingsTable,
+        quarantined: &mut QuarantinedSettings,
+        streams: &Streams,
+        counters: &mut Counters,
+    ) -> Option<Output> {
+        if self.settings.is_empty() {
+            return None;
+        }
+        let token = self.next_token();
+        let mut changed = std::mem::take(&mut self.settings);
+        let retried = quarantined.retry_under(table, token);
+        let new: BTreeSet<EntryId> = changed.iter().map(|(id, _)| *id).collect();
+        changed.extend(retried.into_iter().filter(|(id, _)| !new.contains(id)));
+        if self.confirmation == Confirmation::Required {
+            if self.pending_settings.is_full() {
+                counters.token_overflows += 1;
+                self.pending_settings.clear();
+                self.touched.extend(streams.of_kind(StreamKind::Configuration));
+            }
+            let unjudged = changed.iter().map(|(id, _)| *id).collect();
+            self.pending_settings.issue(token, unjudged);
+        }
+        Some(Output::Configure { settings: table.desired_states(), changed, token })
+    }
+
+    /// Brings up to date how far streams are applied: by what is confirmed, and by what is still pending. True: one
+    /// of them has advanced.
+    pub fn update_applied(&mut self, streams: &mut Streams) -> bool {
+        let mut has_advanced = false;
+        for id in std::mem::take(&mut self.touched) {
+            let pending = match id.kind {
+                StreamKind::Purges => &mut self.pending_purges,
+                StreamKind::Configuration => &mut self.pending_settings,
+            };
+            let Some(stream) = streams.get_mut(id) else { continue };
+            let received = stream.received();
+            if stream.start_known && !pending.extend(id, received) && stream.applied != received {
+                stream.applied = received;
+                has_advanced = true;
+            }
+        }
+        let mut confirmed = self.pending_purges.take_confirmed();
+        confirmed.extend(self.pending_settings.take_confirmed());
+        for (id, number) in confirmed {
+            if let Some(stream) = streams.get_mut(id) {
+                stream.applied = stream.applied.max(number);
+                has_advanced = true;
+            }
+        }
+        has_advanced
+    }
+
+    fn next_token(&mut self) -> ApplyToken {
+        self.last_token += 1;
+        ApplyToken(self.last_token)
+    }
+}
--- a/crates/rockflow-dissemination/src/children.rs
+++ b/crates/rockflow-dissemination/src/children.rs
@@ -102,6 +102,10 @@
         }
     }
 
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.children.values().map(|child| child.address).collect()
+    }
+
     pub fn reports(&self) -> impl Iterator<Item = &SubtreeReport> {
         self.children.values().flat_map(|child| &child.reports)
     }
--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -1,63 +1,77 @@
-//! What is in force everywhere, as a control node knows it: by every told member's own word.
+//! Replication to all: what every listed member has applied, by the members' own reports.
 
 use crate::directory::Directory;
 use crate::entry::{SequenceNumber, StreamId};
 use crate::identity::ControlId;
 use crate::message::MAX_REGION_REPORTS;
 use crate::output::Counters;
-use crate::subtree_report;
-use crate::subtree_report::{RegionReport, SubtreeReport};
+use crate::subtree_report::{self, LagOf, RegionReport, SubtreeReport};
 use crate::timestamp::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of rows in one frame.
-const MAX_REGION_FRAME_BYTES: usize = 1200;
+/// Bytes of region reports in one message.
+const MAX_MESSAGE_BYTES: usize = 1200;
+/// Bytes of a region report without its slots and streams, about.
+const REPORT_BYTES: usize = 32;
+/// Bytes of one stream and number in a region report, about.
+const REPORTED_STREAM_BYTES: usize = 14;
 
-/// Rows by the control node that heard them, and region: at most sixteen times the regions of a directory. A region that
-/// the directory here doesn't name isn't kept.
-#[derive(Clone, Debug, Default)]
-pub struct ConvergenceTracker {
-    reports: BTreeMap<(ControlId, u16), (SubtreeReport, Timestamp)>,
-    numbers: BTreeMap<StreamId, SequenceNumber>,
+/// A stream's entries that have come to be applied by all since the last look.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Convergence {
+    pub stream: StreamId,
+    /// The last number that was applied by all before.
+    pub before: SequenceNumber,
+    /// The last number that is now.
+    pub to: SequenceNumber,
 }
 
-/// A region as it stands.
+/// A region by all reports.
 #[derive(Clone, Debug, Default)]
-pub struct RegionStatus {
+pub(crate) struct RegionStatus {
+    /// Members that are present.
     pub present: usize,
+    /// The merged report; `None`: nobody has reported.
     pub report: Option<SubtreeReport>,
 }
 
+/// Owns what other control nodes report, and what is known to be applied by all.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ConvergenceTracker {
+    /// By the control node that received them, and region: bounded by the number of control nodes and the regions of
+    /// the directory. A region that the directory doesn't list is not kept.
+    reports: BTreeMap<(ControlId, u16), (SubtreeReport, Timestamp)>,
+    /// The last number that is applied by all.
+    numbers: BTreeMap<StreamId, SequenceNumber>,
+}
+
 impl ConvergenceTracker {
+    /// Takes the report of one region from another control node.
     pub fn insert(
         &mut self,
         now: Duration,
-        control: ControlId,
-        mut report: RegionReport,
+        from: ControlId,
+        region: RegionReport,
         directory: &Directory,
         counters: &mut Counters,
     ) {
-        let region = usize::from(report.report.region);
-        let listed_here = directory
-            .regions()
-            .get(region)
-            .is_some_and(|listed| listed.listing_hash == report.report.listing_hash);
-        if !listed_here {
+        let RegionReport { mut report, age_ms } = region;
+        let listed = directory.regions().get(usize::from(report.region));
+        if listed.is_none_or(|listed| listed.listing_hash != report.listing_hash) {
             counters.reports_dropped += 1;
             return;
         }
-        let key = (control, report.report.region);
-        report.report.truncate_to_limits();
-        self.reports.insert(key, (report.report, Timestamp::ms_ago(now, report.age_ms)));
+        report.truncate_to_limits();
+        self.reports.insert((from, report.region), (report, Timestamp::ms_ago(now, age_ms)));
     }
 
-    /// Drops rows that are too old to count.
+    /// Drops reports older than `ttl`.
     pub fn expire(&mut self, now: Duration, ttl: Duration) {
-        self.reports.retain(|_, (_, timestamp)| timestamp.age(now) <= ttl);
+        self.reports.retain(|_, (_, received)| received.age(now) <= ttl);
     }
 
-    /// After this process stood still, or the directory changed.
+    /// Drops all reports: this process did not run for a while, or the directory has changed.
     pub fn clear_reports(&mut self) {
         self.reports.clear();
     }
@@ -66,89 +80,99 @@
         self.reports.len()
     }
 
+    /// The last number of each stream that is applied by all.
     pub fn numbers(&self) -> &BTreeMap<StreamId, SequenceNumber> {
         &self.numbers
     }
 
-    /// All that is said of a region, here and at the other control nodes.
+    /// Merges all reports of a region, those received here and by the other control nodes.
     pub fn region_status(
         &self,
         region: u16,
         directory: &Directory,
-        direct_reports: &[SubtreeReport],
-        lag: subtree_report::Lag,
+        direct: &[SubtreeReport],
+        lag: LagOf,
     ) -> RegionStatus {
         let Some(listed) = directory.regions().get(usize::from(region)) else {
             return RegionStatus::default();
         };
-        let rows = self.reports.iter().filter(|((_, of), _)| *of == region).map(|(_, (report, _))| report);
-        let all = direct_reports.iter().chain(rows);
-        let mine = all.filter(|report| (report.region, report.listing_hash) == (region, listed.listing_hash));
-        let (mut joined, _) = subtree_report::join(mine, lag, 1);
-        let report = joined.pop();
+        let others = self.reports.values().map(|(report, _)| report);
+        let current =
+            |report: &&SubtreeReport| (report.region, report.listing_hash) == (region, listed.listing_hash);
+        let (mut merged, _) = subtree_report::merge(direct.iter().chain(others).filter(current), lag, 1);
+        let report = merged.pop();
         let slots = listed.order.len() as u16;
         let present = report.as_ref().map_or(0, |report| report.slots.present(slots));
         RegionStatus { present, report }
     }
 
-    /// What has come in force everywhere since: from, and to.
+    /// Returns the streams that have advanced at all members; none while a listed member is missing.
     pub fn advance(
         &mut self,
         directory: &Directory,
-        direct_reports: &[SubtreeReport],
-        lag: subtree_report::Lag,
-    ) -> Vec<(StreamId, SequenceNumber, SequenceNumber)> {
-        let mut least: Option<BTreeMap<StreamId, SequenceNumber>> = None;
-        for (region, listed) in (0_u16..).zip(directory.regions()) {
-            let region_status = self.region_status(region, directory, direct_reports, lag);
-            if region_status.present < listed.order.len() {
-                return Vec::new();
-            }
-            let mut region_applied: BTreeMap<StreamId, SequenceNumber> =
-                region_status.report.into_iter().flat_map(|report| report.applied).collect();
-            if let Some(before) = least {
-                region_applied.retain(|stream, _| before.contains_key(stream));
-                for (stream, number) in &mut region_applied {
-                    *number = before.get(stream).map_or(*number, |other| (*number).min(*other));
-                }
-            }
-            least = Some(region_applied);
-        }
+        direct: &[SubtreeReport],
+        lag: LagOf,
+    ) -> Vec<Convergence> {
         let mut advanced = Vec::new();
-        for (stream, number) in least.unwrap_or_default() {
+        for (stream, to) in self.applied_by_all(directory, direct, lag).unwrap_or_default() {
             let before = self.numbers.get(&stream).copied().unwrap_or_default();
-            if number > before {
-                self.numbers.insert(stream, number);
-                advanced.push((stream, before, number));
+            if to > before {
+                self.numbers.insert(stream, to);
+                advanced.push(Convergence { stream, before, to });
             }
         }
         advanced
     }
 
-    /// Streams that are gone are forgotten.
-    pub fn retain_streams(&mut self, held: impl Fn(StreamId) -> bool) {
-        self.numbers.retain(|stream, _| held(*stream));
+    /// Forgets streams that are not held any more.
+    pub fn retain_streams(&mut self, is_held: impl Fn(StreamId) -> bool) {
+        self.numbers.retain(|stream, _| is_held(*stream));
+    }
+
+    fn applied_by_all(
+        &self,
+        directory: &Directory,
+        direct: &[SubtreeReport],
+        lag: LagOf,
+    ) -> Option<BTreeMap<StreamId, SequenceNumber>> {
+        let mut by_all: Option<BTreeMap<StreamId, SequenceNumber>> = None;
+        for (region, listed) in (0_u16..).zip(directory.regions()) {
+            let status = self.region_status(region, directory, direct, lag);
+            if status.present < listed.order.len() {
+                return None;
+            }
+            let applied = status.report.map(|report| report.applied).unwrap_or_default();
+            let mut applied: BTreeMap<StreamId, SequenceNumber> = applied.into_iter().collect();
+            if let Some(others) = by_all {
+                applied.retain(|stream, _| others.contains_key(stream));
+                for (stream, number) in &mut applied {
+                    *number = others.get(stream).map_or(*number, |other| (*number).min(*other));
+                }
+            }
+            by_all = Some(applied);
+        }
+        by_all
     }
 }
 
-/// Rows in as few frames as hold them.
-pub fn split_into_frames(rows: Vec<RegionReport>) -> Vec<Vec<RegionReport>> {
-    let mut frames: Vec<Vec<RegionReport>> = Vec::new();
+/// Divides region reports into as few messages as hold them.
+pub(crate) fn split_into_messages(reports: Vec<RegionReport>) -> Vec<Vec<RegionReport>> {
+    let mut messages: Vec<Vec<RegionReport>> = Vec::new();
     let mut bytes = 0;
-    for report in rows {
-        let of = &report.report;
-        let more = 32 + of.slots.0.len() + 14 * (of.applied.len() + of.lagging.len() + of.rejected.len());
-        let goes_on = frames
-            .last()
-            .is_some_and(|frame| frame.len() < MAX_REGION_REPORTS && bytes + more <= MAX_REGION_FRAME_BYTES);
-        if !goes_on {
-            frames.push(Vec::new());
-            bytes = 0;
-        }
-        bytes += more;
-        if let Some(frame) = frames.last_mut() {
-            frame.push(report);
+    for region in reports {
+        let report = &region.report;
+        let streams = report.applied.len() + report.lagging.len() + report.rejected.len();
+        let added = REPORT_BYTES + report.slots.0.len() + REPORTED_STREAM_BYTES * streams;
+        match messages.last_mut() {
+            Some(last) if last.len() < MAX_REGION_REPORTS && bytes + added <= MAX_MESSAGE_BYTES => {
+                last.push(region);
+                bytes += added;
+            }
+            _ => {
+                messages.push(vec![region]);
+                bytes = added;
+            }
         }
     }
-    frames
+    messages
 }
--- a/crates/rockflow-dissemination/src/lib.rs
+++ b/crates/rockflow-dissemination/src/lib.rs
@@ -3,32 +3,31 @@
 //! messages and time come in, messages and outputs go out. `docs/design/dissemination.md` has the design and its
 //! invariants.
 
-mod anti_entropy;
-mod apply;
+mod apply_queue;
 mod apply_tokens;
 mod children;
+mod clock;
 mod config;
+mod contact;
 mod control;
 mod convergence;
 mod directory;
 mod encoded_size;
 mod entry;
-mod heartbeats;
+mod forward_queue;
 mod identity;
-mod ingest;
 mod join;
 mod message;
 mod node;
 mod output;
 mod publisher;
-mod publishing;
+mod rate_limits;
+mod schedule;
 mod setting;
 mod settings;
-mod settings_exchange;
 mod slot_set;
 mod status;
 mod stream;
-mod stream_log;
 mod streams;
 mod subscription;
 mod subtree_report;
@@ -46,12 +45,11 @@
     Message, MAX_BATCH_ENTRIES, MAX_PARENTS, MAX_RANGES, MAX_REGION_REPORTS, MAX_REPORTS,
     MAX_SETTINGS_PER_PART, MAX_STREAMS, MAX_TIPS,
 };
-pub use node::Node;
+pub use node::{Node, MAX_UNSENT_PUBLICATIONS};
 pub use output::{Counters, MessageCounts, Output, Publication};
 pub use publisher::{
     Publisher, BACKLOG_AGE_UNCERTAINTY, MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES,
 };
-pub use publishing::MAX_UNSENT_PUBLICATIONS;
 pub use setting::{
     DesiredState, HostSetting, HybridTimestamp, RejectionReason, SettingVersion, MAX_NAME_BYTES,
 };
--- /dev/null
+++ b/crates/rockflow-dissemination/src/node/anti_entropy.rs
@@ -0,0 +1,183 @@
+//! Anti-entropy: missing entries are requested and repaired, gaps that nobody closes are abandoned, and superseded
+//! streams are retired.
+
+use super::{Node, Sender};
+use crate::encoded_size;
+use crate::entry::{SequenceNumber, StreamId, StreamKind};
+use crate::message::{Message, MAX_RANGES};
+use crate::stream::{Stream, MAX_REPAIRABLE_GAP};
+use crate::timestamp::Timestamp;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Messages that answer one repair request. The rest is requested again.
+const MAX_REPAIR_MESSAGES: usize = 16;
+/// A superseded configuration stream is retired after it was quiet for this long.
+const CONFIGURATION_RETIRE_HEARTBEATS: u32 = 120;
+/// The longest interval between two requests for the same gap.
+const MAX_REPAIR_BACKOFF_HEARTBEATS: u32 = 16;
+/// Requests for the same gap that follow each other at one heartbeat interval, before the interval grows.
+const MAX_QUICK_REPAIR_REQUESTS: u32 = 16;
+/// A gap open for this part of the purge window is given up at the word of one node that its log begins later.
+const LONG_GAP_DIVISOR: u32 = 4;
+/// A gap open for this part of the purge window is abandoned.
+const ABANDON_GAP_DIVISOR: u32 = 2;
+
+impl Node {
+    /// Requests what is missing, where it is due.
+    pub(super) fn request_repairs(&mut self, now: Duration) {
+        let is_due = |stream: &&Stream| stream.repair_due.is_some_and(|due| due <= now);
+        let due: Vec<StreamId> = self.streams.iter().filter(is_due).map(|stream| stream.id).collect();
+        for id in due {
+            self.request_repair(now, id);
+        }
+    }
+
+    fn request_repair(&mut self, now: Duration, id: StreamId) {
+        let Some(stream) = self.streams.get_mut(id) else { return };
+        if stream.received_at_last_repair != stream.received() {
+            stream.received_at_last_repair = stream.received();
+            stream.repair_attempts = 0;
+        }
+        let attempt = stream.repair_attempts;
+        stream.repair_attempts = attempt.saturating_add(1);
+        let backoff =
+            attempt.saturating_sub(MAX_QUICK_REPAIR_REQUESTS).clamp(1, MAX_REPAIR_BACKOFF_HEARTBEATS);
+        stream.repair_due = Some(now + self.config.heartbeat_interval * backoff);
+        let ranges = stream.missing_ranges();
+        let advertised_by = stream.advertised_by;
+        if let Some(to) = self.repair_target(id, advertised_by, attempt as usize) {
+            self.counters.repair_requests_sent += 1;
+            self.send(to, Message::RepairRequest { stream: id, ranges });
+        }
+    }
+
+    /// In rotation: the parent; whoever advertised the entries, or another candidate from the nearest on; a candidate
+    /// from the last on, as control nodes hold more.
+    fn repair_target(
+        &self,
+        id: StreamId,
+        advertised_by: Option<SocketAddr>,
+        attempt: usize,
+    ) -> Option<SocketAddr> {
+        if let Some(control) = &self.control {
+            return control.repair_target(id, advertised_by, attempt);
+        }
+        let parent = self.subscription.parent().map(|parent| parent.address);
+        let candidates = self.subscription.candidates();
+        let count = candidates.len().max(1);
+        let round = attempt / 3;
+        let nearest = candidates.get((round + 1) % count).map(|candidate| candidate.address);
+        let last = candidates.get(count - 1 - round % count).map(|candidate| candidate.address);
+        match attempt % 3 {
+            1 => advertised_by.filter(|by| Some(*by) != parent).or(nearest),
+            2 => last.or(advertised_by),
+            _ => parent.or(advertised_by),
+        }
+    }
+
+    pub(super) fn on_repair_request(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        id: StreamId,
+        ranges: Vec<(SequenceNumber, SequenceNumber)>,
+    ) {
+        if !self.rate_limits.repairs.has_credit(now) {
+            self.counters.repair_requests_throttled += 1;
+            return;
+        }
+        let Some(stream) = self.streams.get(id) else { return };
+        let mut wants_snapshot = ranges.is_empty();
+        let mut messages = Vec::new();
+        for (first, last) in ranges.into_iter().take(MAX_RANGES) {
+            let last = SequenceNumber(last.0.min(first.0.saturating_add(MAX_REPAIRABLE_GAP - 1)));
+            messages.extend(stream.batches(now, first, last, MAX_REPAIR_MESSAGES - messages.len()));
+            wants_snapshot |= first < stream.first() && stream.get(first).is_none();
+        }
+        if wants_snapshot && stream.start_known {
+            messages.insert(0, stream.snapshot(now, self.config.purge_window));
+        }
+        if messages.is_empty() {
+            return;
+        }
+        self.counters.repair_requests_answered += 1;
+        for message in messages {
+            self.rate_limits.repairs.consume(encoded_size::message(&message));
+            self.send(from, message);
+        }
+    }
+
+    /// A node's log begins at `next`. A purge of everything, or the table of settings, stands for what is missing
+    /// before it.
+    pub(super) fn on_snapshot(
+        &mut self,
+        now: Duration,
+        sender: Sender,
+        id: StreamId,
+        next: SequenceNumber,
+        min_accepted_age_ms: Option<u32>,
+    ) {
+        if self.is_own(id) || next.0 == u64::MAX {
+            return;
+        }
+        let window = self.config.purge_window;
+        let Some(stream) = self.streams.get_mut(id).filter(|stream| stream.has_gap()) else { return };
+        if id.kind == StreamKind::Configuration && stream.lacks_before(next) {
+            let request = self.table_sync.request_skip(now, sender.identity, sender.address, (id, next));
+            if let Some((to, message)) = request {
+                self.send(to, message);
+            }
+            return;
+        }
+        // Another node may hold what this one doesn't: a narrow gap is requested elsewhere first.
+        let is_wide = stream.last().0.saturating_sub(stream.received().0) > MAX_REPAIRABLE_GAP;
+        let is_long =
+            stream.gap_since().is_some_and(|since| now.saturating_sub(since) >= window / LONG_GAP_DIVISOR);
+        if stream.start_known && stream.lacks_before(next) && !is_wide && !is_long {
+            return;
+        }
+        let min_accepted = min_accepted_age_ms.map(|age| Timestamp::ms_ago(now, age));
+        let has_missed = stream.skip_to(next, min_accepted);
+        stream.update_gap(now, self.config.heartbeat_interval / 2);
+        if stream.has_gap() {
+            stream.repair_due = Some(now);
+        }
+        self.apply_queue.touch(id);
+        if !has_missed {
+            return;
+        }
+        match min_accepted {
+            Some(timestamp) => self.substitute_full_purge(timestamp),
+            // What was missed is older than the window, and so may be what this node has served since it started.
+            None if id.kind == StreamKind::Purges && self.clock.uptime(now) > window => {
+                self.substitute_full_purge(Timestamp::ago(now, window));
+            }
+            None => {}
+        }
+    }
+
+    /// Abandons gaps of purges that nobody has closed: a purge of everything stands for them.
+    pub(super) fn abandon_gaps(&mut self, now: Duration) {
+        let wait = self.config.purge_window / ABANDON_GAP_DIVISOR;
+        let mut has_lost = false;
+        for stream in self.streams.iter_mut().filter(|stream| stream.id.kind == StreamKind::Purges) {
+            if stream.gap_since().is_some_and(|since| now.saturating_sub(since) >= wait) {
+                has_lost |= stream.abandon_gap(now, wait);
+                stream.update_gap(now, self.config.heartbeat_interval / 2);
+                self.apply_queue.touch(stream.id);
+            }
+        }
+        if has_lost {
+            self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
+        }
+    }
+
+    pub(super) fn retire_streams(&mut self, now: Duration) {
+        let configuration = self.config.heartbeat_interval * CONFIGURATION_RETIRE_HEARTBEATS;
+        for retired in self.streams.retire_superseded(now, self.config.purge_window, configuration) {
+            self.counters.streams_retired += 1;
+            self.cover_dropped_stream(now, &retired);
+        }
+    }
+}
--- /dev/null
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -0,0 +1,199 @@
+//! The tasks of a control node: it places members, exchanges reports with the others, and knows what is replicated to
+//! all.
+
+use super::{Node, Sender};
+use crate::convergence::{split_into_messages, Convergence};
+use crate::directory::Directory;
+use crate::encoded_size;
+use crate::entry::SequenceNumber;
+use crate::identity::{ControlId, Identity, NodeId};
+use crate::message::{Message, MAX_REGION_REPORTS};
+use crate::output::Output;
+use crate::setting::HybridTimestamp;
+use crate::subtree_report::{self, RegionReport, SubtreeReport};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A region's report counts for this long.
+const REPORT_TTL_HEARTBEATS: u32 = 10;
+/// Entries of a stream that are reported as replicated at a time: of more, the last ones.
+const MAX_REPLICATED_OUTPUTS: u64 = 128;
+
+impl Node {
+    /// Whether this control node is the one to publish purges: the first by index that is alive. Never at a member.
+    pub fn is_publishing(&self, now: Duration) -> bool {
+        self.control.as_ref().is_some_and(|control| control.is_publishing(now))
+    }
+
+    /// Replaces the directory. Members are placed by it at once, and learn of it by the heartbeats.
+    pub fn set_directory(&mut self, now: Duration, directory: Directory) -> Vec<Output> {
+        let now = self.advance_clock(now);
+        if let Some(control) = &mut self.control {
+            control.convergence.clear_reports();
+            control.directory = Some(directory);
+        }
+        self.flush(now, None)
+    }
+
+    /// Index of a node in the list of control nodes.
+    pub(super) fn control_index(&self, node: NodeId) -> Option<usize> {
+        self.config.control.iter().position(|peer| peer.node == node)
+    }
+
+    /// Of the other control nodes; none at a member.
+    pub(super) fn other_control_addresses(&self) -> Vec<SocketAddr> {
+        if self.control.is_none() {
+            return Vec::new();
+        }
+        let others = self.config.control.iter().filter(|peer| peer.node != self.config.identity.node);
+        others.map(|peer| peer.address).collect()
+    }
+
+    /// Where the sender is a control node, it is alive; if a later incarnation of it is known here, it is told so.
+    pub(super) fn on_control_message(&mut self, now: Duration, sender: Sender) {
+        let Some(index) = self.control_index(sender.identity.node) else { return };
+        if let Some(control) = &mut self.control {
+            control.on_message_from(index, now);
+        }
+        let id = ControlId(index as u8);
+        let latest = self.streams.latest_incarnation(id);
+        if let Some(incarnation) = latest.filter(|latest| *latest > sender.identity.incarnation) {
+            self.send(sender.address, Message::SupersededIncarnation { control: id, incarnation });
+        }
+    }
+
+    pub(super) fn control_tick(&mut self, now: Duration) {
+        match &mut self.control {
+            Some(control) if now >= control.heartbeat_due => {
+                control.heartbeat_due = now + self.config.heartbeat_interval;
+            }
+            _ => return,
+        }
+        self.send_publications(now);
+        self.send_heartbeats(now);
+        self.send_region_reports(now);
+        self.update_convergence(now);
+    }
+
+    /// A node asks for its place.
+    pub(super) fn on_join(&mut self, now: Duration, sender: Sender) {
+        let Some(directory) = self.control.as_ref().and_then(|control| control.directory.as_ref()) else {
+            self.counters.unexpected_messages += 1;
+            return;
+        };
+        if !self.rate_limits.repairs.has_credit(now) {
+            self.counters.repair_requests_throttled += 1;
+            return;
+        }
+        let directory_version = directory.version;
+        let answer = match directory.place(sender.identity.node, &self.config.control) {
+            Some(place) => Message::Placement {
+                directory_version,
+                listing_hash: place.listing_hash,
+                region: place.region,
+                slot: place.slot,
+                slots: place.slots,
+                parents: place.parents,
+            },
+            None => Message::NotListed { directory_version },
+        };
+        self.rate_limits.repairs.consume(encoded_size::message(&answer));
+        self.send(sender.address, answer);
+    }
+
+    /// Another control node reports the regions that report to it.
+    pub(super) fn on_region_reports(
+        &mut self,
+        now: Duration,
+        from: Identity,
+        clock: HybridTimestamp,
+        reports: Vec<RegionReport>,
+    ) {
+        let index = self.control_index(from.node);
+        let (Some(control), Some(index)) = (&mut self.control, index) else {
+            self.counters.unexpected_messages += 1;
+            return;
+        };
+        control.observe_clock(clock.unix_ms);
+        if self.clock.is_unreliable(now) {
+            return;
+        }
+        let Some(directory) = &control.directory else { return };
+        for report in reports.into_iter().take(MAX_REGION_REPORTS) {
+            control.convergence.insert(now, ControlId(index as u8), report, directory, &mut self.counters);
+        }
+    }
+
+    /// The children's reports, merged by region and listing.
+    pub(super) fn direct_reports(&self) -> Vec<SubtreeReport> {
+        let lag = |id, number| self.lag(id, number);
+        subtree_report::merge(self.children.reports(), &lag, usize::MAX).0
+    }
+
+    /// The same, each with the age of the oldest report in it.
+    fn aged_direct_reports(&self, now: Duration) -> Vec<RegionReport> {
+        let mut oldest: BTreeMap<(u16, u32), Duration> = BTreeMap::new();
+        for child in self.children.iter() {
+            let age = now.saturating_sub(child.last_received);
+            for report in &child.reports {
+                let oldest = oldest.entry((report.region, report.listing_hash)).or_default();
+                *oldest = (*oldest).max(age);
+            }
+        }
+        let with_age = |report: SubtreeReport| {
+            let age = oldest.get(&(report.region, report.listing_hash)).copied().unwrap_or_default();
+            let age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
+            RegionReport { report, age_ms }
+        };
+        self.direct_reports().into_iter().map(with_age).collect()
+    }
+
+    fn send_region_reports(&mut self, now: Duration) {
+        let Some(control) = &self.control else { return };
+        let (clock, directory_version) = (control.clock(), control.directory_version());
+        let mut reports = self.aged_direct_reports(now);
+        reports.retain(|region| control.is_current_listing(&region.report));
+        let mut messages = split_into_messages(reports);
+        if messages.is_empty() {
+            // The clock is announced even where no member has reported.
+            messages.push(Vec::new());
+        }
+        for to in self.other_control_addresses() {
+            for reports in &messages {
+                let reports = reports.clone();
+                self.send(to, Message::RegionReports { directory_version, clock, reports });
+            }
+        }
+    }
+
+    fn update_convergence(&mut self, now: Duration) {
+        let direct = self.direct_reports();
+        let Some(mut control) = self.control.take() else { return };
+        control.convergence.expire(now, self.config.heartbeat_interval * REPORT_TTL_HEARTBEATS);
+        if let Some(directory) = &control.directory {
+            let lag = |id, number| self.lag(id, number);
+            for converged in control.convergence.advance(directory, &direct, &lag) {
+                self.emit_replicated(now, converged);
+            }
+        }
+        control.convergence.retain_streams(|id| self.streams.get(id).is_some());
+        self.control = Some(control);
+    }
+
+    fn emit_replicated(&mut self, now: Duration, converged: Convergence) {
+        let Convergence { stream: id, before, to } = converged;
+        let Some(stream) = self.streams.get(id) else { return };
+        let first = before.next().max(SequenceNumber(to.0.saturating_sub(MAX_REPLICATED_OUTPUTS - 1)));
+        for number in (first.0..=to.0).map(SequenceNumber) {
+            if let Some(entry) = stream.get(number) {
+                let after = entry.timestamp.age(now);
+                self.outputs.push(Output::ReplicatedToAll { stream: id, number, after });
+            }
+        }
+        // The log has dropped it: the newest entry that was dropped gives the least time that it can have taken.
+        if let Some(dropped) = stream.newest_dropped.filter(|_| stream.get(to).is_none()) {
+            self.outputs.push(Output::ReplicatedToAll { stream: id, number: to, after: dropped.age(now) });
+        }
+    }
+}
--- a/crates/rockflow-dissemination/src/ingest.rs
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -1,8 +1,9 @@
-//! Entries as a node takes them, asks for them, and gives them to who asks.
+//! Entries, settings and stream tips as they are received.
 
-use crate::entry::{AgedEntry, Entry, Purge, SequenceNumber, StreamId, StreamKind};
+use super::heartbeats::TipSource;
+use super::Node;
+use crate::entry::{AgedEntry, Entry, SequenceNumber, StreamId, StreamKind};
 use crate::message::MAX_BATCH_ENTRIES;
-use crate::node::Node;
 use crate::setting::{RejectionReason, SettingVersion};
 use crate::settings::SettingOutcome;
 use crate::stream::{InsertOutcome, LogEntry, Stream, StreamTip};
@@ -12,49 +13,45 @@
 use std::time::Duration;
 
 impl Node {
-    /// Whether a stream is this control node's own, of this life.
-    pub(crate) fn is_own(&self, id: StreamId) -> bool {
+    /// Whether a stream is this control node's own, of its current incarnation.
+    pub(super) fn is_own(&self, id: StreamId) -> bool {
         self.control.as_ref().is_some_and(|control| control.is_own(id))
     }
 
-    /// Makes sure of a stream that something was heard of. False: nothing of it is taken.
-    pub(crate) fn admit_stream(&mut self, now: Duration, id: StreamId) -> bool {
-        let (admission, gone) = self.streams.admit(now, id);
-        let is_purges = |id: StreamId| id.kind == StreamKind::Purges;
-        if let Some(gone) = gone {
-            // It had to go before it was over: there may be more of it, however far it was told to go.
+    /// Makes sure that a stream is held. Returns false where nothing of it is accepted.
+    pub(super) fn admit_stream(&mut self, now: Duration, id: StreamId) -> bool {
+        let (admission, evicted) = self.streams.admit(now, id);
+        if let Some(evicted) = evicted {
+            // It is evicted before its time: there may be more of it than was advertised here.
             self.counters.streams_retired += 1;
-            if is_purges(gone.id) {
+            if evicted.id.kind == StreamKind::Purges {
                 self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
             }
         }
-        if admission == StreamAdmission::NoCapacity && is_purges(id) {
+        if admission == StreamAdmission::NoCapacity && id.kind == StreamKind::Purges {
             self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
         }
         matches!(admission, StreamAdmission::Held | StreamAdmission::New)
     }
 
-    /// A stream is dropped. A floor of now stands for what is missing of it, or may be: where it was not heard how far
-    /// it goes since this node is in touch.
-    pub(crate) fn cover_dropped_stream(&mut self, now: Duration, gone: &Stream) {
-        let known = gone.last_advertised >= self.in_touch.0;
-        if gone.id.kind == StreamKind::Purges && (gone.has_gap() || !known) {
+    /// A stream is dropped. A purge of everything stands for what is missing of it, or may be: that is where nobody
+    /// has advertised how far it reaches since this node is in contact with control.
+    pub(super) fn cover_dropped_stream(&mut self, now: Duration, dropped: &Stream) {
+        let end_is_known = dropped.last_advertised >= self.contact.since();
+        if dropped.id.kind == StreamKind::Purges && (dropped.has_gap() || !end_is_known) {
             self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
         }
     }
 
-    /// Nothing older than this is to be served. At a control node, where nothing is served, it is only counted.
-    pub(crate) fn substitute_full_purge(&mut self, timestamp: Timestamp) {
-        self.counters.substitute_purges += 1;
-        if self.control.is_none() {
-            self.purges_to_apply.push((Purge::Everything, timestamp));
-        }
+    /// Nothing older than this is to be served.
+    pub(super) fn substitute_full_purge(&mut self, timestamp: Timestamp) {
+        self.apply_queue.push_substitute_purge(timestamp, &mut self.counters);
     }
 
-    pub(crate) fn on_batch(
+    pub(super) fn on_batch(
         &mut self,
         now: Duration,
-        at: SocketAddr,
+        from: SocketAddr,
         id: StreamId,
         first: SequenceNumber,
         entries: Vec<AgedEntry>,
@@ -76,19 +73,18 @@
             }
             number = number.next();
         }
-        let wait = self.config.heartbeat_interval / 2;
         if let Some(stream) = self.streams.get_mut(id) {
-            stream.observe_last(now, last, Some(at));
+            stream.observe_last(now, last, Some(from));
             if first.0 == 1 && last.0 > 0 {
                 stream.mark_start_known();
             }
             stream.advance();
-            stream.update_gap(now, wait);
+            stream.update_gap(now, self.config.heartbeat_interval / 2);
         }
-        self.touched_streams.insert(id);
+        self.apply_queue.touch(id);
     }
 
-    /// True: there is such an entry, taken or not.
+    /// Returns whether the stream has such an entry, accepted or not.
     fn insert_entry(
         &mut self,
         now: Duration,
@@ -97,18 +93,18 @@
         log_entry: LogEntry,
     ) -> bool {
         let Some(stream) = self.streams.get_mut(id) else { return false };
-        let (timestamp, entry) = (log_entry.timestamp, log_entry.entry.clone());
+        let LogEntry { timestamp, entry } = log_entry.clone();
         let outcome = stream.insert(number, log_entry);
         match outcome {
             InsertOutcome::New => {
                 self.counters.accepted += 1;
-                self.new_entries.entry(id).or_default().insert(number);
+                self.forward_queue.push_new(id, number);
                 self.queue_entry(id, number, timestamp, entry);
             }
             InsertOutcome::Known => self.counters.duplicates += 1,
             InsertOutcome::Conflict => {
                 self.counters.conflicts += 1;
-                self.conflicting_entries.push((id, number, timestamp, entry.clone()));
+                self.forward_queue.push_conflicting(id, number, timestamp, entry.clone());
                 self.queue_entry(id, number, timestamp, entry);
             }
             InsertOutcome::ConflictUntracked => {
@@ -129,59 +125,55 @@
 
     fn queue_entry(&mut self, stream: StreamId, number: SequenceNumber, timestamp: Timestamp, entry: Entry) {
         match entry {
-            Entry::Purge(purge) => self.purges_to_apply.push((purge, timestamp)),
-            Entry::Setting(setting) => self.apply_setting_version(SettingVersion { stream, number, setting }),
+            Entry::Purge(purge) => self.apply_queue.push_purge(purge, timestamp),
+            Entry::Setting(setting) => self.insert_setting(SettingVersion { stream, number, setting }),
         }
     }
 
-    /// One version of a setting, from wherever it came.
-    pub(crate) fn apply_setting_version(&mut self, version: SettingVersion) {
+    /// Takes one version of a setting, by whichever message it came.
+    pub(super) fn insert_setting(&mut self, version: SettingVersion) {
         let id = (version.stream, version.number);
-        let (host, timestamp) = (version.setting.host.clone(), version.setting.timestamp);
+        let host = version.setting.host.clone();
         if let Some(control) = &mut self.control {
-            control.observe_clock(timestamp.unix_ms);
+            control.observe_clock(version.setting.timestamp.unix_ms);
         }
         match self.settings.insert(version) {
             SettingOutcome::Changed { concurrent } => {
                 self.counters.concurrent_settings += u64::from(concurrent);
-                self.changed_settings.push((id, host));
+                self.apply_queue.push_setting(id, host);
             }
             SettingOutcome::Conflict => {
                 self.counters.conflicts += 1;
-                self.changed_settings.push((id, host));
+                self.apply_queue.push_setting(id, host);
             }
             SettingOutcome::NoCapacity => {
                 self.counters.settings_rejected += 1;
                 self.quarantined.insert(id, host, RejectionReason::Full);
-                self.ack_requested = true;
+                self.acks.request();
             }
             SettingOutcome::Known => {}
             SettingOutcome::Invalid => self.counters.entries_rejected += 1,
         }
     }
 
-    /// How far somebody's stream goes.
-    /// `above`: of the parent or a control node, who would know.
-    pub(crate) fn on_tip(&mut self, now: Duration, at: SocketAddr, tip: StreamTip, above: bool) {
+    /// A node says how far a stream reaches.
+    pub(super) fn on_tip(&mut self, now: Duration, from: SocketAddr, tip: StreamTip, source: TipSource) {
         let id = tip.stream;
         self.on_own_stream_advertised(now, id, tip.last);
-        if self.is_own(id) || tip.last.0 == 0 || tip.last.0 == u64::MAX || tip.first > tip.last.next() {
-            return;
-        }
-        if !self.admit_stream(now, id) {
+        let is_valid = tip.last.0 > 0 && tip.last.0 < u64::MAX && tip.first <= tip.last.next();
+        if self.is_own(id) || !is_valid || !self.admit_stream(now, id) {
             return;
         }
-        let heartbeat_interval = self.config.heartbeat_interval;
         let Some(stream) = self.streams.get_mut(id) else { return };
         if !stream.start_known && tip.first.0 <= 1 {
             stream.mark_start_known();
         }
-        if above {
+        if source == TipSource::Upstream {
             stream.last_advertised = now;
         }
-        stream.observe_last(now, tip.last, Some(at));
-        let wait = if stream.start_known { heartbeat_interval / 2 } else { Duration::ZERO };
+        stream.observe_last(now, tip.last, Some(from));
+        let wait = if stream.start_known { self.config.heartbeat_interval / 2 } else { Duration::ZERO };
         stream.update_gap(now, wait);
-        self.touched_streams.insert(id);
+        self.apply_queue.touch(id);
     }
 }
--- a/crates/rockflow-dissemination/src/slot_set.rs
+++ b/crates/rockflow-dissemination/src/slot_set.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds the slots of another set.
-    pub fn join(&mut self, other: &SlotSet) {
+    pub fn union(&mut self, other: &SlotSet) {
         let bytes = other.0.len().min(MAX_SLOTS / 8);
         if self.0.len() < bytes {
             self.0.resize(bytes, 0);
--- a/crates/rockflow-dissemination/src/status.rs
+++ b/crates/rockflow-dissemination/src/status.rs
@@ -1,11 +1,9 @@
 //! A node as it stands, for whoever looks on.
 
-use crate::entry::{SequenceNumber, StreamId, StreamKind};
-use crate::identity::{Identity, NodeId, Peer};
-use crate::node::Node;
+use crate::entry::{SequenceNumber, StreamId};
+use crate::identity::{Identity, Peer};
 use crate::setting::HostSetting;
 use crate::setting::{DesiredState, RejectionReason};
-use crate::subtree_report::SubtreeReport;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -83,99 +81,3 @@
     pub unconfirmed: usize,
     pub control: Option<ControlStatus>,
 }
-
-impl Node {
-    pub fn status(&self, now: Duration) -> NodeStatus {
-        let place = self.join.place.as_ref();
-        let parent = self.subscription.parent();
-        let stream = |stream: &crate::stream::Stream| StreamStatus {
-            stream: stream.id,
-            start_known: stream.start_known,
-            first: stream.first(),
-            received: stream.received(),
-            applied: stream.applied,
-            last: stream.last(),
-            entries: stream.entry_count(),
-            gap_age: stream.gap_since().filter(|_| stream.has_gap()).map(|since| now.saturating_sub(since)),
-        };
-        NodeStatus {
-            identity: self.config.identity,
-            place: place.map(|place| (place.region, place.slot, place.slots)),
-            directory: self
-                .control
-                .as_ref()
-                .map_or(self.join.directory_version, |control| control.directory_version()),
-            parent: parent.map(|p| Peer { node: p.node.unwrap_or(NodeId(0)), address: p.address }),
-            first_parent: self.subscription.is_first(),
-            children: self.children.len(),
-            staleness: match self.control {
-                Some(_) => Some(Duration::ZERO),
-                None => self.newest_heartbeat.map(|timestamp| timestamp.age(now)),
-            },
-            streams: self.streams.iter().map(stream).collect(),
-            setting_count: self.settings.len(),
-            desired: self.settings.desired_states(),
-            concurrent_settings: self.settings.concurrent(MAX_LISTED_NAMES),
-            rejected: self.quarantined.iter().map(|((stream, number), why)| (stream, number, why)).collect(),
-            unconfirmed: self.pending_purges.len() + self.pending_settings.len(),
-            control: self.control_status(now),
-        }
-    }
-
-    pub fn resource_usage(&self) -> ResourceUsage {
-        let longest = |kind| {
-            let streams = self.streams.iter().filter(|stream| stream.id.kind == kind);
-            streams.map(|stream| stream.entry_count()).max().unwrap_or(0)
-        };
-        ResourceUsage {
-            streams: self.streams.len(),
-            purge_log_entries: longest(StreamKind::Purges),
-            configuration_log_entries: longest(StreamKind::Configuration),
-            children: self.children.len(),
-            reports: self.children.reports().count(),
-            region_reports: self.control.as_ref().map_or(0, |control| control.convergence.report_count()),
-            hosts: self.settings.len(),
-            quarantined: self.quarantined.len(),
-            pending_purges: self.pending_purges.len(),
-            pending_settings: self.pending_settings.len(),
-            candidates: self.subscription.candidates().len(),
-        }
-    }
-
-    fn control_status(&self, now: Duration) -> Option<ControlStatus> {
-        let control = self.control.as_ref()?;
-        let mut status = ControlStatus {
-            directory: control.directory_version(),
-            replicated_to_all: control.convergence.numbers().clone(),
-            is_publishing: self.is_publishing(now),
-            ..ControlStatus::default()
-        };
-        let Some(directory) = &control.directory else { return Some(status) };
-        status.expected_members = directory.members.len();
-        let direct_reports: Vec<_> = self.direct_reports(now).into_iter().map(|(report, _)| report).collect();
-        let lag = |id, number| self.lag(id, number);
-        for (region, listed) in (0_u16..).zip(directory.regions()) {
-            let region_status = control.convergence.region_status(region, directory, &direct_reports, &lag);
-            status.present += region_status.present;
-            let report = region_status.report.unwrap_or(SubtreeReport {
-                region,
-                listing_hash: listed.listing_hash,
-                slots: Default::default(),
-                applied: Vec::new(),
-                lagging: Vec::new(),
-                rejected: Vec::new(),
-            });
-            let named = |slot| directory.name(region, slot).map(str::to_owned);
-            let missing = (0..listed.order.len() as u16).filter(|slot| !report.slots.contains(*slot));
-            let room = MAX_LISTED_NAMES - status.missing.len();
-            status.missing.extend(missing.filter_map(named).take(room));
-            let lagging = report.lagging.iter().filter(|(_, id, number)| lag(*id, *number) > 0);
-            let lagging = lagging.filter_map(|(slot, id, number)| Some((named(*slot)?, *id, *number)));
-            let room = MAX_LISTED_NAMES - status.lagging.len();
-            status.lagging.extend(lagging.take(room));
-            let room = MAX_LISTED_NAMES - status.rejected.len();
-            status.rejected.extend(report.rejected.into_iter().take(room));
-        }
-        Some(status)
-    }
-}
--- a/crates/rockflow-dissemination/src/stream_log.rs
+++ b/crates/rockflow-dissemination/src/stream/log.rs
@@ -1,9 +1,9 @@
 //! What a stream's holder says of its log, and what its publisher writes into it.
 
+use super::{LogEntry, Stream, StreamTip, MAX_REPAIRABLE_GAP};
 use crate::encoded_size;
 use crate::entry::{AgedEntry, SequenceNumber, StreamKind};
 use crate::message::{Message, MAX_BATCH_ENTRIES};
-use crate::stream::{LogEntry, Stream, StreamTip, MAX_REPAIRABLE_GAP};
 use crate::timestamp::Timestamp;
 use std::time::Duration;
 
--- a/crates/rockflow-dissemination/src/stream.rs
+++ b/crates/rockflow-dissemination/src/stream/mod.rs
@@ -1,5 +1,7 @@
 //! One stream as a node holds it: its log, what is missing, what is known of its end, and how far it is in force.
 
+mod log;
+
 use crate::entry::{Entry, SequenceNumber, StreamId, StreamKind};
 use crate::message::MAX_RANGES;
 use crate::timestamp::Timestamp;
--- a/crates/rockflow-dissemination/src/streams.rs
+++ b/crates/rockflow-dissemination/src/streams.rs
@@ -58,6 +58,11 @@
         self.streams.values_mut()
     }
 
+    /// The ids of the streams of this kind.
+    pub fn of_kind(&self, kind: StreamKind) -> impl Iterator<Item = StreamId> + '_ {
+        self.streams.keys().copied().filter(move |id| id.kind == kind)
+    }
+
     pub fn len(&self) -> usize {
         self.streams.len()
     }
--- a/crates/rockflow-dissemination/src/subtree_report.rs
+++ b/crates/rockflow-dissemination/src/subtree_report.rs
@@ -53,18 +53,18 @@
 }
 
 /// How far behind a number is what is known here of its stream.
-pub type Lag<'a> = &'a dyn Fn(StreamId, SequenceNumber) -> u64;
+pub type LagOf<'a> = &'a dyn Fn(StreamId, SequenceNumber) -> u64;
 
 /// Keeps the worst of those behind.
-fn worst_first(one: &mut SubtreeReport, lag: Lag) {
+fn worst_first(one: &mut SubtreeReport, lag: LagOf) {
     one.lagging.sort_by_key(|(slot, stream, number)| (Reverse(lag(*stream, *number)), *slot, *stream));
     one.lagging.dedup_by_key(|(slot, stream, _)| (*slot, *stream));
     one.lagging.truncate(MAX_LAGGING);
 }
 
 /// Joins what is said of one listing of a region.
-fn join_two(one: &mut SubtreeReport, other: &SubtreeReport, lag: Lag) {
-    one.slots.join(&other.slots);
+fn merge_into(one: &mut SubtreeReport, other: &SubtreeReport, lag: LagOf) {
+    one.slots.union(&other.slots);
     let others: BTreeMap<StreamId, SequenceNumber> = other.applied.iter().copied().collect();
     let common = one
         .applied
@@ -73,12 +73,12 @@
     one.applied = common.collect();
     one.lagging.extend(other.lagging.iter().copied());
     worst_first(one, lag);
-    one.rejected = join_refused(&one.rejected, &other.rejected);
+    one.rejected = merge_rejected(&one.rejected, &other.rejected);
 }
 
-type Refused = (StreamId, SequenceNumber, RejectionReason, u16);
+type RejectedSetting = (StreamId, SequenceNumber, RejectionReason, u16);
 
-fn join_refused(one: &[Refused], other: &[Refused]) -> Vec<Refused> {
+fn merge_rejected(one: &[RejectedSetting], other: &[RejectedSetting]) -> Vec<RejectedSetting> {
     let mut sums: BTreeMap<(StreamId, SequenceNumber, RejectionReason), u16> = BTreeMap::new();
     for (stream, number, why, count) in one.iter().chain(other) {
         let sum = sums.entry((*stream, *number, *why)).or_default();
@@ -90,9 +90,9 @@
 
 /// Joins reports by region and listing, in the order they come. Also how many had no room: those of the listings that
 /// came after `most` others; their members are not told of, so that nothing counts as everywhere by them.
-pub fn join<'a>(
+pub fn merge<'a>(
     reports: impl Iterator<Item = &'a SubtreeReport>,
-    lag: Lag,
+    lag: LagOf,
     max_reports: usize,
 ) -> (Vec<SubtreeReport>, u64) {
     let mut joined: Vec<SubtreeReport> = Vec::new();
@@ -101,7 +101,7 @@
         let same =
             |one: &SubtreeReport| (one.region, one.listing_hash) == (report.region, report.listing_hash);
         match joined.iter().position(same) {
-            Some(place) => join_two(&mut joined[place], report, lag),
+            Some(place) => merge_into(&mut joined[place], report, lag),
             None if joined.len() < max_reports => {
                 let mut one = report.clone();
                 worst_first(&mut one, lag);
--- a/crates/rockflow-dissemination/src/table_sync.rs
+++ b/crates/rockflow-dissemination/src/table_sync.rs
@@ -1,4 +1,5 @@
-//! Fetching the whole table of settings from one whose digest differs, or who no longer holds what led to it.
+//! Fetching the whole table of settings: from a node whose digest differs, or whose log no longer holds the entries
+//! that led to it.
 
 use crate::entry::{SequenceNumber, StreamId};
 use crate::identity::{Identity, Incarnation, NodeId};
@@ -7,19 +8,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A digest that differs for so many pulses leads to a fetch.
+/// A digest that differs for this long leads to a fetch.
 const MISMATCH_PATIENCE_HEARTBEATS: u32 = 4;
-/// After a fetch that left it differing, so many more; twice as many after each time that all parts went up in vain, so
-/// often at the most.
+/// After a fetch that left the digest differing the next one waits for this time more.
 const FUTILE_FETCH_BACKOFF_HEARTBEATS: u32 = 16;
+/// That time doubles each time that all parts were sent in vain, at most this often.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// An asking without an answer comes again after so many pulses.
+/// A request without an answer is repeated after this time.
 const FETCH_RETRY_HEARTBEATS: u32 = 2;
-/// After so many in vain the fetch is given up; what led to it leads to another.
+/// Requests without an answer before a fetch is abandoned. What led to it leads to another.
 const MAX_FETCH_ATTEMPTS: u32 = 8;
-/// Peers whose digests are watched. When full, one more isn't.
-const MAX_WATCHED_PEERS: usize = 16;
+/// Nodes whose digests are watched. When full, a further one isn't.
+const MAX_WATCHED_NODES: usize = 16;
 
+/// Which part of which table a message holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct TablePart {
+    /// Digest of the whole table.
+    pub digest: u32,
+    /// Index of the part.
+    pub part: u16,
+    /// Number of parts.
+    pub parts: u16,
+}
+
+/// A whole table has been fetched: streams may continue from these numbers.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct FetchedTable {
+    pub skips: BTreeMap<StreamId, SequenceNumber>,
+}
+
+/// What to do about a digest that differs.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) enum MismatchAction {
+    Wait,
+    /// Send this request.
+    Fetch(SocketAddr, Message),
+    /// The other node lacks something itself: send this node's table, from this part on.
+    Send(u16),
+}
+
+/// A request to be sent.
+type Request = Option<(SocketAddr, Message)>;
+
+/// A fetch under way.
 #[derive(Clone, Debug)]
 struct TableFetch {
     from: Identity,
@@ -27,158 +59,110 @@
     digest: Option<u32>,
     parts: u16,
     received_parts: BTreeSet<u16>,
-    /// Streams that may go on from there once all is here.
+    /// Streams that may continue from there once all parts are here.
     skips: BTreeMap<StreamId, SequenceNumber>,
     due: Duration,
     attempts: u32,
 }
 
-/// A peer whose digest is another.
+/// A node whose digest differs.
 #[derive(Clone, Copy, Debug)]
 struct DigestMismatch {
     incarnation: Incarnation,
     since: Duration,
-    /// Its whole table is here: what still differs it lacks itself.
-    on_table_fetched: bool,
-    /// The part that goes up to it next, and how often all of them went.
-    part: u16,
+    /// Its whole table was fetched: if the digest still differs, the node lacks something itself.
+    is_fetched: bool,
+    /// The part that is sent to it next.
+    next_part: u16,
+    /// How often all parts were sent to it.
     rounds: u32,
 }
 
-/// A whole table is here; what may go on by it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FetchedTable {
-    pub skips: BTreeMap<StreamId, SequenceNumber>,
-}
-
-/// What is to be done where a digest differs.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MismatchAction {
-    Wait,
-    Fetch(SocketAddr, Message),
-    /// What is held here is to go up, from this part on.
-    Send(u16),
+/// A stream that may continue at `next` once the table of this node was fetched.
+#[derive(Clone, Copy, Debug)]
+struct WaitingSkip {
+    from: Identity,
+    address: SocketAddr,
+    next: SequenceNumber,
 }
 
+/// Owns the digests that differ, and the one fetch that is under way.
 #[derive(Clone, Debug)]
-pub struct TableSync {
+pub(crate) struct TableSync {
     heartbeat_interval: Duration,
     mismatches: BTreeMap<NodeId, DigestMismatch>,
-    skips: BTreeMap<StreamId, (Identity, SocketAddr, SequenceNumber)>,
+    skips: BTreeMap<StreamId, WaitingSkip>,
     fetch: Option<TableFetch>,
 }
 
-type SettingsRequest = Option<(SocketAddr, Message)>;
-
 impl TableSync {
     pub fn new(heartbeat_interval: Duration) -> TableSync {
         TableSync { heartbeat_interval, mismatches: BTreeMap::new(), skips: BTreeMap::new(), fetch: None }
     }
 
-    /// Nobody's digest is watched any more, as another is followed.
+    /// Another parent is followed: no digest is watched any more.
     pub fn clear_mismatches(&mut self) {
         self.mismatches.clear();
     }
 
-    /// A fetch from this peer has left it differing, and what is held here went up before the part `next`; none: up to
-    /// the last. The next fetch waits longer.
-    pub fn record_futile_fetch(&mut self, now: Duration, peer: NodeId, next: Option<u16>) {
-        if let Some(watch) = self.mismatches.get_mut(&peer) {
-            watch.part = next.unwrap_or(0);
-            watch.rounds = watch.rounds.saturating_add(u32::from(next.is_none()));
-            watch.since = now
-                + self.heartbeat_interval
-                    * (FUTILE_FETCH_BACKOFF_HEARTBEATS << watch.rounds.min(MAX_BACKOFF_DOUBLINGS));
-        }
+    /// A node's digest is equal.
+    pub fn clear_mismatch(&mut self, node: NodeId) {
+        self.mismatches.remove(&node);
     }
 
-    pub fn clear_mismatch(&mut self, peer: NodeId) {
-        self.mismatches.remove(&peer);
-    }
-
-    fn watch(&mut self, now: Duration, peer: Identity) -> Option<&mut DigestMismatch> {
-        if self.mismatches.len() >= MAX_WATCHED_PEERS && !self.mismatches.contains_key(&peer.node) {
-            return None;
+    /// A fetch from this node has left the digest differing, and this node's table was sent up to the part `next`
+    /// (`None`: to its end). The next fetch waits longer.
+    pub fn record_futile_fetch(&mut self, now: Duration, node: NodeId, next: Option<u16>) {
+        if let Some(mismatch) = self.mismatches.get_mut(&node) {
+            mismatch.next_part = next.unwrap_or(0);
+            mismatch.rounds = mismatch.rounds.saturating_add(u32::from(next.is_none()));
+            let doublings = mismatch.rounds.min(MAX_BACKOFF_DOUBLINGS);
+            mismatch.since = now + self.heartbeat_interval * (FUTILE_FETCH_BACKOFF_HEARTBEATS << doublings);
         }
-        let new = DigestMismatch {
-            incarnation: peer.incarnation,
-            since: now,
-            on_table_fetched: false,
-            part: 0,
-            rounds: 0,
-        };
-        let watch = self.mismatches.entry(peer.node).or_insert(new);
-        if watch.incarnation != peer.incarnation {
-            *watch = new;
-        }
-        Some(watch)
     }
 
-    /// A peer's digest is another than ours, with no gap open. Its table is fetched; where it differs as long after that,
-    /// ours has what it lacks.
-    pub fn on_mismatch(&mut self, now: Duration, peer: Identity, address: SocketAddr) -> MismatchAction {
-        let wait = self.heartbeat_interval * MISMATCH_PATIENCE_HEARTBEATS;
-        let Some(watch) = self.watch(now, peer).filter(|watch| now >= watch.since + wait) else {
-            return MismatchAction::Wait;
-        };
-        watch.since = now;
-        if std::mem::take(&mut watch.on_table_fetched) {
-            return MismatchAction::Send(watch.part);
+    /// A node's digest differs, with no gap open. Its table is fetched; if the digest still differs as long after
+    /// that, this node's table has what the other lacks.
+    pub fn on_mismatch(&mut self, now: Duration, from: Identity, address: SocketAddr) -> MismatchAction {
+        let patience = self.heartbeat_interval * MISMATCH_PATIENCE_HEARTBEATS;
+        let mismatch = self.watch(now, from).filter(|mismatch| now >= mismatch.since + patience);
+        let Some(mismatch) = mismatch else { return MismatchAction::Wait };
+        mismatch.since = now;
+        if std::mem::take(&mut mismatch.is_fetched) {
+            return MismatchAction::Send(mismatch.next_part);
+        }
+        match self.start_fetch(now, from, address) {
+            Some((to, message)) => MismatchAction::Fetch(to, message),
+            None => MismatchAction::Wait,
         }
-        self.start_fetch(now, peer, address)
-            .map_or(MismatchAction::Wait, |(to, message)| MismatchAction::Fetch(to, message))
     }
 
-    /// A stream's log begins at `next` at this peer: by its table this node may go on from there.
+    /// A stream's log begins at `next` at this node: with its table the stream may continue from there.
     pub fn request_skip(
         &mut self,
         now: Duration,
-        peer: Identity,
+        from: Identity,
         address: SocketAddr,
-        to: (StreamId, SequenceNumber),
-    ) -> SettingsRequest {
-        self.skips.insert(to.0, (peer, address, to.1));
-        self.start_fetch(now, peer, address)
+        (stream, next): (StreamId, SequenceNumber),
+    ) -> Request {
+        self.skips.insert(stream, WaitingSkip { from, address, next });
+        self.start_fetch(now, from, address)
     }
 
-    fn start_fetch(&mut self, now: Duration, from: Identity, address: SocketAddr) -> SettingsRequest {
-        if self.fetch.is_some() {
-            return None;
-        }
-        let mine = |(stream, (peer, _, next)): (&StreamId, &(Identity, SocketAddr, SequenceNumber))| {
-            (*peer == from).then_some((*stream, *next))
-        };
-        let skips: BTreeMap<StreamId, SequenceNumber> = self.skips.iter().filter_map(mine).collect();
-        self.skips.retain(|stream, _| !skips.contains_key(stream));
-        let received_parts = BTreeSet::new();
-        let due = now + self.heartbeat_interval * FETCH_RETRY_HEARTBEATS;
-        self.fetch = Some(TableFetch {
-            from,
-            address,
-            digest: None,
-            parts: 0,
-            received_parts,
-            skips,
-            due,
-            attempts: 0,
-        });
-        Some((address, Message::SettingsRequest { part: 0 }))
-    }
-
-    /// A part has come, and was judged. The next parts are asked for once those that were sent together are here.
+    /// A part was received, and its settings were taken. The next parts are requested once those that were sent
+    /// together, `parts_at_once` of them, are here.
     pub fn on_part(
         &mut self,
         now: Duration,
         from: Identity,
-        of: (u32, u16, u16),
-        at_once: u16,
-    ) -> (SettingsRequest, Option<FetchedTable>) {
-        let (digest, part, parts) = of;
-        let heartbeat_interval = self.heartbeat_interval;
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.from == from) else { return (None, None) };
-        if part >= parts {
+        part: TablePart,
+        parts_at_once: u16,
+    ) -> (Request, Option<FetchedTable>) {
+        let TablePart { digest, part, parts } = part;
+        let retry = self.heartbeat_interval * FETCH_RETRY_HEARTBEATS;
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.from == from && part < parts) else {
             return (None, None);
-        }
+        };
         if fetch.digest != Some(digest) || fetch.parts != parts {
             fetch.digest = Some(digest);
             fetch.parts = parts;
@@ -186,28 +170,24 @@
         }
         fetch.received_parts.insert(part);
         fetch.attempts = 0;
-        fetch.due = now + heartbeat_interval * FETCH_RETRY_HEARTBEATS;
+        fetch.due = now + retry;
         if fetch.received_parts.len() < usize::from(parts) {
-            let next = fetch.next();
-            let round = next % at_once.max(1) == 0 && next == part.saturating_add(1);
-            return (round.then_some((fetch.address, Message::SettingsRequest { part: next })), None);
+            let next = fetch.next_part();
+            let is_round_over = next % parts_at_once.max(1) == 0 && next == part.saturating_add(1);
+            let request = is_round_over.then_some((fetch.address, Message::SettingsRequest { part: next }));
+            return (request, None);
         }
-        let done = self.fetch.take();
-        if let Some(watch) = self.watch(now, from) {
-            watch.on_table_fetched = true;
-            watch.since = now;
+        let fetched = self.fetch.take().map(|fetch| FetchedTable { skips: fetch.skips });
+        if let Some(mismatch) = self.watch(now, from) {
+            mismatch.is_fetched = true;
+            mismatch.since = now;
         }
-        let done = done.map(|fetch| FetchedTable { skips: fetch.skips });
-        (self.start_waiting_fetch(now), done)
+        (self.start_waiting_fetch(now), fetched)
     }
 
-    fn start_waiting_fetch(&mut self, now: Duration) -> SettingsRequest {
-        let (peer, address, _) = self.skips.values().next().copied()?;
-        self.start_fetch(now, peer, address)
-    }
-
-    pub fn tick(&mut self, now: Duration) -> SettingsRequest {
-        let heartbeat_interval = self.heartbeat_interval;
+    /// Repeats a request without an answer, or starts a fetch that waits.
+    pub fn tick(&mut self, now: Duration) -> Request {
+        let retry = self.heartbeat_interval * FETCH_RETRY_HEARTBEATS;
         let Some(fetch) = self.fetch.as_mut() else { return self.start_waiting_fetch(now) };
         if now < fetch.due {
             return None;
@@ -217,18 +197,63 @@
             return self.start_waiting_fetch(now);
         }
         fetch.attempts += 1;
-        fetch.due = now + heartbeat_interval * FETCH_RETRY_HEARTBEATS;
-        Some((fetch.address, Message::SettingsRequest { part: fetch.next() }))
+        fetch.due = now + retry;
+        Some((fetch.address, Message::SettingsRequest { part: fetch.next_part() }))
     }
 
     pub fn next_due(&self) -> Option<Duration> {
         self.fetch.as_ref().map(|fetch| fetch.due)
     }
+
+    /// The mismatch of this node, of its current incarnation; `None`: no room to watch it.
+    fn watch(&mut self, now: Duration, node: Identity) -> Option<&mut DigestMismatch> {
+        if self.mismatches.len() >= MAX_WATCHED_NODES && !self.mismatches.contains_key(&node.node) {
+            return None;
+        }
+        let new = DigestMismatch {
+            incarnation: node.incarnation,
+            since: now,
+            is_fetched: false,
+            next_part: 0,
+            rounds: 0,
+        };
+        let mismatch = self.mismatches.entry(node.node).or_insert(new);
+        if mismatch.incarnation != node.incarnation {
+            *mismatch = new;
+        }
+        Some(mismatch)
+    }
+
+    fn start_fetch(&mut self, now: Duration, from: Identity, address: SocketAddr) -> Request {
+        if self.fetch.is_some() {
+            return None;
+        }
+        let of_node = self.skips.iter().filter(|(_, skip)| skip.from == from);
+        let skips: BTreeMap<StreamId, SequenceNumber> =
+            of_node.map(|(stream, skip)| (*stream, skip.next)).collect();
+        self.skips.retain(|stream, _| !skips.contains_key(stream));
+        self.fetch = Some(TableFetch {
+            from,
+            address,
+            digest: None,
+            parts: 0,
+            received_parts: BTreeSet::new(),
+            skips,
+            due: now + self.heartbeat_interval * FETCH_RETRY_HEARTBEATS,
+            attempts: 0,
+        });
+        Some((address, Message::SettingsRequest { part: 0 }))
+    }
+
+    fn start_waiting_fetch(&mut self, now: Duration) -> Request {
+        let skip = self.skips.values().next().copied()?;
+        self.start_fetch(now, skip.from, skip.address)
+    }
 }
 
 impl TableFetch {
     /// The first part that isn't here.
-    fn next(&self) -> u16 {
+    fn next_part(&self) -> u16 {
         let mut next = 0;
         for part in &self.received_parts {
             if *part != next {
