--- a/crates/rockflow-dissemination/src/apply_queue.rs
+++ b/crates/rockflow-dissemination/src/apply_queue.rs
@@ -1,9 +1,11 @@
 //! What the caller is to apply: purges and settings that wait to be handed over, and what it has not confirmed yet.
 
 use crate::apply_tokens::{ApplyToken, PendingTokens};
+use crate::counters::Counters;
 use crate::entry::{EntryId, Purge, StreamId, StreamKind};
-use crate::output::{Counters, Output};
-use crate::settings::{QuarantinedSettings, SettingsTable};
+use crate::output::Output;
+use crate::quarantine::QuarantinedSettings;
+use crate::settings_table::SettingsTable;
 use crate::streams::Streams;
 use crate::timestamp::Timestamp;
 use std::collections::BTreeSet;
--- a/crates/rockflow-dissemination/src/apply_tokens.rs
+++ b/crates/rockflow-dissemination/src/apply_tokens.rs
@@ -1,93 +1,93 @@
-//! What the caller was given to put in effect, and has not confirmed yet.
+//! What the caller was given to apply and has not confirmed yet.
 
 use crate::entry::{EntryId, SequenceNumber, StreamId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names what the caller is to confirm once its decisions go by it. Later ones are greater.
+/// Unconfirmed tokens of one kind. When full, all are replaced by one that covers them: a purge of everything, or the
+/// whole table of settings.
+pub const MAX_PENDING_TOKENS: usize = 4096;
+
+/// Names what the caller is to confirm once its decisions go by it. Later tokens are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ApplyToken(pub u64);
 
-/// Tickets that wait to be confirmed, of one kind. When full, all are given up for one that covers them: a floor of now
-/// for purges, the whole table again for settings.
-pub const MAX_PENDING_TOKENS: usize = 4096;
-
 #[derive(Clone, Debug, Default)]
 struct PendingToken {
-    confirmed: bool,
-    /// Settings to be judged: a ticket all of whose settings are refused is done.
+    is_confirmed: bool,
+    /// Settings to be judged. A token all of whose settings are rejected counts as confirmed.
     unjudged: BTreeSet<EntryId>,
-    /// How far its streams go once it and all before it are confirmed.
+    /// How far streams are applied once this token and all before it are confirmed.
     covers: BTreeMap<StreamId, SequenceNumber>,
 }
 
-/// Tickets in the order they were given; streams are in force as far as the confirmed ones in a row say.
+/// The unconfirmed tokens in the order of their issue. Streams are applied as far as the confirmed ones before the first
+/// unconfirmed one cover.
 #[derive(Clone, Debug, Default)]
-pub struct PendingTokens {
-    open: BTreeMap<ApplyToken, PendingToken>,
+pub(crate) struct PendingTokens {
+    pending: BTreeMap<ApplyToken, PendingToken>,
 }
 
 impl PendingTokens {
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.pending.len()
     }
 
     pub fn is_full(&self) -> bool {
-        self.open.len() >= MAX_PENDING_TOKENS
+        self.pending.len() >= MAX_PENDING_TOKENS
     }
 
     pub fn clear(&mut self) {
-        self.open.clear();
+        self.pending.clear();
     }
 
+    /// Adds a token, with the settings that are to be judged under it.
     pub fn issue(&mut self, token: ApplyToken, unjudged: BTreeSet<EntryId>) {
-        self.open.insert(token, PendingToken { confirmed: false, unjudged, covers: BTreeMap::new() });
+        let pending = PendingToken { is_confirmed: false, unjudged, covers: BTreeMap::new() };
+        self.pending.insert(token, pending);
     }
 
-    /// The stream goes so far once all that is out by now is confirmed; false: nothing is out.
+    /// The newest token covers a stream up to this number. Returns false where no token is pending.
     pub fn extend(&mut self, stream: StreamId, to: SequenceNumber) -> bool {
-        match self.open.last_entry() {
-            Some(mut newest) => {
-                newest.get_mut().covers.insert(stream, to);
-                true
-            }
-            None => false,
-        }
+        let Some(mut newest) = self.pending.last_entry() else { return false };
+        newest.get_mut().covers.insert(stream, to);
+        true
     }
 
     pub fn confirm(&mut self, token: ApplyToken) {
-        if let Some(pending) = self.open.get_mut(&token) {
-            pending.confirmed = true;
+        if let Some(pending) = self.pending.get_mut(&token) {
+            pending.is_confirmed = true;
         }
     }
 
-    /// As each holds all that those before it hold. False: it is none of these.
+    /// Confirms a token and all before it, where each includes what those before it did. Returns whether it was pending.
     pub fn confirm_up_to(&mut self, token: ApplyToken) -> bool {
-        if !self.open.contains_key(&token) {
+        if !self.pending.contains_key(&token) {
             return false;
         }
-        for (_, pending) in self.open.range_mut(..=token) {
-            pending.confirmed = true;
+        for (_, pending) in self.pending.range_mut(..=token) {
+            pending.is_confirmed = true;
         }
         true
     }
 
+    /// The caller has rejected a setting.
     pub fn on_rejected(&mut self, id: EntryId) {
-        for pending in self.open.values_mut() {
+        for pending in self.pending.values_mut() {
             if pending.unjudged.remove(&id) && pending.unjudged.is_empty() {
-                pending.confirmed = true;
+                pending.is_confirmed = true;
             }
         }
     }
 
-    /// What has come in force since.
+    /// Removes the confirmed tokens before the first unconfirmed one. Returns what they cover, in order.
     pub fn take_confirmed(&mut self) -> Vec<(StreamId, SequenceNumber)> {
-        let mut advanced = Vec::new();
-        while let Some(first) = self.open.first_entry() {
-            if !first.get().confirmed {
+        let mut covered = Vec::new();
+        while let Some(first) = self.pending.first_entry() {
+            if !first.get().is_confirmed {
                 break;
             }
-            advanced.extend(first.remove().covers);
+            covered.extend(first.remove().covers);
         }
-        advanced
+        covered
     }
 }
--- a/crates/rockflow-dissemination/src/children.rs
+++ b/crates/rockflow-dissemination/src/children.rs
@@ -1,4 +1,4 @@
-//! Who follows this node, and what they report.
+//! The nodes that follow this one, and what they report.
 
 use crate::identity::{Identity, NodeId};
 use crate::message::MAX_REPORTS;
@@ -7,39 +7,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Children of a member. One more is answered `Full`, and goes to its next candidate.
+/// Children of a member. A further one is answered with [`Message::Full`](crate::Message::Full), and follows its next
+/// candidate.
 pub const MAX_CHILDREN: usize = 16;
 /// Children of a control node, likewise.
 pub const MAX_CONTROL_CHILDREN: usize = 256;
 
+/// A node that follows this one.
 #[derive(Clone, Debug)]
-pub struct Child {
+pub(crate) struct Child {
     pub identity: Identity,
     pub address: SocketAddr,
+    /// When its last acknowledgement was received.
     pub last_received: Duration,
     pub reports: Vec<SubtreeReport>,
 }
 
+/// What became of an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AckOutcome {
+pub(crate) enum AckOutcome {
+    /// From a new child, or a new incarnation of one.
     New,
     Known {
+        /// Whether its reports differ from those before.
         changed: bool,
     },
+    /// There is no room for another child.
     Full,
-    /// An earlier life of one that is a child.
+    /// From an earlier incarnation of a child.
     Earlier,
 }
 
+/// Owns the children and their last reports.
 #[derive(Clone, Debug)]
-pub struct Children {
+pub(crate) struct Children {
     children: BTreeMap<NodeId, Child>,
     max_children: usize,
     ttl: Duration,
 }
 
 impl Children {
-    /// Children are kept, and their reports count, for `keep` after an ack.
+    /// A child is kept, and its reports count, for `ttl` after an acknowledgement.
     pub fn new(max_children: usize, ttl: Duration) -> Children {
         Children { children: BTreeMap::new(), max_children, ttl }
     }
@@ -52,6 +60,14 @@
         self.children.values()
     }
 
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.children.values().map(|child| child.address).collect()
+    }
+
+    pub fn reports(&self) -> impl Iterator<Item = &SubtreeReport> {
+        self.children.values().flat_map(|child| &child.reports)
+    }
+
     pub fn on_acknowledgement(
         &mut self,
         now: Duration,
@@ -63,31 +79,32 @@
         for report in &mut reports {
             report.truncate_to_limits();
         }
-        let full = self.children.len() >= self.max_children;
+        let is_full = self.children.len() >= self.max_children;
         let outcome = match self.children.get(&identity.node) {
             Some(child) if child.identity.incarnation > identity.incarnation => return AckOutcome::Earlier,
             Some(child) if child.identity == identity => {
                 AckOutcome::Known { changed: child.reports != reports }
             }
             Some(_) => AckOutcome::New,
-            None if full => return AckOutcome::Full,
+            None if is_full => return AckOutcome::Full,
             None => AckOutcome::New,
         };
         self.children.insert(identity.node, Child { identity, address, last_received: now, reports });
         outcome
     }
 
-    /// Whether an ack of this one would be taken.
+    /// Whether an acknowledgement of this node would be accepted.
     pub fn has_room_for(&self, node: NodeId) -> bool {
         self.children.len() < self.max_children || self.children.contains_key(&node)
     }
 
+    /// Returns whether it was a child.
     pub fn remove(&mut self, identity: Identity) -> bool {
-        let there = self.children.get(&identity.node).is_some_and(|child| child.identity == identity);
-        there && self.children.remove(&identity.node).is_some()
+        let is_child = self.children.get(&identity.node).is_some_and(|child| child.identity == identity);
+        is_child && self.children.remove(&identity.node).is_some()
     }
 
-    /// Drops those not heard of for too long. True: some were.
+    /// Drops children that were silent for too long. Returns whether there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
         let before = self.children.len();
         let ttl = self.ttl;
@@ -95,18 +112,10 @@
         self.children.len() < before
     }
 
-    /// What they said is too old to count; they say it again.
+    /// The reports are too old to count; the children repeat them.
     pub fn forget_reports(&mut self) {
         for child in self.children.values_mut() {
             child.reports.clear();
         }
     }
-
-    pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.children.values().map(|child| child.address).collect()
-    }
-
-    pub fn reports(&self) -> impl Iterator<Item = &SubtreeReport> {
-        self.children.values().flat_map(|child| &child.reports)
-    }
 }
--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -1,10 +1,10 @@
 //! Replication to all: what every listed member has applied, by the members' own reports.
 
+use crate::counters::Counters;
 use crate::directory::Directory;
 use crate::entry::{SequenceNumber, StreamId};
 use crate::identity::ControlId;
 use crate::message::MAX_REGION_REPORTS;
-use crate::output::Counters;
 use crate::subtree_report::{self, LagOf, RegionReport, SubtreeReport};
 use crate::timestamp::Timestamp;
 use std::collections::BTreeMap;
--- a/crates/rockflow-dissemination/src/encoded_size.rs
+++ b/crates/rockflow-dissemination/src/encoded_size.rs
@@ -1,37 +1,46 @@
-//! How large frames are, about: what is paced and cut by it needs no more.
+//! Approximate sizes of encoded messages, by which sending is limited and messages are divided.
 
 use crate::entry::Entry;
 use crate::message::Message;
 use crate::setting::HostSetting;
 
-/// Bytes of entries in one frame.
-pub const MAX_CONTENT_BYTES: usize = 1200;
-/// A stream's name and a number.
-pub const STREAM_ID_BYTES: usize = 14;
-/// A node's name and address.
-pub const PEER_BYTES: usize = 20;
-/// What a frame has before and around its content, as it travels.
-pub const FRAME_BYTES: usize = 48;
+/// Bytes of entries or settings in one message.
+pub(crate) const MAX_CONTENT_BYTES: usize = 1200;
+/// Bytes of a stream id and a number.
+pub(crate) const STREAM_ID_BYTES: usize = 14;
+/// Bytes of a node id and an address.
+const PEER_BYTES: usize = 20;
+/// Bytes of a purge.
+const PURGE_BYTES: usize = 14;
+/// Bytes of a setting without the host's name.
+const SETTING_BYTES: usize = 24;
+/// Bytes that an entry takes beside its setting.
+const SETTING_ENTRY_BYTES: usize = 5;
+/// Bytes before and around the content of a message.
+const FRAME_BYTES: usize = 48;
 
-pub fn setting(setting: &HostSetting) -> usize {
-    setting.host.len() + 24
+/// Bytes of a setting.
+pub(crate) fn setting(setting: &HostSetting) -> usize {
+    setting.host.len() + SETTING_BYTES
 }
 
-pub fn entry(entry: &Entry) -> usize {
+/// Bytes of an entry.
+pub(crate) fn entry(entry: &Entry) -> usize {
     match entry {
-        Entry::Purge(_) => 14,
-        Entry::Setting(of) => setting(of) + 5,
+        Entry::Purge(_) => PURGE_BYTES,
+        Entry::Setting(host_setting) => setting(host_setting) + SETTING_ENTRY_BYTES,
     }
 }
 
-pub fn message(message: &Message) -> usize {
+/// Bytes of a message on the wire.
+pub(crate) fn message(message: &Message) -> usize {
     let content = match message {
         Message::Batch { entries, .. } => {
             STREAM_ID_BYTES + entries.iter().map(|aged| entry(&aged.entry)).sum::<usize>()
         }
         Message::Placement { parents, .. } => STREAM_ID_BYTES + parents.len() * PEER_BYTES,
         Message::SettingsPart { settings, .. } => {
-            settings.iter().map(|v| setting(&v.setting) + STREAM_ID_BYTES).sum()
+            settings.iter().map(|version| setting(&version.setting) + STREAM_ID_BYTES).sum()
         }
         _ => STREAM_ID_BYTES,
     };
--- a/crates/rockflow-dissemination/src/lib.rs
+++ b/crates/rockflow-dissemination/src/lib.rs
@@ -11,6 +11,7 @@
 mod contact;
 mod control;
 mod convergence;
+mod counters;
 mod directory;
 mod encoded_size;
 mod entry;
@@ -21,10 +22,11 @@
 mod node;
 mod output;
 mod publisher;
+mod quarantine;
 mod rate_limits;
 mod schedule;
 mod setting;
-mod settings;
+mod settings_table;
 mod slot_set;
 mod status;
 mod stream;
@@ -38,6 +40,7 @@
 pub use apply_tokens::{ApplyToken, MAX_PENDING_TOKENS};
 pub use children::{MAX_CHILDREN, MAX_CONTROL_CHILDREN};
 pub use config::NodeConfig;
+pub use counters::{Counters, MessageCounts};
 pub use directory::{Directory, DirectoryError, DirectoryMember, Placement, Region};
 pub use entry::{AgedEntry, Entry, EntryId, Purge, SequenceNumber, StreamId, StreamKind};
 pub use identity::{ControlId, Identity, Incarnation, NodeId, Peer};
@@ -46,17 +49,16 @@
     MAX_SETTINGS_PER_PART, MAX_STREAMS, MAX_TIPS,
 };
 pub use node::{Node, MAX_UNSENT_PUBLICATIONS};
-pub use output::{Counters, MessageCounts, Output, Publication};
+pub use output::{Output, Publication};
 pub use publisher::{
     Publisher, BACKLOG_AGE_UNCERTAINTY, MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES,
 };
+pub use quarantine::MAX_QUARANTINED;
 pub use setting::{
-    DesiredState, HostSetting, HybridTimestamp, RejectionReason, SettingVersion, MAX_NAME_BYTES,
-};
-pub use settings::{
-    SettingOutcome, SettingsTable, MAX_CLOCK_UNIX_MS, MAX_CONCURRENT_VERSIONS, MAX_HOSTS, MAX_PARTS_AT_ONCE,
-    MAX_QUARANTINED, MAX_TRUSTED_CLOCK_UNIX_MS,
+    DesiredState, HostSetting, HybridTimestamp, RejectionReason, SettingVersion, MAX_CLOCK_UNIX_MS,
+    MAX_NAME_BYTES, MAX_TRUSTED_CLOCK_UNIX_MS,
 };
+pub use settings_table::{SettingOutcome, SettingsTable, MAX_HOSTS, MAX_PARTS_AT_ONCE};
 pub use slot_set::{SlotSet, MAX_SLOTS};
 pub use status::{ControlStatus, NodeStatus, ResourceUsage, StreamStatus};
 pub use stream::{StreamTip, MAX_CONFIGURATION_LOG_ENTRIES, MAX_PURGE_LOG_ENTRIES};
--- a/crates/rockflow-dissemination/src/node/acknowledgements.rs
+++ b/crates/rockflow-dissemination/src/node/acknowledgements.rs
@@ -4,10 +4,10 @@
 use super::{Node, Sender};
 use crate::children::AckOutcome;
 use crate::entry::{SequenceNumber, StreamId};
-use crate::message::{Message, MAX_STREAMS};
+use crate::message::{Message, MAX_REPORTS, MAX_STREAMS};
 use crate::slot_set::SlotSet;
 use crate::stream::StreamTip;
-use crate::subtree_report::{self, SubtreeReport, MAX_MERGED_REPORTS, MAX_REJECTED};
+use crate::subtree_report::{self, SubtreeReport, MAX_REJECTED};
 use std::time::Duration;
 
 impl Node {
@@ -81,7 +81,7 @@
     fn subtree_reports(&self) -> (Vec<SubtreeReport>, u64) {
         let own = self.own_report();
         let all = own.iter().chain(self.children.reports());
-        subtree_report::merge(all, &|id, number| self.lag(id, number), MAX_MERGED_REPORTS)
+        subtree_report::merge(all, &|id, number| self.lag(id, number), MAX_REPORTS)
     }
 
     fn own_report(&self) -> Option<SubtreeReport> {
--- a/crates/rockflow-dissemination/src/node/anti_entropy.rs
+++ b/crates/rockflow-dissemination/src/node/anti_entropy.rs
@@ -14,10 +14,6 @@
 const MAX_REPAIR_MESSAGES: usize = 16;
 /// A superseded configuration stream is retired after it was quiet for this long.
 const CONFIGURATION_RETIRE_HEARTBEATS: u32 = 120;
-/// The longest interval between two requests for the same gap.
-const MAX_REPAIR_BACKOFF_HEARTBEATS: u32 = 16;
-/// Requests for the same gap that follow each other at one heartbeat interval, before the interval grows.
-const MAX_QUICK_REPAIR_REQUESTS: u32 = 16;
 /// A gap open for this part of the purge window is given up at the word of one node that its log begins later.
 const LONG_GAP_DIVISOR: u32 = 4;
 /// A gap open for this part of the purge window is abandoned.
@@ -26,7 +22,7 @@
 impl Node {
     /// Requests what is missing, where it is due.
     pub(super) fn request_repairs(&mut self, now: Duration) {
-        let is_due = |stream: &&Stream| stream.repair_due.is_some_and(|due| due <= now);
+        let is_due = |stream: &&Stream| stream.repair_due().is_some_and(|due| due <= now);
         let due: Vec<StreamId> = self.streams.iter().filter(is_due).map(|stream| stream.id).collect();
         for id in due {
             self.request_repair(now, id);
@@ -35,20 +31,10 @@
 
     fn request_repair(&mut self, now: Duration, id: StreamId) {
         let Some(stream) = self.streams.get_mut(id) else { return };
-        if stream.received_at_last_repair != stream.received() {
-            stream.received_at_last_repair = stream.received();
-            stream.repair_attempts = 0;
-        }
-        let attempt = stream.repair_attempts;
-        stream.repair_attempts = attempt.saturating_add(1);
-        let backoff =
-            attempt.saturating_sub(MAX_QUICK_REPAIR_REQUESTS).clamp(1, MAX_REPAIR_BACKOFF_HEARTBEATS);
-        stream.repair_due = Some(now + self.config.heartbeat_interval * backoff);
-        let ranges = stream.missing_ranges();
-        let advertised_by = stream.advertised_by;
-        if let Some(to) = self.repair_target(id, advertised_by, attempt as usize) {
+        let repair = stream.next_repair(now, self.config.heartbeat_interval);
+        if let Some(to) = self.repair_target(id, repair.advertised_by, repair.attempt as usize) {
             self.counters.repair_requests_sent += 1;
-            self.send(to, Message::RepairRequest { stream: id, ranges });
+            self.send(to, Message::RepairRequest { stream: id, ranges: repair.ranges });
         }
     }
 
@@ -141,7 +127,7 @@
         let has_missed = stream.skip_to(next, min_accepted);
         stream.update_gap(now, self.config.heartbeat_interval / 2);
         if stream.has_gap() {
-            stream.repair_due = Some(now);
+            stream.request_repair_at(now);
         }
         self.apply_queue.touch(id);
         if !has_missed {
--- a/crates/rockflow-dissemination/src/node/control.rs
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -192,7 +192,7 @@
             }
         }
         // The log has dropped it: the newest entry that was dropped gives the least time that it can have taken.
-        if let Some(dropped) = stream.newest_dropped.filter(|_| stream.get(to).is_none()) {
+        if let Some(dropped) = stream.newest_dropped().filter(|_| stream.get(to).is_none()) {
             self.outputs.push(Output::ReplicatedToAll { stream: id, number: to, after: dropped.age(now) });
         }
     }
--- a/crates/rockflow-dissemination/src/node/flush.rs
+++ b/crates/rockflow-dissemination/src/node/flush.rs
@@ -60,7 +60,7 @@
         let deadlines = [
             Some(now + self.config.heartbeat_interval),
             Some(heartbeat),
-            self.streams.iter().filter_map(|stream| stream.repair_due).min(),
+            self.streams.iter().filter_map(|stream| stream.repair_due()).min(),
             self.table_sync.next_due(),
             is_member.then(|| self.acks.due()),
             is_member.then(|| self.join.due()),
--- a/crates/rockflow-dissemination/src/node/ingest.rs
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -5,7 +5,7 @@
 use crate::entry::{AgedEntry, Entry, SequenceNumber, StreamId, StreamKind};
 use crate::message::MAX_BATCH_ENTRIES;
 use crate::setting::{RejectionReason, SettingVersion};
-use crate::settings::SettingOutcome;
+use crate::settings_table::SettingOutcome;
 use crate::stream::{InsertOutcome, LogEntry, Stream, StreamTip};
 use crate::streams::StreamAdmission;
 use crate::timestamp::Timestamp;
--- a/crates/rockflow-dissemination/src/node/settings_exchange.rs
+++ b/crates/rockflow-dissemination/src/node/settings_exchange.rs
@@ -6,7 +6,7 @@
 use crate::identity::Identity;
 use crate::message::{Message, MAX_SETTINGS_PER_PART};
 use crate::setting::SettingVersion;
-use crate::settings::MAX_PARTS_AT_ONCE;
+use crate::settings_table::MAX_PARTS_AT_ONCE;
 use crate::table_sync::{FetchedTable, MismatchAction, TablePart};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/rockflow-dissemination/src/output.rs
+++ b/crates/rockflow-dissemination/src/output.rs
@@ -1,4 +1,4 @@
-//! What a node has done or wants done, and what it counts.
+//! What a node wants done, and what its caller asks it to publish.
 
 use crate::apply_tokens::ApplyToken;
 use crate::entry::{EntryId, Purge, SequenceNumber, StreamId};
@@ -12,131 +12,62 @@
 /// What a control node is asked to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Publication {
-    /// `age`: since the board made it.
+    /// A purge.
     Purge {
+        /// What is purged.
         purge: Purge,
+        /// Time since the purge was requested.
         age: Duration,
     },
+    /// A setting of a host.
     Setting {
+        /// The host's name.
         host: String,
+        /// What is wanted of it.
         desired: DesiredState,
     },
 }
 
+/// What is to be done after a call of a node, in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
+    /// Send a message.
     Send {
+        /// The receiver.
         to: SocketAddr,
+        /// The message.
         message: Message,
     },
-    /// Each to be put in effect, with its age; a floor is a purge of everything. To be confirmed by `in_effect`. At a
-    /// control node these are the purges that others published, and nothing has to be confirmed.
+    /// Apply purges, then call [`Node::confirm_applied`](crate::Node::confirm_applied). At a control node these are the
+    /// purges that others published, and nothing has to be confirmed.
     Purge {
+        /// Each with its age. A purge of everything also stands for purges that were lost.
         purges: Vec<(Purge, Duration)>,
+        /// What to confirm.
         token: ApplyToken,
     },
-    /// All hosts that are wanted otherwise than listed, what changed, and what was refused before and is to be judged
-    /// again. To be answered by `in_effect`, after a `refuse` for each that can't be put in force.
+    /// Apply the settings, then call [`Node::reject`](crate::Node::reject) for each that can't be applied, then
+    /// [`Node::confirm_applied`](crate::Node::confirm_applied).
     Configure {
+        /// All hosts whose desired state is not [`DesiredState::Listed`].
         settings: BTreeMap<String, DesiredState>,
+        /// Settings to be judged, with their hosts: those that have changed, and those that were rejected before.
         changed: Vec<(EntryId, String)>,
+        /// What to confirm.
         token: ApplyToken,
     },
-    /// At a control node: seen for the first time in force everywhere, so long after its publication.
+    /// At a control node: an entry was seen for the first time to be applied by all members.
     ReplicatedToAll {
+        /// The entry's stream.
         stream: StreamId,
+        /// Its number.
         number: SequenceNumber,
+        /// Time since it was published.
         after: Duration,
     },
-    /// A later life of this control node was known; it has begun this one above it by itself.
+    /// A later incarnation of this control node was known elsewhere. The node continues under a greater one.
     IncarnationSuperseded {
+        /// The incarnation of all that is sent from now on.
         incarnation: Incarnation,
     },
 }
-
-/// Frames by their kind.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MessageCounts {
-    pub join: u64,
-    pub placement: u64,
-    pub not_listed: u64,
-    pub acknowledgement: u64,
-    pub leave: u64,
-    pub full: u64,
-    pub heartbeat: u64,
-    pub batch: u64,
-    pub repair_request: u64,
-    pub snapshot: u64,
-    pub settings_request: u64,
-    pub settings_part: u64,
-    pub region_reports: u64,
-    pub superseded_incarnation: u64,
-    pub probe: u64,
-    pub probe_reply: u64,
-}
-
-impl MessageCounts {
-    pub(crate) fn count(&mut self, message: &Message) {
-        let counter = match message {
-            Message::Join { .. } => &mut self.join,
-            Message::Placement { .. } => &mut self.placement,
-            Message::NotListed { .. } => &mut self.not_listed,
-            Message::Acknowledgement { .. } => &mut self.acknowledgement,
-            Message::Leave => &mut self.leave,
-            Message::Full => &mut self.full,
-            Message::Heartbeat { .. } => &mut self.heartbeat,
-            Message::Batch { .. } => &mut self.batch,
-            Message::RepairRequest { .. } => &mut self.repair_request,
-            Message::Snapshot { .. } => &mut self.snapshot,
-            Message::SettingsRequest { .. } => &mut self.settings_request,
-            Message::SettingsPart { .. } => &mut self.settings_part,
-            Message::RegionReports { .. } => &mut self.region_reports,
-            Message::SupersededIncarnation { .. } => &mut self.superseded_incarnation,
-            Message::Probe => &mut self.probe,
-            Message::ProbeReply { .. } => &mut self.probe_reply,
-        };
-        *counter += 1;
-    }
-}
-
-/// Counts, for whoever looks on. Each only grows.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
-    pub messages_in: MessageCounts,
-    pub messages_out: MessageCounts,
-    /// Entries taken: new to this life.
-    pub accepted: u64,
-    /// Entries heard again, numbers that run backwards among them.
-    pub duplicates: u64,
-    /// Entries of numbers that were dropped from their stream's log since.
-    pub stale_numbers: u64,
-    /// Another content under a number that is held.
-    pub conflicts: u64,
-    /// Entries not taken: of the wrong kind, an unknown control node, a life that is over, or too far ahead.
-    pub entries_rejected: u64,
-    /// Floors put in effect in place of purges that were not to be had.
-    pub substitute_purges: u64,
-    pub repair_requests_sent: u64,
-    pub repair_requests_answered: u64,
-    /// Asks dropped for lack of bytes; they come again.
-    pub repair_requests_throttled: u64,
-    /// Publications for which a purge of everything stands.
-    pub publications_folded: u64,
-    /// Children turned away.
-    pub children_rejected: u64,
-    pub parent_changes: u64,
-    /// Settings refused here.
-    pub settings_rejected: u64,
-    /// Settings that met one that did not know of them.
-    pub concurrent_settings: u64,
-    /// Streams dropped while another life of their control node goes on.
-    pub streams_retired: u64,
-    /// Tickets given up for a floor, since too many were never confirmed.
-    pub token_overflows: u64,
-    /// Reports for which there was no room, or that were of no listing known here.
-    pub reports_dropped: u64,
-    /// Times that this process stood still and took nobody's silence for a loss.
-    pub process_pauses: u64,
-    /// Frames that only a control node, or a parent, may send.
-    pub unexpected_messages: u64,
-}
--- a/crates/rockflow-dissemination/src/setting.rs
+++ b/crates/rockflow-dissemination/src/setting.rs
@@ -6,6 +6,12 @@
 /// Bytes of a host's name, at most; also of the names in a directory.
 pub const MAX_NAME_BYTES: usize = 128;
 
+/// Unix milliseconds in the year 2109. A later timestamp is rejected, and no incarnation is greater.
+pub const MAX_CLOCK_UNIX_MS: u64 = 1 << 42;
+/// Unix milliseconds in the year 2074. A later timestamp does not advance a node's clock, so that the clock can still be
+/// advanced up to [`MAX_CLOCK_UNIX_MS`]. A setting with such a timestamp is replaced by one just above it.
+pub const MAX_TRUSTED_CLOCK_UNIX_MS: u64 = MAX_CLOCK_UNIX_MS / 4 * 3;
+
 /// The state that operators want a host to be in. The greater is the more cautious.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DesiredState {
--- a/crates/rockflow-dissemination/src/slot_set.rs
+++ b/crates/rockflow-dissemination/src/slot_set.rs
@@ -4,37 +4,42 @@
 
 /// Slots, and so members, of one region, at most.
 pub const MAX_SLOTS: usize = 1024;
+/// Slots in one byte of a set.
+pub(crate) const SLOTS_PER_BYTE: usize = 8;
 
 /// Slots of a region as a bit set, eight to a byte, as long as its greatest slot needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotSet(pub Vec<u8>);
 
 impl SlotSet {
-    /// Adds a slot; one beyond the limit is ignored.
+    /// Adds a slot; one from [`MAX_SLOTS`] on is ignored.
     pub fn set(&mut self, slot: u16) {
-        let byte = usize::from(slot / 8);
-        if usize::from(slot) >= MAX_SLOTS {
+        let slot = usize::from(slot);
+        if slot >= MAX_SLOTS {
             return;
         }
+        let byte = slot / SLOTS_PER_BYTE;
         if self.0.len() <= byte {
             self.0.resize(byte + 1, 0);
         }
-        self.0[byte] |= 1 << (slot % 8);
+        self.0[byte] |= 1 << (slot % SLOTS_PER_BYTE);
     }
 
     /// Whether a slot is in the set.
     pub fn contains(&self, slot: u16) -> bool {
-        self.0.get(usize::from(slot / 8)).is_some_and(|byte| byte & (1 << (slot % 8)) != 0)
+        let slot = usize::from(slot);
+        let byte = self.0.get(slot / SLOTS_PER_BYTE);
+        byte.is_some_and(|byte| byte & (1 << (slot % SLOTS_PER_BYTE)) != 0)
     }
 
-    /// Adds the slots of another set.
+    /// Adds the slots of another set, below [`MAX_SLOTS`].
     pub fn union(&mut self, other: &SlotSet) {
-        let bytes = other.0.len().min(MAX_SLOTS / 8);
+        let bytes = other.0.len().min(MAX_SLOTS / SLOTS_PER_BYTE);
         if self.0.len() < bytes {
             self.0.resize(bytes, 0);
         }
-        for (mine, its) in self.0.iter_mut().zip(&other.0) {
-            *mine |= its;
+        for (own, other) in self.0.iter_mut().zip(&other.0) {
+            *own |= other;
         }
     }
 
--- a/crates/rockflow-dissemination/src/stream/log.rs
+++ b/crates/rockflow-dissemination/src/stream/log.rs
@@ -1,4 +1,4 @@
-//! What a stream's holder says of its log, and what its publisher writes into it.
+//! A stream's log as it is sent to other nodes, and as its own publisher extends it.
 
 use super::{LogEntry, Stream, StreamTip, MAX_REPAIRABLE_GAP};
 use crate::encoded_size;
@@ -8,79 +8,81 @@
 use std::time::Duration;
 
 impl Stream {
+    /// How far the stream reaches here.
     pub fn tip(&self) -> StreamTip {
-        StreamTip { stream: self.id, first: SequenceNumber(self.first), last: self.last() }
+        StreamTip { stream: self.id, first: self.first(), last: self.last() }
     }
 
-    /// Where the log begins for one who asks now, and how old all before it is that binds still.
-    pub fn snapshot(&self, now: Duration, window: Duration) -> Message {
+    /// Where the log begins for a node that requests it now, and how old the newest entry before it is that has not
+    /// expired.
+    pub fn snapshot(&self, now: Duration, purge_window: Duration) -> Message {
         let next = self.first.max(self.received.saturating_sub(MAX_REPAIRABLE_GAP - 1));
-        let cut = self.log.range(self.first..next.max(self.first)).map(|(_, held)| held.timestamp).max();
-        let newest = self.newest_dropped.max(cut).filter(|timestamp| timestamp.age(now) <= window);
-        let min_accepted_age_ms =
-            newest.filter(|_| self.id.kind == StreamKind::Purges).map(|timestamp| timestamp.age_ms(now));
+        let left_out = self.log.range(self.first..next.max(self.first));
+        let newest_left_out = left_out.map(|(_, held)| held.timestamp).max();
+        let newest = self.newest_dropped.max(newest_left_out);
+        let unexpired =
+            newest.filter(|newest| self.id.kind == StreamKind::Purges && newest.age(now) <= purge_window);
+        let min_accepted_age_ms = unexpired.map(|newest| newest.age_ms(now));
         Message::Snapshot { stream: self.id, next: SequenceNumber(next), min_accepted_age_ms }
     }
 
-    /// What is held of a range, in frames; so many at the most.
+    /// What the log holds of a range, in at most `max_batches` messages.
     pub fn batches(
         &self,
         now: Duration,
-        from: SequenceNumber,
-        to: SequenceNumber,
-        max_frames: usize,
+        first: SequenceNumber,
+        last: SequenceNumber,
+        max_batches: usize,
     ) -> Vec<Message> {
-        let mut frames: Vec<(u64, Vec<AgedEntry>)> = Vec::new();
-        let (mut next, mut bytes) = (0, 0);
-        if from > to {
+        if first > last {
             return Vec::new();
         }
-        for (number, held) in self.log.range(from.0..=to.0) {
-            let more = encoded_size::entry(&held.entry);
-            let goes_on = frames.last().is_some_and(|(_, entries)| {
-                *number == next
-                    && entries.len() < MAX_BATCH_ENTRIES
-                    && bytes + more <= encoded_size::MAX_CONTENT_BYTES
-            });
-            if !goes_on {
-                if frames.len() >= max_frames {
-                    break;
+        let mut batches: Vec<(u64, Vec<AgedEntry>)> = Vec::new();
+        let mut next = 0;
+        let mut bytes = 0;
+        for (number, held) in self.log.range(first.0..=last.0) {
+            let added = encoded_size::entry(&held.entry);
+            let aged = AgedEntry { age_ms: held.timestamp.age_ms(now), entry: held.entry.clone() };
+            let fits = *number == next && bytes + added <= encoded_size::MAX_CONTENT_BYTES;
+            let is_full = batches.len() >= max_batches;
+            match batches.last_mut() {
+                Some((_, entries)) if fits && entries.len() < MAX_BATCH_ENTRIES => {
+                    entries.push(aged);
+                    bytes += added;
+                }
+                _ if is_full => break,
+                _ => {
+                    batches.push((*number, vec![aged]));
+                    bytes = added;
                 }
-                frames.push((*number, Vec::new()));
-                bytes = 0;
             }
-            bytes += more;
             next = number.saturating_add(1);
-            let aged = AgedEntry { age_ms: held.timestamp.age_ms(now), entry: held.entry.clone() };
-            if let Some((_, entries)) = frames.last_mut() {
-                entries.push(aged);
-            }
         }
         let batch =
             |(first, entries)| Message::Batch { stream: self.id, first: SequenceNumber(first), entries };
-        frames.into_iter().map(batch).collect()
+        batches.into_iter().map(batch).collect()
     }
 
-    /// At its own publisher: the next number is this entry's.
-    pub fn append(&mut self, now: Duration, held: LogEntry) -> SequenceNumber {
+    /// Adds an entry under the next number; at its own publisher.
+    pub fn append(&mut self, now: Duration, log_entry: LogEntry) -> SequenceNumber {
         self.start_known = true;
         let number = self.received.saturating_add(1);
-        self.log.insert(number, held);
+        self.log.insert(number, log_entry);
         self.received = number;
         self.last = self.last.max(number);
         self.last_advanced = now;
         SequenceNumber(number)
     }
 
-    /// At its own publisher, of an entry that has not left yet: it counts as made now.
+    /// Counts an entry that was not sent yet as made now; at its own publisher.
     pub fn refresh_timestamp(&mut self, now: Duration, number: SequenceNumber) {
         if let Some(held) = self.log.get_mut(&number.0) {
             held.timestamp = Timestamp::ago(now, Duration::ZERO);
         }
     }
 
-    /// What is held of it that was made after a moment.
-    pub fn entries_within(&self, now: Duration, span: Duration) -> Vec<LogEntry> {
-        self.log.values().filter(|held| held.timestamp.age(now) <= span).cloned().collect()
+    /// The entries that are at most this old.
+    pub fn entries_within(&self, now: Duration, max_age: Duration) -> Vec<LogEntry> {
+        self.log.values().filter(|held| held.timestamp.age(now) <= max_age).cloned().collect()
     }
 }
--- a/crates/rockflow-dissemination/src/stream/mod.rs
+++ b/crates/rockflow-dissemination/src/stream/mod.rs
@@ -1,25 +1,28 @@
-//! One stream as a node holds it: its log, what is missing, what is known of its end, and how far it is in force.
+//! One stream as a node holds it: its log, what is missing, how far it is known to reach, and how far it is applied.
 
+mod gap;
 mod log;
+mod repair;
 
 use crate::entry::{Entry, SequenceNumber, StreamId, StreamKind};
-use crate::message::MAX_RANGES;
 use crate::timestamp::Timestamp;
+use gap::GapTracker;
+use repair::RepairSchedule;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Purges of one log, also how far ahead of a gap one is taken. When full, the first goes, and the snapshot covers it.
+/// Purges in one log, and how far ahead of a gap one is accepted. When full, the first is dropped, and a snapshot covers
+/// it.
 pub const MAX_PURGE_LOG_ENTRIES: usize = 16_384;
-/// Configuration entries of one log, likewise.
+/// Settings in one log, likewise.
 pub const MAX_CONFIGURATION_LOG_ENTRIES: usize = 1024;
-/// A wider gap is not asked for; a snapshot is.
-pub const MAX_REPAIRABLE_GAP: u64 = 4096;
-/// Contents beside those in a log, under the same numbers. When full, a floor of now stands for one more.
-pub const MAX_CONFLICTING_ENTRIES: usize = 64;
-/// Steps in which the end of a stream moved away over a gap. When full, the newest takes in what follows.
-pub const MAX_GAP_STEPS: usize = 64;
+/// Numbers in a gap that is repaired entry by entry; for a wider one a snapshot is requested.
+pub(crate) const MAX_REPAIRABLE_GAP: u64 = 4096;
+/// Entries remembered whose numbers are in the log with another content. When full, a purge of everything stands for a
+/// further one.
+const MAX_CONFLICTING_ENTRIES: usize = 64;
 
 /// How far a stream reaches at the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -32,96 +35,103 @@
     pub last: SequenceNumber,
 }
 
+/// An entry in a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LogEntry {
+pub(crate) struct LogEntry {
+    /// When it was published, at the latest.
     pub timestamp: Timestamp,
     pub entry: Entry,
 }
 
+/// What became of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InsertOutcome {
+pub(crate) enum InsertOutcome {
     New,
+    /// Received before.
     Known,
-    /// Another content under a number that is held: to be put in effect beside it.
+    /// The log holds another content under its number: it is applied beside that one.
     Conflict,
-    /// Likewise, and there is no room to remember it by.
+    /// The same, and there is no room to remember it.
     ConflictUntracked,
-    /// Of a number that was dropped from the log since.
+    /// The log has dropped its number.
     Dropped,
-    /// Too far ahead: neither kept nor to be put in effect; it counts as missing.
+    /// Too far ahead: neither logged nor applied; it counts as missing.
     TooFarAhead,
-    /// Of the wrong kind, or under no number; nothing comes of it.
+    /// Of the wrong kind, or without a valid number.
     Invalid,
 }
 
+/// A stream and its log.
 #[derive(Clone, Debug)]
-pub struct Stream {
+pub(crate) struct Stream {
     pub id: StreamId,
-    pub(crate) log: BTreeMap<u64, LogEntry>,
-    /// All before it is under the snapshot.
-    pub(crate) first: u64,
-    /// The newest before the log.
-    pub(crate) newest_dropped: Option<Timestamp>,
-    /// Where it begins is known: by its first number, or a snapshot.
+    /// Whether the number of its first entry is known: by that entry, or by a snapshot. Until then nothing of it counts
+    /// as received.
     pub start_known: bool,
-    /// All up to here are here or covered.
-    pub(crate) received: u64,
-    /// All up to here are in force.
+    /// All entries up to this one are applied.
     pub applied: SequenceNumber,
-    pub(crate) last: u64,
-    /// Since when the end of the stream was known to be so far.
-    gap_steps: VecDeque<(u64, Duration)>,
-    /// When it was heard of first.
+    /// When something of it was first received.
     pub first_seen: Duration,
-    /// When its end moved last.
+    /// When its end last advanced.
     pub last_advanced: Duration,
-    /// When a parent's or control node's tip said last how far it goes.
+    /// When a parent or control node last advertised how far it reaches.
     pub last_advertised: Duration,
-    /// How often was asked since it went on last, and how far it was then.
-    pub repair_attempts: u32,
-    pub received_at_last_repair: SequenceNumber,
-    pub repair_due: Option<Duration>,
-    /// Who showed its end.
-    pub advertised_by: Option<SocketAddr>,
+    log: BTreeMap<u64, LogEntry>,
+    /// All entries before this one are covered by a snapshot.
+    first: u64,
+    /// The newest timestamp before the log.
+    newest_dropped: Option<Timestamp>,
+    /// All entries up to this one are here, or covered.
+    received: u64,
+    /// The last number that is known, here or not.
+    last: u64,
+    gap: GapTracker,
+    repairs: RepairSchedule,
     conflicting: BTreeSet<(u64, Entry)>,
 }
 
 impl Stream {
+    /// A stream of which nothing has been received.
     pub fn new(id: StreamId, now: Duration) -> Stream {
         Stream {
             id,
-            log: BTreeMap::new(),
-            first: 1,
-            newest_dropped: None,
             start_known: false,
-            received: 0,
             applied: SequenceNumber(0),
-            last: 0,
-            gap_steps: VecDeque::new(),
             first_seen: now,
             last_advanced: now,
             last_advertised: now,
-            repair_attempts: 0,
-            received_at_last_repair: SequenceNumber(0),
-            repair_due: None,
-            advertised_by: None,
+            log: BTreeMap::new(),
+            first: 1,
+            newest_dropped: None,
+            received: 0,
+            last: 0,
+            gap: GapTracker::default(),
+            repairs: RepairSchedule::default(),
             conflicting: BTreeSet::new(),
         }
     }
 
+    /// All entries up to this one are here, or covered.
     pub fn received(&self) -> SequenceNumber {
         SequenceNumber(self.received)
     }
 
+    /// The first number of the log.
     pub fn first(&self) -> SequenceNumber {
         SequenceNumber(self.first)
     }
 
-    /// The last that is known of, here or not.
+    /// The last number that is known, here or not.
     pub fn last(&self) -> SequenceNumber {
         SequenceNumber(self.last.max(self.received))
     }
 
+    /// The newest timestamp before the log.
+    pub fn newest_dropped(&self) -> Option<Timestamp> {
+        self.newest_dropped
+    }
+
+    /// Entries in the log, those ahead of a gap included.
     pub fn entry_count(&self) -> usize {
         self.log.len()
     }
@@ -130,71 +140,55 @@
         self.log.get(&number.0)
     }
 
-    fn max_entries(&self) -> usize {
-        match self.id.kind {
-            StreamKind::Purges => MAX_PURGE_LOG_ENTRIES,
-            StreamKind::Configuration => MAX_CONFIGURATION_LOG_ENTRIES,
-        }
-    }
-
-    /// Something is known to be missing.
+    /// Whether something is known to be missing.
     pub fn has_gap(&self) -> bool {
         !self.start_known || self.received < self.last
     }
 
-    pub fn insert(&mut self, number: SequenceNumber, held: LogEntry) -> InsertOutcome {
-        let fits = matches!(
-            (&held.entry, self.id.kind),
+    /// Since when the oldest missing entry is known.
+    pub fn gap_since(&self) -> Option<Duration> {
+        self.gap.since()
+    }
+
+    /// Takes an entry that another node has sent.
+    pub fn insert(&mut self, number: SequenceNumber, log_entry: LogEntry) -> InsertOutcome {
+        let is_of_kind = matches!(
+            (&log_entry.entry, self.id.kind),
             (Entry::Purge(_), StreamKind::Purges) | (Entry::Setting(_), StreamKind::Configuration)
         );
-        if number.0 == 0 || number.0 == u64::MAX || !fits {
+        if number.0 == 0 || number.0 == u64::MAX || !is_of_kind {
             return InsertOutcome::Invalid;
         }
-        if let Some(other) = self.log.get(&number.0) {
-            return if other.entry == held.entry {
-                InsertOutcome::Known
-            } else {
-                self.insert_conflicting(number, held.entry)
-            };
+        match self.log.get(&number.0) {
+            Some(held) if held.entry == log_entry.entry => return InsertOutcome::Known,
+            Some(_) => return self.insert_conflicting(number, log_entry.entry),
+            None => {}
         }
         if self.start_known && number.0 <= self.received {
             return InsertOutcome::Dropped;
         }
         let max = self.max_entries();
-        let ahead = self.start_known && number.0 - self.received > max as u64;
-        if ahead || (self.log.len() >= max && !self.drop_first()) {
+        let is_too_far = self.start_known && number.0 - self.received > max as u64;
+        if is_too_far || (self.log.len() >= max && !self.drop_first()) {
             return InsertOutcome::TooFarAhead;
         }
-        self.log.insert(number.0, held);
+        self.log.insert(number.0, log_entry);
         InsertOutcome::New
     }
 
-    fn insert_conflicting(&mut self, number: SequenceNumber, entry: Entry) -> InsertOutcome {
-        let fork = (number.0, entry);
-        if self.conflicting.contains(&fork) {
-            return InsertOutcome::Known;
-        }
-        if self.conflicting.len() >= MAX_CONFLICTING_ENTRIES {
-            return InsertOutcome::ConflictUntracked;
-        }
-        self.conflicting.insert(fork);
-        InsertOutcome::Conflict
-    }
-
-    /// Its beginning is here: nothing before it was ever published.
+    /// The first entry ever published is here: nothing is missing before it.
     pub fn mark_start_known(&mut self) {
         self.start_known = true;
         self.advance();
     }
 
-    /// Goes on over all that is here in a row.
+    /// Counts as received what follows without a gap.
     pub fn advance(&mut self) {
         if !self.start_known {
             return;
         }
-        let from = self.received.saturating_add(1);
-        let mut next = from;
-        for (number, _) in self.log.range(from..) {
+        let mut next = self.received.saturating_add(1);
+        for (number, _) in self.log.range(next..) {
             if *number != next {
                 break;
             }
@@ -203,140 +197,115 @@
         self.received = next - 1;
     }
 
-    /// The stream is known to go so far. True: that is news.
-    pub fn observe_last(&mut self, now: Duration, last: SequenceNumber, by: Option<SocketAddr>) -> bool {
+    /// The stream is known to reach this far.
+    pub fn observe_last(&mut self, now: Duration, last: SequenceNumber, by: Option<SocketAddr>) {
         if last.0 <= self.last || last.0 == u64::MAX {
-            return false;
+            return;
         }
         self.last = last.0;
         self.last_advanced = now;
-        self.advertised_by = by.or(self.advertised_by);
-        true
+        self.repairs.advertised_by = by.or(self.repairs.advertised_by);
     }
 
-    /// After entries or a tip: since when something is missing, and when to ask for it first.
+    /// After entries or a tip: notes since when something is missing. It is first requested after `wait`.
     pub fn update_gap(&mut self, now: Duration, wait: Duration) {
-        while self.start_known && self.gap_steps.front().is_some_and(|(last, _)| *last <= self.received) {
-            self.gap_steps.pop_front();
+        if self.start_known {
+            self.gap.on_received(self.received);
         }
         if !self.has_gap() {
-            self.repair_due = None;
-            self.repair_attempts = 0;
+            self.repairs.reset();
             return;
         }
-        if self.gap_steps.back().is_none_or(|(last, _)| *last < self.last) {
-            self.record_gap_step(now, wait);
-        }
-        self.repair_due = self.repair_due.or(Some(now + wait));
-    }
-
-    fn record_gap_step(&mut self, now: Duration, wait: Duration) {
-        let full = self.gap_steps.len() >= MAX_GAP_STEPS;
-        match self.gap_steps.back_mut() {
-            Some((last, at)) if *at == now || now.saturating_sub(*at) < wait => *last = self.last,
-            Some(newest) if full => *newest = (self.last, now),
-            _ => self.gap_steps.push_back((self.last, now)),
-        }
-    }
-
-    /// Since when the oldest gap is known.
-    pub fn gap_since(&self) -> Option<Duration> {
-        self.gap_steps.front().map(|(_, at)| *at)
-    }
-
-    /// This process stood still: nobody can have answered meanwhile.
-    pub fn shift_timers(&mut self, span: Duration) {
-        for (_, at) in &mut self.gap_steps {
-            *at = at.saturating_add(span);
-        }
+        self.gap.on_last(now, self.last, wait);
+        self.repairs.schedule(now + wait);
     }
 
-    /// What is missing, a few ranges; none: a snapshot is to be asked for.
-    pub fn missing_ranges(&self) -> Vec<(SequenceNumber, SequenceNumber)> {
-        if !self.start_known || self.last.saturating_sub(self.received) > MAX_REPAIRABLE_GAP {
-            return Vec::new();
-        }
-        let mut ranges = Vec::new();
-        let mut next = self.received.saturating_add(1);
-        for (number, _) in self.log.range(next..) {
-            if *number > next {
-                ranges.push((SequenceNumber(next), SequenceNumber(number - 1)));
-            }
-            next = number.saturating_add(1);
-            if ranges.len() >= MAX_RANGES {
-                return ranges;
-            }
-        }
-        if next <= self.last {
-            ranges.push((SequenceNumber(next), SequenceNumber(self.last)));
-        }
-        ranges
+    /// This process did not run for a while: nobody can have answered meanwhile.
+    pub fn shift_timers(&mut self, pause: Duration) {
+        self.gap.shift_timers(pause);
     }
 
-    /// Gives up what is missing since longer than `wait`. True: a floor of now is to stand for it.
+    /// Abandons what is missing for at least `wait`. Returns whether entries are lost by it.
     pub fn abandon_gap(&mut self, now: Duration, wait: Duration) -> bool {
-        let mut lost = false;
-        while let Some((last, at)) = self.gap_steps.front().copied() {
-            if now.saturating_sub(at) < wait {
-                break;
-            }
-            self.gap_steps.pop_front();
-            lost |= self
-                .skip_to(SequenceNumber(last.saturating_add(1)), Some(Timestamp::ago(now, Duration::ZERO)));
+        let mut has_lost = false;
+        while let Some(step) = self.gap.pop_older_than(now, wait) {
+            let next = SequenceNumber(step.last.saturating_add(1));
+            has_lost |= self.skip_to(next, Some(Timestamp::ago(now, Duration::ZERO)));
         }
-        lost
+        has_lost
     }
 
-    /// Something before `next` isn't here.
+    /// Whether an entry before `next` is missing.
     pub fn lacks_before(&self, next: SequenceNumber) -> bool {
         let until = next.0.saturating_sub(1);
         if until <= self.received {
             return false;
         }
-        let here = self.log.range(self.received + 1..=until).count() as u64;
-        here < until - self.received
+        let held = self.log.range(self.received + 1..=until).count() as u64;
+        held < until - self.received
     }
 
-    /// Goes on from `next`, over what isn't here. True: something before it isn't.
-    pub fn skip_to(&mut self, next: SequenceNumber, floor: Option<Timestamp>) -> bool {
+    /// Continues from `next`, over what is missing before it, of which the newest was made at `newest_skipped`. Returns
+    /// whether something was missing.
+    pub fn skip_to(&mut self, next: SequenceNumber, newest_skipped: Option<Timestamp>) -> bool {
         let until = next.0.saturating_sub(1);
         if self.start_known && until <= self.received {
             return false;
         }
-        let missed = self.lacks_before(next);
+        let has_missed = self.lacks_before(next);
         self.start_known = true;
         self.received = self.received.max(until);
         self.last = self.last.max(until);
-        if missed {
+        if has_missed {
             self.first = self.first.max(until.saturating_add(1));
-            self.newest_dropped = self.newest_dropped.max(floor);
+            self.newest_dropped = self.newest_dropped.max(newest_skipped);
         }
         self.advance();
-        missed
-    }
-
-    /// The first of the log goes under the snapshot. False: nothing before it is complete.
-    fn drop_first(&mut self) -> bool {
-        let here = self
-            .log
-            .first_key_value()
-            .is_some_and(|(number, _)| self.start_known && *number <= self.received);
-        if let Some((number, held)) = here.then(|| self.log.pop_first()).flatten() {
-            self.first = self.first.max(number.saturating_add(1));
-            self.newest_dropped = self.newest_dropped.max(Some(held.timestamp));
-        }
-        here
+        has_missed
     }
 
-    /// Drops what is too old, or too much.
-    pub fn trim(&mut self, now: Duration, keep: Duration) {
+    /// Drops purges older than `max_age`, and entries above the limit.
+    pub fn trim(&mut self, now: Duration, max_age: Duration) {
         let max = self.max_entries();
-        while let Some((_, held)) = self.log.first_key_value() {
-            let old = self.id.kind == StreamKind::Purges && held.timestamp.age(now) > keep;
-            if !(old || self.log.len() > max) || !self.drop_first() {
+        while let Some((_, first)) = self.log.first_key_value() {
+            let is_expired = self.id.kind == StreamKind::Purges && first.timestamp.age(now) > max_age;
+            if !(is_expired || self.log.len() > max) || !self.drop_first() {
                 break;
             }
         }
         self.conflicting.retain(|(number, _)| *number >= self.first);
     }
+
+    fn max_entries(&self) -> usize {
+        match self.id.kind {
+            StreamKind::Purges => MAX_PURGE_LOG_ENTRIES,
+            StreamKind::Configuration => MAX_CONFIGURATION_LOG_ENTRIES,
+        }
+    }
+
+    fn insert_conflicting(&mut self, number: SequenceNumber, entry: Entry) -> InsertOutcome {
+        let conflicting = (number.0, entry);
+        if self.conflicting.contains(&conflicting) {
+            return InsertOutcome::Known;
+        }
+        if self.conflicting.len() >= MAX_CONFLICTING_ENTRIES {
+            return InsertOutcome::ConflictUntracked;
+        }
+        self.conflicting.insert(conflicting);
+        InsertOutcome::Conflict
+    }
+
+    /// Drops the first entry of the log, which a snapshot covers from now on. Returns false where entries before it are
+    /// still missing.
+    fn drop_first(&mut self) -> bool {
+        let Some((number, _)) = self.log.first_key_value() else { return false };
+        if !self.start_known || *number > self.received {
+            return false;
+        }
+        if let Some((number, dropped)) = self.log.pop_first() {
+            self.first = self.first.max(number.saturating_add(1));
+            self.newest_dropped = self.newest_dropped.max(Some(dropped.timestamp));
+        }
+        true
+    }
 }
--- a/crates/rockflow-dissemination/src/streams.rs
+++ b/crates/rockflow-dissemination/src/streams.rs
@@ -1,43 +1,39 @@
-//! All streams: how many, and which of them go.
+//! All streams that a node holds: which are admitted, and which are dropped.
 
 use crate::entry::{StreamId, StreamKind};
 use crate::identity::{ControlId, Incarnation};
 use crate::message::MAX_STREAMS;
-use crate::settings::MAX_CLOCK_UNIX_MS;
+use crate::setting::MAX_CLOCK_UNIX_MS;
 use crate::stream::Stream;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Control nodes of a fleet. Streams of another are not taken.
-pub const MAX_CONTROL: usize = 16;
+/// Control nodes of a fleet, at most. Streams of others are rejected.
+pub(crate) const MAX_CONTROL: usize = 16;
 
-/// Streams by their names. At most `MAX_STREAMS`; when full, the earliest life that a later one of the same control
-/// node has followed goes, and for purges a floor of now stands for it.
-#[derive(Clone, Debug, Default)]
-pub struct Streams {
-    streams: BTreeMap<StreamId, Stream>,
-    /// The latest life that was dropped; it and earlier ones are not taken again.
-    dropped: BTreeMap<(ControlId, StreamKind), Incarnation>,
-    control_count: usize,
-}
-
-/// A control node can't begin a life above it; whoever names it, lives before it go on.
-fn is_last_possible(incarnation: Incarnation) -> bool {
-    incarnation.0 >= MAX_CLOCK_UNIX_MS
-}
-
-/// What became of a stream that something was heard of.
+/// What became of a stream that a message names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StreamAdmission {
+pub(crate) enum StreamAdmission {
+    /// It was held already.
     Held,
     New,
-    /// Not taken: unknown control node, or a life that is over.
+    /// Of an unknown control node, a retired incarnation, or an impossible one.
     Rejected,
-    /// Not taken for lack of room: a floor of now stands for it.
+    /// There is no room for it, which loses its entries.
     NoCapacity,
 }
 
+/// Owns the streams, at most [`MAX_STREAMS`]. When full, the earliest superseded incarnation is dropped.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Streams {
+    streams: BTreeMap<StreamId, Stream>,
+    /// The latest incarnation that was dropped; it and earlier ones are not admitted again.
+    dropped: BTreeMap<(ControlId, StreamKind), Incarnation>,
+    control_count: usize,
+}
+
 impl Streams {
+    /// No streams yet, of this many control nodes.
     pub fn new(control_count: usize) -> Streams {
         Streams { control_count: control_count.min(MAX_CONTROL), ..Streams::default() }
     }
@@ -67,46 +63,33 @@
         self.streams.len()
     }
 
-    /// The latest life known of a control node, but for the last that there is.
+    /// The latest incarnation known of a control node, except one that can't be followed by another.
     pub fn latest_incarnation(&self, control: ControlId) -> Option<Incarnation> {
-        let held =
-            self.streams.keys().filter(|id| id.control == control && !is_last_possible(id.incarnation));
-        let held = held.map(|id| id.incarnation).max();
-        let gone = [StreamKind::Purges, StreamKind::Configuration];
-        let gone = gone.iter().filter_map(|kind| self.dropped.get(&(control, *kind)).copied()).max();
-        held.max(gone)
-    }
-
-    /// Since when a later life of the same control node is known here.
-    fn superseded_since(&self, id: StreamId) -> Option<Duration> {
-        let later = |other: &&Stream| {
-            let other = other.id;
-            let same = other.control == id.control && other.kind == id.kind;
-            same && other.incarnation > id.incarnation && !is_last_possible(other.incarnation)
-        };
-        self.streams.values().filter(later).map(|stream| stream.first_seen).min()
+        let ids = self.streams.keys().filter(|id| id.control == control);
+        let held = ids.map(|id| id.incarnation).filter(|incarnation| !is_last_possible(*incarnation)).max();
+        let kinds = [StreamKind::Purges, StreamKind::Configuration];
+        let dropped = kinds.iter().filter_map(|kind| self.dropped.get(&(control, *kind)).copied()).max();
+        held.max(dropped)
     }
 
-    /// Makes room for a stream that isn't held, where it may be. Also says which streams had to go.
+    /// Adds a stream that isn't held, if it may be. Also returns the stream that was dropped for it.
     pub fn admit(&mut self, now: Duration, id: StreamId) -> (StreamAdmission, Option<Stream>) {
         if self.streams.contains_key(&id) {
             return (StreamAdmission::Held, None);
         }
-        let superseded = self
-            .dropped
-            .get(&(id.control, id.kind))
-            .is_some_and(|incarnation| id.incarnation <= *incarnation);
-        let beyond_clock = id.incarnation.0 > MAX_CLOCK_UNIX_MS;
-        if usize::from(id.control.0) >= self.control_count || superseded || beyond_clock {
+        let dropped = self.dropped.get(&(id.control, id.kind));
+        let is_retired = dropped.is_some_and(|dropped| id.incarnation <= *dropped);
+        let is_known_control = usize::from(id.control.0) < self.control_count;
+        if !is_known_control || is_retired || id.incarnation.0 > MAX_CLOCK_UNIX_MS {
             return (StreamAdmission::Rejected, None);
         }
         self.streams.insert(id, Stream::new(id, now));
         if self.streams.len() <= MAX_STREAMS {
             return (StreamAdmission::New, None);
         }
-        let followed = self.streams.keys().copied().filter(|id| self.superseded_since(*id).is_some());
-        match followed.min_by_key(|id| (id.incarnation, *id)) {
-            Some(gone) if gone != id => (StreamAdmission::New, self.drop(gone)),
+        let superseded = self.streams.keys().copied().filter(|id| self.superseded_since(*id).is_some());
+        match superseded.min_by_key(|id| (id.incarnation, *id)) {
+            Some(earliest) if earliest != id => (StreamAdmission::New, self.drop(earliest)),
             _ => {
                 self.drop(id);
                 (StreamAdmission::NoCapacity, None)
@@ -114,31 +97,47 @@
         }
     }
 
-    fn drop(&mut self, id: StreamId) -> Option<Stream> {
-        if !is_last_possible(id.incarnation) {
-            let incarnation = self.dropped.entry((id.control, id.kind)).or_insert(id.incarnation);
-            *incarnation = (*incarnation).max(id.incarnation);
-        }
-        self.streams.remove(&id)
-    }
-
-    /// Streams of lives that are over, and that nothing was heard of for so long, go: for so long since the later life is
-    /// known here too, as that may be the moment at which this node hears again of what the life before had published.
+    /// Drops and returns superseded streams that were quiet for this long, by kind, since they last advanced and since a
+    /// later incarnation is known here: the latter may be when this node regains contact with what the earlier one had
+    /// published.
     pub fn retire_superseded(
         &mut self,
         now: Duration,
-        purges: Duration,
-        configuration: Duration,
+        purges_quiet: Duration,
+        configuration_quiet: Duration,
     ) -> Vec<Stream> {
-        let quiet = |stream: &&Stream| {
-            let wait = match stream.id.kind {
-                StreamKind::Purges => purges,
-                StreamKind::Configuration => configuration,
+        let is_over = |stream: &&Stream| {
+            let quiet = match stream.id.kind {
+                StreamKind::Purges => purges_quiet,
+                StreamKind::Configuration => configuration_quiet,
             };
             let since = self.superseded_since(stream.id).map(|since| since.max(stream.last_advanced));
-            since.is_some_and(|since| now.saturating_sub(since) > wait)
+            since.is_some_and(|since| now.saturating_sub(since) > quiet)
         };
-        let over: Vec<StreamId> = self.streams.values().filter(quiet).map(|stream| stream.id).collect();
+        let over: Vec<StreamId> = self.streams.values().filter(is_over).map(|stream| stream.id).collect();
         over.into_iter().filter_map(|id| self.drop(id)).collect()
     }
+
+    /// Since when a later incarnation of the same control node is known here.
+    fn superseded_since(&self, id: StreamId) -> Option<Duration> {
+        let is_later = |other: &&Stream| {
+            let other = other.id;
+            let is_same_publisher = other.control == id.control && other.kind == id.kind;
+            is_same_publisher && other.incarnation > id.incarnation && !is_last_possible(other.incarnation)
+        };
+        self.streams.values().filter(is_later).map(|stream| stream.first_seen).min()
+    }
+
+    fn drop(&mut self, id: StreamId) -> Option<Stream> {
+        if !is_last_possible(id.incarnation) {
+            let latest = self.dropped.entry((id.control, id.kind)).or_insert(id.incarnation);
+            *latest = (*latest).max(id.incarnation);
+        }
+        self.streams.remove(&id)
+    }
+}
+
+/// Whether no control node can start a greater incarnation. One that is named by a message supersedes nothing.
+fn is_last_possible(incarnation: Incarnation) -> bool {
+    incarnation.0 >= MAX_CLOCK_UNIX_MS
 }
--- a/crates/rockflow-dissemination/src/subtree_report.rs
+++ b/crates/rockflow-dissemination/src/subtree_report.rs
@@ -1,9 +1,9 @@
 //! Which members of a region are present and what all of them have applied; reports are merged on the way to control.
 
 use crate::entry::{SequenceNumber, StreamId};
-use crate::message::{MAX_REPORTS, MAX_STREAMS};
+use crate::message::MAX_STREAMS;
 use crate::setting::RejectionReason;
-use crate::slot_set::{SlotSet, MAX_SLOTS};
+use crate::slot_set::{SlotSet, MAX_SLOTS, SLOTS_PER_BYTE};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,8 +12,6 @@
 pub const MAX_LAGGING: usize = 4;
 /// Rejected settings in one report.
 pub const MAX_REJECTED: usize = 4;
-/// Regions and listings in one acknowledgement.
-pub(crate) const MAX_MERGED_REPORTS: usize = MAX_REPORTS;
 
 /// Which members of a subtree are present in one region, and how far all of them have applied the streams.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -43,72 +41,71 @@
 }
 
 impl SubtreeReport {
-    /// Cuts what is longer than it may be.
-    pub fn truncate_to_limits(&mut self) {
-        self.slots.0.truncate(MAX_SLOTS / 8);
+    /// Cuts off what is above the limits.
+    pub(crate) fn truncate_to_limits(&mut self) {
+        self.slots.0.truncate(MAX_SLOTS / SLOTS_PER_BYTE);
         self.applied.truncate(MAX_STREAMS);
         self.lagging.truncate(MAX_LAGGING);
         self.rejected.truncate(MAX_REJECTED);
     }
-}
-
-/// How far behind a number is what is known here of its stream.
-pub type LagOf<'a> = &'a dyn Fn(StreamId, SequenceNumber) -> u64;
-
-/// Keeps the worst of those behind.
-fn worst_first(one: &mut SubtreeReport, lag: LagOf) {
-    one.lagging.sort_by_key(|(slot, stream, number)| (Reverse(lag(*stream, *number)), *slot, *stream));
-    one.lagging.dedup_by_key(|(slot, stream, _)| (*slot, *stream));
-    one.lagging.truncate(MAX_LAGGING);
-}
-
-/// Joins what is said of one listing of a region.
-fn merge_into(one: &mut SubtreeReport, other: &SubtreeReport, lag: LagOf) {
-    one.slots.union(&other.slots);
-    let others: BTreeMap<StreamId, SequenceNumber> = other.applied.iter().copied().collect();
-    let common = one
-        .applied
-        .iter()
-        .filter_map(|(stream, number)| others.get(stream).map(|other| (*stream, (*number).min(*other))));
-    one.applied = common.collect();
-    one.lagging.extend(other.lagging.iter().copied());
-    worst_first(one, lag);
-    one.rejected = merge_rejected(&one.rejected, &other.rejected);
-}
 
-type RejectedSetting = (StreamId, SequenceNumber, RejectionReason, u16);
+    /// Adds a report of the same region and listing.
+    fn merge(&mut self, other: &SubtreeReport, lag: LagOf) {
+        self.slots.union(&other.slots);
+        let others: BTreeMap<StreamId, SequenceNumber> = other.applied.iter().copied().collect();
+        let common = self
+            .applied
+            .iter()
+            .filter_map(|(stream, number)| others.get(stream).map(|other| (*stream, (*number).min(*other))));
+        self.applied = common.collect();
+        self.lagging.extend(other.lagging.iter().copied());
+        self.keep_most_lagging(lag);
+        self.rejected = merge_rejected(&self.rejected, &other.rejected);
+    }
 
-fn merge_rejected(one: &[RejectedSetting], other: &[RejectedSetting]) -> Vec<RejectedSetting> {
-    let mut sums: BTreeMap<(StreamId, SequenceNumber, RejectionReason), u16> = BTreeMap::new();
-    for (stream, number, why, count) in one.iter().chain(other) {
-        let sum = sums.entry((*stream, *number, *why)).or_default();
-        *sum = sum.saturating_add(*count).min(MAX_SLOTS as u16);
+    fn keep_most_lagging(&mut self, lag: LagOf) {
+        self.lagging.sort_by_key(|(slot, stream, number)| (Reverse(lag(*stream, *number)), *slot, *stream));
+        self.lagging.dedup_by_key(|(slot, stream, _)| (*slot, *stream));
+        self.lagging.truncate(MAX_LAGGING);
     }
-    let joined = sums.into_iter().map(|((stream, number, why), sum)| (stream, number, why, sum));
-    joined.take(MAX_REJECTED).collect()
 }
 
-/// Joins reports by region and listing, in the order they come. Also how many had no room: those of the listings that
-/// came after `most` others; their members are not told of, so that nothing counts as everywhere by them.
-pub fn merge<'a>(
+/// How far a number is behind the last one known of its stream.
+pub(crate) type LagOf<'a> = &'a dyn Fn(StreamId, SequenceNumber) -> u64;
+
+/// Merges reports by region and listing, in the order they come. Also returns how many had no room: those of further
+/// listings after `max_reports`. Their members are left out, so that nothing counts as replicated to them.
+pub(crate) fn merge<'a>(
     reports: impl Iterator<Item = &'a SubtreeReport>,
     lag: LagOf,
     max_reports: usize,
 ) -> (Vec<SubtreeReport>, u64) {
-    let mut joined: Vec<SubtreeReport> = Vec::new();
+    let mut merged: Vec<SubtreeReport> = Vec::new();
     let mut dropped = 0;
     for report in reports {
-        let same =
-            |one: &SubtreeReport| (one.region, one.listing_hash) == (report.region, report.listing_hash);
-        match joined.iter().position(same) {
-            Some(place) => merge_into(&mut joined[place], report, lag),
-            None if joined.len() < max_reports => {
-                let mut one = report.clone();
-                worst_first(&mut one, lag);
-                joined.push(one);
+        let key = (report.region, report.listing_hash);
+        match merged.iter().position(|other| (other.region, other.listing_hash) == key) {
+            Some(index) => merged[index].merge(report, lag),
+            None if merged.len() < max_reports => {
+                let mut first = report.clone();
+                first.keep_most_lagging(lag);
+                merged.push(first);
             }
             None => dropped += 1,
         }
     }
-    (joined, dropped)
+    (merged, dropped)
+}
+
+type RejectedSetting = (StreamId, SequenceNumber, RejectionReason, u16);
+
+/// Adds up the members that reject the same setting for the same reason.
+fn merge_rejected(one: &[RejectedSetting], other: &[RejectedSetting]) -> Vec<RejectedSetting> {
+    let mut members: BTreeMap<(StreamId, SequenceNumber, RejectionReason), u16> = BTreeMap::new();
+    for (stream, number, reason, count) in one.iter().chain(other) {
+        let sum = members.entry((*stream, *number, *reason)).or_default();
+        *sum = sum.saturating_add(*count).min(MAX_SLOTS as u16);
+    }
+    let merged = members.into_iter().map(|((stream, number, reason), sum)| (stream, number, reason, sum));
+    merged.take(MAX_REJECTED).collect()
 }
