--- a/crates/rockflow-cli/tests/rig/mod.rs
+++ b/crates/rockflow-cli/tests/rig/mod.rs
@@ -285,7 +285,7 @@
         let text =
             std::fs::read_to_string(self.fleet.layout().folder.join("control-0.directory.csv")).unwrap();
         let directory = Directory::parse(&text).unwrap();
-        let slot = |at: usize| directory.slot(NodeId::of(&format!("n{at}"))).unwrap().1;
+        let slot = |at: usize| directory.place(NodeId::of(&format!("n{at}")), &[]).unwrap().slot;
         (0..MEMBERS).find(|at| slot(*at) == 0).unwrap()
     }
 
--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -66,9 +66,7 @@
 
     /// The hash of the listing by which a member's slots are counted; 0: it is not listed.
     pub fn listing_hash_for(&self, node: NodeId) -> u32 {
-        let Some(directory) = &self.directory else { return 0 };
-        let region =
-            directory.slot(node).and_then(|(region, _)| directory.regions().get(usize::from(region)));
+        let region = self.directory.as_ref().and_then(|directory| directory.region_of(node));
         region.map_or(0, |region| region.listing_hash)
     }
 
--- a/crates/rockflow-dissemination/src/directory.rs
+++ b/crates/rockflow-dissemination/src/directory.rs
@@ -1,133 +1,197 @@
-//! Who is told to be there, and where each of them stands in the tree.
+//! The directory: which members are expected, and where each of them stands in the tree.
 
 use crate::identity::{NodeId, Peer};
 use crate::message::MAX_PARENTS;
 use crate::setting::MAX_NAME_BYTES;
 use crate::slot_set::MAX_SLOTS;
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::net::SocketAddr;
 
-/// Members of a directory. One with more is refused as a whole.
-pub const MAX_MEMBERS: usize = 16_384;
-/// Regions, likewise.
-pub const MAX_REGIONS: usize = 256;
-/// Children of one member, by place; a site's head has as many fewer within its site as sites below it.
+/// Members of a directory. One with more is rejected as a whole.
+const MAX_MEMBERS: usize = 16_384;
+/// Regions of a directory, likewise.
+const MAX_REGIONS: usize = 256;
+/// Children of one member, by place; the head of a site has as many fewer within its site as there are sites below it.
 const CHILDREN_PER_MEMBER: usize = 3;
-/// Members of its site before it that are candidates for its parent.
+/// Members before it in its site that are candidates for a member's parent.
 const MAX_PRECEDING_CANDIDATES: usize = 3;
-/// Sites below a site's head, by place.
+/// Sites below the head of a site, by place.
 const CHILD_SITES_PER_SITE: usize = 2;
-/// Places among the candidates that are left to control nodes at the least.
+/// Candidates that are left to control nodes, at least.
 const MIN_CONTROL_CANDIDATES: usize = 2;
 
+/// One member, as the operator lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryMember {
+    /// Its name.
     pub name: String,
+    /// Its region.
     pub region: String,
+    /// Its site within the region.
     pub site: String,
+    /// Its zone; may be empty.
     pub zone: String,
+    /// Its datagram address.
     pub address: SocketAddr,
 }
 
-/// A line of a directory that can't be taken, counted from 1.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a directory is not valid.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("line {line}: {problem}")]
 pub struct DirectoryError {
+    /// The line, counted from 1.
     pub line: usize,
-    pub what: &'static str,
+    /// What is wrong with it.
+    pub problem: DirectoryProblem,
 }
 
-impl fmt::Display for DirectoryError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
-    }
+/// What is wrong with a directory.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DirectoryProblem {
+    /// The first line has no version.
+    #[error("no `version,` with a number from 1")]
+    NoVersion,
+    /// A member's name is listed before.
+    #[error("a name that is there already")]
+    DuplicateName,
+    /// A member's address is listed before.
+    #[error("an address that is there already")]
+    DuplicateAddress,
+    /// More members than a directory holds.
+    #[error("more members than a directory holds")]
+    TooManyMembers,
+    /// More members or regions than a directory holds.
+    #[error("more members or regions than a directory holds")]
+    TooManyMembersOrRegions,
+    /// More members than a region holds.
+    #[error("more members than a region holds")]
+    TooManyInRegion,
+    /// Two members have the same name.
+    #[error("a name twice")]
+    NameTwice,
+    /// A line does not have the five fields.
+    #[error("not `name,region,site,zone,address`")]
+    WrongFields,
+    /// A field that must not be empty is.
+    #[error("an empty name, region or site")]
+    EmptyField,
+    /// A field is longer than [`MAX_NAME_BYTES`].
+    #[error("a name that is too long")]
+    FieldTooLong,
+    /// The address is not one with a port.
+    #[error("no address with a port")]
+    BadAddress,
 }
 
-impl std::error::Error for DirectoryError {}
-
-/// Where a member stands. `parents`: members above it and control nodes, by preference.
+/// Where a member stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
+    /// Index of its region.
     pub region: u16,
+    /// Its slot in the region.
     pub slot: u16,
+    /// Slots of the region.
     pub slots: u16,
+    /// Hash of the region's listing.
     pub listing_hash: u32,
+    /// Members above it, then control nodes, by preference.
     pub parents: Vec<Peer>,
 }
 
 /// The members of a region in the order of their slots: by site, then within it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Region {
+    /// Its name.
     pub name: String,
-    /// Says by which listing slots are counted: a hash over all that a place rests on.
+    /// Hash of all on which the places of the region depend; says by which listing slots are counted.
     pub listing_hash: u32,
-    /// Places in `members` of the directory.
+    /// Indices into the members of the directory, by slot.
     pub order: Vec<usize>,
-    /// Where the sites begin in `order`; its length behind the last.
+    /// The slots at which the sites begin, and the number of slots.
     sites: Vec<usize>,
 }
 
+/// A member's region and slot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Place {
+    region: u16,
+    slot: u16,
+}
+
+/// All expected members, divided into regions.
+///
+/// ```
+/// use rockflow_dissemination::Directory;
+///
+/// let directory = Directory::parse("version,7\nd1,eu,fra,a,10.0.0.1:7500\nd2,eu,fra,b,10.0.0.2:7500\n")?;
+/// assert_eq!((directory.version, directory.members.len()), (7, 2));
+/// # Ok::<(), rockflow_dissemination::DirectoryError>(())
+/// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directory {
+    /// Grows with each change.
     pub version: u64,
+    /// The members in the order of the file.
     pub members: Vec<DirectoryMember>,
     regions: Vec<Region>,
-    places: BTreeMap<NodeId, (u16, u16)>,
+    places: BTreeMap<NodeId, Place>,
 }
 
 impl Directory {
-    /// A first line `version,N`, then `name,region,site,zone,address` for each member; empty lines and those that begin
-    /// with `#` are passed over.
+    /// Reads a directory: a first line `version,N`, then `name,region,site,zone,address` for each member. Empty lines and
+    /// those that begin with `#` are skipped.
     ///
     /// # Errors
-    /// The first line that can't be taken.
+    /// The first line that is not valid.
     pub fn parse(text: &str) -> Result<Directory, DirectoryError> {
         let lines = text.lines().map(str::trim).enumerate().map(|(index, line)| (index + 1, line));
         let mut lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
-        let no_version = |line| DirectoryError { line, what: "no `version,` with a number from 1" };
-        let (line, first) = lines.next().ok_or(no_version(1))?;
-        let version = first.strip_prefix("version,").and_then(|number| number.trim().parse().ok());
-        let version = version.filter(|version| *version > 0).ok_or(no_version(line))?;
+        let no_version = |line| DirectoryError { line, problem: DirectoryProblem::NoVersion };
+        let (version_line, first) = lines.next().ok_or(no_version(1))?;
+        let version = parse_version(first).ok_or(no_version(version_line))?;
         let mut members = Vec::new();
         let mut ids = BTreeSet::new();
         let mut addresses = BTreeSet::new();
         for (line, text) in lines {
-            let fault = |what| DirectoryError { line, what };
-            let listed = parse_member(text).map_err(fault)?;
-            if !ids.insert(NodeId::of(&listed.name)) {
-                return Err(fault("a name that is there already"));
+            let error = |problem| DirectoryError { line, problem };
+            let member = parse_member(text).map_err(error)?;
+            if !ids.insert(NodeId::of(&member.name)) {
+                return Err(error(DirectoryProblem::DuplicateName));
             }
-            if !addresses.insert(listed.address) {
-                return Err(fault("an address that is there already"));
+            if !addresses.insert(member.address) {
+                return Err(error(DirectoryProblem::DuplicateAddress));
             }
             if members.len() >= MAX_MEMBERS {
-                return Err(fault("more members than a directory holds"));
+                return Err(error(DirectoryProblem::TooManyMembers));
             }
-            members.push(listed);
+            members.push(member);
         }
-        Directory::of(version, members).map_err(|what| DirectoryError { line, what })
+        Directory::of(version, members).map_err(|problem| DirectoryError { line: version_line, problem })
     }
 
+    /// A directory of these members.
+    ///
     /// # Errors
-    /// What is too large, or there twice.
-    pub fn of(version: u64, members: Vec<DirectoryMember>) -> Result<Directory, &'static str> {
+    /// Too many members or regions, or two members of the same name.
+    pub fn of(version: u64, members: Vec<DirectoryMember>) -> Result<Directory, DirectoryProblem> {
         let mut by_region: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for (index, member) in members.iter().enumerate() {
             by_region.entry(&member.region).or_default().push(index);
         }
         if members.len() > MAX_MEMBERS || by_region.len() > MAX_REGIONS {
-            return Err("more members or regions than a directory holds");
+            return Err(DirectoryProblem::TooManyMembersOrRegions);
         }
         if by_region.values().any(|order| order.len() > MAX_SLOTS) {
-            return Err("more members than a region holds");
+            return Err(DirectoryProblem::TooManyInRegion);
         }
         let mut regions = Vec::new();
         let mut places = BTreeMap::new();
         for (number, (name, order)) in (0_u16..).zip(by_region) {
             let region = build_region(number, name, order, &members);
             for (slot, index) in (0_u16..).zip(&region.order) {
-                if places.insert(NodeId::of(&members[*index].name), (number, slot)).is_some() {
-                    return Err("a name twice");
+                let place = Place { region: number, slot };
+                if places.insert(NodeId::of(&members[*index].name), place).is_some() {
+                    return Err(DirectoryProblem::NameTwice);
                 }
             }
             regions.push(region);
@@ -135,34 +199,42 @@
         Ok(Directory { version, members, regions, places })
     }
 
+    /// The regions, by index.
     pub fn regions(&self) -> &[Region] {
         &self.regions
     }
 
-    /// The region and slot of a member.
-    pub fn slot(&self, node: NodeId) -> Option<(u16, u16)> {
-        self.places.get(&node).copied()
+    /// The region of a member.
+    pub fn region_of(&self, node: NodeId) -> Option<&Region> {
+        let place = self.places.get(&node)?;
+        self.regions.get(usize::from(place.region))
     }
 
+    /// The name of the member at a slot.
     pub fn name(&self, region: u16, slot: u16) -> Option<&str> {
         let order = &self.regions.get(usize::from(region))?.order;
         order.get(usize::from(slot)).map(|index| self.members[*index].name.as_str())
     }
 
-    /// Where a member stands, the same at all control nodes that are told the same of them and of the members.
+    /// Where a member stands: the same at all control nodes that have the same directory and list of control nodes.
     pub fn place(&self, node: NodeId, control: &[Peer]) -> Option<Placement> {
-        let (number, slot) = self.slot(node)?;
-        let region = &self.regions[usize::from(number)];
-        let above = region.above(usize::from(slot));
-        let above = above.into_iter().map(|place| self.peer(region.order[place]));
-        let mut parents: Vec<Peer> = above.take(MAX_PARENTS - MIN_CONTROL_CANDIDATES).collect();
+        let place = *self.places.get(&node)?;
+        let region = &self.regions[usize::from(place.region)];
+        let ancestors = region.ancestors(usize::from(place.slot));
+        let ancestors = ancestors.into_iter().map(|slot| self.peer(region.order[slot]));
+        let mut parents: Vec<Peer> = ancestors.take(MAX_PARENTS - MIN_CONTROL_CANDIDATES).collect();
         if !control.is_empty() {
             let first = (NodeId::of(&region.name).0 % control.len() as u64) as usize;
-            let on_parent_changed = control.iter().cycle().skip(first).take(control.len());
-            parents.extend(on_parent_changed.take(MAX_PARENTS - parents.len()).copied());
+            let rotated = control.iter().cycle().skip(first).take(control.len());
+            parents.extend(rotated.take(MAX_PARENTS - parents.len()).copied());
         }
-        let slots = region.order.len() as u16;
-        Some(Placement { region: number, slot, slots, listing_hash: region.listing_hash, parents })
+        Some(Placement {
+            region: place.region,
+            slot: place.slot,
+            slots: region.order.len() as u16,
+            listing_hash: region.listing_hash,
+            parents,
+        })
     }
 
     fn peer(&self, index: usize) -> Peer {
@@ -171,71 +243,80 @@
     }
 }
 
-fn parse_member(line: &str) -> Result<DirectoryMember, &'static str> {
+fn parse_version(line: &str) -> Option<u64> {
+    let version = line.strip_prefix("version,")?.trim().parse().ok()?;
+    (version > 0).then_some(version)
+}
+
+fn parse_member(line: &str) -> Result<DirectoryMember, DirectoryProblem> {
     let fields: Vec<&str> = line.split(',').map(str::trim).collect();
     let [name, region, site, zone, address] = fields[..] else {
-        return Err("not `name,region,site,zone,address`");
+        return Err(DirectoryProblem::WrongFields);
     };
-    if [name, region, site].iter().any(|word| word.is_empty()) {
-        return Err("an empty name, region or site");
+    if [name, region, site].iter().any(|field| field.is_empty()) {
+        return Err(DirectoryProblem::EmptyField);
     }
-    if [name, region, site, zone].iter().any(|word| word.len() > MAX_NAME_BYTES) {
-        return Err("a name that is too long");
+    if [name, region, site, zone].iter().any(|field| field.len() > MAX_NAME_BYTES) {
+        return Err(DirectoryProblem::FieldTooLong);
     }
-    let address = address.parse().map_err(|_| "no address with a port")?;
+    let address = address.parse().map_err(|_| DirectoryProblem::BadAddress)?;
     let [name, region, site, zone] = [name, region, site, zone].map(str::to_owned);
     Ok(DirectoryMember { name, region, site, zone, address })
 }
 
+/// Orders the members of a region by the hashes of their sites and names.
 fn build_region(number: u16, name: &str, mut order: Vec<usize>, members: &[DirectoryMember]) -> Region {
     let key = |index: usize| {
         let member = &members[index];
         (NodeId::of(&member.site), &member.site, NodeId::of(&member.name), &member.name)
     };
-    order.sort_by(|a, b| key(*a).cmp(&key(*b)));
+    order.sort_by(|one, other| key(*one).cmp(&key(*other)));
     let mut sites = Vec::new();
-    let mut text = format!("{number},{name}");
+    let mut hashed = format!("{number},{name}");
     for (slot, index) in order.iter().enumerate() {
         let member = &members[*index];
         if slot == 0 || members[order[slot - 1]].site != member.site {
             sites.push(slot);
         }
-        text += &format!("\n{},{},{}", member.name, member.site, member.address);
+        hashed += &format!("\n{},{},{}", member.name, member.site, member.address);
     }
     sites.push(order.len());
-    let listing_hash = xxhash_rust::xxh3::xxh3_64(text.as_bytes()) as u32;
+    let listing_hash = xxhash_rust::xxh3::xxh3_64(hashed.as_bytes()) as u32;
     Region { name: name.to_owned(), listing_hash, order, sites }
 }
 
 impl Region {
-    /// The parent within a site of a member that isn't its head.
-    fn parent_rank(&self, site: usize, rank: usize) -> usize {
-        let below = (1..=CHILD_SITES_PER_SITE).map(|child| site * CHILD_SITES_PER_SITE + child);
-        let below = below.filter(|child| child + 1 < self.sites.len()).count();
-        let of_head = CHILDREN_PER_MEMBER - below;
-        rank.checked_sub(of_head + 1).map_or(0, |more| 1 + more / CHILDREN_PER_MEMBER)
-    }
-
-    /// Places above this one, the parent first, then the nearest.
-    fn above(&self, place: usize) -> Vec<usize> {
-        let site = self.sites.partition_point(|begin| *begin <= place) - 1;
+    /// The slots above this one: the parent first, then the nearest.
+    fn ancestors(&self, slot: usize) -> Vec<usize> {
+        let mut site = self.sites.partition_point(|first| *first <= slot) - 1;
         let head = self.sites[site];
-        let rank = place - head;
-        let mut above = Vec::new();
+        let rank = slot - head;
+        let mut ancestors = Vec::new();
         if rank > 0 {
-            above.push(head + self.parent_rank(site, rank));
-            above.extend((1..=rank).take(MAX_PRECEDING_CANDIDATES).map(|back| place - back));
+            ancestors.push(head + self.parent_rank(site, rank));
+            ancestors.extend((1..=rank).take(MAX_PRECEDING_CANDIDATES).map(|back| slot - back));
         }
-        let mut site = site;
         while site > 0 {
             site = (site - 1) / CHILD_SITES_PER_SITE;
-            above.push(self.sites[site]);
-            if self.sites[site + 1] > self.sites[site] + 1 {
-                above.push(self.sites[site] + 1);
+            let head = self.sites[site];
+            ancestors.push(head);
+            if self.sites[site + 1] > head + 1 {
+                ancestors.push(head + 1);
             }
         }
         let mut seen = BTreeSet::new();
-        above.retain(|place| seen.insert(*place));
-        above
+        ancestors.retain(|slot| seen.insert(*slot));
+        ancestors
+    }
+
+    /// The rank within its site of the parent of a member that is not the head.
+    fn parent_rank(&self, site: usize, rank: usize) -> usize {
+        let child_sites = (1..=CHILD_SITES_PER_SITE).map(|child| site * CHILD_SITES_PER_SITE + child);
+        let child_sites = child_sites.filter(|child| child + 1 < self.sites.len()).count();
+        let children_of_head = CHILDREN_PER_MEMBER - child_sites;
+        match rank.checked_sub(children_of_head + 1) {
+            Some(beyond) => 1 + beyond / CHILDREN_PER_MEMBER,
+            None => 0,
+        }
     }
 }
--- a/crates/rockflow-dissemination/src/lib.rs
+++ b/crates/rockflow-dissemination/src/lib.rs
@@ -41,7 +41,7 @@
 pub use children::{MAX_CHILDREN, MAX_CONTROL_CHILDREN};
 pub use config::NodeConfig;
 pub use counters::{Counters, MessageCounts};
-pub use directory::{Directory, DirectoryError, DirectoryMember, Placement, Region};
+pub use directory::{Directory, DirectoryError, DirectoryMember, DirectoryProblem, Placement, Region};
 pub use entry::{AgedEntry, Entry, EntryId, Purge, SequenceNumber, StreamId, StreamKind};
 pub use identity::{ControlId, Identity, Incarnation, NodeId, Peer};
 pub use message::{
@@ -51,7 +51,8 @@
 pub use node::{Node, MAX_UNSENT_PUBLICATIONS};
 pub use output::{Output, Publication};
 pub use publisher::{
-    Publisher, BACKLOG_AGE_UNCERTAINTY, MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES,
+    Publisher, PublisherRole, BACKLOG_AGE_UNCERTAINTY, MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES,
+    MAX_PUBLISHED_PURGES,
 };
 pub use quarantine::MAX_QUARANTINED;
 pub use setting::{
--- a/crates/rockflow-dissemination/src/node/control.rs
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -9,6 +9,7 @@
 use crate::identity::{ControlId, Identity, NodeId};
 use crate::message::{Message, MAX_REGION_REPORTS};
 use crate::output::Output;
+use crate::publisher::PublisherRole;
 use crate::setting::HybridTimestamp;
 use crate::subtree_report::{self, RegionReport, SubtreeReport};
 use std::collections::BTreeMap;
@@ -21,9 +22,12 @@
 const MAX_REPLICATED_OUTPUTS: u64 = 128;
 
 impl Node {
-    /// Whether this control node is the one to publish purges: the first by index that is alive. Never at a member.
-    pub fn is_publishing(&self, now: Duration) -> bool {
-        self.control.as_ref().is_some_and(|control| control.is_publishing(now))
+    /// Whether this node publishes purges: it is the first control node by index that is alive.
+    pub fn publisher_role(&self, now: Duration) -> PublisherRole {
+        match &self.control {
+            Some(control) if control.is_publishing(now) => PublisherRole::Active,
+            _ => PublisherRole::Standby,
+        }
     }
 
     /// Replaces the directory. Members are placed by it at once, and learn of it by the heartbeats.
--- a/crates/rockflow-dissemination/src/node/status.rs
+++ b/crates/rockflow-dissemination/src/node/status.rs
@@ -70,7 +70,7 @@
         let mut status = ControlStatus {
             directory: control.directory_version(),
             replicated_to_all: control.convergence.numbers().clone(),
-            is_publishing: self.is_publishing(now),
+            is_publishing: control.is_publishing(now),
             ..ControlStatus::default()
         };
         let Some(directory) = &control.directory else { return Some(status) };
--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -1,113 +1,188 @@
-//! Which of the board's purges a control node publishes, so that another goes on where one has failed.
+//! Which purges of the notice board a control node publishes, so that another one takes over where it has failed.
 
 use crate::entry::Purge;
 use crate::output::Publication;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Purges heard from the board and not seen published, by their names. When full, a purge of everything stands for all
-/// of them.
+/// Purges received from the board and not seen published. When full, a purge of everything stands for all of them.
 pub const MAX_PENDING_PURGES: usize = 16_384;
-/// Words of the board for one purge that wait; the latest of them cover those before.
+/// Notices of one purge that wait; the latest of them cover those before.
 pub const MAX_NOTICES_PER_PURGE: usize = 8;
-/// Purges seen published within the window, by their names. When full, all are forgotten: some may be published twice,
-/// which is harmless.
+/// Purges seen published within the window. When full, all are forgotten: some may be published twice, which is
+/// harmless.
 pub const MAX_PUBLISHED_PURGES: usize = 16_384;
-/// Control nodes' clocks may differ by this part of the window, by which a purge's age is told there.
+/// The clocks of control nodes, by which the age of a purge is told, may differ by this part of the window.
 const CLOCK_SKEW_DIVISOR: i128 = 4;
-/// A purge in the backlog may be younger by so much than it is taken for, where a clock is wrong.
+/// A purge that no active control node has published within this part of the window is overdue.
+const OVERDUE_DIVISOR: i128 = 2;
+/// A purge of the backlog may be younger by this much than its age says, where a clock is wrong.
 pub const BACKLOG_AGE_UNCERTAINTY: Duration = Duration::from_secs(7);
 
-/// When it was made, in microseconds by this machine's clock; may be before its start.
-type MicrosSinceStart = i128;
+/// Whether a control node publishes purges.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PublisherRole {
+    /// It publishes.
+    Active,
+    /// Another one does; this one publishes what is overdue.
+    Standby,
+}
+
+/// Microseconds since the origin of the node's time; negative before it.
+type Micros = i128;
+
+/// Whether a notice was part of what the board repeats to a control node that starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum NoticeOrigin {
+    New,
+    /// The purge may have been published long before.
+    Backlog,
+}
 
+/// One notice of the board.
 #[derive(Clone, Copy, Debug)]
-struct PendingPurge {
-    created: MicrosSinceStart,
-    received: MicrosSinceStart,
-    /// Of the backlog, which a control node that begins is told: it may have been published long since.
-    is_backlog: bool,
-    /// One that was seen published may be this one.
-    matched: bool,
+struct Notice {
+    /// When the purge was made.
+    created: Micros,
+    received: Micros,
+    origin: NoticeOrigin,
+    /// A purge that was seen published may be this one.
+    is_matched: bool,
 }
 
-impl PendingPurge {
-    /// Surely made by then.
-    fn is_covered(&self, by: MicrosSinceStart) -> bool {
-        let doubt = if self.is_backlog { micros(BACKLOG_AGE_UNCERTAINTY) } else { 0 };
-        self.created + doubt <= by
+impl Notice {
+    fn is_backlog(&self) -> bool {
+        self.origin == NoticeOrigin::Backlog
+    }
+
+    /// Whether the purge was surely made by then.
+    fn is_covered(&self, by: Micros) -> bool {
+        let uncertainty = if self.is_backlog() { as_micros(BACKLOG_AGE_UNCERTAINTY) } else { 0 };
+        self.created + uncertainty <= by
+    }
+
+    /// Whether the purge was older than the window when its notice was received.
+    fn was_expired(&self, window: Micros) -> bool {
+        self.received - self.created > window
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PublishedPurge {
-    created: MicrosSinceStart,
-    /// Publications that stand for no word heard here so far.
-    spare: u32,
+    /// The latest time at which a published purge was made.
+    created: Micros,
+    /// Publications that match no notice received so far.
+    unmatched: u32,
 }
 
-/// Holds what the board said within the window. The node that publishes says it at once; the others keep it until they
-/// see it published, and say it when it is theirs to publish before that, or when half the window has passed: who is to
-/// publish may have begun anew since, and not have heard it.
+/// Owns the board's notices within the purge window.
 ///
-/// A publication stands for every word of the board that is not later. To who is not to publish, it also stands for one
-/// that is later by less than clocks may differ: one for one, so that a second purge of the same name doesn't pass for the
-/// first. Who is to publish goes by no such guess.
+/// The active control node publishes them at once. The others keep them until they see them published, and publish them
+/// when they become active before that, or when half the window has passed: the active node may have restarted, and not
+/// have received them.
 ///
-/// A control node that begins is told again what was said before. Such a backlog it keeps for `settle` also where it is to
-/// publish, while the streams bring what was published, and goes by the guess there. Words of the backlog that are past the
-/// window are kept only to be matched, so that their publications don't pass for those of later ones.
+/// A publication covers every notice that is not later. For a standby node it also matches one notice that is later by
+/// less than clocks may differ: one for one, so that a second purge of the same objects is not taken for the first. The
+/// active node does not rely on such matches.
+///
+/// A control node that starts receives the backlog. It keeps it for the settling time, also if it is active, while the
+/// streams bring what was published, and relies on matches there. Notices of the backlog that are past the window are
+/// kept only to be matched, so that their publications do not match later notices.
 #[derive(Clone, Debug)]
 pub struct Publisher {
-    window: i128,
-    settle: i128,
-    waiting: BTreeMap<Purge, Vec<PendingPurge>>,
+    window: Micros,
+    settling: Micros,
+    pending: BTreeMap<Purge, Vec<Notice>>,
     published: BTreeMap<Purge, PublishedPurge>,
 }
 
-fn micros(span: Duration) -> i128 {
-    span.as_micros() as i128
-}
-
 impl Publisher {
+    /// Without a settling time.
     pub fn new(window: Duration) -> Publisher {
-        Publisher { window: micros(window), settle: 0, waiting: BTreeMap::new(), published: BTreeMap::new() }
+        Publisher {
+            window: as_micros(window),
+            settling: 0,
+            pending: BTreeMap::new(),
+            published: BTreeMap::new(),
+        }
     }
 
-    /// For so long a backlog waits for what the streams bring.
-    pub fn settling(self, settle: Duration) -> Publisher {
-        Publisher { settle: micros(settle), ..self }
+    /// With a settling time, for which a backlog waits for what the streams bring.
+    pub fn settling(self, settling: Duration) -> Publisher {
+        Publisher { settling: as_micros(settling), ..self }
     }
 
-    /// The board says so.
+    /// The board announces a purge that was made `age` ago.
     pub fn on_purge_notice(&mut self, now: Duration, purge: Purge, age: Duration) {
-        self.record_notice(now, purge, age, false);
+        self.insert(now, purge, age, NoticeOrigin::New);
     }
 
-    /// The board says so as part of what it said before. Past the window only if it is so by the board's clock alone.
+    /// The board repeats a purge that was made `age` ago by the board's clock.
     pub fn on_backlog_notice(&mut self, now: Duration, purge: Purge, age: Duration) {
-        self.record_notice(now, purge, age, true);
+        self.insert(now, purge, age, NoticeOrigin::Backlog);
+    }
+
+    /// Another control node has published a purge that was made `age` ago.
+    pub fn on_published(&mut self, now: Duration, purge: Purge, age: Duration) {
+        let created = as_micros(now) - as_micros(age);
+        if self.published.len() >= MAX_PUBLISHED_PURGES && !self.published.contains_key(&purge) {
+            self.published.clear();
+        }
+        self.record_published(purge, created);
+        if !self.match_notice(purge, created) {
+            if let Some(published) = self.published.get_mut(&purge) {
+                published.unmatched = published.unmatched.saturating_add(1);
+            }
+        }
+        if purge == Purge::Everything {
+            for notices in self.pending.values_mut() {
+                notices.retain(|notice| !notice.is_covered(created));
+            }
+            self.pending.retain(|_, notices| !notices.is_empty());
+        }
+    }
+
+    /// What is to be published now; at a standby node only what the active one has had the time for.
+    pub fn tick(&mut self, now: Duration, role: PublisherRole) -> Vec<Publication> {
+        let skew = self.window / CLOCK_SKEW_DIVISOR;
+        let oldest = as_micros(now) - self.window;
+        self.published.retain(|_, published| published.created >= oldest - skew);
+        self.expire_notices(now, role);
+        let mut due = Vec::new();
+        for (purge, notices) in &self.pending {
+            if notices.iter().any(|notice| self.is_due(now, notice, role)) {
+                due.extend(notices.last().map(|latest| (*purge, latest.created)));
+            }
+        }
+        for (purge, _) in &due {
+            self.pending.remove(purge);
+        }
+        due.into_iter().map(|(purge, created)| self.publish(now, purge, created)).collect()
     }
 
-    fn record_notice(&mut self, now: Duration, purge: Purge, age: Duration, is_backlog: bool) {
-        let (received, is_over) = (micros(now), micros(age) > self.window);
-        let mut notice =
-            PendingPurge { created: received - micros(age), received, is_backlog, matched: false };
-        if (is_over && !is_backlog)
-            || notice.created < self.oldest_match(now)
-            || self.is_covered(purge, &notice)
-        {
+    /// Notices that wait and purges seen published.
+    pub fn entry_count(&self) -> usize {
+        self.pending.values().map(Vec::len).sum::<usize>() + self.published.len()
+    }
+
+    fn insert(&mut self, now: Duration, purge: Purge, age: Duration, origin: NoticeOrigin) {
+        let received = as_micros(now);
+        let mut notice = Notice { created: received - as_micros(age), received, origin, is_matched: false };
+        let is_expired = notice.was_expired(self.window);
+        let is_ignored = is_expired && !notice.is_backlog();
+        if is_ignored || notice.created < self.oldest_match(now) || self.is_published(purge, &notice) {
             return;
         }
-        if self.waiting.len() >= MAX_PENDING_PURGES && !self.waiting.contains_key(&purge) {
-            if !is_over {
-                let all = PendingPurge { created: received, received, is_backlog: false, matched: false };
-                self.waiting = BTreeMap::from([(Purge::Everything, vec![all])]);
+        if self.pending.len() >= MAX_PENDING_PURGES && !self.pending.contains_key(&purge) {
+            if !is_expired {
+                let all =
+                    Notice { created: received, received, origin: NoticeOrigin::New, is_matched: false };
+                self.pending = BTreeMap::from([(Purge::Everything, vec![all])]);
             }
             return;
         }
-        notice.matched = self.match_published(purge, notice.created);
-        let notices = self.waiting.entry(purge).or_default();
+        notice.is_matched = self.match_published(purge, notice.created);
+        let notices = self.pending.entry(purge).or_default();
         notices.push(notice);
         notices.sort_by_key(|notice| notice.created);
         if notices.len() > MAX_NOTICES_PER_PURGE {
@@ -115,119 +190,100 @@
         }
     }
 
-    /// What is older than that no publication is taken for.
-    fn oldest_match(&self, now: Duration) -> MicrosSinceStart {
-        micros(now) - self.window - self.window / CLOCK_SKEW_DIVISOR - micros(BACKLOG_AGE_UNCERTAINTY)
+    /// No publication matches a notice of an older purge.
+    fn oldest_match(&self, now: Duration) -> Micros {
+        let skew = self.window / CLOCK_SKEW_DIVISOR;
+        as_micros(now) - self.window - skew - as_micros(BACKLOG_AGE_UNCERTAINTY)
     }
 
-    fn is_covered(&self, purge: Purge, notice: &PendingPurge) -> bool {
-        let covers =
-            |other: &Purge| self.published.get(other).is_some_and(|seen| notice.is_covered(seen.created));
-        covers(&purge) || covers(&Purge::Everything)
+    fn is_published(&self, purge: Purge, notice: &Notice) -> bool {
+        let is_covered =
+            |by: &Purge| self.published.get(by).is_some_and(|published| notice.is_covered(published.created));
+        is_covered(&purge) || is_covered(&Purge::Everything)
     }
 
-    fn match_published(&mut self, purge: Purge, created: MicrosSinceStart) -> bool {
-        let latest = created - self.window / CLOCK_SKEW_DIVISOR;
-        let seen = self.published.get_mut(&purge).filter(|seen| seen.spare > 0 && seen.created >= latest);
-        match seen {
-            Some(seen) => {
-                seen.spare -= 1;
+    /// Matches a new notice with a publication that has matched none. Returns whether there is one.
+    fn match_published(&mut self, purge: Purge, created: Micros) -> bool {
+        let earliest = created - self.window / CLOCK_SKEW_DIVISOR;
+        match self.published.get_mut(&purge) {
+            Some(published) if published.unmatched > 0 && published.created >= earliest => {
+                published.unmatched -= 1;
                 true
             }
-            None => false,
+            _ => false,
         }
     }
 
-    /// Another control node has published it.
-    pub fn on_published(&mut self, now: Duration, purge: Purge, age: Duration) {
-        let created = micros(now) - micros(age);
-        if self.published.len() >= MAX_PUBLISHED_PURGES && !self.published.contains_key(&purge) {
-            self.published.clear();
-        }
-        let seen = self.published.entry(purge).or_insert(PublishedPurge { created, spare: 0 });
-        seen.created = seen.created.max(created);
-        if !self.absorb_notice(purge, created) {
-            if let Some(seen) = self.published.get_mut(&purge) {
-                seen.spare = seen.spare.saturating_add(1);
-            }
-        }
-        if purge == Purge::Everything {
-            self.waiting
-                .values_mut()
-                .for_each(|notices| notices.retain(|notice| !notice.is_covered(created)));
-            self.waiting.retain(|_, notices| !notices.is_empty());
-        }
-    }
-
-    /// Takes the words that a publication covers from those that wait, or else marks the one that it may be. False: there
-    /// was none.
-    fn absorb_notice(&mut self, purge: Purge, created: MicrosSinceStart) -> bool {
-        let Some(notices) = self.waiting.get_mut(&purge) else { return false };
+    /// Removes the notices that a publication covers, or else matches one that it may be. Returns whether there was one.
+    fn match_notice(&mut self, purge: Purge, created: Micros) -> bool {
+        let Some(notices) = self.pending.get_mut(&purge) else { return false };
         let before = notices.len();
         notices.retain(|notice| !notice.is_covered(created));
-        let covered = notices.len() < before;
-        let latest = created + self.window / CLOCK_SKEW_DIVISOR;
-        let same = notices
-            .iter_mut()
-            .find(|notice| !notice.matched && notice.created <= latest)
-            .filter(|_| !covered);
-        let matched = same.map(|notice| notice.matched = true).is_some();
+        let has_covered = notices.len() < before;
         if notices.is_empty() {
-            self.waiting.remove(&purge);
+            self.pending.remove(&purge);
+            return has_covered;
+        }
+        if has_covered {
+            return true;
+        }
+        let latest = created + self.window / CLOCK_SKEW_DIVISOR;
+        let matching = notices.iter_mut().find(|notice| !notice.is_matched && notice.created <= latest);
+        match matching {
+            Some(notice) => {
+                notice.is_matched = true;
+                true
+            }
+            None => false,
         }
-        covered || matched
     }
 
-    /// What is to be published now; where it is another's to publish, only what that one has had the time for.
-    pub fn tick(&mut self, now: Duration, is_publishing: bool) -> Vec<Publication> {
-        let oldest = micros(now) - self.window;
+    /// Drops notices that need not be published any more. One that nobody has published is kept however old it becomes.
+    fn expire_notices(&mut self, now: Duration, role: PublisherRole) {
+        let window = self.window;
+        let oldest = as_micros(now) - window;
         let oldest_match = self.oldest_match(now);
-        let overdue = micros(now) - self.window / 2;
-        let settled = micros(now) - self.settle;
-        self.published.retain(|_, seen| seen.created >= oldest - self.window / CLOCK_SKEW_DIVISOR);
-        let mut all = Vec::new();
-        self.waiting.retain(|purge, notices| {
-            // What nobody has published is said however late. Of the rest, what is too old binds nobody any more.
+        for notices in self.pending.values_mut() {
             notices.retain(|notice| {
-                let was_over = notice.received - notice.created > self.window;
-                let may_publish =
-                    |notice: &PendingPurge| !notice.matched || (is_publishing && !notice.is_backlog);
-                if was_over {
-                    notice.created >= oldest_match
-                } else {
-                    may_publish(notice) || notice.created >= oldest
+                if notice.was_expired(window) {
+                    return notice.created >= oldest_match;
                 }
+                let relies_on_match = role == PublisherRole::Standby || notice.is_backlog();
+                let is_unpublished = !(notice.is_matched && relies_on_match);
+                is_unpublished || notice.created >= oldest
             });
-            let Some(latest) = notices.last().copied() else { return false };
-            let publish_now = notices
-                .iter()
-                .filter(|notice| notice.received - notice.created <= self.window)
-                .any(|notice| {
-                    let own = is_publishing
-                        && if notice.is_backlog {
-                            !notice.matched && notice.received <= settled
-                        } else {
-                            true
-                        };
-                    own || (!notice.matched && notice.received <= overdue)
-                });
-            if publish_now {
-                all.push((*purge, latest.created));
+        }
+        self.pending.retain(|_, notices| !notices.is_empty());
+    }
+
+    fn is_due(&self, now: Duration, notice: &Notice, role: PublisherRole) -> bool {
+        if notice.was_expired(self.window) {
+            return false;
+        }
+        let overdue = as_micros(now) - self.window / OVERDUE_DIVISOR;
+        let settled = as_micros(now) - self.settling;
+        let is_due_here = match (role, notice.origin) {
+            (PublisherRole::Standby, _) => false,
+            (PublisherRole::Active, NoticeOrigin::New) => true,
+            (PublisherRole::Active, NoticeOrigin::Backlog) => {
+                !notice.is_matched && notice.received <= settled
             }
-            !publish_now
-        });
-        all.into_iter().map(|(purge, created)| self.publish(now, purge, created)).collect()
+        };
+        is_due_here || (!notice.is_matched && notice.received <= overdue)
     }
 
-    fn publish(&mut self, now: Duration, purge: Purge, created: MicrosSinceStart) -> Publication {
-        let seen = self.published.entry(purge).or_insert(PublishedPurge { created, spare: 0 });
-        seen.created = seen.created.max(created);
-        let age = Duration::from_micros(u64::try_from(micros(now) - created).unwrap_or(0));
+    fn publish(&mut self, now: Duration, purge: Purge, created: Micros) -> Publication {
+        self.record_published(purge, created);
+        let age = Duration::from_micros(u64::try_from(as_micros(now) - created).unwrap_or(0));
         Publication::Purge { purge, age }
     }
 
-    /// Words that wait and purges seen.
-    pub fn entry_count(&self) -> usize {
-        self.waiting.values().map(Vec::len).sum::<usize>() + self.published.len()
+    fn record_published(&mut self, purge: Purge, created: Micros) {
+        let published = self.published.entry(purge).or_insert(PublishedPurge { created, unmatched: 0 });
+        published.created = published.created.max(created);
     }
 }
+
+fn as_micros(span: Duration) -> Micros {
+    span.as_micros() as i128
+}
--- a/crates/rockflow-dissemination/tests/directory.rs
+++ b/crates/rockflow-dissemination/tests/directory.rs
@@ -22,7 +22,7 @@
 #[test_case("version,1\na,r,s,z,10.0.0.1:1\nb,r,s,z,10.0.0.1:1\n", 3, "an address that is there already")]
 fn faults_name_their_line(text: &str, line: usize, what: &str) {
     let fault = Directory::parse(text).expect_err("a fault");
-    assert_eq!((fault.line, fault.what), (line, what));
+    assert_eq!((fault.line, fault.problem.to_string().as_str()), (line, what));
 }
 
 fn target() -> Directory {
@@ -47,8 +47,8 @@
         let distinct: BTreeSet<NodeId> = place.parents.iter().map(|peer| peer.node).collect();
         assert_eq!(distinct.len(), place.parents.len());
         for peer in place.parents.iter().filter(|peer| !control.contains(peer)) {
-            let (region, slot) = directory.slot(peer.node).expect("a slot");
-            assert!(region == place.region && slot < place.slot, "{peer:?} isn't above");
+            let above = directory.place(peer.node, &control).expect("a place");
+            assert!(above.region == place.region && above.slot < place.slot, "{peer:?} isn't above");
         }
         heads += usize::from(control.contains(&place.parents[0]));
         *children.entry(place.parents[0].node).or_default() += 1;
--- a/crates/rockflow-dissemination/tests/faults.rs
+++ b/crates/rockflow-dissemination/tests/faults.rs
@@ -107,7 +107,11 @@
     world.kill(member);
     world.run(s(60));
     world.wake(1);
-    assert!(!world.nodes[1].node.is_publishing(world.now), "the first is alive as far as it knows");
+    assert_eq!(
+        world.nodes[1].node.publisher_role(world.now),
+        PublisherRole::Standby,
+        "the first is alive as far as it knows"
+    );
     world.run(s(10));
     assert!(!world.everywhere(1, id));
     assert_eq!(world.control(1).missing, ["m-0-0-1"]);
--- a/crates/rockflow-dissemination/tests/publisher.rs
+++ b/crates/rockflow-dissemination/tests/publisher.rs
@@ -1,6 +1,6 @@
 //! Which of the board's purges a control node publishes.
 
-use rockflow_dissemination::{Publication, Publisher, Purge};
+use rockflow_dissemination::{Publication, Publisher, PublisherRole, Purge};
 use rockflow_dissemination::{MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES};
 use std::time::Duration;
 use test_case::test_case;
@@ -15,6 +15,14 @@
     Publication::Purge { purge: Purge::object(object), age: ms(age) }
 }
 
+fn role(publishing: bool) -> PublisherRole {
+    if publishing {
+        PublisherRole::Active
+    } else {
+        PublisherRole::Standby
+    }
+}
+
 fn one() -> Purge {
     Purge::object(1)
 }
@@ -23,13 +31,13 @@
 fn the_publishing_one_says_it_at_once_and_once() {
     let mut publisher = Publisher::new(WINDOW);
     publisher.on_purge_notice(ms(10_000), one(), ms(30));
-    assert_eq!(publisher.tick(ms(10_010), true), [purge(1, 40)]);
-    assert_eq!(publisher.tick(ms(10_500), true), []);
+    assert_eq!(publisher.tick(ms(10_010), PublisherRole::Active), [purge(1, 40)]);
+    assert_eq!(publisher.tick(ms(10_500), PublisherRole::Active), []);
     // The same word again, as a board that was called anew tells it.
     publisher.on_purge_notice(ms(11_000), one(), ms(1030));
-    assert_eq!(publisher.tick(ms(11_000), true), []);
+    assert_eq!(publisher.tick(ms(11_000), PublisherRole::Active), []);
     publisher.on_purge_notice(ms(11_001), one(), ms(5));
-    assert_eq!(publisher.tick(ms(11_001), true), [purge(1, 5)]);
+    assert_eq!(publisher.tick(ms(11_001), PublisherRole::Active), [purge(1, 5)]);
 }
 
 #[test_case(0; "clocks agree")]
@@ -47,9 +55,9 @@
             publisher.on_published(ms(20_010), one(), ms(2000));
         }
         for at in 0..10 {
-            assert_eq!(publisher.tick(ms(20_000 + at * 1000), false), []);
+            assert_eq!(publisher.tick(ms(20_000 + at * 1000), PublisherRole::Standby), []);
         }
-        assert!(publisher.tick(ms(20_100), false).is_empty(), "seen first: {seen_first}");
+        assert!(publisher.tick(ms(20_100), PublisherRole::Standby).is_empty(), "seen first: {seen_first}");
     }
 }
 
@@ -57,11 +65,11 @@
 fn who_is_to_publish_goes_by_no_guess() {
     let mut publisher = Publisher::new(WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
-    assert_eq!(publisher.tick(ms(20_000), true), [purge(1, 0)]);
+    assert_eq!(publisher.tick(ms(20_000), PublisherRole::Active), [purge(1, 0)]);
     // Another that thinks so too has said the same; the board's next word is another purge all the same.
     publisher.on_published(ms(20_100), one(), ms(100));
     publisher.on_purge_notice(ms(20_500), one(), ms(0));
-    assert_eq!(publisher.tick(ms(20_500), true), [purge(1, 0)]);
+    assert_eq!(publisher.tick(ms(20_500), PublisherRole::Active), [purge(1, 0)]);
 }
 
 #[test]
@@ -76,7 +84,11 @@
         if !seen_first {
             publisher.on_published(ms(20_310), one(), ms(300));
         }
-        assert_eq!(publisher.tick(ms(24_400), false), [purge(1, 4100)], "seen first: {seen_first}");
+        assert_eq!(
+            publisher.tick(ms(24_400), PublisherRole::Standby),
+            [purge(1, 4100)],
+            "seen first: {seen_first}"
+        );
     }
 }
 
@@ -84,9 +96,9 @@
 fn what_nobody_has_published_in_half_the_window_is_said_by_any() {
     let mut publisher = Publisher::new(WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
-    assert_eq!(publisher.tick(ms(23_900), false), []);
-    assert_eq!(publisher.tick(ms(24_000), false), [purge(1, 4000)]);
-    assert_eq!(publisher.tick(ms(24_500), false), []);
+    assert_eq!(publisher.tick(ms(23_900), PublisherRole::Standby), []);
+    assert_eq!(publisher.tick(ms(24_000), PublisherRole::Standby), [purge(1, 4000)]);
+    assert_eq!(publisher.tick(ms(24_500), PublisherRole::Standby), []);
 }
 
 #[test]
@@ -95,8 +107,8 @@
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
     publisher.on_purge_notice(ms(20_000), Purge::object(2), ms(0));
     publisher.on_published(ms(20_500), one(), ms(490));
-    assert_eq!(publisher.tick(ms(21_000), false), []);
-    assert_eq!(publisher.tick(ms(22_000), true), [purge(2, 2000)]);
+    assert_eq!(publisher.tick(ms(21_000), PublisherRole::Standby), []);
+    assert_eq!(publisher.tick(ms(22_000), PublisherRole::Active), [purge(2, 2000)]);
 }
 
 #[test]
@@ -106,7 +118,7 @@
     publisher.on_purge_notice(ms(20_900), Purge::object(2), ms(0));
     publisher.on_published(ms(21_000), Purge::Everything, ms(500));
     publisher.on_purge_notice(ms(21_000), Purge::object(3), ms(700));
-    assert_eq!(publisher.tick(ms(21_000), true), [purge(2, 100)]);
+    assert_eq!(publisher.tick(ms(21_000), PublisherRole::Active), [purge(2, 100)]);
 }
 
 #[test]
@@ -118,7 +130,7 @@
         publisher.on_published(ms(20_000), Purge::Group(object), ms(10));
     }
     assert!(publisher.entry_count() <= MAX_PENDING_PURGES + MAX_NOTICES_PER_PURGE + MAX_PUBLISHED_PURGES);
-    let said = publisher.tick(ms(20_000), true);
+    let said = publisher.tick(ms(20_000), PublisherRole::Active);
     assert!(said.contains(&Publication::Purge { purge: Purge::Everything, age: ms(0) }), "{}", said.len());
     assert!(said.len() <= 2);
 }
@@ -131,7 +143,7 @@
 
 /// Everything that is said in twenty seconds.
 fn said_from(publisher: &mut Publisher, from: u64, publishing: bool) -> Vec<Publication> {
-    (0..200).flat_map(|at| publisher.tick(ms(from + at * 100), publishing)).collect()
+    (0..200).flat_map(|at| publisher.tick(ms(from + at * 100), role(publishing))).collect()
 }
 
 #[test_case(true, 0, 30; "to publish, the streams before the board")]
@@ -156,7 +168,7 @@
         publisher.on_backlog_notice(ms(20_000), Purge::object(object), ms(age));
     }
     for now in (20_000..20_000 + streams).step_by(100) {
-        assert_eq!(publisher.tick(ms(now), publishing), []);
+        assert_eq!(publisher.tick(ms(now), role(publishing)), []);
     }
     if streams > 0 {
         published(&mut publisher);
@@ -170,8 +182,8 @@
         let mut publisher = begun();
         publisher.on_backlog_notice(ms(20_000), one(), ms(7900));
         publisher.on_backlog_notice(ms(20_000), Purge::object(2), ms(0));
-        assert_eq!(publisher.tick(ms(19_900 + wait), publishing), []);
-        let said = publisher.tick(ms(20_000 + wait), publishing);
+        assert_eq!(publisher.tick(ms(19_900 + wait), role(publishing)), []);
+        let said = publisher.tick(ms(20_000 + wait), role(publishing));
         assert_eq!(said, [purge(1, 7900 + wait), purge(2, wait)]);
         assert_eq!(said_from(&mut publisher, 20_000 + wait, publishing), []);
     }
@@ -219,7 +231,7 @@
     let mut publisher = begun();
     publisher.on_backlog_notice(ms(20_000), one(), ms(100));
     publisher.on_purge_notice(ms(20_500), Purge::object(2), ms(0));
-    assert_eq!(publisher.tick(ms(20_500), true), [purge(2, 0)]);
+    assert_eq!(publisher.tick(ms(20_500), PublisherRole::Active), [purge(2, 0)]);
 }
 
 /// What streams bring to a node that has just begun comes later than half the window after the purge was made.
@@ -227,7 +239,7 @@
 fn the_half_window_counts_from_when_it_was_heard() {
     let mut publisher = Publisher::new(WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(4500));
-    assert_eq!(publisher.tick(ms(20_100), false), []);
+    assert_eq!(publisher.tick(ms(20_100), PublisherRole::Standby), []);
     publisher.on_published(ms(20_500), one(), ms(5000));
     assert_eq!(said_from(&mut publisher, 20_500, false), []);
 }
--- a/crates/rockflow-scale/src/virtual_fleet/world.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/world.rs
@@ -517,7 +517,7 @@
     /// The checker is told by which directory a control node goes.
     fn reads(&mut self, at: usize) {
         let directory = &self.processes[at].directory;
-        let named = |member: usize| directory.slot(self.layout.peer(member).node).is_some();
+        let named = |member: usize| directory.region_of(self.layout.peer(member).node).is_some();
         let told = (0..self.layout.seats).map(named).collect();
         self.checker.reads(at, told);
     }
@@ -902,7 +902,7 @@
         let now = self.now;
         let process = &mut self.processes[at];
         let (Some(node), Some(publisher)) = (&process.node, &mut process.publisher) else { return };
-        let what = publisher.tick(now, node.is_publishing(now));
+        let what = publisher.tick(now, node.publisher_role(now));
         if what.is_empty() {
             return;
         }
--- a/crates/rockflow-transport/src/dissemination/carry.rs
+++ b/crates/rockflow-transport/src/dissemination/carry.rs
@@ -212,7 +212,7 @@
     fn publish(&mut self, now: Duration) {
         let Some(feed) = self.feed.as_mut().filter(|feed| feed.due <= now) else { return };
         feed.due = now + feed.every;
-        let publications = feed.publisher.tick(now, self.node.is_publishing(now));
+        let publications = feed.publisher.tick(now, self.node.publisher_role(now));
         if !publications.is_empty() {
             let (_, outs) = self.node.publish(now, publications);
             self.carry(outs);
