--- a/crates/rockflow-dissemination/tests/directory.rs
+++ b/crates/rockflow-dissemination/tests/directory.rs
@@ -20,7 +20,7 @@
 #[test_case("version,1\n,r,s,z,10.0.0.1:1\n", 2, "an empty name, region or site")]
 #[test_case("version,1\na,r,s,z,10.0.0.1:1\n\na,r,s,z,10.0.0.2:1\n", 4, "a name that is there already")]
 #[test_case("version,1\na,r,s,z,10.0.0.1:1\nb,r,s,z,10.0.0.1:1\n", 3, "an address that is there already")]
-fn faults_name_their_line(text: &str, line: usize, what: &str) {
+fn error_names_its_line(text: &str, line: usize, what: &str) {
     let fault = Directory::parse(text).expect_err("a fault");
     assert_eq!((fault.line, fault.problem.to_string().as_str()), (line, what));
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn every_candidate_stands_above_and_the_tree_is_shallow() {
+fn every_candidate_is_an_ancestor_and_the_tree_is_shallow() {
     let (directory, control) = (target(), control());
     let mut heads = 0;
     let mut children: BTreeMap<NodeId, usize> = BTreeMap::new();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_listing_changes_with_what_its_places_rest_on() {
+fn listing_hash_changes_with_what_its_places_depend_on() {
     let text = "version,1\na,r,s,z,10.0.0.1:1\nb,r,s,z,10.0.0.2:1\nc,q,s,z,10.0.0.3:1\n";
     let listing_hash = |text: &str, name: &str| {
         let directory = Directory::parse(text).expect("a directory");
--- /dev/null
+++ b/crates/rockflow-dissemination/tests/faults_and_moves.rs
@@ -0,0 +1,219 @@
+//! A small fleet whose nodes stand still, end, begin anew, or are given more than they hold.
+
+mod support;
+
+use rockflow_dissemination::*;
+use std::time::Duration;
+use support::*;
+use test_case::test_case;
+
+#[test]
+fn moved_member_does_not_count_for_a_missing_one() {
+    let mut fleet = settled(30);
+    let moves = fleet.index("m-0-0-4");
+    let missing = fleet.index("m-0-0-3");
+    fleet.kill(missing);
+    // It changes its parents again and again, and is reported by several.
+    for turn in 0..12 {
+        let parent = fleet.status(moves).parent.expect("a parent").address;
+        let parent = (0..fleet.nodes.len()).find(|index| address(*index) == parent).expect("one");
+        fleet.cut = [(parent.min(moves), parent.max(moves))].into();
+        let id = fleet.purge(turn % 3, turn as u64);
+        fleet.run(s(2));
+        for control in 0..3 {
+            assert!(!fleet.everywhere(control, id), "without {}", fleet.nodes[missing].name);
+        }
+    }
+}
+
+#[test]
+fn unconfirmed_entry_is_not_replicated_to_all() {
+    let mut fleet = settled(31);
+    let member = fleet.index("m-0-1-1");
+    fleet.nodes[member].done.withholds = true;
+    let first = fleet.purge(0, 1);
+    fleet.run(s(1));
+    let second = fleet.purge(0, 2);
+    fleet.run(s(6));
+    assert_eq!(fleet.times(member, 2), 1);
+    assert!(!fleet.everywhere(0, first));
+    let behind = fleet.control(0).lagging;
+    assert!(behind.contains(&("m-0-1-1".to_owned(), first.0, SequenceNumber(0))), "{behind:?}");
+    // The later one first: nothing is in force in a row yet.
+    let tokens = std::mem::take(&mut fleet.nodes[member].done.tokens);
+    for token in tokens.into_iter().rev() {
+        assert!(!fleet.everywhere(0, first));
+        let now = fleet.now;
+        let outputs = fleet.nodes[member].node.confirm_applied(now, token);
+        fleet.take(member, outputs);
+    }
+    fleet.run(s(4));
+    assert!(fleet.everywhere(0, second));
+}
+
+#[test]
+fn reports_replication_of_entry_that_the_log_has_dropped() {
+    let mut fleet = settled(33);
+    let member = fleet.index("m-0-1-1");
+    fleet.nodes[member].done.withholds = true;
+    let id = fleet.purge(0, 1);
+    // Past the window and the quarter for which a log holds more.
+    fleet.run(s(15));
+    fleet.nodes[member].done.withholds = false;
+    for token in std::mem::take(&mut fleet.nodes[member].done.tokens) {
+        let now = fleet.now;
+        let outputs = fleet.nodes[member].node.confirm_applied(now, token);
+        fleet.take(member, outputs);
+    }
+    fleet.run(s(6));
+    for control in 0..3 {
+        assert!(fleet.everywhere(control, id), "control {control} does not know it");
+        let said = &fleet.nodes[control].done.replicated;
+        assert!(
+            said.iter().any(|(stream, number, ..)| (*stream, *number) == id),
+            "control {control}: {said:?}"
+        );
+    }
+}
+
+#[test]
+fn paused_node_does_not_take_silence_for_a_loss() {
+    let mut fleet = settled(32);
+    let head = fleet.members().max_by_key(|index| fleet.status(*index).children).expect("one");
+    let changes = fleet.counters(head).parent_changes;
+    let control = fleet.counters(0).process_pauses;
+    fleet.stop(head);
+    fleet.run(s(60));
+    fleet.wake(head);
+    assert_eq!(fleet.counters(head).process_pauses, 1);
+    let stale = fleet.status(head).staleness.expect("heard");
+    assert!(stale > s(50), "an old pulse isn't passed as fresh: {stale:?}");
+    fleet.run(s(3));
+    assert_eq!(fleet.counters(head).parent_changes, changes, "it stays with its parent");
+    assert!(fleet.status(head).staleness.expect("heard") < s(1));
+    fleet.run(s(25));
+    assert!(fleet.members().all(|index| fleet.status(index).first_parent));
+    assert_eq!(fleet.counters(0).process_pauses, control);
+    assert_eq!(fleet.control(0).present, 12);
+}
+
+#[test]
+fn paused_control_node_reports_nothing_by_old_reports() {
+    let mut fleet = settled(33);
+    fleet.stop(1);
+    let id = fleet.purge(0, 1);
+    let member = fleet.index("m-0-0-1");
+    fleet.run(ms(100));
+    fleet.kill(member);
+    fleet.run(s(60));
+    fleet.wake(1);
+    assert_eq!(
+        fleet.nodes[1].node.publisher_role(fleet.now),
+        PublisherRole::Standby,
+        "the first is alive as far as it knows"
+    );
+    fleet.run(s(10));
+    assert!(!fleet.everywhere(1, id));
+    assert_eq!(fleet.control(1).missing, ["m-0-0-1"]);
+}
+
+#[test]
+fn entry_reaches_its_region_without_control() {
+    let mut fleet = settled(34);
+    let leaf = fleet.index("m-0-0-4");
+    // Only the leaf hears of it before all control nodes end.
+    fleet.eats = Some(Box::new(move |_, to, message| to != leaf && matches!(message, Message::Batch { .. })));
+    let stream =
+        StreamId { control: ControlId(0), kind: StreamKind::Purges, incarnation: Incarnation(INCARNATION) };
+    let entries = vec![AgedEntry { age_ms: 0, entry: Entry::Purge(Purge::object(9)) }];
+    let batch = Message::Batch { stream, first: SequenceNumber(1), entries };
+    let from = fleet.nodes[0].config.identity;
+    let now = fleet.now;
+    let outputs = fleet.nodes[leaf].node.on_message(now, from, address(0), batch);
+    for control in 0..3 {
+        fleet.kill(control);
+    }
+    fleet.take(leaf, outputs);
+    fleet.run(ms(100));
+    fleet.eats = None;
+    fleet.run(s(30));
+    for index in fleet.members().filter(|index| fleet.nodes[*index].name.starts_with("m-0")) {
+        assert_eq!(fleet.times(index, 9), 1, "{}", fleet.nodes[index].name);
+    }
+}
+
+#[test]
+fn settings_return_to_control_nodes_that_have_all_restarted() {
+    let mut fleet = settled(35);
+    fleet.want(0, "a", DesiredState::Gone);
+    fleet.want(1, "b", DesiredState::Draining);
+    fleet.run(s(5));
+    for control in 0..3 {
+        fleet.restart(control, INCARNATION + 100_000);
+    }
+    fleet.run(s(20));
+    for index in 0..fleet.nodes.len() {
+        assert_eq!(fleet.status(index).desired.len(), 2, "{}", fleet.nodes[index].name);
+    }
+    let id = fleet.want(0, "a", DesiredState::Listed);
+    fleet.run(s(5));
+    assert!(fleet.everywhere(0, id));
+    assert!(fleet.members().all(|index| fleet.nodes[index].done.settings.len() == 1));
+}
+
+#[test]
+fn new_directory_moves_members_without_a_restart() {
+    let mut fleet = settled(36);
+    let text = csv(2, 3, TWO_REGIONS).replace("m-0-1-2,region0,site-0-1", "m-0-1-2,region1,site-1-1");
+    let directory = Directory::parse(&text).expect("a directory");
+    for control in 0..3 {
+        let now = fleet.now;
+        let outputs = fleet.nodes[control].node.set_directory(now, directory.clone());
+        fleet.take(control, outputs);
+    }
+    fleet.run(s(12));
+    let id = fleet.purge(2, 1);
+    fleet.run(s(4));
+    assert!(fleet.everywhere(2, id));
+    let moved = fleet.status(fleet.index("m-0-1-2"));
+    assert_eq!(moved.place.map(|(region, _, slots)| (region, slots)), Some((1, 5)));
+    assert_eq!(fleet.control(0).present, 12);
+}
+
+#[test]
+fn publications_beyond_the_limit_fold_into_a_purge_of_everything() {
+    let mut fleet = settled(37);
+    let many =
+        (0..20_000).map(|object| Publication::Purge { purge: Purge::object(object), age: Duration::ZERO });
+    let at = fleet.now;
+    let ids = fleet.publish(0, many.collect());
+    assert_eq!(ids.len(), 20_000);
+    let counters = fleet.counters(0);
+    assert_eq!(counters.publications_folded, 20_000 - MAX_UNSENT_PUBLICATIONS);
+    assert_eq!(ids.last().map(|id| id.1), Some(SequenceNumber(MAX_UNSENT_PUBLICATIONS + 1)));
+    fleet.run(s(60));
+    for index in fleet.members() {
+        assert!(fleet.nodes[index].done.floors >= 1);
+        for object in (0..20_000).step_by(997) {
+            assert!(fleet.covered(index, object, at), "{object} at {}", fleet.nodes[index].name);
+        }
+    }
+    assert!(fleet.everywhere(0, ids[ids.len() - 1]));
+}
+
+#[test_case(1)]
+#[test_case(2)]
+fn same_seed_gives_the_same_run(seed: u64) {
+    let course = |seed| {
+        let mut fleet = settled(seed);
+        fleet.loss = 0.1;
+        for object in 0..10 {
+            fleet.purge(0, object);
+            fleet.run(ms(300));
+        }
+        fleet.run(s(5));
+        let members = fleet.members().map(|index| (fleet.status(index), fleet.counters(index)));
+        (members.collect::<Vec<_>>(), fleet.bytes)
+    };
+    assert_eq!(course(seed), course(seed));
+}
--- /dev/null
+++ b/crates/rockflow-dissemination/tests/fleet.rs
@@ -0,0 +1,265 @@
+//! Scenarios of a small fleet.
+
+mod support;
+
+use rockflow_dissemination::*;
+use support::*;
+use test_case::test_case;
+
+#[test]
+fn all_members_join_and_follow() {
+    let fleet = settled(1);
+    for index in fleet.members() {
+        let status = fleet.status(index);
+        assert!(status.place.is_some(), "{} has no place", fleet.nodes[index].name);
+        assert!(status.first_parent);
+        assert!(status.staleness.expect("heard") < ms(700), "{:?}", status.staleness);
+    }
+    for control in 0..3 {
+        let status = fleet.control(control);
+        assert_eq!((status.expected_members, status.present), (12, 12), "{status:?}");
+        assert!(status.missing.is_empty());
+    }
+}
+
+#[test]
+fn purge_is_applied_once_and_reported_as_replicated() {
+    let mut fleet = settled(2);
+    let id = fleet.purge(0, 7);
+    fleet.run(s(3));
+    for index in fleet.members() {
+        assert_eq!(fleet.times(index, 7), 1, "{}", fleet.nodes[index].name);
+        assert_eq!(fleet.nodes[index].done.floors, 0);
+    }
+    for control in 0..3 {
+        assert!(fleet.everywhere(control, id), "{control}");
+    }
+    let replicated = &fleet.nodes[0].done.replicated;
+    assert_eq!(replicated.len(), 1);
+    assert!(replicated[0].2 < s(3), "{:?}", replicated[0].2);
+    assert!(fleet.largest <= 1400, "{}", fleet.largest);
+}
+
+#[test_case(11, 0.05)]
+#[test_case(12, 0.2)]
+#[test_case(13, 0.4)]
+fn applies_each_purge_once_despite_loss_duplicates_and_reordering(seed: u64, loss: f64) {
+    let mut fleet = settled(seed);
+    fleet.loss = loss;
+    fleet.doubled = 0.2;
+    fleet.delay = (5, 900);
+    let mut published = Vec::new();
+    for object in 0..60 {
+        let id = fleet.purge((object % 3) as usize, object);
+        published.push((object, id, fleet.now));
+        fleet.run(ms(150));
+    }
+    fleet.loss = 0.0;
+    fleet.delay = (5, 30);
+    fleet.run(s(15));
+    for (object, id, at) in published {
+        for index in fleet.members() {
+            assert!(fleet.times(index, object) <= 1, "{object} twice at {}", fleet.nodes[index].name);
+            assert!(fleet.covered(index, object, at), "{object} not at {}", fleet.nodes[index].name);
+        }
+        assert!(fleet.everywhere(0, id));
+    }
+}
+
+#[test]
+fn routes_around_a_killed_site_head() {
+    let mut fleet = settled(21);
+    let parents: Vec<_> =
+        fleet.members().map(|index| fleet.status(index).parent.expect("one").node).collect();
+    let head = fleet
+        .members()
+        .find(|index| parents.contains(&fleet.nodes[*index].config.identity.node))
+        .expect("a parent");
+    fleet.kill(head);
+    let id = fleet.purge(1, 5);
+    fleet.run(s(8));
+    for index in fleet.members().filter(|index| *index != head) {
+        assert_eq!(fleet.times(index, 5), 1, "{}", fleet.nodes[index].name);
+        assert_eq!(fleet.nodes[index].done.floors, 0);
+    }
+    assert!(!fleet.everywhere(1, id), "one is missing");
+    let control = fleet.control(1);
+    assert_eq!(control.missing, [fleet.nodes[head].name.clone()]);
+
+    fleet.restart(head, INCARNATION + 60_000);
+    fleet.run(s(25));
+    assert!(fleet.everywhere(1, id));
+    for index in fleet.members() {
+        assert!(fleet.status(index).first_parent, "{} is on a backup", fleet.nodes[index].name);
+    }
+    assert_eq!(fleet.control(1).present, 12);
+}
+
+#[test]
+fn finds_lost_tail_by_heartbeats() {
+    let mut fleet = settled(22);
+    fleet.purge(0, 1);
+    fleet.run(s(2));
+    fleet.eats = Some(Box::new(|_, _, message| matches!(message, Message::Batch { .. })));
+    fleet.purge(0, 2);
+    fleet.run(ms(600));
+    fleet.eats = None;
+    fleet.run(s(3));
+    for index in fleet.members() {
+        assert_eq!((fleet.times(index, 1), fleet.times(index, 2)), (1, 1));
+        assert_eq!(fleet.nodes[index].done.floors, 0);
+    }
+}
+
+#[test]
+fn applies_entries_ahead_of_a_gap() {
+    let mut fleet = settled(23);
+    let mut batches = 0;
+    fleet.eats = Some(Box::new(move |from, _, message| {
+        let batch = from == 0 && matches!(message, Message::Batch { .. });
+        batches += u64::from(batch);
+        batch && batches <= 4
+    }));
+    fleet.purge(0, 1);
+    fleet.run(ms(520));
+    fleet.eats = Some(Box::new(|_, _, message| matches!(message, Message::RepairRequest { .. })));
+    fleet.purge(0, 2);
+    fleet.run(ms(1000));
+    let member = fleet.members().next().expect("one");
+    assert_eq!((fleet.times(member, 1), fleet.times(member, 2)), (0, 1));
+    assert_eq!(fleet.status(member).streams[0].applied, SequenceNumber(0));
+    fleet.eats = None;
+    fleet.run(s(3));
+    assert_eq!((fleet.times(member, 1), fleet.times(member, 2)), (1, 1));
+    assert_eq!(fleet.status(member).streams[0].applied, SequenceNumber(2));
+}
+
+#[test]
+fn abandons_lost_entries_for_one_full_purge() {
+    let mut fleet = settled(24);
+    let member = fleet.index("m-1-0-2");
+    // No batch reaches it, but the pulses do.
+    fleet.eats = Some(Box::new(move |_, to, message| {
+        to == member && matches!(message, Message::Batch { .. } | Message::Snapshot { .. })
+    }));
+    let at = fleet.now;
+    let id = fleet.purge(0, 1);
+    fleet.run(s(4));
+    assert!(!fleet.everywhere(0, id));
+    assert_eq!(fleet.nodes[member].done.floors, 0);
+    fleet.run(s(4));
+    assert_eq!(fleet.nodes[member].done.floors, 1);
+    assert!(fleet.covered(member, 1, at));
+    assert!(fleet.everywhere(0, id));
+}
+
+#[test]
+fn starting_member_takes_a_snapshot_and_the_log_after_it() {
+    let mut fleet = settled(25);
+    for object in 0..40 {
+        fleet.purge(0, object);
+        fleet.run(ms(1000));
+    }
+    let member = fleet.index("m-0-0-1");
+    fleet.restart(member, INCARNATION + 100_000);
+    fleet.run(s(4));
+    let done = &fleet.nodes[member].done;
+    let purges = done.purges.len();
+    assert!((5..=14).contains(&purges), "{purges}");
+    assert_eq!(done.floors, 0, "what is before the log binds nobody");
+    assert_eq!(fleet.status(member).streams[0].applied, SequenceNumber(40));
+}
+
+#[test]
+fn long_partitioned_member_takes_a_full_purge_for_dropped_entries() {
+    let mut fleet = settled(26);
+    fleet.purge(0, 1);
+    fleet.run(s(2));
+    let member = fleet.index("m-0-0-1");
+    for other in 0..fleet.nodes.len() {
+        fleet.cut.insert((member.min(other), member.max(other)));
+    }
+    let mut published = Vec::new();
+    for object in 10..50 {
+        published.push((object, fleet.now));
+        fleet.purge(0, object);
+        fleet.run(ms(1000));
+    }
+    fleet.cut.clear();
+    fleet.run(s(45));
+    let purges = fleet.nodes[member].done.purges.clone();
+    for (object, at) in published {
+        assert!(fleet.covered(member, object, at), "{object}: {purges:?}");
+    }
+    assert!(fleet.nodes[member].done.floors >= 1);
+}
+
+#[test]
+fn control_node_with_clock_set_back_continues_above() {
+    let mut fleet = settled(27);
+    fleet.purge(0, 1);
+    fleet.run(s(3));
+    fleet.restart(0, INCARNATION - 1_000_000);
+    fleet.purge(0, 2);
+    fleet.run(s(10));
+    assert!(!fleet.nodes[0].done.outlived.is_empty());
+    let incarnation = fleet.nodes[0].config.identity.incarnation;
+    assert!(incarnation > Incarnation(INCARNATION));
+    let id = fleet.purge(0, 3);
+    assert_eq!(id.0.incarnation, incarnation);
+    fleet.run(s(5));
+    for index in fleet.members() {
+        assert_eq!(fleet.times(index, 1), 1);
+        assert!(fleet.times(index, 2) >= 1, "{}", fleet.nodes[index].name);
+        assert_eq!(fleet.times(index, 3), 1);
+        assert_eq!(fleet.nodes[index].done.floors, 0);
+    }
+    assert!(fleet.everywhere(0, id) && fleet.everywhere(2, id));
+}
+
+#[test]
+fn more_cautious_of_concurrent_settings_wins() {
+    let mut fleet = settled(28);
+    // All before the next pulse, by which the control nodes hear of it.
+    fleet.want(0, "a", DesiredState::Gone);
+    fleet.want(1, "a", DesiredState::Draining);
+    fleet.want(1, "b", DesiredState::Draining);
+    fleet.run(s(8));
+    for index in 0..fleet.nodes.len() {
+        let desired = fleet.status(index).desired;
+        assert_eq!(desired.get("a"), Some(&DesiredState::Gone), "{}", fleet.nodes[index].name);
+        assert_eq!(desired.get("b"), Some(&DesiredState::Draining));
+        assert_eq!(fleet.status(index).concurrent_settings.len(), 2, "both are shown");
+    }
+    let id = fleet.want(2, "a", DesiredState::Listed);
+    fleet.run(s(5));
+    for index in fleet.members() {
+        assert_eq!(fleet.nodes[index].done.settings.get("a"), None);
+        assert!(fleet.status(index).concurrent_settings.is_empty());
+    }
+    assert!(fleet.everywhere(2, id));
+}
+
+#[test]
+fn rejected_setting_does_not_block_and_is_retried() {
+    let mut fleet = settled(29);
+    let member = fleet.index("m-1-0-0");
+    fleet.nodes[member].done.refuse.insert("a".to_owned());
+    let id = fleet.want(0, "a", DesiredState::Gone);
+    fleet.run(s(5));
+    assert!(fleet.everywhere(0, id));
+    assert_eq!(fleet.status(member).rejected, [(id.0, id.1, RejectionReason::LastOne)]);
+    for control in 0..3 {
+        let refused = fleet.control(control).rejected;
+        assert_eq!(refused, [(id.0, id.1, RejectionReason::LastOne, 1)], "{control}");
+    }
+    let other = fleet.index("m-1-0-1");
+    assert_eq!(fleet.nodes[other].done.settings.get("a"), Some(&DesiredState::Gone));
+
+    fleet.nodes[member].done.refuse.clear();
+    fleet.want(0, "b", DesiredState::Draining);
+    fleet.run(s(5));
+    assert!(fleet.status(member).rejected.is_empty());
+    assert_eq!(fleet.nodes[member].done.settings.get("a"), Some(&DesiredState::Gone));
+    assert!(fleet.control(0).rejected.is_empty());
+}
--- a/crates/rockflow-dissemination/tests/hostile.rs
+++ b/crates/rockflow-dissemination/tests/hostile.rs
@@ -10,7 +10,7 @@
 use test_case::test_case;
 
 const FRAMES: usize = 100_000;
-const LIFE: u64 = 1_800_000_000_000;
+const INCARNATION: u64 = 1_800_000_000_000;
 
 struct Chance(oorandom::Rand64, u64);
 
@@ -46,9 +46,9 @@
             1 => u64::MAX,
             2 => u64::MAX - 1,
             3 => self.0.rand_u64(),
-            4 => LIFE + self.below(100),
+            4 => INCARNATION + self.below(100),
             5 => MAX_CLOCK_UNIX_MS - 1 + self.below(3),
-            _ => LIFE + self.below(3),
+            _ => INCARNATION + self.below(3),
         })
     }
 
@@ -73,7 +73,7 @@
             1 => 0,
             2 => self.0.rand_u64(),
             3 => [MAX_TRUSTED_CLOCK_UNIX_MS, MAX_CLOCK_UNIX_MS - 1][self.below(2) as usize] + self.below(3),
-            _ => LIFE + self.below(10_000),
+            _ => INCARNATION + self.below(10_000),
         };
         HybridTimestamp { unix_ms: at, control: self.below(4) as u8 }
     }
@@ -199,7 +199,7 @@
     let address = |index: u8| SocketAddr::from(([10, 0, 0, index], 7000));
     let control = |index: u8| Peer { node: NodeId::of(&format!("control-{index}")), address: address(index) };
     NodeConfig {
-        identity: Identity { node: NodeId::of(name), incarnation: Incarnation(LIFE) },
+        identity: Identity { node: NodeId::of(name), incarnation: Incarnation(INCARNATION) },
         control_id,
         control: (0..3).map(control).collect(),
         seeds: Vec::new(),
@@ -215,7 +215,7 @@
     Directory::parse(&format!("version,1\n{text}")).expect("a directory")
 }
 
-fn within_caps(node: &Node, control: bool) {
+fn assert_within_limits(node: &Node, control: bool) {
     let held = node.resource_usage();
     let children = if control { MAX_CONTROL_CHILDREN } else { MAX_CHILDREN };
     let caps = [
@@ -237,7 +237,7 @@
 }
 
 /// Frames that a decoder would let through are within these.
-fn within_frames(message: &Message) {
+fn assert_message_within_limits(message: &Message) {
     match message {
         Message::Acknowledgement { received: has, reports } => {
             assert!(has.len() <= MAX_STREAMS && reports.len() <= MAX_REPORTS);
@@ -264,18 +264,18 @@
 #[test_case(None, 2, false; "a member whose caller never does")]
 #[test_case(Some(ControlId(1)), 3, true; "a control node")]
 #[test_case(Some(ControlId(200)), 4, true; "a control node that isn't among the told")]
-fn random_frames(control_id: Option<ControlId>, seed: u64, confirms: bool) {
-    hears(control_id, seed, confirms, FRAMES, 300);
+fn random_messages_stay_within_limits(control_id: Option<ControlId>, seed: u64, confirms: bool) {
+    run_random_messages(control_id, seed, confirms, FRAMES, 300);
 }
 
 /// More hosts than the table holds; fewer frames, as the whole table goes to the caller at each change.
 #[test]
-fn random_frames_with_more_hosts_than_are_held() {
-    let held = hears(None, 5, true, FRAMES / 10, 9000);
+fn random_messages_with_too_many_hosts_stay_within_limits() {
+    let held = run_random_messages(None, 5, true, FRAMES / 10, 9000);
     assert!(held.hosts > MAX_HOSTS / 2, "{held:?}");
 }
 
-fn hears(
+fn run_random_messages(
     control_id: Option<ControlId>,
     seed: u64,
     confirms: bool,
@@ -289,7 +289,7 @@
     for frame in 0..frames {
         for out in std::mem::take(&mut outputs) {
             match out {
-                Output::Send { message, .. } => within_frames(&message),
+                Output::Send { message, .. } => assert_message_within_limits(&message),
                 Output::Purge { token, .. } if confirms => drop(node.confirm_applied(now, token)),
                 Output::Configure { changed, token, .. } if confirms => {
                     if let Some((id, _)) = changed.first().filter(|_| frame % 3 == 0) {
@@ -320,11 +320,11 @@
             outputs.extend(node.publish(now, publications).1);
         }
         if frame % 1000 == 0 {
-            within_caps(&node, control_id.is_some());
+            assert_within_limits(&node, control_id.is_some());
             node.status(now);
         }
     }
-    within_caps(&node, control_id.is_some());
+    assert_within_limits(&node, control_id.is_some());
     let counters = node.counters();
     assert!(
         counters.accepted > 0 && counters.entries_rejected > 0 && counters.process_pauses > 0,
--- a/crates/rockflow-dissemination/tests/member.rs
+++ b/crates/rockflow-dissemination/tests/member.rs
@@ -1,34 +1,14 @@
 //! A member alone, told what its neighbours say.
 
-use rockflow_dissemination::MAX_CHILDREN;
+mod support;
+
 use rockflow_dissemination::*;
 use std::net::SocketAddr;
 use std::time::Duration;
-
-const LIFE: u64 = 1_800_000_000_000;
-
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
-fn address(index: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, index], 7000))
-}
-
-fn identity(name: &str) -> Identity {
-    Identity { node: NodeId::of(name), incarnation: Incarnation(LIFE) }
-}
+use support::{identity, member_config, ms, node_address, parent_heartbeat, place_below_parent, INCARNATION};
 
 fn config() -> NodeConfig {
-    NodeConfig {
-        identity: identity("me"),
-        control_id: None,
-        control: vec![Peer { node: NodeId::of("control-0"), address: address(0) }],
-        seeds: vec![address(9)],
-        purge_window: ms(8700),
-        bytes_per_second: 6000,
-        heartbeat_interval: ms(500),
-    }
+    NodeConfig { seeds: vec![node_address(9)], ..member_config() }
 }
 
 fn sent(outputs: &[Output]) -> Vec<(SocketAddr, Message)> {
@@ -48,36 +28,22 @@
 }
 
 fn stream(kind: StreamKind) -> StreamId {
-    StreamId { control: ControlId(0), kind, incarnation: Incarnation(LIFE) }
+    StreamId { control: ControlId(0), kind, incarnation: Incarnation(INCARNATION) }
 }
 
 /// A member that is placed below a parent, and has heard it.
 fn placed() -> (Node, Duration) {
     let mut node = Node::new(config(), None, 1, Duration::ZERO);
     node.start(Duration::ZERO);
-    let parents = vec![Peer { node: NodeId::of("parent"), address: address(1) }];
-    let listing_hash =
-        Message::Placement { directory_version: 1, listing_hash: 7, region: 0, slot: 1, slots: 2, parents };
-    let outputs = node.on_message(ms(10), identity("control-0"), address(0), listing_hash);
+    let outputs = place_below_parent(&mut node);
     assert!(
-        matches!(sent(&outputs)[..], [(to, Message::Acknowledgement { .. })] if to == address(1)),
+        matches!(sent(&outputs)[..], [(to, Message::Acknowledgement { .. })] if to == node_address(1)),
         "{outputs:?}"
     );
-    pulse(&mut node, ms(20), Vec::new());
+    parent_heartbeat(&mut node, ms(20), Vec::new());
     (node, ms(20))
 }
 
-fn pulse(node: &mut Node, now: Duration, tips: Vec<StreamTip>) -> Vec<Output> {
-    let pulse = Message::Heartbeat {
-        staleness_ms: 0,
-        directory_version: 1,
-        listing_hash: 7,
-        tips,
-        settings_digest: None,
-    };
-    node.on_message(now, identity("parent"), address(1), pulse)
-}
-
 fn applied(node: &Node, now: Duration, kind: StreamKind) -> SequenceNumber {
     let status = node.status(now);
     status
@@ -89,35 +55,35 @@
 }
 
 #[test]
-fn a_floor_is_as_old_as_the_snapshot_says() {
+fn full_purge_is_as_old_as_the_snapshot_says() {
     let (mut node, now) = placed();
     let tip = StreamTip {
         stream: stream(StreamKind::Purges),
         first: SequenceNumber(100),
         last: SequenceNumber(120),
     };
-    pulse(&mut node, now, vec![tip]);
+    parent_heartbeat(&mut node, now, vec![tip]);
     let outputs = ticks(&mut node, now + ms(1));
     let ask = Message::RepairRequest { stream: tip.stream, ranges: Vec::new() };
-    assert!(sent(&outputs).contains(&(address(1), ask)), "{outputs:?}");
+    assert!(sent(&outputs).contains(&(node_address(1), ask)), "{outputs:?}");
     let snapshot =
         Message::Snapshot { stream: tip.stream, next: SequenceNumber(121), min_accepted_age_ms: Some(3000) };
-    let outputs = node.on_message(now + ms(5), identity("parent"), address(1), snapshot.clone());
+    let outputs = node.on_message(now + ms(5), identity("parent"), node_address(1), snapshot.clone());
     let [Output::Purge { purges, token }] = &outputs[..] else { panic!("{outputs:?}") };
     assert_eq!(purges[..], [(Purge::Everything, ms(3000))]);
     assert_eq!(applied(&node, now, StreamKind::Purges), SequenceNumber(0));
     node.confirm_applied(now + ms(6), *token);
     assert_eq!(applied(&node, now, StreamKind::Purges), SequenceNumber(120));
     assert!(
-        node.on_message(now + ms(7), identity("parent"), address(1), snapshot).is_empty(),
+        node.on_message(now + ms(7), identity("parent"), node_address(1), snapshot).is_empty(),
         "a second changes nothing"
     );
 }
 
 #[test]
-fn a_ticket_all_of_whose_settings_are_refused_holds_nothing_back() {
+fn token_with_all_settings_rejected_does_not_block() {
     let (mut node, now) = placed();
-    let timestamp = HybridTimestamp { unix_ms: LIFE, control: 0 };
+    let timestamp = HybridTimestamp { unix_ms: INCARNATION, control: 0 };
     let setting = |host: &str| HostSetting {
         host: host.to_owned(),
         desired: DesiredState::Gone,
@@ -128,7 +94,7 @@
         ["a", "b"].map(|host| AgedEntry { age_ms: 0, entry: Entry::Setting(setting(host)) }).to_vec();
     let stream = stream(StreamKind::Configuration);
     let batch = Message::Batch { stream, first: SequenceNumber(1), entries };
-    let outputs = node.on_message(now, identity("parent"), address(1), batch);
+    let outputs = node.on_message(now, identity("parent"), node_address(1), batch);
     let Some(Output::Configure { settings, changed, .. }) = outputs.last() else { panic!("{outputs:?}") };
     assert_eq!((settings.len(), changed.len()), (2, 2));
     node.reject(now, changed[0].0, RejectionReason::LastOne);
@@ -139,20 +105,24 @@
 }
 
 #[test]
-fn a_log_that_begins_later_is_in_force_only_with_the_whole_table() {
+fn later_log_start_is_applied_only_with_the_whole_table() {
     let (mut node, now) = placed();
     let stream = stream(StreamKind::Configuration);
-    pulse(&mut node, now, vec![StreamTip { stream, first: SequenceNumber(50), last: SequenceNumber(60) }]);
+    parent_heartbeat(
+        &mut node,
+        now,
+        vec![StreamTip { stream, first: SequenceNumber(50), last: SequenceNumber(60) }],
+    );
     let snapshot = Message::Snapshot { stream, next: SequenceNumber(61), min_accepted_age_ms: None };
-    let outputs = node.on_message(now + ms(5), identity("parent"), address(1), snapshot);
-    assert!(sent(&outputs).contains(&(address(1), Message::SettingsRequest { part: 0 })), "{outputs:?}");
+    let outputs = node.on_message(now + ms(5), identity("parent"), node_address(1), snapshot);
+    assert!(sent(&outputs).contains(&(node_address(1), Message::SettingsRequest { part: 0 })), "{outputs:?}");
     let version = |number: u64| SettingVersion {
         stream,
         number: SequenceNumber(number),
         setting: HostSetting {
             host: format!("host-{number}"),
             desired: DesiredState::Draining,
-            timestamp: HybridTimestamp { unix_ms: LIFE + number, control: 0 },
+            timestamp: HybridTimestamp { unix_ms: INCARNATION + number, control: 0 },
             replaced: HybridTimestamp::default(),
         },
     };
@@ -165,7 +135,7 @@
     let mut tokens = Vec::new();
     for (at, number) in [(1, 60), (0, 59)] {
         assert_eq!(applied(&node, now, StreamKind::Configuration), SequenceNumber(0));
-        let outputs = node.on_message(now + ms(6), identity("parent"), address(1), part(at, number));
+        let outputs = node.on_message(now + ms(6), identity("parent"), node_address(1), part(at, number));
         let given = outputs.iter().filter_map(|out| match out {
             Output::Configure { token, .. } => Some(*token),
             _ => None,
@@ -179,12 +149,12 @@
 }
 
 #[test]
-fn without_an_answer_of_control_a_seed_is_followed() {
+fn follows_seed_without_an_answer_from_control() {
     let mut node = Node::new(config(), None, 1, Duration::ZERO);
     node.start(Duration::ZERO);
     let outputs = ticks(&mut node, ms(20_000));
     let to_seed = sent(&outputs).into_iter().any(|(to, message)| {
-        to == address(9)
+        to == node_address(9)
             && matches!(message, Message::Acknowledgement { ref reports, .. } if reports.is_empty())
     });
     assert!(to_seed);
@@ -196,14 +166,14 @@
         tips: Vec::new(),
         settings_digest: None,
     };
-    node.on_message(now, identity("seed"), address(9), message);
+    node.on_message(now, identity("seed"), node_address(9), message);
     assert_eq!(node.status(now).staleness, Some(Duration::ZERO));
-    assert_eq!(node.status(now).parent, Some(Peer { node: NodeId::of("seed"), address: address(9) }));
+    assert_eq!(node.status(now).parent, Some(Peer { node: NodeId::of("seed"), address: node_address(9) }));
 }
 
 /// Half of control may be out of reach: three asks in vain, and what follows the fourth, fit into the window.
 #[test]
-fn who_has_no_place_asks_for_one_every_two_pulses() {
+fn member_without_place_joins_every_two_heartbeats() {
     let mut node = Node::new(config(), None, 1, Duration::ZERO);
     node.start(Duration::ZERO);
     let mut last = Duration::ZERO;
@@ -219,28 +189,28 @@
 }
 
 #[test]
-fn who_is_not_in_the_directory_follows_control_and_counts_nowhere() {
+fn unlisted_member_follows_control_and_is_not_counted() {
     let mut node = Node::new(config(), None, 1, Duration::ZERO);
     node.start(Duration::ZERO);
     let outputs = node.on_message(
         ms(5),
         identity("control-0"),
-        address(0),
+        node_address(0),
         Message::NotListed { directory_version: 1 },
     );
     let sent = sent(&outputs);
     assert!(
-        matches!(&sent[..], [(to, Message::Acknowledgement { reports, .. })] if *to == address(0) && reports.is_empty())
+        matches!(&sent[..], [(to, Message::Acknowledgement { reports, .. })] if *to == node_address(0) && reports.is_empty())
     );
 }
 
 #[test]
-fn one_child_too_many_is_turned_away() {
+fn rejects_child_beyond_the_limit() {
     let (mut node, now) = placed();
     let ack = Message::Acknowledgement { received: Vec::new(), reports: Vec::new() };
     for child in 0..=MAX_CHILDREN as u8 {
         let outputs =
-            node.on_message(now, identity(&format!("child-{child}")), address(100 + child), ack.clone());
+            node.on_message(now, identity(&format!("child-{child}")), node_address(100 + child), ack.clone());
         let first = sent(&outputs).into_iter().next().map(|(_, message)| message);
         match usize::from(child) < MAX_CHILDREN {
             true => assert!(matches!(first, Some(Message::Heartbeat { .. })), "{first:?}"),
@@ -248,15 +218,15 @@
         }
     }
     assert_eq!(node.counters().children_rejected, 1);
-    node.on_message(now, identity("child-3"), address(103), Message::Leave);
+    node.on_message(now, identity("child-3"), node_address(103), Message::Leave);
     assert_eq!(node.status(now).children, MAX_CHILDREN - 1);
 }
 
 #[test]
-fn a_fork_puts_both_in_effect_once_and_passes_both_on() {
+fn conflicting_entries_are_both_applied_once_and_forwarded() {
     let (mut node, now) = placed();
     let ack = Message::Acknowledgement { received: Vec::new(), reports: Vec::new() };
-    node.on_message(now, identity("child"), address(100), ack);
+    node.on_message(now, identity("child"), node_address(100), ack);
     let mut passed = 0;
     let batch = |object: u64| Message::Batch {
         stream: stream(StreamKind::Purges),
@@ -265,9 +235,9 @@
     };
     let mut purges = Vec::new();
     for object in [1, 2, 1, 2] {
-        let outputs = node.on_message(now, identity("parent"), address(1), batch(object));
+        let outputs = node.on_message(now, identity("parent"), node_address(1), batch(object));
         let batches = sent(&outputs).into_iter().filter(|(_, message)| *message == batch(object));
-        passed += batches.filter(|(to, _)| *to == address(100)).count();
+        passed += batches.filter(|(to, _)| *to == node_address(100)).count();
         for out in outputs {
             if let Output::Purge { purges: new, .. } = out {
                 purges.extend(new.into_iter().map(|(purge, _)| purge));
@@ -280,14 +250,14 @@
 }
 
 #[test]
-fn who_never_confirms_is_given_a_floor_for_all() {
+fn caller_that_never_confirms_gets_a_full_purge() {
     let (mut node, now) = placed();
     let mut last = Vec::new();
     for number in 1..=rockflow_dissemination::MAX_PENDING_TOKENS as u64 + 1 {
         let entries = vec![AgedEntry { age_ms: 0, entry: Entry::Purge(Purge::object(number)) }];
         let batch =
             Message::Batch { stream: stream(StreamKind::Purges), first: SequenceNumber(number), entries };
-        last = node.on_message(now, identity("parent"), address(1), batch);
+        last = node.on_message(now, identity("parent"), node_address(1), batch);
     }
     let Some(Output::Purge { purges, token }) = last.last() else { panic!("{last:?}") };
     assert_eq!(purges[..], [(Purge::Everything, Duration::ZERO)]);
@@ -297,14 +267,15 @@
 }
 
 #[test]
-fn an_ack_names_no_more_behind_than_it_may() {
+fn acknowledgement_limits_lagging_members() {
     let (mut node, now) = placed();
     let mut told_of = Vec::new();
-    for life in 0..8 {
-        let stream = StreamId { incarnation: Incarnation(LIFE + life), ..stream(StreamKind::Purges) };
-        told_of.push(StreamTip { stream, first: SequenceNumber(1), last: SequenceNumber(10 + life) });
+    for incarnation in 0..8 {
+        let stream =
+            StreamId { incarnation: Incarnation(INCARNATION + incarnation), ..stream(StreamKind::Purges) };
+        told_of.push(StreamTip { stream, first: SequenceNumber(1), last: SequenceNumber(10 + incarnation) });
     }
-    pulse(&mut node, now, told_of);
+    parent_heartbeat(&mut node, now, told_of);
     let outputs = ticks(&mut node, now + ms(1200));
     let mut reports = sent(&outputs).into_iter().filter_map(|(_, message)| match message {
         Message::Acknowledgement { reports, .. } => reports.into_iter().next(),
@@ -312,22 +283,22 @@
     });
     let behind = reports.next_back().expect("a report").lagging;
     assert_eq!(behind.len(), MAX_LAGGING);
-    assert_eq!(behind[0].1.incarnation, Incarnation(LIFE + 7), "the worst first");
+    assert_eq!(behind[0].1.incarnation, Incarnation(INCARNATION + 7), "the worst first");
 }
 
 #[test]
-fn asks_go_on_every_pulse_while_something_comes() {
+fn repairs_are_requested_every_heartbeat_while_entries_arrive() {
     let (mut node, mut now) = placed();
     let stream = stream(StreamKind::Configuration);
     let entry = |number: u64| HostSetting {
         host: format!("host-{number}"),
         desired: DesiredState::Gone,
-        timestamp: HybridTimestamp { unix_ms: LIFE + number, control: 0 },
+        timestamp: HybridTimestamp { unix_ms: INCARNATION + number, control: 0 },
         replaced: HybridTimestamp::default(),
     };
     // Each repair is followed by another gap, so that there is always one.
     for number in 1..60 {
-        pulse(
+        parent_heartbeat(
             &mut node,
             now,
             vec![StreamTip { stream, first: SequenceNumber(1), last: SequenceNumber(number + 1) }],
@@ -339,27 +310,27 @@
         now += ms(600);
         let entries = vec![AgedEntry { age_ms: 0, entry: Entry::Setting(entry(number)) }];
         let batch = Message::Batch { stream, first: SequenceNumber(number), entries };
-        node.on_message(now, identity("parent"), address(1), batch);
+        node.on_message(now, identity("parent"), node_address(1), batch);
     }
 }
 
 /// A life of a control node ends, and a later one is heard of, with so much silence between; how many floors come of it.
-fn floors_after_a_later_life(silence: Duration) -> u64 {
+fn full_purges_after_a_later_incarnation(silence: Duration) -> u64 {
     let (mut node, mut now) = placed();
     let earlier =
         StreamTip { stream: stream(StreamKind::Purges), first: SequenceNumber(1), last: SequenceNumber(1) };
-    let later = StreamId { incarnation: Incarnation(LIFE + 1), ..earlier.stream };
+    let later = StreamId { incarnation: Incarnation(INCARNATION + 1), ..earlier.stream };
     let later = StreamTip { stream: later, ..earlier };
     let entries = || vec![AgedEntry { age_ms: 0, entry: Entry::Purge(Purge::object(1)) }];
     let batch =
         |tip: StreamTip| Message::Batch { stream: tip.stream, first: SequenceNumber(1), entries: entries() };
-    node.on_message(now, identity("parent"), address(1), batch(earlier));
-    pulse(&mut node, now, vec![earlier]);
+    node.on_message(now, identity("parent"), node_address(1), batch(earlier));
+    parent_heartbeat(&mut node, now, vec![earlier]);
     now += silence;
     ticks(&mut node, now);
-    node.on_message(now, identity("parent"), address(1), batch(later));
+    node.on_message(now, identity("parent"), node_address(1), batch(later));
     for _ in 0..30 {
-        pulse(&mut node, now, vec![later]);
+        parent_heartbeat(&mut node, now, vec![later]);
         now += ms(500);
         ticks(&mut node, now);
     }
@@ -368,20 +339,20 @@
 }
 
 #[test]
-fn a_life_whose_end_was_not_heard_of_leaves_a_floor() {
-    assert_eq!(floors_after_a_later_life(ms(500)), 0);
-    assert_eq!(floors_after_a_later_life(ms(20_000)), 1);
+fn incarnation_with_unknown_end_is_covered_by_a_full_purge() {
+    assert_eq!(full_purges_after_a_later_incarnation(ms(500)), 0);
+    assert_eq!(full_purges_after_a_later_incarnation(ms(20_000)), 1);
 }
 
 #[test]
-fn two_that_follow_each_other_grow_stale_and_do_not_flood() {
+fn two_nodes_that_follow_each_other_become_stale_and_do_not_flood() {
     let names = ["one", "two"];
     let mut nodes = names
         .map(|name| Node::new(NodeConfig { identity: identity(name), ..config() }, None, 1, Duration::ZERO));
     for (index, node) in nodes.iter_mut().enumerate() {
         node.start(Duration::ZERO);
         let other = 1 - index;
-        let parents = vec![Peer { node: NodeId::of(names[other]), address: address(1 + other as u8) }];
+        let parents = vec![Peer { node: NodeId::of(names[other]), address: node_address(1 + other as u8) }];
         let listing_hash = Message::Placement {
             directory_version: 1,
             listing_hash: 7,
@@ -390,10 +361,10 @@
             slots: 2,
             parents,
         };
-        node.on_message(ms(1), identity("control-0"), address(0), listing_hash);
+        node.on_message(ms(1), identity("control-0"), node_address(0), listing_hash);
     }
     // One has heard a fresh pulse once, as if by a parent that was there before.
-    pulse_of(&mut nodes[0], ms(1), "two", address(2));
+    heartbeat_of(&mut nodes[0], ms(1), "two", node_address(2));
     let mut frames: Vec<(usize, usize, Message)> = Vec::new();
     let mut count = 0;
     for at in 2..20_000 {
@@ -401,7 +372,7 @@
         for (from, to, message) in waiting {
             count += u32::from(matches!(message, Message::Heartbeat { .. }));
             let outputs =
-                nodes[to].on_message(ms(at), identity(names[from]), address(1 + from as u8), message);
+                nodes[to].on_message(ms(at), identity(names[from]), node_address(1 + from as u8), message);
             frames.extend(between(to, &outputs));
         }
         for (index, node) in nodes.iter_mut().enumerate() {
@@ -417,7 +388,7 @@
     }
 }
 
-fn pulse_of(node: &mut Node, now: Duration, name: &str, at: SocketAddr) {
+fn heartbeat_of(node: &mut Node, now: Duration, name: &str, at: SocketAddr) {
     let pulse = Message::Heartbeat {
         staleness_ms: 0,
         directory_version: 1,
@@ -431,12 +402,12 @@
 /// What one of the two sends to the other.
 fn between(from: usize, outputs: &[Output]) -> Vec<(usize, usize, Message)> {
     let other = 1 - from;
-    let to_other = sent(outputs).into_iter().filter(|(to, _)| *to == address(1 + other as u8));
+    let to_other = sent(outputs).into_iter().filter(|(to, _)| *to == node_address(1 + other as u8));
     to_other.map(|(_, message)| (from, other, message)).collect()
 }
 
 #[test]
-fn an_ask_that_finds_the_bucket_empty_costs_nothing_more() {
+fn throttled_repair_request_costs_nothing() {
     let (mut node, now) = placed();
     let stream = stream(StreamKind::Purges);
     for first in (1..4096).step_by(64) {
@@ -445,16 +416,16 @@
         node.on_message(
             now,
             identity("parent"),
-            address(1),
+            node_address(1),
             Message::Batch { stream, first: SequenceNumber(first), entries },
         );
     }
     let all = Message::RepairRequest { stream, ranges: vec![(SequenceNumber(1), SequenceNumber(4096))] };
     let none = Message::RepairRequest { stream, ranges: vec![(SequenceNumber(9000), SequenceNumber(9001))] };
     while node.counters().repair_requests_throttled == 0 {
-        node.on_message(now, identity("child"), address(100), all.clone());
+        node.on_message(now, identity("child"), node_address(100), all.clone());
     }
     // Held back before what it asks for is looked up at all.
-    node.on_message(now, identity("child"), address(100), none);
+    node.on_message(now, identity("child"), node_address(100), none);
     assert_eq!(node.counters().repair_requests_throttled, 2);
 }
--- a/crates/rockflow-dissemination/tests/publisher.rs
+++ b/crates/rockflow-dissemination/tests/publisher.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const WINDOW: Duration = Duration::from_secs(8);
+const PURGE_WINDOW: Duration = Duration::from_secs(8);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn the_publishing_one_says_it_at_once_and_once() {
-    let mut publisher = Publisher::new(WINDOW);
+fn active_publisher_publishes_at_once_and_once() {
+    let mut publisher = Publisher::new(PURGE_WINDOW);
     publisher.on_purge_notice(ms(10_000), one(), ms(30));
     assert_eq!(publisher.tick(ms(10_010), PublisherRole::Active), [purge(1, 40)]);
     assert_eq!(publisher.tick(ms(10_500), PublisherRole::Active), []);
@@ -43,10 +43,10 @@
 #[test_case(0; "clocks agree")]
 #[test_case(1500; "this clock tells a younger age")]
 #[test_case(-1500; "this clock tells an older age")]
-fn what_is_seen_published_is_not_said_again(skew: i64) {
+fn published_purge_is_not_published_again(skew: i64) {
     let age = |age: u64| ms(age.saturating_add_signed(-skew));
     for seen_first in [true, false] {
-        let mut publisher = Publisher::new(WINDOW);
+        let mut publisher = Publisher::new(PURGE_WINDOW);
         if seen_first {
             publisher.on_published(ms(20_000), one(), ms(2000));
             publisher.on_purge_notice(ms(20_010), one(), age(2010));
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn who_is_to_publish_goes_by_no_guess() {
-    let mut publisher = Publisher::new(WINDOW);
+fn active_publisher_does_not_rely_on_matches() {
+    let mut publisher = Publisher::new(PURGE_WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
     assert_eq!(publisher.tick(ms(20_000), PublisherRole::Active), [purge(1, 0)]);
     // Another that thinks so too has said the same; the board's next word is another purge all the same.
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn a_second_purge_of_a_name_does_not_pass_for_the_first() {
+fn second_purge_of_an_object_is_not_taken_for_the_first() {
     for seen_first in [true, false] {
-        let mut publisher = Publisher::new(WINDOW);
+        let mut publisher = Publisher::new(PURGE_WINDOW);
         if seen_first {
             publisher.on_published(ms(20_000), one(), ms(0));
         }
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn what_nobody_has_published_in_half_the_window_is_said_by_any() {
-    let mut publisher = Publisher::new(WINDOW);
+fn standby_publishes_overdue_purge() {
+    let mut publisher = Publisher::new(PURGE_WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
     assert_eq!(publisher.tick(ms(23_900), PublisherRole::Standby), []);
     assert_eq!(publisher.tick(ms(24_000), PublisherRole::Standby), [purge(1, 4000)]);
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn who_takes_over_says_what_is_left() {
-    let mut publisher = Publisher::new(WINDOW);
+fn new_active_publisher_publishes_what_is_left() {
+    let mut publisher = Publisher::new(PURGE_WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
     publisher.on_purge_notice(ms(20_000), Purge::object(2), ms(0));
     publisher.on_published(ms(20_500), one(), ms(490));
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn a_purge_of_everything_stands_for_all_before_it() {
-    let mut publisher = Publisher::new(WINDOW);
+fn purge_of_everything_covers_all_before_it() {
+    let mut publisher = Publisher::new(PURGE_WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
     publisher.on_purge_notice(ms(20_900), Purge::object(2), ms(0));
     publisher.on_published(ms(21_000), Purge::Everything, ms(500));
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn when_full_a_purge_of_everything_stands_for_what_waits() {
-    let mut publisher = Publisher::new(WINDOW);
+fn full_queue_is_replaced_by_a_purge_of_everything() {
+    let mut publisher = Publisher::new(PURGE_WINDOW);
     for object in 0..=MAX_PENDING_PURGES as u64 {
         publisher.on_purge_notice(ms(20_000), Purge::object(object), ms(10));
         publisher.on_purge_notice(ms(20_000), Purge::object(1), ms(10));
@@ -137,12 +137,12 @@
 
 const SETTLE: Duration = Duration::from_secs(2);
 
-fn begun() -> Publisher {
-    Publisher::new(WINDOW).settling(SETTLE)
+fn started() -> Publisher {
+    Publisher::new(PURGE_WINDOW).settling(SETTLE)
 }
 
 /// Everything that is said in twenty seconds.
-fn said_from(publisher: &mut Publisher, from: u64, publishing: bool) -> Vec<Publication> {
+fn published_from(publisher: &mut Publisher, from: u64, publishing: bool) -> Vec<Publication> {
     (0..200).flat_map(|at| publisher.tick(ms(from + at * 100), role(publishing))).collect()
 }
 
@@ -153,8 +153,8 @@
 #[test_case(true, 1500, 0; "clocks agree")]
 #[test_case(true, 1500, 1900; "this clock tells a younger age")]
 #[test_case(true, 1500, -6900; "this clock tells an older age")]
-fn a_backlog_that_was_published_is_not_published_again(publishing: bool, streams: u64, younger: i64) {
-    let mut publisher = begun();
+fn published_backlog_is_not_published_again(publishing: bool, streams: u64, younger: i64) {
+    let mut publisher = started();
     let published = |publisher: &mut Publisher| {
         for object in 0..9 {
             publisher.on_published(ms(20_000 + streams), Purge::object(object), ms(object * 900 + streams));
@@ -173,19 +173,19 @@
     if streams > 0 {
         published(&mut publisher);
     }
-    assert_eq!(said_from(&mut publisher, 20_000 + streams, publishing), []);
+    assert_eq!(published_from(&mut publisher, 20_000 + streams, publishing), []);
 }
 
 #[test]
-fn a_backlog_that_nobody_published_is_published() {
+fn unpublished_backlog_is_published() {
     for (publishing, wait) in [(true, 2000), (false, 4000)] {
-        let mut publisher = begun();
+        let mut publisher = started();
         publisher.on_backlog_notice(ms(20_000), one(), ms(7900));
         publisher.on_backlog_notice(ms(20_000), Purge::object(2), ms(0));
         assert_eq!(publisher.tick(ms(19_900 + wait), role(publishing)), []);
         let said = publisher.tick(ms(20_000 + wait), role(publishing));
         assert_eq!(said, [purge(1, 7900 + wait), purge(2, wait)]);
-        assert_eq!(said_from(&mut publisher, 20_000 + wait, publishing), []);
+        assert_eq!(published_from(&mut publisher, 20_000 + wait, publishing), []);
     }
 }
 
@@ -194,9 +194,9 @@
 #[test_case(7000, 7000, 4000; "this clock is ahead")]
 #[test_case(3000, 0, 4000; "this clock is behind")]
 #[test_case(9000, 1500, 3000; "the first is past the window and who published it told it younger")]
-fn in_a_backlog_one_publication_stands_for_one_word(first: u64, second: u64, published: u64) {
+fn one_publication_matches_one_notice_of_a_backlog(first: u64, second: u64, published: u64) {
     for seen_first in [true, false] {
-        let mut publisher = begun();
+        let mut publisher = started();
         if seen_first {
             publisher.on_published(ms(20_000), one(), ms(published));
         }
@@ -205,15 +205,15 @@
         if !seen_first {
             publisher.on_published(ms(20_000), one(), ms(published));
         }
-        let said = said_from(&mut publisher, 20_000, true);
+        let said = published_from(&mut publisher, 20_000, true);
         assert_eq!(said, [purge(1, second + 2000)], "seen first: {seen_first}");
     }
 }
 
 #[test]
-fn a_purge_of_everything_covers_only_what_is_surely_older_in_a_backlog() {
+fn purge_of_everything_covers_only_surely_older_backlog() {
     for seen_first in [true, false] {
-        let mut publisher = begun();
+        let mut publisher = started();
         if seen_first {
             publisher.on_published(ms(20_000), Purge::Everything, ms(500));
         }
@@ -222,13 +222,17 @@
         if !seen_first {
             publisher.on_published(ms(20_000), Purge::Everything, ms(500));
         }
-        assert_eq!(said_from(&mut publisher, 20_000, true), [purge(2, 9000)], "seen first: {seen_first}");
+        assert_eq!(
+            published_from(&mut publisher, 20_000, true),
+            [purge(2, 9000)],
+            "seen first: {seen_first}"
+        );
     }
 }
 
 #[test]
-fn what_is_said_after_the_backlog_is_published_at_once() {
-    let mut publisher = begun();
+fn purge_after_the_backlog_is_published_at_once() {
+    let mut publisher = started();
     publisher.on_backlog_notice(ms(20_000), one(), ms(100));
     publisher.on_purge_notice(ms(20_500), Purge::object(2), ms(0));
     assert_eq!(publisher.tick(ms(20_500), PublisherRole::Active), [purge(2, 0)]);
@@ -236,10 +240,10 @@
 
 /// What streams bring to a node that has just begun comes later than half the window after the purge was made.
 #[test]
-fn the_half_window_counts_from_when_it_was_heard() {
-    let mut publisher = Publisher::new(WINDOW);
+fn overdue_time_counts_from_receipt() {
+    let mut publisher = Publisher::new(PURGE_WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(4500));
     assert_eq!(publisher.tick(ms(20_100), PublisherRole::Standby), []);
     publisher.on_published(ms(20_500), one(), ms(5000));
-    assert_eq!(said_from(&mut publisher, 20_500, false), []);
+    assert_eq!(published_from(&mut publisher, 20_500, false), []);
 }
--- a/crates/rockflow-dissemination/tests/publishing.rs
+++ b/crates/rockflow-dissemination/tests/publishing.rs
@@ -1,12 +1,12 @@
 //! Publications of both kinds leave a control node by one pace: neither waits for a flood of the other.
 
-mod world;
+mod support;
 
 use rockflow_dissemination::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
+use support::*;
 use test_case::test_case;
-use world::*;
 
 /// Within so long a change is to be in force everywhere, as the operators say.
 const CHANGE: Duration = Duration::from_secs(4);
@@ -32,13 +32,13 @@
     fn new() -> Alone {
         let peer = |index| Peer { node: NodeId::of(&control_name(index)), address: address(index) };
         let config = NodeConfig {
-            identity: Identity { node: peer(0).node, incarnation: Incarnation(LIFE) },
+            identity: Identity { node: peer(0).node, incarnation: Incarnation(INCARNATION) },
             control_id: Some(ControlId(0)),
             control: (0..2).map(peer).collect(),
             seeds: Vec::new(),
-            purge_window: WINDOW,
+            purge_window: PURGE_WINDOW,
             bytes_per_second: BYTES_PER_SECOND as u32,
-            heartbeat_interval: PULSE,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
         };
         let mut node = Node::new(config, None, 1, s(0));
         node.start(s(0));
@@ -105,27 +105,27 @@
 #[test_case(4000, 0, 0; "four thousand at once")]
 #[test_case(16_000, 0, 0; "as many at once as wait")]
 #[test_case(0, 245, 60; "490 a second for 30 s")]
-fn a_change_does_not_wait_for_a_burst_of_purges(at_once: u64, each_pulse: u64, pulses: u32) {
+fn setting_does_not_wait_for_a_burst_of_purges(at_once: u64, each_pulse: u64, pulses: u32) {
     let mut alone = Alone::new();
     alone.run(s(60));
     alone.purges(at_once);
     for _ in 0..pulses {
         alone.purges(each_pulse);
-        alone.run(PULSE);
+        alone.run(HEARTBEAT_INTERVAL);
     }
     for _ in 0..5 {
         alone.run(s(1));
         let change = alone.changes(1);
         alone.run(CHANGE);
         let waited = alone.waited(&change);
-        assert!(waited <= PULSE, "the change waited {waited:?}");
+        assert!(waited <= HEARTBEAT_INTERVAL, "the change waited {waited:?}");
     }
 }
 
 /// The target's purges, 49 a second, beside more changes than could ever leave.
 #[test_case(4096, 0; "all hosts at once")]
 #[test_case(1000, 50; "hosts without end")]
-fn purges_do_not_wait_for_a_flood_of_changes(at_once: u64, each_pulse: u64) {
+fn purges_do_not_wait_for_a_flood_of_settings(at_once: u64, each_pulse: u64) {
     let mut alone = Alone::new();
     alone.run(s(60));
     alone.changes(at_once);
@@ -133,23 +133,23 @@
     for _ in 0..240 {
         alone.changes(each_pulse);
         purges.extend(alone.purges(24));
-        alone.run(PULSE);
+        alone.run(HEARTBEAT_INTERVAL);
     }
-    alone.run(WINDOW);
+    alone.run(PURGE_WINDOW);
     let waited = alone.waited(&purges);
-    assert!(waited <= PULSE * 4, "a purge waited {waited:?}");
+    assert!(waited <= HEARTBEAT_INTERVAL * 4, "a purge waited {waited:?}");
 }
 
 /// Both at once, for long: what leaves stays within the pace, and both go on.
 #[test]
-fn a_flood_of_both_keeps_to_the_pace() {
+fn flood_of_both_stays_within_the_budget() {
     let mut alone = Alone::new();
     alone.run(s(60));
     let mut span = 0;
     for _ in 0..240 {
         alone.purges(245);
         alone.changes(50);
-        alone.run(PULSE);
+        alone.run(HEARTBEAT_INTERVAL);
         span += 1;
         let most = BYTES_PER_SECOND / SHARE * (AT_ONCE * 7 / 6 + span / 2 + 1) + 2 * 1400;
         assert!(alone.bytes <= most, "{} bytes of {most} after {span} pulses", alone.bytes);
@@ -161,7 +161,7 @@
 
 /// Who was told of a number may have asked for it, and taken it: nothing later hides behind it.
 #[test]
-fn what_stands_for_many_was_not_told_of_before() {
+fn folding_purge_was_not_advertised_before() {
     let mut alone = Alone::new();
     alone.run(s(60));
     alone.purges(MAX_UNSENT_PUBLICATIONS);
@@ -175,7 +175,7 @@
             alone.advertised,
             ids[399]
         );
-        alone.run(PULSE / 2);
+        alone.run(HEARTBEAT_INTERVAL / 2);
     }
     assert!(folded > 4000, "{folded}");
 }
@@ -183,27 +183,27 @@
 /// In a whole small fleet, a change is in force at each member in its time after a burst of purges.
 #[test_case(4000, 0, 0; "four thousand at once")]
 #[test_case(0, 245, 60; "490 a second for 30 s")]
-fn a_change_is_in_force_in_time_behind_a_burst_of_purges(at_once: u64, each_pulse: u64, pulses: u32) {
-    let mut world = World::new(3, &[&[5, 3], &[4]], 41);
-    world.run(s(60));
+fn setting_is_applied_in_time_behind_a_burst_of_purges(at_once: u64, each_pulse: u64, pulses: u32) {
+    let mut fleet = Fleet::new(3, &[&[5, 3], &[4]], 41);
+    fleet.run(s(60));
     let mut names = 0;
-    let mut burst = |world: &mut World, count: u64| {
+    let mut burst = |fleet: &mut Fleet, count: u64| {
         let purge = |object| Publication::Purge { purge: Purge::object(object), age: s(0) };
-        world.publish(0, (names..names + count).map(purge).collect());
+        fleet.publish(0, (names..names + count).map(purge).collect());
         names += count;
     };
-    burst(&mut world, at_once);
+    burst(&mut fleet, at_once);
     for _ in 0..pulses {
-        burst(&mut world, each_pulse);
-        world.run(PULSE);
+        burst(&mut fleet, each_pulse);
+        fleet.run(HEARTBEAT_INTERVAL);
     }
     for host in ["a", "b", "c"] {
-        world.run(s(1));
-        world.want(0, host, DesiredState::Draining);
-        world.run(CHANGE);
-        for index in world.members() {
-            let desired = world.nodes[index].done.settings.get(host);
-            assert_eq!(desired, Some(&DesiredState::Draining), "{host} at {}", world.nodes[index].name);
+        fleet.run(s(1));
+        fleet.want(0, host, DesiredState::Draining);
+        fleet.run(CHANGE);
+        for index in fleet.members() {
+            let desired = fleet.nodes[index].done.settings.get(host);
+            assert_eq!(desired, Some(&DesiredState::Draining), "{host} at {}", fleet.nodes[index].name);
         }
     }
 }
--- a/crates/rockflow-dissemination/tests/tables.rs
+++ b/crates/rockflow-dissemination/tests/settings_tables.rs
@@ -1,13 +1,11 @@
 //! Whole tables of settings: fetched by who lacks something, and sent up where a peer lacks what is held here.
 
-mod world;
+mod support;
 
 use rockflow_dissemination::*;
-use rockflow_dissemination::{SettingsTable, MAX_PARTS_AT_ONCE};
 use std::collections::BTreeSet;
-use std::net::SocketAddr;
 use std::time::Duration;
-use world::*;
+use support::*;
 
 /// As many hosts as the target names.
 const HOSTS: usize = 450;
@@ -17,73 +15,45 @@
 }
 
 fn configuration() -> StreamId {
-    StreamId { control: ControlId(0), kind: StreamKind::Configuration, incarnation: Incarnation(LIFE) }
+    StreamId { control: ControlId(0), kind: StreamKind::Configuration, incarnation: Incarnation(INCARNATION) }
 }
 
 fn version(host: &str, number: u64, desired: DesiredState) -> SettingVersion {
-    let timestamp = HybridTimestamp { unix_ms: LIFE + number, control: 0 };
+    let timestamp = HybridTimestamp { unix_ms: INCARNATION + number, control: 0 };
     let setting =
         HostSetting { host: host.to_owned(), desired, timestamp, replaced: HybridTimestamp::default() };
     SettingVersion { stream: configuration(), number: SequenceNumber(number), setting }
 }
 
-fn at(index: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, index], 7000))
-}
-
-fn identity(name: &str) -> Identity {
-    Identity { node: NodeId::of(name), incarnation: Incarnation(LIFE) }
-}
-
-/// A member placed below a parent.
-fn placed() -> Node {
-    let config = NodeConfig {
-        identity: identity("me"),
-        control_id: None,
-        control: vec![Peer { node: NodeId::of(&control_name(0)), address: at(0) }],
-        seeds: Vec::new(),
-        purge_window: WINDOW,
-        bytes_per_second: 6000,
-        heartbeat_interval: PULSE,
-    };
-    let mut node = Node::new(config, None, 1, Duration::ZERO);
-    node.start(Duration::ZERO);
-    let parents = vec![Peer { node: NodeId::of("parent"), address: at(1) }];
-    let listing_hash =
-        Message::Placement { directory_version: 1, listing_hash: 7, region: 0, slot: 1, slots: 2, parents };
-    node.on_message(ms(10), identity(&control_name(0)), at(0), listing_hash);
-    node
-}
-
 fn to_parent(outputs: &[Output]) -> Vec<Message> {
     let sent = outputs.iter().filter_map(|out| match out {
-        Output::Send { to, message } if *to == at(1) => Some(message.clone()),
+        Output::Send { to, message } if *to == node_address(1) => Some(message.clone()),
         _ => None,
     });
     sent.collect()
 }
 
 #[test]
-fn all_settings_come_back_to_control_nodes_that_have_all_begun_anew() {
-    let mut world = World::new(3, &[&[5, 3], &[4]], 80);
-    world.run(s(6));
+fn whole_table_returns_to_control_nodes_that_have_all_restarted() {
+    let mut fleet = Fleet::new(3, &[&[5, 3], &[4]], 80);
+    fleet.run(s(6));
     for index in 0..HOSTS {
-        world.want(index % 3, &host(index), DesiredState::Draining);
+        fleet.want(index % 3, &host(index), DesiredState::Draining);
     }
-    world.run(s(60));
-    assert_eq!(world.status(world.controls).desired.len(), HOSTS);
+    fleet.run(s(60));
+    assert_eq!(fleet.status(fleet.controls).desired.len(), HOSTS);
     for control in 0..3 {
-        world.restart(control, LIFE + 100_000);
+        fleet.restart(control, INCARNATION + 100_000);
     }
-    world.run(s(60));
+    fleet.run(s(60));
     for control in 0..3 {
-        assert_eq!(world.status(control).desired.len(), HOSTS, "control {control}");
+        assert_eq!(fleet.status(control).desired.len(), HOSTS, "control {control}");
     }
 }
 
 /// What goes up, part by part, in so long to a parent whose digest stays another.
-fn given_in_vain(span: Duration) -> Vec<(Duration, u16, u16)> {
-    let mut node = placed();
+fn parts_sent_in_vain(span: Duration) -> Vec<(Duration, u16, u16)> {
+    let mut node = placed_member();
     let mut table = SettingsTable::default();
     for index in 0..HOSTS {
         table.insert(version(&host(index), index as u64 + 1, DesiredState::Draining));
@@ -95,7 +65,7 @@
         let Some(Message::SettingsPart { .. }) = frames.last() else { break };
         part += frames.len() as u16;
         for frame in frames {
-            node.on_message(now, identity(&control_name(0)), at(0), frame);
+            node.on_message(now, identity(&control_name(0)), node_address(0), frame);
         }
     }
     assert!(usize::from(part) > MAX_PARTS_AT_ONCE, "{part} parts");
@@ -111,14 +81,19 @@
             tips: Vec::new(),
             settings_digest: settings,
         };
-        let mut sent = to_parent(&node.on_message(now, identity("parent"), at(1), pulse));
-        now += PULSE;
+        let mut sent = to_parent(&node.on_message(now, identity("parent"), node_address(1), pulse));
+        now += HEARTBEAT_INTERVAL;
         sent.extend(to_parent(&node.tick(now)));
         while let Some(message) = sent.pop() {
             match message {
                 Message::SettingsRequest { part } => {
                     for frame in parents.messages(part) {
-                        sent.extend(to_parent(&node.on_message(now, identity("parent"), at(1), frame)));
+                        sent.extend(to_parent(&node.on_message(
+                            now,
+                            identity("parent"),
+                            node_address(1),
+                            frame,
+                        )));
                     }
                 }
                 Message::SettingsPart { part, parts, .. } => given.push((now, part, parts)),
@@ -130,16 +105,16 @@
 }
 
 #[test]
-fn each_part_goes_up_in_turn() {
-    let given = given_in_vain(s(60));
+fn sends_each_part_in_turn() {
+    let given = parts_sent_in_vain(s(60));
     let parts = given[0].2;
     let went: BTreeSet<u16> = given.iter().map(|(_, part, _)| *part).collect();
     assert_eq!(went, (0..parts).collect(), "{given:?}");
 }
 
 #[test]
-fn what_stays_in_vain_goes_up_ever_more_seldom() {
-    let given = given_in_vain(s(1200));
+fn futile_sending_backs_off() {
+    let given = parts_sent_in_vain(s(1200));
     let in_half = |from: Duration| given.iter().filter(|(at, ..)| *at >= from && *at < from + s(600)).count();
     let (first, second) = (in_half(Duration::ZERO), in_half(s(600)));
     let parts = usize::from(given[0].2);
@@ -149,8 +124,8 @@
 
 /// A host that is just listed again changes no digest of what is wanted; but it moves the parts.
 #[test]
-fn a_table_that_changes_while_it_is_fetched_is_not_taken_for_whole() {
-    let mut node = placed();
+fn table_that_changes_during_a_fetch_is_not_taken_for_complete() {
+    let mut node = placed_member();
     let mut source = SettingsTable::default();
     for index in 0..40 {
         source.insert(version(&format!("h{index:02}"), index + 1, DesiredState::Gone));
@@ -165,24 +140,24 @@
         tips,
         settings_digest: None,
     };
-    node.on_message(now, identity("parent"), at(1), pulse);
+    node.on_message(now, identity("parent"), node_address(1), pulse);
     let snapshot = Message::Snapshot { stream: id, next: SequenceNumber(41), min_accepted_age_ms: None };
-    let mut asked = to_parent(&node.on_message(now, identity("parent"), at(1), snapshot));
+    let mut asked = to_parent(&node.on_message(now, identity("parent"), node_address(1), snapshot));
     assert!(asked.contains(&Message::SettingsRequest { part: 0 }), "{asked:?}");
     // The first part is lost, and a host that sorts before all others is listed before it is asked for again.
     let last = source.messages(1).pop().expect("two parts");
     assert!(matches!(last, Message::SettingsPart { part: 1, parts: 2, .. }));
     asked.clear();
-    node.on_message(now, identity("parent"), at(1), last);
+    node.on_message(now, identity("parent"), node_address(1), last);
     source.insert(version("a", 41, DesiredState::Listed));
     let mut whole = false;
     for _ in 0..20 {
-        now += PULSE;
+        now += HEARTBEAT_INTERVAL;
         asked.extend(to_parent(&node.tick(now)));
         while let Some(message) = asked.pop() {
             let Message::SettingsRequest { part } = message else { continue };
             for frame in source.messages(part) {
-                let outputs = node.on_message(now, identity("parent"), at(1), frame);
+                let outputs = node.on_message(now, identity("parent"), node_address(1), frame);
                 asked.extend(to_parent(&outputs));
                 for out in outputs {
                     if let Output::Configure { token, .. } = out {
--- a/crates/rockflow-dissemination/tests/following.rs
+++ b/crates/rockflow-dissemination/tests/subscription.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const LIFE: u64 = 1_800_000_000_000;
-const PULSE: u64 = 500;
+const INCARNATION: u64 = 1_800_000_000_000;
+const HEARTBEAT_INTERVAL: u64 = 500;
 /// One way between any two.
-const WAY: u64 = 50;
+const TRANSIT_MS: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Is {
@@ -27,7 +27,7 @@
 }
 
 fn identity(name: &str) -> Identity {
-    Identity { node: NodeId::of(name), incarnation: Incarnation(LIFE) }
+    Identity { node: NodeId::of(name), incarnation: Incarnation(INCARNATION) }
 }
 
 fn candidate(index: usize) -> Identity {
@@ -53,7 +53,7 @@
     /// When another was followed, and whom.
     turns: Vec<(u64, usize)>,
     probes: Vec<u64>,
-    lose_pulse_at: Option<u64>,
+    lose_heartbeat_at: Option<u64>,
 }
 
 impl Play {
@@ -67,7 +67,7 @@
             seeds: Vec::new(),
             purge_window: ms(8700),
             bytes_per_second: 6000,
-            heartbeat_interval: ms(PULSE),
+            heartbeat_interval: ms(HEARTBEAT_INTERVAL),
         };
         let mut node = Node::new(config, None, 1, Duration::ZERO);
         node.start(Duration::ZERO);
@@ -92,7 +92,7 @@
             parents: BTreeSet::new(),
             turns: Vec::new(),
             probes: Vec::new(),
-            lose_pulse_at: None,
+            lose_heartbeat_at: None,
         };
         play.take(outputs);
         play
@@ -105,7 +105,7 @@
             if matches!(message, Message::Probe) {
                 self.probes.push(self.now);
             }
-            self.going.push((self.now + WAY, index, message));
+            self.going.push((self.now + TRANSIT_MS, index, message));
         }
         let parent = self.node.status(ms(self.now)).parent.map(|parent| parent.address);
         let parent = (0..self.are.len()).find(|index| Some(address(*index)) == parent);
@@ -122,16 +122,16 @@
         }
     }
 
-    fn stale_ms(&self, index: usize) -> u32 {
+    fn staleness_ms(&self, index: usize) -> u32 {
         match self.is(index) {
             Is::Stale => (self.now - self.fault_at) as u32,
             _ => 10,
         }
     }
 
-    fn pulse_of(&self, index: usize) -> Message {
+    fn heartbeat_of(&self, index: usize) -> Message {
         Message::Heartbeat {
-            staleness_ms: self.stale_ms(index),
+            staleness_ms: self.staleness_ms(index),
             directory_version: 1,
             listing_hash: 7,
             tips: Vec::new(),
@@ -148,7 +148,7 @@
                 if is == Is::Full {
                     Message::Full
                 } else if self.parents.insert(index) {
-                    self.pulse_of(index)
+                    self.heartbeat_of(index)
                 } else {
                     return;
                 }
@@ -157,21 +157,23 @@
                 self.parents.remove(&index);
                 return;
             }
-            Message::Probe if is != Is::Full => Message::ProbeReply { staleness_ms: self.stale_ms(index) },
+            Message::Probe if is != Is::Full => {
+                Message::ProbeReply { staleness_ms: self.staleness_ms(index) }
+            }
             _ => return,
         };
-        self.coming.push((self.now + WAY, index, answer));
+        self.coming.push((self.now + TRANSIT_MS, index, answer));
     }
 
     fn run(&mut self, until: u64) {
         while self.now < until {
             self.now += 1;
             let now = self.now;
-            if now.is_multiple_of(PULSE) && self.lose_pulse_at != Some(now) {
+            if now.is_multiple_of(HEARTBEAT_INTERVAL) && self.lose_heartbeat_at != Some(now) {
                 let pulsing =
                     self.parents.iter().filter(|index| !matches!(self.is(**index), Is::Gone | Is::Full));
                 let pulses: Vec<_> =
-                    pulsing.map(|index| (now + WAY, *index, self.pulse_of(*index))).collect();
+                    pulsing.map(|index| (now + TRANSIT_MS, *index, self.heartbeat_of(*index))).collect();
                 self.coming.extend(pulses);
             }
             let due = |frames: &mut Vec<(u64, usize, Message)>| {
@@ -210,11 +212,11 @@
 #[test_case(&[Gone, Gone, Gone, Gone, Gone, Gone, Fresh, Gone], 6)]
 #[test_case(&[Gone, Full, Full, Gone, Full, Fresh], 5)]
 #[test_case(&[Gone, Stale, Gone, Full, Fresh, Gone, Gone], 1; "one that is stale since just now is as good as the member itself")]
-fn the_way_from_a_silent_parent_is_one_wait(are: &[Is], to: usize) {
+fn leaves_silent_parent_after_one_timeout(are: &[Is], to: usize) {
     let mut play = Play::new(are);
     play.run(play.fault_at);
     assert_eq!(play.turns.len(), 1);
-    play.run(play.fault_at + 3 * PULSE + 2 * WAY);
+    play.run(play.fault_at + 3 * HEARTBEAT_INTERVAL + 2 * TRANSIT_MS);
     assert_eq!(play.turns.last().map(|(_, index)| *index), Some(to), "{:?}", play.turns);
     assert_eq!(play.turns.len(), 2, "{:?}", play.turns);
 }
@@ -222,32 +224,32 @@
 #[test_case(&[Stale, Fresh], 1)]
 #[test_case(&[Stale, Stale, Stale, Stale, Stale, Fresh], 5)]
 #[test_case(&[Stale, Stale, Gone, Stale, Full, Gone, Gone, Fresh], 7)]
-fn the_way_from_a_stale_parent_is_one_wait(are: &[Is], to: usize) {
+fn leaves_stale_parent_after_one_timeout(are: &[Is], to: usize) {
     let mut play = Play::new(are);
     let found = play.found_after(to);
-    assert!(found <= 6 * PULSE + 2 * WAY, "{found} ms");
+    assert!(found <= 6 * HEARTBEAT_INTERVAL + 2 * TRANSIT_MS, "{found} ms");
     assert_eq!(play.turns.len(), 2, "{:?}", play.turns);
 }
 
 /// Silent, then one that is stale, then the rest: two waits at the most.
 #[test_case(&[Gone, Stale, Stale, Gone, Stale, Fresh], 5)]
-fn a_stale_one_on_the_way_is_left_as_soon_as_it_is_found_so(are: &[Is], to: usize) {
+fn leaves_stale_candidate_as_soon_as_it_is_found_stale(are: &[Is], to: usize) {
     let mut play = Play::new(are);
     let found = play.found_after(to);
-    assert!(found <= 6 * PULSE + 4 * WAY, "{found} ms");
+    assert!(found <= 6 * HEARTBEAT_INTERVAL + 4 * TRANSIT_MS, "{found} ms");
     assert!(play.turns.len() <= 3, "{:?}", play.turns);
 }
 
 #[test]
-fn where_nothing_fails_nobody_is_asked() {
+fn probes_nobody_without_a_fault() {
     let mut play = Play::new(&[Fresh; 8]);
-    play.lose_pulse_at = Some(30_000);
+    play.lose_heartbeat_at = Some(30_000);
     play.run(120_000);
     assert_eq!((play.probes.len(), play.turns.len()), (0, 1));
 }
 
 #[test]
-fn where_nobody_answers_the_asking_is_bounded() {
+fn probes_are_bounded_without_replies() {
     let mut play = Play::new(&[Gone; 8]);
     play.run(play.fault_at + 600_000);
     let minute =
@@ -258,7 +260,7 @@
 
 /// One that comes back is found by the next probe, however long all were gone.
 #[test]
-fn who_comes_back_is_found_though_the_waits_have_grown() {
+fn finds_returning_candidate_after_long_backoff() {
     let mut play = Play::new(&[Gone; 8]);
     play.run(play.fault_at + 300_000);
     play.are[6] = Fresh;
@@ -266,11 +268,11 @@
     play.run(back + 60_000);
     let first = play.turns.iter().find(|(at, _)| *at > back).expect("it is followed");
     assert_eq!(first.1, 6);
-    assert!(first.0 - back <= 5 * PULSE, "{} ms", first.0 - back);
+    assert!(first.0 - back <= 5 * HEARTBEAT_INTERVAL, "{} ms", first.0 - back);
 }
 
 #[test]
-fn who_has_no_room_or_has_heard_nothing_does_not_answer() {
+fn full_or_stale_node_does_not_reply_to_probe() {
     let mut play = Play::new(&[Fresh]);
     let probe = |play: &mut Play, name: &str, port: u16| {
         let at = SocketAddr::from(([10, 0, 2, 1], port));
--- a/crates/rockflow-dissemination/tests/world/mod.rs
+++ b/crates/rockflow-dissemination/tests/support/fleet.rs
@@ -1,24 +1,13 @@
 //! A tiny fleet in virtual time: nodes, a network that loses, doubles and reorders, and what each node put in effect.
-#![allow(dead_code, reason = "each test file uses its own part")]
 
+use super::{control_name, ms, s, HEARTBEAT_INTERVAL, INCARNATION, PURGE_WINDOW};
 use rockflow_dissemination::*;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-pub const PULSE: Duration = Duration::from_millis(500);
-pub const WINDOW: Duration = Duration::from_millis(8700);
-pub const LIFE: u64 = 1_800_000_000_000;
 /// Members by region and site.
-pub const SMALL: &[&[usize]] = &[&[5, 3], &[4]];
-
-pub fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
-pub fn s(s: u64) -> Duration {
-    Duration::from_secs(s)
-}
+pub const TWO_REGIONS: &[&[usize]] = &[&[5, 3], &[4]];
 
 /// Whether a frame from one to another is lost.
 pub type Eats = Box<dyn FnMut(usize, usize, &Message) -> bool>;
@@ -52,7 +41,7 @@
     pub unix_offset: i64,
 }
 
-pub struct World {
+pub struct Fleet {
     pub now: Duration,
     pub nodes: Vec<Member>,
     pub directory: Directory,
@@ -78,10 +67,6 @@
     SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7000))
 }
 
-pub fn control_name(index: usize) -> String {
-    format!("control-{index}")
-}
-
 /// Members by region, site and count.
 pub fn csv(version: u64, controls: usize, regions: &[&[usize]]) -> String {
     let mut text = format!("version,{version}\n");
@@ -101,16 +86,16 @@
 }
 
 /// A small fleet with three control nodes, in which all have their places.
-pub fn settled(seed: u64) -> World {
-    let mut world = World::new(3, SMALL, seed);
-    world.run(s(6));
-    world
+pub fn settled(seed: u64) -> Fleet {
+    let mut fleet = Fleet::new(3, TWO_REGIONS, seed);
+    fleet.run(s(6));
+    fleet
 }
 
-impl World {
-    pub fn new(controls: usize, regions: &[&[usize]], seed: u64) -> World {
+impl Fleet {
+    pub fn new(controls: usize, regions: &[&[usize]], seed: u64) -> Fleet {
         let directory = Directory::parse(&csv(1, controls, regions)).expect("a directory");
-        let mut world = World {
+        let mut fleet = Fleet {
             now: Duration::ZERO,
             nodes: Vec::new(),
             directory: directory.clone(),
@@ -137,17 +122,17 @@
             names.chain(directory.members.iter().map(|member| member.name.clone())).collect();
         for (index, name) in names.into_iter().enumerate() {
             let config = NodeConfig {
-                identity: Identity { node: NodeId::of(&name), incarnation: Incarnation(LIFE) },
+                identity: Identity { node: NodeId::of(&name), incarnation: Incarnation(INCARNATION) },
                 control_id: (index < controls).then_some(ControlId(index as u8)),
                 control: control.clone(),
                 seeds: Vec::new(),
-                purge_window: WINDOW,
+                purge_window: PURGE_WINDOW,
                 bytes_per_second: 6000,
-                heartbeat_interval: PULSE,
+                heartbeat_interval: HEARTBEAT_INTERVAL,
             };
             let listing = (index < controls).then(|| directory.clone());
             let node = Node::new(config.clone(), listing, index as u64, Duration::ZERO);
-            world.nodes.push(Member {
+            fleet.nodes.push(Member {
                 name,
                 node,
                 config,
@@ -158,11 +143,11 @@
                 unix_offset: 0,
             });
         }
-        for index in 0..world.nodes.len() {
-            let outputs = world.nodes[index].node.start(Duration::ZERO);
-            world.take(index, outputs);
+        for index in 0..fleet.nodes.len() {
+            let outputs = fleet.nodes[index].node.start(Duration::ZERO);
+            fleet.take(index, outputs);
         }
-        world
+        fleet
     }
 
     pub fn index(&self, name: &str) -> usize {
@@ -379,10 +364,10 @@
     /// Each is in effect once at a member, or a floor came that is at least as strict.
     pub fn covered(&self, index: usize, object: u64, published: Duration) -> bool {
         let purges = &self.nodes[index].done.purges;
-        let floor = |(purge, age, at): &(Purge, Duration, Duration)| {
+        let full_purge = |(purge, age, at): &(Purge, Duration, Duration)| {
             *purge == Purge::Everything && at.saturating_sub(*age) >= published
         };
-        self.times(index, object) == 1 || purges.iter().any(floor)
+        self.times(index, object) == 1 || purges.iter().any(full_purge)
     }
 
     pub fn everywhere(&self, index: usize, id: EntryId) -> bool {
