--- a/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
+++ b/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
@@ -1,7 +1,7 @@
 //! Settings that the list of hosts has not judged yet. Decides; does no I/O.
 
 use rockflow_dissemination::{ApplyToken, EntryId};
-use rockflow_endpoints::Refused;
+use rockflow_endpoints::RejectedOverride;
 use std::collections::BTreeMap;
 
 /// Settings that may wait to be judged: four times as many as marks are held. One more is refused, and the machine gives it
@@ -34,8 +34,8 @@
     pub fn judged(
         &mut self,
         ticket: ApplyToken,
-        refused: &BTreeMap<String, Refused>,
-    ) -> Vec<(EntryId, String, Refused)> {
+        refused: &BTreeMap<String, RejectedOverride>,
+    ) -> Vec<(EntryId, String, RejectedOverride)> {
         let later = self.waiting.split_off(&ApplyToken(ticket.0.saturating_add(1)));
         let judged = std::mem::replace(&mut self.waiting, later);
         let judged: Vec<_> = judged.into_values().flatten().collect();
