--- a/crates/rockflow-dissemination/src/lib.rs
+++ b/crates/rockflow-dissemination/src/lib.rs
@@ -3,32 +3,33 @@
 //! messages and time come in, messages and outputs go out. `docs/design/dissemination.md` has the design and its
 //! invariants.
 
-mod anti_entropy;
-mod apply;
+mod apply_queue;
 mod apply_tokens;
 mod children;
+mod clock;
 mod config;
+mod contact;
 mod control;
 mod convergence;
+mod counters;
 mod directory;
 mod encoded_size;
 mod entry;
-mod heartbeats;
+mod forward_queue;
 mod identity;
-mod ingest;
 mod join;
 mod message;
 mod node;
 mod output;
 mod publisher;
-mod publishing;
+mod quarantine;
+mod rate_limits;
+mod schedule;
 mod setting;
-mod settings;
-mod settings_exchange;
+mod settings_table;
 mod slot_set;
 mod status;
 mod stream;
-mod stream_log;
 mod streams;
 mod subscription;
 mod subtree_report;
@@ -39,26 +40,26 @@
 pub use apply_tokens::{ApplyToken, MAX_PENDING_TOKENS};
 pub use children::{MAX_CHILDREN, MAX_CONTROL_CHILDREN};
 pub use config::NodeConfig;
-pub use directory::{Directory, DirectoryError, DirectoryMember, Placement, Region};
+pub use counters::{Counters, MessageCounts};
+pub use directory::{Directory, DirectoryError, DirectoryMember, DirectoryProblem, Placement, Region};
 pub use entry::{AgedEntry, Entry, EntryId, Purge, SequenceNumber, StreamId, StreamKind};
 pub use identity::{ControlId, Identity, Incarnation, NodeId, Peer};
 pub use message::{
     Message, MAX_BATCH_ENTRIES, MAX_PARENTS, MAX_RANGES, MAX_REGION_REPORTS, MAX_REPORTS,
     MAX_SETTINGS_PER_PART, MAX_STREAMS, MAX_TIPS,
 };
-pub use node::Node;
-pub use output::{Counters, MessageCounts, Output, Publication};
+pub use node::{Node, MAX_UNSENT_PUBLICATIONS};
+pub use output::{Output, Publication};
 pub use publisher::{
-    Publisher, BACKLOG_AGE_UNCERTAINTY, MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES,
+    Publisher, PublisherRole, BACKLOG_AGE_UNCERTAINTY, MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES,
+    MAX_PUBLISHED_PURGES,
 };
-pub use publishing::MAX_UNSENT_PUBLICATIONS;
+pub use quarantine::MAX_QUARANTINED;
 pub use setting::{
-    DesiredState, HostSetting, HybridTimestamp, RejectionReason, SettingVersion, MAX_NAME_BYTES,
-};
-pub use settings::{
-    SettingOutcome, SettingsTable, MAX_CLOCK_UNIX_MS, MAX_CONCURRENT_VERSIONS, MAX_HOSTS, MAX_PARTS_AT_ONCE,
-    MAX_QUARANTINED, MAX_TRUSTED_CLOCK_UNIX_MS,
+    DesiredState, HostSetting, HybridTimestamp, RejectionReason, SettingVersion, MAX_CLOCK_UNIX_MS,
+    MAX_NAME_BYTES, MAX_TRUSTED_CLOCK_UNIX_MS,
 };
+pub use settings_table::{SettingOutcome, SettingsTable, MAX_HOSTS, MAX_PARTS_AT_ONCE};
 pub use slot_set::{SlotSet, MAX_SLOTS};
 pub use status::{ControlStatus, NodeStatus, ResourceUsage, StreamStatus};
 pub use stream::{StreamTip, MAX_CONFIGURATION_LOG_ENTRIES, MAX_PURGE_LOG_ENTRIES};
