--- a/crates/rockflow-dispatcher/src/client.rs
+++ b/crates/rockflow-dispatcher/src/client.rs
@@ -6,7 +6,7 @@
 use may::io::WaitIo;
 use may::net::TcpStream;
 use rockflow::RequestId;
-use rockflow_protocol::client::{self, ParsedRequest, Response};
+use rockflow_protocol::client::{self, HttpStatus, ParsedRequest, Persistence, Response};
 use rockflow_protocol::Buffer;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -220,7 +220,7 @@
         }
         match here {
             true if self.closing() => self.answer(Response::Rejected { retry_after: None }, false),
-            true => self.answer(Response::Invalid(408, "Request Timeout"), false),
+            true => self.answer(Response::Invalid(HttpStatus::new(408, "Request Timeout")), false),
             // What comes from here on was sent across our end of the connection: it is read and not taken.
             false => (self.last, self.moved) = (true, self.door.clock.now()),
         }
@@ -317,15 +317,17 @@
         let Some(head) = client::decode_request(self.buffer.filled()) else { return false };
         self.buffer.consume(head.length);
         self.begun = None;
-        let keep = head.keep_alive;
+        let keep = head.persistence == Persistence::KeepAlive;
         match head.request {
             ParsedRequest::HealthCheck if self.door.ready.load(Ordering::Relaxed) => {
                 self.answer(Response::Healthy, keep)
             }
-            ParsedRequest::HealthCheck => self.answer(Response::Invalid(503, "Not Ready"), keep),
-            ParsedRequest::Invalid(status, why) => {
-                debug!(status, why, "request not taken");
-                self.answer(Response::Invalid(status, why), false);
+            ParsedRequest::HealthCheck => {
+                self.answer(Response::Invalid(HttpStatus::new(503, "Not Ready")), keep)
+            }
+            ParsedRequest::Invalid(status) => {
+                debug!(status = status.code, why = status.reason, "request not taken");
+                self.answer(Response::Invalid(status), false);
             }
             // Guards against work that nobody is left to end: what comes after the planned stop's time is refused.
             ParsedRequest::Fetch(_) if self.closing() => {
@@ -336,7 +338,7 @@
             }
             ParsedRequest::Fetch(ask) => {
                 let request = RequestId(self.door.next_request.fetch_add(1, Ordering::Relaxed));
-                self.open = Some(Open { request, keep: head.keep_alive });
+                self.open = Some(Open { request, keep: head.persistence == Persistence::KeepAlive });
                 self.door.open.fetch_add(1, Ordering::Relaxed);
                 self.owing = true;
                 let (client, arrived) = (self.seat.mail.clone(), self.door.clock.now());
@@ -352,7 +354,8 @@
         self.parting = false;
         let ending = [&self.door.closing, &self.door.crowded].iter().any(|flag| flag.load(Ordering::Relaxed));
         let keep = keep && !ending;
-        self.out = client::encode_response(&answer, keep);
+        self.out =
+            client::encode_response(&answer, if keep { Persistence::KeepAlive } else { Persistence::Close });
         self.hold(if let Response::Succeeded { body, .. } = answer { body } else { Vec::new() });
         (self.written, self.last, self.moved) = (0, !keep, self.door.clock.now());
     }
--- a/crates/rockflow-dispatcher/src/decision.rs
+++ b/crates/rockflow-dispatcher/src/decision.rs
@@ -17,7 +17,7 @@
     Action, Attempt, AttemptEnd, AttemptNumber, CacheStatus, ClassId, DeploymentConfig, Dispatcher, Event,
     GroupId, HostId, ListScope, ObjectId, Outcome, Readiness, Request, RequestId, TimerId,
 };
-use rockflow_protocol::client::{ClientRequest, Response};
+use rockflow_protocol::client::{ClientRequest, HttpStatus, Response};
 use rockflow_protocol::upstream::{self, FetchRequest};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -239,9 +239,9 @@
             }
             DecisionMessage::HealthCheckAnswered { tag, answer } => {
                 let well = answer.status == upstream::Status::Healthy;
-                let named = |name: &String| answer.load.iter().find(|(known, _)| known == name);
+                let named = |name: &String| answer.load.iter().find(|value| value.name == *name);
                 let report =
-                    self.given.report.iter().map(|name| named(name).map_or(0.0, |(_, value)| *value));
+                    self.given.report.iter().map(|name| named(name).map_or(0.0, |value| value.value));
                 let report = if answer.load.is_empty() { Vec::new() } else { report.collect() };
                 self.end_probe(tag, if well { Outcome::Succeeded } else { Outcome::HostError }, report);
             }
@@ -276,7 +276,8 @@
         arrived: Duration,
     ) {
         let Some(class) = self.given.classes.iter().position(|name| *name == ask.class) else {
-            return client.send(ClientMessage::Answer(id, Response::Invalid(404, "unknown class")));
+            return client
+                .send(ClientMessage::Answer(id, Response::Invalid(HttpStatus::new(404, "unknown class"))));
         };
         // Guards against work for a client that left while its request waited here.
         if client.is_closed() {
@@ -285,7 +286,8 @@
         }
         // Guards against two requests under one id, whose answers could not be told apart on their way.
         if !self.calls.insert(ask.call_id.clone()) {
-            return client.send(ClientMessage::Answer(id, Response::Invalid(409, "id in use")));
+            return client
+                .send(ClientMessage::Answer(id, Response::Invalid(HttpStatus::new(409, "id in use"))));
         }
         // No client waits longer than its class's outer limit, whatever its header says.
         let most = self.given.deployment.classes.get(class).map(|class| class.deadline);
--- a/crates/rockflow-dispatcher/src/discovery.rs
+++ b/crates/rockflow-dispatcher/src/discovery.rs
@@ -257,6 +257,6 @@
                 self.last = next;
             }
         }
-        taken
+        taken.map_err(|what| what.to_string())
     }
 }
--- a/crates/rockflow-dispatcher/src/upstream.rs
+++ b/crates/rockflow-dispatcher/src/upstream.rs
@@ -238,7 +238,14 @@
                 }
             }
             UpstreamMessage::CheckHealth { tag, load } => {
-                self.out.extend_from_slice(&upstream::encode_health_check(&tag.to_string(), load));
+                self.out.extend_from_slice(&upstream::encode_health_check(
+                    &tag.to_string(),
+                    if load {
+                        upstream::HealthCheckKind::LoadReport
+                    } else {
+                        upstream::HealthCheckKind::Liveness
+                    },
+                ));
                 self.probes.insert(tag);
             }
             UpstreamMessage::Inspect => {}
@@ -343,7 +350,9 @@
         if self.held > was && held - was > self.pool.max_held {
             return Err("no memory left for an answer".to_string());
         }
-        while let Some((length, answer)) = upstream::decode_response(self.buffer.filled())? {
+        while let Some(upstream::DecodedResponse { length, response: answer }) =
+            upstream::decode_response(self.buffer.filled()).map_err(|what| what.to_string())?
+        {
             self.buffer.consume(length);
             let probe = matches!(answer.status, upstream::Status::Healthy | upstream::Status::Unhealthy);
             let tag = answer.id.parse().ok().filter(|_| probe);
--- a/crates/rockflow-protocol/src/buffer.rs
+++ b/crates/rockflow-protocol/src/buffer.rs
@@ -1,8 +1,9 @@
-//! The one buffer of a connection: it grows as it needs up to its cap and is compacted in place.
+//! The receive buffer of a connection.
 
-/// What a buffer starts with, and falls back to once it is empty.
+/// The capacity of a buffer at its first use and after it has been drained, in bytes.
 const INITIAL_CAPACITY: usize = 4096;
 
+/// A byte queue that grows as needed up to its maximum and is compacted in place.
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
@@ -11,42 +12,47 @@
 }
 
 impl Buffer {
+    /// An empty buffer, which allocates nothing yet.
     pub fn new(max_capacity: usize) -> Self {
         Buffer { bytes: Vec::new(), start: 0, end: 0, max_capacity }
     }
 
-    /// The memory that it takes.
+    /// The allocated memory in bytes.
     pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
 
+    /// The bytes that were written and not consumed yet.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Room to read into; none while what is held fills the cap.
+    /// Space to read into; none while unconsumed bytes fill the maximum capacity.
     pub fn spare(&mut self) -> Option<&mut [u8]> {
         if self.end == self.bytes.len() && self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
-            (self.start, self.end) = (0, self.end - self.start);
+            self.end -= self.start;
+            self.start = 0;
         }
         if self.end == self.bytes.len() {
-            let grown =
-                (2 * self.bytes.len()).clamp(INITIAL_CAPACITY.min(self.max_capacity), self.max_capacity);
+            let initial = INITIAL_CAPACITY.min(self.max_capacity);
+            let grown = (2 * self.bytes.len()).clamp(initial, self.max_capacity);
             self.bytes.resize(grown, 0);
         }
         Some(&mut self.bytes[self.end..]).filter(|spare| !spare.is_empty())
     }
 
-    /// So many bytes of the room have been written.
-    pub fn commit(&mut self, n: usize) {
-        self.end = (self.end + n).min(self.bytes.len());
+    /// Marks the first `length` bytes of the spare space as written.
+    pub fn commit(&mut self, length: usize) {
+        self.end = (self.end + length).min(self.bytes.len());
     }
 
-    pub fn consume(&mut self, n: usize) {
-        self.start = (self.start + n).min(self.end);
+    /// Removes the first `length` filled bytes.
+    pub fn consume(&mut self, length: usize) {
+        self.start = (self.start + length).min(self.end);
         if self.start == self.end {
-            (self.start, self.end) = (0, 0);
+            self.start = 0;
+            self.end = 0;
             // Guards against every connection that once carried a large body holding on to its size.
             if self.bytes.len() > INITIAL_CAPACITY {
                 self.bytes = Vec::new();
--- a/crates/rockflow-protocol/src/client.rs
+++ b/crates/rockflow-protocol/src/client.rs
@@ -1,181 +1,157 @@
-//! HTTP/1.1 as clients speak it: heads in, answers out.
+//! HTTP/1.1 between clients and the dispatcher: request heads in, responses out.
 
 use std::time::Duration;
 
-/// The longest head that is read.
+/// The longest request head that is read, in bytes.
 pub const MAX_HEAD_BYTES: usize = 8192;
 const MAX_HEADERS: usize = 64;
-const MAX_TOKEN: usize = 128;
-/// Figures past these are out of range: an hour's wait, a part of 4 GB.
-const MAX_PATIENCE_MS: f64 = 3_600_000.0;
+/// The longest class name, object name or tag, in bytes.
+const MAX_TOKEN_BYTES: usize = 128;
+/// Larger header values are rejected.
+const MAX_TIME_LIMIT_MS: f64 = 3_600_000.0;
 const MAX_SIZE_KB: f64 = 4_000_000.0;
 const MAX_PART: f64 = 1_000_000.0;
 const MAX_GROUP: f64 = 255.0;
 
-/// A request as the client worded it.
+/// A request for an object, as the client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
+    /// The client's id of the request: 16 hexadecimal digits.
     pub call_id: String,
+    /// Name of the request class.
     pub class: String,
+    /// Name of the object.
     pub object: String,
+    /// Number of the object's part.
     pub part: u32,
+    /// The object's group, by which it can be purged.
     pub group: u64,
+    /// How long the client waits for the response.
     pub time_limit: Duration,
+    /// Expected size of the response in kB; 0 if unknown.
     pub size_kb: f64,
-    /// The bare tag of the copy that the client has.
+    /// The entity tag, without quotes, of the copy that the client has.
     pub cached_tag: Option<String>,
 }
 
+/// An HTTP status with its reason phrase.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HttpStatus {
+    /// Status code.
+    pub code: u16,
+    /// Reason phrase.
+    pub reason: &'static str,
+}
+
+impl HttpStatus {
+    /// A status line's code and reason.
+    pub const fn new(code: u16, reason: &'static str) -> Self {
+        HttpStatus { code, reason }
+    }
+}
+
+/// What a request head asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ParsedRequest {
+    /// Whether the dispatcher can serve requests.
     HealthCheck,
+    /// An object.
     Fetch(Box<ClientRequest>),
-    /// What can't be taken, with the status that says why.
-    Invalid(u16, &'static str),
+    /// Nothing that can be served, with the status to respond.
+    Invalid(HttpStatus),
 }
 
+/// Whether a connection stays open after a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Persistence {
+    /// More requests may follow.
+    KeepAlive,
+    /// It ends with the response.
+    Close,
+}
+
+/// A request head.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
+    /// Bytes that the head takes.
     pub length: usize,
-    pub keep_alive: bool,
+    /// Whether the client keeps the connection open.
+    pub persistence: Persistence,
+    /// What it asks for.
     pub request: ParsedRequest,
 }
 
-/// Reads one head. None: it has not come whole yet.
+/// Reads one request head; none: it is not complete yet.
 pub fn decode_request(bytes: &[u8]) -> Option<RequestHead> {
     // Clients may send empty lines between requests.
     let blank = bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
-    let wrong = |status, why| {
-        Some(RequestHead {
-            length: bytes.len(),
-            keep_alive: false,
-            request: ParsedRequest::Invalid(status, why),
-        })
+    // Where the head ends can't be known: nothing after it is read.
+    let invalid = |code, reason| {
+        let request = ParsedRequest::Invalid(HttpStatus::new(code, reason));
+        Some(RequestHead { length: bytes.len(), persistence: Persistence::Close, request })
     };
     let length = match parsed.parse(&bytes[blank..]) {
         Ok(httparse::Status::Complete(length)) if blank + length <= MAX_HEAD_BYTES => blank + length,
         Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return None,
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return wrong(431, "head too long"),
-        Err(_) => return wrong(400, "malformed head"),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return invalid(431, "head too long"),
+        Err(_) => return invalid(400, "malformed head"),
     };
     let fields = Fields(parsed.headers);
-    // Each length counts, however it is written: what is taken for no body here may hide a request.
-    let lengths = fields.named("content-length");
-    if fields.named("transfer-encoding").next().is_some()
-        || lengths.map(<[u8]>::trim_ascii).any(|n| n != b"0")
-    {
-        // What follows can't be told from the next request.
-        return wrong(413, "a body where none belongs");
+    if fields.announce_body() {
+        return invalid(413, "a body where none belongs");
     }
-    let asked = fields.one("connection").ok().flatten().unwrap_or("").to_ascii_lowercase();
-    let named = |word: &str| asked.split(',').any(|token| token.trim() == word);
-    let keep_alive = if parsed.version == Some(1) { !named("close") } else { named("keep-alive") };
+    let persistence = fields.persistence(parsed.version);
     let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
-    let request =
-        request(method, target, &fields).unwrap_or_else(|(status, why)| ParsedRequest::Invalid(status, why));
-    Some(RequestHead { length, keep_alive, request })
-}
-
-struct Fields<'a>(&'a [httparse::Header<'a>]);
-
-impl<'a> Fields<'a> {
-    fn named<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a [u8]> + 's {
-        self.0.iter().filter(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
-    }
-
-    /// A field that may be there once; said twice it says nothing that can be relied on.
-    fn one(&self, name: &str) -> Result<Option<&'a str>, ()> {
-        let mut named = self.named(name);
-        match (named.next(), named.next()) {
-            (None, _) => Ok(None),
-            (Some(value), None) => std::str::from_utf8(value).map(|text| Some(text.trim())).map_err(|_| ()),
-            _ => Err(()),
-        }
-    }
-}
-
-/// A number in digits, with a point or without; what else `parse` would take is no figure of the protocol.
-fn decimal(text: &str, most: f64) -> Option<f64> {
-    let plain = text.starts_with(|first: char| first.is_ascii_digit())
-        && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    text.parse().ok().filter(|n| plain && *n <= most)
+    let request = parse_request(method, target, &fields).unwrap_or_else(ParsedRequest::Invalid);
+    Some(RequestHead { length, persistence, request })
 }
 
-/// A word that can stand on a host's line.
-fn token(text: &str) -> Option<String> {
-    let fits = |byte: u8| byte.is_ascii_graphic() && !b",=\"%;&?".contains(&byte);
-    (!text.is_empty() && text.len() <= MAX_TOKEN && text.bytes().all(fits)).then(|| text.to_string())
-}
-
-fn request(method: &str, target: &str, fields: &Fields) -> Result<ParsedRequest, (u16, &'static str)> {
-    let (path, arguments) = target.split_once('?').unwrap_or((target, ""));
-    let names = path.strip_prefix("/invoke/").and_then(|rest| rest.split_once('/'));
-    if path != "/_health" && names.is_none() {
-        return Err((404, "unknown path"));
-    }
-    if method != "GET" {
-        return Err((405, "unknown method"));
-    }
-    let Some((class, object)) = names else { return Ok(ParsedRequest::HealthCheck) };
-    let part = match arguments.strip_prefix("part=") {
-        _ if arguments.is_empty() => Some(0.0),
-        part => part.and_then(|part| decimal(part, MAX_PART)).filter(|part| part.fract() == 0.0),
-    };
-    let call_id = fields.one("x-call-id").ok().flatten();
-    let call_id = call_id.filter(|id| id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()));
-    let figure = |name: &'static str, most: f64| {
-        let text = fields.one(name).map_err(|_| (400, name))?;
-        text.map(|text| decimal(text, most).ok_or((400, name))).transpose()
-    };
-    let time_limit = figure("X-Patience-Ms", MAX_PATIENCE_MS)?.ok_or((400, "X-Patience-Ms"))?;
-    let size_kb = figure("X-Heap-Kb", MAX_SIZE_KB)?.unwrap_or(0.0);
-    let group = figure("X-Group", MAX_GROUP)?.filter(|group| group.fract() == 0.0);
-    let cached_tag = fields.one("if-none-match").map_err(|_| (400, "If-None-Match"))?;
-    let tag = |text: &str| text.trim_start_matches("W/").strip_prefix('"')?.strip_suffix('"').and_then(token);
-    Ok(ParsedRequest::Fetch(Box::new(ClientRequest {
-        call_id: call_id.ok_or((400, "X-Call-Id"))?.to_string(),
-        class: token(class).ok_or((400, "class"))?,
-        object: token(object).filter(|object| !object.contains('/')).ok_or((400, "object"))?,
-        part: part.ok_or((400, "part"))? as u32,
-        group: group.ok_or((400, "X-Group"))? as u64,
-        time_limit: Duration::from_secs_f64(time_limit / 1e3),
-        size_kb,
-        // A tag that can't be passed on is as good as none.
-        cached_tag: cached_tag.and_then(tag),
-    })))
-}
-
-/// The one answer to a request, and what is said to other requests.
+/// A response to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
+    /// The object.
     Succeeded {
+        /// Entity tag without quotes; empty if unknown.
         tag: String,
+        /// The object's bytes.
         body: Vec<u8>,
     },
-    /// The client's copy is the one that would be served.
+    /// The client's copy is current.
     NotModified {
+        /// Entity tag without quotes; empty if unknown.
         tag: String,
     },
+    /// Load was shed.
     Rejected {
+        /// How long the client is told to wait before it tries again.
         retry_after: Option<Duration>,
     },
+    /// No attempt succeeded in time.
     Failed,
+    /// The dispatcher can serve requests.
     Healthy,
-    Invalid(u16, &'static str),
+    /// The request can't be served as it is.
+    Invalid(HttpStatus),
 }
 
-/// The head of an answer; the body, if there is one, follows it.
-pub fn encode_response(response: &Response, keep_alive: bool) -> Vec<u8> {
-    let (status, reason) = match response {
-        Response::Succeeded { .. } | Response::Healthy => (200, "OK"),
-        Response::NotModified { .. } => (304, "Not Modified"),
-        Response::Rejected { .. } => (503, "Service Unavailable"),
-        Response::Failed => (502, "Bad Gateway"),
-        Response::Invalid(status, why) => (*status, *why),
-    };
-    let mut head = format!("HTTP/1.1 {status} {reason}\r\n");
+impl Response {
+    fn status(&self) -> HttpStatus {
+        match self {
+            Response::Succeeded { .. } | Response::Healthy => HttpStatus::new(200, "OK"),
+            Response::NotModified { .. } => HttpStatus::new(304, "Not Modified"),
+            Response::Rejected { .. } => HttpStatus::new(503, "Service Unavailable"),
+            Response::Failed => HttpStatus::new(502, "Bad Gateway"),
+            Response::Invalid(status) => *status,
+        }
+    }
+}
+
+/// Writes the head of a response; the body, if there is one, follows it.
+pub fn encode_response(response: &Response, persistence: Persistence) -> Vec<u8> {
+    let HttpStatus { code, reason } = response.status();
+    let mut head = format!("HTTP/1.1 {code} {reason}\r\n");
     let length = if let Response::Succeeded { body, .. } = response { body.len() } else { 0 };
     if !matches!(response, Response::NotModified { .. }) {
         head += &format!("Content-Length: {length}\r\n");
@@ -184,11 +160,136 @@
         Response::Succeeded { tag, .. } | Response::NotModified { tag } if !tag.is_empty() => {
             head += &format!("ETag: \"{tag}\"\r\n");
         }
-        Response::Rejected { retry_after: Some(retry_after) } => {
-            head += &format!("X-Come-Back-Ms: {}\r\n", retry_after.as_millis());
+        Response::Rejected { retry_after: Some(delay) } => {
+            head += &format!("X-Come-Back-Ms: {}\r\n", delay.as_millis());
         }
         _ => {}
     }
-    head += if keep_alive { "\r\n" } else { "Connection: close\r\n\r\n" };
+    head += match persistence {
+        Persistence::KeepAlive => "\r\n",
+        Persistence::Close => "Connection: close\r\n\r\n",
+    };
     head.into_bytes()
 }
+
+/// A header field that appears twice or is not text.
+struct UnusableField;
+
+struct Fields<'a>(&'a [httparse::Header<'a>]);
+
+impl<'a> Fields<'a> {
+    fn all<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a [u8]> + 's {
+        self.0.iter().filter(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
+    }
+
+    /// A field that may appear at most once.
+    fn single(&self, name: &str) -> Result<Option<&'a str>, UnusableField> {
+        let mut values = self.all(name);
+        match (values.next(), values.next()) {
+            (None, _) => Ok(None),
+            (Some(value), None) => {
+                let text = std::str::from_utf8(value).map_err(|_| UnusableField)?;
+                Ok(Some(text.trim()))
+            }
+            _ => Err(UnusableField),
+        }
+    }
+
+    /// A decimal number up to `max`; a value that is none is rejected with the field's name as reason.
+    fn number(&self, name: &'static str, max: f64) -> Result<Option<f64>, HttpStatus> {
+        let invalid = HttpStatus::new(400, name);
+        let text = self.single(name).map_err(|_| invalid)?;
+        text.map(|text| parse_decimal(text, max).ok_or(invalid)).transpose()
+    }
+
+    /// Whether a body follows the head. Every `Content-Length` counts, as a body that is taken for none could hide a
+    /// request.
+    fn announce_body(&self) -> bool {
+        let mut lengths = self.all("content-length").map(<[u8]>::trim_ascii);
+        self.all("transfer-encoding").next().is_some() || lengths.any(|length| length != b"0")
+    }
+
+    fn persistence(&self, minor_version: Option<u8>) -> Persistence {
+        let connection = self.single("connection").ok().flatten().unwrap_or("").to_ascii_lowercase();
+        let has_token = |wanted: &str| connection.split(',').any(|token| token.trim() == wanted);
+        let keep_alive = if minor_version == Some(1) { !has_token("close") } else { has_token("keep-alive") };
+        if keep_alive {
+            Persistence::KeepAlive
+        } else {
+            Persistence::Close
+        }
+    }
+}
+
+fn parse_request(method: &str, target: &str, fields: &Fields) -> Result<ParsedRequest, HttpStatus> {
+    let (path, arguments) = target.split_once('?').unwrap_or((target, ""));
+    let names = path.strip_prefix("/invoke/").and_then(|rest| rest.split_once('/'));
+    if path != "/_health" && names.is_none() {
+        return Err(HttpStatus::new(404, "unknown path"));
+    }
+    if method != "GET" {
+        return Err(HttpStatus::new(405, "unknown method"));
+    }
+    match names {
+        None => Ok(ParsedRequest::HealthCheck),
+        Some((class, object)) => {
+            let request = parse_fetch(class, object, arguments, fields)?;
+            Ok(ParsedRequest::Fetch(Box::new(request)))
+        }
+    }
+}
+
+fn parse_fetch(
+    class: &str,
+    object: &str,
+    arguments: &str,
+    fields: &Fields,
+) -> Result<ClientRequest, HttpStatus> {
+    let bad = |reason| HttpStatus::new(400, reason);
+    let call_id = fields.single("x-call-id").ok().flatten();
+    let call_id = call_id.filter(|id| id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit()));
+    let time_limit_ms = fields.number("X-Patience-Ms", MAX_TIME_LIMIT_MS)?.ok_or(bad("X-Patience-Ms"))?;
+    let size_kb = fields.number("X-Heap-Kb", MAX_SIZE_KB)?.unwrap_or(0.0);
+    let group = fields.number("X-Group", MAX_GROUP)?.filter(|group| group.fract() == 0.0);
+    let cached_tag = fields.single("if-none-match").map_err(|_| bad("If-None-Match"))?;
+    Ok(ClientRequest {
+        call_id: call_id.ok_or(bad("X-Call-Id"))?.to_string(),
+        class: parse_token(class).ok_or(bad("class"))?,
+        object: parse_token(object).filter(|object| !object.contains('/')).ok_or(bad("object"))?,
+        part: parse_part(arguments).ok_or(bad("part"))?,
+        group: group.ok_or(bad("X-Group"))? as u64,
+        time_limit: Duration::from_secs_f64(time_limit_ms / 1e3),
+        size_kb,
+        // A tag that can't be passed on to a host is ignored.
+        cached_tag: cached_tag.and_then(parse_tag),
+    })
+}
+
+/// The part that the target's arguments name; 0 without arguments.
+fn parse_part(arguments: &str) -> Option<u32> {
+    if arguments.is_empty() {
+        return Some(0);
+    }
+    let part = parse_decimal(arguments.strip_prefix("part=")?, MAX_PART)?;
+    (part.fract() == 0.0).then_some(part as u32)
+}
+
+/// The content of a weak or strong entity tag.
+fn parse_tag(text: &str) -> Option<String> {
+    let quoted = text.trim_start_matches("W/").strip_prefix('"')?;
+    quoted.strip_suffix('"').and_then(parse_token)
+}
+
+/// A number in digits, with or without a decimal point: no sign, no exponent.
+fn parse_decimal(text: &str, max: f64) -> Option<f64> {
+    let is_plain = text.starts_with(|first: char| first.is_ascii_digit())
+        && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    text.parse().ok().filter(|number| is_plain && *number <= max)
+}
+
+/// A name that can be part of a line to a host.
+fn parse_token(text: &str) -> Option<String> {
+    let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b",=\"%;&?".contains(&byte);
+    let fits = !text.is_empty() && text.len() <= MAX_TOKEN_BYTES && text.bytes().all(is_allowed);
+    fits.then(|| text.to_string())
+}
--- a/crates/rockflow-protocol/src/lib.rs
+++ b/crates/rockflow-protocol/src/lib.rs
@@ -1,4 +1,8 @@
-//! Codecs of the dispatcher's three protocols, without I/O: bytes in, messages out, and the other way round.
+//! Codecs of the dispatcher's three protocols, without I/O: the one place that knows the words on the wire.
+//!
+//! - [`client`]: HTTP/1.1 between clients and the dispatcher.
+//! - [`upstream`]: the line protocol between the dispatcher and its hosts.
+//! - [`discovery`]: the event stream of the discovery service (the protocol calls it the board).
 
 pub mod buffer;
 pub mod client;
@@ -7,5 +11,5 @@
 
 pub use buffer::Buffer;
 
-/// The largest object that the protocol knows, and so the longest body either way.
-pub const MAX_BODY: usize = 240_000;
+/// The longest body of an object, in bytes, in either direction.
+pub const MAX_BODY_BYTES: usize = 240_000;
--- a/crates/rockflow-protocol/src/upstream.rs
+++ b/crates/rockflow-protocol/src/upstream.rs
@@ -1,33 +1,49 @@
-//! The lines between a dispatcher and its hosts: requests out, answers in.
+//! The line protocol between the dispatcher and its hosts: requests out, responses in.
 
-use crate::MAX_BODY;
+use crate::MAX_BODY_BYTES;
 use std::time::Duration;
+use thiserror::Error;
 
-/// The longest line of an answer that is read.
+/// The longest line of a response, in bytes.
 pub const MAX_LINE_BYTES: usize = 4096;
-/// What a connection to a host must be able to hold: one answer.
-pub const MAX_RESPONSE_BYTES: usize = MAX_LINE_BYTES + MAX_BODY + 2;
+/// The longest response, in bytes: its line, its body and the line end after it.
+pub const MAX_RESPONSE_BYTES: usize = MAX_LINE_BYTES + MAX_BODY_BYTES + 2;
 
-/// What a attempt asks of a host, in the protocol's terms.
+/// A request to a host for an object.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FetchRequest<'a> {
+    /// Id that the response repeats.
     pub id: &'a str,
+    /// Name of the request class.
     pub class: &'a str,
+    /// Name of the object.
     pub object: &'a str,
+    /// Number of the object's part.
     pub part: u32,
+    /// How long the dispatcher waits for the response.
     pub timeout: Duration,
+    /// Name of the host from which the object may be filled.
     pub source: Option<&'a str>,
+    /// Cache priority; 0: the host's default.
     pub cache_priority: u8,
+    /// Maximum age of a copy that may be served; none: its fresh lifetime.
     pub max_age: Option<Duration>,
+    /// Fills of the same object may share one transfer.
     pub coalesce: bool,
+    /// The source responds only from its own cache.
     pub cached_at_source_only: bool,
+    /// The object is not stored at the parent through which it passes.
     pub no_store_at_parent: bool,
+    /// The copy is revalidated at the source.
     pub revalidate: bool,
+    /// Entity tag of the client's copy.
     pub cached_tag: Option<&'a str>,
 }
 
 impl FetchRequest<'_> {
+    /// The request as it goes out.
     pub fn encode(&self) -> Vec<u8> {
+        // Rounded down, but not to 0, which would stand for the default.
         let millis = |span: Duration| span.as_millis().max(1);
         let mut line = format!("want {} c={},k={},p={}", self.id, self.class, self.object, self.part);
         line += &format!(",w={}", millis(self.timeout));
@@ -38,58 +54,96 @@
             line += &format!(",rank={}", self.cache_priority);
         }
         if let Some(max_age) = self.max_age {
-            // Rounded down, but not to 0, which would stand for the fresh time.
             line += &format!(",oldest={}", millis(max_age));
         }
-        let words = [
+        let modes = self.modes();
+        if !modes.is_empty() {
+            line += &format!(",mode={}", modes.join("+"));
+        }
+        if let Some(cached_tag) = self.cached_tag {
+            line += &format!(",seen={cached_tag}");
+        }
+        line += " 0\r\n\r\n";
+        line.into_bytes()
+    }
+
+    fn modes(&self) -> Vec<&'static str> {
+        let modes = [
             (self.coalesce, "coalesce"),
             (self.cached_at_source_only, "shallow"),
             (self.no_store_at_parent, "transit"),
             (self.revalidate, "freshen"),
         ];
-        let words: Vec<_> = words.iter().filter(|(on, _)| *on).map(|(_, status)| *status).collect();
-        if !words.is_empty() {
-            line += &format!(",mode={}", words.join("+"));
-        }
-        if let Some(cached_tag) = self.cached_tag {
-            line += &format!(",seen={cached_tag}");
-        }
-        (line + " 0\r\n\r\n").into_bytes()
+        modes.into_iter().filter(|(is_set, _)| *is_set).map(|(_, mode)| mode).collect()
     }
 }
 
+/// The cancellation of a request.
 pub fn encode_cancel(id: &str) -> Vec<u8> {
     format!("never_mind {id}\r\n").into_bytes()
 }
 
-/// Asks whether a host is there; with its load report where there is one.
-pub fn encode_health_check(tag: &str, load: bool) -> Vec<u8> {
-    format!("{} {tag}\r\n", if load { "busy" } else { "there" }).into_bytes()
+/// What a health check asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HealthCheckKind {
+    /// Whether the host responds.
+    Liveness,
+    /// Its load report too.
+    LoadReport,
 }
 
+/// A health check; the response repeats `tag`.
+pub fn encode_health_check(tag: &str, kind: HealthCheckKind) -> Vec<u8> {
+    let word = match kind {
+        HealthCheckKind::Liveness => "there",
+        HealthCheckKind::LoadReport => "busy",
+    };
+    format!("{word} {tag}\r\n").into_bytes()
+}
+
+/// The status of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
+    /// The object follows.
     Data,
+    /// The client's copy is current.
     NotModified,
+    /// The host does not have the object.
     NotFound,
+    /// The host has no capacity left.
     Overloaded,
+    /// The host could not execute the request.
     Failed,
+    /// The request was cancelled or expired before it was executed.
     NotExecuted,
+    /// A health check succeeded.
     Healthy,
+    /// A health check failed.
     Unhealthy,
 }
 
+/// How a host came by the object, or why it did not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CacheNote {
+    /// From its cache.
     Hit,
+    /// Filled from the source.
     Filled,
+    /// The source filled it from the origin.
     FilledByOrigin,
+    /// Shared the transfer of another request.
     Coalesced,
+    /// A stale copy.
     Stale,
+    /// The source rejected the fill.
     SourceRejected,
+    /// The source could not be reached.
     SourceUnreachable,
+    /// The source does not have the object.
     SourceMiss,
+    /// No capacity for another fill.
     NoFillCapacity,
+    /// The origin failed.
     OriginFailed,
 }
 
@@ -117,81 +171,172 @@
     ("backfire", CacheNote::OriginFailed),
 ];
 
+/// One value of a load report.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LoadValue {
+    /// Its name, as the settings have it.
+    pub name: String,
+    /// Its value, in the unit that the name implies.
+    pub value: f32,
+}
+
+/// A response of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostResponse {
+    /// Id of the request, or tag of the health check.
     pub id: String,
+    /// Its status.
     pub status: Status,
+    /// How the host came by the object.
     pub cache_note: Option<CacheNote>,
+    /// How long the request waited for a fill.
     pub fill_wait: Duration,
+    /// Entity tag; empty if unknown.
     pub tag: String,
-    /// Unix milliseconds at which the origin gave the copy out.
+    /// Unix milliseconds at which the origin served the copy.
     pub created_at_ms: Option<u64>,
-    pub load: Vec<(String, f32)>,
+    /// The load report of a health check.
+    pub load: Vec<LoadValue>,
+    /// The object's bytes.
     pub body: Vec<u8>,
 }
 
-fn find<T: Copy>(table: &[(&str, T)], text: &str) -> Option<T> {
-    table.iter().find(|(status, _)| *status == text).map(|(_, value)| *value)
+/// A response that was read, and the bytes that it took.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedResponse {
+    /// Bytes from the start of the input.
+    pub length: usize,
+    /// The response.
+    pub response: HostResponse,
 }
 
-/// Reads one answer and says how many bytes it took. None: it has not come whole yet.
-pub fn decode_response(bytes: &[u8]) -> Result<Option<(usize, HostResponse)>, String> {
+/// Why what a host sent is no response. The connection can't be used any more.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// No line end within [`MAX_LINE_BYTES`].
+    #[error("a line without end")]
+    EndlessLine,
+    /// A line that ends in a bare line feed.
+    #[error("a line that does not end in CR LF")]
+    BareLineFeed,
+    /// A line that is not UTF-8.
+    #[error("a line that is no text")]
+    NotText,
+    /// A line with another number of words.
+    #[error("not four words: {0:?}")]
+    WordCount(String),
+    /// A status that the protocol doesn't know.
+    #[error("unknown word {0:?}")]
+    UnknownStatus(String),
+    /// A length that is no number.
+    #[error("length {0:?}")]
+    InvalidLength(String),
+    /// A body of more than [`MAX_BODY_BYTES`].
+    #[error("a body of {0} bytes")]
+    BodyTooLong(usize),
+    /// A body that goes on after its announced length.
+    #[error("a body that is longer than its length")]
+    UnterminatedBody,
+    /// A field without value, or with an unusable one.
+    #[error("field {0:?}")]
+    InvalidField(String),
+}
+
+/// Reads one response; none: it is not complete yet.
+pub fn decode_response(bytes: &[u8]) -> Result<Option<DecodedResponse>, DecodeError> {
     let Some(line_end) = bytes.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') else {
-        return if bytes.len() < MAX_LINE_BYTES { Ok(None) } else { Err("a line without end".to_string()) };
-    };
-    let line = bytes[..line_end].strip_suffix(b"\r").ok_or("a line that does not end in CR LF")?;
-    let line = std::str::from_utf8(line).map_err(|_| "a line that is no text")?;
-    let mut words = line.split(' ');
-    let (Some(id), Some(status), Some(fields), Some(length), None) =
-        (words.next(), words.next(), words.next(), words.next(), words.next())
-    else {
-        return Err(format!("not four words: {line:?}"));
+        return if bytes.len() < MAX_LINE_BYTES { Ok(None) } else { Err(DecodeError::EndlessLine) };
     };
-    let status = find(&STATUSES, status).ok_or_else(|| format!("unknown word {status:?}"))?;
-    let digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
-    let length: usize = length.parse().ok().filter(|_| digits).ok_or_else(|| format!("length {length:?}"))?;
-    if length > MAX_BODY {
-        return Err(format!("a body of {length} bytes"));
+    let line = bytes[..line_end].strip_suffix(b"\r").ok_or(DecodeError::BareLineFeed)?;
+    let line = std::str::from_utf8(line).map_err(|_| DecodeError::NotText)?;
+    let line = ResponseLine::parse(line)?;
+    let body_start = line_end + 1;
+    let body_end = body_start + line.length;
+    let Some(terminator) = bytes.get(body_end..body_end + 2) else { return Ok(None) };
+    if terminator != b"\r\n" {
+        return Err(DecodeError::UnterminatedBody);
     }
-    let (from, to) = (line_end + 1, line_end + 1 + length);
-    let Some(end) = bytes.get(to..to + 2) else { return Ok(None) };
-    if end != b"\r\n" {
-        return Err("a body that is longer than its length".to_string());
+    let response = line.into_response(&bytes[body_start..body_end])?;
+    Ok(Some(DecodedResponse { length: body_end + 2, response }))
+}
+
+/// The line of a response, with its fields not read yet.
+struct ResponseLine<'a> {
+    id: &'a str,
+    status: Status,
+    fields: &'a str,
+    /// Bytes of the body.
+    length: usize,
+}
+
+impl<'a> ResponseLine<'a> {
+    fn parse(line: &'a str) -> Result<Self, DecodeError> {
+        let mut words = line.split(' ');
+        let (Some(id), Some(status), Some(fields), Some(length), None) =
+            (words.next(), words.next(), words.next(), words.next(), words.next())
+        else {
+            return Err(DecodeError::WordCount(line.to_string()));
+        };
+        let status =
+            lookup(&STATUSES, status).ok_or_else(|| DecodeError::UnknownStatus(status.to_string()))?;
+        let length = parse_length(length)?;
+        Ok(ResponseLine { id, status, fields, length })
     }
-    let mut response = HostResponse {
-        id: id.to_string(),
-        status,
-        cache_note: None,
-        fill_wait: Duration::ZERO,
-        tag: String::new(),
-        created_at_ms: None,
-        load: Vec::new(),
-        body: bytes[from..to].to_vec(),
-    };
-    for field in fields.split(',').filter(|_| fields != "-") {
-        let (name, value) = field.split_once('=').ok_or_else(|| format!("field {field:?}"))?;
-        let bad = || format!("field {field:?}");
-        match name {
-            "note" => response.cache_note = Some(find(&CACHE_NOTES, value).ok_or_else(bad)?),
-            "waited" => {
-                let millis = value.parse::<f64>().map_err(|_| bad())?;
-                response.fill_wait = Duration::try_from_secs_f64(millis / 1e3).map_err(|_| bad())?;
-            }
-            "ver" => response.tag = value.to_string(),
-            "born" => {
-                response.created_at_ms = Some(
-                    value.parse::<f64>().ok().filter(|created_at_ms| *created_at_ms >= 0.0).ok_or_else(bad)?
-                        as u64,
-                )
-            }
-            "load" => {
-                for value in value.split(';') {
-                    let (name, value) = value.split_once(':').ok_or_else(bad)?;
-                    response.load.push((name.to_string(), value.parse().map_err(|_| bad())?));
-                }
+
+    fn into_response(self, body: &[u8]) -> Result<HostResponse, DecodeError> {
+        let mut response = HostResponse {
+            id: self.id.to_string(),
+            status: self.status,
+            cache_note: None,
+            fill_wait: Duration::ZERO,
+            tag: String::new(),
+            created_at_ms: None,
+            load: Vec::new(),
+            body: body.to_vec(),
+        };
+        for field in self.fields.split(',').filter(|_| self.fields != "-") {
+            read_field(&mut response, field).ok_or_else(|| DecodeError::InvalidField(field.to_string()))?;
+        }
+        Ok(response)
+    }
+}
+
+fn parse_length(text: &str) -> Result<usize, DecodeError> {
+    let is_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    let length = text.parse().ok().filter(|_| is_digits);
+    let length = length.ok_or_else(|| DecodeError::InvalidLength(text.to_string()))?;
+    if length > MAX_BODY_BYTES {
+        return Err(DecodeError::BodyTooLong(length));
+    }
+    Ok(length)
+}
+
+/// Reads one field into the response; none: it has no value, or an unusable one. Unknown fields are ignored.
+fn read_field(response: &mut HostResponse, field: &str) -> Option<()> {
+    let (name, value) = field.split_once('=')?;
+    match name {
+        "note" => response.cache_note = Some(lookup(&CACHE_NOTES, value)?),
+        "waited" => {
+            let millis = value.parse::<f64>().ok()?;
+            response.fill_wait = Duration::try_from_secs_f64(millis / 1e3).ok()?;
+        }
+        "ver" => response.tag = value.to_string(),
+        "born" => {
+            let created_at = value.parse::<f64>().ok().filter(|millis| *millis >= 0.0)?;
+            response.created_at_ms = Some(created_at as u64);
+        }
+        "load" => {
+            for entry in value.split(';') {
+                let (name, value) = entry.split_once(':')?;
+                let value = value.parse().ok()?;
+                response.load.push(LoadValue { name: name.to_string(), value });
             }
-            _ => {}
         }
+        _ => {}
     }
-    Ok(Some((to + 2, response)))
+    Some(())
+}
+
+fn lookup<T: Copy>(table: &[(&str, T)], text: &str) -> Option<T> {
+    table.iter().find(|(word, _)| *word == text).map(|(_, value)| *value)
 }
--- a/crates/rockflow-protocol/tests/codecs.rs
+++ b/crates/rockflow-protocol/tests/codecs.rs
@@ -1,24 +1,26 @@
 //! The codecs byte by byte: at every split, with what is malformed, and with junk from a fixed seed.
 
-use rockflow_protocol::client::{self, ParsedRequest, Response};
-use rockflow_protocol::discovery::{WatchEvent, WatchStream};
-use rockflow_protocol::upstream::{self, CacheNote, FetchRequest, Status};
+use rockflow_protocol::client::{self, ParsedRequest, Persistence, Response};
+use rockflow_protocol::discovery::{self, WatchEvent, WatchStream};
+use rockflow_protocol::upstream::{
+    self, CacheNote, DecodedResponse, FetchRequest, HealthCheckKind, LoadValue, Status,
+};
 use rockflow_protocol::Buffer;
 use std::time::Duration;
 use test_case::test_case;
 
-const ASK: &str = "GET /invoke/pages/7f3a9c21e0b4d655?part=3 HTTP/1.1\r\nHost: backend.local\r\n\
+const REQUEST: &str = "GET /invoke/pages/7f3a9c21e0b4d655?part=3 HTTP/1.1\r\nHost: backend.local\r\n\
     X-Call-Id: 9b1f03aa5c7e2d41\r\nX-Patience-Ms: 1500\r\nX-Group: 17\r\nX-Heap-Kb: 412.5\r\n\
     If-None-Match: \"4be0c1927d55a6f3\"\r\n\r\n";
 
 #[test]
-fn a_request_is_read_only_when_its_last_byte_is_there() {
-    for cut in 0..ASK.len() {
-        assert_eq!(client::decode_request(&ASK.as_bytes()[..cut]), None, "cut at {cut}");
+fn decodes_request_only_when_complete() {
+    for cut in 0..REQUEST.len() {
+        assert_eq!(client::decode_request(&REQUEST.as_bytes()[..cut]), None, "cut at {cut}");
     }
-    let two = format!("{ASK}{ASK}");
+    let two = format!("{REQUEST}{REQUEST}");
     let head = client::decode_request(two.as_bytes()).expect("whole");
-    assert_eq!((head.length, head.keep_alive), (ASK.len(), true));
+    assert_eq!((head.length, head.persistence), (REQUEST.len(), Persistence::KeepAlive));
     let ParsedRequest::Fetch(request) = head.request else { panic!("{:?}", head.request) };
     assert_eq!(
         (request.class.as_str(), request.object.as_str(), request.part),
@@ -31,12 +33,12 @@
     assert_eq!(request.cached_tag.as_deref(), Some("4be0c1927d55a6f3"));
 }
 
-#[test_case("HTTP/1.1\r\n", "HTTP/1.1\r\nConnection: close\r\n", Some(false); "closed on the client's word")]
-#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\n", Some(false); "an old client closes")]
-#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\nConnection: Keep-Alive\r\n", Some(true); "an old client keeps it open")]
-#[test_case("GET", "\r\nGET", Some(true); "an empty line before")]
-#[test_case("\"4be0c1927d55a6f3\"", "junk, \"x\"", Some(true); "a tag that can't be passed on")]
-#[test_case("X-Heap-Kb: 412.5\r\n", "", Some(true); "no size told")]
+#[test_case("HTTP/1.1\r\n", "HTTP/1.1\r\nConnection: close\r\n", Some(Persistence::Close); "closed on the client's word")]
+#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\n", Some(Persistence::Close); "an old client closes")]
+#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\nConnection: Keep-Alive\r\n", Some(Persistence::KeepAlive); "an old client keeps it open")]
+#[test_case("GET", "\r\nGET", Some(Persistence::KeepAlive); "an empty line before")]
+#[test_case("\"4be0c1927d55a6f3\"", "junk, \"x\"", Some(Persistence::KeepAlive); "a tag that can't be passed on")]
+#[test_case("X-Heap-Kb: 412.5\r\n", "", Some(Persistence::KeepAlive); "no size told")]
 #[test_case("X-Call-Id: 9b", "X-Call-Id: zz", None; "a call id that is no number")]
 #[test_case("X-Patience-Ms: 1500\r\n", "", None; "no patience")]
 #[test_case("X-Patience-Ms: 1500", "X-Patience-Ms: NaN", None; "absurd patience")]
@@ -56,23 +58,24 @@
 #[test_case("X-Group", "Content-Length: 4\r\nX-Group", None; "a body where none belongs")]
 #[test_case("X-Group", "Content-Length: 0\r\nContent-Length: 44\r\nX-Group", None; "a body behind none")]
 #[test_case("X-Group", "Content-Length: \u{e9}\r\nX-Group", None; "a length that is no text")]
-#[test_case("X-Group", "Content-Length: 0\r\nX-Group", Some(true); "no body, said so")]
+#[test_case("X-Group", "Content-Length: 0\r\nX-Group", Some(Persistence::KeepAlive); "no body, said so")]
 #[test_case("X-Group", "Transfer-Encoding: chunked\r\nX-Group", None; "a chunked body")]
 #[test_case("Host", "Ho st", None; "a malformed head")]
-fn heads(from: &str, to: &str, keep_alive: Option<bool>) {
-    let head = client::decode_request(ASK.replacen(from, to, 1).as_bytes()).expect("whole");
-    match (head.request, keep_alive) {
-        (ParsedRequest::Fetch(_), Some(keep_alive)) => assert_eq!(head.keep_alive, keep_alive),
-        (ParsedRequest::Invalid(status, _), None) => assert!((400..500).contains(&status)),
+fn decodes_or_rejects_request_head(from: &str, to: &str, expected: Option<Persistence>) {
+    let head = client::decode_request(REQUEST.replacen(from, to, 1).as_bytes()).expect("whole");
+    match (head.request, expected) {
+        (ParsedRequest::Fetch(_), Some(persistence)) => assert_eq!(head.persistence, persistence),
+        (ParsedRequest::Invalid(status), None) => assert!((400..500).contains(&status.code)),
         (other, _) => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_head_without_end_is_not_read_for_ever() {
+fn rejects_head_past_its_limit() {
     let long = format!("GET /_health HTTP/1.1\r\nX: {}", "x".repeat(client::MAX_HEAD_BYTES));
     let head = client::decode_request(long.as_bytes()).expect("given up");
-    assert!(matches!(head.request, ParsedRequest::Invalid(431, _)) && !head.keep_alive);
+    assert!(matches!(head.request, ParsedRequest::Invalid(status) if status.code == 431));
+    assert_eq!(head.persistence, Persistence::Close);
 }
 
 #[test_case(Response::Succeeded { tag: "t1".into(), body: vec![7; 3] }, "200 OK\r\nContent-Length: 3\r\nETag: \"t1\"\r\n")]
@@ -80,17 +83,36 @@
 #[test_case(Response::Rejected { retry_after: Some(Duration::from_millis(250)) },
     "503 Service Unavailable\r\nContent-Length: 0\r\nX-Come-Back-Ms: 250\r\n")]
 #[test_case(Response::Failed, "502 Bad Gateway\r\nContent-Length: 0\r\n")]
-fn answers(answer: Response, head: &str) {
+fn encodes_response_head(answer: Response, head: &str) {
     assert_eq!(
-        String::from_utf8(client::encode_response(&answer, true)).unwrap(),
+        String::from_utf8(client::encode_response(&answer, Persistence::KeepAlive)).unwrap(),
         format!("HTTP/1.1 {head}\r\n")
     );
-    let last = client::encode_response(&answer, false);
+    let last = client::encode_response(&answer, Persistence::Close);
     assert_eq!(String::from_utf8(last).unwrap(), format!("HTTP/1.1 {head}Connection: close\r\n\r\n"));
 }
 
+fn load(name: &str, value: f32) -> LoadValue {
+    LoadValue { name: name.to_string(), value }
+}
+
+#[test]
+fn encodes_watch_request() {
+    let request = discovery::encode_watch_request("127.0.0.1:9000", 41);
+    let expected = "GET /board/poll HTTP/1.1\r\nHost: 127.0.0.1:9000\r\nLast-Event-ID: 41\r\n\
+        Accept: text/event-stream\r\nConnection: close\r\n\r\n";
+    assert_eq!(String::from_utf8(request).unwrap(), expected);
+}
+
+#[test]
+fn encodes_cancellation_and_health_checks() {
+    assert_eq!(upstream::encode_cancel("9b"), b"never_mind 9b\r\n");
+    assert_eq!(upstream::encode_health_check("7", HealthCheckKind::Liveness), b"there 7\r\n");
+    assert_eq!(upstream::encode_health_check("7", HealthCheckKind::LoadReport), b"busy 7\r\n");
+}
+
 #[test]
-fn a_want_names_only_what_is_asked() {
+fn encodes_only_the_fields_that_are_set() {
     let bare = FetchRequest { id: "9b", class: "pages", object: "7f", part: 3, ..FetchRequest::default() };
     assert_eq!(bare.encode(), b"want 9b c=pages,k=7f,p=3,w=1 0\r\n\r\n");
     let full = FetchRequest {
@@ -109,14 +131,15 @@
 }
 
 #[test]
-fn an_answer_is_read_only_when_its_last_byte_is_there() {
+fn decodes_host_response_only_when_complete() {
     let line =
         b"9b data note=deep_fill,waited=12.5,ver=t1,born=1764576000123,new=1,load=inflight:7;util:0.61 4\r\n";
     let bytes = [&line[..], b"\r\nab\r\n9c"].concat();
     for cut in 0..line.len() + 6 {
         assert_eq!(upstream::decode_response(&bytes[..cut]), Ok(None), "cut at {cut}");
     }
-    let (length, answer) = upstream::decode_response(&bytes).unwrap().expect("whole");
+    let DecodedResponse { length, response: answer } =
+        upstream::decode_response(&bytes).unwrap().expect("whole");
     assert_eq!(
         (length, answer.status, answer.cache_note),
         (line.len() + 6, Status::Data, Some(CacheNote::FilledByOrigin))
@@ -126,7 +149,7 @@
         (Duration::from_micros(12_500), Some(1_764_576_000_123))
     );
     assert_eq!((answer.tag.as_str(), &answer.body[..]), ("t1", &b"\r\nab"[..]));
-    assert_eq!(answer.load, [("inflight".to_string(), 7.0), ("util".to_string(), 0.61)]);
+    assert_eq!(answer.load, [load("inflight", 7.0), load("util", 0.61)]);
 }
 
 #[test_case("9b gone - 0\r\n\r\n"; "an unknown word")]
@@ -138,7 +161,7 @@
 #[test_case("9b data 0\r\n\r\n"; "three words")]
 #[test_case("9b data waited=x 0\r\n\r\n"; "a field that does not parse")]
 #[test_case("9b data - 0\n\n"; "a bare line feed")]
-fn answers_that_end_the_connection(bytes: &str) {
+fn rejects_malformed_host_response(bytes: &str) {
     assert!(upstream::decode_response(bytes.as_bytes()).is_err());
 }
 
@@ -146,7 +169,7 @@
     ": hello\n\nid: 41\ndata: {\"rev\":41,\"pool\":{\"generation\":7,\"reset\":false,\"instances\":[]}}\n\n\
     id: 42\r\ndata: {\"rev\":42,\r\ndata: \"flush\":{\"asset\":\"7f\",\"ms\":1764576000123}}\r\n\r\n";
 
-fn read(parts: &[&[u8]]) -> Result<Vec<WatchEvent>, String> {
+fn decode_stream(parts: &[&[u8]]) -> Result<Vec<WatchEvent>, discovery::DecodeError> {
     let (mut stream, mut held, mut events) = (WatchStream::default(), Vec::new(), Vec::new());
     for part in parts {
         held.extend_from_slice(part);
@@ -158,7 +181,7 @@
 
 #[test_case(false; "to the end of the connection")]
 #[test_case(true; "in chunks")]
-fn notices_come_whole_at_every_split(chunked: bool) {
+fn decodes_events_at_every_split(chunked: bool) {
     let mut sent = String::from("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n");
     if chunked {
         sent += "Transfer-Encoding: chunked\r\n\r\n";
@@ -170,7 +193,7 @@
     }
     for cut in 0..sent.len() {
         let (a, b) = sent.as_bytes().split_at(cut);
-        let events = read(&[a, b]).expect("well formed");
+        let events = decode_stream(&[a, b]).expect("well formed");
         assert_eq!(events.iter().map(|event| event.revision).collect::<Vec<_>>(), [41, 42], "cut at {cut}");
         let purge = events[1].purge.as_ref().expect("a purge");
         assert_eq!(
@@ -185,14 +208,15 @@
 #[test_case("HTTP/1.1 200 OK\r\n\r\ndata: {\"rev\":\n\n"; "an event cut short")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"; "a chunk without a size")]
 #[test_case("junk\r\n\r\n"; "junk")]
-fn boards_that_are_left(sent: &str) {
-    assert!(read(&[sent.as_bytes()]).is_err());
+fn rejects_malformed_stream(sent: &str) {
+    assert!(decode_stream(&[sent.as_bytes()]).is_err());
 }
 
 #[test]
 fn junk_neither_panics_nor_stalls() {
     let mut chance = oorandom::Rand32::new(7);
-    let seeds = [ASK.to_string(), "9b data note=fill,waited=1 4\r\nabcd\r\n".to_string(), EVENTS.to_string()];
+    let seeds =
+        [REQUEST.to_string(), "9b data note=fill,waited=1 4\r\nabcd\r\n".to_string(), EVENTS.to_string()];
     for round in 0..30_000 {
         let mut bytes = seeds[round % 3].clone().into_bytes();
         for _ in 0..chance.rand_range(1..6) {
@@ -203,15 +227,15 @@
         if let Some(head) = client::decode_request(&bytes) {
             assert!(head.length > 0 && head.length <= bytes.len());
         }
-        if let Ok(Some((length, _))) = upstream::decode_response(&bytes) {
+        if let Ok(Some(DecodedResponse { length, .. })) = upstream::decode_response(&bytes) {
             assert!(length > 0 && length <= bytes.len());
         }
-        let _ = read(&[b"HTTP/1.1 200 OK\r\n\r\n", &bytes]);
+        let _ = decode_stream(&[b"HTTP/1.1 200 OK\r\n\r\n", &bytes]);
     }
 }
 
 #[test]
-fn a_buffer_grows_compacts_and_stops_at_its_cap() {
+fn buffer_grows_compacts_and_stops_at_its_cap() {
     let most = 10_000;
     let mut buffer = Buffer::new(most);
     let mut next = 0u8;
