--- a/crates/rockflow-cli/src/main.rs
+++ b/crates/rockflow-cli/src/main.rs
@@ -114,7 +114,7 @@
     fn read(&self) -> Result<Config, String> {
         let fault = |what: &dyn Display| format!("{}: {what}", self.config.display());
         let text = std::fs::read_to_string(&self.config).map_err(|what| fault(&what))?;
-        let mut told = Config::parse(&text).map_err(|what| fault(&what))?;
+        let mut told = Config::parse(&text).map_err(|what| fault(&what.to_string()))?;
         told.listen = self.listen.unwrap_or(told.listen);
         told.name = self.name.clone().unwrap_or(told.name);
         Ok(told)
--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -172,7 +172,7 @@
     for member in 0..MEMBERS {
         let log = rig.fleet.members[member].log();
         let last =
-            log.lines().rfind(|line| line.contains("effective") && field(line, "host") == Some("\"c2\""));
+            log.lines().rfind(|line| line.contains("effective") && field(line, "endpoint") == Some("\"c2\""));
         assert_eq!(last.and_then(|line| field(line, "state")), Some("Gone"), "n{member}");
     }
 }
--- a/crates/rockflow-cli/tests/rig/mod.rs
+++ b/crates/rockflow-cli/tests/rig/mod.rs
@@ -358,7 +358,7 @@
 pub fn effective(log: &str, host: &str, state: &str) -> usize {
     let says = |line: &&str| {
         line.contains("effective")
-            && field(line, "host") == Some(&format!("{host:?}"))
+            && field(line, "endpoint") == Some(&format!("{host:?}"))
             && field(line, "state") == Some(state)
     };
     log.lines().filter(says).count()
--- a/crates/rockflow-dispatcher/src/caps.rs
+++ b/crates/rockflow-dispatcher/src/caps.rs
@@ -1,41 +1,45 @@
-//! Caps on what is held, each derived from the told limits.
+//! Caps on what is held, derived from the configured limits.
 
 use crate::config::Limits;
 
-/// Descriptors besides connections: standard streams, epoll and wake-ups, listener, board, signals.
+/// Descriptors besides connections: standard streams, epoll and wake-ups, listener, discovery, signals.
 const OTHER_DESCRIPTORS: usize = 32;
+/// Requests that may wait for the decisions, as a multiple of the client connections.
+const QUEUED_REQUESTS_PER_CLIENT: usize = 8;
 
+/// Caps on connections, memory and queues.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Caps {
-    /// Connections of clients that stay while nothing is owed on them, and those with requests open too.
-    pub location_dispatchers: usize,
+    /// Client connections that stay open while they have no request open.
+    pub idle_clients: usize,
+    /// Client connections altogether.
     pub clients: usize,
     /// Connections to all hosts together.
-    pub hosts: usize,
-    /// Bytes of answers that are held at once, on their way from hosts to clients.
-    pub held: usize,
-    /// Bytes that may wait to be written on a connection to a host.
-    pub line_out: usize,
-    /// Words that wait for the module before new requests are dismissed.
-    pub module_words: usize,
+    pub upstream_connections: usize,
+    /// Bytes of responses that are held at once, on their way from hosts to clients.
+    pub buffered_bytes: usize,
+    /// Bytes that may wait to be written on one connection to a host.
+    pub unsent_bytes: usize,
+    /// Messages that wait for the decisions before new requests are rejected.
+    pub queued_requests: usize,
 }
 
 impl Caps {
+    /// Derives the caps from the limits.
     pub fn of(limits: &Limits) -> Self {
         let memory = limits.memory_mb * 1024 * 1024;
         let descriptors = limits.sockets.saturating_sub(OTHER_DESCRIPTORS);
-        // A third of the descriptors is the most that usual clients hold; the margin is for those on their way
-        // out. Memory is counted by what is held, not by what every connection could hold.
+        // Usual clients hold a third of the descriptors at most; the margin is for connections that are closing. Memory
+        // is counted by what is held, not by what every connection could hold.
         let clients = (descriptors / 2).max(2);
-        let location_dispatchers = clients - (clients / 8).max(1);
-        let hosts = descriptors.saturating_sub(clients).max(1);
+        let upstream_connections = descriptors.saturating_sub(clients).max(1);
         Caps {
-            location_dispatchers,
+            idle_clients: clients - (clients / 8).max(1),
             clients,
-            hosts,
-            held: memory * 2 / 5,
-            line_out: memory / 16 / hosts,
-            module_words: 8 * clients,
+            upstream_connections,
+            buffered_bytes: memory * 2 / 5,
+            unsent_bytes: memory / 16 / upstream_connections,
+            queued_requests: QUEUED_REQUESTS_PER_CLIENT * clients,
         }
     }
 }
--- /dev/null
+++ b/crates/rockflow-dispatcher/src/client/connection.rs
@@ -0,0 +1,422 @@
+//! One client connection: its requests, its responses, and when it ends.
+
+use crate::client::message::ClientMessage;
+use crate::client::registry::{ClientRegistry, ClientSlot};
+use crate::decision::message::DecisionMessage;
+use may::io::WaitIo;
+use may::net::TcpStream;
+use rockflow::RequestId;
+use rockflow_protocol::client::{self, ClientRequest, HttpStatus, ParsedRequest, Persistence, Response};
+use rockflow_protocol::Buffer;
+use std::io::{ErrorKind, Read, Write};
+use std::net::Shutdown;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+use tracing::debug;
+
+/// A client closes a connection that is idle for 4 s; one that has sent no complete request for twice that is gone.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// The time for a request to arrive completely: from the connection for the first, else from its first byte.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time, and the bytes, that a client is left to read its last response and close.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+/// Rounds after which a client that always has more to send lets others have their turn.
+const ROUNDS_PER_TURN: u64 = 16;
+/// One head, and the start of the next.
+const RECEIVE_BUFFER_BYTES: usize = 2 * client::MAX_HEAD_BYTES;
+
+/// Why a connection ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum EndReason {
+    Expired,
+    WriteFailed,
+    EndOfStream,
+    ReadFailed,
+    Yielded,
+    Panicked,
+}
+
+impl EndReason {
+    pub(super) fn as_str(self) -> &'static str {
+        match self {
+            EndReason::Expired => "expired",
+            EndReason::WriteFailed => "write failed",
+            EndReason::EndOfStream => "end of stream",
+            EndReason::ReadFailed => "read failed",
+            EndReason::Yielded => "yielded",
+            EndReason::Panicked => "panicked",
+        }
+    }
+}
+
+/// What came of an attempt to read.
+enum ReadOutcome {
+    /// Nothing is there, or nothing is to be read now.
+    Nothing,
+    Progress,
+    EndOfStream,
+    Failed,
+}
+
+/// The request that is open on the connection.
+struct OpenRequest {
+    id: RequestId,
+    /// Whether the client keeps the connection after it.
+    persistence: Persistence,
+}
+
+/// The response that is being written.
+#[derive(Default)]
+struct OutgoingResponse {
+    head: Vec<u8>,
+    body: Vec<u8>,
+    written: usize,
+}
+
+impl OutgoingResponse {
+    fn is_complete(&self) -> bool {
+        self.written >= self.head.len() + self.body.len()
+    }
+
+    fn unwritten(&self) -> &[u8] {
+        let head = self.head.len();
+        if self.written < head {
+            &self.head[self.written..]
+        } else {
+            &self.body[self.written - head..]
+        }
+    }
+}
+
+/// Owns the state of one connection; only its [`ClientSlot`] is seen by others.
+pub(super) struct ClientConnection<'a> {
+    registry: &'a ClientRegistry,
+    stream: TcpStream,
+    slot: Arc<ClientSlot>,
+    buffer: Buffer,
+    open: Option<OpenRequest>,
+    /// Bytes after the open request that were discarded for lack of space; the connection ends with its response then.
+    discarded_bytes: usize,
+    /// No further request is expected: our side is shut as soon as nothing that has arrived needs a response.
+    shutting: bool,
+    /// When the request that is arriving began; none: nothing of one is here.
+    head_started: Option<Duration>,
+    /// Asked to yield its place.
+    yielding: bool,
+    /// Counted in `ClientRegistry::open_requests`.
+    is_counted: bool,
+    response: OutgoingResponse,
+    /// The connection ends with the response that is being written, or after the last one.
+    is_last: bool,
+    /// Bytes read since the last response was written.
+    lingering: Option<usize>,
+    /// When the connection last made progress: it was accepted, a request arrived, a response was given or written.
+    last_progress: Duration,
+}
+
+impl<'a> ClientConnection<'a> {
+    pub(super) fn new(
+        registry: &'a ClientRegistry,
+        stream: TcpStream,
+        slot: Arc<ClientSlot>,
+        now: Duration,
+    ) -> Self {
+        ClientConnection {
+            registry,
+            stream,
+            slot,
+            buffer: Buffer::new(RECEIVE_BUFFER_BYTES),
+            open: None,
+            discarded_bytes: 0,
+            shutting: false,
+            head_started: Some(now),
+            yielding: false,
+            is_counted: false,
+            response: OutgoingResponse::default(),
+            is_last: false,
+            lingering: None,
+            last_progress: now,
+        }
+    }
+
+    /// Serves the connection until it ends.
+    pub(super) fn serve(&mut self) -> EndReason {
+        let mut round: u64 = 0;
+        loop {
+            round += 1;
+            match self.serve_round() {
+                Err(reason) => return reason,
+                Ok(false) => {
+                    self.stream.wait_io();
+                }
+                Ok(true) if round.is_multiple_of(ROUNDS_PER_TURN) => may::coroutine::yield_now(),
+                Ok(true) => {}
+            }
+        }
+    }
+
+    /// Closes the mailbox and returns the request that is left without a response. From here on nothing is sent for this
+    /// client.
+    pub(super) fn close(&mut self) -> Option<RequestId> {
+        self.slot.mailbox.close();
+        self.open.take().map(|open| open.id)
+    }
+
+    /// Gives back what is counted for this connection.
+    pub(super) fn release(&mut self) {
+        self.set_body(Vec::new());
+        self.settle();
+    }
+
+    /// Takes messages, writes, reads, and starts the next request. Returns whether anything happened.
+    fn serve_round(&mut self) -> Result<bool, EndReason> {
+        let mut progress = self.take_messages()?;
+        let wrote = self.write().map_err(|_| EndReason::WriteFailed)?;
+        progress |= if self.is_last && self.response.is_complete() { self.linger() } else { wrote };
+        // All that has arrived is read before a request is started, so that none starts for a client that is gone.
+        match self.read() {
+            ReadOutcome::EndOfStream => return Err(EndReason::EndOfStream),
+            ReadOutcome::Failed => return Err(EndReason::ReadFailed),
+            ReadOutcome::Progress => progress = true,
+            ReadOutcome::Nothing if self.is_idle() && !self.is_last => progress |= self.start_next(),
+            ReadOutcome::Nothing => {}
+        }
+        if !progress && std::mem::take(&mut self.yielding) && self.is_idle() {
+            return Err(EndReason::Yielded);
+        }
+        Ok(progress)
+    }
+
+    fn take_messages(&mut self) -> Result<bool, EndReason> {
+        let mut progress = false;
+        while let Some(message) = self.slot.mailbox.take() {
+            match message {
+                ClientMessage::Respond(request, response) => progress |= self.complete(request, response),
+                ClientMessage::Inspect => self.inspect()?,
+                ClientMessage::Yield => self.yielding = true,
+            }
+        }
+        Ok(progress)
+    }
+
+    fn inspect(&mut self) -> Result<(), EndReason> {
+        if !self.is_expired() {
+            return Ok(());
+        }
+        if !self.is_idle() || self.is_last {
+            return Err(EndReason::Expired);
+        }
+        self.shutting = true;
+        Ok(())
+    }
+
+    /// Whether the connection holds its place for nothing: the client vanished, sends its request too slowly, or does not
+    /// read.
+    fn is_expired(&self) -> bool {
+        let now = self.registry.clock.now();
+        let stalled = now.saturating_sub(self.last_progress);
+        if self.open.is_some() {
+            return stalled > 2 * self.registry.max_deadline;
+        }
+        if !self.response.is_complete() {
+            return stalled > self.registry.max_deadline;
+        }
+        if self.lingering.is_some() {
+            return stalled > LINGER_TIMEOUT;
+        }
+        let is_head_late =
+            self.head_started.is_some_and(|started| now.saturating_sub(started) > HEAD_TIMEOUT);
+        self.is_closing() || stalled > IDLE_TIMEOUT || is_head_late
+    }
+
+    /// No request is open, and the last response is written.
+    fn is_idle(&self) -> bool {
+        self.open.is_none() && self.response.is_complete()
+    }
+
+    fn is_closing(&self) -> bool {
+        self.registry.closing.load(Ordering::Relaxed)
+    }
+
+    /// With nothing owed and nothing more to read: starts the next request, or shuts our side if it is time to. Returns
+    /// whether anything happened.
+    fn start_next(&mut self) -> bool {
+        let has_partial_head = !self.buffer.filled().is_empty();
+        if self.read_head() {
+            return true;
+        }
+        if !std::mem::take(&mut self.shutting) {
+            return false;
+        }
+        if !has_partial_head {
+            // What arrives from here on crossed our end of the connection: it is read and not served.
+            self.is_last = true;
+            self.last_progress = self.registry.clock.now();
+        } else if self.is_closing() {
+            self.respond(Response::Rejected { retry_after: None }, Persistence::Close);
+        } else {
+            let timeout = HttpStatus::new(408, "Request Timeout");
+            self.respond(Response::Invalid(timeout), Persistence::Close);
+        }
+        true
+    }
+
+    /// Takes a request head from the buffer; false: none is complete.
+    fn read_head(&mut self) -> bool {
+        if self.buffer.filled().is_empty() {
+            return false;
+        }
+        let Some(head) = client::decode_request(self.buffer.filled()) else { return false };
+        self.buffer.consume(head.length);
+        self.head_started = None;
+        let persistence = head.persistence;
+        match head.request {
+            ParsedRequest::HealthCheck if self.registry.ready.load(Ordering::Relaxed) => {
+                self.respond(Response::Healthy, persistence);
+            }
+            ParsedRequest::HealthCheck => {
+                self.respond(Response::Invalid(HttpStatus::new(503, "Not Ready")), persistence);
+            }
+            ParsedRequest::Invalid(status) => {
+                debug!(status = status.code, reason = status.reason, "invalid request");
+                self.respond(Response::Invalid(status), Persistence::Close);
+            }
+            // Guards against work that nobody is left to complete: what arrives after the shutdown's time is rejected.
+            ParsedRequest::Fetch(_) if self.is_closing() => {
+                self.respond(Response::Rejected { retry_after: None }, Persistence::Close);
+            }
+            ParsedRequest::Fetch(_) if self.registry.decisions.len() >= self.registry.max_queued_requests => {
+                self.respond(Response::Rejected { retry_after: None }, persistence);
+            }
+            ParsedRequest::Fetch(request) => self.open_request(request, persistence),
+        }
+        true
+    }
+
+    fn open_request(&mut self, request: Box<ClientRequest>, persistence: Persistence) {
+        let id = RequestId(self.registry.next_request_id());
+        self.open = Some(OpenRequest { id, persistence });
+        self.registry.open_requests.fetch_add(1, Ordering::Relaxed);
+        self.is_counted = true;
+        let arrived = self.registry.clock.now();
+        self.last_progress = arrived;
+        self.slot.set_busy();
+        let client = self.slot.mailbox.clone();
+        self.registry.decisions.send(DecisionMessage::RequestReceived { id, request, client, arrived });
+    }
+
+    /// Responds to the open request; false: it is another.
+    fn complete(&mut self, request: RequestId, response: Response) -> bool {
+        let Some(open) = self.open.take_if(|open| open.id == request) else { return false };
+        let persistence = if self.discarded_bytes == 0 { open.persistence } else { Persistence::Close };
+        self.respond(response, persistence);
+        true
+    }
+
+    fn respond(&mut self, response: Response, persistence: Persistence) {
+        self.shutting = false;
+        let persistence = if self.registry.ends_connections() { Persistence::Close } else { persistence };
+        self.response.head = client::encode_response(&response, persistence);
+        let body = if let Response::Succeeded { body, .. } = response { body } else { Vec::new() };
+        self.set_body(body);
+        self.response.written = 0;
+        self.is_last = persistence == Persistence::Close;
+        self.last_progress = self.registry.clock.now();
+    }
+
+    /// Replaces the body, and counts the bytes that are held.
+    fn set_body(&mut self, body: Vec<u8>) {
+        self.registry.buffered_bytes.fetch_add(body.len(), Ordering::Relaxed);
+        self.registry.buffered_bytes.fetch_sub(self.response.body.len(), Ordering::Relaxed);
+        self.response.body = body;
+    }
+
+    /// Writes what the client takes; returns whether anything was written.
+    fn write(&mut self) -> std::io::Result<bool> {
+        let mut wrote = false;
+        while !self.response.is_complete() {
+            match self.stream.inner().write(self.response.unwritten()) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(length) => {
+                    self.response.written += length;
+                    self.last_progress = self.registry.clock.now();
+                    wrote = true;
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(wrote),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
+            }
+        }
+        if wrote {
+            self.on_response_written();
+        }
+        if self.open.is_none() {
+            self.settle();
+        }
+        Ok(wrote)
+    }
+
+    fn on_response_written(&mut self) {
+        self.set_body(Vec::new());
+        self.response = OutgoingResponse::default();
+        // A request that arrived behind the one that is completed now begins only here.
+        self.head_started = (!self.buffer.filled().is_empty()).then_some(self.last_progress);
+        // One that lingers owes nothing and is the first to yield.
+        let idle_since = if self.is_last { Duration::ZERO } else { self.last_progress };
+        self.slot.set_idle_since(idle_since);
+    }
+
+    /// No response is owed on this connection any more.
+    fn settle(&mut self) {
+        if std::mem::take(&mut self.is_counted) {
+            self.registry.open_requests.fetch_sub(1, Ordering::Relaxed);
+        }
+    }
+
+    /// Reads even while a request is open: only so it shows that a client has disconnected.
+    fn read(&mut self) -> ReadOutcome {
+        // Guards against a body of any size that is sent on after its rejection.
+        if self.lingering.is_some_and(|read| read > MAX_DISCARDED_BYTES) {
+            return ReadOutcome::Nothing;
+        }
+        // Guards against a client that disconnects unseen behind more than the buffer holds: what follows its request is
+        // discarded, and past a cap the connection ends.
+        if self.open.is_some() && self.buffer.spare().is_none() {
+            let full = self.buffer.filled().len();
+            self.buffer.consume(full);
+            self.discarded_bytes += full;
+            if self.discarded_bytes > MAX_DISCARDED_BYTES {
+                return ReadOutcome::Failed;
+            }
+        }
+        let Some(spare) = self.buffer.spare() else { return ReadOutcome::Nothing };
+        match self.stream.inner().read(spare) {
+            Ok(0) => ReadOutcome::EndOfStream,
+            Ok(length) => {
+                self.buffer.commit(length);
+                if self.open.is_none() && self.head_started.is_none() {
+                    self.head_started = Some(self.registry.clock.now());
+                }
+                ReadOutcome::Progress
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => ReadOutcome::Nothing,
+            Err(error) if error.kind() == ErrorKind::Interrupted => ReadOutcome::Progress,
+            Err(_) => ReadOutcome::Failed,
+        }
+    }
+
+    /// Guards against a response that is lost to the reset of a connection closed with bytes unread: our side is shut, and
+    /// what still arrives is discarded until the client closes too. Returns whether our side was shut just now.
+    fn linger(&mut self) -> bool {
+        let length = self.buffer.filled().len();
+        self.buffer.consume(length);
+        let is_first = self.lingering.is_none();
+        self.lingering = Some(self.lingering.unwrap_or(0) + length);
+        if is_first {
+            let _ = self.stream.shutdown(Shutdown::Write);
+        }
+        is_first
+    }
+}
--- /dev/null
+++ b/crates/rockflow-dispatcher/src/client/mod.rs
@@ -0,0 +1,38 @@
+//! The actor of a client's connection: one request at a time, exactly one response to each.
+
+mod connection;
+pub mod message;
+mod registry;
+
+use crate::client::connection::{ClientConnection, EndReason};
+use crate::decision::message::DecisionMessage;
+use crate::mailbox::Wake;
+use may::io::WaitIo;
+use may::net::TcpStream;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::sync::Arc;
+use tracing::{debug, error};
+
+pub(crate) use registry::RegistryConfig;
+pub use registry::{ClientRegistry, ClientSlot};
+
+/// Serves a connection to its end.
+pub fn run(stream: TcpStream, registry: &ClientRegistry) {
+    let _ = stream.set_nodelay(true);
+    let now = registry.clock.now();
+    let slot = Arc::new(ClientSlot::new(now));
+    slot.mailbox.wake_by(Wake::Io(stream.waker()));
+    let number = registry.insert(slot.clone());
+    let mut connection = ClientConnection::new(registry, stream, slot, now);
+    let ended = catch_unwind(AssertUnwindSafe(|| connection.serve()));
+    let reason = ended.unwrap_or_else(|_| {
+        error!(client = number, "client connection actor panicked");
+        EndReason::Panicked
+    });
+    registry.remove(number);
+    if let Some(request) = connection.close() {
+        debug!(request = request.0, reason = reason.as_str(), "client disconnected before its response");
+        registry.decisions.send(DecisionMessage::ClientDisconnected(request));
+    }
+    connection.release();
+}
--- a/crates/rockflow-dispatcher/src/clock.rs
+++ b/crates/rockflow-dispatcher/src/clock.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Counts on from the Unix time of the start, so that hosts started before it have their place on the same
-/// scale and a step of the system's clock moves nothing.
+/// Counts on from the Unix time of the start, so that hosts started before it have their place on the same scale and a
+/// step of the system's clock moves nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix_at_start: Duration,
@@ -11,25 +11,27 @@
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Self {
-        Clock { unix_at_start: unix(), start: Instant::now() }
+        Clock { unix_at_start: unix_now(), start: Instant::now() }
     }
 
+    /// The current time.
     pub fn now(&self) -> Duration {
         self.unix_at_start + self.start.elapsed()
     }
 
-    /// A Unix time on this clock; the same for the same time, whenever it is asked.
+    /// A Unix time in milliseconds on this clock; always the same for the same time.
     pub fn at(&self, unix_ms: u64) -> Duration {
         Duration::from_millis(unix_ms)
     }
 
-    /// How long ago a Unix time was, by the system's clock.
-    pub fn ago(&self, unix_ms: u64) -> Duration {
-        unix().saturating_sub(Duration::from_millis(unix_ms))
+    /// How long ago a Unix time in milliseconds was, by the system's clock.
+    pub fn age(&self, unix_ms: u64) -> Duration {
+        unix_now().saturating_sub(Duration::from_millis(unix_ms))
     }
 }
 
-fn unix() -> Duration {
+fn unix_now() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/rockflow-dispatcher/src/config.rs
+++ b/crates/rockflow-dispatcher/src/config.rs
@@ -1,64 +1,127 @@
-//! What a dispatcher is told at its start, read from its configuration. Every fault names its key.
+//! The configuration of a dispatcher, read from JSON.
 
 use rockflow_protocol::discovery::Snapshot;
 use rockflow_settings::{facts, wiring, Facts, Pairs, Wiring};
 use serde_json::Value;
 use std::collections::BTreeMap;
+use std::error::Error as StdError;
 use std::net::SocketAddr;
+use thiserror::Error;
 
+/// Limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
+    /// Memory in MB.
     pub memory_mb: usize,
+    /// Open descriptors.
     pub sockets: usize,
 }
 
-/// What a running dispatcher keeps to, by key.
-pub type Unchanging = BTreeMap<String, Value>;
-const UNCHANGING: [&str; 4] = ["name", "listen", "limits", "settings"];
+/// The values that take effect only with a restart, by key.
+pub type RestartOnlyValues = BTreeMap<String, Value>;
+const RESTART_ONLY_KEYS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
+/// The configuration.
 pub struct Config {
+    /// Name of the dispatcher.
     pub name: String,
+    /// Address at which clients connect.
     pub listen: SocketAddr,
+    /// Seed of the random draws.
     pub seed: u64,
+    /// Limits of the process.
     pub limits: Limits,
+    /// Address of the discovery service.
     pub discovery_address: SocketAddr,
+    /// Endpoints and purges at the start.
     pub snapshot: Snapshot,
+    /// What the decisions go by.
     pub facts: Facts,
+    /// What only the sockets need.
     pub wiring: Wiring,
-    pub unchanging: Unchanging,
+    /// The values that take effect only with a restart.
+    pub restart_only: RestartOnlyValues,
+}
+
+/// Why a configuration can't be used. The text names the key.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The text is not JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[source] serde_json::Error),
+    /// A key is missing.
+    #[error("{0} is missing")]
+    Missing(String),
+    /// A value is not a string.
+    #[error("{0} is no text")]
+    NotText(String),
+    /// A value is not an address with a port.
+    #[error("{0} is no address with a port")]
+    NotAddress(String),
+    /// A value is not a number of at least 1.
+    #[error("{0} is no count")]
+    NotCount(String),
+    /// The seed is not hexadecimal.
+    #[error("seed is no hexadecimal number")]
+    InvalidSeed,
+    /// The snapshot can't be read.
+    #[error("known: {0}")]
+    InvalidSnapshot(#[source] serde_json::Error),
+    /// A setting is missing or invalid.
+    #[error("{0}")]
+    InvalidSetting(#[source] Box<dyn StdError + Send + Sync>),
 }
 
 impl Config {
-    pub fn parse(text: &str) -> Result<Config, String> {
-        let value: Value = serde_json::from_str(text).map_err(|what| format!("not JSON: {what}"))?;
-        let key = |path: &str| {
-            let found = path.split('.').try_fold(&value, |value, name| value.get(name));
-            found.ok_or_else(|| format!("{path} is missing"))
-        };
-        let word = |path: &str| key(path)?.as_str().ok_or_else(|| format!("{path} is no text"));
-        let address = |path: &str| {
-            word(path)?.parse::<SocketAddr>().map_err(|_| format!("{path} is no address with a port"))
-        };
-        let count = |path: &str| {
-            let count = key(path)?.as_f64().filter(|count| *count >= 1.0);
-            count.map(|count| count as usize).ok_or_else(|| format!("{path} is no count"))
-        };
-        let seed = u64::from_str_radix(word("seed")?, 16).map_err(|_| "seed is no hexadecimal number")?;
-        let pairs = Pairs::from_json(key("settings")?);
+    /// Reads a configuration.
+    pub fn parse(text: &str) -> Result<Config, ConfigError> {
+        let root: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
+        let document = Document { root: &root };
+        let seed = u64::from_str_radix(document.text("seed")?, 16).map_err(|_| ConfigError::InvalidSeed)?;
+        let pairs = Pairs::from_json(document.value("settings")?);
         Ok(Config {
-            name: word("name")?.to_string(),
-            listen: address("listen")?,
+            name: document.text("name")?.to_string(),
+            listen: document.address("listen")?,
             seed,
-            limits: Limits { memory_mb: count("limits.memory_mb")?, sockets: count("limits.sockets")? },
-            discovery_address: address("board")?,
-            snapshot: serde_json::from_value(key("known")?.clone())
-                .map_err(|what| format!("known: {what}"))?,
-            facts: facts::parse(&pairs)?,
-            wiring: wiring::parse(&pairs)?,
-            unchanging: UNCHANGING
-                .iter()
-                .map(|name| Ok((name.to_string(), key(name)?.clone())))
-                .collect::<Result<_, String>>()?,
+            limits: Limits {
+                memory_mb: document.count("limits.memory_mb")?,
+                sockets: document.count("limits.sockets")?,
+            },
+            discovery_address: document.address("board")?,
+            snapshot: serde_json::from_value(document.value("known")?.clone())
+                .map_err(ConfigError::InvalidSnapshot)?,
+            facts: facts::parse(&pairs).map_err(|error| ConfigError::InvalidSetting(error.into()))?,
+            wiring: wiring::parse(&pairs).map_err(|error| ConfigError::InvalidSetting(error.into()))?,
+            restart_only: document.restart_only()?,
         })
     }
 }
+
+struct Document<'a> {
+    root: &'a Value,
+}
+
+impl<'a> Document<'a> {
+    /// The value at a path of keys with dots between them.
+    fn value(&self, path: &str) -> Result<&'a Value, ConfigError> {
+        let found = path.split('.').try_fold(self.root, |value, name| value.get(name));
+        found.ok_or_else(|| ConfigError::Missing(path.to_string()))
+    }
+
+    fn text(&self, path: &str) -> Result<&'a str, ConfigError> {
+        self.value(path)?.as_str().ok_or_else(|| ConfigError::NotText(path.to_string()))
+    }
+
+    fn address(&self, path: &str) -> Result<SocketAddr, ConfigError> {
+        self.text(path)?.parse().map_err(|_| ConfigError::NotAddress(path.to_string()))
+    }
+
+    fn count(&self, path: &str) -> Result<usize, ConfigError> {
+        let count = self.value(path)?.as_f64().filter(|count| *count >= 1.0);
+        count.map(|count| count as usize).ok_or_else(|| ConfigError::NotCount(path.to_string()))
+    }
+
+    fn restart_only(&self) -> Result<RestartOnlyValues, ConfigError> {
+        RESTART_ONLY_KEYS.iter().map(|key| Ok((key.to_string(), self.value(key)?.clone()))).collect()
+    }
+}
--- /dev/null
+++ b/crates/rockflow-dispatcher/src/decision/attempts.rs
@@ -0,0 +1,205 @@
+//! Attempts: sent to their hosts, cancelled, withdrawn before they are sent, and ended.
+
+use crate::attempt::{AttemptKey, CancelReason, OutgoingAttempt};
+use crate::decision::deadlines::Deadline;
+use crate::decision::open_request::{AttemptState, OpenRequest};
+use crate::decision::DecisionActor;
+use crate::host::message::HostMessage;
+use crate::send_permit::SendPermit;
+use rockflow::{Attempt, AttemptEnd, AttemptNumber, CacheStatus, Event, Outcome, RequestId};
+use rockflow_protocol::client::Response;
+use rockflow_protocol::upstream::{CacheNote, FetchRequest, HostResponse, Status};
+use std::sync::Arc;
+use std::time::Duration;
+use tracing::error;
+
+/// The time limits of an attempt.
+struct AttemptLimits {
+    timeout: Duration,
+    send_by: Duration,
+}
+
+/// How an attempt ended.
+struct AttemptResult {
+    outcome: Outcome,
+    cache_status: CacheStatus,
+    fill_wait: Duration,
+}
+
+impl AttemptResult {
+    fn without_response(outcome: Outcome) -> Self {
+        AttemptResult { outcome, cache_status: CacheStatus::Unknown, fill_wait: Duration::ZERO }
+    }
+}
+
+impl DecisionActor {
+    pub(super) fn send_attempt(&mut self, id: RequestId, attempt: Attempt) {
+        let now = self.dependencies.clock.now();
+        let mailbox = self.host_mailbox(attempt.host);
+        let source = attempt.source.and_then(|source| self.hosts.get(&source));
+        let source = source.map(|source| source.endpoint.name.clone());
+        let Some(open) = self.requests.get_mut(id) else {
+            return error!(request = id.0, "attempt of an unknown request");
+        };
+        let key = AttemptKey { request: id, attempt: AttemptNumber(open.attempts.len() as u16) };
+        let limits = attempt_limits(&attempt, open.deadline, now);
+        let permit = SendPermit::new(limits.send_by, open.client.clone());
+        open.attempts.push(AttemptState {
+            host: attempt.host,
+            source: attempt.source,
+            mailbox: mailbox.clone(),
+            started: now,
+            is_in_flight: true,
+            permit: permit.clone(),
+        });
+        self.deadlines.push(now + limits.timeout, Deadline::AttemptTimeout(key));
+        if limits.send_by < now + limits.timeout {
+            self.deadlines.push(limits.send_by, Deadline::SendBy(key));
+        }
+        // Guards against a fill that is left out, which would be another attempt than the one decided.
+        let lacks_source = attempt.source.is_some() && source.is_none();
+        match mailbox.filter(|_| !lacks_source) {
+            Some(mailbox) => {
+                let outgoing = encode_attempt(open, &attempt, key, source.as_deref(), limits.timeout, permit);
+                mailbox.send(HostMessage::Send(outgoing));
+            }
+            None => self.end_without_response(key, Outcome::NotSent),
+        }
+    }
+
+    /// Cancels an attempt: its host is told, and its outcome is known at once.
+    pub(super) fn cancel_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
+        let Some(attempt) = self.requests.in_flight(key) else { return };
+        attempt.permit.withdraw();
+        let is_timeout = outcome == Outcome::TimedOut;
+        attempt.send_cancel(key, if is_timeout { CancelReason::TimedOut } else { CancelReason::Withdrawn });
+        self.end_without_response(key, outcome);
+    }
+
+    /// Takes back attempts that have not been sent, so that they are decided anew by what is known now.
+    pub(super) fn withdraw_unsent(
+        &mut self,
+        matches: impl Fn(AttemptKey, &OpenRequest, &AttemptState) -> bool,
+    ) {
+        let mut withdrawn = Vec::new();
+        for (id, open) in self.requests.iter() {
+            for (key, attempt) in open.in_flight(id) {
+                if matches(key, open, attempt) && attempt.permit.withdraw() {
+                    withdrawn.push(key);
+                }
+            }
+        }
+        for key in withdrawn {
+            if let Some(attempt) = self.requests.in_flight(key) {
+                attempt.send_cancel(key, CancelReason::Withdrawn);
+            }
+            self.end_without_response(key, Outcome::NotSent);
+        }
+    }
+
+    pub(super) fn on_response(&mut self, key: AttemptKey, response: HostResponse) {
+        if self.requests.in_flight(key).is_none() {
+            return;
+        }
+        let outcome = match response.status {
+            Status::Data | Status::NotModified => Outcome::Succeeded,
+            Status::NotFound => Outcome::Miss,
+            Status::Overloaded => Outcome::Rejected,
+            Status::NotExecuted => Outcome::NotSent,
+            Status::Failed | Status::Healthy | Status::Unhealthy => Outcome::HostError,
+        };
+        let result = AttemptResult {
+            outcome,
+            cache_status: response.cache_note.map_or(CacheStatus::Unknown, cache_status),
+            fill_wait: response.fill_wait,
+        };
+        let tag = response.tag;
+        match response.status {
+            Status::Data => {
+                self.requests.respond(key.request, Response::Succeeded { tag, body: response.body });
+            }
+            Status::NotModified => self.requests.respond(key.request, Response::NotModified { tag }),
+            _ => {}
+        }
+        self.end_attempt(key, result);
+    }
+
+    pub(super) fn end_without_response(&mut self, key: AttemptKey, outcome: Outcome) {
+        self.end_attempt(key, AttemptResult::without_response(outcome));
+    }
+
+    fn end_attempt(&mut self, key: AttemptKey, result: AttemptResult) {
+        let now = self.dependencies.clock.now();
+        let Some(open) = self.requests.get_mut(key.request) else { return };
+        let attempt = open.attempts.get_mut(usize::from(key.attempt.0));
+        let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
+        attempt.is_in_flight = false;
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request: key.request,
+            attempt: key.attempt,
+            host: attempt.host,
+            outcome: result.outcome,
+            duration: now.saturating_sub(attempt.started),
+            request_finished: open.is_responded,
+            cache_status: result.cache_status,
+            fill_wait: result.fill_wait,
+            first_byte_sent: attempt.permit.is_sent(),
+        }));
+        self.requests.remove_finished(key.request);
+    }
+}
+
+fn attempt_limits(attempt: &Attempt, deadline: Duration, now: Duration) -> AttemptLimits {
+    let time_left = deadline.saturating_sub(now);
+    let timeout = attempt.timeout.map_or(time_left, |limit| limit.min(time_left));
+    let send_by = attempt.send_by.map_or(now + timeout, |send_by| send_by.min(now + timeout));
+    AttemptLimits { timeout, send_by }
+}
+
+fn encode_attempt(
+    open: &OpenRequest,
+    attempt: &Attempt,
+    key: AttemptKey,
+    source: Option<&str>,
+    timeout: Duration,
+    permit: Arc<SendPermit>,
+) -> OutgoingAttempt {
+    let has_source = source.is_some();
+    let fetch = FetchRequest {
+        id: &open.request.call_id,
+        class: &open.request.class,
+        object: &open.request.object,
+        part: open.request.part,
+        timeout,
+        source,
+        cache_priority: attempt.cache_priority as u8,
+        max_age: attempt.max_age,
+        coalesce: has_source && attempt.coalesce,
+        cached_at_source_only: has_source && attempt.cached_at_source_only,
+        no_store_at_parent: has_source && attempt.no_store_at_parent,
+        revalidate: has_source && attempt.revalidate,
+        cached_tag: open.request.cached_tag.as_deref(),
+    };
+    OutgoingAttempt {
+        key,
+        id: open.request.call_id.clone(),
+        names_cached_copy: fetch.cached_tag.is_some(),
+        line: fetch.encode(),
+        permit,
+    }
+}
+
+fn cache_status(note: CacheNote) -> CacheStatus {
+    match note {
+        CacheNote::Hit => CacheStatus::Hit,
+        CacheNote::Filled => CacheStatus::Filled,
+        CacheNote::FilledByOrigin => CacheStatus::FilledByOrigin,
+        CacheNote::Coalesced => CacheStatus::Coalesced,
+        CacheNote::Stale => CacheStatus::Stale,
+        CacheNote::SourceRejected => CacheStatus::SourceRejected,
+        CacheNote::SourceUnreachable => CacheStatus::SourceUnreachable,
+        CacheNote::SourceMiss => CacheStatus::SourceMiss,
+        CacheNote::NoFillCapacity => CacheStatus::NoFillCapacity,
+        CacheNote::OriginFailed => CacheStatus::OriginFailed,
+    }
+}
--- /dev/null
+++ b/crates/rockflow-dispatcher/src/decision/health_checks.rs
@@ -0,0 +1,68 @@
+//! Health checks: sent when the decisions want one, and ended by a response, a failure or their time limit.
+
+use crate::decision::deadlines::Deadline;
+use crate::decision::DecisionActor;
+use crate::host::message::HostMessage;
+use rockflow::{Event, HostId, Outcome};
+use rockflow_protocol::upstream::{HealthCheckKind, HostResponse, Status};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+struct HealthCheck {
+    host: HostId,
+    started: Duration,
+}
+
+/// Owns the health checks that are in flight.
+#[derive(Default)]
+pub(super) struct HealthChecks {
+    in_flight: BTreeMap<u64, HealthCheck>,
+    next_tag: u64,
+}
+
+impl HealthChecks {
+    fn start(&mut self, host: HostId, now: Duration) -> u64 {
+        let tag = self.next_tag;
+        self.next_tag += 1;
+        self.in_flight.insert(tag, HealthCheck { host, started: now });
+        tag
+    }
+}
+
+impl DecisionActor {
+    pub(super) fn check_health(&mut self, host: HostId) {
+        let now = self.dependencies.clock.now();
+        let tag = self.health_checks.start(host, now);
+        let timeout = self.dependencies.pool.connect_timeout;
+        self.deadlines.push(now + timeout, Deadline::HealthCheck(tag));
+        let wants_report = !self.dependencies.load_report.is_empty();
+        let kind = if wants_report { HealthCheckKind::LoadReport } else { HealthCheckKind::Liveness };
+        match self.host_mailbox(host) {
+            Some(mailbox) => mailbox.send(HostMessage::CheckHealth { tag, kind }),
+            None => self.end_health_check(tag, Outcome::NotSent, Vec::new()),
+        }
+    }
+
+    pub(super) fn on_health_check_answered(&mut self, tag: u64, response: &HostResponse) {
+        let is_healthy = response.status == Status::Healthy;
+        let outcome = if is_healthy { Outcome::Succeeded } else { Outcome::HostError };
+        let report = self.load_report(response);
+        self.end_health_check(tag, outcome, report);
+    }
+
+    pub(super) fn end_health_check(&mut self, tag: u64, outcome: Outcome, load_report: Vec<f32>) {
+        let Some(HealthCheck { host, started }) = self.health_checks.in_flight.remove(&tag) else { return };
+        let duration = self.dependencies.clock.now().saturating_sub(started);
+        self.events.push_back(Event::HealthChecked { host, outcome, duration, load_report });
+    }
+
+    /// The values of the load report in the configured order, 0 for one that is missing; empty without a report.
+    fn load_report(&self, response: &HostResponse) -> Vec<f32> {
+        if response.load.is_empty() {
+            return Vec::new();
+        }
+        let value_of = |name: &String| response.load.iter().find(|value| value.name == *name);
+        let names = self.dependencies.load_report.iter();
+        names.map(|name| value_of(name).map_or(0.0, |found| found.value)).collect()
+    }
+}
--- a/crates/rockflow-dispatcher/src/endpoint.rs
+++ b/crates/rockflow-dispatcher/src/endpoint.rs
@@ -1,27 +1,33 @@
-//! An endpoint as the list holds it.
+//! An endpoint as the endpoint list holds it.
 
 use rockflow::{EndpointEntry, Readiness};
 use rockflow_endpoints::{ListedEndpoint, RegistryEntry};
 use std::net::SocketAddr;
 
-/// Names on the sockets as ids of the decisions; the same at every dispatcher.
+/// The id that the decisions use for a name on the wire; the same at every dispatcher.
 pub fn id_from_name(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
-/// A host as the list has it, with what only the sockets need.
+/// An entry of the endpoint list, with what only the sockets need.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
+    /// The name that identifies it.
     pub name: String,
+    /// Where it is reached.
     pub address: SocketAddr,
+    /// What the decisions know of it.
     pub entry: EndpointEntry,
 }
 
 impl Endpoint {
-    /// What is judged of it.
+    /// What the availability of its group depends on.
     pub fn to_listed(&self) -> ListedEndpoint {
-        let EndpointEntry { role, location, readiness, .. } = &self.entry;
-        ListedEndpoint { role: *role, location: location.0, readiness: *readiness }
+        ListedEndpoint {
+            role: self.entry.role,
+            location: self.entry.location.0,
+            readiness: self.entry.readiness,
+        }
     }
 }
 
@@ -35,7 +41,8 @@
     }
 
     fn with_readiness(&self, readiness: Readiness) -> Self {
-        let listing = EndpointEntry { readiness, ..self.entry.clone() };
-        Endpoint { entry: listing, ..self.clone() }
+        let mut endpoint = self.clone();
+        endpoint.entry.readiness = readiness;
+        endpoint
     }
 }
--- a/crates/rockflow-dispatcher/src/handle.rs
+++ b/crates/rockflow-dispatcher/src/handle.rs
@@ -1,129 +1,140 @@
-//! The way in for whoever manages a running dispatcher, from a thread of its own. Each call leaves a word in a
-//! mailbox and returns; the reply comes by a callback that must not wait.
+//! The way in for whoever manages a running dispatcher, from a thread of its own. Each call leaves a message in a mailbox
+//! and returns; the reply comes by a callback that must not wait.
 
 use crate::backpressure::{CoalescingSlot, PurgeQuota};
 use crate::caps::Caps;
 use crate::client::ClientRegistry;
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
+use crate::decision::message::DecisionMessage;
 use crate::discovery::{DiscoveryStatus, SharedDiscoveryStatus};
+use crate::endpoint_list::message::{EndpointListMessage, RejectedOverrides};
 use crate::mailbox::Mailbox;
-use crate::messages::{DecisionMessage, EndpointListMessage};
 use crate::phase::Phase;
 use crate::purge::{Purge, PurgeTimestamp};
 use crate::status::{FillLevel, StatusReport};
 use rockflow::Class;
-use rockflow_endpoints::{AdminOverrides, RejectedOverride};
-use std::collections::BTreeMap;
+use rockflow_endpoints::AdminOverrides;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Words from managers that may wait at the list; more are turned away.
-const MAX_WAITING: usize = 256;
+/// Messages that may wait at the endpoint list; further ones of managers are rejected.
+const MAX_QUEUED_MESSAGES: usize = 256;
 
+/// A handle of a running dispatcher.
 #[derive(Clone)]
 pub struct ServiceHandle {
+    /// The clock.
     pub clock: Clock,
+    /// Name of the dispatcher.
     pub name: String,
+    /// Caps on what it holds.
     pub caps: Caps,
-    /// By place, with their names on the wire.
+    /// The request classes with their names on the wire, by index.
     pub classes: Vec<(String, Class)>,
+    /// Names of the locations, by index.
     pub locations: Vec<String>,
-    pub(crate) list: Arc<Mailbox<EndpointListMessage>>,
-    pub(crate) door: Arc<ClientRegistry>,
+    pub(crate) endpoint_list: Arc<Mailbox<EndpointListMessage>>,
+    pub(crate) clients: Arc<ClientRegistry>,
     pub(crate) pool: Arc<ConnectionPool>,
-    pub(crate) board: Arc<SharedDiscoveryStatus>,
+    pub(crate) discovery: Arc<SharedDiscoveryStatus>,
     pub(crate) phase: Arc<AtomicU8>,
-    pub(crate) waiting: Arc<PurgeQuota>,
-    pub(crate) floor: Arc<CoalescingSlot<Duration, ()>>,
-    pub(crate) wanted: Arc<CoalescingSlot<AdminOverrides, BTreeMap<String, RejectedOverride>>>,
+    pub(crate) purge_quota: Arc<PurgeQuota>,
+    /// The time of the purge of everything that replaces those beyond the quota.
+    pub(crate) purge_overflow: Arc<CoalescingSlot<Duration, ()>>,
+    pub(crate) control_overrides: Arc<CoalescingSlot<AdminOverrides, RejectedOverrides>>,
 }
 
 impl ServiceHandle {
-    /// These marks hold in place of those before. `done` is called once the decisions go by them; false: too
-    /// much waits, and it is not.
+    /// Replaces all overrides of operators. `done` is called once the decisions go by them; false: too many messages wait,
+    /// and nothing was done.
     pub fn set_operator_overrides(
         &self,
-        marks: AdminOverrides,
+        overrides: AdminOverrides,
         done: impl FnOnce() + Send + 'static,
     ) -> bool {
-        if self.list.len() >= MAX_WAITING {
+        if self.endpoint_list.len() >= MAX_QUEUED_MESSAGES {
             return false;
         }
-        self.list
-            .send_urgent(EndpointListMessage::SetOperatorOverrides { marks, done: Box::new(|()| done()) });
+        let done = Box::new(|()| done());
+        self.endpoint_list.send_urgent(EndpointListMessage::SetOperatorOverrides { overrides, done });
         true
     }
 
-    /// The fleet wants these marks from now on, in place of those before. `done` is called once the decisions go by
-    /// them, with those that are not in force; false: in place of the earliest `done` of too many that wait.
+    /// Replaces all overrides of control. `done` is called once the decisions go by them, with those that are not applied;
+    /// false: too many callers wait, and the earliest will not be called.
     pub fn set_control_overrides(
         &self,
-        wanted: AdminOverrides,
-        done: impl FnOnce(BTreeMap<String, RejectedOverride>) + Send + 'static,
+        overrides: AdminOverrides,
+        done: impl FnOnce(RejectedOverrides) + Send + 'static,
     ) -> bool {
-        let (new, whole) = self.wanted.put(|_| wanted, Box::new(done));
-        if new {
-            self.list.send_urgent(EndpointListMessage::SetControlOverrides(self.wanted.clone()));
+        let outcome = self.control_overrides.put(|_| overrides, Box::new(done));
+        if outcome.was_empty {
+            let slot = self.control_overrides.clone();
+            self.endpoint_list.send_urgent(EndpointListMessage::SetControlOverrides(slot));
         }
-        whole
+        !outcome.dropped_caller
     }
 
-    /// Has these purges heeded, or a stricter one of everything where too many wait. `done` is called once the decisions
-    /// have heard of it; false: in place of the earliest `done` of too many that wait for that one.
+    /// Applies purges, or one of everything where too many wait. `done` is called once the decisions go by it; false: too
+    /// many callers wait for that one, and the earliest will not be called.
     pub fn purge(&self, purges: Vec<Purge>, done: impl FnOnce() + Send + 'static) -> bool {
-        if let Some(places) = self.waiting.places(purges.len()) {
+        if let Some(reservation) = self.purge_quota.reserve(purges.len()) {
             let done = Box::new(move |()| {
-                drop(places);
+                drop(reservation);
                 done();
             });
-            self.door.module.send_urgent(DecisionMessage::PurgesReceived { purges, done: Some(done) });
+            let message = DecisionMessage::PurgesReceived { purges, done: Some(done) };
+            self.clients.decisions.send_urgent(message);
             return true;
         }
-        let youngest = purges.iter().map(|purge| purge.purged_at.age(self.clock)).min().unwrap_or_default();
-        let made = self.clock.now().saturating_sub(youngest);
-        let join = |before: Option<Duration>| before.map_or(made, |before| before.max(made));
-        let (new, whole) = self.floor.put(join, Box::new(move |()| done()));
-        if new {
-            self.door.module.send_urgent(DecisionMessage::PurgeEverything(self.floor.clone()));
+        let ages = purges.iter().map(|purge| purge.purged_at.age(self.clock));
+        let youngest = ages.min().unwrap_or_default();
+        let purged_at = self.clock.now().saturating_sub(youngest);
+        let join = |before: Option<Duration>| before.map_or(purged_at, |before| before.max(purged_at));
+        let outcome = self.purge_overflow.put(join, Box::new(move |()| done()));
+        if outcome.was_empty {
+            let slot = self.purge_overflow.clone();
+            self.clients.decisions.send_urgent(DecisionMessage::PurgeEverything(slot));
         }
-        whole
+        !outcome.dropped_caller
     }
 
-    /// A purge that was made so long ago, on the clock of this dispatcher.
-    pub fn timestamp_before_now(&self, ago: Duration) -> PurgeTimestamp {
-        PurgeTimestamp::Local(self.clock.now().saturating_sub(ago))
+    /// The timestamp of a purge that was made `age` ago, on the clock of this dispatcher.
+    pub fn timestamp_before_now(&self, age: Duration) -> PurgeTimestamp {
+        PurgeTimestamp::Local(self.clock.now().saturating_sub(age))
     }
 
-    /// Asks for a picture; false: too much waits, and none comes.
+    /// Requests a status report; false: too many messages wait, and none will come.
     pub fn request_status(&self, reply: impl FnOnce(Box<StatusReport>) + Send + 'static) -> bool {
-        if self.list.len() >= MAX_WAITING {
+        if self.endpoint_list.len() >= MAX_QUEUED_MESSAGES {
             return false;
         }
-        self.list.send(EndpointListMessage::ReportStatus(Box::new(reply)));
+        self.endpoint_list.send(EndpointListMessage::ReportStatus(Box::new(reply)));
         true
     }
 
+    /// The phase of the dispatcher.
     pub fn phase(&self) -> Phase {
         let phase = self.phase.load(Ordering::Relaxed);
-        let all = [Phase::Starting, Phase::Serving, Phase::Draining, Phase::Closing, Phase::Stopped];
-        all.into_iter().find(|known| *known as u8 == phase).unwrap_or(Phase::Stopped)
+        Phase::ALL.into_iter().find(|known| *known as u8 == phase).unwrap_or(Phase::Stopped)
     }
 
-    /// The board's address, the number of its last notice, and when it was last heard.
+    /// The connection to the discovery service.
     pub fn discovery_status(&self) -> DiscoveryStatus {
-        self.board.read()
+        self.discovery.read()
     }
 
-    /// What is held now, beside each cap: its name, the cap, the fill.
+    /// How much of each capped resource is in use. The names are those of the management model.
     pub fn fill_levels(&self) -> Vec<FillLevel> {
-        let held = self.pool.held.load(Ordering::Relaxed);
+        let level = |name, cap, fill| FillLevel { name, cap, fill };
+        let buffered_bytes = self.pool.buffered_bytes.load(Ordering::Relaxed);
         vec![
-            FillLevel { name: "clients", cap: self.caps.clients, fill: self.door.connections() },
-            FillLevel { name: "hosts", cap: self.caps.hosts, fill: self.pool.lines().len() },
-            FillLevel { name: "held", cap: self.caps.held, fill: held },
-            FillLevel { name: "module-words", cap: self.caps.module_words, fill: self.door.module.len() },
+            level("clients", self.caps.clients, self.clients.connections()),
+            level("hosts", self.caps.upstream_connections, self.pool.connections().len()),
+            level("held", self.caps.buffered_bytes, buffered_bytes),
+            level("module-words", self.caps.queued_requests, self.clients.decisions.len()),
         ]
     }
 }
--- a/crates/rockflow-dispatcher/src/lib.rs
+++ b/crates/rockflow-dispatcher/src/lib.rs
@@ -1,6 +1,18 @@
-//! The rockflow dispatcher on sockets, to be embedded: actors on `may` that carry what the decisions say.
-//! `Service` is the program from start to exit; each other file holds one actor or one thing they share.
+//! The rockflow dispatcher on sockets, to be embedded: actors on `may` that carry out what the decisions say.
+//!
+//! [`Service`] is the program from start to exit. Each actor runs in a coroutine, owns its state and is reached through
+//! its [`mailbox::Mailbox`]; the messages of an actor lie beside it.
+//!
+//! | actor | owns |
+//! | --- | --- |
+//! | [`decision::DecisionActor`] | the decisions, open requests, deadlines, health checks, the hosts' mailboxes |
+//! | [`endpoint_list::EndpointListActor`] | the endpoint list and its administrative overrides |
+//! | [`discovery::DiscoveryClient`] | the connection to the discovery service |
+//! | [`client`] | one connection of a client |
+//! | [`host::HostActor`] | the connections to one host, and what waits for one |
+//! | [`upstream`] | one connection to a host |
 
+pub mod attempt;
 pub mod backpressure;
 pub mod caps;
 pub mod client;
@@ -9,14 +21,12 @@
 pub mod connection_pool;
 pub mod decision;
 pub mod discovery;
-pub mod discovery_clock;
 pub mod endpoint;
 pub mod endpoint_list;
 pub mod handle;
 pub mod host;
 pub mod listener;
 pub mod mailbox;
-pub mod messages;
 pub mod phase;
 pub mod purge;
 pub mod purge_backlog;
@@ -24,11 +34,12 @@
 pub mod send_permit;
 pub mod service;
 pub mod status;
+mod supervisor;
 pub mod timer;
 pub mod upstream;
 
 pub use clock::Clock;
-pub use config::Config;
+pub use config::{Config, ConfigError};
 pub use discovery::DiscoveryStatus;
 pub use handle::ServiceHandle;
 pub use phase::Phase;
--- a/crates/rockflow-dispatcher/src/listener.rs
+++ b/crates/rockflow-dispatcher/src/listener.rs
@@ -1,9 +1,9 @@
-//! Takes in clients' connections, up to the cap; past it they wait unaccepted till a request has its answer.
+//! Accepts clients' connections, up to the cap; past it they wait unaccepted until a request has its response.
 
 use crate::client::{self, ClientRegistry};
 use crate::connection_pool::ConnectionPool;
+use crate::discovery::message::DiscoveryMessage;
 use crate::mailbox::Mailbox;
-use crate::messages::DiscoveryMessage;
 use crate::timer;
 use may::net::TcpListener;
 use may::sync::Semphore;
@@ -12,41 +12,47 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// After a failed accept, for example with no descriptor left.
-const PAUSE: Duration = Duration::from_millis(10);
+/// The wait after a failed accept, for example with no descriptor left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How often connections are looked through for such as have outlived their use.
-const LOOK: Duration = Duration::from_millis(200);
+/// How often connections are checked for those that are of no use any more.
+const INSPECTION_INTERVAL: Duration = Duration::from_millis(200);
 
-pub fn look(door: &ClientRegistry, pool: &ConnectionPool, board: &Mailbox<DiscoveryMessage>) {
+/// Has all connections check themselves, again and again.
+pub fn inspect_connections(
+    clients: &ClientRegistry,
+    pool: &ConnectionPool,
+    discovery: &Mailbox<DiscoveryMessage>,
+) {
     loop {
-        timer::sleep(LOOK);
-        door.look();
-        pool.look();
-        board.send(DiscoveryMessage::Inspect);
+        timer::sleep(INSPECTION_INTERVAL);
+        clients.inspect();
+        pool.inspect();
+        discovery.send(DiscoveryMessage::Inspect);
     }
 }
 
-pub fn run(listener: &TcpListener, door: &Arc<ClientRegistry>, location_dispatchers: &Arc<Semphore>) {
+/// Accepts connections for ever. `permits` holds one for each connection that may still be accepted.
+pub fn run(listener: &TcpListener, clients: &Arc<ClientRegistry>, permits: &Arc<Semphore>) {
     loop {
-        if !location_dispatchers.try_wait() {
-            warn!("a query is open on every seat; connections end with their answers");
-            door.crowded.store(true, Ordering::Relaxed);
-            location_dispatchers.wait();
-            door.crowded.store(false, Ordering::Relaxed);
+        if !permits.try_wait() {
+            warn!("all client connections are busy, they close with their responses");
+            clients.crowded.store(true, Ordering::Relaxed);
+            permits.wait();
+            clients.crowded.store(false, Ordering::Relaxed);
         }
         match listener.accept() {
             Ok((stream, _)) => {
-                let (door, location_dispatchers) = (door.clone(), location_dispatchers.clone());
+                let (clients, permits) = (clients.clone(), permits.clone());
                 may::go!(move || {
-                    client::run(stream, &door);
-                    location_dispatchers.post();
+                    client::run(stream, &clients);
+                    permits.post();
                 });
             }
-            Err(what) => {
-                warn!(%what, "accept failed");
-                location_dispatchers.post();
-                timer::sleep(PAUSE);
+            Err(error) => {
+                warn!(%error, "accept failed");
+                permits.post();
+                timer::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
--- a/crates/rockflow-dispatcher/src/mailbox.rs
+++ b/crates/rockflow-dispatcher/src/mailbox.rs
@@ -5,91 +5,105 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+/// How the owner of a mailbox is woken.
 pub enum Wake {
+    /// It is parked.
     Park(Coroutine),
+    /// It waits on a socket.
     Io(WaitIoWaker),
 }
 
 struct Queues<T> {
-    /// What goes ahead of the rest, in its own order.
+    /// Taken before the others, in their own order.
     urgent: VecDeque<T>,
-    rest: VecDeque<T>,
+    normal: VecDeque<T>,
     wake: Option<Wake>,
-    /// The actor has ended: whatever comes is read by nobody.
+    /// The actor has ended: messages are dropped.
     closed: bool,
 }
 
-pub struct Mailbox<T>(Mutex<Queues<T>>);
+#[derive(Clone, Copy)]
+enum Priority {
+    Normal,
+    Urgent,
+}
+
+/// Messages to an actor. The queues have no bound of their own: each sender bounds what it sends.
+pub struct Mailbox<T> {
+    queues: Mutex<Queues<T>>,
+}
 
 impl<T> Mailbox<T> {
+    /// An empty mailbox that wakes nobody yet.
     pub fn new() -> Arc<Self> {
-        Arc::new(Mailbox(Mutex::new(Queues {
-            urgent: VecDeque::new(),
-            rest: VecDeque::new(),
-            wake: None,
-            closed: false,
-        })))
+        let queues = Queues { urgent: VecDeque::new(), normal: VecDeque::new(), wake: None, closed: false };
+        Arc::new(Mailbox { queues: Mutex::new(queues) })
     }
 
-    /// No coroutine gives way while it holds this lock, so it is never waited for long.
-    fn letters(&self) -> MutexGuard<'_, Queues<T>> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Sends a message.
+    pub fn send(&self, message: T) {
+        self.push(message, Priority::Normal);
     }
 
-    pub fn send(&self, letter: T) {
-        self.put(letter, false);
-    }
-
-    pub fn send_urgent(&self, letter: T) {
-        self.put(letter, true);
-    }
-
-    fn put(&self, letter: T, urgent: bool) {
-        let mut letters = self.letters();
-        if letters.closed {
-            return;
-        }
-        if urgent {
-            letters.urgent.push_back(letter);
-        } else {
-            letters.rest.push_back(letter);
-        }
-        match &letters.wake {
-            Some(Wake::Park(actor)) => actor.unpark(),
-            Some(Wake::Io(waker)) => waker.wakeup(),
-            None => {}
-        }
+    /// Sends a message that is taken before all that are not urgent.
+    pub fn send_urgent(&self, message: T) {
+        self.push(message, Priority::Urgent);
     }
 
+    /// Takes the next message.
     pub fn take(&self) -> Option<T> {
-        let mut letters = self.letters();
-        letters.urgent.pop_front().or_else(|| letters.rest.pop_front())
+        let mut queues = self.lock();
+        queues.urgent.pop_front().or_else(|| queues.normal.pop_front())
     }
 
+    /// Number of messages that wait.
     pub fn len(&self) -> usize {
-        let letters = self.letters();
-        letters.urgent.len() + letters.rest.len()
+        let queues = self.lock();
+        queues.urgent.len() + queues.normal.len()
     }
 
+    /// Whether no message waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The actor has ended: what lies here is dropped, and so is what still comes.
+    /// The actor has ended: drops all messages, and those that are still sent.
     pub fn close(&self) {
-        let mut letters = self.letters();
-        letters.closed = true;
-        letters.urgent.clear();
-        letters.rest.clear();
-        letters.wake = None;
+        let mut queues = self.lock();
+        queues.closed = true;
+        queues.urgent.clear();
+        queues.normal.clear();
+        queues.wake = None;
     }
 
+    /// Whether the actor has ended.
     pub fn is_closed(&self) -> bool {
-        self.letters().closed
+        self.lock().closed
     }
 
     /// From now on the actor is woken this way.
     pub fn wake_by(&self, wake: Wake) {
-        self.letters().wake = Some(wake);
+        self.lock().wake = Some(wake);
+    }
+
+    fn push(&self, message: T, priority: Priority) {
+        let mut queues = self.lock();
+        if queues.closed {
+            return;
+        }
+        match priority {
+            Priority::Urgent => queues.urgent.push_back(message),
+            Priority::Normal => queues.normal.push_back(message),
+        }
+        match &queues.wake {
+            Some(Wake::Park(actor)) => actor.unpark(),
+            Some(Wake::Io(waker)) => waker.wakeup(),
+            None => {}
+        }
+    }
+
+    /// No coroutine gives way while it holds this lock, so it is never waited for long.
+    fn lock(&self) -> MutexGuard<'_, Queues<T>> {
+        self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/rockflow-dispatcher/src/purge_backlog.rs
+++ b/crates/rockflow-dispatcher/src/purge_backlog.rs
@@ -1,94 +1,127 @@
-//! What a board says to who has begun to follow it: all that it said before. Decides; does no I/O.
+//! What discovery sends to who has begun to follow it: all its earlier purges. Decides; does no I/O.
 
 use crate::purge::{Purge, PurgeTimestamp};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The longest that a board takes to tell of a purge, as it is told to dispatchers.
-pub const TOLD_WITHIN: Duration = Duration::from_secs(7);
-/// The furthest that the board's clock and this one are taken to be apart.
-pub const CLOCKS_APART: Duration = Duration::from_secs(60);
-/// Purges that are held. When full, one of everything stands for them.
-pub const MAX_HELD: usize = 16_384;
-/// How often it is looked whether what comes is news by now.
-pub const LOOK: Duration = Duration::from_millis(500);
-/// What comes is news where the board's time goes on by no more than so many times as much as it does here.
-const NEWS: u32 = 2;
+/// The longest that an event of discovery takes to arrive at dispatchers.
+pub const MAX_DELIVERY_DELAY: Duration = Duration::from_secs(7);
+/// The furthest that discovery's clock and this one are taken to differ.
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
+/// Purges that are held. When full, one of everything replaces them.
+pub const MAX_HELD_PURGES: usize = 16_384;
+/// How often it is checked whether what arrives is recent by now.
+pub const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// What arrives is recent where discovery's time advances by no more than so many times as much as it does here.
+const MAX_RECENT_RATE: u32 = 2;
 
-/// Holds purges until the board has caught up with the present, so that the newest of them tells the age of the others by
-/// the board's own clock. Let go of too early, they only seem younger.
+/// A purge, and its Unix time by discovery.
+#[derive(Debug)]
+struct HeldPurge {
+    purge: Purge,
+    purged_at: Duration,
+}
+
+/// A purge of the backlog, and its age.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AgedPurge {
+    /// The purge.
+    pub purge: Purge,
+    /// How long ago it was made.
+    pub age: Duration,
+}
+
+/// When the backlog was last checked, and the newest timestamp at that time.
+#[derive(Clone, Copy, Debug)]
+struct CatchUpCheck {
+    at: Duration,
+    newest: Duration,
+}
+
+/// Holds purges until discovery has caught up with the present, so that the newest of them gives the age of the others by
+/// discovery's own clock. Released too early, they only seem younger.
 #[derive(Debug)]
 pub struct PurgeBacklog {
-    binds: Duration,
-    /// With their Unix time by the board.
-    held: VecDeque<(Purge, Duration)>,
+    purge_window: Duration,
+    held: VecDeque<HeldPurge>,
     newest: Duration,
-    /// The newest at the time when the last ones found no place.
-    overflown: Option<Duration>,
-    /// When it was last looked, and the newest at that time; none: nothing was heard of the board.
-    looked: Option<(Duration, Duration)>,
+    /// The newest timestamp at the time when purges last exceeded the cap.
+    overflowed_at: Option<Duration>,
+    /// None: nothing has been received from discovery.
+    last_check: Option<CatchUpCheck>,
 }
 
 impl PurgeBacklog {
-    /// A purge binds for so long.
-    pub fn new(binds: Duration) -> PurgeBacklog {
-        PurgeBacklog { binds, held: VecDeque::new(), newest: Duration::ZERO, overflown: None, looked: None }
+    /// A purge is in effect for `purge_window`.
+    pub fn new(purge_window: Duration) -> PurgeBacklog {
+        PurgeBacklog {
+            purge_window,
+            held: VecDeque::new(),
+            newest: Duration::ZERO,
+            overflowed_at: None,
+            last_check: None,
+        }
     }
 
+    /// Holds a purge that discovery sent.
     pub fn hold(&mut self, now: Duration, purge: Purge) {
         let PurgeTimestamp::Unix(ms) = purge.purged_at else { return };
-        let made = Duration::from_millis(ms);
-        // Guards against one that is told wrongly, and would make all others old.
-        if made <= now + CLOCKS_APART {
-            self.newest = self.newest.max(made);
+        let purged_at = Duration::from_millis(ms);
+        // Guards against a wrong timestamp that would make all others old.
+        if purged_at <= now + MAX_CLOCK_SKEW {
+            self.newest = self.newest.max(purged_at);
         }
-        while self.held.front().is_some_and(|(_, made)| self.is_over(*made)) {
+        while self.held.front().is_some_and(|held| self.is_expired(held.purged_at)) {
             self.held.pop_front();
         }
-        if self.held.len() >= MAX_HELD {
+        if self.held.len() >= MAX_HELD_PURGES {
             self.held.clear();
-            self.overflown = Some(self.newest);
+            self.overflowed_at = Some(self.newest);
         }
-        self.held.push_back((purge, made));
+        self.held.push_back(HeldPurge { purge, purged_at });
     }
 
-    /// A publication of it may have to be told from that of a later one for a while after it has ceased to bind.
-    fn is_over(&self, made: Duration) -> bool {
-        self.newest.saturating_sub(made) > self.binds * 2 + TOLD_WITHIN
-    }
-
-    /// Also not over by this clock, whatever it is apart from the board's.
-    fn may_bind(&self, now: Duration, made: Duration) -> bool {
-        !self.is_over(made) && now.saturating_sub(made) <= self.binds + CLOCKS_APART + TOLD_WITHIN
-    }
-
-    /// Whether all is held that the board said before; `heard`: it has answered.
-    pub fn is_whole(&mut self, now: Duration, heard: bool) -> bool {
-        let Some((at, newest)) = self.looked else {
-            self.looked = heard.then_some((now, self.newest));
+    /// Whether all is held that discovery sent before; `has_received`: it has sent anything.
+    pub fn is_complete(&mut self, now: Duration, has_received: bool) -> bool {
+        let check = CatchUpCheck { at: now, newest: self.newest };
+        let Some(last) = self.last_check else {
+            self.last_check = has_received.then_some(check);
             return false;
         };
-        let gone = now.saturating_sub(at);
-        if gone < LOOK {
+        let elapsed = now.saturating_sub(last.at);
+        if elapsed < CATCH_UP_CHECK_INTERVAL {
             return false;
         }
-        self.looked = Some((now, self.newest));
-        self.newest - newest <= gone * NEWS
+        self.last_check = Some(check);
+        self.newest - last.newest <= elapsed * MAX_RECENT_RATE
+    }
+
+    /// Takes the purges that may be in effect, in their order. Only by discovery's own clock is one past its time.
+    pub fn take(&mut self, now: Duration) -> Vec<AgedPurge> {
+        let mut taken = Vec::new();
+        for HeldPurge { purge, purged_at } in std::mem::take(&mut self.held) {
+            if self.may_be_in_effect(now, purged_at) {
+                let local_age = now.saturating_sub(purged_at).min(MAX_DELIVERY_DELAY).min(self.purge_window);
+                let age = self.newest.saturating_sub(purged_at).max(local_age);
+                taken.push(AgedPurge { purge, age });
+            }
+        }
+        taken
+    }
+
+    /// Whether purges that may be in effect exceeded the cap: one of everything replaces them.
+    pub fn has_overflowed(&self, now: Duration) -> bool {
+        self.overflowed_at.is_some_and(|newest| self.may_be_in_effect(now, newest))
     }
 
-    /// The purges in their order, and their ages. Only by the board's own clock is one past the time that it binds.
-    pub fn take(&mut self, now: Duration) -> Vec<(Purge, Duration)> {
-        let held = std::mem::take(&mut self.held);
-        let left = held.into_iter().filter(|(_, made)| self.may_bind(now, *made));
-        let aged = left.map(|(purge, made)| {
-            let here = now.saturating_sub(made).min(TOLD_WITHIN).min(self.binds);
-            (purge, self.newest.saturating_sub(made).max(here))
-        });
-        aged.collect()
+    /// A publication of it may have to be told from that of a later one for a while after it has expired.
+    fn is_expired(&self, purged_at: Duration) -> bool {
+        self.newest.saturating_sub(purged_at) > self.purge_window * 2 + MAX_DELIVERY_DELAY
     }
 
-    /// Whether some that may bind found no place: a purge of everything stands for them.
-    pub fn is_overflown(&self, now: Duration) -> bool {
-        self.overflown.is_some_and(|newest| self.may_bind(now, newest))
+    /// Neither expired by discovery's clock nor by this one, whatever they differ.
+    fn may_be_in_effect(&self, now: Duration, purged_at: Duration) -> bool {
+        let max_age = self.purge_window + MAX_CLOCK_SKEW + MAX_DELIVERY_DELAY;
+        !self.is_expired(purged_at) && now.saturating_sub(purged_at) <= max_age
     }
 }
--- a/crates/rockflow-dispatcher/src/purge_follower.rs
+++ b/crates/rockflow-dispatcher/src/purge_follower.rs
@@ -1,95 +1,132 @@
-//! Follows a event board for its purges alone, for whoever passes them on.
+//! Follows discovery for its purges alone, for whoever passes them on.
 
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::discovery::clock::DiscoveryClock;
+use crate::discovery::message::DiscoveryMessage;
 use crate::discovery::{DiscoveryClient, SharedDiscoveryStatus};
-use crate::discovery_clock::DiscoveryClock;
+use crate::endpoint_list::message::EndpointListMessage;
 use crate::mailbox::{Mailbox, Wake};
-use crate::messages::{DiscoveryMessage, EndpointListMessage};
 use crate::purge::{Purge, PurgeTimestamp};
-use crate::purge_backlog::{PurgeBacklog, CLOCKS_APART, LOOK, TOLD_WITHIN};
-use crate::service::{spawn, BIG_STACK};
+use crate::purge_backlog::{PurgeBacklog, CATCH_UP_CHECK_INTERVAL, MAX_CLOCK_SKEW, MAX_DELIVERY_DELAY};
+use crate::supervisor::{spawn, LARGE_STACK_WORDS};
 use crate::timer;
 use may::coroutine;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A purge that the board told.
+/// A purge that discovery sent.
 pub struct ObservedPurge {
+    /// The purge.
     pub purge: Purge,
+    /// How long ago it was made.
     pub age: Duration,
-    /// It was among what the board said before.
+    /// It was sent before the follower had caught up.
     pub is_backlog: bool,
 }
 
+/// A running follower.
 pub struct PurgeFollower {
-    board: Arc<Mailbox<DiscoveryMessage>>,
-    pub seen: Arc<SharedDiscoveryStatus>,
+    discovery: Arc<Mailbox<DiscoveryMessage>>,
+    /// The connection to discovery.
+    pub status: Arc<SharedDiscoveryStatus>,
 }
 
 impl PurgeFollower {
-    /// `heard` is called with every purge, in an actor of its own; it must not wait. A purge binds for so
-    /// long: what is older than that by any clock is left, as a board tells its whole history to whoever begins. What is
-    /// left of the history is held until the board has caught up.
+    /// Starts following. `on_purge` is called with every purge, in an actor of its own; it must not wait. A purge is in
+    /// effect for `purge_window`: what is older by any clock is left out, as discovery sends its whole history to a new
+    /// follower. What is left of the history is held until discovery has caught up.
+    ///
+    /// # Errors
+    /// If an actor can't be started.
     pub fn start(
         clock: Clock,
-        told: &Config,
-        binds: Duration,
-        mut heard: impl FnMut(ObservedPurge) + Send + 'static,
+        config: &Config,
+        purge_window: Duration,
+        on_purge: impl FnMut(ObservedPurge) + Send + 'static,
     ) -> std::io::Result<PurgeFollower> {
-        let mail: Arc<Mailbox<EndpointListMessage>> = Mailbox::new();
-        let mut board = DiscoveryClient::new(clock, told, mail.clone());
-        let follow = PurgeFollower { board: board.mail.clone(), seen: board.seen.clone() };
-        let seen = board.seen.clone();
-        spawn("board", BIG_STACK, move || board.run())?;
-        spawn("purges", BIG_STACK, move || {
-            mail.wake_by(Wake::Park(coroutine::current()));
-            let mut backlog = Some(PurgeBacklog::new(binds));
-            let mut board_clock = DiscoveryClock::new(binds, clock.now());
-            loop {
-                match mail.take() {
-                    Some(EndpointListMessage::Event(event)) => {
-                        if let Some(flush) = event.purge {
-                            let purge = Purge::from(flush);
-                            if let Some(backlog) = &mut backlog {
-                                backlog.hold(clock.now(), purge);
-                                continue;
-                            }
-                            if purge.purged_at.age(clock) > binds + CLOCKS_APART + TOLD_WITHIN {
-                                continue;
-                            }
-                            let age = board_clock.age(clock.now(), purge.purged_at.age(clock));
-                            heard(ObservedPurge { purge, age, is_backlog: false });
-                        }
+        let mailbox: Arc<Mailbox<EndpointListMessage>> = Mailbox::new();
+        let mut client = DiscoveryClient::new(clock, config, mailbox.clone());
+        let discovery = client.mailbox();
+        let status = client.status();
+        let follower = PurgeFollower { discovery, status: status.clone() };
+        spawn("discovery", LARGE_STACK_WORDS, move || client.run())?;
+        let mut actor = FollowerActor { clock, mailbox, status, purge_window, on_purge };
+        spawn("purges", LARGE_STACK_WORDS, move || actor.run())?;
+        Ok(follower)
+    }
+
+    /// Discovery is at another address from now on.
+    pub fn set_address(&self, address: SocketAddr) {
+        self.discovery.send_urgent(DiscoveryMessage::SetAddress(address));
+    }
+}
+
+/// Owns the backlog, and the clock by which purges are aged.
+struct FollowerActor<F> {
+    clock: Clock,
+    mailbox: Arc<Mailbox<EndpointListMessage>>,
+    status: Arc<SharedDiscoveryStatus>,
+    purge_window: Duration,
+    on_purge: F,
+}
+
+impl<F: FnMut(ObservedPurge)> FollowerActor<F> {
+    fn run(&mut self) {
+        self.mailbox.wake_by(Wake::Park(coroutine::current()));
+        let mut discovery_clock = DiscoveryClock::new(self.purge_window, self.clock.now());
+        self.collect_backlog();
+        loop {
+            match self.mailbox.take() {
+                Some(message) => {
+                    if let Some(purge) = purge_of(message) {
+                        self.pass_on(&mut discovery_clock, purge);
                     }
-                    Some(_) => {}
-                    None => match &mut backlog {
-                        Some(held) => {
-                            if !held.is_whole(clock.now(), seen.read().last_received.is_some()) {
-                                timer::park(LOOK);
-                                continue;
-                            }
-                            if held.is_overflown(clock.now()) {
-                                let purge = Purge::everything(PurgeTimestamp::Local(clock.now()));
-                                heard(ObservedPurge { purge, age: Duration::ZERO, is_backlog: false });
-                            }
-                            let held = held.take(clock.now()).into_iter();
-                            held.for_each(|(purge, age)| {
-                                heard(ObservedPurge { purge, age, is_backlog: true })
-                            });
-                            backlog = None;
-                        }
-                        None => coroutine::park(),
-                    },
                 }
+                None => coroutine::park(),
             }
-        })?;
-        Ok(follow)
+        }
     }
 
-    /// The board is at another address from now on.
-    pub fn set_address(&self, address: SocketAddr) {
-        self.board.send_urgent(DiscoveryMessage::SetAddress(address));
+    /// Holds purges until discovery has caught up, then passes them on.
+    fn collect_backlog(&mut self) {
+        let mut backlog = PurgeBacklog::new(self.purge_window);
+        loop {
+            if let Some(message) = self.mailbox.take() {
+                if let Some(purge) = purge_of(message) {
+                    backlog.hold(self.clock.now(), purge);
+                }
+                continue;
+            }
+            let has_received = self.status.read().last_received.is_some();
+            if backlog.is_complete(self.clock.now(), has_received) {
+                break;
+            }
+            timer::park(CATCH_UP_CHECK_INTERVAL);
+        }
+        if backlog.has_overflowed(self.clock.now()) {
+            let purge = Purge::everything(PurgeTimestamp::Local(self.clock.now()));
+            (self.on_purge)(ObservedPurge { purge, age: Duration::ZERO, is_backlog: false });
+        }
+        for held in backlog.take(self.clock.now()) {
+            (self.on_purge)(ObservedPurge { purge: held.purge, age: held.age, is_backlog: true });
+        }
+    }
+
+    fn pass_on(&mut self, discovery_clock: &mut DiscoveryClock, purge: Purge) {
+        let apparent_age = purge.purged_at.age(self.clock);
+        if apparent_age > self.purge_window + MAX_CLOCK_SKEW + MAX_DELIVERY_DELAY {
+            return;
+        }
+        let age = discovery_clock.age(self.clock.now(), purge.purged_at.age(self.clock));
+        (self.on_purge)(ObservedPurge { purge, age, is_backlog: false });
+    }
+}
+
+fn purge_of(message: EndpointListMessage) -> Option<Purge> {
+    match message {
+        EndpointListMessage::Event(event) => event.purge.map(Purge::from),
+        _ => None,
     }
 }
--- a/crates/rockflow-dispatcher/src/send_permit.rs
+++ b/crates/rockflow-dispatcher/src/send_permit.rs
@@ -1,55 +1,59 @@
-//! An attempt's way from its decision to its first byte: it begins, or it is withdrawn, and never both.
+//! The permit to send an attempt: from its decision to its first byte it is either sent or withdrawn, never both.
 
+use crate::client::message::ClientMessage;
 use crate::mailbox::Mailbox;
-use crate::messages::ClientMessage;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
 const WAITING: u8 = 0;
-const BEGUN: u8 = 1;
+const SENT: u8 = 1;
 const WITHDRAWN: u8 = 2;
 
-/// Guards against an attempt that goes out on a decision that no longer holds: while it waited for a connection its host
-/// was told to leave, its object was purged, its client left, or its time passed. What was decided is checked again
-/// where the first byte goes out.
+/// Guards against an attempt that is sent on a decision that no longer holds: while it waited for a connection, its host
+/// began to drain, its object was purged, its client disconnected or its time passed. The decision is checked again
+/// where the first byte is sent.
+///
+/// Shared by the decisions, which withdraw it, and the connection that sends the attempt.
 pub struct SendPermit {
     state: AtomicU8,
-    /// The first byte goes out before this, or never.
-    by: Duration,
+    /// The first byte is sent before this, or never.
+    send_by: Duration,
     client: Arc<Mailbox<ClientMessage>>,
 }
 
 impl SendPermit {
-    pub fn new(by: Duration, client: Arc<Mailbox<ClientMessage>>) -> Arc<SendPermit> {
-        Arc::new(SendPermit { state: AtomicU8::new(WAITING), by, client })
+    /// A permit that expires at `send_by`, and with the connection of the client.
+    pub fn new(send_by: Duration, client: Arc<Mailbox<ClientMessage>>) -> Arc<SendPermit> {
+        Arc::new(SendPermit { state: AtomicU8::new(WAITING), send_by, client })
     }
 
-    fn turn(&self, from: u8, to: u8) -> bool {
-        self.state.compare_exchange(from, to, Ordering::Relaxed, Ordering::Relaxed).is_ok()
+    /// Whether the attempt may still be sent.
+    pub fn is_valid(&self, now: Duration) -> bool {
+        self.state.load(Ordering::Relaxed) == WAITING && now < self.send_by && !self.client.is_closed()
     }
 
-    /// Whether it may still begin.
-    pub fn holds(&self, now: Duration) -> bool {
-        self.state.load(Ordering::Relaxed) == WAITING && now < self.by && !self.client.is_closed()
+    /// Uses the permit for the first byte; false: the attempt may not be sent.
+    pub fn start_sending(&self, now: Duration) -> bool {
+        self.is_valid(now) && self.transition(WAITING, SENT)
     }
 
-    /// Its first byte goes out now, unless it may not.
-    pub fn begin(&self, now: Duration) -> bool {
-        self.holds(now) && self.turn(WAITING, BEGUN)
+    /// No byte was sent after all.
+    pub fn undo_sending(&self) {
+        self.transition(SENT, WAITING);
     }
 
-    /// No byte went out after all: it waits again.
-    pub fn put_back(&self) {
-        self.turn(BEGUN, WAITING);
+    /// Withdraws the permit; false: the first byte was sent already.
+    pub fn withdraw(&self) -> bool {
+        self.transition(WAITING, WITHDRAWN) || self.state.load(Ordering::Relaxed) == WITHDRAWN
     }
 
-    /// It may not begin any more; false: it has begun.
-    pub fn withdraw(&self) -> bool {
-        self.turn(WAITING, WITHDRAWN) || self.state.load(Ordering::Relaxed) == WITHDRAWN
+    /// Whether the first byte was sent.
+    pub fn is_sent(&self) -> bool {
+        self.state.load(Ordering::Relaxed) == SENT
     }
 
-    pub fn begun(&self) -> bool {
-        self.state.load(Ordering::Relaxed) == BEGUN
+    fn transition(&self, from: u8, to: u8) -> bool {
+        self.state.compare_exchange(from, to, Ordering::Relaxed, Ordering::Relaxed).is_ok()
     }
 }
--- a/crates/rockflow-dispatcher/src/status.rs
+++ b/crates/rockflow-dispatcher/src/status.rs
@@ -1,4 +1,4 @@
-//! A status report of the dispatcher.
+//! What a dispatcher reports of itself.
 
 use crate::endpoint::Endpoint;
 use rockflow::HostStatus;
@@ -7,35 +7,44 @@
 /// How requests of one class have ended since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
+    /// Responded with the object, or that the client's copy is current.
     pub succeeded: u64,
+    /// Rejected to shed load.
     pub rejected: u64,
+    /// Failed.
     pub failed: u64,
+    /// The client disconnected before its response.
     pub disconnected: u64,
 }
 
-/// A picture of the dispatcher, for whoever looks on.
+/// The state of the dispatcher at one time.
 #[derive(Clone, Debug, Default)]
 pub struct StatusReport {
-    /// The board's list, as told, before any mark.
+    /// The endpoints as discovery lists them, without overrides.
     pub discovered: Vec<Endpoint>,
-    /// The marks that the list goes by.
+    /// The applied overrides of operators.
     pub operator_overrides: AdminOverrides,
-    /// And the fleet's.
+    /// The applied overrides of control.
     pub control_overrides: AdminOverrides,
+    /// What the decisions know of each host.
     pub host_statuses: Vec<HostStatus>,
-    /// By place of the class.
+    /// How requests ended, by index of the class.
     pub outcomes: Vec<OutcomeCounts>,
-    /// Requests open, words waiting at the module.
+    /// Requests that are open.
     pub open_requests: usize,
+    /// Messages that wait for the decisions.
     pub queued_messages: usize,
-    /// Requests that the decisions left unanswered till their time was up; none, unless something is wrong.
+    /// Requests that the decisions did not respond to in time; 0 unless something is wrong.
     pub overdue: u64,
 }
 
 /// How much of a capped resource is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FillLevel {
+    /// Name of the resource.
     pub name: &'static str,
+    /// Its cap.
     pub cap: usize,
+    /// How much is in use.
     pub fill: usize,
 }
--- /dev/null
+++ b/crates/rockflow-dispatcher/src/upstream/connection.rs
@@ -0,0 +1,396 @@
+//! An established connection to a host.
+
+use crate::attempt::{AttemptKey, CancelReason, EndedAttempts, OutgoingAttempt};
+use crate::connection_pool::{lock, AttemptQueue, ConnectionPool, UpstreamConnection};
+use crate::decision::message::DecisionMessage;
+use crate::upstream::message::UpstreamMessage;
+use may::io::WaitIo;
+use may::net::TcpStream;
+use rockflow::Outcome;
+use rockflow_protocol::upstream::{
+    self, DecodeError, DecodedResponse, HealthCheckKind, HostResponse, Status,
+};
+use rockflow_protocol::Buffer;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::io::{ErrorKind, Read, Write};
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use thiserror::Error;
+use tracing::{debug, warn};
+
+/// Ids on a connection that were never answered, as a multiple of the attempts it carries at once; past it the connection
+/// is exhausted.
+const MAX_UNANSWERED_FACTOR: usize = 8;
+
+/// Why a connection can't be used any more.
+#[derive(Debug, Error)]
+enum ConnectionError {
+    #[error("end of stream")]
+    EndOfStream,
+    #[error("{0}")]
+    Io(#[source] std::io::Error),
+    #[error("an answer that stands still")]
+    Stalled,
+    #[error("a host that reads nothing")]
+    HostNotReading,
+    #[error("an answer that fills the buffer")]
+    OversizedResponse,
+    #[error("no memory left for an answer")]
+    OutOfMemory,
+    #[error("unchanged, where no copy was named")]
+    UnexpectedNotModified,
+    #[error("{0}")]
+    Malformed(#[from] DecodeError),
+}
+
+/// Whether a host took the first bytes of an attempt.
+enum SendOutcome {
+    Done,
+    /// The host takes nothing now.
+    Blocked,
+}
+
+/// An attempt that was sent.
+struct SentAttempt {
+    key: AttemptKey,
+    sent_at: Duration,
+    names_cached_copy: bool,
+}
+
+/// Owns the socket and the attempts on it; the host's actor sees [`UpstreamConnection`].
+pub(super) struct ConnectionActor<'a> {
+    endpoint: &'a str,
+    pool: &'a ConnectionPool,
+    shared: &'a UpstreamConnection,
+    queue: &'a AttemptQueue,
+    stream: TcpStream,
+    /// What is being written, and the attempts that follow it.
+    unsent: Vec<u8>,
+    waiting: VecDeque<OutgoingAttempt>,
+    /// Attempts in flight by their id on the wire.
+    in_flight: BTreeMap<String, SentAttempt>,
+    health_checks: BTreeSet<u64>,
+    buffer: Buffer,
+    /// The part of `ConnectionPool::buffered_bytes` that is this buffer's.
+    counted_bytes: usize,
+    /// When anything last arrived.
+    last_received: Duration,
+    /// When the response that is arriving began.
+    response_started: Option<Duration>,
+    retired: bool,
+    /// The outcome of the attempts that are in flight when it ends, if the host is gone.
+    outcome: Outcome,
+}
+
+impl<'a> ConnectionActor<'a> {
+    pub(super) fn new(
+        endpoint: &'a str,
+        stream: TcpStream,
+        pool: &'a ConnectionPool,
+        shared: &'a UpstreamConnection,
+        queue: &'a AttemptQueue,
+    ) -> Self {
+        ConnectionActor {
+            endpoint,
+            pool,
+            shared,
+            queue,
+            stream,
+            unsent: Vec::new(),
+            waiting: VecDeque::new(),
+            in_flight: BTreeMap::new(),
+            health_checks: BTreeSet::new(),
+            buffer: Buffer::new(upstream::MAX_RESPONSE_BYTES),
+            counted_bytes: 0,
+            last_received: Duration::ZERO,
+            response_started: None,
+            retired: false,
+            outcome: Outcome::MalformedResponse,
+        }
+    }
+
+    /// Serves the connection until it ends.
+    pub(super) fn serve(&mut self) {
+        loop {
+            let mut progress = self.read_mailbox();
+            match self.transfer() {
+                Ok(moved) => progress |= moved,
+                Err(error) => return self.log_end(&error),
+            }
+            let in_flight = self.in_flight.len() + self.waiting.len() + self.shared.mailbox.len();
+            self.shared.in_flight.store(in_flight, Ordering::Relaxed);
+            if self.retired && self.in_flight.is_empty() && self.waiting.is_empty() {
+                return debug!(endpoint = self.endpoint, "connection closed");
+            }
+            if !progress {
+                self.stream.wait_io();
+            }
+        }
+    }
+
+    /// Gives back what is counted for the connection, fails its health checks, and returns the attempts that were in
+    /// flight and those not sent.
+    pub(super) fn finish(self) -> (EndedAttempts, Vec<OutgoingAttempt>) {
+        self.pool.buffered_bytes.fetch_sub(self.counted_bytes, Ordering::Relaxed);
+        for tag in self.health_checks {
+            let outcome = Outcome::ConnectionLost;
+            self.pool.decisions.send(DecisionMessage::HealthCheckFailed { tag, outcome });
+        }
+        let ended = EndedAttempts {
+            attempts: self.in_flight.into_values().map(|attempt| attempt.key).collect(),
+            alive_if_received_since: None,
+            outcome_if_gone: self.outcome,
+            outcome_if_alive: Outcome::MalformedResponse,
+        };
+        (ended, self.waiting.into())
+    }
+
+    /// Reads, takes an attempt from the queue, and writes. Reads first: a host that has closed is not written to, so that
+    /// what waits goes on another connection.
+    fn transfer(&mut self) -> Result<bool, ConnectionError> {
+        self.check_progress()?;
+        let read = self.read()?;
+        let took = self.take_queued();
+        let wrote = self.write()?;
+        Ok(read | took | wrote)
+    }
+
+    fn log_end(&self, error: &ConnectionError) {
+        if self.in_flight.is_empty() {
+            debug!(endpoint = self.endpoint, %error, "connection ended");
+        } else {
+            warn!(endpoint = self.endpoint, %error, attempts = self.in_flight.len(), "connection failed");
+        }
+    }
+
+    /// Takes what has waited longest for a connection, once nothing else is in flight or arriving on this one.
+    fn take_queued(&mut self) -> bool {
+        let is_free = self.in_flight.is_empty() && self.waiting.is_empty() && !self.shared.is_receiving();
+        if !is_free || self.retired || self.queue.is_empty() || self.shared.is_exhausted(self.pool) {
+            return false;
+        }
+        let Some(attempt) = self.queue.pop_for(self.shared) else { return false };
+        self.shared.remember(&attempt.id, self.pool);
+        self.enqueue(attempt);
+        true
+    }
+
+    fn read_mailbox(&mut self) -> bool {
+        let mut progress = false;
+        while let Some(message) = self.shared.mailbox.take() {
+            progress = true;
+            self.on_message(message);
+        }
+        progress
+    }
+
+    fn on_message(&mut self, message: UpstreamMessage) {
+        match message {
+            UpstreamMessage::Send(attempt) => self.enqueue(attempt),
+            UpstreamMessage::Cancel { key, reason } => self.cancel(key, reason),
+            UpstreamMessage::CheckHealth { tag, kind } => self.check_health(tag, kind),
+            UpstreamMessage::Retire => self.retire(),
+            // Any message wakes the actor, which then checks.
+            UpstreamMessage::Inspect => {}
+        }
+    }
+
+    fn enqueue(&mut self, attempt: OutgoingAttempt) {
+        self.waiting.push_back(attempt);
+        *lock(&self.shared.last_used) = self.pool.clock.now();
+    }
+
+    fn check_health(&mut self, tag: u64, kind: HealthCheckKind) {
+        self.unsent.extend_from_slice(&upstream::encode_health_check(&tag.to_string(), kind));
+        self.health_checks.insert(tag);
+    }
+
+    fn cancel(&mut self, key: AttemptKey, reason: CancelReason) {
+        // What is cancelled before it is sent never is.
+        if self.waiting.iter().any(|attempt| attempt.key == key) {
+            self.waiting.retain(|attempt| attempt.key != key);
+            return;
+        }
+        let found = self.in_flight.iter().find(|(_, attempt)| attempt.key == key);
+        let Some((id, sent_at)) = found.map(|(id, attempt)| (id.clone(), attempt.sent_at)) else { return };
+        self.in_flight.remove(&id);
+        self.unsent.extend_from_slice(&upstream::encode_cancel(&id));
+        // Guards against a machine that vanished or was cut off: the connection would stay open and silent, and after a
+        // cut it recovers late. A new one shows at once whether anyone is there. And against one on which this attempt
+        // alone is never answered: it is of no further use then.
+        let is_silent = self.last_received < sent_at;
+        let is_last_unanswered = reason == CancelReason::TimedOut && self.in_flight.is_empty();
+        if is_silent || is_last_unanswered || self.has_too_many_unanswered() {
+            self.retire();
+        }
+    }
+
+    fn has_too_many_unanswered(&self) -> bool {
+        let unanswered = lock(&self.shared.remembered_ids).values().filter(|id| !id.is_answered).count();
+        unanswered >= MAX_UNANSWERED_FACTOR * self.pool.max_concurrent_attempts
+    }
+
+    fn retire(&mut self) {
+        self.shared.exhausted.store(true, Ordering::Relaxed);
+        self.retired = true;
+    }
+
+    /// Writes what the host takes; returns whether anything was written.
+    fn write(&mut self) -> Result<bool, ConnectionError> {
+        let mut wrote = false;
+        loop {
+            while !self.unsent.is_empty() {
+                match self.stream.inner().write(&self.unsent) {
+                    Ok(length) => {
+                        self.unsent.drain(..length);
+                        wrote = true;
+                    }
+                    Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                        self.check_unsent()?;
+                        return Ok(wrote);
+                    }
+                    Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                    Err(error) => return Err(self.lost(ConnectionError::Io(error))),
+                }
+            }
+            let Some(attempt) = self.waiting.pop_front() else { return Ok(wrote) };
+            match self.send(attempt)? {
+                SendOutcome::Done => wrote = true,
+                SendOutcome::Blocked => {
+                    self.check_unsent()?;
+                    return Ok(wrote);
+                }
+            }
+        }
+    }
+
+    /// Writes the first bytes of an attempt, if it may still be sent.
+    fn send(&mut self, attempt: OutgoingAttempt) -> Result<SendOutcome, ConnectionError> {
+        let now = self.pool.clock.now();
+        if !attempt.permit.start_sending(now) {
+            let outcome = Outcome::NotSent;
+            self.pool.decisions.send(DecisionMessage::AttemptFailed { key: attempt.key, outcome });
+            return Ok(SendOutcome::Done);
+        }
+        match self.stream.inner().write(&attempt.line) {
+            Ok(length) => {
+                self.unsent.extend_from_slice(&attempt.line[length..]);
+                let OutgoingAttempt { key, id, names_cached_copy, .. } = attempt;
+                self.in_flight.insert(id, SentAttempt { key, sent_at: now, names_cached_copy });
+                Ok(SendOutcome::Done)
+            }
+            Err(error) => {
+                attempt.permit.undo_sending();
+                self.waiting.push_front(attempt);
+                match error.kind() {
+                    ErrorKind::WouldBlock => Ok(SendOutcome::Blocked),
+                    ErrorKind::Interrupted => Ok(SendOutcome::Done),
+                    _ => Err(self.lost(ConnectionError::Io(error))),
+                }
+            }
+        }
+    }
+
+    fn check_unsent(&self) -> Result<(), ConnectionError> {
+        let waiting = self.waiting.iter().map(|attempt| attempt.line.len()).sum::<usize>();
+        if self.unsent.len() + waiting > self.pool.max_unsent_bytes {
+            return Err(ConnectionError::HostNotReading);
+        }
+        Ok(())
+    }
+
+    /// Guards against a response that stops short while its connection stays open, and against a line that arrives byte by
+    /// byte without end: nothing else would get through behind it.
+    fn check_progress(&self) -> Result<(), ConnectionError> {
+        let now = self.pool.clock.now();
+        let has_line = self.buffer.filled().contains(&b'\n');
+        let stalled_since = match self.response_started {
+            Some(_) if has_line => Some(self.last_received),
+            started => started,
+        };
+        let is_stalled =
+            stalled_since.is_some_and(|since| now.saturating_sub(since) > self.pool.connect_timeout);
+        if is_stalled {
+            return Err(ConnectionError::Stalled);
+        }
+        Ok(())
+    }
+
+    /// The connection is gone. In the middle of a response it was a live host's.
+    fn lost(&mut self, error: ConnectionError) -> ConnectionError {
+        if self.response_started.is_none() {
+            self.outcome = Outcome::ConnectionLost;
+        }
+        error
+    }
+
+    /// Reads what has arrived and passes the complete responses on; returns whether anything was read.
+    fn read(&mut self) -> Result<bool, ConnectionError> {
+        let Some(spare) = self.buffer.spare() else { return Err(ConnectionError::OversizedResponse) };
+        match self.stream.inner().read(spare) {
+            Ok(0) => return Err(self.lost(ConnectionError::EndOfStream)),
+            Ok(length) => self.buffer.commit(length),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
+            Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(true),
+            Err(error) => return Err(self.lost(ConnectionError::Io(error))),
+        }
+        self.last_received = self.pool.clock.now();
+        *lock(&self.shared.last_received) = self.last_received;
+        self.count_buffer()?;
+        while let Some(DecodedResponse { length, response }) =
+            upstream::decode_response(self.buffer.filled())?
+        {
+            self.buffer.consume(length);
+            self.on_response(response)?;
+        }
+        let is_receiving = !self.buffer.filled().is_empty();
+        self.response_started = is_receiving.then(|| self.response_started.unwrap_or(self.last_received));
+        self.shared.receiving.store(is_receiving, Ordering::Relaxed);
+        Ok(true)
+    }
+
+    /// Counts the memory of the buffer; past the cap on all of it, the connection that needs more ends.
+    fn count_buffer(&mut self) -> Result<(), ConnectionError> {
+        let before = std::mem::replace(&mut self.counted_bytes, self.buffer.capacity());
+        let buffered_bytes = &self.pool.buffered_bytes;
+        let total = buffered_bytes.fetch_add(self.counted_bytes, Ordering::Relaxed) + self.counted_bytes;
+        buffered_bytes.fetch_sub(before, Ordering::Relaxed);
+        if self.counted_bytes > before && total - before > self.pool.max_buffered_bytes {
+            return Err(ConnectionError::OutOfMemory);
+        }
+        Ok(())
+    }
+
+    fn on_response(&mut self, response: HostResponse) -> Result<(), ConnectionError> {
+        let is_health_check = matches!(response.status, Status::Healthy | Status::Unhealthy);
+        if let Some(remembered) = lock(&self.shared.remembered_ids).get_mut(&response.id) {
+            remembered.is_answered = true;
+        }
+        if is_health_check {
+            let tag = response.id.parse().ok().filter(|tag| self.health_checks.remove(tag));
+            match tag {
+                Some(tag) => {
+                    self.pool.decisions.send(DecisionMessage::HealthCheckAnswered { tag, response });
+                }
+                None => self.ignore(&response),
+            }
+            return Ok(());
+        }
+        let Some(attempt) = self.in_flight.get(&response.id) else {
+            self.ignore(&response);
+            return Ok(());
+        };
+        if response.status == Status::NotModified && !attempt.names_cached_copy {
+            return Err(ConnectionError::UnexpectedNotModified);
+        }
+        let key = attempt.key;
+        self.in_flight.remove(&response.id);
+        self.pool.decisions.send(DecisionMessage::ResponseReceived { key, response });
+        Ok(())
+    }
+
+    /// A well-formed response that nobody waits for: to what has ended, a second one, or one that was never requested.
+    fn ignore(&self, response: &HostResponse) {
+        debug!(endpoint = self.endpoint, request = response.id, "response without a matching request");
+    }
+}
--- /dev/null
+++ b/crates/rockflow-dispatcher/src/upstream/mod.rs
@@ -0,0 +1,132 @@
+//! The actor of one connection to a host: the attempts that are in flight on it, and what becomes of them.
+
+mod connection;
+pub mod message;
+
+use crate::attempt::{EndedAttempts, OutgoingAttempt};
+use crate::connection_pool::{lock, AttemptQueue, ConnectionPool, UpstreamConnection};
+use crate::decision::message::DecisionMessage;
+use crate::host::message::HostMessage;
+use crate::mailbox::{Mailbox, Wake};
+use crate::upstream::connection::ConnectionActor;
+use crate::upstream::message::UpstreamMessage;
+use may::io::WaitIo;
+use may::net::TcpStream;
+use rockflow::Outcome;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+use tracing::{debug, error, info};
+
+/// Starts the actor of a new connection, which tells the host's mailbox of its end.
+pub fn start(
+    endpoint: String,
+    address: SocketAddr,
+    pool: Arc<ConnectionPool>,
+    host: Arc<Mailbox<HostMessage>>,
+    queue: Arc<AttemptQueue>,
+) -> Arc<UpstreamConnection> {
+    let connection = Arc::new(UpstreamConnection::new(pool.clock.now()));
+    let number = pool.next_connection.fetch_add(1, Ordering::Relaxed);
+    pool.connections().insert(number, connection.clone());
+    let shared = connection.clone();
+    may::go!(move || {
+        let leftover = run(&endpoint, address, &pool, &shared, &queue);
+        pool.connections().remove(&number);
+        host.send(HostMessage::ConnectionEnded {
+            ended: leftover.ended,
+            resend: leftover.resend,
+            never_established: !shared.established.load(Ordering::Relaxed),
+        });
+    });
+    connection
+}
+
+/// What a connection leaves when it ends.
+struct Leftover {
+    /// Attempts that ended with it: first those that may have executed, last those that were never sent.
+    ended: Vec<EndedAttempts>,
+    /// Attempts that were not sent and may go on another connection: this one had received responses, and its host closed
+    /// it just then.
+    resend: Vec<OutgoingAttempt>,
+}
+
+fn run(
+    endpoint: &str,
+    address: SocketAddr,
+    pool: &ConnectionPool,
+    shared: &UpstreamConnection,
+    queue: &AttemptQueue,
+) -> Leftover {
+    let mut ended = Vec::new();
+    let mut unsent = Vec::new();
+    let mut alive_if_received_since = None;
+    let started = pool.clock.now();
+    match TcpStream::connect_timeout(&address, pool.connect_timeout) {
+        Ok(stream) => {
+            debug!(endpoint, "connected");
+            let (sent, waiting) = serve(endpoint, stream, pool, shared, queue);
+            ended.push(sent);
+            unsent = waiting;
+        }
+        Err(error) => {
+            info!(endpoint, %error, "connect failed");
+            shared.ended.store(true, Ordering::Relaxed);
+            alive_if_received_since = alive_evidence(&error, started);
+        }
+    }
+    unsent.extend(drain_mailbox(pool, shared));
+    let has_received = *lock(&shared.last_received) > Duration::ZERO;
+    let resend = if has_received { std::mem::take(&mut unsent) } else { Vec::new() };
+    ended.push(EndedAttempts {
+        attempts: unsent.into_iter().map(|attempt| attempt.key).collect(),
+        alive_if_received_since,
+        outcome_if_gone: Outcome::ConnectFailed,
+        outcome_if_alive: Outcome::NotSent,
+    });
+    Leftover { ended, resend }
+}
+
+/// Guards against taking a machine that vanished for alive, as it lets its old connections stand; and against taking one
+/// connection that is established late for the end of a host that responds on others.
+fn alive_evidence(error: &std::io::Error, started: Duration) -> Option<Duration> {
+    (error.kind() == ErrorKind::TimedOut).then_some(started)
+}
+
+/// Serves an established connection to its end; returns the attempts that were in flight, and those not sent.
+fn serve(
+    endpoint: &str,
+    stream: TcpStream,
+    pool: &ConnectionPool,
+    shared: &UpstreamConnection,
+    queue: &AttemptQueue,
+) -> (EndedAttempts, Vec<OutgoingAttempt>) {
+    let _ = stream.set_nodelay(true);
+    shared.mailbox.wake_by(Wake::Io(stream.waker()));
+    shared.established.store(true, Ordering::Relaxed);
+    let mut actor = ConnectionActor::new(endpoint, stream, pool, shared, queue);
+    if catch_unwind(AssertUnwindSafe(|| actor.serve())).is_err() {
+        error!(endpoint, "upstream connection actor panicked");
+    }
+    shared.ended.store(true, Ordering::Relaxed);
+    actor.finish()
+}
+
+/// Takes the attempts that were handed over and not read any more.
+fn drain_mailbox(pool: &ConnectionPool, shared: &UpstreamConnection) -> Vec<OutgoingAttempt> {
+    let mut attempts = Vec::new();
+    while let Some(message) = shared.mailbox.take() {
+        match message {
+            UpstreamMessage::Send(attempt) => attempts.push(attempt),
+            UpstreamMessage::CheckHealth { tag, .. } => {
+                let outcome = Outcome::ConnectFailed;
+                pool.decisions.send(DecisionMessage::HealthCheckFailed { tag, outcome });
+            }
+            UpstreamMessage::Cancel { .. } | UpstreamMessage::Retire | UpstreamMessage::Inspect => {}
+        }
+    }
+    attempts
+}
--- a/crates/rockflow-dispatcher/tests/backpressure.rs
+++ b/crates/rockflow-dispatcher/tests/backpressure.rs
@@ -1,19 +1,19 @@
 //! What waits for an actor is bounded, and what has no place is covered by something stricter.
 
-use rockflow_dispatcher::backpressure::{CoalescingSlot, PurgeQuota, MAX_CALLERS, MAX_PURGES};
+use rockflow_dispatcher::backpressure::{CoalescingSlot, PurgeQuota, PutOutcome, MAX_CALLERS, MAX_PURGES};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
 #[test]
 fn places_end_and_come_back() {
     let waiting = Arc::new(PurgeQuota::default());
-    let all = waiting.places(MAX_PURGES).expect("room for all");
-    assert!(waiting.places(1).is_none());
+    let all = waiting.reserve(MAX_PURGES).expect("room for all");
+    assert!(waiting.reserve(1).is_none());
     drop(all);
-    let most = waiting.places(MAX_PURGES - 1);
-    assert!(waiting.places(2).is_none() && waiting.places(1).is_some());
+    let most = waiting.reserve(MAX_PURGES - 1);
+    assert!(waiting.reserve(2).is_none() && waiting.reserve(1).is_some());
     drop(most);
-    assert!(waiting.places(MAX_PURGES).is_some());
+    assert!(waiting.reserve(MAX_PURGES).is_some());
 }
 
 #[test]
@@ -26,12 +26,12 @@
         })
     };
     let largest = |new: u32| move |before: Option<u32>| before.map_or(new, |before| before.max(new));
-    assert_eq!(slot.put(largest(7), done()), (true, true));
-    assert_eq!(slot.put(largest(3), done()), (false, true));
+    assert_eq!(slot.put(largest(7), done()), PutOutcome { was_empty: true, dropped_caller: false });
+    assert_eq!(slot.put(largest(3), done()), PutOutcome { was_empty: false, dropped_caller: false });
     let (value, tell) = slot.take().expect("a value");
     assert_eq!(value, 7);
     // What comes from now on is for the next to take.
-    assert_eq!(slot.put(largest(1), done()), (true, true));
+    assert_eq!(slot.put(largest(1), done()), PutOutcome { was_empty: true, dropped_caller: false });
     tell(10);
     assert_eq!(told.load(Ordering::Relaxed), 20);
     assert_eq!(slot.take().map(|(value, _)| value), Some(1));
@@ -45,10 +45,10 @@
     let (slot, told) = (CoalescingSlot::<usize, ()>::default(), Arc::new(Mutex::new(Vec::new())));
     let all = (0..MAX_CALLERS + BEYOND).map(|n| {
         let told = told.clone();
-        slot.put(|_| n, Box::new(move |()| told.lock().unwrap().push(n))).1
+        slot.put(|_| n, Box::new(move |()| told.lock().unwrap().push(n))).dropped_caller
     });
     // Whether somebody gave way.
-    assert_eq!(all.filter(|whole| !whole).count(), BEYOND);
+    assert_eq!(all.filter(|dropped| *dropped).count(), BEYOND);
     let (value, tell) = slot.take().expect("a value");
     assert_eq!(value, MAX_CALLERS + BEYOND - 1);
     tell(());
--- a/crates/rockflow-dispatcher/tests/config.rs
+++ b/crates/rockflow-dispatcher/tests/config.rs
@@ -27,7 +27,7 @@
         Some(value) => parent.insert(key.to_string(), value),
         None => parent.remove(key),
     };
-    assert_eq!(Config::parse(&told.to_string()).err().as_deref(), Some(what));
+    assert_eq!(Config::parse(&told.to_string()).err().map(|error| error.to_string()).as_deref(), Some(what));
 }
 
 #[test]
@@ -48,6 +48,8 @@
     let mut told = example();
     told["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
     let caps = Caps::of(&Config::parse(&told.to_string()).unwrap().limits);
-    assert!(caps.location_dispatchers < caps.clients && caps.clients + caps.hosts < sockets);
-    assert!(caps.held + caps.hosts * caps.line_out < memory_mb * 1024 * 1024 / 2);
+    assert!(caps.idle_clients < caps.clients && caps.clients + caps.upstream_connections < sockets);
+    assert!(
+        caps.buffered_bytes + caps.upstream_connections * caps.unsent_bytes < memory_mb * 1024 * 1024 / 2
+    );
 }
--- a/crates/rockflow-dispatcher/tests/discovery.rs
+++ b/crates/rockflow-dispatcher/tests/discovery.rs
@@ -19,12 +19,12 @@
 enum End {
     /// The configuration names another board.
     Moved,
-    OutcomeCounts,
+    Ended,
     Reset,
     /// Taken, answered, and then silent.
     Silent,
     /// Told of a board where nobody listens, then of one that does.
-    RejectedOverride,
+    Refused,
     /// The same, with one whose connections never come up.
     NeverUp,
 }
@@ -34,7 +34,7 @@
     match n {
         n if n % 33 == 20 => End::Silent,
         n if n % 25 == 13 => End::NeverUp,
-        n => [End::Moved, End::OutcomeCounts, End::Reset, End::RejectedOverride][(n % 4) as usize],
+        n => [End::Moved, End::Ended, End::Reset, End::Refused][(n % 4) as usize],
     }
 }
 
@@ -156,14 +156,14 @@
         call.write_all(format!("{head}id: {last}\ndata: {notice}\n\n").as_bytes()).unwrap();
         heard(&service, last);
         match end_of(n) {
-            End::OutcomeCounts => drop(call),
+            End::Ended => drop(call),
             End::Reset => {
                 socket2::SockRef::from(&call).set_linger(Some(Duration::ZERO)).unwrap();
             }
             // Left for its silence: its end is the dispatcher's.
             End::Silent => assert_eq!(call.read(&mut [0; 16]).unwrap(), 0),
             end => {
-                if end == End::RejectedOverride {
+                if end == End::Refused {
                     let nobody = listener().1;
                     service.reload(&told(nobody, host_at));
                     assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
--- a/crates/rockflow-dispatcher/tests/discovery_clock.rs
+++ b/crates/rockflow-dispatcher/tests/discovery_clock.rs
@@ -1,7 +1,7 @@
 //! The age of a board's news is never more than it is by a clock that is right, and not always none.
 
-use rockflow_dispatcher::discovery_clock::DiscoveryClock;
-use rockflow_dispatcher::purge_backlog::TOLD_WITHIN;
+use rockflow_dispatcher::discovery::clock::DiscoveryClock;
+use rockflow_dispatcher::purge_backlog::MAX_DELIVERY_DELAY;
 use std::time::Duration;
 use test_case::test_case;
 
@@ -41,7 +41,7 @@
 fn nothing_is_older_than_a_board_takes_to_tell() {
     let took = |n| if n == 0 { ms(10) } else { ms(100_000) };
     for (_, age) in ages(Duration::ZERO, took) {
-        assert!(age <= TOLD_WITHIN);
+        assert!(age <= MAX_DELIVERY_DELAY);
     }
 }
 
@@ -51,7 +51,7 @@
     let mut clock = DiscoveryClock::new(BINDS, Duration::ZERO);
     clock.age(Duration::ZERO, ms(10));
     let ages = (1..1500).map(|n| clock.age(ms(20 * n), ms(60_010))).collect::<Vec<_>>();
-    assert_eq!(ages[0], TOLD_WITHIN);
+    assert_eq!(ages[0], MAX_DELIVERY_DELAY);
     assert!(ages[900..].iter().all(Duration::is_zero));
 }
 
--- a/crates/rockflow-dispatcher/tests/panics.rs
+++ b/crates/rockflow-dispatcher/tests/panics.rs
@@ -39,7 +39,7 @@
     fn event(&self, event: &Event<'_>) {
         let mut text = Text::default();
         event.record(&mut text);
-        if text.0.contains("news for the decisions") {
+        if text.0.contains("applying changes to the decisions") {
             let left = PANICS.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1));
             assert!(left.is_err(), "forced: {}", text.0);
         }
--- a/crates/rockflow-dispatcher/tests/purge_backlog.rs
+++ b/crates/rockflow-dispatcher/tests/purge_backlog.rs
@@ -1,6 +1,6 @@
 //! What a board said before is told by its own clock, whatever this one says.
 
-use rockflow_dispatcher::purge_backlog::{PurgeBacklog, LOOK, MAX_HELD};
+use rockflow_dispatcher::purge_backlog::{PurgeBacklog, CATCH_UP_CHECK_INTERVAL, MAX_HELD_PURGES};
 use rockflow_dispatcher::{Purge, PurgeTimestamp};
 use std::time::Duration;
 use test_case::test_case;
@@ -14,7 +14,7 @@
 }
 
 fn ages(backlog: &mut PurgeBacklog, now: Duration) -> Vec<u64> {
-    backlog.take(now).iter().map(|(_, age)| age.as_millis() as u64).collect()
+    backlog.take(now).iter().map(|held| held.age.as_millis() as u64).collect()
 }
 
 #[test_case(0, [8050, 7850, 1000, 50]; "right")]
@@ -41,41 +41,41 @@
 #[test]
 fn it_is_whole_once_the_boards_time_goes_on_like_ours() {
     let mut backlog = PurgeBacklog::new(BINDS);
-    assert!(!backlog.is_whole(NOW - LOOK * 9, false));
-    assert!(!backlog.is_whole(NOW - LOOK * 4, true));
+    assert!(!backlog.is_complete(NOW - CATCH_UP_CHECK_INTERVAL * 9, false));
+    assert!(!backlog.is_complete(NOW - CATCH_UP_CHECK_INTERVAL * 4, true));
     for (look, ago) in [(3, 100_000), (2, 2000)] {
         backlog.hold(NOW, purge(ago));
-        assert!(!backlog.is_whole(NOW - LOOK * look - Duration::from_millis(1), true));
-        assert!(!backlog.is_whole(NOW - LOOK * look, true), "{look}");
+        assert!(!backlog.is_complete(NOW - CATCH_UP_CHECK_INTERVAL * look - Duration::from_millis(1), true));
+        assert!(!backlog.is_complete(NOW - CATCH_UP_CHECK_INTERVAL * look, true), "{look}");
     }
     backlog.hold(NOW, purge(1400));
-    assert!(backlog.is_whole(NOW - LOOK, true));
+    assert!(backlog.is_complete(NOW - CATCH_UP_CHECK_INTERVAL, true));
 }
 
 #[test]
 fn a_board_that_said_nothing_is_not_waited_for() {
     let mut backlog = PurgeBacklog::new(BINDS);
-    assert!(!backlog.is_whole(NOW, true));
-    assert!(backlog.is_whole(NOW + LOOK, true));
+    assert!(!backlog.is_complete(NOW, true));
+    assert!(backlog.is_complete(NOW + CATCH_UP_CHECK_INTERVAL, true));
 }
 
 #[test]
 fn when_full_one_of_everything_stands_for_what_was_held() {
     let mut backlog = PurgeBacklog::new(BINDS);
-    (0..MAX_HELD).for_each(|_| backlog.hold(NOW, purge(10)));
-    assert!(!backlog.is_overflown(NOW));
+    (0..MAX_HELD_PURGES).for_each(|_| backlog.hold(NOW, purge(10)));
+    assert!(!backlog.has_overflowed(NOW));
     backlog.hold(NOW, purge(10));
-    assert!(backlog.is_overflown(NOW));
+    assert!(backlog.has_overflowed(NOW));
     assert_eq!(backlog.take(NOW).len(), 1);
 }
 
 #[test]
 fn what_found_no_place_long_ago_needs_nothing_in_its_stead() {
     let mut backlog = PurgeBacklog::new(BINDS);
-    (0..=MAX_HELD).for_each(|_| backlog.hold(NOW, purge(3_600_000)));
-    assert!(!backlog.is_overflown(NOW));
+    (0..=MAX_HELD_PURGES).for_each(|_| backlog.hold(NOW, purge(3_600_000)));
+    assert!(!backlog.has_overflowed(NOW));
     backlog.hold(NOW, purge(10));
-    assert!(!backlog.is_overflown(NOW));
+    assert!(!backlog.has_overflowed(NOW));
     assert_eq!(ages(&mut backlog, NOW), [10]);
 }
 
--- a/crates/rockflow-dispatcher/tests/purge_follower.rs
+++ b/crates/rockflow-dispatcher/tests/purge_follower.rs
@@ -1,6 +1,6 @@
 //! Whoever follows a board for its purges alone takes none for older than it can be, whatever the board's clock says.
 
-use rockflow_dispatcher::purge_backlog::TOLD_WITHIN;
+use rockflow_dispatcher::purge_backlog::MAX_DELIVERY_DELAY;
 use rockflow_dispatcher::{Clock, Config, ObservedPurge, PurgeFollower, Service};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -21,16 +21,16 @@
     Config::parse(&value.to_string()).unwrap()
 }
 
-struct DiscoveryClient {
+struct TestDiscovery {
     stream: TcpStream,
     heard: Receiver<ObservedPurge>,
     rev: u64,
     behind: Duration,
 }
 
-impl DiscoveryClient {
+impl TestDiscovery {
     /// A board whose clock is so far behind, and who follows it.
-    fn start(behind: Duration, binds: Duration) -> DiscoveryClient {
+    fn start(behind: Duration, binds: Duration) -> TestDiscovery {
         SET_UP.call_once(Service::set_up);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let told = told(&listener);
@@ -45,7 +45,7 @@
             call.push(byte[0]);
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n").unwrap();
-        DiscoveryClient { stream, heard, rev: told.snapshot.revision, behind }
+        TestDiscovery { stream, heard, rev: told.snapshot.revision, behind }
     }
 
     /// Tells of a purge that is made just now, by its own clock, and returns what is heard of it.
@@ -61,10 +61,10 @@
 /// Also where it binds for no longer than a board takes to tell of it: whoever is told of one that is older than it binds
 /// leaves it.
 #[test_case(Duration::from_secs(8); "longer than a board takes to tell")]
-#[test_case(TOLD_WITHIN; "as long as a board takes to tell")]
-#[test_case(TOLD_WITHIN / 2; "shorter than a board takes to tell")]
+#[test_case(MAX_DELIVERY_DELAY; "as long as a board takes to tell")]
+#[test_case(MAX_DELIVERY_DELAY / 2; "shorter than a board takes to tell")]
 fn a_board_whose_clock_is_behind_makes_no_news_older_than_they_are(binds: Duration) {
-    let mut board = DiscoveryClient::start(Duration::from_secs(10), binds);
+    let mut board = TestDiscovery::start(Duration::from_secs(10), binds);
     // The first is of what it said before; it is heard once that is whole, so that the next are news.
     assert!(board.tells().is_backlog);
     for _ in 0..3 {
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_clock_that_is_right_is_gone_by() {
-    let mut board = DiscoveryClient::start(Duration::ZERO, Duration::from_secs(8));
+    let mut board = TestDiscovery::start(Duration::ZERO, Duration::from_secs(8));
     assert!(board.tells().is_backlog);
     let made = Instant::now();
     assert!(board.tells().age <= made.elapsed() + CUT);
--- a/crates/rockflow-dispatcher/tests/upstream.rs
+++ b/crates/rockflow-dispatcher/tests/upstream.rs
@@ -1,9 +1,11 @@
 //! One connection to a host, with a scripted peer at its other end: what crosses there is held back till both are here.
 
 use rockflow::{AttemptNumber, Outcome, RequestId};
+use rockflow_dispatcher::attempt::{AttemptKey, OutgoingAttempt};
 use rockflow_dispatcher::connection_pool::{AttemptQueue, ConnectionPool, UpstreamConnection};
+use rockflow_dispatcher::decision::message::DecisionMessage;
+use rockflow_dispatcher::host::message::HostMessage;
 use rockflow_dispatcher::mailbox::Mailbox;
-use rockflow_dispatcher::messages::{AttemptKey, DecisionMessage, HostMessage, OutgoingAttempt};
 use rockflow_dispatcher::send_permit::SendPermit;
 use rockflow_dispatcher::upstream;
 use rockflow_dispatcher::{Clock, Service};
@@ -24,11 +26,11 @@
 
 struct Bed {
     clock: Clock,
-    module: Arc<Mailbox<DecisionMessage>>,
+    decisions: Arc<Mailbox<DecisionMessage>>,
     host: Arc<Mailbox<HostMessage>>,
     queue: Arc<AttemptQueue>,
     pool: Arc<ConnectionPool>,
-    line: Arc<UpstreamConnection>,
+    connection: Arc<UpstreamConnection>,
     peer: BufReader<TcpStream>,
 }
 
@@ -48,41 +50,41 @@
         Bed::idle_for(Duration::from_secs(30))
     }
 
-    fn idle_for(idle_limit: Duration) -> Bed {
+    fn idle_for(idle_timeout: Duration) -> Bed {
         SET_UP.call_once(Service::set_up);
-        let (clock, module, host) = (Clock::start(), Mailbox::new(), Mailbox::new());
+        let (clock, decisions, host) = (Clock::start(), Mailbox::new(), Mailbox::new());
         let pool = Arc::new(ConnectionPool {
             clock,
-            module: module.clone(),
-            connect_limit: Duration::from_secs(1),
-            idle_limit,
-            max_streams: 100,
-            longest: PATIENCE,
-            line_out: 2 * MUCH,
-            lines: Mutex::new(BTreeMap::new()),
-            next_line: AtomicU64::new(0),
-            max_lines: 10,
-            held: Arc::new(AtomicUsize::new(0)),
-            max_held: 1 << 20,
+            decisions: decisions.clone(),
+            connect_timeout: Duration::from_secs(1),
+            idle_timeout,
+            max_concurrent_attempts: 100,
+            max_request_time: PATIENCE,
+            max_unsent_bytes: 2 * MUCH,
+            connections: Mutex::new(BTreeMap::new()),
+            next_connection: AtomicU64::new(0),
+            max_connections: 10,
+            buffered_bytes: Arc::new(AtomicUsize::new(0)),
+            max_buffered_bytes: 1 << 20,
         });
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
         let queue = Arc::new(AttemptQueue::default());
-        let line = upstream::start("c1".to_string(), at, pool.clone(), host.clone(), queue.clone());
+        let connection = upstream::start("c1".to_string(), at, pool.clone(), host.clone(), queue.clone());
         let (peer, _) = listener.accept().unwrap();
         peer.set_read_timeout(Some(PATIENCE)).unwrap();
-        wait("the line is up", || line.is_up().then_some(()));
-        Bed { clock, module, host, queue, pool, line, peer: BufReader::new(peer) }
+        wait("the line is up", || connection.is_open().then_some(()));
+        Bed { clock, decisions, host, queue, pool, connection, peer: BufReader::new(peer) }
     }
 
     fn wanted(&self, number: u64, line: Vec<u8>) -> OutgoingAttempt {
-        let pass = SendPermit::new(self.clock.now() + PATIENCE, Mailbox::new());
+        let permit = SendPermit::new(self.clock.now() + PATIENCE, Mailbox::new());
         OutgoingAttempt {
-            key: (RequestId(number), AttemptNumber(0)),
+            key: AttemptKey { request: RequestId(number), attempt: AttemptNumber(0) },
             id: format!("{number:016x}"),
             line,
-            seen: false,
-            pass,
+            names_cached_copy: false,
+            permit,
         }
     }
 
@@ -91,7 +93,7 @@
     }
 
     fn give(&self, wanted: &OutgoingAttempt) {
-        self.line.want(wanted.clone(), &self.pool);
+        self.connection.send_attempt(wanted.clone(), &self.pool);
     }
 
     fn got(&mut self) -> String {
@@ -110,14 +112,14 @@
     }
 
     fn answered(&self) -> AttemptKey {
-        match wait("a word to the module", || self.module.take()) {
+        match wait("a word to the module", || self.decisions.take()) {
             DecisionMessage::ResponseReceived { key, .. } => key,
             _ => panic!("another word"),
         }
     }
 
     fn fell(&self) -> (AttemptKey, Outcome) {
-        match wait("a word to the module", || self.module.take()) {
+        match wait("a word to the module", || self.decisions.take()) {
             DecisionMessage::AttemptFailed { key, outcome } => (key, outcome),
             _ => panic!("another word"),
         }
@@ -153,10 +155,12 @@
     bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     drop(gate);
     let over = wait("the line is over", || bed.host.take());
-    let HostMessage::ConnectionEnded { fallen, again, failed } = over else { panic!("another order") };
-    assert!(!second.pass.begun() && !failed);
-    assert_eq!(again.iter().map(|wanted| wanted.key).collect::<Vec<_>>(), [second.key]);
-    assert!(fallen.iter().all(|fallen| fallen.attempts.is_empty()), "{fallen:?}");
+    let HostMessage::ConnectionEnded { ended, resend, never_established } = over else {
+        panic!("another order")
+    };
+    assert!(!second.permit.is_sent() && !never_established);
+    assert_eq!(resend.iter().map(|wanted| wanted.key).collect::<Vec<_>>(), [second.key]);
+    assert!(ended.iter().all(|ended| ended.attempts.is_empty()), "{ended:?}");
 }
 
 /// From a host that takes connections and closes them at once it is not tried without end.
@@ -170,10 +174,10 @@
     bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     drop(gate);
     let over = wait("the line is over", || bed.host.take());
-    let HostMessage::ConnectionEnded { fallen, again, .. } = over else { panic!("another order") };
-    assert!(!wanted.pass.begun() && again.is_empty());
-    let last = fallen.last().unwrap();
-    assert_eq!((&last.attempts[..], last.if_it_lives), (&[wanted.key][..], Outcome::NotSent));
+    let HostMessage::ConnectionEnded { ended, resend, .. } = over else { panic!("another order") };
+    assert!(!wanted.permit.is_sent() && resend.is_empty());
+    let last = ended.last().unwrap();
+    assert_eq!((&last.attempts[..], last.outcome_if_alive), (&[wanted.key][..], Outcome::NotSent));
 }
 
 #[test]
@@ -183,11 +187,13 @@
     let gate = freeze();
     let (gone, client_left, late, next) = (bed.small(1), bed.small(2), bed.small(3), bed.small(4));
     let client = Mailbox::new();
-    let client_left =
-        OutgoingAttempt { pass: SendPermit::new(bed.clock.now() + PATIENCE, client.clone()), ..client_left };
-    let late = OutgoingAttempt { pass: SendPermit::new(bed.clock.now(), Mailbox::new()), ..late };
+    let client_left = OutgoingAttempt {
+        permit: SendPermit::new(bed.clock.now() + PATIENCE, client.clone()),
+        ..client_left
+    };
+    let late = OutgoingAttempt { permit: SendPermit::new(bed.clock.now(), Mailbox::new()), ..late };
     [&gone, &client_left, &late, &next].into_iter().for_each(|wanted| bed.give(wanted));
-    assert!(gone.pass.withdraw());
+    assert!(gone.permit.withdraw());
     client.close();
     drop(gate);
     for wanted in [&gone, &client_left, &late] {
@@ -204,11 +210,11 @@
     let mut bed = Bed::new();
     let (much, taken_back, next) = (bed.wanted(1, vec![b'x'; MUCH]), bed.small(2), bed.small(3));
     bed.give(&much);
-    wait("the first is half out", || much.pass.begun().then_some(()));
+    wait("the first is half out", || much.permit.is_sent().then_some(()));
     bed.give(&taken_back);
     bed.give(&next);
-    assert!(taken_back.pass.withdraw(), "it has begun");
-    assert!(!much.pass.withdraw());
+    assert!(taken_back.permit.withdraw(), "it has begun");
+    assert!(!much.permit.withdraw());
     let mut rest = vec![0; MUCH];
     bed.peer.read_exact(&mut rest).unwrap();
     assert_eq!(bed.fell(), (taken_back.key, Outcome::NotSent));
@@ -238,9 +244,9 @@
 fn a_connection_that_has_rested_for_most_of_the_told_time_takes_nothing() {
     let _alone = alone();
     let bed = Bed::idle_for(Duration::from_millis(500));
-    assert!(bed.line.takes("x", &bed.pool));
-    wait("it takes nothing more", || (!bed.line.takes("x", &bed.pool)).then_some(()));
-    let rested = bed.clock.now() - bed.line.used();
+    assert!(bed.connection.accepts("x", &bed.pool));
+    wait("it takes nothing more", || (!bed.connection.accepts("x", &bed.pool)).then_some(()));
+    let rested = bed.clock.now() - bed.connection.last_used();
     assert!(rested >= Duration::from_millis(400), "{rested:?}");
-    assert!(bed.line.is_up());
+    assert!(bed.connection.is_open());
 }
