--- a/crates/rockflow-gnmi/src/server.rs
+++ b/crates/rockflow-gnmi/src/server.rs
@@ -3,7 +3,8 @@
 use crate::service::{Peer, Service};
 use crate::wire::g_nmi_server::GNmiServer;
 use rockflow_management_service::{
-    authentication, secrets, GnmiSection, ManagementService, UnauthenticatedConnections,
+    authentication, credentials, AuthenticatedStream, GnmiSection, ManagementService,
+    UnauthenticatedConnections,
 };
 use std::net::{SocketAddr, TcpListener as Listener};
 use std::pin::Pin;
@@ -38,11 +39,13 @@
 
 impl Bound {
     pub fn check(part: &GnmiSection) -> Result<(), String> {
-        secrets::server(&part.tls, &[b"h2"]).map(|_| ())
+        credentials::tls_server_config(&part.tls, &[b"h2"]).map(|_| ()).map_err(|error| error.to_string())
     }
 
     pub fn new(part: &GnmiSection) -> Result<Bound, String> {
-        let acceptor = TlsAcceptor::from(secrets::server(&part.tls, &[b"h2"])?);
+        let acceptor = TlsAcceptor::from(
+            credentials::tls_server_config(&part.tls, &[b"h2"]).map_err(|error| error.to_string())?,
+        );
         let fault = |what: std::io::Error| format!("gnmi {}: {what}", part.tls.listen);
         let listener = Listener::bind(part.tls.listen).map_err(fault)?;
         listener.set_nonblocking(true).map_err(fault)?;
@@ -121,7 +124,7 @@
                 tokio::spawn(async move {
                     let shaken =
                         authentication::tls_handshake(acceptor, stream, from, unproved, HANDSHAKE).await;
-                    let Some((stream, user)) = shaken else { return };
+                    let Some(AuthenticatedStream { stream, user }) = shaken else { return };
                     match places.try_acquire_owned() {
                         Ok(permit) => {
                             let peer = Peer { user, from };
--- a/crates/rockflow-management-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -43,7 +43,7 @@
             gnmi: file.gnmi.as_ref().map(rockflow_gnmi::Bound::new).transpose()?,
             #[cfg(feature = "netconf")]
             netconf: file.netconf.as_ref().map(rockflow_netconf::Bound::new).transpose()?,
-            opened: RestoredState::open(clock, part)?,
+            opened: RestoredState::open(clock, part).map_err(|error| error.to_string())?,
         }))
     }
 
@@ -62,7 +62,7 @@
 
     /// The marks that hold from the first request on.
     pub fn marks(&self) -> Marks {
-        self.opened.marks()
+        self.opened.administrative_overrides()
     }
 
     pub fn addresses(&self) -> Addresses {
--- a/crates/rockflow-management-service/src/audit.rs
+++ b/crates/rockflow-management-service/src/audit.rs
@@ -1,62 +1,80 @@
-//! Who changed what, from where: one structured line a commit, in the log under the target `audit` and, where
-//! the operator's file names one, appended to a file.
+//! The audit log: who changed what, from where. One line of JSON a commit, in the log under the target `audit`
+//! and, where the operator's file names one, appended to a file.
 
 use rockflow_management::{timestamp, Commit};
-use rockflow_yang::Schema;
+use rockflow_yang::{Change, Schema};
+use serde_json::{json, Value};
 use std::fs::{File, OpenOptions};
-use std::io::Write;
-use std::path::Path;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+use thiserror::Error;
 use tracing::{error, info};
 
-/// Changes that one line names; the rest is counted.
-const MAX_NAMED: usize = 200;
+/// Changes that one line names; further ones are counted.
+const MAX_NAMED_CHANGES: usize = 200;
 
+/// The audit file can't be opened.
+#[derive(Debug, Error)]
+#[error("{}: {source}", path.display())]
+pub struct OpenAuditError {
+    path: PathBuf,
+    source: io::Error,
+}
+
+/// The audit log.
 pub struct Audit {
     file: Option<File>,
 }
 
 impl Audit {
-    pub fn open(path: Option<&Path>) -> Result<Audit, String> {
-        let open = |path: &Path| {
-            let mut options = OpenOptions::new();
-            options.create(true).append(true);
-            #[cfg(unix)]
-            {
-                use std::os::unix::fs::OpenOptionsExt;
-                options.mode(0o600);
-            }
-            options.open(path).map_err(|what| format!("{}: {what}", path.display()))
-        };
-        Ok(Audit { file: path.map(open).transpose()? })
+    /// Opens the log; with a path, lines are also appended to that file, which is made for its owner alone.
+    ///
+    /// # Errors
+    /// Where the file can't be opened.
+    pub fn open(path: Option<&Path>) -> Result<Audit, OpenAuditError> {
+        Ok(Audit { file: path.map(open_file).transpose()? })
     }
 
+    /// Writes the line of a commit. A file that can't be written is reported in the log.
     pub fn write(&mut self, schema: &Schema, commit: &Commit) {
-        let line = line(schema, commit);
+        let line = audit_line(schema, commit);
         info!(target: "audit", line = %line, "commit");
         if let Some(file) = &mut self.file {
-            if let Err(what) = writeln!(file, "{line}") {
-                error!(%what, version = commit.version, "audit line not written");
+            if let Err(error) = writeln!(file, "{line}") {
+                error!(%error, version = commit.version, "audit line not written");
             }
         }
     }
 }
 
-fn line(schema: &Schema, commit: &Commit) -> serde_json::Value {
-    let named = commit.changes.iter().take(MAX_NAMED).map(|change| {
-        serde_json::json!({
+fn open_file(path: &Path) -> Result<File, OpenAuditError> {
+    let mut options = OpenOptions::new();
+    options.create(true).append(true);
+    #[cfg(unix)]
+    {
+        use std::os::unix::fs::OpenOptionsExt;
+        options.mode(0o600);
+    }
+    options.open(path).map_err(|source| OpenAuditError { path: path.to_path_buf(), source })
+}
+
+fn audit_line(schema: &Schema, commit: &Commit) -> Value {
+    let named = |change: &Change| {
+        json!({
             "path": change.path.text(schema),
             "before": change.before.as_ref().map(ToString::to_string),
             "after": change.after.as_ref().map(ToString::to_string),
         })
-    });
-    serde_json::json!({
+    };
+    let changes: Vec<_> = commit.changes.iter().take(MAX_NAMED_CHANGES).map(named).collect();
+    json!({
         "time": timestamp::format(commit.time),
         "version": commit.version,
         "user": commit.operator.user,
         "protocol": commit.operator.protocol.name(),
         "source": commit.operator.source,
         "comment": commit.comment,
-        "changes": named.collect::<Vec<_>>(),
-        "more": commit.changes.len().saturating_sub(MAX_NAMED),
+        "changes": changes,
+        "more": commit.changes.len().saturating_sub(MAX_NAMED_CHANGES),
     })
 }
--- a/crates/rockflow-management-service/src/authentication.rs
+++ b/crates/rockflow-management-service/src/authentication.rs
@@ -1,7 +1,7 @@
-//! Peers that have not proved who they are: so many at once, and past that the one that has taken longest gives
-//! way, so that handshakes left half open by the hundred keep nobody out who can prove it at once.
+//! Connections whose peer is not authenticated yet. They are limited in number; past the limit the oldest one is
+//! evicted, so that handshakes left half open by the hundred keep nobody out who authenticates at once.
 
-use crate::secrets;
+use crate::credentials;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,141 +12,137 @@
 use tokio_rustls::TlsAcceptor;
 use tracing::{info, warn};
 
-/// After a failed accept, for example with no descriptor left.
-const PAUSE: Duration = Duration::from_millis(50);
-
-#[derive(Default)]
-struct Waiting {
-    next: u64,
-    all: BTreeMap<u64, Arc<Notify>>,
-}
+/// The pause after a failed accept, for example with no descriptor left.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
+/// The unauthenticated connections of a listener, shared by all of its clones.
 #[derive(Clone)]
 pub struct UnauthenticatedConnections {
-    most: usize,
-    waiting: Arc<Mutex<Waiting>>,
+    max_connections: usize,
+    table: Arc<Mutex<ConnectionTable>>,
 }
 
-/// One that has not proved who it is, as long as this lives.
+#[derive(Default)]
+struct ConnectionTable {
+    next_id: u64,
+    /// By age: ids only grow.
+    evictions: BTreeMap<u64, Arc<Notify>>,
+}
+
+/// One unauthenticated connection, as long as this is not dropped.
 pub struct UnauthenticatedConnection {
-    doorway: UnauthenticatedConnections,
-    number: u64,
-    evicted: Arc<Notify>,
+    connections: UnauthenticatedConnections,
+    id: u64,
+    eviction: Arc<Notify>,
 }
 
-impl UnauthenticatedConnections {
-    pub fn new(most: usize) -> UnauthenticatedConnections {
-        UnauthenticatedConnections { most: most.max(1), waiting: Arc::default() }
-    }
+/// A TLS connection whose client has shown a certificate of the client authority.
+pub struct AuthenticatedStream {
+    /// The connection.
+    pub stream: TlsStream<TcpStream>,
+    /// The user whom the certificate names.
+    pub user: String,
+}
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+impl UnauthenticatedConnections {
+    /// Allows so many connections at once, and at least one.
+    pub fn new(max_connections: usize) -> UnauthenticatedConnections {
+        UnauthenticatedConnections { max_connections: max_connections.max(1), table: Arc::default() }
     }
 
+    /// Adds a connection; past the limit the oldest is evicted.
     pub fn admit(&self) -> UnauthenticatedConnection {
-        let mut waiting = self.lock();
-        while waiting.all.len() >= self.most {
-            if let Some((_, oldest)) = waiting.all.pop_first() {
-                // Kept for one that does not wait for it yet.
+        let mut table = self.lock();
+        while table.evictions.len() >= self.max_connections {
+            if let Some((_, oldest)) = table.evictions.pop_first() {
+                // Stored for a connection that does not wait for it yet.
                 oldest.notify_one();
             }
         }
-        let (number, evicted) = (waiting.next, Arc::new(Notify::new()));
-        waiting.next += 1;
-        waiting.all.insert(number, evicted.clone());
-        drop(waiting);
-        UnauthenticatedConnection { doorway: self.clone(), number, evicted }
+        let id = table.next_id;
+        table.next_id += 1;
+        let eviction = Arc::new(Notify::new());
+        table.evictions.insert(id, eviction.clone());
+        drop(table);
+        UnauthenticatedConnection { connections: self.clone(), id, eviction }
     }
 
+    /// How many connections there are.
     pub fn len(&self) -> usize {
-        self.lock().all.len()
+        self.lock().evictions.len()
     }
 
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
+
+    fn lock(&self) -> MutexGuard<'_, ConnectionTable> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 }
 
-/// Takes connections in as long as it runs, each with its place at the doorway.
+impl UnauthenticatedConnection {
+    /// Waits until the connection is evicted.
+    pub async fn evicted(&self) {
+        self.eviction.notified().await;
+    }
+}
+
+impl Drop for UnauthenticatedConnection {
+    fn drop(&mut self) {
+        self.connections.lock().evictions.remove(&self.id);
+    }
+}
+
+/// Accepts connections for ever, and passes each on with its place among the unauthenticated ones.
 pub async fn accept_connections(
     listener: TcpListener,
-    doorway: UnauthenticatedConnections,
+    connections: UnauthenticatedConnections,
     mut serve: impl FnMut(TcpStream, SocketAddr, UnauthenticatedConnection),
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let _ = stream.set_nodelay(true);
-                serve(stream, from, doorway.admit());
+                serve(stream, from, connections.admit());
             }
-            Err(what) => {
-                warn!(%what, "management accept");
-                tokio::time::sleep(PAUSE).await;
+            Err(error) => {
+                warn!(%error, "accepting a management connection failed");
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-/// Shakes hands by TLS within the limit; the stream, and the user whom its certificate names.
+/// Makes a TLS handshake within the timeout; none where it fails or the connection is evicted.
 pub async fn tls_handshake(
     acceptor: TlsAcceptor,
     stream: TcpStream,
     from: SocketAddr,
-    unproved: UnauthenticatedConnection,
-    limit: Duration,
-) -> Option<(TlsStream<TcpStream>, String)> {
-    let shaken = tokio::select! {
-        shaken = tokio::time::timeout(limit, acceptor.accept(stream)) => shaken,
-        () = unproved.evicted() => {
-            info!(%from, "gave way to another handshake");
+    connection: UnauthenticatedConnection,
+    timeout: Duration,
+) -> Option<AuthenticatedStream> {
+    let handshake = tokio::select! {
+        handshake = tokio::time::timeout(timeout, acceptor.accept(stream)) => handshake,
+        () = connection.evicted() => {
+            info!(%from, "handshake evicted by a newer connection");
             return None;
         }
     };
-    let why = match shaken {
-        Ok(Ok(stream)) => {
-            let certificates = stream.get_ref().1.peer_certificates();
-            match certificates.and_then(|all| secrets::user_of(all.first()?)) {
-                Some(user) => return Some((stream, user)),
-                None => "the certificate names no user".to_string(),
-            }
-        }
-        Ok(Err(what)) => what.to_string(),
+    let error = match handshake {
+        Ok(Ok(stream)) => match certificate_user(&stream) {
+            Some(user) => return Some(AuthenticatedStream { stream, user }),
+            None => "the certificate names no user".to_string(),
+        },
+        Ok(Err(error)) => error.to_string(),
         Err(_) => "not done in time".to_string(),
     };
-    info!(%from, why, "tls handshake");
+    info!(%from, error, "tls handshake failed");
     None
 }
 
-impl UnauthenticatedConnection {
-    /// Waits till another takes its place.
-    pub async fn evicted(&self) {
-        self.evicted.notified().await;
-    }
-}
-
-impl Drop for UnauthenticatedConnection {
-    fn drop(&mut self) {
-        self.doorway.lock().all.remove(&self.number);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[tokio::test]
-    async fn the_oldest_gives_way_and_the_proved_leave_their_place() {
-        let doorway = UnauthenticatedConnections::new(2);
-        let (first, second) = (doorway.admit(), doorway.admit());
-        drop(second);
-        let third = doorway.admit();
-        assert_eq!(doorway.len(), 2);
-        let _fourth = doorway.admit();
-        first.evicted().await;
-        assert_eq!(doorway.len(), 2);
-        let _fifth = doorway.admit();
-        third.evicted().await;
-        drop((first, third));
-        assert_eq!(doorway.len(), 2);
-    }
+fn certificate_user(stream: &TlsStream<TcpStream>) -> Option<String> {
+    let certificates = stream.get_ref().1.peer_certificates()?;
+    credentials::certificate_user(certificates.first()?)
 }
--- /dev/null
+++ b/crates/rockflow-management-service/src/restore.rs
@@ -0,0 +1,103 @@
+//! Restoring the datastores at a start, ahead of the dispatcher.
+
+use crate::audit::{Audit, OpenAuditError};
+use crate::operator_config::ManagementSection;
+use crate::service::{Datastores, ManagementService, SetLogLevel, StorageBackend};
+use rockflow_dispatcher::{Clock, Link};
+use rockflow_endpoints::Marks;
+use rockflow_management::{
+    record, Management, ManagementOptions, RestoreError, Restored, StartupMode, VolatileStorage,
+};
+use rockflow_store::{Folder, Opened, Store};
+use rockflow_yang::Schema;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use thiserror::Error;
+use tracing::{error, info, warn};
+
+/// The name of the snapshots in their folder.
+const SNAPSHOT_NAME: &str = "config";
+
+/// Why the datastores can't be restored. A folder that can't be used is an error, not an empty one.
+#[derive(Debug, Error)]
+pub enum OpenError {
+    /// The folder of the snapshots can't be used.
+    #[error("store {}: {source}", path.display())]
+    Store {
+        /// The folder.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// The snapshot can't be read back.
+    #[error("stored configuration: {0}")]
+    Configuration(#[from] RestoreError),
+    /// The audit file can't be opened.
+    #[error(transparent)]
+    Audit(#[from] OpenAuditError),
+}
+
+/// The datastores as they come back at a start.
+pub struct RestoredState {
+    datastores: Datastores,
+    audit: Audit,
+    clock: Clock,
+}
+
+struct OpenedStorage {
+    backend: StorageBackend,
+    payload: Option<Vec<u8>>,
+}
+
+impl RestoredState {
+    /// Opens the storage and the audit log that the section names, and reads the datastores back.
+    ///
+    /// # Errors
+    /// Where any of them can't be used.
+    pub fn open(clock: Clock, section: &ManagementSection) -> Result<RestoredState, OpenError> {
+        let storage = match &section.store {
+            None => OpenedStorage { backend: Box::new(VolatileStorage), payload: None },
+            Some(path) => open_folder(path)?,
+        };
+        let options = ManagementOptions {
+            schema: Arc::new(Schema::published()),
+            owner: Some(section.owner.clone()),
+            startup: match section.separate_startup {
+                true => StartupMode::Separate,
+                false => StartupMode::FollowsRunning,
+            },
+        };
+        let payload = storage.payload.as_deref();
+        let restored = Management::restore(clock.now(), options, storage.backend, payload)?;
+        let Restored { management: datastores, warnings } = restored;
+        for warning in warnings {
+            warn!(%warning, "configuration restored with a change");
+        }
+        let overrides = datastores.administrative_overrides().len();
+        info!(version = datastores.version(), overrides, "management datastores restored");
+        Ok(RestoredState { datastores, audit: Audit::open(section.audit.as_deref())?, clock })
+    }
+
+    /// The administrative overrides that hold from the first request on.
+    pub fn administrative_overrides(&self) -> Marks {
+        self.datastores.administrative_overrides()
+    }
+
+    /// Attaches the datastores to a running dispatcher.
+    pub fn into_service(self, link: Link, set_log_level: SetLogLevel) -> Arc<ManagementService> {
+        ManagementService::start(self.datastores, self.audit, self.clock, link, set_log_level)
+    }
+}
+
+fn open_folder(path: &Path) -> Result<OpenedStorage, OpenError> {
+    let error = |source: io::Error| OpenError::Store { path: path.to_path_buf(), source };
+    let folder = Folder::open(path).map_err(error)?;
+    let opened = Store::open(folder, SNAPSHOT_NAME, record::FORMAT_VERSION, record::MAX_PAYLOAD_BYTES);
+    let Opened { store, snapshot, unreadable } = opened.map_err(error)?;
+    for file in unreadable {
+        error!(error = %file, folder = %path.display(), "unreadable snapshot skipped, the last good one is used");
+    }
+    let payload = snapshot.map(|snapshot| snapshot.payload);
+    Ok(OpenedStorage { backend: Box::new(store), payload })
+}
--- /dev/null
+++ b/crates/rockflow-management-service/src/service/changes.rs
@@ -0,0 +1,125 @@
+//! From a change of the datastores to its effect: the audit log, subscribers, the log's level, and the endpoint
+//! list of the decisions.
+
+use super::{Datastores, ManagementService, Shared};
+use crate::event::ManagementEvent;
+use crate::state;
+use rockflow_management::{
+    ErrorTag, ManagementError, Notification, Operator, Protocol, SessionEndReason, SessionId,
+    ValidationContext,
+};
+use rockflow_yang::{data, Scalar};
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tracing::{debug, error, info, warn};
+
+/// The longest wait for the decisions to apply a commit before it is acknowledged all the same.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(2);
+
+impl ManagementService {
+    /// Makes one change on a session's behalf, and waits until it is durable and the decisions apply it.
+    pub(crate) async fn change<T>(
+        &self,
+        id: SessionId,
+        make: impl FnOnce(&mut Datastores, Duration, &ValidationContext) -> Result<T, ManagementError>,
+    ) -> Result<T, ManagementError> {
+        // Guards against draining the last endpoint of a location while nothing is known of the list.
+        let survey = self.status().await.ok_or_else(|| {
+            let message = "the dispatcher does not tell its hosts; nothing is changed";
+            ManagementError::new(ErrorTag::ResourceDenied, message)
+        })?;
+        let context = state::validation_context(&survey, self.now());
+        let (result, applied) = {
+            let now = self.now();
+            let mut shared = self.lock();
+            shared.datastores.record_activity(now, id);
+            let result = make(&mut shared.datastores, now, &context);
+            (result, self.process_notifications(&mut shared))
+        };
+        self.reschedule();
+        if let Some(applied) = applied {
+            if tokio::time::timeout(APPLY_TIMEOUT, applied).await.is_err() {
+                warn!("commit is durable, the dispatcher has not confirmed that it is applied");
+            }
+        }
+        result
+    }
+
+    /// Carries out what a change has brought, while the lock is held, so that commits reach the endpoint list in
+    /// their order, also those of an ended session or a timeout. Where overrides were sent, the receiver tells
+    /// when the decisions apply them.
+    pub(crate) fn process_notifications(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
+        let now = self.now();
+        let mut has_commit = false;
+        for notification in shared.datastores.take_notifications() {
+            match &notification {
+                Notification::Committed(commit) => {
+                    shared.audit.write(&self.schema, commit);
+                    has_commit = true;
+                }
+                Notification::SessionStarted { session, operator } => log_session_start(*session, operator),
+                Notification::SessionEnded { session, operator, reason } => {
+                    log_session_end(*session, operator, *reason);
+                    self.session_ended.notify_waiters();
+                }
+                Notification::ConfirmedCommit { event, operator } => {
+                    info!(event = event.name(), user = operator.user, "confirmed commit");
+                }
+            }
+            let _ = self.events.send((now, ManagementEvent::Notification(notification)));
+        }
+        self.update_log_level(shared);
+        if has_commit || shared.has_unapplied_overrides {
+            self.send_overrides(shared)
+        } else {
+            None
+        }
+    }
+
+    fn update_log_level(&self, shared: &mut Shared) {
+        let names = ["router", "logging", "level"];
+        let running = shared.datastores.running();
+        let configured = data::leaf(&self.schema, running, &names).map(Scalar::to_string);
+        if configured != shared.log_level {
+            (self.set_log_level)(configured.as_deref());
+            shared.log_level = configured;
+        }
+    }
+
+    /// Sends the overrides as they are to the endpoint list.
+    fn send_overrides(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
+        let (done, applied) = oneshot::channel();
+        let is_sent = self.link.mark(shared.datastores.administrative_overrides(), move || {
+            let _ = done.send(());
+        });
+        if let Some(report) = &mut shared.status {
+            // It would show what no longer holds.
+            report.taken = Duration::ZERO;
+        }
+        shared.has_unapplied_overrides = !is_sent;
+        if !is_sent {
+            error!("endpoint list accepts no more messages, overrides are sent again later");
+        }
+        is_sent.then_some(applied)
+    }
+}
+
+/// Each call of gNMI is a session of its own, so these are logged for debugging alone.
+fn log_session_start(session: SessionId, operator: &Operator) {
+    let (session, protocol) = (session.0, operator.protocol.name());
+    let (user, source) = (&operator.user, &operator.source);
+    if operator.protocol == Protocol::Gnmi {
+        debug!(session, user, protocol, source, "management session started");
+    } else {
+        info!(session, user, protocol, source, "management session started");
+    }
+}
+
+fn log_session_end(session: SessionId, operator: &Operator, reason: SessionEndReason) {
+    let (session, user, reason) = (session.0, &operator.user, reason.name());
+    if operator.protocol == Protocol::Gnmi {
+        debug!(session, user, reason, "management session ended");
+    } else {
+        info!(session, user, reason, "management session ended");
+    }
+}
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -1,163 +1,208 @@
-//! The dispatcher's state as the model has it, from a survey and what the datastores tell of themselves.
+//! The operational datastore: running with the origin of each override, and the dispatcher's state as the model
+//! has it. Names of the model stay within this module.
 
+use crate::model_writer::ModelWriter;
 use rockflow::{Effect, Readiness, Role};
 use rockflow_dispatcher::messages::Survey;
 use rockflow_dispatcher::{Link, Phase};
 use rockflow_endpoints::{beside, merged};
-use rockflow_management::{timestamp, Durable, Management, ValidationContext};
-use rockflow_yang::{Data, Fields, NodeId, Path, Scalar, Schema, Step};
+use rockflow_management::{timestamp, Commit, Management, SnapshotStorage, ValidationContext};
+use rockflow_yang::{Data, Fields, Path, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Puts values under the names of the model, which is asked for each: a leaf that it lacks is a fault of the
-/// build, found by the tests.
-pub struct Writer<'a> {
-    schema: &'a Schema,
-    at: NodeId,
-    pub fields: Fields,
-}
-
-impl<'a> Writer<'a> {
-    pub fn new(schema: &'a Schema, names: &[&str]) -> Writer<'a> {
-        let at = schema.find(names).unwrap_or_else(|| panic!("the model lacks {names:?}"));
-        Writer { schema, at, fields: Fields::new() }
-    }
-
-    fn below(&self, name: &str) -> NodeId {
-        let child = self.schema.child(Some(self.at), None, name);
-        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.path_of(self.at)))
-    }
-
-    pub fn leaf(&mut self, name: &str, value: Scalar) {
-        self.fields.insert(self.below(name), Data::Leaf(value));
-    }
+/// The list of the model that holds the overrides.
+const OVERRIDE_LIST: [&str; 3] = ["router", "marks", "mark"];
+/// Decimal places of an endpoint's health.
+const HEALTH_DIGITS: u8 = 3;
 
-    pub fn text(&mut self, name: &str, value: impl Into<String>) {
-        self.leaf(name, Scalar::Text(value.into()));
-    }
+/// The endpoint list as the checks of a commit need it.
+pub fn validation_context(survey: &Survey, now: Duration) -> ValidationContext {
+    let listed = survey.told.iter().map(|entry| (entry.name.clone(), entry.listed()));
+    ValidationContext { endpoints: beside(listed.collect(), &survey.fleet, now) }
+}
 
-    pub fn number(&mut self, name: &str, value: u64) {
-        self.leaf(name, Scalar::Unsigned(value));
+/// The operational datastore: running with its origins, and `/router/state`.
+pub fn operational<S: SnapshotStorage>(
+    management: &Management<S>,
+    link: &Link,
+    survey: &Survey,
+    started: Duration,
+    now: Duration,
+) -> Fields {
+    let schema = management.schema();
+    let mut fields = running_with_origins(management);
+    let state = router_state(management, link, survey, started, now);
+    let Some(router) = schema.find(&["router"]) else { return fields };
+    let Some(state_node) = schema.find(&["router", "state"]) else { return fields };
+    let inner = fields.entry(router).or_insert_with(|| Data::Container(Fields::new()));
+    if let Data::Container(inner) = inner {
+        inner.insert(state_node, Data::Container(state));
     }
+    fields
+}
 
-    pub fn maybe(&mut self, name: &str, value: Option<Scalar>) {
-        if let Some(value) = value {
-            self.leaf(name, value);
+/// Running, with who set each override, when and by which commit.
+fn running_with_origins<S: SnapshotStorage>(management: &Management<S>) -> Fields {
+    let schema = management.schema();
+    let mut fields = (**management.running()).clone();
+    let path = override_list_path(schema);
+    let list = path[2].node;
+    let Some(Data::Container(router)) = fields.get_mut(&path[0].node) else { return fields };
+    let Some(Data::Container(overrides)) = router.get_mut(&path[1].node) else { return fields };
+    let Some(Data::List(entries)) = overrides.get_mut(&list) else { return fields };
+    for (keys, entry) in entries {
+        let entry_path = Path(path[..2].to_vec()).then(list, keys.clone());
+        if let Some(origin) = management.last_origin(&entry_path) {
+            let mut writer = ModelWriter::below(schema, list);
+            writer.text("author", &*origin.author);
+            writer.leaf("made", date_time(origin.time));
+            writer.number("version", origin.version);
+            entry.extend(writer.into_fields());
         }
     }
+    fields
+}
 
-    pub fn values(&mut self, name: &str, values: BTreeSet<Scalar>) {
-        if !values.is_empty() {
-            self.fields.insert(self.below(name), Data::LeafList(values));
-        }
-    }
+fn override_list_path(schema: &Schema) -> Vec<Step> {
+    let step = |length: usize| {
+        let names = &OVERRIDE_LIST[..length];
+        let node = schema.find(names).unwrap_or_else(|| panic!("the model lacks {names:?}"));
+        Step { node, keys: Vec::new() }
+    };
+    (1..=OVERRIDE_LIST.len()).map(step).collect()
+}
 
-    pub fn container(&mut self, name: &str, fill: impl FnOnce(&mut Writer)) {
-        let mut inner = Writer { schema: self.schema, at: self.below(name), fields: Fields::new() };
-        fill(&mut inner);
-        self.fields.insert(inner.at, Data::Container(inner.fields));
-    }
+fn router_state<S: SnapshotStorage>(
+    management: &Management<S>,
+    link: &Link,
+    survey: &Survey,
+    started: Duration,
+    now: Duration,
+) -> Fields {
+    let mut state = ModelWriter::new(management.schema(), &["router", "state"]);
+    state.text("name", &*link.name);
+    state.text("software", env!("CARGO_PKG_VERSION"));
+    state.text("phase", phase_name(link.phase()));
+    state.number("up", millis(now.saturating_sub(started)));
+    state.container("hosts", |hosts| write_endpoints(hosts, link, survey, now));
+    state.container("products", |classes| write_classes(classes, link, survey));
+    state.container("caps", |caps| write_limits(caps, link, survey));
+    state.container("board", |board| write_discovery(board, link, now));
+    state.container("history", |history| write_history(history, management));
+    state.into_fields()
+}
 
-    /// A list's entries; each sets its keys.
-    pub fn list<T>(
-        &mut self,
-        name: &str,
-        entries: impl IntoIterator<Item = T>,
-        mut fill: impl FnMut(&mut Writer, T),
-    ) {
-        let at = self.below(name);
-        let mut all = BTreeMap::new();
-        for entry in entries {
-            let mut inner = Writer { schema: self.schema, at, fields: Fields::new() };
-            fill(&mut inner, entry);
-            let key = |key: &NodeId| inner.fields.get(key).and_then(Data::scalar).cloned();
-            let keys: Option<Vec<_>> = self.schema.keys(at).iter().map(key).collect();
-            all.insert(keys.unwrap_or_default(), inner.fields);
-        }
-        if !all.is_empty() {
-            self.fields.insert(at, Data::List(all));
+fn write_endpoints(hosts: &mut ModelWriter<'_>, link: &Link, survey: &Survey, now: Duration) {
+    // The overrides as the endpoint list has them: what is committed and not applied yet does not hold yet.
+    let overrides = &survey.marks;
+    let entries: BTreeMap<&str, _> = survey.told.iter().map(|entry| (entry.name.as_str(), entry)).collect();
+    let statuses: BTreeMap<_, _> = survey.views.iter().map(|status| (status.host, status)).collect();
+    let names: BTreeSet<&str> = entries.keys().copied().chain(overrides.keys().map(String::as_str)).collect();
+    hosts.list("host", names, |host, name| {
+        let (entry, own) = (entries.get(name), overrides.get(name));
+        host.text("name", name);
+        let marked = own.filter(|own| own.holds(now)).map(|own| readiness(own.readiness));
+        host.optional("marked", marked);
+        let Some(entry) = entry else { return };
+        let listing = &entry.listing;
+        host.text("address", entry.address.to_string());
+        host.text("role", role_name(listing.role));
+        let location = link.locations.get(usize::from(listing.location.0));
+        host.optional("location", location.map(|name| Scalar::text(name.as_str())));
+        host.number("cell", u64::from(listing.cell.0));
+        host.leaf("listed", readiness(listing.readiness));
+        if let Some((effective, says)) = merged(Some(listing.readiness), own, survey.fleet.get(name), now) {
+            host.leaf("effective", readiness(effective));
+            host.text("says", says.name());
         }
-    }
+        let Some(status) = statuses.get(&listing.host) else { return };
+        host.number("legs-out", status.in_flight as u64);
+        host.leaf("avoided", Scalar::Bool(status.ejected));
+        host.leaf("health", health(status.health));
+        let warming_until = status.warming_until.filter(|until| *until > now);
+        host.optional("cold-until", warming_until.map(date_time));
+    });
 }
 
-fn word(readiness: Readiness) -> Scalar {
-    Scalar::text(match readiness {
-        Readiness::Ready => "ready",
-        Readiness::Draining => "draining",
-        Readiness::Gone => "gone",
-    })
+fn write_classes(classes: &mut ModelWriter<'_>, link: &Link, survey: &Survey) {
+    classes.list("product", link.classes.iter().enumerate(), |writer, (index, (name, class))| {
+        writer.text("name", name);
+        writer.text("effect", effect_name(&class.effect));
+        writer.number("outer-limit", millis(class.deadline));
+        writer.number("fresh", millis(class.fresh_lifetime));
+        writer.number("grace", millis(class.grace));
+        let ended = survey.ended.get(index).copied().unwrap_or_default();
+        writer.number("succeeded", ended.succeeded);
+        writer.number("dismissed", ended.dismissed);
+        writer.number("terminated", ended.terminated);
+        writer.number("left", ended.left);
+    });
 }
 
-fn moment_of(at: Duration) -> Scalar {
-    Scalar::Text(timestamp::format(at))
+fn write_limits(caps: &mut ModelWriter<'_>, link: &Link, survey: &Survey) {
+    let open_requests = ("open-queries", link.caps.clients, survey.open);
+    let limits = link.fills().into_iter().chain([open_requests]);
+    caps.list("cap", limits, |writer, (name, limit, held)| {
+        writer.text("name", name);
+        writer.number("limit", limit as u64);
+        writer.number("held", held as u64);
+    });
 }
 
-fn millis(span: Duration) -> u64 {
-    span.as_millis() as u64
+fn write_discovery(board: &mut ModelWriter<'_>, link: &Link, now: Duration) {
+    let (address, last_event, last_received) = link.board();
+    board.text("address", address.to_string());
+    board.number("last", last_event);
+    let age = last_received.map(|received| millis(now.saturating_sub(received)));
+    board.optional("heard", age.map(Scalar::Unsigned));
 }
 
-/// The hosts as listed, for the checks of a commit.
-pub fn surroundings(survey: &Survey, now: Duration) -> ValidationContext {
-    let listed = survey.told.iter().map(|entry| (entry.name.clone(), entry.listed()));
-    ValidationContext { hosts: beside(listed.collect(), &survey.fleet, now) }
+fn write_history<S: SnapshotStorage>(history: &mut ModelWriter<'_>, management: &Management<S>) {
+    let schema = management.schema();
+    history.number("version", management.version());
+    history.container("pending", |writer| {
+        if let Some(pending) = management.pending_commit() {
+            writer.text("author", &*pending.author.user);
+            writer.optional("session", pending.session.map(|session| Scalar::Unsigned(session.0.into())));
+            writer.leaf("due", date_time(pending.deadline));
+        }
+    });
+    history.list("commit", management.history(), |writer, commit| write_commit(writer, schema, commit));
 }
 
-/// `/router/state`.
-pub fn state<S: Durable>(
-    management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
-    started: Duration,
-    now: Duration,
-) -> Fields {
-    let schema = management.schema();
-    let mut top = Writer::new(schema, &["router", "state"]);
-    top.text("name", &*link.name);
-    top.text("software", env!("CARGO_PKG_VERSION"));
-    let phase = match link.phase() {
+fn write_commit(writer: &mut ModelWriter<'_>, schema: &Schema, commit: &Commit) {
+    writer.number("version", commit.version);
+    writer.text("author", &*commit.operator.user);
+    writer.text("protocol", commit.operator.protocol.name());
+    writer.text("source", &*commit.operator.source);
+    writer.leaf("time", date_time(commit.time));
+    if !commit.comment.is_empty() {
+        writer.text("comment", &*commit.comment);
+    }
+    let changes = commit.changes.iter().map(|change| Scalar::Text(change.text(schema)));
+    writer.leaf_list("change", changes.collect());
+}
+
+fn phase_name(phase: Phase) -> &'static str {
+    match phase {
         Phase::Starting => "starting",
         Phase::Serving => "serving",
         Phase::Leaving => "leaving",
         Phase::Finishing => "finishing",
         Phase::Over => "over",
-    };
-    top.text("phase", phase);
-    top.number("up", millis(now.saturating_sub(started)));
-    top.container("hosts", |hosts| hosts_of(hosts, link, survey, now));
-    top.container("products", |classes| {
-        classes.list("product", link.classes.iter().enumerate(), |at, (place, (name, told))| {
-            at.text("name", name);
-            at.text("effect", effect(&told.effect));
-            at.number("outer-limit", millis(told.deadline));
-            at.number("fresh", millis(told.fresh_lifetime));
-            at.number("grace", millis(told.grace));
-            let ended = survey.ended.get(place).copied().unwrap_or_default();
-            at.number("succeeded", ended.succeeded);
-            at.number("dismissed", ended.dismissed);
-            at.number("terminated", ended.terminated);
-            at.number("left", ended.left);
-        });
-    });
-    top.container("caps", |caps| {
-        let own = [("open-queries", link.caps.clients, survey.open)];
-        caps.list("cap", link.fills().into_iter().chain(own), |at, (name, limit, held)| {
-            at.text("name", name);
-            at.number("limit", limit as u64);
-            at.number("held", held as u64);
-        });
-    });
-    let (address, last, heard) = link.board();
-    top.container("board", |board| {
-        board.text("address", address.to_string());
-        board.number("last", last);
-        let age = heard.map(|heard| Scalar::Unsigned(millis(now.saturating_sub(heard))));
-        board.maybe("heard", age);
-    });
-    top.container("history", |history| history_of(history, management));
-    top.fields
+    }
 }
 
-fn effect(effect: &Effect) -> &'static str {
+fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::Cache => "cache",
+        Role::Parent => "parent",
+        Role::Origin => "origin",
+    }
+}
+
+fn effect_name(effect: &Effect) -> &'static str {
     match effect {
         Effect::Idempotent => "redoable",
         Effect::IdempotencyKey { .. } => "labelled",
@@ -165,109 +210,24 @@
     }
 }
 
-fn hosts_of(hosts: &mut Writer, link: &Link, survey: &Survey, now: Duration) {
-    // As the list has them: what is committed and not told yet does not hold yet.
-    let marks = &survey.marks;
-    let told: BTreeMap<&str, _> = survey.told.iter().map(|entry| (entry.name.as_str(), entry)).collect();
-    let views: BTreeMap<_, _> = survey.views.iter().map(|view| (view.host, view)).collect();
-    let names: BTreeSet<&str> = told.keys().copied().chain(marks.keys().map(String::as_str)).collect();
-    hosts.list("host", names, |at, name| {
-        let (entry, mark) = (told.get(name), marks.get(name));
-        at.text("name", name);
-        at.maybe("marked", mark.filter(|mark| mark.holds(now)).map(|mark| word(mark.readiness)));
-        let Some(entry) = entry else { return };
-        let listing = &entry.listing;
-        at.text("address", entry.address.to_string());
-        at.text(
-            "role",
-            match listing.role {
-                Role::Cache => "cache",
-                Role::Parent => "parent",
-                Role::Origin => "origin",
-            },
-        );
-        let location = link.locations.get(usize::from(listing.location.0));
-        at.maybe("location", location.map(|name| Scalar::text(name.as_str())));
-        at.number("cell", u64::from(listing.cell.0));
-        at.leaf("listed", word(listing.readiness));
-        let fleet = survey.fleet.get(name);
-        if let Some((readiness, says)) = merged(Some(listing.readiness), mark, fleet, now) {
-            at.leaf("effective", word(readiness));
-            at.text("says", says.name());
-        }
-        let Some(view) = views.get(&listing.host) else { return };
-        at.number("legs-out", view.in_flight as u64);
-        at.leaf("avoided", Scalar::Bool(view.ejected));
-        at.leaf("health", Scalar::Decimal((view.health.clamp(0.0, 1.0) * 1000.0).round() as i64, 3));
-        at.maybe("cold-until", view.warming_until.filter(|until| *until > now).map(moment_of));
-    });
+fn readiness(readiness: Readiness) -> Scalar {
+    Scalar::text(match readiness {
+        Readiness::Ready => "ready",
+        Readiness::Draining => "draining",
+        Readiness::Gone => "gone",
+    })
 }
 
-fn history_of<S: Durable>(history: &mut Writer, management: &Management<S>) {
-    let schema = management.schema();
-    history.number("version", management.version());
-    history.container("pending", |at| {
-        if let Some((operator, session, due)) = management.pending() {
-            at.text("author", &*operator.user);
-            at.maybe("session", session.map(|session| Scalar::Unsigned(session.0.into())));
-            at.leaf("due", moment_of(due));
-        }
-    });
-    history.list("commit", management.history(), |at, commit| {
-        at.number("version", commit.version);
-        at.text("author", &*commit.operator.user);
-        at.text("protocol", commit.operator.protocol.name());
-        at.text("source", &*commit.operator.source);
-        at.leaf("time", moment_of(commit.time));
-        if !commit.comment.is_empty() {
-            at.text("comment", &*commit.comment);
-        }
-        at.values("change", commit.changes.iter().map(|change| Scalar::Text(change.text(schema))).collect());
-    });
+/// A share from 0 to 1.
+fn health(health: f64) -> Scalar {
+    let scale = 10_f64.powi(i32::from(HEALTH_DIGITS));
+    Scalar::Decimal((health.clamp(0.0, 1.0) * scale).round() as i64, HEALTH_DIGITS)
 }
 
-/// Running, with what is only known of it: who made each mark, when and with which commit.
-pub fn annotated<S: Durable>(management: &Management<S>) -> Fields {
-    let schema = management.schema();
-    let mut fields = (**management.running()).clone();
-    let names = ["router", "marks", "mark"];
-    let steps =
-        (1..=3).map(|n| schema.find(&names[..n]).unwrap_or_else(|| panic!("the model lacks {names:?}")));
-    let steps: Vec<Step> = steps.map(|node| Step { node, keys: Vec::new() }).collect();
-    let list = steps[2].node;
-    let router = fields.get_mut(&steps[0].node);
-    let Some(Data::Container(router)) = router else { return fields };
-    let Some(Data::Container(marks)) = router.get_mut(&steps[1].node) else { return fields };
-    let Some(Data::List(entries)) = marks.get_mut(&list) else { return fields };
-    for (keys, entry) in entries {
-        let path = Path(steps[..2].to_vec()).then(list, keys.clone());
-        if let Some(origin) = management.last_origin(&path) {
-            let mut at = Writer { schema, at: list, fields: Fields::new() };
-            at.text("author", &*origin.author);
-            at.leaf("made", moment_of(origin.time));
-            at.number("version", origin.version);
-            entry.extend(at.fields);
-        }
-    }
-    fields
+fn date_time(unix_time: Duration) -> Scalar {
+    Scalar::Text(timestamp::format(unix_time))
 }
 
-/// Everything: running with its notes, and state.
-pub fn operational<S: Durable>(
-    management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
-    started: Duration,
-    now: Duration,
-) -> Fields {
-    let schema = management.schema();
-    let mut fields = annotated(management);
-    let state = state(management, link, survey, started, now);
-    let (router, below) = (schema.find(&["router"]), schema.find(&["router", "state"]));
-    let (Some(router), Some(below)) = (router, below) else { return fields };
-    let inner = fields.entry(router).or_insert_with(|| Data::Container(Fields::new()));
-    if let Data::Container(inner) = inner {
-        inner.insert(below, Data::Container(state));
-    }
-    fields
+fn millis(span: Duration) -> u64 {
+    span.as_millis() as u64
 }
--- /dev/null
+++ b/crates/rockflow-management-service/src/value_subscription.rs
@@ -0,0 +1,95 @@
+//! A subscription to values, as its server waits for it.
+
+use crate::service::ManagementService;
+use rockflow_management::{Operation, Update};
+use rockflow_yang::{data, Fields, Path, Pattern};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::Notify;
+
+/// A subscription to values. Dropping it ends it.
+pub struct ValueSubscription {
+    service: Arc<ManagementService>,
+    /// Its number, unique over all sessions.
+    pub number: u64,
+    wake: Arc<Notify>,
+    patterns: Vec<Pattern>,
+}
+
+impl Drop for ValueSubscription {
+    fn drop(&mut self) {
+        self.service.lock().subscriptions.active.remove(&self.number);
+    }
+}
+
+impl ValueSubscription {
+    pub(crate) fn new(
+        service: Arc<ManagementService>,
+        number: u64,
+        wake: Arc<Notify>,
+        patterns: Vec<Pattern>,
+    ) -> ValueSubscription {
+        ValueSubscription { service, number, wake, patterns }
+    }
+
+    /// Waits for the next update, without the values that the user may not read.
+    pub async fn next(&self) -> Update {
+        loop {
+            let woken = self.wake.notified();
+            let now = self.service.now();
+            match self.next_due() {
+                Some(due) if due <= now => {
+                    let present = self.service.operational().await;
+                    if let Some(update) = self.take_update(now, &present) {
+                        return update;
+                    }
+                    // Nothing new to send: on with the next period.
+                }
+                Some(due) => {
+                    let _ = tokio::time::timeout(due - now, woken).await;
+                }
+                None => woken.await,
+            }
+        }
+    }
+
+    fn next_due(&self) -> Option<Duration> {
+        let shared = self.service.lock();
+        shared.subscriptions.active.get(&self.number).and_then(|active| active.subscription.next_due())
+    }
+
+    fn take_update(&self, now: Duration, present: &Fields) -> Option<Update> {
+        let mut shared = self.service.lock();
+        let active = shared.subscriptions.active.get_mut(&self.number)?;
+        let user = active.user.clone();
+        let update = active.subscription.take_update(now, || self.select(present))?;
+        let access = shared.datastores.access();
+        let may_read = |path: &Path| {
+            let leaf_list = leaf_list_of(path);
+            access.is_permitted(&user, Operation::Read, leaf_list.as_ref().unwrap_or(path))
+        };
+        Some(match update {
+            Update::Snapshot(values) => {
+                Update::Snapshot(values.into_iter().filter(|(path, _)| may_read(path)).collect())
+            }
+            Update::Changes(changes) => {
+                Update::Changes(changes.into_iter().filter(|(path, _)| may_read(path)).collect())
+            }
+        })
+    }
+
+    /// The part of the state that the patterns select.
+    fn select(&self, present: &Fields) -> Fields {
+        let mut selected = Fields::new();
+        for pattern in &self.patterns {
+            data::merge(&mut selected, &data::select(present, pattern));
+        }
+        selected
+    }
+}
+
+/// The leaf-list of one of its values, which is what access rules name.
+fn leaf_list_of(path: &Path) -> Option<Path> {
+    let last = path.0.last().filter(|step| !step.keys.is_empty())?;
+    Some(Path(path.0[..path.0.len() - 1].to_vec()).then(last.node, Vec::new()))
+}
--- a/crates/rockflow-management/src/access.rs
+++ b/crates/rockflow-management/src/access.rs
@@ -1,20 +1,27 @@
-//! Who may read, change and call what (RFC 8341, section 3.4): the first rule that fits decides, then the
-//! default. The owner passes by all of it, so that nobody can lock everybody out.
+//! Access rules (RFC 8341, section 3.4): who may read, change and call what. The first rule that fits decides,
+//! then the defaults. No rule restricts the owner, so that nobody can lock everybody out.
 
-use rockflow_yang::{data, Data, Fields, Path, Pattern, Scalar, Schema};
+use crate::error::AccessRuleError;
+use rockflow_yang::{data, Data, Fields, Path, Pattern, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// What is done to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Operation {
+    /// It is created.
     Create,
+    /// It is read.
     Read,
+    /// Its value changes.
     Update,
+    /// It is deleted.
     Delete,
+    /// It is called.
     Exec,
 }
 
 impl Operation {
-    fn read(name: &str) -> Option<Operation> {
+    fn from_name(name: &str) -> Option<Operation> {
         Some(match name {
             "create" => Operation::Create,
             "read" => Operation::Read,
@@ -26,36 +33,99 @@
     }
 }
 
+/// What a rule applies to.
 #[derive(Clone, Debug)]
-enum About {
+enum Target {
     Anything,
-    Below(Pattern),
+    Nodes(Pattern),
     Call(String),
 }
 
+impl Target {
+    fn includes_node(&self, path: &Path) -> bool {
+        match self {
+            Target::Anything => true,
+            Target::Nodes(pattern) => pattern.holds(path),
+            Target::Call(_) => false,
+        }
+    }
+
+    fn includes_call(&self, call: &str) -> bool {
+        match self {
+            Target::Anything => true,
+            Target::Nodes(_) => false,
+            Target::Call(name) => name == "*" || name == call,
+        }
+    }
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Action {
+    Permit,
+    Deny,
+}
+
+impl Action {
+    fn from_name(name: Option<&str>) -> Action {
+        match name {
+            Some("permit") => Action::Permit,
+            _ => Action::Deny,
+        }
+    }
+}
+
 #[derive(Clone, Debug)]
 struct Rule {
     groups: BTreeSet<String>,
-    about: About,
+    target: Target,
     /// Empty: all.
     operations: BTreeSet<Operation>,
-    permit: bool,
+    action: Action,
 }
 
+impl Rule {
+    fn read(schema: &Schema, fields: &Fields) -> Result<Rule, AccessRuleError> {
+        let rule = leaf_text(schema, fields, "number").unwrap_or_default();
+        let target = match (leaf_text(schema, fields, "path"), leaf_text(schema, fields, "rpc")) {
+            (Some(path), None) => match Pattern::read(schema, &path) {
+                Ok(pattern) => Target::Nodes(pattern),
+                Err(reason) => return Err(AccessRuleError::Path { rule, reason: reason.to_string() }),
+            },
+            (None, Some(call)) => Target::Call(call),
+            (None, None) => Target::Anything,
+            (Some(_), Some(_)) => return Err(AccessRuleError::PathAndCall { rule }),
+        };
+        let operations = leaf_list_texts(schema, fields, "operation");
+        Ok(Rule {
+            groups: leaf_list_texts(schema, fields, "group"),
+            target,
+            operations: operations.iter().filter_map(|name| Operation::from_name(name)).collect(),
+            action: Action::from_name(leaf_text(schema, fields, "action").as_deref()),
+        })
+    }
+}
+
+/// What holds where no rule fits.
+#[derive(Clone, Copy, Debug)]
+struct Defaults {
+    read: Action,
+    write: Action,
+    exec: Action,
+}
+
+/// The access rules of a configuration, compiled.
 #[derive(Clone, Debug)]
 pub struct Access {
     owner: Option<String>,
     groups: BTreeMap<String, BTreeSet<String>>,
     rules: Vec<Rule>,
-    read: bool,
-    write: bool,
-    exec: bool,
-    /// Where groups and rules themselves stand: nothing there is permitted by default.
-    kept: Option<Pattern>,
+    defaults: Defaults,
+    /// The groups and rules themselves, which no default permits.
+    protected: Option<Pattern>,
 }
 
-/// Calls that only read, or only concern the caller's own session or candidate.
-const HARMLESS: [&str; 21] = [
+/// Calls that only read, or only concern the caller's own session or candidate: permitted where no rule fits.
+const HARMLESS_CALLS: [&str; 21] = [
     "get",
     "get-config",
     "get-data",
@@ -80,129 +150,116 @@
 ];
 
 impl Access {
-    /// Reads the rules of a configuration; one whose path can't be read is a fault that names it.
-    pub fn of(schema: &Schema, running: &Fields, owner: Option<String>) -> Result<Access, String> {
-        let mut access = Access {
-            owner,
-            groups: BTreeMap::new(),
-            rules: Vec::new(),
-            read: true,
-            write: false,
-            exec: false,
-            kept: Pattern::read(schema, "/rockflow-router:router/rockflow-access:access").ok(),
-        };
-        let leaf = |names: &[&str]| data::leaf(schema, running, names).and_then(Scalar::as_text);
-        let permit = |name: &str, otherwise| {
-            leaf(&["router", "access", name]).map_or(otherwise, |word| word == "permit")
+    /// Compiles the rules of a configuration. No rule restricts the owner.
+    ///
+    /// # Errors
+    /// The first rule that can't be read.
+    pub fn compile(
+        schema: &Schema,
+        configuration: &Fields,
+        owner: Option<String>,
+    ) -> Result<Access, AccessRuleError> {
+        let default = |name: &str, otherwise: Action| {
+            let leaf = data::leaf(schema, configuration, &["router", "access", name]);
+            let action = leaf.and_then(Scalar::as_text);
+            action.map_or(otherwise, |action| Action::from_name(Some(action)))
         };
-        (access.read, access.write, access.exec) =
-            (permit("read-default", true), permit("write-default", false), permit("exec-default", false));
-        for fields in list(schema, running, &["router", "access", "group"]) {
-            let name = one(schema, fields, "name").unwrap_or_default();
-            access.groups.insert(name, many(schema, fields, "user"));
+        let mut groups = BTreeMap::new();
+        for fields in entries(schema, configuration, &["router", "access", "group"]) {
+            let name = leaf_text(schema, fields, "name").unwrap_or_default();
+            groups.insert(name, leaf_list_texts(schema, fields, "user"));
         }
-        // Entries stand in the order of their numbers.
-        for fields in list(schema, running, &["router", "access", "rule"]) {
-            let number = one(schema, fields, "number").unwrap_or_default();
-            let about = match (one(schema, fields, "path"), one(schema, fields, "rpc")) {
-                (Some(path), None) => About::Below(
-                    Pattern::read(schema, &path).map_err(|what| format!("rule {number}: {what}"))?,
-                ),
-                (None, Some(call)) => About::Call(call),
-                (None, None) => About::Anything,
-                (Some(_), Some(_)) => {
-                    return Err(format!("rule {number}: a path and a call exclude each other"));
-                }
-            };
-            let operations = many(schema, fields, "operation");
-            access.rules.push(Rule {
-                groups: many(schema, fields, "group"),
-                about,
-                operations: operations.iter().filter_map(|name| Operation::read(name)).collect(),
-                permit: one(schema, fields, "action").as_deref() == Some("permit"),
-            });
-        }
-        Ok(access)
-    }
-
-    fn concerns(&self, rule: &Rule, user: &str, operation: Operation) -> bool {
-        let belongs = |group: &String| {
-            group == "all" || self.groups.get(group).is_some_and(|users| users.contains(user))
-        };
-        rule.groups.iter().any(belongs)
-            && (rule.operations.is_empty() || rule.operations.contains(&operation))
-    }
-
-    fn owns(&self, user: &str) -> bool {
-        self.owner.as_deref() == Some(user)
+        // Entries are in the order of their numbers.
+        let rules = entries(schema, configuration, &["router", "access", "rule"]);
+        let rules: Result<Vec<_>, _> = rules.into_iter().map(|fields| Rule::read(schema, fields)).collect();
+        Ok(Access {
+            owner,
+            groups,
+            rules: rules?,
+            defaults: Defaults {
+                read: default("read-default", Action::Permit),
+                write: default("write-default", Action::Deny),
+                exec: default("exec-default", Action::Deny),
+            },
+            protected: Pattern::read(schema, "/rockflow-router:router/rockflow-access:access").ok(),
+        })
     }
 
-    /// Whether the user may do that to the node, or read it.
+    /// Whether the user may do that to the node.
     pub fn is_permitted(&self, user: &str, operation: Operation, path: &Path) -> bool {
-        if self.owns(user) {
+        if self.is_owner(user) {
             return true;
         }
-        let fits = |rule: &&Rule| {
-            let here = match &rule.about {
-                About::Anything => true,
-                About::Below(pattern) => pattern.holds(path),
-                About::Call(_) => false,
-            };
-            here && self.concerns(rule, user, operation)
-        };
+        let fits = |rule: &&Rule| rule.target.includes_node(path) && self.applies(rule, user, operation);
         if let Some(rule) = self.rules.iter().find(fits) {
-            return rule.permit;
+            return rule.action == Action::Permit;
         }
-        let kept = self.kept.as_ref().is_some_and(|kept| kept.holds(path));
-        !kept && if operation == Operation::Read { self.read } else { self.write }
+        let is_protected = self.protected.as_ref().is_some_and(|protected| protected.holds(path));
+        let default = match operation {
+            Operation::Read => self.defaults.read,
+            _ => self.defaults.write,
+        };
+        !is_protected && default == Action::Permit
     }
 
     /// Whether the user may make the call.
     pub fn is_call_permitted(&self, user: &str, call: &str) -> bool {
-        if self.owns(user) {
+        if self.is_owner(user) {
             return true;
         }
-        let fits = |rule: &&Rule| {
-            let this = match &rule.about {
-                About::Anything => true,
-                About::Below(_) => false,
-                About::Call(name) => name == "*" || name == call,
-            };
-            this && self.concerns(rule, user, Operation::Exec)
-        };
-        let ruled = self.rules.iter().find(fits).map(|rule| rule.permit);
-        ruled.unwrap_or(self.exec || HARMLESS.contains(&call))
+        let fits =
+            |rule: &&Rule| rule.target.includes_call(call) && self.applies(rule, user, Operation::Exec);
+        match self.rules.iter().find(fits) {
+            Some(rule) => rule.action == Action::Permit,
+            None => self.defaults.exec == Action::Permit || HARMLESS_CALLS.contains(&call),
+        }
     }
 
-    /// What of a tree the user may see.
+    /// The part of a tree that the user may read.
     pub fn readable(&self, schema: &Schema, user: &str, fields: &Fields) -> Fields {
-        if self.owns(user) {
+        if self.is_owner(user) {
             return fields.clone();
         }
-        data::prune(schema, fields, &Path::default(), &|path| self.is_permitted(user, Operation::Read, path))
+        let may_read = |path: &Path| self.is_permitted(user, Operation::Read, path);
+        data::prune(schema, fields, &Path::default(), &may_read)
+    }
+
+    fn is_owner(&self, user: &str) -> bool {
+        self.owner.as_deref() == Some(user)
+    }
+
+    fn applies(&self, rule: &Rule, user: &str, operation: Operation) -> bool {
+        let has_user = |group: &String| {
+            group == "all" || self.groups.get(group).is_some_and(|users| users.contains(user))
+        };
+        let has_operation = rule.operations.is_empty() || rule.operations.contains(&operation);
+        has_operation && rule.groups.iter().any(has_user)
     }
 }
 
-fn list<'a>(schema: &Schema, fields: &'a Fields, names: &[&str]) -> Vec<&'a Fields> {
-    let ids: Option<Vec<_>> = (1..=names.len()).map(|n| schema.find(&names[..n])).collect();
-    let path = ids.unwrap_or_default().into_iter();
-    let path: Vec<_> = path.map(|node| rockflow_yang::Step { node, keys: Vec::new() }).collect();
-    match data::get(fields, &path) {
+/// The entries of the list at that place of the model.
+fn entries<'a>(schema: &Schema, fields: &'a Fields, names: &[&str]) -> Vec<&'a Fields> {
+    let step = |length: usize| {
+        let node = schema.find(&names[..length])?;
+        Some(Step { node, keys: Vec::new() })
+    };
+    let path: Option<Vec<_>> = (1..=names.len()).map(step).collect();
+    match data::get(fields, &path.unwrap_or_default()) {
         Some(data::Found::Data(Data::List(entries))) => entries.values().collect(),
         _ => Vec::new(),
     }
 }
 
-fn field<'a>(schema: &Schema, fields: &'a Fields, name: &str) -> Option<&'a Data> {
+fn child<'a>(schema: &Schema, fields: &'a Fields, name: &str) -> Option<&'a Data> {
     fields.iter().find(|(id, _)| schema.node(**id).name == name).map(|(_, data)| data)
 }
 
-fn one(schema: &Schema, fields: &Fields, name: &str) -> Option<String> {
-    field(schema, fields, name).and_then(Data::scalar).map(Scalar::to_string)
+fn leaf_text(schema: &Schema, fields: &Fields, name: &str) -> Option<String> {
+    child(schema, fields, name).and_then(Data::scalar).map(Scalar::to_string)
 }
 
-fn many(schema: &Schema, fields: &Fields, name: &str) -> BTreeSet<String> {
-    match field(schema, fields, name) {
+fn leaf_list_texts(schema: &Schema, fields: &Fields, name: &str) -> BTreeSet<String> {
+    match child(schema, fields, name) {
         Some(Data::LeafList(values)) => values.iter().map(Scalar::to_string).collect(),
         _ => BTreeSet::new(),
     }
--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -1,34 +1,57 @@
-//! What goes wrong, in the words of RFC 6241, appendix A; fronts of other protocols translate them.
+//! Errors of the management side. A request is refused by a [`ManagementError`] in the terms of RFC 6241,
+//! appendix A, which servers of other protocols translate.
 
-use crate::words::SessionId;
+use crate::session::SessionId;
 use rockflow_yang::data::{EditError, EditFault};
 use rockflow_yang::Path;
 use std::fmt;
+use thiserror::Error;
 
+/// The kind of an error (RFC 6241, appendix A).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorTag {
+    /// Another session holds what the request needs.
     InUse,
+    /// A value is not acceptable.
     InvalidValue,
+    /// The request or its answer is too large.
     TooBig,
+    /// An expected attribute is missing.
     MissingAttribute,
+    /// An attribute's value is not correct.
     BadAttribute,
+    /// An attribute is not expected.
     UnknownAttribute,
+    /// An expected element is missing.
     MissingElement,
+    /// An element's value is not correct.
     BadElement,
+    /// An element is not expected.
     UnknownElement,
+    /// A namespace is not expected.
     UnknownNamespace,
+    /// An access rule denies the request.
     AccessDenied,
+    /// Another session holds the lock.
     LockDenied,
+    /// A limit of this server is reached.
     ResourceDenied,
+    /// A change could not be taken back.
     RollbackFailed,
+    /// Data to be created exists already.
     DataExists,
+    /// Data to be deleted or found does not exist.
     DataMissing,
+    /// The operation is not supported here.
     OperationNotSupported,
+    /// None of the other kinds fits.
     OperationFailed,
+    /// A message could not be read.
     MalformedMessage,
 }
 
 impl ErrorTag {
+    /// The name in protocols and messages.
     pub fn name(self) -> &'static str {
         match self {
             ErrorTag::InUse => "in-use",
@@ -54,65 +77,135 @@
     }
 }
 
-#[derive(Clone, Debug, PartialEq)]
+/// Why a request was refused.
+#[derive(Clone, Debug, PartialEq, Error)]
+#[error("{}: {message}", .tag.name())]
 pub struct ManagementError {
+    /// The kind.
     pub tag: ErrorTag,
+    /// What went wrong, for a person.
     pub message: String,
+    /// The node that it is about.
     pub path: Option<Path>,
-    /// Finer than the tag: `conflict`, `none-left`, `no-matches`.
+    /// A finer kind than the tag, such as `conflict`, `none-left` or `no-matches`.
     pub app_tag: Option<&'static str>,
-    /// Who stands in the way, where a session does; 0 stands for one that is no session of ours (RFC 6241).
+    /// The session that is in the way; [`SessionId::NONE`] where that is no session of this server.
     pub holder: Option<SessionId>,
-    /// The element or attribute that is wrong.
+    /// The name of the element or attribute that is wrong.
     pub element: Option<String>,
 }
 
 impl ManagementError {
+    /// An error of that kind.
     pub fn new(tag: ErrorTag, message: impl Into<String>) -> ManagementError {
-        ManagementError {
-            tag,
-            message: message.into(),
-            path: None,
-            app_tag: None,
-            holder: None,
-            element: None,
-        }
+        let message = message.into();
+        ManagementError { tag, message, path: None, app_tag: None, holder: None, element: None }
     }
 
+    /// Names the node.
     pub fn with_path(mut self, path: &Path) -> ManagementError {
         self.path = Some(path.clone());
         self
     }
 
+    /// Names the finer kind.
     pub fn with_app_tag(mut self, tag: &'static str) -> ManagementError {
         self.app_tag = Some(tag);
         self
     }
 
+    /// Names the session that is in the way.
     pub fn with_holder(mut self, session: SessionId) -> ManagementError {
         self.holder = Some(session);
         self
     }
 
+    /// Names the element or attribute.
     pub fn with_element(mut self, name: impl Into<String>) -> ManagementError {
         self.element = Some(name.into());
         self
     }
 }
 
-impl fmt::Display for ManagementError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.tag.name(), self.message)
-    }
-}
-
 impl From<EditFault> for ManagementError {
-    fn from(fault: EditFault) -> ManagementError {
-        let tag = match fault.error {
+    fn from(error: EditFault) -> ManagementError {
+        let tag = match error.error {
             EditError::Exists => ErrorTag::DataExists,
             EditError::Missing => ErrorTag::DataMissing,
             EditError::NotWritable | EditError::BadValue => ErrorTag::InvalidValue,
         };
-        ManagementError::new(tag, fault.what).with_path(&fault.path)
+        ManagementError::new(tag, error.what).with_path(&error.path)
+    }
+}
+
+/// Why the access rules of a configuration can't be compiled.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum AccessRuleError {
+    /// The path of a rule can't be read.
+    #[error("rule {rule}: {reason}")]
+    Path {
+        /// The rule's number.
+        rule: String,
+        /// What is wrong with the path.
+        reason: String,
+    },
+    /// A rule names both a path and a call.
+    #[error("rule {rule}: a path and a call exclude each other")]
+    PathAndCall {
+        /// The rule's number.
+        rule: String,
+    },
+}
+
+/// Why a stored snapshot can't be read back.
+#[derive(Debug, Error)]
+pub enum RestoreError {
+    /// It is not JSON.
+    #[error(transparent)]
+    Syntax(#[from] serde_json::Error),
+    /// A number is missing.
+    #[error("{key} is no number")]
+    NotANumber {
+        /// The member of the JSON object.
+        key: &'static str,
+    },
+    /// A configuration does not fit the model.
+    #[error("{key}: {reason}")]
+    Configuration {
+        /// The member of the JSON object.
+        key: &'static str,
+        /// What does not fit.
+        reason: String,
+    },
+    /// The access rules can't be compiled.
+    #[error(transparent)]
+    AccessRules(#[from] AccessRuleError),
+}
+
+/// What was left out or changed as a stored snapshot was read back.
+#[derive(Clone, Debug, PartialEq)]
+pub enum RestoreWarning {
+    /// The history up to a commit that the model no longer knows was left out.
+    HistoryLeftOut {
+        /// The number of that commit, as JSON.
+        version: String,
+    },
+    /// A confirmed commit was pending at the end of the process, and is reverted.
+    UnconfirmedCommit {
+        /// The number of the commit.
+        version: u64,
+        /// Who made it.
+        author: String,
+    },
+}
+
+impl fmt::Display for RestoreWarning {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RestoreWarning::HistoryLeftOut { version } => write!(f, "history up to {version} left out"),
+            RestoreWarning::UnconfirmedCommit { version, author } => {
+                write!(f, "commit {version} of {author} was not confirmed before the restart, and is undone")
+            }
+        }
     }
 }
--- a/crates/rockflow-management/src/lib.rs
+++ b/crates/rockflow-management/src/lib.rs
@@ -1,24 +1,38 @@
-//! The management side of a dispatcher, without I/O: who may change what, what is changed when, and what comes
-//! of it for the list of hosts. Time comes with each call, as a span on the dispatcher's clock (Unix time of
-//! its start, counted on). What has to last goes through the narrow trait `Durable`.
+//! The management side of a dispatcher, without I/O: datastores, sessions, locks, commits, access rules and
+//! subscriptions.
 //!
-//! `Management` holds the datastores and sessions; `marks` reads those of a configuration; `Access` is the
-//! rules compiled; `Subscription` says what a follower is owed and when.
+//! Time comes with each call as Unix time, counted on from the start of the dispatcher's clock. What has to last
+//! goes through the narrow trait [`SnapshotStorage`].
+//!
+//! [`Management`] holds the datastores and sessions; [`Access`] is the compiled form of a configuration's access
+//! rules; [`Subscription`] tells what a subscriber is sent and when.
 
 pub mod access;
-pub mod error;
-pub mod machine;
-pub mod marks;
+mod candidate;
+mod confirmed_commit;
+mod datastore;
+mod error;
+mod history;
+mod lock;
+mod management;
+mod notification;
+pub mod overrides;
 pub mod record;
+mod session;
+mod storage;
 pub mod subscription;
 pub mod timestamp;
-pub mod words;
+mod validation;
 
 pub use access::{Access, Operation};
-pub use error::{ErrorTag, ManagementError};
-pub use machine::{
-    CommitOptions, Datastore, Durable, ErrorOption, Management, Memory, Notification, ValidationContext,
-    DEFAULT_CONFIRM_TIMEOUT,
-};
+pub use confirmed_commit::{CommitOptions, PendingCommitInfo, DEFAULT_CONFIRM_TIMEOUT};
+pub use datastore::{ConfigSource, Datastore, EditMode, ErrorOption, StartupMode};
+pub use error::{AccessRuleError, ErrorTag, ManagementError, RestoreError, RestoreWarning};
+pub use history::{Commit, Origin};
+pub use lock::{LockInfo, PartialLockGrant};
+pub use management::{Management, ManagementOptions, Restored};
+pub use notification::{ConfirmedCommitEvent, Notification};
+pub use session::{Operator, Protocol, SessionEndReason, SessionId, SessionInfo};
+pub use storage::{SnapshotStorage, VolatileStorage};
 pub use subscription::{ChangedValue, Subscription, Trigger, Update};
-pub use words::{Commit, Operator, Origin, Protocol, SessionId};
+pub use validation::ValidationContext;
--- /dev/null
+++ b/crates/rockflow-management/src/lock.rs
@@ -0,0 +1,167 @@
+//! Locks: of a whole datastore (RFC 6241, section 7.5) and of parts of running (RFC 5717).
+
+use crate::datastore::Datastore;
+use crate::error::{ErrorTag, ManagementError};
+use crate::session::SessionId;
+use rockflow_yang::{Change, Path, Schema};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Partial locks that all sessions may hold together.
+const MAX_PARTIAL_LOCKS: usize = 256;
+
+/// A lock of a whole datastore.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LockInfo {
+    /// What is locked.
+    pub datastore: Datastore,
+    /// Who holds the lock.
+    pub session: SessionId,
+    /// When it was taken, as Unix time.
+    pub since: Duration,
+}
+
+/// A partial lock as it was granted.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PartialLockGrant {
+    /// The number by which it is released.
+    pub id: u32,
+    /// The nodes that it locks, with all below them.
+    pub nodes: Vec<Path>,
+}
+
+struct PartialLock {
+    session: SessionId,
+    nodes: Vec<Path>,
+}
+
+/// All locks that sessions hold.
+pub(crate) struct Locks {
+    whole: BTreeMap<Datastore, LockInfo>,
+    partial: BTreeMap<u32, PartialLock>,
+    next_partial_id: u32,
+}
+
+impl Locks {
+    pub(crate) fn new() -> Locks {
+        Locks { whole: BTreeMap::new(), partial: BTreeMap::new(), next_partial_id: 1 }
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = LockInfo> + '_ {
+        self.whole.values().copied()
+    }
+
+    /// Who holds the lock of a whole datastore.
+    pub(crate) fn holder(&self, datastore: Datastore) -> Option<SessionId> {
+        self.whole.get(&datastore).map(|lock| lock.session)
+    }
+
+    /// Who holds the lock of a whole datastore, if that is not the session itself.
+    pub(crate) fn other_holder(&self, datastore: Datastore, session: SessionId) -> Option<SessionId> {
+        self.holder(datastore).filter(|holder| *holder != session)
+    }
+
+    /// Another session that holds any partial lock.
+    pub(crate) fn other_partial_holder(&self, session: SessionId) -> Option<SessionId> {
+        self.partial.values().map(|lock| lock.session).find(|holder| *holder != session)
+    }
+
+    pub(crate) fn insert(&mut self, now: Duration, session: SessionId, datastore: Datastore) {
+        self.whole.insert(datastore, LockInfo { datastore, session, since: now });
+    }
+
+    /// Releases the lock of a whole datastore; an error where the session does not hold it.
+    pub(crate) fn release(
+        &mut self,
+        session: SessionId,
+        datastore: Datastore,
+    ) -> Result<(), ManagementError> {
+        let name = datastore.name();
+        match self.holder(datastore) {
+            Some(holder) if holder == session => {
+                self.whole.remove(&datastore);
+                Ok(())
+            }
+            Some(holder) => {
+                let message = format!("{name} is locked by session {}", holder.0);
+                Err(ManagementError::new(ErrorTag::OperationFailed, message).with_holder(holder))
+            }
+            None => Err(ManagementError::new(ErrorTag::OperationFailed, format!("{name} is not locked"))),
+        }
+    }
+
+    /// Locks nodes of running, unless another session's partial lock overlaps them.
+    pub(crate) fn insert_partial(
+        &mut self,
+        session: SessionId,
+        nodes: Vec<Path>,
+    ) -> Result<PartialLockGrant, ManagementError> {
+        let overlaps = |other: &PartialLock| {
+            other.nodes.iter().any(|locked| nodes.iter().any(|wanted| paths_overlap(wanted, locked)))
+        };
+        let blocking = self.partial.values().find(|other| other.session != session && overlaps(other));
+        if let Some(other) = blocking {
+            return Err(lock_denied(other.session, "locked"));
+        }
+        if self.partial.len() >= MAX_PARTIAL_LOCKS {
+            return Err(ManagementError::new(ErrorTag::ResourceDenied, "too many partial locks"));
+        }
+        let id = self.next_partial_id;
+        self.next_partial_id += 1;
+        self.partial.insert(id, PartialLock { session, nodes: nodes.clone() });
+        Ok(PartialLockGrant { id, nodes })
+    }
+
+    /// Releases a partial lock; an error where the session holds none of that number.
+    pub(crate) fn release_partial(&mut self, session: SessionId, id: u32) -> Result<(), ManagementError> {
+        if self.partial.get(&id).is_none_or(|lock| lock.session != session) {
+            let message = format!("no partial lock {id} of this session");
+            return Err(ManagementError::new(ErrorTag::InvalidValue, message));
+        }
+        self.partial.remove(&id);
+        Ok(())
+    }
+
+    /// Releases all that a session holds.
+    pub(crate) fn release_all(&mut self, session: SessionId) {
+        self.whole.retain(|_, lock| lock.session != session);
+        self.partial.retain(|_, lock| lock.session != session);
+    }
+
+    /// Whether the session may make these changes to running: an error where another's lock is in the way.
+    pub(crate) fn check_changes(
+        &self,
+        schema: &Schema,
+        session: SessionId,
+        changes: &[Change],
+    ) -> Result<(), ManagementError> {
+        if let Some(holder) = self.other_holder(Datastore::Running, session) {
+            return Err(in_use(holder, "running is locked"));
+        }
+        for lock in self.partial.values().filter(|lock| lock.session != session) {
+            let is_changed = |node: &Path| changes.iter().any(|change| paths_overlap(node, &change.path));
+            if let Some(node) = lock.nodes.iter().find(|node| is_changed(node)) {
+                let what = format!("{} is locked", node.text(schema));
+                return Err(in_use(lock.session, &what).with_path(node));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// A lock that can't be had, because of another session.
+pub(crate) fn lock_denied(holder: SessionId, what: &str) -> ManagementError {
+    let message = format!("{what} by session {}", holder.0);
+    ManagementError::new(ErrorTag::LockDenied, message).with_holder(holder)
+}
+
+/// A change that can't be made, because of another session's lock.
+pub(crate) fn in_use(holder: SessionId, what: &str) -> ManagementError {
+    let message = format!("{what} by session {}", holder.0);
+    ManagementError::new(ErrorTag::InUse, message).with_holder(holder)
+}
+
+/// Whether one path is the other, or lies below it.
+pub(crate) fn paths_overlap(one: &Path, other: &Path) -> bool {
+    one.holds(other) || other.holds(one)
+}
--- /dev/null
+++ b/crates/rockflow-management/src/management.rs
@@ -0,0 +1,222 @@
+//! The datastores of one dispatcher with their sessions, locks and commits.
+//!
+//! There is one running configuration, which commits alone change. Each session has a candidate of its own, so
+//! that operators who edit at once never see each other's unfinished work; at its commit the later candidate is
+//! rebased on what running has become, and refused where both changed the same. A commit is durable before it
+//! comes into force, and in force before it is acknowledged.
+
+mod commits;
+mod editing;
+mod locking;
+mod session_control;
+
+use crate::access::Access;
+use crate::confirmed_commit::{PendingCommit, PendingCommitInfo};
+use crate::datastore::{Datastore, StartupMode};
+use crate::error::{RestoreError, RestoreWarning};
+use crate::history::{Commit, History, Origin};
+use crate::lock::Locks;
+use crate::notification::{Notification, NotificationQueue};
+use crate::overrides::administrative_overrides;
+use crate::record::Record;
+use crate::session::{Operator, SessionId, Sessions};
+use crate::storage::SnapshotStorage;
+use rockflow_endpoints::Marks;
+use rockflow_yang::{data, Fields, Path, Scalar, Schema};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What the datastores are set up with.
+#[derive(Clone, Debug)]
+pub struct ManagementOptions {
+    /// The model of all configurations.
+    pub schema: Arc<Schema>,
+    /// The user whom no access rule restricts.
+    pub owner: Option<String>,
+    /// What a restart begins with.
+    pub startup: StartupMode,
+}
+
+/// The datastores as they come back at a start.
+pub struct Restored<S> {
+    /// The datastores.
+    pub management: Management<S>,
+    /// What of the stored snapshot was left out or changed.
+    pub warnings: Vec<RestoreWarning>,
+}
+
+/// The datastores, sessions, locks and commits of a dispatcher; `S` stores what must last.
+pub struct Management<S> {
+    schema: Arc<Schema>,
+    storage: S,
+    running: Arc<Fields>,
+    startup: Fields,
+    /// The commit in force.
+    version: u64,
+    /// The greatest number given to a commit, in force or not.
+    last_used_version: u64,
+    access: Access,
+    owner: Option<String>,
+    history: History,
+    sessions: Sessions,
+    locks: Locks,
+    pending: Option<PendingCommit>,
+    notifications: NotificationQueue,
+    startup_mode: StartupMode,
+}
+
+impl<S: SnapshotStorage> Management<S> {
+    /// Sets the datastores up from the payload that was last stored, if any. `now` is Unix time, as in all calls.
+    ///
+    /// A confirmed commit that was pending is reverted by a commit of the dispatcher's own.
+    ///
+    /// # Errors
+    /// Where the payload or its access rules can't be read: starting empty would silently drop overrides that
+    /// were acknowledged.
+    pub fn restore(
+        now: Duration,
+        options: ManagementOptions,
+        storage: S,
+        stored: Option<&[u8]>,
+    ) -> Result<Restored<S>, RestoreError> {
+        let ManagementOptions { schema, owner, startup: startup_mode } = options;
+        let (mut record, mut warnings) = match stored {
+            Some(payload) => Record::read(&schema, payload)?,
+            None => (Record::default(), Vec::new()),
+        };
+        warnings.extend(revert_pending(now, &mut record));
+        if startup_mode == StartupMode::Separate {
+            restart_from_startup(&mut record);
+        }
+        let access = Access::compile(&schema, &record.running, owner.clone())?;
+        let management = Management {
+            schema,
+            storage,
+            running: Arc::new(record.running),
+            startup: record.startup,
+            version: record.version,
+            last_used_version: record.last_used_version.max(record.version),
+            access,
+            owner,
+            history: History::new(record.history, record.origins),
+            sessions: Sessions::new(),
+            locks: Locks::new(),
+            pending: None,
+            notifications: NotificationQueue::default(),
+            startup_mode,
+        };
+        Ok(Restored { management, warnings })
+    }
+
+    /// The model of all configurations.
+    pub fn schema(&self) -> &Arc<Schema> {
+        &self.schema
+    }
+
+    /// Where snapshots are stored.
+    pub fn storage(&self) -> &S {
+        &self.storage
+    }
+
+    /// Where snapshots are stored, to be changed by tests.
+    pub fn storage_mut(&mut self) -> &mut S {
+        &mut self.storage
+    }
+
+    /// The configuration in force.
+    pub fn running(&self) -> &Arc<Fields> {
+        &self.running
+    }
+
+    /// The number of the commit in force.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// The access rules of the configuration in force.
+    pub fn access(&self) -> &Access {
+        &self.access
+    }
+
+    /// The administrative overrides of the configuration in force, by endpoint.
+    pub fn administrative_overrides(&self) -> Marks {
+        administrative_overrides(&self.schema, &self.running)
+    }
+
+    /// Whether startup is a datastore of its own.
+    pub fn has_separate_startup(&self) -> bool {
+        self.startup_mode == StartupMode::Separate
+    }
+
+    /// The configuration that a session sees under that name.
+    pub fn datastore(&self, session: SessionId, datastore: Datastore) -> &Fields {
+        match datastore {
+            Datastore::Running => &self.running,
+            Datastore::Startup if self.has_separate_startup() => &self.startup,
+            Datastore::Startup => &self.running,
+            Datastore::Candidate => {
+                let session = self.sessions.get(session).ok();
+                let candidate = session.and_then(|session| session.candidate.as_ref());
+                candidate.map_or(&*self.running, |candidate| &candidate.fields)
+            }
+        }
+    }
+
+    /// What has happened since the last call, oldest first.
+    pub fn take_notifications(&mut self) -> Vec<Notification> {
+        self.notifications.take()
+    }
+
+    /// The commits that are retained, oldest first.
+    pub fn history(&self) -> impl DoubleEndedIterator<Item = &Commit> {
+        self.history.commits()
+    }
+
+    /// The newest origin of all values at or below the path.
+    pub fn last_origin(&self, path: &Path) -> Option<&Origin> {
+        self.history.last_origin(path)
+    }
+
+    /// The confirmed commit that waits for its confirmation.
+    pub fn pending_commit(&self) -> Option<PendingCommitInfo<'_>> {
+        self.pending.as_ref().map(PendingCommit::info)
+    }
+
+    /// A number of the `management` container, or the model's default.
+    fn setting(&self, name: &str) -> u64 {
+        let names = ["router", "management", name];
+        let configured = data::leaf(&self.schema, &self.running, &names).and_then(Scalar::as_u64);
+        let default = || self.schema.find(&names).and_then(|id| self.schema.default_of(id)?.as_u64());
+        configured.or_else(default).unwrap_or(1)
+    }
+}
+
+/// Drops the pending commit of a stored record, whose running is the configuration before it, and says so in the
+/// history.
+fn revert_pending(now: Duration, record: &mut Record) -> Option<RestoreWarning> {
+    let pending = record.pending.take()?;
+    let warning = RestoreWarning::UnconfirmedCommit { version: pending.version, author: pending.author };
+    record.last_used_version += 1;
+    record.version = record.last_used_version;
+    record.history.push_back(Commit {
+        version: record.version,
+        operator: Operator::system(),
+        time: now,
+        comment: warning.to_string(),
+        changes: Vec::new(),
+    });
+    Some(warning)
+}
+
+/// Takes the startup configuration as running. The history describes commits of running, so it ends where the
+/// two differ.
+fn restart_from_startup(record: &mut Record) {
+    if record.startup == record.running {
+        return;
+    }
+    record.running = record.startup.clone();
+    record.history.clear();
+    record.origins.clear();
+    record.last_used_version += 1;
+    record.version = record.last_used_version;
+}
--- /dev/null
+++ b/crates/rockflow-management/src/management/commits.rs
@@ -0,0 +1,423 @@
+//! Commits: the only way by which running changes.
+
+use super::Management;
+use crate::access::Access;
+use crate::confirmed_commit::{CommitOptions, PendingCommit, MAX_CONFIRM_TIMEOUT};
+use crate::error::{ErrorTag, ManagementError};
+use crate::history::Commit;
+use crate::notification::{ConfirmedCommitEvent, Notification};
+use crate::record::{PendingRecord, Record};
+use crate::session::{Operator, SessionId};
+use crate::storage::SnapshotStorage;
+use crate::validation::ValidationContext;
+use rockflow_yang::{data, Data, Edit, Fields, Op, Path, Scalar};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Characters of a commit's comment; the rest is cut.
+const MAX_COMMENT_CHARS: usize = 1024;
+
+/// What a session's user must be permitted for a change of running.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Authorization {
+    /// Each node that changes.
+    EachNode,
+    /// The call alone, which was checked before.
+    CallOnly,
+}
+
+/// A new running configuration that a session proposes.
+struct ProposedChange<'a> {
+    session: SessionId,
+    configuration: Fields,
+    options: &'a CommitOptions,
+    comment: &'a str,
+    authorization: Authorization,
+}
+
+impl<S: SnapshotStorage> Management<S> {
+    /// Commits the session's candidate. A pending confirmed commit that the session controls is confirmed by it,
+    /// or extended where this one is to be confirmed too. Returns the number of the commit in force.
+    ///
+    /// # Errors
+    /// Where another session is in the way, a rule or the model denies the change, or it can't be stored.
+    pub fn commit(
+        &mut self,
+        now: Duration,
+        id: SessionId,
+        options: &CommitOptions,
+        comment: &str,
+        context: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, "commit")?;
+        self.check_controls_pending(id, options.persist_id.as_deref())?;
+        self.check_candidate_lock(id)?;
+        options.check()?;
+        let change = ProposedChange {
+            session: id,
+            configuration: self.rebased_candidate(id)?,
+            options,
+            comment,
+            authorization: Authorization::EachNode,
+        };
+        let version = self.apply_change(now, change, context)?;
+        self.drop_candidate(id);
+        Ok(version)
+    }
+
+    /// Changes running in one transaction, past any candidate, for protocols without one. Returns the number of
+    /// the commit in force.
+    ///
+    /// # Errors
+    /// As [`Management::commit`], and where another commit than `expected_version` is in force.
+    pub fn set(
+        &mut self,
+        now: Duration,
+        id: SessionId,
+        edits: &[Edit],
+        expected_version: Option<u64>,
+        comment: &str,
+        context: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, "set")?;
+        self.check_none_pending()?;
+        self.check_version(expected_version)?;
+        let mut configuration = (*self.running).clone();
+        for edit in edits {
+            data::apply(&self.schema, &mut configuration, edit)?;
+        }
+        let options = CommitOptions::default();
+        let authorization = Authorization::EachNode;
+        let change = ProposedChange { session: id, configuration, options: &options, comment, authorization };
+        self.apply_change(now, change, context)
+    }
+
+    /// Sets the administrative override of an endpoint to these leaves, or removes it where there are none, in a
+    /// commit of its own. The permission to make the call is enough. Returns the number of the commit in force.
+    ///
+    /// # Errors
+    /// As [`Management::commit`], and [`ErrorTag::DataMissing`] where there is no override to remove.
+    pub fn set_override(
+        &mut self,
+        now: Duration,
+        id: SessionId,
+        call: &str,
+        host: &str,
+        leaves: &[(&str, Scalar)],
+        context: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, call)?;
+        self.check_none_pending()?;
+        let text = format!("/rockflow-router:router/marks/mark[host=\"{host}\"]");
+        let path = Path::read(&self.schema, &text)
+            .map_err(|reason| ManagementError::new(ErrorTag::InvalidValue, reason.to_string()))?;
+        let configuration = if leaves.is_empty() {
+            self.without_override(host, path)?
+        } else {
+            self.with_override(path, leaves)?
+        };
+        let options = CommitOptions::default();
+        let comment = format!("{call} {host}");
+        let change = ProposedChange {
+            session: id,
+            configuration,
+            options: &options,
+            comment: &comment,
+            authorization: Authorization::CallOnly,
+        };
+        self.apply_change(now, change, context)
+    }
+
+    /// Goes back to the configuration of an earlier commit, in a new one. Returns the number of the commit in
+    /// force.
+    ///
+    /// # Errors
+    /// As [`Management::set`], and [`ErrorTag::DataMissing`] where the history does not reach back so far.
+    pub fn rollback(
+        &mut self,
+        now: Duration,
+        id: SessionId,
+        version: u64,
+        expected_version: Option<u64>,
+        context: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        self.authorize_call(id, "rollback")?;
+        self.check_none_pending()?;
+        self.check_version(expected_version)?;
+        let configuration = self.configuration_at(version).ok_or_else(|| {
+            let oldest = self.history.oldest_version().unwrap_or(self.version);
+            let message = format!("commit {version} is not held; the oldest is {oldest}");
+            ManagementError::new(ErrorTag::DataMissing, message)
+        })?;
+        let options = CommitOptions::default();
+        let comment = format!("rollback to {version}");
+        let change = ProposedChange {
+            session: id,
+            configuration,
+            options: &options,
+            comment: &comment,
+            authorization: Authorization::EachNode,
+        };
+        self.apply_change(now, change, context)
+    }
+
+    /// Cancels the pending confirmed commit, which is reverted.
+    ///
+    /// # Errors
+    /// Where none is pending, or the session does not control it.
+    pub fn cancel_commit(
+        &mut self,
+        now: Duration,
+        id: SessionId,
+        persist_id: Option<&str>,
+    ) -> Result<(), ManagementError> {
+        self.authorize_call(id, "cancel-commit")?;
+        if self.pending.is_none() {
+            return Err(ManagementError::new(ErrorTag::OperationFailed, "no confirmed commit is pending"));
+        }
+        self.check_controls_pending(id, persist_id)?;
+        self.revert_unconfirmed(now, ConfirmedCommitEvent::Cancel);
+        Ok(())
+    }
+
+    /// The configuration as it was when that commit was in force; none where the history does not reach back.
+    pub fn configuration_at(&self, version: u64) -> Option<Fields> {
+        self.history.configuration_at(&self.schema, &self.running, self.version, version)
+    }
+
+    /// Reverts the pending confirmed commit, by a commit of the dispatcher's own.
+    pub(super) fn revert_unconfirmed(&mut self, now: Duration, event: ConfirmedCommitEvent) {
+        let Some(pending) = self.pending.take() else { return };
+        let author = pending.author;
+        let commit = Commit {
+            version: self.last_used_version + 1,
+            operator: Operator::system(),
+            time: now,
+            comment: format!("commit {} of {} was not confirmed", pending.version, author.user),
+            changes: data::differences(&self.running, &pending.before),
+        };
+        if self.install(commit.clone(), pending.before.clone()).is_err() {
+            // The configuration before is durable already, so that a failing disk must not keep it back.
+            self.running = pending.before;
+            self.version = commit.version;
+            self.last_used_version = commit.version;
+            self.history.push(commit.clone());
+            self.trim_history();
+            self.refresh_access();
+            self.notifications.push(Notification::Committed(commit));
+        }
+        self.notifications.push(Notification::ConfirmedCommit { event, operator: author });
+    }
+
+    /// Stores what a restart is to come back with: the configuration in force or, while a commit waits for its
+    /// confirmation, the one before it.
+    pub(super) fn save(&mut self) -> Result<(), ManagementError> {
+        let payload = self.record().write(&self.schema);
+        let saved = self.storage.save(&payload);
+        saved.map_err(|error| ManagementError::new(ErrorTag::OperationFailed, error.to_string()))
+    }
+
+    /// An error where a confirmed commit is pending: the request would confirm it unasked.
+    fn check_none_pending(&self) -> Result<(), ManagementError> {
+        match &self.pending {
+            None => Ok(()),
+            Some(pending) => Err(pending.blocking_error(ErrorTag::InUse)),
+        }
+    }
+
+    /// An error where the session may not commit because of a pending commit (RFC 6241, section 8.4).
+    fn check_controls_pending(&self, id: SessionId, persist_id: Option<&str>) -> Result<(), ManagementError> {
+        match (&self.pending, persist_id) {
+            (None, None) => Ok(()),
+            (None, Some(_)) => {
+                Err(ManagementError::new(ErrorTag::InvalidValue, "no confirmed commit is pending"))
+            }
+            (Some(pending), _) if pending.is_controlled_by(id, persist_id) => Ok(()),
+            (Some(pending), Some(_)) => Err(pending.blocking_error(ErrorTag::InvalidValue)),
+            (Some(pending), None) => Err(pending.blocking_error(ErrorTag::InUse)),
+        }
+    }
+
+    /// An error where another commit than the expected one is in force.
+    fn check_version(&self, expected: Option<u64>) -> Result<(), ManagementError> {
+        if expected.is_none_or(|expected| expected == self.version) {
+            return Ok(());
+        }
+        let author = self.history.last_author().unwrap_or("-");
+        let message = format!("commit {} of {author} is in force", self.version);
+        Err(ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("conflict"))
+    }
+
+    fn without_override(&self, host: &str, path: Path) -> Result<Fields, ManagementError> {
+        let mut configuration = (*self.running).clone();
+        let edit = Edit { path: path.clone(), op: Op::Delete, value: None };
+        data::apply(&self.schema, &mut configuration, &edit).map_err(|_| {
+            let message = format!("{host} has no mark");
+            ManagementError::new(ErrorTag::DataMissing, message).with_path(&path)
+        })?;
+        Ok(configuration)
+    }
+
+    fn with_override(&self, path: Path, leaves: &[(&str, Scalar)]) -> Result<Fields, ManagementError> {
+        let mut fields = Fields::new();
+        for (name, value) in leaves {
+            let node = path.node().and_then(|list| self.schema.child(Some(list), None, name));
+            let node = node
+                .ok_or_else(|| ManagementError::new(ErrorTag::OperationFailed, format!("no leaf {name}")))?;
+            fields.insert(node, Data::Leaf(value.clone()));
+        }
+        let mut configuration = (*self.running).clone();
+        let edit = Edit { path, op: Op::Replace, value: Some(Data::Container(fields)) };
+        data::apply(&self.schema, &mut configuration, &edit)?;
+        Ok(configuration)
+    }
+
+    /// Checks a change of running and makes it. Returns the number of the commit in force.
+    fn apply_change(
+        &mut self,
+        now: Duration,
+        change: ProposedChange<'_>,
+        context: &ValidationContext,
+    ) -> Result<u64, ManagementError> {
+        let operator = self.sessions.get(change.session)?.operator.clone();
+        let changes = data::differences(&self.running, &change.configuration);
+        self.locks.check_changes(&self.schema, change.session, &changes)?;
+        if change.authorization == Authorization::EachNode {
+            self.authorize_changes(&operator.user, &changes)?;
+        }
+        self.check_valid(now, &change.configuration, context)?;
+        if changes.is_empty() && self.pending.is_none() && change.options.confirm_timeout.is_none() {
+            return Ok(self.version);
+        }
+        let comment = change.comment.chars().take(MAX_COMMENT_CHARS).collect();
+        let version = self.last_used_version + 1;
+        let commit = Commit { version, operator, time: now, comment, changes };
+        let configuration = Arc::new(change.configuration);
+        match change.options.confirm_timeout {
+            None => self.install_permanent(commit, configuration)?,
+            Some(timeout) => {
+                let deadline = now + timeout.min(MAX_CONFIRM_TIMEOUT);
+                self.install_unconfirmed(commit, configuration, change.session, change.options, deadline)?;
+            }
+        }
+        Ok(self.version)
+    }
+
+    /// Installs a commit for good, which confirms the pending one.
+    fn install_permanent(
+        &mut self,
+        commit: Commit,
+        configuration: Arc<Fields>,
+    ) -> Result<(), ManagementError> {
+        let operator = commit.operator.clone();
+        let confirmed = self.pending.take();
+        if let Err(error) = self.install(commit, configuration) {
+            self.pending = confirmed;
+            return Err(error);
+        }
+        if confirmed.is_some() {
+            let event = ConfirmedCommitEvent::Complete;
+            self.notifications.push(Notification::ConfirmedCommit { event, operator });
+        }
+        Ok(())
+    }
+
+    /// Installs a commit that is reverted at the deadline unless it is confirmed.
+    fn install_unconfirmed(
+        &mut self,
+        commit: Commit,
+        configuration: Arc<Fields>,
+        session: SessionId,
+        options: &CommitOptions,
+        deadline: Duration,
+    ) -> Result<(), ManagementError> {
+        let operator = commit.operator.clone();
+        let (before, before_version, event) = match &self.pending {
+            Some(pending) => (pending.before.clone(), pending.before_version, ConfirmedCommitEvent::Extend),
+            None => (self.running.clone(), self.version, ConfirmedCommitEvent::Start),
+        };
+        let pending = PendingCommit {
+            session: options.persist.is_none().then_some(session),
+            persist: options.persist.clone(),
+            author: operator.clone(),
+            version: if commit.changes.is_empty() { self.version } else { commit.version },
+            before,
+            before_version,
+            deadline,
+        };
+        let replaced = self.pending.replace(pending);
+        if let Err(error) = self.install(commit, configuration) {
+            self.pending = replaced;
+            return Err(error);
+        }
+        self.notifications.push(Notification::ConfirmedCommit { event, operator });
+        Ok(())
+    }
+
+    /// Stores a commit, then puts it in force; where it can't be stored, all stays as it was.
+    fn install(&mut self, commit: Commit, configuration: Arc<Fields>) -> Result<(), ManagementError> {
+        let running_before = std::mem::replace(&mut self.running, configuration);
+        let (version_before, last_used_before) = (self.version, self.last_used_version);
+        let origins_before = self.history.record_origins(&commit);
+        // A confirmation alone changes nothing, and is no commit to go back to.
+        let is_change = !commit.changes.is_empty();
+        if is_change {
+            self.version = commit.version;
+            self.last_used_version = commit.version;
+            self.history.push(commit.clone());
+        }
+        if let Err(error) = self.save() {
+            if is_change {
+                self.history.pop();
+            }
+            self.running = running_before;
+            self.version = version_before;
+            self.history.restore_origins(origins_before);
+            // `last_used_version` stays: the commit may have reached the disk.
+            debug_assert!(is_change || self.last_used_version == last_used_before);
+            return Err(error);
+        }
+        self.trim_history();
+        self.refresh_access();
+        if is_change {
+            self.notifications.push(Notification::Committed(commit));
+        }
+        Ok(())
+    }
+
+    fn trim_history(&mut self) {
+        let max_commits = self.setting("history-length") as usize;
+        self.history.trim(max_commits);
+    }
+
+    /// Compiles the access rules of running; validation has ruled out an error.
+    fn refresh_access(&mut self) {
+        if let Ok(access) = Access::compile(&self.schema, &self.running, self.owner.clone()) {
+            self.access = access;
+        }
+    }
+
+    fn record(&self) -> Record {
+        let startup = if self.has_separate_startup() { self.startup.clone() } else { Fields::new() };
+        let mut record = Record {
+            running: (*self.running).clone(),
+            startup,
+            version: self.version,
+            last_used_version: self.last_used_version,
+            pending: None,
+            history: self.history.commits().cloned().collect(),
+            origins: self.history.origins().clone(),
+        };
+        let Some(pending) = &self.pending else { return record };
+        let before_version = pending.before_version;
+        record.pending =
+            Some(PendingRecord { version: self.last_used_version, author: pending.author.user.clone() });
+        record.running = (*pending.before).clone();
+        record.version = before_version;
+        record.history.retain(|commit| commit.version <= before_version);
+        let leaves: BTreeSet<Path> = data::leaves(&record.running).into_keys().collect();
+        record.origins.retain(|path, origin| leaves.contains(path) && origin.version <= before_version);
+        record
+    }
+}
--- /dev/null
+++ b/crates/rockflow-management/src/overrides.rs
@@ -0,0 +1,59 @@
+//! Operators' administrative overrides of endpoints (`marks` in the model), as a configuration holds them.
+
+use crate::timestamp;
+use rockflow::Readiness;
+use rockflow_endpoints::{Mark, Marks};
+use rockflow_yang::{data, Data, Fields, NodeId, Scalar, Schema, Step};
+
+/// The list of the model that holds one entry an override.
+const OVERRIDE_LIST: [&str; 3] = ["router", "marks", "mark"];
+
+/// The overrides of a configuration, by endpoint.
+pub fn administrative_overrides(schema: &Schema, configuration: &Fields) -> Marks {
+    let Some(leaves) = OverrideLeaves::find(schema) else { return Marks::new() };
+    let Some(path) = list_path(schema) else { return Marks::new() };
+    let Some(data::Found::Data(Data::List(entries))) = data::get(configuration, &path) else {
+        return Marks::new();
+    };
+    let mut overrides = Marks::new();
+    for (keys, fields) in entries {
+        if let Some(host) = keys.first().and_then(Scalar::as_text) {
+            overrides.insert(host.to_string(), leaves.read(fields));
+        }
+    }
+    overrides
+}
+
+struct OverrideLeaves {
+    state: NodeId,
+    expires: NodeId,
+    force: NodeId,
+}
+
+impl OverrideLeaves {
+    fn find(schema: &Schema) -> Option<OverrideLeaves> {
+        let [router, marks, mark] = OVERRIDE_LIST;
+        let leaf = |name: &str| schema.find(&[router, marks, mark, name]);
+        Some(OverrideLeaves { state: leaf("state")?, expires: leaf("expires")?, force: leaf("force")? })
+    }
+
+    fn read(&self, fields: &Fields) -> Mark {
+        let scalar = |leaf: NodeId| fields.get(&leaf).and_then(Data::scalar);
+        let text = |leaf: NodeId| scalar(leaf).and_then(Scalar::as_text);
+        let readiness = match text(self.state) {
+            Some("gone") => Readiness::Gone,
+            _ => Readiness::Draining,
+        };
+        let until = text(self.expires).and_then(timestamp::parse);
+        let force = scalar(self.force).and_then(Scalar::as_bool).unwrap_or(false);
+        Mark { readiness, until, force }
+    }
+}
+
+fn list_path(schema: &Schema) -> Option<Vec<Step>> {
+    let step = |length: usize| {
+        let node = schema.find(&OVERRIDE_LIST[..length])?;
+        Some(Step { node, keys: Vec::new() })
+    };
+    (1..=OVERRIDE_LIST.len()).map(step).collect()
+}
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -1,140 +1,177 @@
-//! What lasts: the configuration in force, the startup one, the history and who said what, as one JSON text for
-//! a snapshot. Names are the model's, so that a later program reads what an earlier one wrote.
+//! What a restart comes back with: the configurations, the history and the origin of each value, as one JSON text
+//! that is the payload of a snapshot. Paths and values are written in the model's names, so that a later program
+//! reads what an earlier one wrote.
 
-use crate::words::{Commit, Operator, Origin, Protocol};
+use crate::error::{RestoreError, RestoreWarning};
+use crate::history::{Commit, Origin};
+use crate::session::{Operator, Protocol};
 use rockflow_yang::{data, json, Change, Fields, Path, Scalar, Schema};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The form of the payload, for the store's head.
-pub const VERSION: u16 = 1;
-/// The largest payload that is written and read.
-pub const MOST: usize = 16 * 1024 * 1024;
+/// The version of the payload's format, for the head of a snapshot.
+pub const FORMAT_VERSION: u16 = 1;
+/// The largest payload that is written and read, in bytes.
+pub const MAX_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
 /// A confirmed commit that was pending when the record was written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trial {
+pub struct PendingRecord {
+    /// Its number.
     pub version: u64,
+    /// Who made it.
     pub author: String,
 }
 
+/// All that is stored.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
+    /// The configuration in force or, while a commit is pending, the one before it.
     pub running: Fields,
+    /// The startup configuration; empty where it is not separate.
     pub startup: Fields,
+    /// The commit that made `running`.
     pub version: u64,
     /// The greatest number given to a commit, in force or not.
-    pub used: u64,
-    pub trial: Option<Trial>,
+    pub last_used_version: u64,
+    /// The commit that is reverted by a restart.
+    pub pending: Option<PendingRecord>,
+    /// Past commits, oldest first.
     pub history: VecDeque<Commit>,
+    /// Who set each value of `running`.
     pub origins: BTreeMap<Path, Origin>,
 }
 
 impl Record {
+    /// The record as a payload.
     pub fn write(&self, schema: &Schema) -> Vec<u8> {
-        let text = |value: &Option<Scalar>| value.as_ref().map(Scalar::to_string);
-        let change =
-            |change: &Change| json!([change.path.text(schema), text(&change.before), text(&change.after)]);
-        let commit = |commit: &Commit| {
-            json!({
-                "version": commit.version, "user": commit.operator.user, "protocol": commit.operator.protocol.name(),
-                "source": commit.operator.source, "time": millis(commit.time), "comment": commit.comment,
-                "changes": commit.changes.iter().map(change).collect::<Vec<_>>(),
-            })
-        };
-        let origin = |(path, origin): (&Path, &Origin)| {
-            json!([path.text(schema), origin.author, origin.version, millis(origin.time)])
-        };
+        let pending = self.pending.as_ref().map(|pending| json!([pending.version, pending.author]));
+        let history: Vec<_> = self.history.iter().map(|commit| write_commit(schema, commit)).collect();
+        let origins: Vec<_> =
+            self.origins.iter().map(|(path, origin)| write_origin(schema, path, origin)).collect();
         let value = json!({
             "version": self.version,
-            "used": self.used,
-            "trial": self.trial.as_ref().map(|trial| json!([trial.version, trial.author])),
+            "used": self.last_used_version,
+            "trial": pending,
             "running": json::write(schema, &self.running),
             "startup": json::write(schema, &self.startup),
-            "history": self.history.iter().map(commit).collect::<Vec<_>>(),
-            "origins": self.origins.iter().map(origin).collect::<Vec<_>>(),
+            "history": history,
+            "origins": origins,
         });
         value.to_string().into_bytes()
     }
 
-    /// Strict as to the configuration: half of one is none. What tells of the past is left out, with a
-    /// complaint, where the model no longer knows it.
-    pub fn read(schema: &Schema, bytes: &[u8]) -> Result<(Record, Vec<String>), String> {
-        let value: Value = serde_json::from_slice(bytes).map_err(|what| what.to_string())?;
-        let number = |value: &Value, key: &str| {
-            value.get(key).and_then(Value::as_u64).ok_or_else(|| format!("{key} is no number"))
-        };
-        let tree = |key: &str| {
-            let fields = json::read(schema, None, value.get(key).unwrap_or(&Value::Null), false)?;
-            data::check(schema, &fields, &Path::default()).map_err(|what| what.to_string())?;
-            Ok::<_, String>(fields)
-        };
+    /// Reads a payload. Parts of the history that the model no longer knows are left out, with a warning.
+    ///
+    /// # Errors
+    /// Where a configuration or a number can't be read: half a configuration is none.
+    pub fn read(schema: &Schema, payload: &[u8]) -> Result<(Record, Vec<RestoreWarning>), RestoreError> {
+        let value: Value = serde_json::from_slice(payload)?;
         let mut record = Record {
-            running: tree("running").map_err(|what| format!("running: {what}"))?,
-            startup: tree("startup").map_err(|what| format!("startup: {what}"))?,
-            version: number(&value, "version")?,
-            used: number(&value, "used")?,
+            running: read_configuration(schema, &value, "running")?,
+            startup: read_configuration(schema, &value, "startup")?,
+            version: read_number(&value, "version")?,
+            last_used_version: read_number(&value, "used")?,
             ..Record::default()
         };
-        if let Some(trial) = value.get("trial").and_then(Value::as_array) {
-            let author = trial.get(1).and_then(Value::as_str).unwrap_or_default().to_string();
-            let version = trial.first().and_then(Value::as_u64).unwrap_or(record.used);
-            record.trial = Some(Trial { version, author });
-        }
-        let mut complaints = Vec::new();
-        let list = |key: &str| value.get(key).and_then(Value::as_array).cloned().unwrap_or_default();
-        for entry in list("history") {
-            match commit(schema, &entry) {
+        record.pending = read_pending(&value, record.last_used_version);
+        let mut warnings = Vec::new();
+        for entry in members(&value, "history") {
+            match read_commit(schema, entry) {
                 Some(commit) => record.history.push_back(commit),
                 None => {
                     // Guards against a way back that leaves one of its steps out.
-                    complaints.push(format!("history up to {} left out", entry["version"]));
+                    warnings.push(RestoreWarning::HistoryLeftOut { version: entry["version"].to_string() });
                     record.history.clear();
                 }
             }
         }
-        for entry in list("origins") {
-            let path = entry.get(0).and_then(Value::as_str).and_then(|text| named(schema, text));
-            let Some(path) = path else { continue };
-            let author = entry.get(1).and_then(Value::as_str).unwrap_or_default().to_string();
-            let version = entry.get(2).and_then(Value::as_u64).unwrap_or_default();
-            let time = Duration::from_millis(entry.get(3).and_then(Value::as_u64).unwrap_or_default());
-            record.origins.insert(path, Origin { author, version, time });
-        }
-        Ok((record, complaints))
+        record.origins = members(&value, "origins").filter_map(|entry| read_origin(schema, entry)).collect();
+        Ok((record, warnings))
     }
 }
 
-fn millis(time: Duration) -> u64 {
-    time.as_millis() as u64
+fn write_commit(schema: &Schema, commit: &Commit) -> Value {
+    let text = |value: &Option<Scalar>| value.as_ref().map(Scalar::to_string);
+    let change =
+        |change: &Change| json!([change.path.text(schema), text(&change.before), text(&change.after)]);
+    let changes: Vec<_> = commit.changes.iter().map(change).collect();
+    json!({
+        "version": commit.version,
+        "user": commit.operator.user,
+        "protocol": commit.operator.protocol.name(),
+        "source": commit.operator.source,
+        "time": millis(commit.time),
+        "comment": commit.comment,
+        "changes": changes,
+    })
+}
+
+fn write_origin(schema: &Schema, path: &Path, origin: &Origin) -> Value {
+    json!([path.text(schema), origin.author, origin.version, millis(origin.time)])
+}
+
+fn read_configuration(schema: &Schema, value: &Value, key: &'static str) -> Result<Fields, RestoreError> {
+    let error = |reason: String| RestoreError::Configuration { key, reason };
+    let tree = value.get(key).unwrap_or(&Value::Null);
+    let fields = json::read(schema, None, tree, false).map_err(|reason| error(reason.to_string()))?;
+    data::check(schema, &fields, &Path::default()).map_err(|reason| error(reason.to_string()))?;
+    Ok(fields)
 }
 
-fn commit(schema: &Schema, entry: &Value) -> Option<Commit> {
+fn read_number(value: &Value, key: &'static str) -> Result<u64, RestoreError> {
+    value.get(key).and_then(Value::as_u64).ok_or(RestoreError::NotANumber { key })
+}
+
+fn read_pending(value: &Value, last_used_version: u64) -> Option<PendingRecord> {
+    let pending = value.get("trial").and_then(Value::as_array)?;
+    let version = pending.first().and_then(Value::as_u64).unwrap_or(last_used_version);
+    let author = pending.get(1).and_then(Value::as_str).unwrap_or_default().to_string();
+    Some(PendingRecord { version, author })
+}
+
+fn read_commit(schema: &Schema, entry: &Value) -> Option<Commit> {
     let text = |key: &str| entry.get(key).and_then(Value::as_str).map(str::to_string);
-    let changes = entry.get("changes")?.as_array()?.iter().map(|change| {
-        let path = named(schema, change.get(0)?.as_str()?)?;
-        let of = schema.type_of(path.node()?)?;
-        let side = |at: usize| match change.get(at)? {
-            Value::Null => Some(None),
-            value => Some(Some(of.read(value.as_str()?).ok()?)),
-        };
-        Some(Change { path, before: side(1)?, after: side(2)? })
-    });
-    let changes: Option<Vec<_>> = changes.collect();
+    let changes = entry.get("changes")?.as_array()?;
+    let changes: Option<Vec<_>> = changes.iter().map(|change| read_change(schema, change)).collect();
+    let operator = Operator {
+        user: text("user")?,
+        protocol: Protocol::from_name(&text("protocol")?),
+        source: text("source")?,
+    };
     Some(Commit {
         version: entry.get("version")?.as_u64()?,
-        operator: Operator {
-            user: text("user")?,
-            protocol: Protocol::named(&text("protocol")?),
-            source: text("source")?,
-        },
+        operator,
         time: Duration::from_millis(entry.get("time")?.as_u64()?),
         comment: text("comment")?,
         changes: changes?,
     })
 }
 
-fn named(schema: &Schema, text: &str) -> Option<Path> {
-    Path::read(schema, text).ok()
+fn read_change(schema: &Schema, change: &Value) -> Option<Change> {
+    let path = Path::read(schema, change.get(0)?.as_str()?).ok()?;
+    let leaf_type = schema.type_of(path.node()?)?;
+    let side = |index: usize| match change.get(index)? {
+        Value::Null => Some(None),
+        value => Some(Some(leaf_type.read(value.as_str()?).ok()?)),
+    };
+    let (before, after) = (side(1)?, side(2)?);
+    Some(Change { path, before, after })
+}
+
+fn read_origin(schema: &Schema, entry: &Value) -> Option<(Path, Origin)> {
+    let path = Path::read(schema, entry.get(0)?.as_str()?).ok()?;
+    let number = |index: usize| entry.get(index).and_then(Value::as_u64).unwrap_or_default();
+    let author = entry.get(1).and_then(Value::as_str).unwrap_or_default().to_string();
+    let time = Duration::from_millis(number(3));
+    Some((path, Origin { author, version: number(2), time }))
+}
+
+fn members<'a>(value: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
+    value.get(key).and_then(Value::as_array).into_iter().flatten()
+}
+
+fn millis(time: Duration) -> u64 {
+    time.as_millis() as u64
 }
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -1,156 +1,190 @@
-//! What a follower is owed, for every protocol alike: changes since the last time, or a picture at intervals.
-//! Changes are kept by path, the last one only, so that a slow reader costs no more than what it follows; past
-//! a cap it is owed the whole picture anew instead.
+//! Subscriptions to values, for every protocol alike: changes as they come, or a snapshot at intervals.
+//!
+//! Of the changes that wait to be sent only the last one of each path is held, so that a slow reader costs no
+//! more than what it subscribes to; past [`MAX_WAITING`] paths it is sent a whole snapshot instead.
 
 use rockflow_yang::{data, Change, Fields, Path, Pattern, Scalar};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Paths that may wait for a follower.
+/// Paths whose changes may wait for a subscriber.
 pub const MAX_WAITING: usize = 20_000;
 
+/// When a subscriber is sent something.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trigger {
-    /// When something changes, but not more often than this (dampening); the whole again after `heartbeat`
-    /// without one.
-    OnChange { dampening: Duration, heartbeat: Option<Duration> },
-    /// At intervals; what has not changed since is left out where `suppress` says so, but for the heartbeat.
-    Periodic { period: Duration, suppress: bool, heartbeat: Option<Duration> },
+    /// When a value changes.
+    OnChange {
+        /// The shortest time between two updates.
+        dampening: Duration,
+        /// A whole snapshot is sent after this time without one.
+        heartbeat: Option<Duration>,
+    },
+    /// At intervals.
+    Periodic {
+        /// The interval.
+        period: Duration,
+        /// Values that have not changed since the last update are left out, but for the heartbeat.
+        suppress: bool,
+        /// A whole snapshot is sent after this time without one.
+        heartbeat: Option<Duration>,
+    },
 }
 
-/// What is sent to a follower.
+/// What is sent to a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// All that is followed, as it is now.
+    /// All values of the subscription, as they are now.
     Snapshot(BTreeMap<Path, Scalar>),
-    /// What has changed.
+    /// The values that have changed.
     Changes(BTreeMap<Path, ChangedValue>),
 }
 
+/// A value that has changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangedValue {
-    /// None: it is gone.
+    /// The new value; none: it was deleted.
     pub value: Option<Scalar>,
-    /// Changes that this one overtook before it was sent.
+    /// Earlier changes of the same path that were not sent.
     pub coalesced: u32,
 }
 
+/// One subscription: what it selects, and what waits to be sent.
 #[derive(Debug)]
 pub struct Subscription {
     patterns: Vec<Pattern>,
     trigger: Trigger,
-    /// What has changed and was not sent.
+    /// Changes that were not sent yet.
     waiting: BTreeMap<Path, ChangedValue>,
-    /// The whole is owed.
-    whole: bool,
-    /// What was sent last, where what has not changed is left out.
+    /// A whole snapshot is to be sent next.
+    needs_snapshot: bool,
+    /// The last values that were sent, where unchanged ones are left out.
     sent: BTreeMap<Path, Scalar>,
-    last: Option<Duration>,
-    last_whole: Duration,
+    last_update: Option<Duration>,
+    last_snapshot: Duration,
 }
 
 impl Subscription {
-    /// `updates_only`: the picture at the start is not owed.
+    /// A subscription to what the patterns select. With `updates_only` no snapshot is sent at the start.
     pub fn new(patterns: Vec<Pattern>, trigger: Trigger, updates_only: bool, now: Duration) -> Self {
         Subscription {
             patterns,
             trigger,
             waiting: BTreeMap::new(),
-            whole: !updates_only,
+            needs_snapshot: !updates_only,
             sent: BTreeMap::new(),
-            last: None,
-            last_whole: now,
+            last_update: None,
+            last_snapshot: now,
         }
     }
 
-    /// Whether it is owed changes as they come.
-    pub fn on_change(&self) -> bool {
+    /// Whether it is sent changes as they come.
+    pub fn is_on_change(&self) -> bool {
         matches!(self.trigger, Trigger::OnChange { .. })
     }
 
-    fn follows(&self, path: &Path) -> bool {
-        self.patterns.iter().any(|pattern| pattern.holds(path))
-    }
-
-    /// Takes changes as they come.
-    pub fn offer(&mut self, changes: &[Change]) {
-        if !matches!(self.trigger, Trigger::OnChange { .. }) || self.whole {
+    /// Takes in changes as they come; a periodic subscription needs none.
+    pub fn record_changes(&mut self, changes: &[Change]) {
+        if !self.is_on_change() || self.needs_snapshot {
             return;
         }
-        for change in changes.iter().filter(|change| self.patterns.iter().any(|p| p.holds(&change.path))) {
-            let coalesced = self.waiting.get(&change.path).map_or(0, |old| old.coalesced + 1);
+        let selected: Vec<_> = changes.iter().filter(|change| self.selects(&change.path)).collect();
+        for change in selected {
+            let coalesced = self.waiting.get(&change.path).map_or(0, |earlier| earlier.coalesced + 1);
             let changed = ChangedValue { value: change.after.clone(), coalesced };
             self.waiting.insert(change.path.clone(), changed);
         }
         if self.waiting.len() > MAX_WAITING {
             self.waiting.clear();
-            self.whole = true;
+            self.needs_snapshot = true;
         }
     }
 
-    /// When something is owed; none: not before something changes.
-    pub fn due(&self) -> Option<Duration> {
+    /// When an update is due; none: not before something changes.
+    pub fn next_due(&self) -> Option<Duration> {
         match self.trigger {
             Trigger::OnChange { dampening, heartbeat } => {
-                let next = self.last.map_or(Duration::ZERO, |last| last + dampening);
-                let changed = (self.whole || !self.waiting.is_empty()).then_some(next);
-                let beat = heartbeat.map(|heartbeat| self.last_whole + heartbeat);
-                changed.into_iter().chain(beat).min()
+                let earliest = self.last_update.map_or(Duration::ZERO, |last| last + dampening);
+                let has_update = self.needs_snapshot || !self.waiting.is_empty();
+                let update = has_update.then_some(earliest);
+                let snapshot = heartbeat.map(|heartbeat| self.last_snapshot + heartbeat);
+                update.into_iter().chain(snapshot).min()
+            }
+            Trigger::Periodic { period, .. } => {
+                Some(self.last_update.map_or(Duration::ZERO, |last| last + period))
             }
-            Trigger::Periodic { period, .. } => Some(self.last.map_or(Duration::ZERO, |last| last + period)),
         }
     }
 
-    /// What is owed by now; `present` is asked for the picture where that is needed.
-    pub fn take(&mut self, now: Duration, present: impl FnOnce() -> Fields) -> Option<Update> {
-        if self.due().is_none_or(|due| due > now) {
+    /// The update that is due by now, if any; `present` gives the present values where they are needed.
+    pub fn take_update(&mut self, now: Duration, present: impl FnOnce() -> Fields) -> Option<Update> {
+        if self.next_due().is_none_or(|due| due > now) {
             return None;
         }
-        let first = self.last.is_none();
-        // Steps of the period stay in their places where one was late; those missed are not made up for.
-        self.last = Some(match (self.trigger, self.last) {
-            (Trigger::Periodic { period, .. }, Some(last)) if now < last + 2 * period => last + period,
-            _ => now,
-        });
+        let is_first = self.last_update.is_none();
+        self.last_update = Some(self.update_time(now));
         match self.trigger {
             Trigger::OnChange { heartbeat, .. } => {
-                let beat = heartbeat.is_some_and(|heartbeat| self.last_whole + heartbeat <= now);
-                if self.whole || beat {
-                    self.last_whole = now;
-                    self.whole = false;
+                if self.needs_snapshot || self.is_heartbeat_due(now, heartbeat) {
+                    self.last_snapshot = now;
+                    self.needs_snapshot = false;
                     self.waiting.clear();
-                    return Some(Update::Snapshot(self.picture(present())));
+                    return Some(Update::Snapshot(self.selected_values(present())));
                 }
                 Some(Update::Changes(std::mem::take(&mut self.waiting)))
             }
             Trigger::Periodic { suppress, heartbeat, .. } => {
-                if first && !self.whole {
+                if is_first && !self.needs_snapshot {
                     return None;
                 }
-                self.whole = true;
-                let picture = self.picture(present());
-                let beat = heartbeat.is_some_and(|heartbeat| self.last_whole + heartbeat <= now);
-                if !suppress || first || beat {
-                    self.last_whole = now;
+                self.needs_snapshot = true;
+                let values = self.selected_values(present());
+                if !suppress || is_first || self.is_heartbeat_due(now, heartbeat) {
+                    self.last_snapshot = now;
                     if suppress {
-                        self.sent = picture.clone();
+                        self.sent = values.clone();
                     }
-                    return Some(Update::Snapshot(picture));
+                    return Some(Update::Snapshot(values));
                 }
-                let old = std::mem::replace(&mut self.sent, picture.clone());
-                let mut changes = BTreeMap::new();
-                for path in old.keys().filter(|path| !picture.contains_key(*path)) {
-                    changes.insert(path.clone(), ChangedValue::default());
-                }
-                let new = picture.into_iter().filter(|(path, value)| old.get(path) != Some(value));
-                let changed = |value| ChangedValue { value: Some(value), coalesced: 0 };
-                changes.extend(new.map(|(path, value)| (path, changed(value))));
+                let changes = self.changes_since_sent(values);
                 (!changes.is_empty()).then_some(Update::Changes(changes))
             }
         }
     }
 
-    fn picture(&self, present: Fields) -> BTreeMap<Path, Scalar> {
-        data::leaves(&present).into_iter().filter(|(path, _)| self.follows(path)).collect()
+    /// The time that counts as that of an update at `now`. Periods stay on their grid where one update was late;
+    /// after a longer break the grid begins anew, so that missed updates are not made up for.
+    fn update_time(&self, now: Duration) -> Duration {
+        match (self.trigger, self.last_update) {
+            (Trigger::Periodic { period, .. }, Some(last)) if now < last + 2 * period => last + period,
+            _ => now,
+        }
+    }
+
+    fn is_heartbeat_due(&self, now: Duration, heartbeat: Option<Duration>) -> bool {
+        heartbeat.is_some_and(|heartbeat| self.last_snapshot + heartbeat <= now)
+    }
+
+    /// What differs from the values that were sent last; the new ones count as sent.
+    fn changes_since_sent(&mut self, values: BTreeMap<Path, Scalar>) -> BTreeMap<Path, ChangedValue> {
+        let before = std::mem::replace(&mut self.sent, values.clone());
+        let mut changes = BTreeMap::new();
+        for path in before.keys().filter(|path| !values.contains_key(*path)) {
+            changes.insert(path.clone(), ChangedValue::default());
+        }
+        for (path, value) in values {
+            if before.get(&path) != Some(&value) {
+                changes.insert(path, ChangedValue { value: Some(value), coalesced: 0 });
+            }
+        }
+        changes
+    }
+
+    fn selects(&self, path: &Path) -> bool {
+        self.patterns.iter().any(|pattern| pattern.holds(path))
+    }
+
+    fn selected_values(&self, present: Fields) -> BTreeMap<Path, Scalar> {
+        data::leaves(&present).into_iter().filter(|(path, _)| self.selects(path)).collect()
     }
 }
--- /dev/null
+++ b/crates/rockflow-management/src/validation.rs
@@ -0,0 +1,51 @@
+//! What a configuration must meet before it comes into force.
+
+use crate::access::Access;
+use crate::error::{ErrorTag, ManagementError};
+use crate::overrides::administrative_overrides;
+use rockflow_endpoints::{none_left, Listed};
+use rockflow_yang::{data, Fields, Path, Schema};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Values that a configuration may hold.
+pub(crate) const MAX_VALUES: usize = 100_000;
+
+/// What is known outside the datastores, for the checks of a commit.
+#[derive(Clone, Debug, Default)]
+pub struct ValidationContext {
+    /// The endpoint list by name; empty: not known, so nothing is judged by it.
+    pub endpoints: BTreeMap<String, Listed>,
+}
+
+/// Checks a configuration against the model, the access rules' syntax, the size limit, and the rule that the
+/// last endpoint of its kind is not taken out of service.
+pub(crate) fn validate(
+    schema: &Schema,
+    now: Duration,
+    running: &Fields,
+    proposed: &Fields,
+    owner: Option<&str>,
+    context: &ValidationContext,
+) -> Result<(), ManagementError> {
+    data::check(schema, proposed, &Path::default()).map_err(ManagementError::from)?;
+    check_size(proposed)?;
+    Access::compile(schema, proposed, owner.map(str::to_string))
+        .map_err(|error| ManagementError::new(ErrorTag::InvalidValue, error.to_string()))?;
+    let before = administrative_overrides(schema, running);
+    let after = administrative_overrides(schema, proposed);
+    if let Some(what) = none_left(&context.endpoints, &before, &after, now) {
+        let message = format!("{what}; with force it is done all the same");
+        return Err(ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("none-left"));
+    }
+    Ok(())
+}
+
+/// An error where a configuration holds more values than allowed.
+pub(crate) fn check_size(fields: &Fields) -> Result<(), ManagementError> {
+    if data::count(fields) > MAX_VALUES {
+        let message = format!("more than {MAX_VALUES} values");
+        return Err(ManagementError::new(ErrorTag::ResourceDenied, message));
+    }
+    Ok(())
+}
--- a/crates/rockflow-management/tests/authorization.rs
+++ b/crates/rockflow-management/tests/authorization.rs
@@ -53,7 +53,7 @@
 fn the_table_holds() {
     let schema = Schema::published();
     let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
-    let access = Access::of(&schema, &running, Some("root".into())).unwrap();
+    let access = Access::compile(&schema, &running, Some("root".into())).unwrap();
     let operations = [
         (Operation::Create, 'c'),
         (Operation::Read, 'r'),
@@ -77,7 +77,7 @@
 fn what_may_not_be_read_is_not_told() {
     let schema = Schema::published();
     let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
-    let access = Access::of(&schema, &running, Some("root".into())).unwrap();
+    let access = Access::compile(&schema, &running, Some("root".into())).unwrap();
     assert_eq!(access.readable(&schema, "root", &running), running);
     assert!(access.readable(&schema, "wim", &running).is_empty());
 }
--- a/crates/rockflow-management/tests/crashes.rs
+++ b/crates/rockflow-management/tests/crashes.rs
@@ -1,30 +1,31 @@
 //! A process killed at every step of every kind of commit: after a restart the old or the new configuration,
 //! whole, and nothing acknowledged lost.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
+use common::{restore, DiskManagement};
 use rockflow_management::*;
-use rockflow_store::faulty::{Disk, EVERY_BYTES};
-use rockflow_store::Store;
+use rockflow_store::faulty::{FaultyDisk, UnsyncedBytes};
 use rockflow_yang::{json, Scalar, Schema};
 use std::sync::Arc;
 use std::time::Duration;
 
-type Machine = Management<Store<Disk>>;
+type Machine = DiskManagement;
 const NOW: Duration = Duration::from_secs(1_780_000_000);
 
-fn open(schema: &Arc<Schema>, disk: Disk) -> Machine {
-    let (store, found, _) = Store::open(disk, "config", record::VERSION, record::MOST).unwrap();
-    let found = found.map(|found| found.payload);
-    Management::new(NOW, schema.clone(), store, found.as_deref(), Some("root".into()), false).unwrap().0
+fn open(schema: &Arc<Schema>, disk: FaultyDisk) -> Machine {
+    restore(schema, disk, "root", NOW)
 }
 
 fn session(machine: &mut Machine) -> SessionId {
     let who = Operator { user: "root".into(), protocol: Protocol::Gnmi, source: "-".into() };
-    machine.open(NOW, who).unwrap()
+    machine.open_session(NOW, who).unwrap()
 }
 
 fn drain(machine: &mut Machine, id: SessionId, host: &str) -> Result<u64, ManagementError> {
     let leaves = [("state", Scalar::text("draining")), ("reason", Scalar::text("r".repeat(50)))];
-    machine.mark(NOW, id, "drain", host, &leaves, &ValidationContext::default())
+    machine.set_override(NOW, id, "drain", host, &leaves, &ValidationContext::default())
 }
 
 fn candidate(machine: &mut Machine, id: SessionId, schema: &Schema, host: &str) {
@@ -35,7 +36,7 @@
         op: rockflow_yang::Op::Merge,
         value: Some(rockflow_yang::Data::Container(fields)),
     };
-    machine.edit_config(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, false).unwrap();
+    machine.edit_config(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, EditMode::Apply).unwrap();
 }
 
 fn commit(
@@ -52,7 +53,7 @@
 
 /// What holds, as the marks' names.
 fn marks(machine: &Machine) -> Vec<String> {
-    machine.marks().into_keys().collect()
+    machine.administrative_overrides().into_keys().collect()
 }
 
 /// The steps of one life: what each does, and what a restart may come back with once it was acknowledged.
@@ -83,7 +84,7 @@
     let schema = Arc::new(Schema::published());
     let (mut points, mut step) = (0, 0);
     loop {
-        let mut machine = open(&schema, Disk::default().dying_at(step));
+        let mut machine = open(&schema, FaultyDisk::default().dying_at(step));
         let id = session(&mut machine);
         // What was acknowledged for good, and what the step that died might have made durable.
         let (mut lasting, mut perhaps) = (Vec::new(), Vec::new());
@@ -95,7 +96,7 @@
                     commit(&mut machine, id, Some(60)).map(|_| ())
                 }
                 Act::CommitOptions => commit(&mut machine, id, None).map(|_| ()),
-                Act::Cancel => machine.cancel(NOW, id, None),
+                Act::Cancel => machine.cancel_commit(NOW, id, None),
                 Act::Rollback(version) => {
                     machine.rollback(NOW, id, version, None, &ValidationContext::default()).map(|_| ())
                 }
@@ -124,23 +125,23 @@
                 }
             }
         }
-        let disk = machine.saved().disk().clone();
-        for names in 0..=disk.pending() {
-            for bytes in EVERY_BYTES {
+        let disk = machine.storage().disk().clone();
+        for names in 0..=disk.unsynced_names() {
+            for bytes in UnsyncedBytes::EACH {
                 points += 1;
                 let mut again = open(&schema, disk.after_crash(names, bytes));
                 let found = marks(&again);
                 let whole = found == lasting || found == perhaps;
                 assert!(whole, "step {step} names {names} {bytes:?}: {found:?}, {lasting:?} or {perhaps:?}");
-                assert!(again.pending().is_none());
+                assert!(again.pending_commit().is_none());
                 // It goes on from there.
                 let id = session(&mut again);
                 drain(&mut again, id, "c9").unwrap();
-                let after = open(&schema, again.saved().disk().after_crash(0, EVERY_BYTES[0]));
+                let after = open(&schema, again.storage().disk().after_crash(0, UnsyncedBytes::Lost));
                 assert!(marks(&after).contains(&"c9".to_string()));
             }
         }
-        if !disk.died() {
+        if !disk.has_died() {
             break;
         }
         step += 1;
--- a/crates/rockflow-management/tests/followers.rs
+++ b/crates/rockflow-management/tests/followers.rs
@@ -36,17 +36,19 @@
     let mut follower = on_change(&schema, 100, None);
     let (one, two, three) =
         (tree(&schema, &[("c1", "a")]), tree(&schema, &[("c1", "b")]), tree(&schema, &[("c1", "c")]));
-    assert!(matches!(follower.take(at(1), || one.clone()), Some(Update::Snapshot(all)) if all.len() == 1));
-    assert_eq!(follower.due(), None);
+    assert!(
+        matches!(follower.take_update(at(1), || one.clone()), Some(Update::Snapshot(all)) if all.len() == 1)
+    );
+    assert_eq!(follower.next_due(), None);
     // Two changes of the same value within the dampening are one, and it says so.
-    follower.offer(&data::differences(&one, &two));
-    assert_eq!(follower.due(), Some(at(101)));
-    assert!(follower.take(at(50), Fields::new).is_none());
-    follower.offer(&data::differences(&two, &three));
-    assert_eq!(changed(follower.take(at(101), Fields::new)), (1, 1));
+    follower.record_changes(&data::differences(&one, &two));
+    assert_eq!(follower.next_due(), Some(at(101)));
+    assert!(follower.take_update(at(50), Fields::new).is_none());
+    follower.record_changes(&data::differences(&two, &three));
+    assert_eq!(changed(follower.take_update(at(101), Fields::new)), (1, 1));
     // What it does not follow is not owed.
-    follower.offer(&data::differences(&tree(&schema, &[]), &Fields::new()));
-    assert_eq!(follower.due(), None);
+    follower.record_changes(&data::differences(&tree(&schema, &[]), &Fields::new()));
+    assert_eq!(follower.next_due(), None);
 }
 
 #[test]
@@ -54,24 +56,24 @@
     let schema = Schema::published();
     let mut follower = on_change(&schema, 0, Some(1000));
     let one = tree(&schema, &[("c1", "a")]);
-    follower.take(at(0), || one.clone());
-    assert_eq!(follower.due(), Some(at(1000)));
-    assert!(matches!(follower.take(at(1000), || one), Some(Update::Snapshot(_))));
-    assert_eq!(follower.due(), Some(at(2000)));
+    follower.take_update(at(0), || one.clone());
+    assert_eq!(follower.next_due(), Some(at(1000)));
+    assert!(matches!(follower.take_update(at(1000), || one), Some(Update::Snapshot(_))));
+    assert_eq!(follower.next_due(), Some(at(2000)));
 }
 
 #[test]
 fn one_that_never_reads_is_owed_the_whole_in_place_of_more_than_the_cap() {
     let schema = Schema::published();
     let mut follower = on_change(&schema, 10, None);
-    follower.take(at(0), Fields::new);
+    follower.take_update(at(0), Fields::new);
     let most = rockflow_management::subscription::MAX_WAITING;
     for start in (0..most + 10).step_by(1000) {
         let names: Vec<_> = (start..start + 1000).map(|number| format!("c{number}")).collect();
         let marks: Vec<_> = names.iter().map(|name| (name.as_str(), "a")).collect();
-        follower.offer(&data::differences(&Fields::new(), &tree(&schema, &marks)));
+        follower.record_changes(&data::differences(&Fields::new(), &tree(&schema, &marks)));
     }
-    assert!(matches!(follower.take(at(20), Fields::new), Some(Update::Snapshot(_))));
+    assert!(matches!(follower.take_update(at(20), Fields::new), Some(Update::Snapshot(_))));
 }
 
 #[test]
@@ -82,15 +84,15 @@
     let mut follower = Subscription::new(vec![pattern], trigger, false, at(0));
     let one = tree(&schema, &[("c1", "a"), ("c2", "b")]);
     let two = tree(&schema, &[("c1", "z")]);
-    assert!(matches!(follower.take(at(0), || one.clone()), Some(Update::Snapshot(_))));
-    assert!(follower.take(at(130), || one.clone()).is_none());
-    assert_eq!(follower.due(), Some(at(200)));
+    assert!(matches!(follower.take_update(at(0), || one.clone()), Some(Update::Snapshot(_))));
+    assert!(follower.take_update(at(130), || one.clone()).is_none());
+    assert_eq!(follower.next_due(), Some(at(200)));
     // One changed; the other's two leaves are gone.
-    assert_eq!(changed(follower.take(at(200), || two.clone())), (3, 0));
-    assert!(matches!(follower.take(at(300), || two.clone()), Some(Update::Snapshot(_))));
+    assert_eq!(changed(follower.take_update(at(200), || two.clone())), (3, 0));
+    assert!(matches!(follower.take_update(at(300), || two.clone()), Some(Update::Snapshot(_))));
     // Long late: what was missed is not made up for.
-    follower.take(at(900), || two.clone());
-    assert_eq!(follower.due(), Some(at(1000)));
+    follower.take_update(at(900), || two.clone());
+    assert_eq!(follower.next_due(), Some(at(1000)));
 }
 
 #[test]
@@ -99,7 +101,7 @@
     let pattern = Pattern::read(&schema, "/router/marks").unwrap();
     let trigger = Trigger::OnChange { dampening: at(0), heartbeat: None };
     let mut follower = Subscription::new(vec![pattern], trigger, true, at(0));
-    assert!(follower.take(at(5), Fields::new).is_none());
-    follower.offer(&data::differences(&Fields::new(), &tree(&schema, &[("c1", "a")])));
-    assert_eq!(changed(follower.take(at(6), Fields::new)), (2, 0));
+    assert!(follower.take_update(at(5), Fields::new).is_none());
+    follower.record_changes(&data::differences(&Fields::new(), &tree(&schema, &[("c1", "a")])));
+    assert_eq!(changed(follower.take_update(at(6), Fields::new)), (2, 0));
 }
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -21,11 +21,14 @@
 //!
 //! `! TAG WORD...` at a line's end: it fails with that tag, and its message and finer tag hold the words.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
+use common::{restore, DiskManagement};
 use rockflow::{Readiness, Role};
 use rockflow_endpoints::{Listed, Mark};
 use rockflow_management::*;
-use rockflow_store::faulty::{Bytes, Disk};
-use rockflow_store::Store;
+use rockflow_store::faulty::{FaultyDisk, UnsyncedBytes};
 use rockflow_yang::{json, Data, Edit, Op, Path, Pattern, Scalar, Schema};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -33,7 +36,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-type Machine = Management<Store<Disk>>;
+type Machine = DiskManagement;
 const START: Duration = Duration::from_secs(1_780_000_000);
 
 struct Play {
@@ -45,10 +48,8 @@
     notices: Vec<String>,
 }
 
-fn machine(schema: &Arc<Schema>, disk: Disk) -> Machine {
-    let (store, found, _) = Store::open(disk, "config", record::VERSION, record::MOST).unwrap();
-    let found = found.map(|found| found.payload);
-    Management::new(START, schema.clone(), store, found.as_deref(), Some("owner".into()), false).unwrap().0
+fn machine(schema: &Arc<Schema>, disk: FaultyDisk) -> Machine {
+    restore(schema, disk, "owner", START)
 }
 
 fn op(name: &str) -> Op {
@@ -103,20 +104,25 @@
         if what == "opens" {
             let user = words.first().unwrap_or(&who).to_string();
             let who_is = Operator { user, protocol: Protocol::NetconfSsh, source: "127.0.0.1".into() };
-            let id = self.machine.open(now, who_is)?;
+            let id = self.machine.open_session(now, who_is)?;
             self.sessions.insert(who.into(), id);
             return Ok(());
         }
         let id = self.sessions[who];
-        self.machine.touch(now, id);
+        self.machine.record_activity(now, id);
         let which = |word: &str| match word {
             "running" => Datastore::Running,
             "startup" => Datastore::Startup,
             _ => Datastore::Candidate,
         };
         let edit = |play: &mut Play, edits: &[Edit]| {
-            let made =
-                play.machine.edit_config(id, Datastore::Candidate, edits, ErrorOption::Rollback, false);
+            let made = play.machine.edit_config(
+                id,
+                Datastore::Candidate,
+                edits,
+                ErrorOption::Rollback,
+                EditMode::Apply,
+            );
             made.map_err(|faults| faults[0].clone())
         };
         match what {
@@ -134,18 +140,21 @@
                 };
                 self.machine.commit(now, id, &confirm, "", &self.around).map(|_| ())
             }
-            "cancels" => self.machine.cancel(now, id, option("id")),
+            "cancels" => self.machine.cancel_commit(now, id, option("id")),
             "follows" => {
-                self.machine.follows(id, true);
+                self.machine.set_subscription_count(id, 1);
                 Ok(())
             }
             "discards" => self.machine.discard_changes(id),
-            "validates" => self.machine.validate(now, id, Ok(Datastore::Candidate), &self.around),
+            "validates" => {
+                let candidate = ConfigSource::Datastore(Datastore::Candidate);
+                self.machine.validate(now, id, &candidate, &self.around)
+            }
             "closes" => {
-                self.machine.close(now, id, "closed");
+                self.machine.close_session(now, id, SessionEndReason::Closed);
                 Ok(())
             }
-            "kills" => self.machine.kill(now, id, self.sessions[words[0]]),
+            "kills" => self.machine.kill_session(now, id, self.sessions[words[0]]),
             "locks" => self.machine.lock(now, id, which(words[0])),
             "unlocks" => self.machine.unlock(id, which(words[0])),
             "holds" => {
@@ -160,9 +169,11 @@
             "drains" => {
                 let force = Scalar::Bool(words.contains(&"force"));
                 let leaves = [("state", Scalar::text("draining")), ("force", force)];
-                self.machine.mark(now, id, "drain", words[0], &leaves, &self.around).map(|_| ())
+                self.machine.set_override(now, id, "drain", words[0], &leaves, &self.around).map(|_| ())
+            }
+            "undrains" => {
+                self.machine.set_override(now, id, "undrain", words[0], &[], &self.around).map(|_| ())
             }
-            "undrains" => self.machine.mark(now, id, "undrain", words[0], &[], &self.around).map(|_| ()),
             "rolls-back" => {
                 let (to, expected) = (words[0].parse().unwrap(), number("expected"));
                 self.machine.rollback(now, id, to, expected, &self.around).map(|_| ())
@@ -183,7 +194,7 @@
                 };
                 let told = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
                 let listed = Listed { role, location: location.parse().unwrap(), told };
-                self.around.hosts.insert(name.to_string(), listed);
+                self.around.endpoints.insert(name.to_string(), listed);
             }
             ["rules", ..] => {
                 let rules = line.trim_start_matches("rules ");
@@ -195,23 +206,23 @@
             }
             ["after", seconds] => {
                 self.now += Duration::from_secs(seconds.parse().unwrap());
-                self.machine.tick(self.now);
+                self.machine.on_tick(self.now);
             }
             ["restart"] => {
-                let disk = self.machine.saved().disk().after_crash(0, Bytes::Synced);
+                let disk = self.machine.storage().disk().after_crash(0, UnsyncedBytes::Lost);
                 self.machine = machine(&self.schema, disk);
                 self.sessions.clear();
             }
             ["disk", "fails"] => {
-                let disk = self.machine.saved_mut().disk_mut();
+                let disk = self.machine.storage_mut().disk_mut();
                 *disk = disk.clone().failing_at(0..1000);
             }
             ["disk", "works"] => {
-                let disk = self.machine.saved_mut().disk_mut();
+                let disk = self.machine.storage_mut().disk_mut();
                 *disk = disk.clone().failing_at([]);
             }
             ["marked", told @ ..] => {
-                let marks = self.machine.marks();
+                let marks = self.machine.administrative_overrides();
                 let state = |mark: &Mark| if mark.readiness == Readiness::Gone { "gone" } else { "draining" };
                 let have: Vec<_> =
                     marks.iter().map(|(host, mark)| format!("{host}={}", state(mark))).collect();
@@ -220,11 +231,12 @@
             }
             ["version", number] => assert_eq!(self.machine.version().to_string(), *number),
             ["pending", user] => {
-                let have = self.machine.pending().map_or("nobody", |(who, ..)| who.user.as_str());
+                let have = self.machine.pending_commit();
+                let have = have.map_or("nobody", |pending| pending.author.user.as_str());
                 assert_eq!(have, *user);
             }
             ["told", told @ ..] => {
-                let fresh = self.machine.take_notices();
+                let fresh = self.machine.take_notifications();
                 self.notices.extend(fresh.iter().map(|notice| format!("{notice:?}")));
                 let holds = |notice: &String| told.iter().all(|word| notice.contains(word));
                 assert!(self.notices.iter().any(holds), "{:#?}", self.notices);
@@ -260,7 +272,7 @@
 fn scenario(text: &str) {
     let schema = Arc::new(Schema::published());
     let mut play = Play {
-        machine: machine(&schema, Disk::default()),
+        machine: machine(&schema, FaultyDisk::default()),
         schema,
         now: START,
         around: ValidationContext::default(),
--- a/crates/rockflow-management/tests/serial.rs
+++ b/crates/rockflow-management/tests/serial.rs
@@ -5,11 +5,14 @@
 //! `ROCKFLOW_CASES=10000 cargo test -p rockflow-management --release --test serial -- --nocapture` runs the
 //! long form.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
+use common::{open_store, restore, DiskManagement};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rockflow_management::*;
-use rockflow_store::faulty::{Bytes, Disk};
-use rockflow_store::Store;
+use rockflow_store::faulty::{FaultyDisk, UnsyncedBytes};
 use rockflow_yang::{json, Data, Edit, Op, Path, Schema};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -19,7 +22,7 @@
 /// Host and leaf to value; an entry stands while its `host` leaf does.
 type Flat = BTreeMap<(u8, &'static str), String>;
 const START: Duration = Duration::from_secs(1_000_000);
-type Machine = Management<Store<Disk>>;
+type Machine = DiskManagement;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -84,11 +87,9 @@
     last: u64,
 }
 
-fn machine(schema: &Arc<Schema>, disk: Disk) -> Machine {
-    let (store, found, complaints) = Store::open(disk, "config", record::VERSION, record::MOST).unwrap();
-    assert!(complaints.is_empty(), "{complaints:?}");
-    let found = found.map(|found| found.payload);
-    Management::new(START, schema.clone(), store, found.as_deref(), Some("owner".into()), false).unwrap().0
+fn machine(schema: &Arc<Schema>, disk: FaultyDisk) -> Machine {
+    assert!(open_store(disk.clone()).unreadable.is_empty());
+    restore(schema, disk, "owner", START)
 }
 
 fn flat(schema: &Schema, fields: &rockflow_yang::Fields) -> Flat {
@@ -156,7 +157,7 @@
 impl World {
     fn new(schema: &Arc<Schema>) -> World {
         let mut world = World {
-            machine: machine(schema, Disk::default()),
+            machine: machine(schema, FaultyDisk::default()),
             schema: schema.clone(),
             now: START,
             writers: Vec::new(),
@@ -172,7 +173,7 @@
     fn open(&mut self, who: usize) {
         let protocol = if who == 2 { Protocol::Gnmi } else { Protocol::NetconfSsh };
         let operator = Operator { user: "owner".into(), protocol, source: format!("w{who}") };
-        let id = self.machine.open(self.now, operator).expect("a session");
+        let id = self.machine.open_session(self.now, operator).expect("a session");
         let writer = Writer { id, base: Flat::new(), mine: None };
         if who < self.writers.len() {
             self.writers[who] = writer;
@@ -197,7 +198,7 @@
         let around = ValidationContext::default();
         let now = self.now;
         for writer in &self.writers {
-            self.machine.touch(now, writer.id);
+            self.machine.record_activity(now, writer.id);
         }
         match *step {
             Step::Edit { who, host, reason } => {
@@ -205,7 +206,7 @@
                 let id = self.writers[who as usize].id;
                 if self
                     .machine
-                    .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, false)
+                    .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, EditMode::Apply)
                     .is_ok()
                 {
                     self.edited(who, |mine| put(mine, host, reason));
@@ -217,7 +218,7 @@
                 let id = self.writers[who as usize].id;
                 if self
                     .machine
-                    .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, false)
+                    .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, EditMode::Apply)
                     .is_ok()
                 {
                     self.edited(who, |mine| mine.retain(|(at, _), _| *at != host));
@@ -262,7 +263,7 @@
                 }
             }
             Step::Cancel { who } => {
-                if self.machine.cancel(now, self.writers[who as usize].id, None).is_ok() {
+                if self.machine.cancel_commit(now, self.writers[who as usize].id, None).is_ok() {
                     self.undo();
                 }
             }
@@ -298,7 +299,7 @@
             }
             Step::Close { who } => {
                 let id = self.writers[who as usize].id;
-                self.machine.close(now, id, "killed");
+                self.machine.close_session(now, id, SessionEndReason::Killed);
                 if self.trial.as_ref().is_some_and(|trial| trial.owner == Some(id)) {
                     self.undo();
                 }
@@ -306,19 +307,21 @@
             }
             Step::Wait(seconds) => {
                 self.now += Duration::from_secs(seconds.into());
-                self.machine.tick(self.now);
+                self.machine.on_tick(self.now);
                 if self.trial.as_ref().is_some_and(|trial| trial.due <= self.now) {
                     self.undo();
                 }
             }
             Step::FailDisk { at } => {
-                let disk = self.machine.saved_mut().disk_mut();
+                let disk = self.machine.storage_mut().disk_mut();
                 *disk = disk.clone().failing_at([usize::from(at)]);
             }
             Step::Crash { names, bytes } => {
-                let disk = self.machine.saved().disk();
-                let names = usize::from(names).min(disk.pending());
-                let bytes = [Bytes::Synced, Bytes::Half, Bytes::Zeros, Bytes::All][usize::from(bytes)];
+                let disk = self.machine.storage().disk();
+                let names = usize::from(names).min(disk.unsynced_names());
+                let bytes =
+                    [UnsyncedBytes::Lost, UnsyncedBytes::Half, UnsyncedBytes::Zeros, UnsyncedBytes::All]
+                        [usize::from(bytes)];
                 let disk = disk.after_crash(names, bytes);
                 self.machine = machine(&self.schema, disk);
                 self.trial = None;
@@ -328,7 +331,7 @@
         }
         let have = flat(&self.schema, self.machine.running());
         prop_assert_eq!(&have, &self.running, "after {:?}", step);
-        prop_assert_eq!(self.machine.pending().is_some(), self.trial.is_some());
+        prop_assert_eq!(self.machine.pending_commit().is_some(), self.trial.is_some());
         prop_assert!(self.machine.version() >= self.last, "numbers went back");
         self.last = self.machine.version();
         Ok(())
@@ -368,8 +371,8 @@
         }
         world.play(&Step::Wait(20))?;
         prop_assert_eq!(world.machine.locks().count(), 0);
-        prop_assert!(world.machine.pending().is_none());
-        let disk = world.machine.saved_mut().disk_mut();
+        prop_assert!(world.machine.pending_commit().is_none());
+        let disk = world.machine.storage_mut().disk_mut();
         *disk = disk.clone().failing_at([]);
         for host in 0..4 {
             let (edits, id) = ([edit(&schema, host, Some(9))], world.writers[0].id);
--- a/crates/rockflow-management/tests/stored_snapshot.rs
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -3,9 +3,13 @@
 //!
 //! `fixtures/config.00000000000000000009` was written by the program at 6b9cfcc; it never changes.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
+use common::{open_store, DiskManagement};
 use rockflow_management::*;
-use rockflow_store::faulty::Disk;
-use rockflow_store::Store;
+use rockflow_store::faulty::FaultyDisk;
+use rockflow_store::{Opened, Snapshot};
 use rockflow_yang::{json, Data, Edit, Op, Path, Scalar, Schema};
 use serde_json::{json, Value};
 use std::sync::Arc;
@@ -17,8 +21,6 @@
 const HEAD_BYTES: usize = 36;
 const START: Duration = Duration::from_millis(1_780_000_000_123);
 
-type Datastores = Management<Store<Disk>>;
-
 fn seconds_after_start(seconds: u64) -> Duration {
     START + Duration::from_secs(seconds)
 }
@@ -49,32 +51,45 @@
 }
 
 /// Startup written by itself, four commits over three protocols, and a fifth that waits for its confirmation.
-fn commit_everything(schema: &Arc<Schema>) -> Datastores {
-    let (store, _, _) = Store::open(Disk::default(), "config", record::VERSION, record::MOST).unwrap();
-    let (mut datastores, _) =
-        Management::new(START, schema.clone(), store, None, Some("root".into()), true).unwrap();
+fn commit_everything(schema: &Arc<Schema>) -> DiskManagement {
+    let store = open_store(FaultyDisk::default()).store;
+    let options = ManagementOptions {
+        schema: schema.clone(),
+        owner: Some("root".into()),
+        startup: StartupMode::Separate,
+    };
+    let mut datastores = Management::restore(START, options, store, None).unwrap().management;
     let around = ValidationContext::default();
-    let root = datastores.open(START, operator("root", Protocol::NetconfTls, "192.0.2.1:5000")).unwrap();
-    let ana = datastores.open(START, operator("ana", Protocol::NetconfSsh, "192.0.2.2:5001")).unwrap();
-    let bert = datastores.open(START, operator("bert", Protocol::Gnmi, "[2001:db8::3]:5002")).unwrap();
+    let root =
+        datastores.open_session(START, operator("root", Protocol::NetconfTls, "192.0.2.1:5000")).unwrap();
+    let ana =
+        datastores.open_session(START, operator("ana", Protocol::NetconfSsh, "192.0.2.2:5001")).unwrap();
+    let bert =
+        datastores.open_session(START, operator("bert", Protocol::Gnmi, "[2001:db8::3]:5002")).unwrap();
     let plain = CommitOptions::default();
 
     let rules = [merge(schema, &access_rules())];
-    datastores.edit_config(root, Datastore::Candidate, &rules, ErrorOption::Rollback, false).unwrap();
+    datastores
+        .edit_config(root, Datastore::Candidate, &rules, ErrorOption::Rollback, EditMode::Apply)
+        .unwrap();
     datastores.commit(seconds_after_start(1), root, &plain, "access for operators", &around).unwrap();
     let startup = [mark_edit(schema, "c0", &json!({"state": "gone", "reason": "not \"built\" yet"}))];
-    datastores.edit_config(root, Datastore::Startup, &startup, ErrorOption::Rollback, false).unwrap();
+    datastores
+        .edit_config(root, Datastore::Startup, &startup, ErrorOption::Rollback, EditMode::Apply)
+        .unwrap();
     let marks = [
         mark_edit(schema, "c1", &json!({"state": "draining", "reason": "disk \u{e4}", "force": true})),
         mark_edit(schema, "c2", &json!({"expires": "2026-06-01T00:00:00Z"})),
     ];
-    datastores.edit_config(ana, Datastore::Candidate, &marks, ErrorOption::Rollback, false).unwrap();
+    datastores
+        .edit_config(ana, Datastore::Candidate, &marks, ErrorOption::Rollback, EditMode::Apply)
+        .unwrap();
     datastores.commit(seconds_after_start(2), ana, &plain, "two hosts", &around).unwrap();
     let set = [mark_edit(schema, "c1", &json!({"reason": "disk swapped"}))];
     datastores.set(seconds_after_start(3), bert, &set, None, "", &around).unwrap();
     let gone = [("state", Scalar::text("gone"))];
-    datastores.mark(seconds_after_start(4), root, "drain", "c3", &gone, &around).unwrap();
-    datastores.mark(seconds_after_start(5), root, "undrain", "c2", &[], &around).unwrap();
+    datastores.set_override(seconds_after_start(4), root, "drain", "c3", &gone, &around).unwrap();
+    datastores.set_override(seconds_after_start(5), root, "undrain", "c2", &[], &around).unwrap();
     // A confirmed commit that runs out, so that one commit is the dispatcher's own.
     let confirmed = CommitOptions {
         confirm_timeout: Some(Duration::from_secs(5)),
@@ -82,29 +97,33 @@
         persist_id: None,
     };
     let fourth = [mark_edit(schema, "c4", &json!({"state": "draining"}))];
-    datastores.edit_config(ana, Datastore::Candidate, &fourth, ErrorOption::Rollback, false).unwrap();
+    datastores
+        .edit_config(ana, Datastore::Candidate, &fourth, ErrorOption::Rollback, EditMode::Apply)
+        .unwrap();
     datastores.commit(seconds_after_start(6), ana, &confirmed, "", &around).unwrap();
-    datastores.tick(seconds_after_start(11));
+    datastores.on_tick(seconds_after_start(11));
     // And one that is pending as the last snapshot is written.
     let fifth = [mark_edit(schema, "c5", &json!({"state": "gone"}))];
-    datastores.edit_config(ana, Datastore::Candidate, &fifth, ErrorOption::Rollback, false).unwrap();
+    datastores
+        .edit_config(ana, Datastore::Candidate, &fifth, ErrorOption::Rollback, EditMode::Apply)
+        .unwrap();
     let confirmed =
         CommitOptions { confirm_timeout: Some(Duration::from_secs(60)), ..CommitOptions::default() };
     datastores.commit(seconds_after_start(12), ana, &confirmed, "on trial", &around).unwrap();
     datastores
 }
 
-fn read_fixture() -> rockflow_store::Found {
-    let mut disk = Disk::default();
+fn read_fixture() -> Snapshot {
+    let mut disk = FaultyDisk::default();
     disk.plant(FIXTURE_NAME, FIXTURE);
-    let (_, found, complaints) = Store::open(disk, "config", record::VERSION, record::MOST).unwrap();
-    assert_eq!(complaints, Vec::<String>::new());
-    found.unwrap()
+    let Opened { snapshot, unreadable, .. } = open_store(disk);
+    assert!(unreadable.is_empty(), "{unreadable:?}");
+    snapshot.unwrap()
 }
 
 fn read_record(schema: &Schema) -> record::Record {
     let (record, complaints) = record::Record::read(schema, &read_fixture().payload).unwrap();
-    assert_eq!(complaints, Vec::<String>::new());
+    assert_eq!(complaints, Vec::<RestoreWarning>::new());
     record
 }
 
@@ -186,7 +205,7 @@
     ];
     assert_eq!(FIXTURE[..HEAD_BYTES], head);
     let found = read_fixture();
-    assert_eq!((found.generation, found.version), (FIXTURE_GENERATION, 1));
+    assert_eq!((found.generation, found.payload_format), (FIXTURE_GENERATION, 1));
     assert_eq!(found.payload, FIXTURE[HEAD_BYTES..]);
 }
 
@@ -194,8 +213,8 @@
 fn reads_stored_snapshot_value_by_value() {
     let schema = Schema::published();
     let record = read_record(&schema);
-    assert_eq!((record.version, record.used), (7, 8));
-    let trial = record.trial.as_ref().unwrap();
+    assert_eq!((record.version, record.last_used_version), (7, 8));
+    let trial = record.pending.as_ref().unwrap();
     assert_eq!((trial.version, trial.author.as_str()), (8, "ana"));
     let mut running = access_rules();
     running["rockflow-router:router"]["marks"] = json!({"mark": [
@@ -225,9 +244,9 @@
         std::str::from_utf8(&FIXTURE[HEAD_BYTES..]).unwrap()
     );
     // The next after generation 8, so that the whole file is the same.
-    let mut disk = Disk::default();
+    let mut disk = FaultyDisk::default();
     disk.plant("config.00000000000000000008", b"");
-    let (mut store, ..) = Store::open(disk, "config", record::VERSION, record::MOST).unwrap();
+    let mut store = open_store(disk).store;
     assert_eq!(store.save(&payload).unwrap(), FIXTURE_GENERATION);
     assert_eq!(store.disk().bytes(FIXTURE_NAME), Some(FIXTURE));
 }
@@ -235,41 +254,30 @@
 #[test]
 fn writes_same_bytes_for_the_same_commits() {
     let datastores = commit_everything(&Arc::new(Schema::published()));
-    assert_eq!(datastores.saved().disk().bytes(FIXTURE_NAME), Some(FIXTURE));
+    assert_eq!(datastores.storage().disk().bytes(FIXTURE_NAME), Some(FIXTURE));
+}
+
+fn restart(schema: &Arc<Schema>, startup: StartupMode) -> Restored<VolatileStorage> {
+    let options = ManagementOptions { schema: schema.clone(), owner: Some("root".into()), startup };
+    let payload = read_fixture().payload;
+    Management::restore(seconds_after_start(20), options, VolatileStorage, Some(&payload)).unwrap()
 }
 
 #[test]
 fn restart_from_stored_snapshot_reverts_unconfirmed_commit() {
     let schema = Arc::new(Schema::published());
-    let (datastores, complaints) = Management::new(
-        seconds_after_start(20),
-        schema.clone(),
-        Memory,
-        Some(&read_fixture().payload),
-        Some("root".into()),
-        false,
-    )
-    .unwrap();
+    let Restored { management, warnings } = restart(&schema, StartupMode::FollowsRunning);
     let comment = "commit 8 of ana was not confirmed before the restart, and is undone";
-    assert_eq!(complaints, [comment]);
-    assert_eq!(datastores.version(), 9);
-    assert_eq!(datastores.marks().into_keys().collect::<Vec<_>>(), ["c1", "c3"]);
-    let last = datastores.history().next_back().unwrap();
+    assert_eq!(warnings.iter().map(ToString::to_string).collect::<Vec<_>>(), [comment]);
+    assert_eq!(management.version(), 9);
+    assert_eq!(management.administrative_overrides().into_keys().collect::<Vec<_>>(), ["c1", "c3"]);
+    let last = management.history().next_back().unwrap();
     assert_eq!(commit_lines(&schema, last), [format!("9 rockflow system - 1780000020123 {comment:?}")]);
 }
 
 #[test]
 fn restart_from_stored_startup_takes_it_in_place_of_running() {
-    let schema = Arc::new(Schema::published());
-    let (datastores, _) = Management::new(
-        seconds_after_start(20),
-        schema,
-        Memory,
-        Some(&read_fixture().payload),
-        Some("root".into()),
-        true,
-    )
-    .unwrap();
-    assert_eq!(datastores.marks().into_keys().collect::<Vec<_>>(), ["c0"]);
-    assert_eq!((datastores.version(), datastores.history().count()), (10, 0));
+    let Restored { management, .. } = restart(&Arc::new(Schema::published()), StartupMode::Separate);
+    assert_eq!(management.administrative_overrides().into_keys().collect::<Vec<_>>(), ["c0"]);
+    assert_eq!((management.version(), management.history().count()), (10, 0));
 }
--- a/crates/rockflow-netconf/src/monitoring.rs
+++ b/crates/rockflow-netconf/src/monitoring.rs
@@ -98,11 +98,11 @@
             }
             out.open("datastore", &[]);
             out.leaf("name", &[], which.name());
-            if let Some((_, session, since)) = locks.iter().find(|(locked, ..)| *locked == which) {
+            if let Some(lock) = locks.iter().find(|lock| lock.datastore == which) {
                 out.open("locks", &[]);
                 out.open("global-lock", &[]);
-                out.leaf("locked-by-session", &[], &session.0.to_string());
-                out.leaf("locked-time", &[], &timestamp::format(*since));
+                out.leaf("locked-by-session", &[], &lock.session.0.to_string());
+                out.leaf("locked-time", &[], &timestamp::format(lock.since));
                 out.close("global-lock");
                 out.close("locks");
             }
@@ -125,15 +125,14 @@
     }
     if wanted("sessions") {
         out.open("sessions", &[]);
-        let sessions: Vec<_> =
-            desk.inspect(|all| all.sessions().map(|(id, who, since)| (id, who.clone(), since)).collect());
-        for (id, who, since) in sessions.iter().filter(|(_, who, _)| who.protocol != Protocol::Gnmi) {
+        let sessions: Vec<_> = desk.inspect(|all| all.sessions().collect());
+        for session in sessions.iter().filter(|session| session.operator.protocol != Protocol::Gnmi) {
             out.open("session", &[]);
-            out.leaf("session-id", &[], &id.0.to_string());
-            out.leaf("transport", &[], who.protocol.name());
-            out.leaf("username", &[], &who.user);
-            out.leaf("source-host", &[], &who.source);
-            out.leaf("login-time", &[], &timestamp::format(*since));
+            out.leaf("session-id", &[], &session.id.0.to_string());
+            out.leaf("transport", &[], session.operator.protocol.name());
+            out.leaf("username", &[], &session.operator.user);
+            out.leaf("source-host", &[], &session.operator.source);
+            out.leaf("login-time", &[], &timestamp::format(session.since));
             out.close("session");
         }
         out.close("sessions");
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -93,7 +93,7 @@
             vec![envelope(at, |out| {
                 out.open("netconf-session-end", &[("xmlns", ns::NOTIFICATIONS)]);
                 common(out, operator, session.0);
-                out.leaf("termination-reason", &[], reason);
+                out.leaf("termination-reason", &[], reason.name());
                 out.close("netconf-session-end");
             })]
         }
@@ -101,7 +101,7 @@
             vec![envelope(at, |out| {
                 out.open("netconf-confirmed-commit", &[("xmlns", ns::NOTIFICATIONS)]);
                 common(out, operator, 0);
-                out.leaf("confirm-event", &[], event);
+                out.leaf("confirm-event", &[], event.name());
                 out.close("netconf-confirmed-commit");
             })]
         }
--- a/crates/rockflow-netconf/src/rpc.rs
+++ b/crates/rockflow-netconf/src/rpc.rs
@@ -5,9 +5,9 @@
 use crate::monitoring::{self, Counts};
 use crate::ns;
 use crate::xml::{Element, Writer};
-use rockflow_management::DEFAULT_CONFIRM_TIMEOUT;
 use rockflow_management::{
-    CommitOptions, Datastore, ErrorOption, ErrorTag, ManagementError, SessionId, Trigger,
+    CommitOptions, ConfigSource, Datastore, EditMode, ErrorOption, ErrorTag, ManagementError, SessionId,
+    Trigger, DEFAULT_CONFIRM_TIMEOUT,
 };
 use rockflow_management_service::{ManagementService, SessionHandle};
 use rockflow_yang::path::Loose;
@@ -269,9 +269,9 @@
                 let from = match operation.child("source").and_then(|source| source.child("config")) {
                     Some(config) => {
                         let fields = codec::read(schema, None, &config.children, &Path::default(), false)?;
-                        Err(fields)
+                        ConfigSource::Inline(fields)
                     }
-                    None => Ok(datastore(operation, "source")?),
+                    None => ConfigSource::Datastore(datastore(operation, "source")?),
                 };
                 asker.update(|all, _| all.copy_config(asker.id, from, to))?;
                 Ok(Reply::Ok)
@@ -304,10 +304,10 @@
                 if patterns.is_empty() {
                     return Err(missing("select"));
                 }
-                let (lock, held) = asker.update(|all, _| all.partial_lock(asker.id, &patterns))?;
+                let grant = asker.update(|all, _| all.partial_lock(asker.id, &patterns))?;
                 let mut out = Writer::new();
-                out.leaf("lock-id", &[("xmlns", ns::PARTIAL_LOCK)], &lock.to_string());
-                for path in held {
+                out.leaf("lock-id", &[("xmlns", ns::PARTIAL_LOCK)], &grant.id.to_string());
+                for path in grant.nodes {
                     out.leaf("locked-node", &[("xmlns", ns::PARTIAL_LOCK)], &path.text(schema));
                 }
                 Ok(Reply::Content(out.finish()))
@@ -340,9 +340,10 @@
             (ns::BASE, "validate") => {
                 let which = match operation.child("source").and_then(|source| source.child("config")) {
                     Some(config) => {
-                        Err(codec::read(schema, None, &config.children, &Path::default(), false)?)
+                        let fields = codec::read(schema, None, &config.children, &Path::default(), false)?;
+                        ConfigSource::Inline(fields)
                     }
-                    None => Ok(datastore(operation, "source")?),
+                    None => ConfigSource::Datastore(datastore(operation, "source")?),
                 };
                 asker.validate(which).await?;
                 Ok(Reply::Ok)
@@ -495,17 +496,17 @@
         if check {
             // On a copy, so that what is refused leaves nothing behind.
             let tested = asker.update(|all, _| {
-                all.edit_config(asker.id, target, &edits, ErrorOption::Rollback, true)?;
+                all.edit_config(asker.id, target, &edits, ErrorOption::Rollback, EditMode::TestOnly)?;
                 let mut fields = all.datastore(asker.id, target).clone();
                 for edit in &edits {
                     data::apply(schema, &mut fields, edit).map_err(|fault| vec![fault.into()])?;
                 }
                 Ok::<_, Vec<ManagementError>>(fields)
             })?;
-            asker.validate(Err(tested)).await.map_err(one)?;
+            asker.validate(ConfigSource::Inline(tested)).await.map_err(one)?;
         }
         if keep {
-            asker.update(|all, _| all.edit_config(asker.id, target, &edits, option, false))?;
+            asker.update(|all, _| all.edit_config(asker.id, target, &edits, option, EditMode::Apply))?;
         }
         Ok(Reply::Ok)
     }
--- a/crates/rockflow-netconf/src/server.rs
+++ b/crates/rockflow-netconf/src/server.rs
@@ -6,8 +6,10 @@
 use crate::session::{self, Bounds};
 use crate::ssh::{self, Ssh};
 use rockflow_management::{Operator, Protocol};
+use rockflow_management_service::credentials::FileSecrecy;
 use rockflow_management_service::{
-    authentication, secrets, ManagementService, NetconfSection, UnauthenticatedConnections,
+    authentication, credentials, AuthenticatedStream, ManagementService, NetconfSection,
+    UnauthenticatedConnections,
 };
 use std::net::{SocketAddr, TcpListener as Listener};
 use std::sync::Arc;
@@ -36,7 +38,8 @@
         };
         let ssh = match (part.ssh, &part.host_key, &part.authorized_keys) {
             (Some(address), Some(key), Some(folder)) => {
-                secrets::judge(folder, false)?;
+                credentials::check_permissions(folder, FileSecrecy::Readable)
+                    .map_err(|error| error.to_string())?;
                 let config = ssh::config(ssh::host_key(key)?);
                 Some((listen(address)?, config))
             }
@@ -44,7 +47,9 @@
         };
         let tls = match &part.tls {
             Some(tls) => {
-                let acceptor = TlsAcceptor::from(secrets::server(tls, &[])?);
+                let acceptor = TlsAcceptor::from(
+                    credentials::tls_server_config(tls, &[]).map_err(|error| error.to_string())?,
+                );
                 Some((listen(tls.listen)?, acceptor))
             }
             None => None,
@@ -55,10 +60,15 @@
     /// Whether the keys and certificates can be used.
     pub fn check(part: &NetconfSection) -> Result<(), String> {
         if let (Some(key), Some(folder)) = (&part.host_key, &part.authorized_keys) {
-            secrets::judge(folder, false)?;
+            credentials::check_permissions(folder, FileSecrecy::Readable)
+                .map_err(|error| error.to_string())?;
             ssh::host_key(key)?;
         }
-        part.tls.as_ref().map(|tls| secrets::server(tls, &[])).transpose()?;
+        part.tls
+            .as_ref()
+            .map(|tls| credentials::tls_server_config(tls, &[]))
+            .transpose()
+            .map_err(|error| error.to_string())?;
         Ok(())
     }
 
@@ -109,7 +119,7 @@
                         let shaken =
                             authentication::tls_handshake(acceptor, stream, from, unproved, bounds.hello)
                                 .await;
-                        let Some((stream, user)) = shaken else { return };
+                        let Some(AuthenticatedStream { stream, user }) = shaken else { return };
                         let source = from.ip().to_string();
                         let who = Operator { user, protocol: Protocol::NetconfTls, source };
                         session::run(server, who, stream, bounds).await;
--- a/crates/rockflow-netconf/src/ssh.rs
+++ b/crates/rockflow-netconf/src/ssh.rs
@@ -4,7 +4,8 @@
 use crate::rpc::Server;
 use crate::session::{self, Bounds};
 use rockflow_management::{Operator, Protocol};
-use rockflow_management_service::{secrets, UnauthenticatedConnection};
+use rockflow_management_service::credentials::FileSecrecy;
+use rockflow_management_service::{credentials, UnauthenticatedConnection};
 use russh::keys::ssh_key::{AuthorizedKeys, PublicKey};
 use russh::keys::PrivateKey;
 use russh::server::{Auth, ChannelOpenHandle, Handler, Msg, Session, VerifiedPublicKey};
@@ -23,7 +24,7 @@
 const MAX_TRIES: usize = 6;
 
 pub fn host_key(path: &Path) -> Result<PrivateKey, String> {
-    let text = secrets::read(path, true)?;
+    let text = credentials::read_file(path, FileSecrecy::OwnerOnly).map_err(|error| error.to_string())?;
     let text = String::from_utf8(text).map_err(|_| format!("{}: not text", path.display()))?;
     russh::keys::decode_secret_key(&text, None).map_err(|what| format!("{}: {what}", path.display()))
 }
@@ -68,11 +69,11 @@
     if !path.exists() {
         return false;
     }
-    let text = match secrets::read(&path, false).map(String::from_utf8) {
+    let text = match credentials::read_file(&path, FileSecrecy::Readable).map(String::from_utf8) {
         Ok(Ok(text)) => text,
         Ok(Err(_)) => return false,
         Err(what) => {
-            warn!(what, "keys not used");
+            warn!(what = what.to_string(), "keys not used");
             return false;
         }
     };
--- a/crates/rockflow-store/src/faulty.rs
+++ b/crates/rockflow-store/src/faulty.rs
@@ -1,128 +1,148 @@
-//! A disk in memory for tests: it fails at the steps it is told to, and after a crash it keeps only what was
-//! synced, or any part of the rest that a real one might have kept.
+//! A disk in memory for tests: it fails at the steps it is told to, and after a crash it retains only what was
+//! synced, or any part of the rest that a real one might have retained.
 
-use crate::disk;
+use crate::disk::Disk;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-/// How a disk takes part in a crash: which of the unsynced things it had already made durable.
+/// What a crash leaves of bytes that were written and not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bytes {
-    Synced,
+pub enum UnsyncedBytes {
+    /// Nothing: the bytes that were synced last.
+    Lost,
+    /// The first half.
     Half,
-    /// The length arrived, the bytes did not.
+    /// The length, with zeros for bytes.
     Zeros,
+    /// All of them.
     All,
 }
 
-pub const EVERY_BYTES: [Bytes; 4] = [Bytes::Synced, Bytes::Half, Bytes::Zeros, Bytes::All];
+impl UnsyncedBytes {
+    /// Each of them.
+    pub const EACH: [UnsyncedBytes; 4] =
+        [UnsyncedBytes::Lost, UnsyncedBytes::Half, UnsyncedBytes::Zeros, UnsyncedBytes::All];
+}
 
 #[derive(Clone, Debug, Default)]
 struct File {
-    now: Vec<u8>,
+    bytes: Vec<u8>,
     synced: Option<Vec<u8>>,
 }
 
+impl File {
+    fn after_crash(&self, unsynced: UnsyncedBytes) -> File {
+        let bytes = match unsynced {
+            _ if self.synced.as_ref() == Some(&self.bytes) => self.bytes.clone(),
+            UnsyncedBytes::Lost => self.synced.clone().unwrap_or_default(),
+            UnsyncedBytes::Half => self.bytes[..self.bytes.len() / 2].to_vec(),
+            UnsyncedBytes::Zeros => vec![0; self.bytes.len()],
+            UnsyncedBytes::All => self.bytes.clone(),
+        };
+        File { synced: Some(bytes.clone()), bytes }
+    }
+}
+
+/// A change of names; files are numbers.
 #[derive(Clone, Debug)]
-enum Naming {
+enum NameChange {
     Link(String, usize),
     Rename(String, String),
     Unlink(String),
 }
 
+/// A folder in memory that fails as tests tell it to.
 #[derive(Clone, Debug, Default)]
-pub struct Disk {
+pub struct FaultyDisk {
     files: Vec<File>,
-    now: BTreeMap<String, usize>,
-    synced: BTreeMap<String, usize>,
-    pending: Vec<Naming>,
-    /// Changes and syncs asked for so far.
+    names: BTreeMap<String, usize>,
+    synced_names: BTreeMap<String, usize>,
+    unsynced_changes: Vec<NameChange>,
+    /// Changes and syncs that were requested so far.
     steps: usize,
     /// The process dies at this step: nothing from it on is done.
     dies_at: Option<usize>,
     /// These steps fail, and do nothing.
     fails_at: BTreeSet<usize>,
     /// Bytes that fit; a write past that is cut and fails.
-    room: Option<usize>,
+    capacity: Option<usize>,
     read_only: bool,
 }
 
-impl Disk {
-    pub fn dying_at(mut self, step: usize) -> Disk {
+impl FaultyDisk {
+    /// The process dies so many steps from now: that step and all after it fail.
+    pub fn dying_at(mut self, step: usize) -> FaultyDisk {
         self.dies_at = Some(self.steps + step);
         self
     }
 
-    pub fn failing_at(mut self, steps: impl IntoIterator<Item = usize>) -> Disk {
+    /// Those steps from now fail, and no others.
+    pub fn failing_at(mut self, steps: impl IntoIterator<Item = usize>) -> FaultyDisk {
         self.fails_at = steps.into_iter().map(|step| self.steps + step).collect();
         self
     }
 
-    pub fn with_room(mut self, bytes: usize) -> Disk {
-        self.room = Some(bytes);
+    /// So many bytes fit.
+    pub fn with_capacity(mut self, bytes: usize) -> FaultyDisk {
+        self.capacity = Some(bytes);
         self
     }
 
-    pub fn read_only(mut self) -> Disk {
+    /// All changes fail.
+    pub fn read_only(mut self) -> FaultyDisk {
         self.read_only = true;
         self
     }
 
+    /// Changes and syncs that were requested so far.
     pub fn steps(&self) -> usize {
         self.steps
     }
 
-    /// Changes of names that are not durable yet.
-    pub fn pending(&self) -> usize {
-        self.pending.len()
+    /// How many changes of names are not durable yet.
+    pub fn unsynced_names(&self) -> usize {
+        self.unsynced_changes.len()
     }
 
-    pub fn died(&self) -> bool {
+    /// Whether the step was reached at which the process dies.
+    pub fn has_died(&self) -> bool {
         self.dies_at.is_some_and(|step| self.steps > step)
     }
 
-    /// The disk as a new process finds it: the first so many changes of names were durable, and of unsynced
-    /// bytes what is told.
-    pub fn after_crash(&self, names: usize, bytes: Bytes) -> Disk {
-        let mut kept = self.synced.clone();
-        for naming in self.pending.iter().take(names) {
-            name(&mut kept, naming);
+    /// The disk as a new process finds it after a crash: the first so many unsynced changes of names are durable,
+    /// and of unsynced bytes what is told.
+    pub fn after_crash(&self, name_changes: usize, unsynced: UnsyncedBytes) -> FaultyDisk {
+        let mut names = self.synced_names.clone();
+        for change in self.unsynced_changes.iter().take(name_changes) {
+            apply_name_change(&mut names, change);
         }
-        let survive = |file: &File| {
-            let old = file.synced.clone().unwrap_or_default();
-            let now = match bytes {
-                _ if file.synced.as_ref() == Some(&file.now) => file.now.clone(),
-                Bytes::Synced => old,
-                Bytes::Half => file.now[..file.now.len() / 2].to_vec(),
-                Bytes::Zeros => vec![0; file.now.len()],
-                Bytes::All => file.now.clone(),
-            };
-            File { synced: Some(now.clone()), now }
-        };
-        Disk {
-            files: self.files.iter().map(survive).collect(),
-            now: kept.clone(),
-            synced: kept,
-            ..Disk::default()
+        FaultyDisk {
+            files: self.files.iter().map(|file| file.after_crash(unsynced)).collect(),
+            names: names.clone(),
+            synced_names: names,
+            ..FaultyDisk::default()
         }
     }
 
-    /// Puts a file there, synced.
+    /// Adds a file, synced.
     pub fn plant(&mut self, name: &str, bytes: &[u8]) {
-        self.files.push(File { now: bytes.to_vec(), synced: Some(bytes.to_vec()) });
-        self.now.insert(name.to_string(), self.files.len() - 1);
-        self.synced.insert(name.to_string(), self.files.len() - 1);
+        self.files.push(File { bytes: bytes.to_vec(), synced: Some(bytes.to_vec()) });
+        self.names.insert(name.to_string(), self.files.len() - 1);
+        self.synced_names.insert(name.to_string(), self.files.len() - 1);
     }
 
+    /// The bytes of a file as they are now.
     pub fn bytes(&self, name: &str) -> Option<&[u8]> {
-        self.now.get(name).map(|file| self.files[*file].now.as_slice())
+        self.names.get(name).map(|file| self.files[*file].bytes.as_slice())
     }
 
+    /// The names as they are now.
     pub fn names(&self) -> Vec<String> {
-        self.now.keys().cloned().collect()
+        self.names.keys().cloned().collect()
     }
 
-    fn step(&mut self) -> io::Result<()> {
+    /// Counts a step, and fails where it is to fail.
+    fn begin_step(&mut self) -> io::Result<()> {
         let step = self.steps;
         if self.dies_at.is_some_and(|at| step >= at) {
             self.steps = self.steps.max(step + 1);
@@ -138,91 +158,94 @@
         Ok(())
     }
 
+    fn file_or_new(&mut self, name: &str) -> usize {
+        if let Some(file) = self.names.get(name) {
+            return *file;
+        }
+        self.files.push(File::default());
+        let file = self.files.len() - 1;
+        self.change_names(NameChange::Link(name.to_string(), file));
+        file
+    }
+
+    fn change_names(&mut self, change: NameChange) {
+        apply_name_change(&mut self.names, &change);
+        self.unsynced_changes.push(change);
+    }
+
     fn file(&self, name: &str) -> io::Result<usize> {
-        self.now.get(name).copied().ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))
+        self.names.get(name).copied().ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))
     }
 }
 
-fn name(names: &mut BTreeMap<String, usize>, naming: &Naming) {
-    match naming {
-        Naming::Link(name, file) => {
+fn apply_name_change(names: &mut BTreeMap<String, usize>, change: &NameChange) {
+    match change {
+        NameChange::Link(name, file) => {
             names.insert(name.clone(), *file);
         }
-        Naming::Rename(from, to) => {
+        NameChange::Rename(from, to) => {
             if let Some(file) = names.remove(from) {
                 names.insert(to.clone(), file);
             }
         }
-        Naming::Unlink(name) => {
+        NameChange::Unlink(name) => {
             names.remove(name);
         }
     }
 }
 
-impl disk::Disk for Disk {
+impl Disk for FaultyDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.names())
     }
 
-    fn read(&self, name: &str, most: usize) -> io::Result<Vec<u8>> {
-        let bytes = &self.files[self.file(name)?].now;
-        if bytes.len() > most {
+    fn read(&self, name: &str, max_bytes: usize) -> io::Result<Vec<u8>> {
+        let bytes = &self.files[self.file(name)?].bytes;
+        if bytes.len() > max_bytes {
             return Err(io::Error::from(io::ErrorKind::FileTooLarge));
         }
         Ok(bytes.clone())
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.step()?;
-        let file = match self.now.get(name) {
-            Some(file) => *file,
-            None => {
-                self.files.push(File::default());
-                let file = self.files.len() - 1;
-                self.now.insert(name.to_string(), file);
-                self.pending.push(Naming::Link(name.to_string(), file));
-                file
-            }
-        };
-        let used: usize = self.now.values().map(|file| self.files[*file].now.len()).sum();
-        let used = used - self.files[file].now.len();
-        let fits = self.room.map_or(bytes.len(), |room| room.saturating_sub(used).min(bytes.len()));
-        self.files[file].now = bytes[..fits].to_vec();
-        if fits < bytes.len() {
+        self.begin_step()?;
+        let file = self.file_or_new(name);
+        let used: usize = self.names.values().map(|file| self.files[*file].bytes.len()).sum();
+        let used_by_others = used - self.files[file].bytes.len();
+        let free = self.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(used_by_others));
+        let written = bytes.len().min(free);
+        self.files[file].bytes = bytes[..written].to_vec();
+        if written < bytes.len() {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.begin_step()?;
         let file = self.file(name)?;
-        self.files[file].synced = Some(self.files[file].now.clone());
+        self.files[file].synced = Some(self.files[file].bytes.clone());
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.begin_step()?;
         self.file(from)?;
-        let naming = Naming::Rename(from.to_string(), to.to_string());
-        name(&mut self.now, &naming);
-        self.pending.push(naming);
+        self.change_names(NameChange::Rename(from.to_string(), to.to_string()));
         Ok(())
     }
 
-    fn remove(&mut self, gone: &str) -> io::Result<()> {
-        self.step()?;
-        self.file(gone)?;
-        let naming = Naming::Unlink(gone.to_string());
-        name(&mut self.now, &naming);
-        self.pending.push(naming);
+    fn remove(&mut self, name: &str) -> io::Result<()> {
+        self.begin_step()?;
+        self.file(name)?;
+        self.change_names(NameChange::Unlink(name.to_string()));
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.step()?;
-        for naming in std::mem::take(&mut self.pending) {
-            name(&mut self.synced, &naming);
+        self.begin_step()?;
+        for change in std::mem::take(&mut self.unsynced_changes) {
+            apply_name_change(&mut self.synced_names, &change);
         }
         Ok(())
     }
