--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -3,10 +3,10 @@
 mod unjudged;
 
 use rockflow::{GroupId, ObjectId, Readiness};
-use rockflow_dispatcher::{Link, Purge, Told};
+use rockflow_dispatcher::{Config, Purge, ServiceHandle};
 use rockflow_dissemination as node;
-use rockflow_dissemination::{EntryId, Out, Ticket, Wanted};
-use rockflow_endpoints::{Mark, Marks, Refused};
+use rockflow_dissemination::{ApplyToken, DesiredState, EntryId, Output};
+use rockflow_endpoints::{AdminOverride, AdminOverrides, RejectedOverride};
 use rockflow_operator_config::{DisseminationSection, OperatorConfig};
 use rockflow_transport::dissemination::{self as carrier, Bounds, WeakLink, Word};
 use std::collections::BTreeMap;
@@ -22,13 +22,13 @@
 const LAST_FRAMES: Duration = Duration::from_millis(500);
 const LOOK: Duration = Duration::from_millis(5);
 
-pub fn check(file: &OperatorConfig, told: &Told) -> Result<Vec<String>, String> {
+pub fn check(file: &OperatorConfig, told: &Config) -> Result<Vec<String>, String> {
     let plan = plan(file, told)?;
     Ok(plan.iter().map(|plan| format!("dissemination: at {}", plan.listen)).collect())
 }
 
 /// A member's; none: the operator's file has no such section.
-pub fn plan(file: &OperatorConfig, told: &Told) -> Result<Option<Plan>, String> {
+pub fn plan(file: &OperatorConfig, told: &Config) -> Result<Option<Plan>, String> {
     let Some(part) = &file.dissemination else { return Ok(None) };
     let binds = told.facts.deployment.purge_window;
     if binds > part.purge_window {
@@ -41,13 +41,13 @@
     if part.control.iter().any(|(name, _)| *name == told.name) {
         return Err(format!("[dissemination] control: {} is this dispatcher's own name", told.name));
     }
-    Ok(Some(Plan { told: told_of(part, &told.name), ..base(part, told.seed) }))
+    Ok(Some(Plan { config: told_of(part, &told.name), ..base(part, told.seed) }))
 }
 
 pub fn base(part: &DisseminationSection, seed: u64) -> Plan {
     Plan {
         bounds: Bounds::new(&part.fleet, part.control.len(), !part.trusted_network),
-        told: told_of(part, ""),
+        config: told_of(part, ""),
         directory: None,
         listen: part.listen,
         seed,
@@ -55,12 +55,12 @@
 }
 
 /// What a node of this name is told; a control node's place is that of its name.
-pub fn told_of(part: &DisseminationSection, name: &str) -> node::Told {
+pub fn told_of(part: &DisseminationSection, name: &str) -> node::NodeConfig {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let peer = |(name, address): &(String, _)| node::Peer { node: node::NodeId::of(name), address: *address };
     let place = part.control.iter().position(|(control, _)| control == name);
-    node::Told {
-        me: node::Identity {
+    node::NodeConfig {
+        identity: node::Identity {
             node: node::NodeId::of(name),
             incarnation: node::Incarnation(since.as_millis() as u64),
         },
@@ -69,7 +69,7 @@
         seeds: part.seeds.clone(),
         purge_window: part.purge_window,
         bytes_per_second: part.bytes_per_second,
-        pulse: part.heartbeat_interval,
+        heartbeat_interval: part.heartbeat_interval,
     }
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-pub fn serve(plan: Plan, link: Link) -> Result<Carried, String> {
+pub fn serve(plan: Plan, link: ServiceHandle) -> Result<Carried, String> {
     let unjudged = Arc::default();
     let heard = move |words: &WeakLink, out| fact(&link, words, &unjudged, out);
     let carried = carrier::Link::start(plan, heard).map_err(|what| format!("dissemination: {what}"))?;
@@ -94,19 +94,19 @@
     Ok(Carried(carried))
 }
 
-fn fact(link: &Link, words: &WeakLink, unjudged: &Arc<Mutex<Unjudged>>, out: Out) {
+fn fact(link: &ServiceHandle, words: &WeakLink, unjudged: &Arc<Mutex<Unjudged>>, out: Output) {
     match out {
-        Out::Purge { purges, ticket } => purge(link, words, purges, ticket),
-        Out::Configure { settings, changed, ticket } => {
+        Output::Purge { purges, token: ticket } => purge(link, words, purges, ticket),
+        Output::Configure { settings, changed, token: ticket } => {
             let hosts = changed.iter().map(|(_, host)| host.clone()).collect();
             let beyond = lock(unjudged).give(ticket, changed);
-            beyond.into_iter().for_each(|(id, host)| refuse(words, id, &host, Refused::Full));
+            beyond.into_iter().for_each(|(id, host)| refuse(words, id, &host, RejectedOverride::TooMany));
             configure(link, words, unjudged, (settings, hosts), ticket);
         }
-        Out::Outlived { incarnation } => {
+        Output::IncarnationSuperseded { incarnation } => {
             warn!(incarnation = incarnation.0, "a later life of this node is known")
         }
-        Out::Send { .. } | Out::Everywhere { .. } => {}
+        Output::Send { .. } | Output::ReplicatedToAll { .. } => {}
     }
 }
 
@@ -121,7 +121,7 @@
     (objects.join(","), wider.map(|(_, age)| *age).min())
 }
 
-fn purge(link: &Link, words: &WeakLink, purges: Vec<(node::Purge, Duration)>, ticket: Ticket) {
+fn purge(link: &ServiceHandle, words: &WeakLink, purges: Vec<(node::Purge, Duration)>, ticket: ApplyToken) {
     let shown = enabled!(Level::DEBUG).then(|| (told_of_purges(&purges), Instant::now()));
     let purges = purges.into_iter().map(|(purge, age)| {
         let (object, group) = match purge {
@@ -129,7 +129,7 @@
             node::Purge::Group(group) => (None, Some(GroupId(group))),
             node::Purge::Everything => (None, None),
         };
-        Purge { object, group, made: link.made(age) }
+        Purge { object, group, purged_at: link.timestamp_before_now(age) }
     });
     let words = words.clone();
     let done = move || {
@@ -144,7 +144,7 @@
     }
 }
 
-fn confirm(words: &WeakLink, ticket: Ticket) {
+fn confirm(words: &WeakLink, ticket: ApplyToken) {
     if !words.say(Word::InEffect(ticket)) {
         warn!(ticket = ticket.0, "dissemination does not hear what is in effect");
     }
@@ -155,45 +155,45 @@
 }
 
 fn configure(
-    link: &Link,
+    link: &ServiceHandle,
     words: &WeakLink,
     unjudged: &Arc<Mutex<Unjudged>>,
-    (settings, changed): (BTreeMap<String, Wanted>, Vec<String>),
-    ticket: Ticket,
+    (settings, changed): (BTreeMap<String, DesiredState>, Vec<String>),
+    ticket: ApplyToken,
 ) {
-    let marks: Marks =
+    let marks: AdminOverrides =
         settings.into_iter().filter_map(|(host, wanted)| Some((host, mark(wanted)?))).collect();
     info!(marks = marks.len(), changed = changed.len(), "the fleet's marks");
     let (words, unjudged) = (words.clone(), unjudged.clone());
-    let done = move |refused: BTreeMap<String, Refused>| {
+    let done = move |refused: BTreeMap<String, RejectedOverride>| {
         debug!(hosts = %changed.join(","), "marks in effect");
         let judged = lock(&unjudged).judged(ticket, &refused);
         judged.into_iter().for_each(|(id, host, why)| refuse(&words, id, &host, why));
         confirm(&words, ticket);
     };
-    if !link.configure(marks, done) {
+    if !link.set_control_overrides(marks, done) {
         warn!("too many changes wait at the list");
     }
 }
 
-fn refuse(words: &WeakLink, id: EntryId, host: &str, why: Refused) {
+fn refuse(words: &WeakLink, id: EntryId, host: &str, why: RejectedOverride) {
     warn!(host, ?why, "a mark of the fleet is kept apart");
     words.say(Word::Refuse { id, why: refusal(why) });
 }
 
 /// None: as the board says.
-fn mark(wanted: Wanted) -> Option<Mark> {
+fn mark(wanted: DesiredState) -> Option<AdminOverride> {
     let readiness = match wanted {
-        Wanted::Listed => return None,
-        Wanted::Draining => Readiness::Draining,
-        Wanted::Gone => Readiness::Gone,
+        DesiredState::Listed => return None,
+        DesiredState::Draining => Readiness::Draining,
+        DesiredState::Gone => Readiness::Gone,
     };
-    Some(Mark { readiness, until: None, force: false })
+    Some(AdminOverride { readiness, expires_at: None, force: false })
 }
 
-fn refusal(why: Refused) -> node::Refusal {
+fn refusal(why: RejectedOverride) -> node::RejectionReason {
     match why {
-        Refused::LastOne => node::Refusal::LastOne,
-        Refused::Full => node::Refusal::Full,
+        RejectedOverride::LastReadyEndpoint => node::RejectionReason::LastOne,
+        RejectedOverride::TooMany => node::RejectionReason::Full,
     }
 }
--- a/crates/rockflow-management-service/src/event.rs
+++ b/crates/rockflow-management-service/src/event.rs
@@ -1,7 +1,6 @@
 //! Events for subscribers (RFC 5277).
 
-use rockflow::Readiness;
-use rockflow_endpoints::Says;
+use rockflow_endpoints::EffectiveReadiness;
 use rockflow_management::Notification;
 
 /// An event of the management side or of the endpoint list.
@@ -13,8 +12,8 @@
     EndpointChanged {
         /// Its name.
         name: String,
-        /// Its state, and whose word that is; none: it has left the list.
-        now: Option<(Readiness, Says)>,
+        /// Its readiness, and what decides it; none: it has left the list.
+        now: Option<EffectiveReadiness>,
     },
     /// An administrative override has run out.
     OverrideExpired {
--- a/crates/rockflow-management-service/src/lib.rs
+++ b/crates/rockflow-management-service/src/lib.rs
@@ -10,7 +10,7 @@
 mod restore;
 mod service;
 mod session_handle;
-pub mod state;
+mod state;
 mod value_subscription;
 
 pub use authentication::{AuthenticatedStream, UnauthenticatedConnection, UnauthenticatedConnections};
--- a/crates/rockflow-management-service/src/restore.rs
+++ b/crates/rockflow-management-service/src/restore.rs
@@ -3,8 +3,8 @@
 use crate::audit::{Audit, OpenAuditError};
 use crate::operator_config::ManagementSection;
 use crate::service::{Datastores, ManagementService, SetLogLevel, StorageBackend};
-use rockflow_dispatcher::{Clock, Link};
-use rockflow_endpoints::Marks;
+use rockflow_dispatcher::{Clock, ServiceHandle};
+use rockflow_endpoints::AdminOverrides;
 use rockflow_management::{
     record, Management, ManagementOptions, RestoreError, Restored, StartupMode, VolatileStorage,
 };
@@ -80,13 +80,17 @@
     }
 
     /// The administrative overrides that hold from the first request on.
-    pub fn administrative_overrides(&self) -> Marks {
+    pub fn administrative_overrides(&self) -> AdminOverrides {
         self.datastores.administrative_overrides()
     }
 
     /// Attaches the datastores to a running dispatcher.
-    pub fn into_service(self, link: Link, set_log_level: SetLogLevel) -> Arc<ManagementService> {
-        ManagementService::start(self.datastores, self.audit, self.clock, link, set_log_level)
+    pub fn into_service(
+        self,
+        dispatcher: ServiceHandle,
+        set_log_level: SetLogLevel,
+    ) -> Arc<ManagementService> {
+        ManagementService::start(self.datastores, self.audit, self.clock, dispatcher, set_log_level)
     }
 }
 
--- a/crates/rockflow-management-service/src/service.rs
+++ b/crates/rockflow-management-service/src/service.rs
@@ -9,10 +9,9 @@
 use crate::audit::Audit;
 use crate::event::ManagementEvent;
 use crate::session_handle::SessionHandle;
-use crate::state;
+use crate::state::{self, StateSource};
 use observation::EndpointObserver;
-use rockflow_dispatcher::messages::Survey;
-use rockflow_dispatcher::{Clock, Link};
+use rockflow_dispatcher::{Clock, ServiceHandle, StatusReport};
 use rockflow_management::{Management, ManagementError, Operator, SessionId, SnapshotStorage, Subscription};
 use rockflow_yang::{Fields, Schema};
 use std::collections::BTreeMap;
@@ -42,7 +41,7 @@
     /// All that changes, under one lock, which is never held across an await.
     shared: Mutex<Shared>,
     schema: Arc<Schema>,
-    link: Link,
+    dispatcher: ServiceHandle,
     started: Duration,
     pub(crate) events: broadcast::Sender<(Duration, ManagementEvent)>,
     /// Something is due earlier than the timer knows.
@@ -55,7 +54,7 @@
 pub(crate) struct Shared {
     pub(crate) datastores: Datastores,
     audit: Audit,
-    status: Option<StatusReport>,
+    status: Option<CachedStatus>,
     pub(crate) subscriptions: Subscriptions,
     endpoints: EndpointObserver,
     /// The level that the log was set to last.
@@ -64,11 +63,11 @@
     has_unapplied_overrides: bool,
 }
 
-/// A status report of the dispatcher.
+/// The last status report of the dispatcher.
 #[derive(Clone)]
-struct StatusReport {
+struct CachedStatus {
     taken: Duration,
-    survey: Arc<Survey>,
+    report: Arc<StatusReport>,
 }
 
 /// The value subscriptions of all sessions.
@@ -109,7 +108,7 @@
         datastores: Datastores,
         audit: Audit,
         clock: Clock,
-        link: Link,
+        dispatcher: ServiceHandle,
         set_log_level: SetLogLevel,
     ) -> Arc<ManagementService> {
         let schema = datastores.schema().clone();
@@ -125,7 +124,7 @@
         let service = Arc::new(ManagementService {
             shared: Mutex::new(shared),
             schema,
-            link,
+            dispatcher,
             started: clock.now(),
             events: broadcast::Sender::new(MAX_EVENTS),
             reschedule: Notify::new(),
@@ -138,7 +137,7 @@
 
     /// The time, as Unix time on the dispatcher's clock.
     pub fn now(&self) -> Duration {
-        self.link.clock.now()
+        self.dispatcher.clock.now()
     }
 
     /// The model of all configurations and of the operational state.
@@ -177,9 +176,9 @@
 
     /// The operational datastore (RFC 8342): running with its origins, and the dispatcher's state.
     pub async fn operational(&self) -> Fields {
-        let survey = self.status().await.unwrap_or_default();
+        let status = self.status().await.unwrap_or_default();
         let shared = self.lock();
-        self.operational_state(&shared, &survey, self.now())
+        self.operational_state(&shared, &status, self.now())
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, Shared> {
@@ -191,32 +190,33 @@
         self.reschedule.notify_one();
     }
 
-    fn operational_state(&self, shared: &Shared, survey: &Survey, now: Duration) -> Fields {
-        state::operational(&shared.datastores, &self.link, survey, self.started, now)
+    fn operational_state(&self, shared: &Shared, status: &StatusReport, now: Duration) -> Fields {
+        let source = StateSource { dispatcher: &self.dispatcher, status, started: self.started, now };
+        state::operational(&shared.datastores, &source)
     }
 
     /// The dispatcher's status, not older than [`STATUS_MAX_AGE`]; the last known one where it does not answer in
     /// time, none where it never did.
-    async fn status(&self) -> Option<Arc<Survey>> {
+    async fn status(&self) -> Option<Arc<StatusReport>> {
         let now = self.now();
         let last = self.lock().status.clone();
-        if let Some(report) = &last {
-            if now.saturating_sub(report.taken) < STATUS_MAX_AGE {
-                return Some(report.survey.clone());
+        if let Some(cached) = &last {
+            if now.saturating_sub(cached.taken) < STATUS_MAX_AGE {
+                return Some(cached.report.clone());
             }
         }
         let (reply, answer) = oneshot::channel();
-        let is_requested = self.link.survey(move |survey| {
-            let _ = reply.send(survey);
+        let is_requested = self.dispatcher.request_status(move |report| {
+            let _ = reply.send(report);
         });
         if is_requested {
-            if let Ok(Ok(survey)) = tokio::time::timeout(STATUS_TIMEOUT, answer).await {
-                let survey: Arc<Survey> = Arc::from(survey);
-                self.lock().status = Some(StatusReport { taken: now, survey: survey.clone() });
-                return Some(survey);
+            if let Ok(Ok(report)) = tokio::time::timeout(STATUS_TIMEOUT, answer).await {
+                let report: Arc<StatusReport> = Arc::from(report);
+                self.lock().status = Some(CachedStatus { taken: now, report: report.clone() });
+                return Some(report);
             }
         }
         warn!("dispatcher status not received in time, the last known one is used");
-        last.map(|report| report.survey)
+        last.map(|cached| cached.report)
     }
 }
--- a/crates/rockflow-management-service/src/service/changes.rs
+++ b/crates/rockflow-management-service/src/service/changes.rs
@@ -24,11 +24,11 @@
         make: impl FnOnce(&mut Datastores, Duration, &ValidationContext) -> Result<T, ManagementError>,
     ) -> Result<T, ManagementError> {
         // Guards against draining the last endpoint of a location while nothing is known of the list.
-        let survey = self.status().await.ok_or_else(|| {
+        let status = self.status().await.ok_or_else(|| {
             let message = "the dispatcher does not tell its hosts; nothing is changed";
             ManagementError::new(ErrorTag::ResourceDenied, message)
         })?;
-        let context = state::validation_context(&survey, self.now());
+        let context = state::validation_context(&status, self.now());
         let (result, applied) = {
             let now = self.now();
             let mut shared = self.lock();
@@ -89,12 +89,13 @@
     /// Sends the overrides as they are to the endpoint list.
     fn send_overrides(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
         let (done, applied) = oneshot::channel();
-        let is_sent = self.link.mark(shared.datastores.administrative_overrides(), move || {
-            let _ = done.send(());
-        });
-        if let Some(report) = &mut shared.status {
+        let is_sent =
+            self.dispatcher.set_operator_overrides(shared.datastores.administrative_overrides(), move || {
+                let _ = done.send(());
+            });
+        if let Some(cached) = &mut shared.status {
             // It would show what no longer holds.
-            report.taken = Duration::ZERO;
+            cached.taken = Duration::ZERO;
         }
         shared.has_unapplied_overrides = !is_sent;
         if !is_sent {
--- a/crates/rockflow-management-service/src/service/observation.rs
+++ b/crates/rockflow-management-service/src/service/observation.rs
@@ -2,9 +2,8 @@
 
 use super::{ManagementService, Shared};
 use crate::event::ManagementEvent;
-use rockflow::Readiness;
-use rockflow_dispatcher::messages::Survey;
-use rockflow_endpoints::{merged, Says};
+use rockflow_dispatcher::StatusReport;
+use rockflow_endpoints::{merge_readiness, EffectiveReadiness};
 use rockflow_yang::data;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,13 +15,10 @@
 /// The shortest wait, whatever is due or changes.
 const MIN_TIMER_WAIT: Duration = Duration::from_millis(5);
 
-/// The effective state of an endpoint, and whose word that is.
-type EffectiveState = (Readiness, Says);
-
 /// What subscribers of events were last told of the endpoints.
 #[derive(Default)]
 pub(super) struct EndpointObserver {
-    states: BTreeMap<String, EffectiveState>,
+    states: BTreeMap<String, EffectiveReadiness>,
     /// The overrides that have run out, with their times.
     expired_overrides: BTreeMap<String, Duration>,
 }
@@ -34,20 +30,20 @@
     }
 
     /// The events since the last call.
-    fn observe(&mut self, survey: &Survey, now: Duration) -> Vec<ManagementEvent> {
-        let mut events = self.observe_states(effective_states(survey, now));
-        for (host, entry) in &survey.marks {
-            let Some(until) = entry.until.filter(|until| *until <= now) else { continue };
-            let reported = self.expired_overrides.insert(host.clone(), until);
-            if reported != Some(until) {
+    fn observe(&mut self, status: &StatusReport, now: Duration) -> Vec<ManagementEvent> {
+        let mut events = self.observe_states(effective_states(status, now));
+        for (host, entry) in &status.operator_overrides {
+            let Some(expiry) = entry.expires_at.filter(|expiry| *expiry <= now) else { continue };
+            let reported = self.expired_overrides.insert(host.clone(), expiry);
+            if reported != Some(expiry) {
                 events.push(ManagementEvent::OverrideExpired { host: host.clone() });
             }
         }
-        self.expired_overrides.retain(|host, _| survey.marks.contains_key(host));
+        self.expired_overrides.retain(|host, _| status.operator_overrides.contains_key(host));
         events
     }
 
-    fn observe_states(&mut self, states: BTreeMap<String, EffectiveState>) -> Vec<ManagementEvent> {
+    fn observe_states(&mut self, states: BTreeMap<String, EffectiveReadiness>) -> Vec<ManagementEvent> {
         if self.states.is_empty() {
             // Nothing was known before: the first states are no change.
             self.states = states.clone();
@@ -105,17 +101,17 @@
                 return;
             }
         }
-        let survey = self.status().await.unwrap_or_default();
+        let status = self.status().await.unwrap_or_default();
         let now = self.now();
         let mut shared = self.lock();
-        self.publish_value_changes(&mut shared, &survey, now);
-        for event in shared.endpoints.observe(&survey, now) {
+        self.publish_value_changes(&mut shared, &status, now);
+        for event in shared.endpoints.observe(&status, now) {
             let _ = self.events.send((now, event));
         }
     }
 
-    fn publish_value_changes(&self, shared: &mut Shared, survey: &Survey, now: Duration) {
-        let state = self.operational_state(shared, survey, now);
+    fn publish_value_changes(&self, shared: &mut Shared, status: &StatusReport, now: Duration) {
+        let state = self.operational_state(shared, status, now);
         let subscriptions = &mut shared.subscriptions;
         let last_state = subscriptions.last_state.as_ref();
         let changes = last_state.map(|last| data::differences(last, &state)).unwrap_or_default();
@@ -130,12 +126,12 @@
     }
 }
 
-fn effective_states(survey: &Survey, now: Duration) -> BTreeMap<String, EffectiveState> {
+fn effective_states(status: &StatusReport, now: Duration) -> BTreeMap<String, EffectiveReadiness> {
     let mut states = BTreeMap::new();
-    for entry in &survey.told {
-        let operator = survey.marks.get(&entry.name);
-        let cluster = survey.fleet.get(&entry.name);
-        if let Some(state) = merged(Some(entry.listing.readiness), operator, cluster, now) {
+    for entry in &status.discovered {
+        let operator = status.operator_overrides.get(&entry.name);
+        let control = status.control_overrides.get(&entry.name);
+        if let Some(state) = merge_readiness(Some(entry.entry.readiness), operator, control, now) {
             states.insert(entry.name.clone(), state);
         }
     }
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -3,9 +3,8 @@
 
 use crate::model_writer::ModelWriter;
 use rockflow::{Effect, Readiness, Role};
-use rockflow_dispatcher::messages::Survey;
-use rockflow_dispatcher::{Link, Phase};
-use rockflow_endpoints::{beside, merged};
+use rockflow_dispatcher::{FillLevel, Phase, ServiceHandle, StatusReport};
+use rockflow_endpoints::{apply_overrides, merge_readiness};
 use rockflow_management::{timestamp, Commit, Management, SnapshotStorage, ValidationContext};
 use rockflow_yang::{Data, Fields, Path, Scalar, Schema, Step};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,22 +16,28 @@
 const HEALTH_DIGITS: u8 = 3;
 
 /// The endpoint list as the checks of a commit need it.
-pub fn validation_context(survey: &Survey, now: Duration) -> ValidationContext {
-    let listed = survey.told.iter().map(|entry| (entry.name.clone(), entry.listed()));
-    ValidationContext { endpoints: beside(listed.collect(), &survey.fleet, now) }
+pub(crate) fn validation_context(status: &StatusReport, now: Duration) -> ValidationContext {
+    let listed = status.discovered.iter().map(|entry| (entry.name.clone(), entry.to_listed()));
+    ValidationContext { endpoints: apply_overrides(listed.collect(), &status.control_overrides, now) }
+}
+
+/// What the dispatcher's state is read from.
+pub(crate) struct StateSource<'a> {
+    pub(crate) dispatcher: &'a ServiceHandle,
+    pub(crate) status: &'a StatusReport,
+    /// When the program was started, as Unix time.
+    pub(crate) started: Duration,
+    pub(crate) now: Duration,
 }
 
 /// The operational datastore: running with its origins, and `/router/state`.
-pub fn operational<S: SnapshotStorage>(
+pub(crate) fn operational<S: SnapshotStorage>(
     management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
-    started: Duration,
-    now: Duration,
+    source: &StateSource<'_>,
 ) -> Fields {
     let schema = management.schema();
     let mut fields = running_with_origins(management);
-    let state = router_state(management, link, survey, started, now);
+    let state = router_state(management, source);
     let Some(router) = schema.find(&["router"]) else { return fields };
     let Some(state_node) = schema.find(&["router", "state"]) else { return fields };
     let inner = fields.entry(router).or_insert_with(|| Data::Container(Fields::new()));
@@ -73,88 +78,91 @@
     (1..=OVERRIDE_LIST.len()).map(step).collect()
 }
 
-fn router_state<S: SnapshotStorage>(
-    management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
-    started: Duration,
-    now: Duration,
-) -> Fields {
+fn router_state<S: SnapshotStorage>(management: &Management<S>, source: &StateSource<'_>) -> Fields {
+    let StateSource { dispatcher, status, started, now } = *source;
     let mut state = ModelWriter::new(management.schema(), &["router", "state"]);
-    state.text("name", &*link.name);
+    state.text("name", &*dispatcher.name);
     state.text("software", env!("CARGO_PKG_VERSION"));
-    state.text("phase", phase_name(link.phase()));
+    state.text("phase", phase_name(dispatcher.phase()));
     state.number("up", millis(now.saturating_sub(started)));
-    state.container("hosts", |hosts| write_endpoints(hosts, link, survey, now));
-    state.container("products", |classes| write_classes(classes, link, survey));
-    state.container("caps", |caps| write_limits(caps, link, survey));
-    state.container("board", |board| write_discovery(board, link, now));
+    state.container("hosts", |hosts| write_endpoints(hosts, dispatcher, status, now));
+    state.container("products", |classes| write_classes(classes, dispatcher, status));
+    state.container("caps", |caps| write_limits(caps, dispatcher, status));
+    state.container("board", |board| write_discovery(board, dispatcher, now));
     state.container("history", |history| write_history(history, management));
     state.into_fields()
 }
 
-fn write_endpoints(hosts: &mut ModelWriter<'_>, link: &Link, survey: &Survey, now: Duration) {
+fn write_endpoints(
+    hosts: &mut ModelWriter<'_>,
+    dispatcher: &ServiceHandle,
+    status: &StatusReport,
+    now: Duration,
+) {
     // The overrides as the endpoint list has them: what is committed and not applied yet does not hold yet.
-    let overrides = &survey.marks;
-    let entries: BTreeMap<&str, _> = survey.told.iter().map(|entry| (entry.name.as_str(), entry)).collect();
-    let statuses: BTreeMap<_, _> = survey.views.iter().map(|status| (status.host, status)).collect();
+    let overrides = &status.operator_overrides;
+    let entries: BTreeMap<&str, _> =
+        status.discovered.iter().map(|entry| (entry.name.as_str(), entry)).collect();
+    let host_statuses: BTreeMap<_, _> = status.host_statuses.iter().map(|host| (host.host, host)).collect();
     let names: BTreeSet<&str> = entries.keys().copied().chain(overrides.keys().map(String::as_str)).collect();
     hosts.list("host", names, |host, name| {
         let (entry, own) = (entries.get(name), overrides.get(name));
         host.text("name", name);
-        let marked = own.filter(|own| own.holds(now)).map(|own| readiness(own.readiness));
+        let marked = own.filter(|own| own.is_active(now)).map(|own| readiness(own.readiness));
         host.optional("marked", marked);
         let Some(entry) = entry else { return };
-        let listing = &entry.listing;
+        let listing = &entry.entry;
         host.text("address", entry.address.to_string());
         host.text("role", role_name(listing.role));
-        let location = link.locations.get(usize::from(listing.location.0));
+        let location = dispatcher.locations.get(usize::from(listing.location.0));
         host.optional("location", location.map(|name| Scalar::text(name.as_str())));
         host.number("cell", u64::from(listing.cell.0));
         host.leaf("listed", readiness(listing.readiness));
-        if let Some((effective, says)) = merged(Some(listing.readiness), own, survey.fleet.get(name), now) {
-            host.leaf("effective", readiness(effective));
-            host.text("says", says.name());
+        let control = status.control_overrides.get(name);
+        if let Some(effective) = merge_readiness(Some(listing.readiness), own, control, now) {
+            host.leaf("effective", readiness(effective.readiness));
+            host.text("says", effective.source.as_str());
         }
-        let Some(status) = statuses.get(&listing.host) else { return };
-        host.number("legs-out", status.in_flight as u64);
-        host.leaf("avoided", Scalar::Bool(status.ejected));
-        host.leaf("health", health(status.health));
-        let warming_until = status.warming_until.filter(|until| *until > now);
+        let Some(host_status) = host_statuses.get(&listing.host) else { return };
+        host.number("legs-out", host_status.in_flight as u64);
+        host.leaf("avoided", Scalar::Bool(host_status.ejected));
+        host.leaf("health", health(host_status.health));
+        let warming_until = host_status.warming_until.filter(|until| *until > now);
         host.optional("cold-until", warming_until.map(date_time));
     });
 }
 
-fn write_classes(classes: &mut ModelWriter<'_>, link: &Link, survey: &Survey) {
-    classes.list("product", link.classes.iter().enumerate(), |writer, (index, (name, class))| {
+fn write_classes(classes: &mut ModelWriter<'_>, dispatcher: &ServiceHandle, status: &StatusReport) {
+    classes.list("product", dispatcher.classes.iter().enumerate(), |writer, (index, (name, class))| {
         writer.text("name", name);
         writer.text("effect", effect_name(&class.effect));
         writer.number("outer-limit", millis(class.deadline));
         writer.number("fresh", millis(class.fresh_lifetime));
         writer.number("grace", millis(class.grace));
-        let ended = survey.ended.get(index).copied().unwrap_or_default();
+        let ended = status.outcomes.get(index).copied().unwrap_or_default();
         writer.number("succeeded", ended.succeeded);
-        writer.number("dismissed", ended.dismissed);
-        writer.number("terminated", ended.terminated);
-        writer.number("left", ended.left);
+        writer.number("dismissed", ended.rejected);
+        writer.number("terminated", ended.failed);
+        writer.number("left", ended.disconnected);
     });
 }
 
-fn write_limits(caps: &mut ModelWriter<'_>, link: &Link, survey: &Survey) {
-    let open_requests = ("open-queries", link.caps.clients, survey.open);
-    let limits = link.fills().into_iter().chain([open_requests]);
-    caps.list("cap", limits, |writer, (name, limit, held)| {
-        writer.text("name", name);
-        writer.number("limit", limit as u64);
-        writer.number("held", held as u64);
+fn write_limits(caps: &mut ModelWriter<'_>, dispatcher: &ServiceHandle, status: &StatusReport) {
+    let open_requests =
+        FillLevel { name: "open-queries", cap: dispatcher.caps.clients, fill: status.open_requests };
+    let levels = dispatcher.fill_levels().into_iter().chain([open_requests]);
+    caps.list("cap", levels, |writer, level| {
+        writer.text("name", level.name);
+        writer.number("limit", level.cap as u64);
+        writer.number("held", level.fill as u64);
     });
 }
 
-fn write_discovery(board: &mut ModelWriter<'_>, link: &Link, now: Duration) {
-    let (address, last_event, last_received) = link.board();
-    board.text("address", address.to_string());
-    board.number("last", last_event);
-    let age = last_received.map(|received| millis(now.saturating_sub(received)));
+fn write_discovery(board: &mut ModelWriter<'_>, dispatcher: &ServiceHandle, now: Duration) {
+    let discovery = dispatcher.discovery_status();
+    board.text("address", discovery.address.to_string());
+    board.number("last", discovery.last_revision);
+    let age = discovery.last_received.map(|received| millis(now.saturating_sub(received)));
     board.optional("heard", age.map(Scalar::Unsigned));
 }
 
@@ -188,9 +196,9 @@
     match phase {
         Phase::Starting => "starting",
         Phase::Serving => "serving",
-        Phase::Leaving => "leaving",
-        Phase::Finishing => "finishing",
-        Phase::Over => "over",
+        Phase::Draining => "leaving",
+        Phase::Closing => "finishing",
+        Phase::Stopped => "over",
     }
 }
 
--- a/crates/rockflow-management/src/management.rs
+++ b/crates/rockflow-management/src/management.rs
@@ -7,6 +7,7 @@
 
 mod commits;
 mod editing;
+mod installation;
 mod locking;
 mod session_control;
 
@@ -21,7 +22,7 @@
 use crate::record::Record;
 use crate::session::{Operator, SessionId, Sessions};
 use crate::storage::SnapshotStorage;
-use rockflow_endpoints::Marks;
+use rockflow_endpoints::AdminOverrides;
 use rockflow_yang::{data, Fields, Path, Scalar, Schema};
 use std::sync::Arc;
 use std::time::Duration;
@@ -139,7 +140,7 @@
     }
 
     /// The administrative overrides of the configuration in force, by endpoint.
-    pub fn administrative_overrides(&self) -> Marks {
+    pub fn administrative_overrides(&self) -> AdminOverrides {
         administrative_overrides(&self.schema, &self.running)
     }
 
--- a/crates/rockflow-management/src/management/commits.rs
+++ b/crates/rockflow-management/src/management/commits.rs
@@ -1,17 +1,14 @@
-//! Commits: the only way by which running changes.
+//! Requests that change running: commits, transactions, overrides and rollbacks.
 
 use super::Management;
-use crate::access::Access;
-use crate::confirmed_commit::{CommitOptions, PendingCommit, MAX_CONFIRM_TIMEOUT};
+use crate::confirmed_commit::{CommitOptions, MAX_CONFIRM_TIMEOUT};
 use crate::error::{ErrorTag, ManagementError};
 use crate::history::Commit;
-use crate::notification::{ConfirmedCommitEvent, Notification};
-use crate::record::{PendingRecord, Record};
-use crate::session::{Operator, SessionId};
+use crate::notification::ConfirmedCommitEvent;
+use crate::session::SessionId;
 use crate::storage::SnapshotStorage;
 use crate::validation::ValidationContext;
 use rockflow_yang::{data, Data, Edit, Fields, Op, Path, Scalar};
-use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -28,14 +25,27 @@
 }
 
 /// A new running configuration that a session proposes.
-struct ProposedChange<'a> {
+struct ProposedChange {
     session: SessionId,
     configuration: Fields,
-    options: &'a CommitOptions,
-    comment: &'a str,
+    comment: String,
+    options: CommitOptions,
     authorization: Authorization,
 }
 
+impl ProposedChange {
+    /// A change that needs no confirmation, and the permission for each node.
+    fn new(session: SessionId, configuration: Fields, comment: &str) -> ProposedChange {
+        ProposedChange {
+            session,
+            configuration,
+            comment: comment.chars().take(MAX_COMMENT_CHARS).collect(),
+            options: CommitOptions::default(),
+            authorization: Authorization::EachNode,
+        }
+    }
+}
+
 impl<S: SnapshotStorage> Management<S> {
     /// Commits the session's candidate. A pending confirmed commit that the session controls is confirmed by it,
     /// or extended where this one is to be confirmed too. Returns the number of the commit in force.
@@ -54,13 +64,8 @@
         self.check_controls_pending(id, options.persist_id.as_deref())?;
         self.check_candidate_lock(id)?;
         options.check()?;
-        let change = ProposedChange {
-            session: id,
-            configuration: self.rebased_candidate(id)?,
-            options,
-            comment,
-            authorization: Authorization::EachNode,
-        };
+        let mut change = ProposedChange::new(id, self.rebased_candidate(id)?, comment);
+        change.options = options.clone();
         let version = self.apply_change(now, change, context)?;
         self.drop_candidate(id);
         Ok(version)
@@ -87,10 +92,7 @@
         for edit in edits {
             data::apply(&self.schema, &mut configuration, edit)?;
         }
-        let options = CommitOptions::default();
-        let authorization = Authorization::EachNode;
-        let change = ProposedChange { session: id, configuration, options: &options, comment, authorization };
-        self.apply_change(now, change, context)
+        self.apply_change(now, ProposedChange::new(id, configuration, comment), context)
     }
 
     /// Sets the administrative override of an endpoint to these leaves, or removes it where there are none, in a
@@ -117,15 +119,8 @@
         } else {
             self.with_override(path, leaves)?
         };
-        let options = CommitOptions::default();
-        let comment = format!("{call} {host}");
-        let change = ProposedChange {
-            session: id,
-            configuration,
-            options: &options,
-            comment: &comment,
-            authorization: Authorization::CallOnly,
-        };
+        let mut change = ProposedChange::new(id, configuration, &format!("{call} {host}"));
+        change.authorization = Authorization::CallOnly;
         self.apply_change(now, change, context)
     }
 
@@ -150,15 +145,7 @@
             let message = format!("commit {version} is not held; the oldest is {oldest}");
             ManagementError::new(ErrorTag::DataMissing, message)
         })?;
-        let options = CommitOptions::default();
-        let comment = format!("rollback to {version}");
-        let change = ProposedChange {
-            session: id,
-            configuration,
-            options: &options,
-            comment: &comment,
-            authorization: Authorization::EachNode,
-        };
+        let change = ProposedChange::new(id, configuration, &format!("rollback to {version}"));
         self.apply_change(now, change, context)
     }
 
@@ -186,38 +173,6 @@
         self.history.configuration_at(&self.schema, &self.running, self.version, version)
     }
 
-    /// Reverts the pending confirmed commit, by a commit of the dispatcher's own.
-    pub(super) fn revert_unconfirmed(&mut self, now: Duration, event: ConfirmedCommitEvent) {
-        let Some(pending) = self.pending.take() else { return };
-        let author = pending.author;
-        let commit = Commit {
-            version: self.last_used_version + 1,
-            operator: Operator::system(),
-            time: now,
-            comment: format!("commit {} of {} was not confirmed", pending.version, author.user),
-            changes: data::differences(&self.running, &pending.before),
-        };
-        if self.install(commit.clone(), pending.before.clone()).is_err() {
-            // The configuration before is durable already, so that a failing disk must not keep it back.
-            self.running = pending.before;
-            self.version = commit.version;
-            self.last_used_version = commit.version;
-            self.history.push(commit.clone());
-            self.trim_history();
-            self.refresh_access();
-            self.notifications.push(Notification::Committed(commit));
-        }
-        self.notifications.push(Notification::ConfirmedCommit { event, operator: author });
-    }
-
-    /// Stores what a restart is to come back with: the configuration in force or, while a commit waits for its
-    /// confirmation, the one before it.
-    pub(super) fn save(&mut self) -> Result<(), ManagementError> {
-        let payload = self.record().write(&self.schema);
-        let saved = self.storage.save(&payload);
-        saved.map_err(|error| ManagementError::new(ErrorTag::OperationFailed, error.to_string()))
-    }
-
     /// An error where a confirmed commit is pending: the request would confirm it unasked.
     fn check_none_pending(&self) -> Result<(), ManagementError> {
         match &self.pending {
@@ -277,7 +232,7 @@
     fn apply_change(
         &mut self,
         now: Duration,
-        change: ProposedChange<'_>,
+        change: ProposedChange,
         context: &ValidationContext,
     ) -> Result<u64, ManagementError> {
         let operator = self.sessions.get(change.session)?.operator.clone();
@@ -290,134 +245,16 @@
         if changes.is_empty() && self.pending.is_none() && change.options.confirm_timeout.is_none() {
             return Ok(self.version);
         }
-        let comment = change.comment.chars().take(MAX_COMMENT_CHARS).collect();
         let version = self.last_used_version + 1;
-        let commit = Commit { version, operator, time: now, comment, changes };
+        let commit = Commit { version, operator, time: now, comment: change.comment, changes };
         let configuration = Arc::new(change.configuration);
         match change.options.confirm_timeout {
             None => self.install_permanent(commit, configuration)?,
             Some(timeout) => {
                 let deadline = now + timeout.min(MAX_CONFIRM_TIMEOUT);
-                self.install_unconfirmed(commit, configuration, change.session, change.options, deadline)?;
+                self.install_unconfirmed(commit, configuration, change.session, &change.options, deadline)?;
             }
         }
         Ok(self.version)
     }
-
-    /// Installs a commit for good, which confirms the pending one.
-    fn install_permanent(
-        &mut self,
-        commit: Commit,
-        configuration: Arc<Fields>,
-    ) -> Result<(), ManagementError> {
-        let operator = commit.operator.clone();
-        let confirmed = self.pending.take();
-        if let Err(error) = self.install(commit, configuration) {
-            self.pending = confirmed;
-            return Err(error);
-        }
-        if confirmed.is_some() {
-            let event = ConfirmedCommitEvent::Complete;
-            self.notifications.push(Notification::ConfirmedCommit { event, operator });
-        }
-        Ok(())
-    }
-
-    /// Installs a commit that is reverted at the deadline unless it is confirmed.
-    fn install_unconfirmed(
-        &mut self,
-        commit: Commit,
-        configuration: Arc<Fields>,
-        session: SessionId,
-        options: &CommitOptions,
-        deadline: Duration,
-    ) -> Result<(), ManagementError> {
-        let operator = commit.operator.clone();
-        let (before, before_version, event) = match &self.pending {
-            Some(pending) => (pending.before.clone(), pending.before_version, ConfirmedCommitEvent::Extend),
-            None => (self.running.clone(), self.version, ConfirmedCommitEvent::Start),
-        };
-        let pending = PendingCommit {
-            session: options.persist.is_none().then_some(session),
-            persist: options.persist.clone(),
-            author: operator.clone(),
-            version: if commit.changes.is_empty() { self.version } else { commit.version },
-            before,
-            before_version,
-            deadline,
-        };
-        let replaced = self.pending.replace(pending);
-        if let Err(error) = self.install(commit, configuration) {
-            self.pending = replaced;
-            return Err(error);
-        }
-        self.notifications.push(Notification::ConfirmedCommit { event, operator });
-        Ok(())
-    }
-
-    /// Stores a commit, then puts it in force; where it can't be stored, all stays as it was.
-    fn install(&mut self, commit: Commit, configuration: Arc<Fields>) -> Result<(), ManagementError> {
-        let running_before = std::mem::replace(&mut self.running, configuration);
-        let (version_before, last_used_before) = (self.version, self.last_used_version);
-        let origins_before = self.history.record_origins(&commit);
-        // A confirmation alone changes nothing, and is no commit to go back to.
-        let is_change = !commit.changes.is_empty();
-        if is_change {
-            self.version = commit.version;
-            self.last_used_version = commit.version;
-            self.history.push(commit.clone());
-        }
-        if let Err(error) = self.save() {
-            if is_change {
-                self.history.pop();
-            }
-            self.running = running_before;
-            self.version = version_before;
-            self.history.restore_origins(origins_before);
-            // `last_used_version` stays: the commit may have reached the disk.
-            debug_assert!(is_change || self.last_used_version == last_used_before);
-            return Err(error);
-        }
-        self.trim_history();
-        self.refresh_access();
-        if is_change {
-            self.notifications.push(Notification::Committed(commit));
-        }
-        Ok(())
-    }
-
-    fn trim_history(&mut self) {
-        let max_commits = self.setting("history-length") as usize;
-        self.history.trim(max_commits);
-    }
-
-    /// Compiles the access rules of running; validation has ruled out an error.
-    fn refresh_access(&mut self) {
-        if let Ok(access) = Access::compile(&self.schema, &self.running, self.owner.clone()) {
-            self.access = access;
-        }
-    }
-
-    fn record(&self) -> Record {
-        let startup = if self.has_separate_startup() { self.startup.clone() } else { Fields::new() };
-        let mut record = Record {
-            running: (*self.running).clone(),
-            startup,
-            version: self.version,
-            last_used_version: self.last_used_version,
-            pending: None,
-            history: self.history.commits().cloned().collect(),
-            origins: self.history.origins().clone(),
-        };
-        let Some(pending) = &self.pending else { return record };
-        let before_version = pending.before_version;
-        record.pending =
-            Some(PendingRecord { version: self.last_used_version, author: pending.author.user.clone() });
-        record.running = (*pending.before).clone();
-        record.version = before_version;
-        record.history.retain(|commit| commit.version <= before_version);
-        let leaves: BTreeSet<Path> = data::leaves(&record.running).into_keys().collect();
-        record.origins.retain(|path, origin| leaves.contains(path) && origin.version <= before_version);
-        record
-    }
 }
--- a/crates/rockflow-management/src/overrides.rs
+++ b/crates/rockflow-management/src/overrides.rs
@@ -2,20 +2,20 @@
 
 use crate::timestamp;
 use rockflow::Readiness;
-use rockflow_endpoints::{Mark, Marks};
+use rockflow_endpoints::{AdminOverride, AdminOverrides};
 use rockflow_yang::{data, Data, Fields, NodeId, Scalar, Schema, Step};
 
 /// The list of the model that holds one entry an override.
 const OVERRIDE_LIST: [&str; 3] = ["router", "marks", "mark"];
 
 /// The overrides of a configuration, by endpoint.
-pub fn administrative_overrides(schema: &Schema, configuration: &Fields) -> Marks {
-    let Some(leaves) = OverrideLeaves::find(schema) else { return Marks::new() };
-    let Some(path) = list_path(schema) else { return Marks::new() };
+pub fn administrative_overrides(schema: &Schema, configuration: &Fields) -> AdminOverrides {
+    let Some(leaves) = OverrideLeaves::find(schema) else { return AdminOverrides::new() };
+    let Some(path) = list_path(schema) else { return AdminOverrides::new() };
     let Some(data::Found::Data(Data::List(entries))) = data::get(configuration, &path) else {
-        return Marks::new();
+        return AdminOverrides::new();
     };
-    let mut overrides = Marks::new();
+    let mut overrides = AdminOverrides::new();
     for (keys, fields) in entries {
         if let Some(host) = keys.first().and_then(Scalar::as_text) {
             overrides.insert(host.to_string(), leaves.read(fields));
@@ -37,16 +37,16 @@
         Some(OverrideLeaves { state: leaf("state")?, expires: leaf("expires")?, force: leaf("force")? })
     }
 
-    fn read(&self, fields: &Fields) -> Mark {
+    fn read(&self, fields: &Fields) -> AdminOverride {
         let scalar = |leaf: NodeId| fields.get(&leaf).and_then(Data::scalar);
         let text = |leaf: NodeId| scalar(leaf).and_then(Scalar::as_text);
         let readiness = match text(self.state) {
             Some("gone") => Readiness::Gone,
             _ => Readiness::Draining,
         };
-        let until = text(self.expires).and_then(timestamp::parse);
+        let expires_at = text(self.expires).and_then(timestamp::parse);
         let force = scalar(self.force).and_then(Scalar::as_bool).unwrap_or(false);
-        Mark { readiness, until, force }
+        AdminOverride { readiness, expires_at, force }
     }
 }
 
--- a/crates/rockflow-management/src/validation.rs
+++ b/crates/rockflow-management/src/validation.rs
@@ -3,7 +3,7 @@
 use crate::access::Access;
 use crate::error::{ErrorTag, ManagementError};
 use crate::overrides::administrative_overrides;
-use rockflow_endpoints::{none_left, Listed};
+use rockflow_endpoints::{find_emptied_group, ListedEndpoint};
 use rockflow_yang::{data, Fields, Path, Schema};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ValidationContext {
     /// The endpoint list by name; empty: not known, so nothing is judged by it.
-    pub endpoints: BTreeMap<String, Listed>,
+    pub endpoints: BTreeMap<String, ListedEndpoint>,
 }
 
 /// Checks a configuration against the model, the access rules' syntax, the size limit, and the rule that the
@@ -34,7 +34,7 @@
         .map_err(|error| ManagementError::new(ErrorTag::InvalidValue, error.to_string()))?;
     let before = administrative_overrides(schema, running);
     let after = administrative_overrides(schema, proposed);
-    if let Some(what) = none_left(&context.endpoints, &before, &after, now) {
+    if let Some(what) = find_emptied_group(&context.endpoints, &before, &after, now) {
         let message = format!("{what}; with force it is done all the same");
         return Err(ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("none-left"));
     }
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -26,7 +26,7 @@
 
 use common::{restore, DiskManagement};
 use rockflow::{Readiness, Role};
-use rockflow_endpoints::{Listed, Mark};
+use rockflow_endpoints::{AdminOverride, ListedEndpoint};
 use rockflow_management::*;
 use rockflow_store::faulty::{FaultyDisk, UnsyncedBytes};
 use rockflow_yang::{json, Data, Edit, Op, Path, Pattern, Scalar, Schema};
@@ -192,8 +192,8 @@
                     "parent" => Role::Parent,
                     _ => Role::Origin,
                 };
-                let told = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
-                let listed = Listed { role, location: location.parse().unwrap(), told };
+                let readiness = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
+                let listed = ListedEndpoint { role, location: location.parse().unwrap(), readiness };
                 self.around.endpoints.insert(name.to_string(), listed);
             }
             ["rules", ..] => {
@@ -223,7 +223,13 @@
             }
             ["marked", told @ ..] => {
                 let marks = self.machine.administrative_overrides();
-                let state = |mark: &Mark| if mark.readiness == Readiness::Gone { "gone" } else { "draining" };
+                let state = |mark: &AdminOverride| {
+                    if mark.readiness == Readiness::Gone {
+                        "gone"
+                    } else {
+                        "draining"
+                    }
+                };
                 let have: Vec<_> =
                     marks.iter().map(|(host, mark)| format!("{host}={}", state(mark))).collect();
                 let told: Vec<_> = told.iter().filter(|word| **word != "nothing").collect();
