--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/beside.rs
@@ -22,7 +22,7 @@
     pub fn read(paths: &[PathBuf]) -> Result<Beside, String> {
         let layer = |path: &PathBuf| {
             let text = std::fs::read_to_string(path).map_err(|what| format!("{}: {what}", path.display()))?;
-            Ok((path.display().to_string(), text))
+            Ok(file::Layer { file: path.display().to_string(), text })
         };
         let layers = paths.iter().map(layer).collect::<Result<Vec<_>, String>>()?;
         let read = file::parse(&layers).map_err(|faults| {
--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -7,7 +7,7 @@
 use rockflow_dissemination as node;
 use rockflow_dissemination::{ApplyToken, DesiredState, EntryId, Output};
 use rockflow_endpoints::{AdminOverride, AdminOverrides, RejectedOverride};
-use rockflow_operator_config::{DisseminationSection, OperatorConfig};
+use rockflow_operator_config::{ControlNode, DisseminationSection, OperatorConfig};
 use rockflow_transport::dissemination::{self as carrier, Bounds, WeakLink, Word};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -38,7 +38,7 @@
             binds.as_secs_f64()
         ));
     }
-    if part.control.iter().any(|(name, _)| *name == told.name) {
+    if part.control.iter().any(|node| node.name == told.name) {
         return Err(format!("[dissemination] control: {} is this dispatcher's own name", told.name));
     }
     Ok(Some(Plan { config: told_of(part, &told.name), ..base(part, told.seed) }))
@@ -57,8 +57,11 @@
 /// What a node of this name is told; a control node's place is that of its name.
 pub fn told_of(part: &DisseminationSection, name: &str) -> node::NodeConfig {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let peer = |(name, address): &(String, _)| node::Peer { node: node::NodeId::of(name), address: *address };
-    let place = part.control.iter().position(|(control, _)| control == name);
+    let peer = |control: &ControlNode| node::Peer {
+        node: node::NodeId::of(&control.name),
+        address: control.address,
+    };
+    let place = part.control.iter().position(|control| control.name == name);
     node::NodeConfig {
         identity: node::Identity {
             node: node::NodeId::of(name),
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -40,10 +40,11 @@
         let (part, files) = (beside.file().dissemination.clone(), beside.file().control.clone());
         let part = part.ok_or("a control process needs a section [dissemination] in the operator's file")?;
         let files = files.ok_or("a control process needs a section [control] in the operator's file")?;
-        let own = part.control.iter().find(|(name, _)| *name == told.name);
-        let (_, at) = own.ok_or_else(|| format!("[dissemination] control: does not name {}", told.name))?;
+        let own = part.control.iter().find(|node| node.name == told.name);
+        let own = own.ok_or_else(|| format!("[dissemination] control: does not name {}", told.name))?;
+        let at = own.address;
         // Within a trusted network addresses may be translated on the way.
-        let elsewhere = !part.listen.ip().is_unspecified() && part.listen != *at;
+        let elsewhere = !part.listen.ip().is_unspecified() && part.listen != at;
         if elsewhere && !part.trusted_network {
             return Err(format!(
                 "[dissemination] listen: {} is another address than {at} of {} in control",
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -44,7 +44,10 @@
          {tls}{more}[gnmi]\nlisten = 127.0.0.1:0\n{tls}",
         at("audit"),
     );
-    (operator_config::parse(&[("rig.ini".to_string(), text)]).unwrap(), authority)
+    (
+        operator_config::parse(&[operator_config::Layer { file: "rig.ini".to_string(), text }]).unwrap(),
+        authority,
+    )
 }
 
 impl Rig {
--- a/crates/rockflow-management-service/src/restore.rs
+++ b/crates/rockflow-management-service/src/restore.rs
@@ -1,7 +1,7 @@
 //! Restoring the datastores at a start, ahead of the dispatcher.
 
 use crate::audit::{Audit, OpenAuditError};
-use crate::operator_config::ManagementSection;
+use crate::operator_config::{ManagementSection, RestartFrom};
 use crate::service::{Datastores, ManagementService, SetLogLevel, StorageBackend};
 use rockflow_dispatcher::{Clock, ServiceHandle};
 use rockflow_endpoints::AdminOverrides;
@@ -63,9 +63,9 @@
         let options = ManagementOptions {
             schema: Arc::new(Schema::published()),
             owner: Some(section.owner.clone()),
-            startup: match section.separate_startup {
-                true => StartupMode::Separate,
-                false => StartupMode::FollowsRunning,
+            startup: match section.restart_from {
+                RestartFrom::Startup => StartupMode::Separate,
+                RestartFrom::Running => StartupMode::FollowsRunning,
             },
         };
         let payload = storage.payload.as_deref();
--- a/crates/rockflow-operator-config/src/dissemination.rs
+++ b/crates/rockflow-operator-config/src/dissemination.rs
@@ -1,242 +1,146 @@
-//! The sections `[dissemination]` and `[control]`, and the file of marks that a control process reads.
+//! Reading the sections `[dissemination]` and `[control]`.
 
-use crate::{ConfigError, Reader};
-use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::Display;
+use crate::reader::Reader;
+use crate::sections::{ControlNode, ControlSection, DisseminationSection};
+use crate::MAX_NAME_BYTES;
+use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::RangeInclusive;
-use std::path::PathBuf;
-use std::str::FromStr;
 use std::time::Duration;
 
-/// Control nodes that may be told, seeds, bytes of a name, and lines of a file of marks.
-pub const MAX_CONTROL: usize = 16;
+/// Control processes that may be configured.
+pub const MAX_CONTROL_NODES: usize = 16;
+/// Seeds that may be configured.
 pub const MAX_SEEDS: usize = 16;
-pub const MAX_NAME: usize = 128;
-pub const MAX_MARKS: usize = 4096;
-const PURGE_SECONDS: RangeInclusive<f64> = 0.5..=600.0;
-const BYTES: RangeInclusive<u32> = 1024..=1_048_576;
-const PULSE_MS: RangeInclusive<u32> = 50..=5000;
-const PAIRS: &str = "name@address, comma-separated";
-
-/// `[dissemination]`: purges and configuration come from control.
-#[derive(Clone, Debug, PartialEq)]
-pub struct DisseminationSection {
-    /// The same everywhere; frames of another are left alone.
-    pub fleet: String,
-    pub listen: SocketAddr,
-    /// All control processes by name, in the same order everywhere.
-    pub control: Vec<(String, SocketAddr)>,
-    /// Asked where no control process answers.
-    pub seeds: Vec<SocketAddr>,
-    /// Within so long a purge is done everywhere.
-    pub purge_window: Duration,
-    pub bytes_per_second: u32,
-    pub heartbeat_interval: Duration,
-    /// The network itself keeps strangers out; without it all addresses are of the loopback.
-    pub trusted_network: bool,
-}
 
-/// `[control]`: what a control process publishes, and to whom.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ControlSection {
-    /// The members, as CSV.
-    pub directory: PathBuf,
-    pub marks: Option<PathBuf>,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdministrativeState {
-    Draining,
-    Gone,
-}
+const PURGE_SECONDS: RangeInclusive<f64> = 0.5..=600.0;
+/// Stands in for a window that is missing, which is an error.
+const PLACEHOLDER_PURGE_SECONDS: f64 = 10.0;
+const BYTES_PER_SECOND: RangeInclusive<u32> = 1024..=1_048_576;
+const DEFAULT_BYTES_PER_SECOND: u32 = 6144;
+const HEARTBEAT_MS: RangeInclusive<u32> = 50..=5000;
+const DEFAULT_HEARTBEAT_MS: u32 = 500;
 
 impl Reader {
-    pub(crate) fn dissemination(&mut self) -> Option<DisseminationSection> {
+    pub(crate) fn read_dissemination(&mut self) -> Option<DisseminationSection> {
         let section = "dissemination";
-        if !self.stands(section) {
+        if !self.has_section(section) {
             return None;
         }
-        let before = self.faults.len();
-        self.need(section, "fleet", "a name that is the same everywhere");
-        self.need(section, "listen", "an address with a port");
-        self.need(section, "control", PAIRS);
-        self.need(section, "purge-seconds", &format!("{} to {}", PURGE_SECONDS.start(), PURGE_SECONDS.end()));
-        // All are read before any is missed, so that all faults come at once.
-        let (fleet, listen) = (self.name(section, "fleet"), self.address(section, "listen"));
-        let part = DisseminationSection {
-            fleet: fleet.unwrap_or_default(),
-            listen: listen.unwrap_or((Ipv4Addr::LOCALHOST, 0).into()),
-            control: self.control_nodes(section),
-            seeds: self.seeds(section),
-            purge_window: Duration::from_secs_f64(self.within(section, "purge-seconds", PURGE_SECONDS, 10.0)),
-            bytes_per_second: self.within(section, "bytes-per-second", BYTES, 6144),
-            heartbeat_interval: Duration::from_millis(self.within(section, "pulse-ms", PULSE_MS, 500).into()),
-            trusted_network: self.yes(section, "trusted-network"),
+        let errors_before = self.error_count();
+        self.require(section, "fleet", "a name that is the same everywhere");
+        self.require(section, "listen", "an address with a port");
+        self.require(section, "control", "name@address, comma-separated");
+        let window = format!("{} to {}", PURGE_SECONDS.start(), PURGE_SECONDS.end());
+        self.require(section, "purge-seconds", &window);
+        // All keys are read, with placeholders for missing ones, so that all errors come at once.
+        let read = DisseminationSection {
+            fleet: self.read_name(section, "fleet").unwrap_or_default(),
+            listen: self.read_address(section, "listen").unwrap_or((Ipv4Addr::LOCALHOST, 0).into()),
+            control: self.read_control_nodes(section, "control"),
+            seeds: self.read_seeds(section, "seeds"),
+            purge_window: Duration::from_secs_f64(self.number_in(
+                section,
+                "purge-seconds",
+                &PURGE_SECONDS,
+                PLACEHOLDER_PURGE_SECONDS,
+            )),
+            bytes_per_second: self.number_in(
+                section,
+                "bytes-per-second",
+                &BYTES_PER_SECOND,
+                DEFAULT_BYTES_PER_SECOND,
+            ),
+            heartbeat_interval: Duration::from_millis(
+                self.number_in(section, "pulse-ms", &HEARTBEAT_MS, DEFAULT_HEARTBEAT_MS).into(),
+            ),
+            trusted_network: self.yes_or_no(section, "trusted-network"),
         };
-        if !part.trusted_network {
-            self.loopback(section, &part);
+        if !read.trusted_network {
+            self.check_loopback(section, &read);
         }
-        (self.faults.len() == before).then_some(part)
+        (self.error_count() == errors_before).then_some(read)
     }
 
-    pub(crate) fn control(&mut self) -> Option<ControlSection> {
+    pub(crate) fn read_control(&mut self) -> Option<ControlSection> {
         let section = "control";
-        if !self.stands(section) {
+        if !self.has_section(section) {
             return None;
         }
-        if !self.stands("dissemination") {
-            self.section_fault(section, "needs a section [dissemination]; `rockflow control` reads both");
+        if !self.has_section("dissemination") {
+            let message = "needs a section [dissemination]; `rockflow control` reads both";
+            self.report_section(section, message);
         }
-        self.need(section, "directory", "a file with a line a member");
-        Some(ControlSection {
-            directory: self.path(section, "directory")?,
-            marks: self.path(section, "marks"),
-        })
+        self.require(section, "directory", "a file with a line a member");
+        let directory = self.path(section, "directory")?;
+        Some(ControlSection { directory, marks: self.path(section, "marks") })
     }
 
-    fn name(&mut self, section: &str, key: &str) -> Option<String> {
+    fn read_name(&mut self, section: &str, key: &str) -> Option<String> {
         let text = self.text(section, key)?;
-        if text.len() > MAX_NAME || text.contains(char::is_whitespace) {
-            self.fault(
-                section,
-                key,
-                format!("{text:?} is no name: 1 to {MAX_NAME} bytes without spaces are allowed"),
-            );
+        if text.len() > MAX_NAME_BYTES || text.contains(char::is_whitespace) {
+            let allowed = format!("1 to {MAX_NAME_BYTES} bytes without spaces are allowed");
+            self.report(section, key, format!("{text:?} is no name: {allowed}"));
             return None;
         }
         Some(text)
     }
 
-    fn address(&mut self, section: &str, key: &str) -> Option<SocketAddr> {
+    fn read_address(&mut self, section: &str, key: &str) -> Option<SocketAddr> {
         let text = self.text(section, key)?;
-        self.address_in(section, key, &text)
-    }
-
-    fn address_in(&mut self, section: &str, key: &str, text: &str) -> Option<SocketAddr> {
-        let found = text.parse().ok().filter(|at: &SocketAddr| at.port() > 0);
-        if found.is_none() {
-            self.fault(section, key, format!("{text:?} is no address with a port"));
-        }
-        found
-    }
-
-    fn items(&self, section: &str, key: &str) -> Vec<String> {
-        let text = self.text(section, key).unwrap_or_default();
-        text.split(',').map(|item| item.trim().to_string()).filter(|item| !item.is_empty()).collect()
+        self.parse_address(section, key, &text)
     }
 
-    fn control_nodes(&mut self, section: &str) -> Vec<(String, SocketAddr)> {
-        let (key, mut nodes) = ("control", Vec::new());
-        for item in self.items(section, key) {
-            let Some((name, at)) =
-                item.split_once('@').filter(|(name, _)| (1..=MAX_NAME).contains(&name.len()))
-            else {
-                self.fault(section, key, format!("{item:?} is no name@address"));
-                continue;
-            };
-            nodes.extend(self.address_in(section, key, at).map(|at| (name.to_string(), at)));
-        }
-        let names: BTreeSet<_> = nodes.iter().map(|(name, _)| name).collect();
-        let places: BTreeSet<_> = nodes.iter().map(|(_, at)| at).collect();
-        if names.len() < nodes.len() || places.len() < nodes.len() {
-            self.fault(section, key, "a name or an address stands twice");
+    fn read_control_nodes(&mut self, section: &str, key: &str) -> Vec<ControlNode> {
+        let items = self.items(section, key);
+        let nodes: Vec<_> =
+            items.iter().filter_map(|item| self.parse_control_node(section, key, item)).collect();
+        let names: BTreeSet<_> = nodes.iter().map(|node| &node.name).collect();
+        let addresses: BTreeSet<_> = nodes.iter().map(|node| &node.address).collect();
+        if names.len() < nodes.len() || addresses.len() < nodes.len() {
+            self.report(section, key, "a name or an address stands twice");
         }
-        if nodes.len() > MAX_CONTROL {
+        if nodes.len() > MAX_CONTROL_NODES {
             let count = nodes.len();
-            self.fault(section, key, format!("{count} are told, where 1 to {MAX_CONTROL} are allowed"));
+            self.report(
+                section,
+                key,
+                format!("{count} are told, where 1 to {MAX_CONTROL_NODES} are allowed"),
+            );
         }
         nodes
     }
 
-    fn seeds(&mut self, section: &str) -> Vec<SocketAddr> {
-        let key = "seeds";
+    fn parse_control_node(&mut self, section: &str, key: &str, item: &str) -> Option<ControlNode> {
+        let parts = item.split_once('@').filter(|(name, _)| (1..=MAX_NAME_BYTES).contains(&name.len()));
+        let Some((name, address)) = parts else {
+            self.report(section, key, format!("{item:?} is no name@address"));
+            return None;
+        };
+        let address = self.parse_address(section, key, address)?;
+        Some(ControlNode { name: name.to_string(), address })
+    }
+
+    fn read_seeds(&mut self, section: &str, key: &str) -> Vec<SocketAddr> {
         let items = self.items(section, key);
         if items.len() > MAX_SEEDS {
             let count = items.len();
-            self.fault(section, key, format!("{count} are told, where at most {MAX_SEEDS} are allowed"));
+            self.report(section, key, format!("{count} are told, where at most {MAX_SEEDS} are allowed"));
         }
-        items.iter().filter_map(|item| self.address_in(section, key, item)).collect()
+        items.iter().filter_map(|item| self.parse_address(section, key, item)).collect()
     }
 
-    fn within<T>(&mut self, section: &str, key: &str, allowed: RangeInclusive<T>, otherwise: T) -> T
-    where
-        T: FromStr + PartialOrd + Display,
-    {
-        let Some(text) = self.text(section, key) else { return otherwise };
-        match text.parse().ok().filter(|value| allowed.contains(value)) {
-            Some(value) => value,
-            None => {
-                let (least, most) = allowed.into_inner();
-                self.fault(section, key, format!("{text:?}: a number from {least} to {most} is allowed"));
-                otherwise
-            }
-        }
-    }
-
-    fn yes(&mut self, section: &str, key: &str) -> bool {
-        match self.text(section, key).as_deref() {
-            None | Some("no") => false,
-            Some("yes") => true,
-            Some(other) => {
-                self.fault(section, key, format!("{other:?} is neither yes nor no"));
-                false
-            }
-        }
-    }
-
-    fn loopback(&mut self, section: &str, part: &DisseminationSection) {
-        let control = part.control.iter().map(|(_, at)| ("control", at));
-        let told = std::iter::once(("listen", &part.listen)).chain(control);
-        let told = told.chain(part.seeds.iter().map(|at| ("seeds", at)));
-        for (key, at) in told.filter(|(_, at)| !at.ip().is_loopback()) {
+    /// Reports addresses that others than this machine's processes can reach.
+    fn check_loopback(&mut self, section: &str, read: &DisseminationSection) {
+        let control = read.control.iter().map(|node| ("control", node.address));
+        let seeds = read.seeds.iter().map(|address| ("seeds", *address));
+        let addresses = std::iter::once(("listen", read.listen)).chain(control).chain(seeds);
+        for (key, address) in addresses.filter(|(_, address)| !address.ip().is_loopback()) {
             let why = "frames carry no sign-in, so whoever reaches that address could purge and drain";
-            let what =
-                format!("{at} is no address of the loopback, and trusted-network does not say yes: {why}");
-            self.fault(section, key, what);
-        }
-    }
-}
-
-/// Reads a file of marks: `HOST = draining|gone` a line, `#` before a comment.
-pub fn parse_overrides(
-    file: &str,
-    text: &str,
-) -> Result<BTreeMap<String, AdministrativeState>, Vec<ConfigError>> {
-    let (mut marks, mut faults) = (BTreeMap::new(), Vec::new());
-    for (number, line) in text.lines().enumerate() {
-        let line = line.split('#').next().unwrap_or_default().trim();
-        if line.is_empty() {
-            continue;
-        }
-        if let Err(what) = mark(line, &mut marks) {
-            let (section, key) = (String::new(), String::new());
-            faults.push(ConfigError { file: file.to_string(), line: number + 1, section, key, what });
+            let message = format!(
+                "{address} is no address of the loopback, and trusted-network does not say yes: {why}"
+            );
+            self.report(section, key, message);
         }
     }
-    if faults.is_empty() {
-        Ok(marks)
-    } else {
-        Err(faults)
-    }
-}
-
-fn mark(line: &str, marks: &mut BTreeMap<String, AdministrativeState>) -> Result<(), String> {
-    let (host, state) = line.split_once('=').ok_or("no line of the form HOST = draining|gone")?;
-    let (host, state) = (host.trim(), state.trim());
-    if !(1..=MAX_NAME).contains(&host.len()) {
-        return Err(format!("{host:?} is no host's name: 1 to {MAX_NAME} bytes are allowed"));
-    }
-    let state = match state {
-        "draining" => AdministrativeState::Draining,
-        "gone" => AdministrativeState::Gone,
-        other => return Err(format!("{other:?} is neither draining nor gone")),
-    };
-    if marks.len() >= MAX_MARKS {
-        return Err(format!("more than {MAX_MARKS} marks"));
-    }
-    match marks.insert(host.to_string(), state) {
-        Some(_) => Err(format!("{host:?} stands twice")),
-        None => Ok(()),
-    }
 }
--- a/crates/rockflow-operator-config/tests/dissemination.rs
+++ b/crates/rockflow-operator-config/tests/dissemination.rs
@@ -1,6 +1,8 @@
 //! The sections of dissemination, and the file of marks: what is taken, and where each fault is said to be.
 
-use rockflow_operator_config::{parse, parse_overrides, AdministrativeState, ConfigError, OperatorConfig};
+use rockflow_operator_config::{
+    parse, parse_overrides, AdministrativeState, ConfigError, Layer, OperatorConfig,
+};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -11,15 +13,20 @@
 purge-seconds = 8.7
 ";
 
+fn layer(file: &str, text: &str) -> Layer {
+    Layer { file: file.to_string(), text: text.to_string() }
+}
+
 fn one(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
-    parse(&[("a.ini".to_string(), text.to_string())])
+    parse(&[layer("a.ini", text)])
 }
 
 #[test]
 fn what_is_not_told_has_its_usual_value() {
     let part = one(GOOD).unwrap().dissemination.unwrap();
     assert_eq!((part.fleet.as_str(), part.listen), ("shops", "127.0.0.1:7510".parse().unwrap()));
-    let control: Vec<_> = part.control.iter().map(|(name, at)| (name.as_str(), at.to_string())).collect();
+    let control: Vec<_> =
+        part.control.iter().map(|node| (node.name.as_str(), node.address.to_string())).collect();
     assert_eq!(control, [("c0", "127.0.0.1:7500".to_string()), ("c1", "[::1]:7500".to_string())]);
     assert_eq!((part.bytes_per_second, part.heartbeat_interval), (6144, Duration::from_millis(500)));
     assert_eq!((part.purge_window, part.seeds.len()), (Duration::from_millis(8700), 0));
--- a/crates/rockflow-operator-config/tests/file.rs
+++ b/crates/rockflow-operator-config/tests/file.rs
@@ -1,10 +1,14 @@
 //! The operator's file: what is taken, and where each fault is said to be.
 
-use rockflow_operator_config::{parse, OperatorConfig};
+use rockflow_operator_config::{parse, ConfigError, Layer, OperatorConfig, RestartFrom};
 use test_case::test_case;
 
-fn one(text: &str) -> Result<OperatorConfig, Vec<rockflow_operator_config::ConfigError>> {
-    parse(&[("a.ini".to_string(), text.to_string())])
+fn layer(file: &str, text: &str) -> Layer {
+    Layer { file: file.to_string(), text: text.to_string() }
+}
+
+fn one(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+    parse(&[layer("a.ini", text)])
 }
 
 const GOOD: &str = "[management]
@@ -37,14 +41,14 @@
 #[test]
 fn a_later_layer_holds_key_by_key() {
     let over = "[netconf]\nmessage-kb = 128\n[management]\nrestart = startup\n";
-    let layers = [("a.ini", GOOD), ("b.ini", over)].map(|(name, text)| (name.to_string(), text.to_string()));
+    let layers = [("a.ini", GOOD), ("b.ini", over)].map(|(name, text)| layer(name, text));
     let file = parse(&layers).unwrap();
     assert_eq!(file.netconf.unwrap().message_kb, 128);
     let management = file.management.unwrap();
-    assert!(management.separate_startup && management.owner == "ana");
+    assert!(management.restart_from == RestartFrom::Startup && management.owner == "ana");
     // A fault is where the layer has it.
     let layers = [("a.ini", GOOD), ("b.ini", "[netconf]\n\nmessage-kb = 3\n")];
-    let faults = parse(&layers.map(|(name, text)| (name.to_string(), text.to_string()))).unwrap_err();
+    let faults = parse(&layers.map(|(name, text)| layer(name, text))).unwrap_err();
     assert!(faults[0].to_string().starts_with("b.ini:3: [netconf] message-kb: \"3\":"), "{}", faults[0]);
 }
 
--- a/crates/rockflow-operator-config/tests/literal_text.rs
+++ b/crates/rockflow-operator-config/tests/literal_text.rs
@@ -1,6 +1,6 @@
 //! Each section and key of `deploy/rockflow.ini`, by a literal text: operators' files outlive the program.
 
-use rockflow_operator_config::{parse, OperatorConfig};
+use rockflow_operator_config::{parse, ControlNode, Layer, OperatorConfig, RestartFrom};
 use std::path::Path;
 use std::time::Duration;
 
@@ -46,8 +46,12 @@
 marks = /etc/rockflow/marks
 ";
 
+fn layer(text: &str) -> Layer {
+    Layer { file: "rockflow.ini".to_string(), text: text.to_string() }
+}
+
 fn read_every_key() -> OperatorConfig {
-    parse(&[("rockflow.ini".to_string(), EVERY_KEY.to_string())]).unwrap()
+    parse(&[layer(EVERY_KEY)]).unwrap()
 }
 
 fn path(text: &str) -> &Path {
@@ -59,7 +63,7 @@
     let part = read_every_key().management.unwrap();
     assert_eq!(part.owner, "root");
     assert_eq!(part.store.as_deref(), Some(path("/var/lib/rockflow")));
-    assert!(part.separate_startup);
+    assert_eq!(part.restart_from, RestartFrom::Startup);
     assert_eq!(part.audit.as_deref(), Some(path("/var/log/rockflow-audit.json")));
 }
 
@@ -93,7 +97,10 @@
     let part = file.dissemination.unwrap();
     assert_eq!(part.fleet, "shops");
     assert_eq!(part.listen, "127.0.0.1:7501".parse().unwrap());
-    assert_eq!(part.control, [("c0".to_string(), "127.0.0.1:7500".parse().unwrap())]);
+    assert_eq!(
+        part.control,
+        [ControlNode { name: "c0".to_string(), address: "127.0.0.1:7500".parse().unwrap() }]
+    );
     assert_eq!(part.seeds, ["127.0.0.1:7502".parse().unwrap()]);
     assert_eq!(part.purge_window, Duration::from_millis(8700));
     assert_eq!(part.bytes_per_second, 6145);
@@ -130,8 +137,8 @@
         .skip_while(|line| *line != "# [management]")
         .map(|line| format!("{}\n", line.trim_start_matches('#').trim()))
         .collect();
-    let file = parse(&[("rockflow.ini".to_string(), text)]).unwrap();
-    assert!(!file.management.unwrap().separate_startup);
+    let file = parse(&[layer(&text)]).unwrap();
+    assert_eq!(file.management.unwrap().restart_from, RestartFrom::Running);
     assert_eq!(file.netconf.unwrap().handshakes, 32);
     assert_eq!(file.gnmi.unwrap().least_interval_ms, 100);
     assert_eq!(file.dissemination.unwrap().bytes_per_second, 6144);
