--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -52,7 +52,7 @@
             ));
         }
         let directory = directory(&files.directory, &part)?;
-        let marks = marks(files.marks.as_deref())?;
+        let marks = marks(files.overrides.as_deref())?;
         Ok(Given { told, part, files, directory, marks })
     }
 
@@ -231,7 +231,7 @@
     }
 
     fn read_marks(&mut self) {
-        match marks(self.given.files.marks.as_deref()) {
+        match marks(self.given.files.overrides.as_deref()) {
             Ok(read) => {
                 self.given.marks = read;
                 self.unsaid = true;
--- a/crates/rockflow-management/tests/authorization.rs
+++ b/crates/rockflow-management/tests/authorization.rs
@@ -50,7 +50,7 @@
 ];
 
 #[test]
-fn the_table_holds() {
+fn permits_exactly_the_rights_of_the_table() {
     let schema = Schema::published();
     let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
     let access = Access::compile(&schema, &running, Some("root".into())).unwrap();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_may_not_be_read_is_not_told() {
+fn readable_omits_what_the_user_may_not_read() {
     let schema = Schema::published();
     let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
     let access = Access::compile(&schema, &running, Some("root".into())).unwrap();
--- a/crates/rockflow-management/tests/crashes.rs
+++ b/crates/rockflow-management/tests/crashes.rs
@@ -11,24 +11,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-type Machine = DiskManagement;
 const NOW: Duration = Duration::from_secs(1_780_000_000);
 
-fn open(schema: &Arc<Schema>, disk: FaultyDisk) -> Machine {
+fn open(schema: &Arc<Schema>, disk: FaultyDisk) -> DiskManagement {
     restore(schema, disk, "root", NOW)
 }
 
-fn session(machine: &mut Machine) -> SessionId {
+fn session(management: &mut DiskManagement) -> SessionId {
     let who = Operator { user: "root".into(), protocol: Protocol::Gnmi, source: "-".into() };
-    machine.open_session(NOW, who).unwrap()
+    management.open_session(NOW, who).unwrap()
 }
 
-fn drain(machine: &mut Machine, id: SessionId, host: &str) -> Result<u64, ManagementError> {
+fn drain(management: &mut DiskManagement, id: SessionId, host: &str) -> Result<u64, ManagementError> {
     let leaves = [("state", Scalar::text("draining")), ("reason", Scalar::text("r".repeat(50)))];
-    machine.set_override(NOW, id, "drain", host, &leaves, &ValidationContext::default())
+    management.set_override(NOW, id, "drain", host, &leaves, &ValidationContext::default())
 }
 
-fn candidate(machine: &mut Machine, id: SessionId, schema: &Schema, host: &str) {
+fn candidate(management: &mut DiskManagement, id: SessionId, schema: &Schema, host: &str) {
     let value = serde_json::json!({"rockflow-router:router": {"marks": {"mark": [{"host": host}]}}});
     let fields = json::read(schema, None, &value, false).unwrap();
     let merged = rockflow_yang::Edit {
@@ -36,11 +35,13 @@
         op: rockflow_yang::Op::Merge,
         value: Some(rockflow_yang::Data::Container(fields)),
     };
-    machine.edit_config(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, EditMode::Apply).unwrap();
+    management
+        .edit_config(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, EditMode::Apply)
+        .unwrap();
 }
 
 fn commit(
-    machine: &mut Machine,
+    management: &mut DiskManagement,
     id: SessionId,
     confirm_timeout: Option<u64>,
 ) -> Result<u64, ManagementError> {
@@ -48,97 +49,100 @@
         confirm_timeout: confirm_timeout.map(Duration::from_secs),
         ..CommitOptions::default()
     };
-    machine.commit(NOW, id, &confirm, "", &ValidationContext::default())
+    management.commit(NOW, id, &confirm, "", &ValidationContext::default())
 }
 
-/// What holds, as the marks' names.
-fn marks(machine: &Machine) -> Vec<String> {
-    machine.administrative_overrides().into_keys().collect()
+/// The hosts that running has an override of.
+fn overridden_hosts(management: &DiskManagement) -> Vec<String> {
+    management.administrative_overrides().into_keys().collect()
 }
 
 /// The steps of one life: what each does, and what a restart may come back with once it was acknowledged.
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Request {
     Drain(&'static str),
     /// Acknowledged, and undone by a restart.
-    Trial(&'static str),
+    CommitUnconfirmed(&'static str),
     CommitOptions,
     Cancel,
     Rollback(u64),
 }
 
-const LIFE: [Act; 9] = [
-    Act::Drain("c1"),
-    Act::Drain("c2"),
-    Act::Trial("c3"),
-    Act::CommitOptions,
-    Act::Trial("c4"),
-    Act::Cancel,
-    Act::Drain("c5"),
-    Act::Rollback(1),
-    Act::Drain("c6"),
+const STEPS: [Request; 9] = [
+    Request::Drain("c1"),
+    Request::Drain("c2"),
+    Request::CommitUnconfirmed("c3"),
+    Request::CommitOptions,
+    Request::CommitUnconfirmed("c4"),
+    Request::Cancel,
+    Request::Drain("c5"),
+    Request::Rollback(1),
+    Request::Drain("c6"),
 ];
 
 #[test]
-fn a_kill_at_any_step_leaves_one_whole_configuration_and_loses_nothing_acknowledged() {
+fn crash_at_any_step_restores_one_whole_configuration_with_all_acknowledged_commits() {
     let schema = Arc::new(Schema::published());
     let (mut points, mut step) = (0, 0);
     loop {
-        let mut machine = open(&schema, FaultyDisk::default().dying_at(step));
-        let id = session(&mut machine);
+        let mut management = open(&schema, FaultyDisk::default().dying_at(step));
+        let id = session(&mut management);
         // What was acknowledged for good, and what the step that died might have made durable.
-        let (mut lasting, mut perhaps) = (Vec::new(), Vec::new());
-        for act in LIFE {
-            let ended = match act {
-                Act::Drain(host) => drain(&mut machine, id, host).map(|_| ()),
-                Act::Trial(host) => {
-                    candidate(&mut machine, id, &schema, host);
-                    commit(&mut machine, id, Some(60)).map(|_| ())
+        let (mut acknowledged, mut possible) = (Vec::new(), Vec::new());
+        for request in STEPS {
+            let ended = match request {
+                Request::Drain(host) => drain(&mut management, id, host).map(|_| ()),
+                Request::CommitUnconfirmed(host) => {
+                    candidate(&mut management, id, &schema, host);
+                    commit(&mut management, id, Some(60)).map(|_| ())
                 }
-                Act::CommitOptions => commit(&mut machine, id, None).map(|_| ()),
-                Act::Cancel => machine.cancel_commit(NOW, id, None),
-                Act::Rollback(version) => {
-                    machine.rollback(NOW, id, version, None, &ValidationContext::default()).map(|_| ())
+                Request::CommitOptions => commit(&mut management, id, None).map(|_| ()),
+                Request::Cancel => management.cancel_commit(NOW, id, None),
+                Request::Rollback(version) => {
+                    management.rollback(NOW, id, version, None, &ValidationContext::default()).map(|_| ())
                 }
             };
-            let trial = matches!(act, Act::Trial(_));
+            let unconfirmed = matches!(request, Request::CommitUnconfirmed(_));
             match ended {
-                Ok(()) if trial => {}
+                Ok(()) if unconfirmed => {}
                 Ok(()) => {
-                    lasting = marks(&machine);
-                    perhaps = lasting.clone();
+                    acknowledged = overridden_hosts(&management);
+                    possible = acknowledged.clone();
                 }
                 Err(_) => {
                     // The one after it, had it gone through.
-                    perhaps = match act {
-                        Act::Drain(host) => {
-                            let mut after = lasting.clone();
+                    possible = match request {
+                        Request::Drain(host) => {
+                            let mut after = acknowledged.clone();
                             after.push(host.to_string());
                             after.sort();
                             after
                         }
-                        Act::Rollback(_) => vec!["c1".to_string()],
-                        Act::CommitOptions => marks(&machine),
-                        Act::Trial(_) | Act::Cancel => lasting.clone(),
+                        Request::Rollback(_) => vec!["c1".to_string()],
+                        Request::CommitOptions => overridden_hosts(&management),
+                        Request::CommitUnconfirmed(_) | Request::Cancel => acknowledged.clone(),
                     };
                     break;
                 }
             }
         }
-        let disk = machine.storage().disk().clone();
+        let disk = management.storage().disk().clone();
         for names in 0..=disk.unsynced_names() {
             for bytes in UnsyncedBytes::EACH {
                 points += 1;
-                let mut again = open(&schema, disk.after_crash(names, bytes));
-                let found = marks(&again);
-                let whole = found == lasting || found == perhaps;
-                assert!(whole, "step {step} names {names} {bytes:?}: {found:?}, {lasting:?} or {perhaps:?}");
-                assert!(again.pending_commit().is_none());
+                let mut restarted = open(&schema, disk.after_crash(names, bytes));
+                let restored = overridden_hosts(&restarted);
+                let whole = restored == acknowledged || restored == possible;
+                assert!(
+                    whole,
+                    "step {step} names {names} {bytes:?}: {restored:?}, {acknowledged:?} or {possible:?}"
+                );
+                assert!(restarted.pending_commit().is_none());
                 // It goes on from there.
-                let id = session(&mut again);
-                drain(&mut again, id, "c9").unwrap();
-                let after = open(&schema, again.storage().disk().after_crash(0, UnsyncedBytes::Lost));
-                assert!(marks(&after).contains(&"c9".to_string()));
+                let id = session(&mut restarted);
+                drain(&mut restarted, id, "c9").unwrap();
+                let after = open(&schema, restarted.storage().disk().after_crash(0, UnsyncedBytes::Lost));
+                assert!(overridden_hosts(&after).contains(&"c9".to_string()));
             }
         }
         if !disk.has_died() {
@@ -146,6 +150,6 @@
         }
         step += 1;
     }
-    println!("{points} crash points over {step} steps of {} commits: 0 torn, 0 lost", LIFE.len());
+    println!("{points} crash points over {step} steps of {} commits: 0 torn, 0 lost", STEPS.len());
     assert!(points > 200, "{points}");
 }
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -1,23 +1,24 @@
-//! Plays a scenario against the datastores, on a virtual clock and a disk in memory. A line is who and what:
+//! Plays a scenario against the datastores, on a virtual clock and a disk in memory. A line is a session and what
+//! it does, or one of:
 //!
-//!     host NAME cache|parent|origin LOCATION [draining]   what the board lists
+//!     host NAME cache|parent|origin LOCATION [draining]   an entry of the endpoint list
 //!     rules JSON                       what the owner commits under /router/access, ahead of the rest
-//!     a opens [USER]                   a session; the user is the party's name unless told
+//!     a opens [USER]                   a session; the user has the session's name unless one is given
 //!     a marks HOST [gone] [force] [reason=WORD] [expires=SECONDS]    edits its candidate
-//!     a unmarks HOST                   likewise; no fault where there is no mark
+//!     a unmarks HOST                   likewise; no error where there is no override
 //!     a edits OP PATH [JSON]           any other edit of its candidate
 //!     a commits [within=S] [persist=ID] [id=ID]
 //!     a cancels [id=ID] | a discards | a validates | a closes | a kills b
-//!     a follows                        something, from now on
+//!     a follows                        has a subscription from now on
 //!     a locks|unlocks running|candidate|startup | a holds PATH | a frees NUMBER
 //!     a sets OP PATH [JSON] [expected=N]      one transaction on running
 //!     a drains HOST [force] | a undrains HOST | a rolls-back N [expected=N]
 //!     after SECONDS                    time passes, and what is due happens
 //!     restart                          the process dies; what it synced is there
 //!     disk fails | disk works          the next saves
-//!     marked HOST=STATE ... | marked nothing     what running holds, in order of names
+//!     marked HOST=STATE ... | marked nothing     the overrides in running, in order of names
 //!     version N | pending USER | pending nobody
-//!     told WORD...                     a notice since the last such line holds all words
+//!     told WORD...                     a notification since the last such line holds all words
 //!
 //! `! TAG WORD...` at a line's end: it fails with that tag, and its message and finer tag hold the words.
 
@@ -36,19 +37,18 @@
 use std::time::Duration;
 use test_case::test_case;
 
-type Machine = DiskManagement;
 const START: Duration = Duration::from_secs(1_780_000_000);
 
-struct Play {
+struct Scenario {
     schema: Arc<Schema>,
-    machine: Machine,
+    management: DiskManagement,
     now: Duration,
-    around: ValidationContext,
+    context: ValidationContext,
     sessions: BTreeMap<String, SessionId>,
-    notices: Vec<String>,
+    notifications: Vec<String>,
 }
 
-fn machine(schema: &Arc<Schema>, disk: FaultyDisk) -> Machine {
+fn management(schema: &Arc<Schema>, disk: FaultyDisk) -> DiskManagement {
     restore(schema, disk, "owner", START)
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-impl Play {
+impl Scenario {
     fn edit(&self, words: &[&str]) -> Edit {
         let path = Path::read(&self.schema, words[1]).unwrap();
         let node = path.node().unwrap();
@@ -79,7 +79,7 @@
         Edit { path, op: op(words[0]), value }
     }
 
-    fn mark(&self, host: &str, words: &[&str]) -> Vec<Edit> {
+    fn override_edits(&self, host: &str, words: &[&str]) -> Vec<Edit> {
         let path = format!("/router/marks/mark[host='{host}']");
         let mut leaves = serde_json::Map::new();
         for word in words {
@@ -97,26 +97,26 @@
         vec![self.edit(&["merge", &path, &leaves])]
     }
 
-    fn act(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), ManagementError> {
+    fn perform(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), ManagementError> {
         let now = self.now;
         let option = |name: &str| words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
         let number = |name: &str| option(name).map(|word| word.parse::<u64>().unwrap());
         if what == "opens" {
             let user = words.first().unwrap_or(&who).to_string();
             let who_is = Operator { user, protocol: Protocol::NetconfSsh, source: "127.0.0.1".into() };
-            let id = self.machine.open_session(now, who_is)?;
+            let id = self.management.open_session(now, who_is)?;
             self.sessions.insert(who.into(), id);
             return Ok(());
         }
         let id = self.sessions[who];
-        self.machine.record_activity(now, id);
-        let which = |word: &str| match word {
+        self.management.record_activity(now, id);
+        let parse_datastore = |word: &str| match word {
             "running" => Datastore::Running,
             "startup" => Datastore::Startup,
             _ => Datastore::Candidate,
         };
-        let edit = |play: &mut Play, edits: &[Edit]| {
-            let made = play.machine.edit_config(
+        let edit = |scenario: &mut Scenario, edits: &[Edit]| {
+            let made = scenario.management.edit_config(
                 id,
                 Datastore::Candidate,
                 edits,
@@ -126,7 +126,7 @@
             made.map_err(|faults| faults[0].clone())
         };
         match what {
-            "marks" => edit(self, &self.mark(words[0], &words[1..])),
+            "marks" => edit(self, &self.override_edits(words[0], &words[1..])),
             "unmarks" => {
                 let path = format!("/router/marks/mark[host='{}']", words[0]);
                 edit(self, &[self.edit(&["remove", &path])])
@@ -138,52 +138,52 @@
                     persist: option("persist").map(str::to_string),
                     persist_id: option("id").map(str::to_string),
                 };
-                self.machine.commit(now, id, &confirm, "", &self.around).map(|_| ())
+                self.management.commit(now, id, &confirm, "", &self.context).map(|_| ())
             }
-            "cancels" => self.machine.cancel_commit(now, id, option("id")),
+            "cancels" => self.management.cancel_commit(now, id, option("id")),
             "follows" => {
-                self.machine.set_subscription_count(id, 1);
+                self.management.set_subscription_count(id, 1);
                 Ok(())
             }
-            "discards" => self.machine.discard_changes(id),
+            "discards" => self.management.discard_changes(id),
             "validates" => {
                 let candidate = ConfigSource::Datastore(Datastore::Candidate);
-                self.machine.validate(now, id, &candidate, &self.around)
+                self.management.validate(now, id, &candidate, &self.context)
             }
             "closes" => {
-                self.machine.close_session(now, id, SessionEndReason::Closed);
+                self.management.close_session(now, id, SessionEndReason::Closed);
                 Ok(())
             }
-            "kills" => self.machine.kill_session(now, id, self.sessions[words[0]]),
-            "locks" => self.machine.lock(now, id, which(words[0])),
-            "unlocks" => self.machine.unlock(id, which(words[0])),
+            "kills" => self.management.kill_session(now, id, self.sessions[words[0]]),
+            "locks" => self.management.lock(now, id, parse_datastore(words[0])),
+            "unlocks" => self.management.unlock(id, parse_datastore(words[0])),
             "holds" => {
                 let pattern = Pattern::read(&self.schema, words[0]).unwrap();
-                self.machine.partial_lock(id, &[pattern]).map(|_| ())
+                self.management.partial_lock(id, &[pattern]).map(|_| ())
             }
-            "frees" => self.machine.partial_unlock(id, words[0].parse().unwrap()),
+            "frees" => self.management.partial_unlock(id, words[0].parse().unwrap()),
             "sets" => {
                 let edits = [self.edit(words)];
-                self.machine.set(now, id, &edits, number("expected"), "", &self.around).map(|_| ())
+                self.management.set(now, id, &edits, number("expected"), "", &self.context).map(|_| ())
             }
             "drains" => {
                 let force = Scalar::Bool(words.contains(&"force"));
                 let leaves = [("state", Scalar::text("draining")), ("force", force)];
-                self.machine.set_override(now, id, "drain", words[0], &leaves, &self.around).map(|_| ())
+                self.management.set_override(now, id, "drain", words[0], &leaves, &self.context).map(|_| ())
             }
             "undrains" => {
-                self.machine.set_override(now, id, "undrain", words[0], &[], &self.around).map(|_| ())
+                self.management.set_override(now, id, "undrain", words[0], &[], &self.context).map(|_| ())
             }
             "rolls-back" => {
                 let (to, expected) = (words[0].parse().unwrap(), number("expected"));
-                self.machine.rollback(now, id, to, expected, &self.around).map(|_| ())
+                self.management.rollback(now, id, to, expected, &self.context).map(|_| ())
             }
             other => panic!("{other}"),
         }
     }
 
-    fn line(&mut self, line: &str) {
-        let (line, fault) = line.split_once(" ! ").map_or((line, None), |(line, fault)| (line, Some(fault)));
+    fn run_line(&mut self, line: &str) {
+        let (line, error) = line.split_once(" ! ").map_or((line, None), |(line, error)| (line, Some(error)));
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
             ["host", name, role, location, rest @ ..] => {
@@ -194,63 +194,63 @@
                 };
                 let readiness = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
                 let listed = ListedEndpoint { role, location: location.parse().unwrap(), readiness };
-                self.around.endpoints.insert(name.to_string(), listed);
+                self.context.endpoints.insert(name.to_string(), listed);
             }
             ["rules", ..] => {
                 let rules = line.trim_start_matches("rules ");
-                self.line("ruler opens owner");
+                self.run_line("ruler opens owner");
                 let edit = self.edit(&["replace", "/router/access", rules]);
                 let id = self.sessions["ruler"];
-                self.machine.set(self.now, id, &[edit], None, "", &self.around).unwrap();
-                self.line("ruler closes");
+                self.management.set(self.now, id, &[edit], None, "", &self.context).unwrap();
+                self.run_line("ruler closes");
             }
             ["after", seconds] => {
                 self.now += Duration::from_secs(seconds.parse().unwrap());
-                self.machine.on_tick(self.now);
+                self.management.on_tick(self.now);
             }
             ["restart"] => {
-                let disk = self.machine.storage().disk().after_crash(0, UnsyncedBytes::Lost);
-                self.machine = machine(&self.schema, disk);
+                let disk = self.management.storage().disk().after_crash(0, UnsyncedBytes::Lost);
+                self.management = management(&self.schema, disk);
                 self.sessions.clear();
             }
             ["disk", "fails"] => {
-                let disk = self.machine.storage_mut().disk_mut();
+                let disk = self.management.storage_mut().disk_mut();
                 *disk = disk.clone().failing_at(0..1000);
             }
             ["disk", "works"] => {
-                let disk = self.machine.storage_mut().disk_mut();
+                let disk = self.management.storage_mut().disk_mut();
                 *disk = disk.clone().failing_at([]);
             }
-            ["marked", told @ ..] => {
-                let marks = self.machine.administrative_overrides();
-                let state = |mark: &AdminOverride| {
-                    if mark.readiness == Readiness::Gone {
+            ["marked", expected @ ..] => {
+                let marks = self.management.administrative_overrides();
+                let state = |entry: &AdminOverride| {
+                    if entry.readiness == Readiness::Gone {
                         "gone"
                     } else {
                         "draining"
                     }
                 };
-                let have: Vec<_> =
-                    marks.iter().map(|(host, mark)| format!("{host}={}", state(mark))).collect();
-                let told: Vec<_> = told.iter().filter(|word| **word != "nothing").collect();
-                assert!(have.iter().eq(told.iter().copied()), "{have:?}");
+                let actual: Vec<_> =
+                    marks.iter().map(|(host, entry)| format!("{host}={}", state(entry))).collect();
+                let expected: Vec<_> = expected.iter().filter(|word| **word != "nothing").collect();
+                assert!(actual.iter().eq(expected.iter().copied()), "{actual:?}");
             }
-            ["version", number] => assert_eq!(self.machine.version().to_string(), *number),
+            ["version", number] => assert_eq!(self.management.version().to_string(), *number),
             ["pending", user] => {
-                let have = self.machine.pending_commit();
-                let have = have.map_or("nobody", |pending| pending.author.user.as_str());
-                assert_eq!(have, *user);
+                let actual = self.management.pending_commit();
+                let actual = actual.map_or("nobody", |pending| pending.author.user.as_str());
+                assert_eq!(actual, *user);
             }
-            ["told", told @ ..] => {
-                let fresh = self.machine.take_notifications();
-                self.notices.extend(fresh.iter().map(|notice| format!("{notice:?}")));
-                let holds = |notice: &String| told.iter().all(|word| notice.contains(word));
-                assert!(self.notices.iter().any(holds), "{:#?}", self.notices);
-                self.notices.clear();
+            ["told", expected @ ..] => {
+                let taken = self.management.take_notifications();
+                self.notifications.extend(taken.iter().map(|notice| format!("{notice:?}")));
+                let matches_all = |notice: &String| expected.iter().all(|word| notice.contains(word));
+                assert!(self.notifications.iter().any(matches_all), "{:#?}", self.notifications);
+                self.notifications.clear();
             }
             [who, what, rest @ ..] => {
-                let ended = self.act(who, what, rest);
-                match (ended, fault) {
+                let ended = self.perform(who, what, rest);
+                match (ended, error) {
                     (Ok(()), None) => {}
                     (Err(found), Some(wanted)) => {
                         let mut wanted = wanted.split_whitespace();
@@ -277,18 +277,18 @@
 #[test_case(include_str!("scenarios/sessions.txt"); "sessions")]
 fn scenario(text: &str) {
     let schema = Arc::new(Schema::published());
-    let mut play = Play {
-        machine: machine(&schema, FaultyDisk::default()),
+    let mut scenario = Scenario {
+        management: management(&schema, FaultyDisk::default()),
         schema,
         now: START,
-        around: ValidationContext::default(),
+        context: ValidationContext::default(),
         sessions: BTreeMap::new(),
-        notices: Vec::new(),
+        notifications: Vec::new(),
     };
     for (number, line) in text.lines().enumerate() {
         if !line.trim().is_empty() && !line.starts_with('#') {
             println!("{}: {line}", number + 1);
-            play.line(line);
+            scenario.run_line(line);
         }
     }
 }
--- a/crates/rockflow-management/tests/serial.rs
+++ b/crates/rockflow-management/tests/serial.rs
@@ -1,5 +1,5 @@
 //! Writers at random over both ways in, with kills, time-outs, failing disks and restarts: whatever was
-//! acknowledged is one serial history, and nothing of it is lost. Beside the machine runs a flat model of values by
+//! acknowledged is one serial history, and nothing of it is lost. Beside the datastores runs a flat model of values by
 //! path, which knows nothing of trees.
 //!
 //! `ROCKFLOW_CASES=10000 cargo test -p rockflow-management --release --test serial -- --nocapture` runs the
@@ -22,7 +22,6 @@
 /// Host and leaf to value; an entry stands while its `host` leaf does.
 type Flat = BTreeMap<(u8, &'static str), String>;
 const START: Duration = Duration::from_secs(1_000_000);
-type Machine = DiskManagement;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -66,33 +65,33 @@
 struct Writer {
     id: SessionId,
     base: Flat,
-    mine: Option<Flat>,
+    edited_copy: Option<Flat>,
 }
 
-struct Trial {
+struct Unconfirmed {
     before: Flat,
     due: Duration,
     owner: Option<SessionId>,
 }
 
-struct World {
+struct Model {
     schema: Arc<Schema>,
-    machine: Machine,
+    machine: DiskManagement,
     now: Duration,
     writers: Vec<Writer>,
     running: Flat,
     /// What a restart must come back with; more than one where a save failed without word of its fate.
-    lasting: Flat,
-    trial: Option<Trial>,
+    durable: Flat,
+    unconfirmed: Option<Unconfirmed>,
     last: u64,
 }
 
-fn machine(schema: &Arc<Schema>, disk: FaultyDisk) -> Machine {
+fn machine(schema: &Arc<Schema>, disk: FaultyDisk) -> DiskManagement {
     assert!(open_store(disk.clone()).unreadable.is_empty());
     restore(schema, disk, "owner", START)
 }
 
-fn flat(schema: &Schema, fields: &rockflow_yang::Fields) -> Flat {
+fn flatten(schema: &Schema, fields: &rockflow_yang::Fields) -> Flat {
     let value = json::write(schema, fields);
     let marks = value["rockflow-router:router"]["marks"]["mark"].as_array().cloned().unwrap_or_default();
     let mut all = Flat::new();
@@ -125,13 +124,13 @@
 
 /// The serial meaning of a commit: what the writer changed since it began, laid over what holds now; none where
 /// both changed the same to different ends, or one lost the entry that the other wrote to.
-fn laid(base: &Flat, mine: &Flat, now: &Flat) -> Option<Flat> {
+fn rebase(base: &Flat, edited_copy: &Flat, now: &Flat) -> Option<Flat> {
     let diff = |from: &Flat, to: &Flat| {
         let keys = from.keys().chain(to.keys());
         let changed = keys.filter(|key| from.get(key) != to.get(key));
         changed.map(|key| (*key, to.get(key).cloned())).collect::<BTreeMap<_, _>>()
     };
-    let (ours, theirs) = (diff(base, mine), diff(base, now));
+    let (ours, theirs) = (diff(base, edited_copy), diff(base, now));
     let lost = |all: &BTreeMap<(u8, &'static str), Option<String>>, host: u8| {
         all.get(&(host, "host")).is_some_and(Option::is_none)
     };
@@ -154,16 +153,16 @@
     Some(merged)
 }
 
-impl World {
-    fn new(schema: &Arc<Schema>) -> World {
-        let mut world = World {
+impl Model {
+    fn new(schema: &Arc<Schema>) -> Model {
+        let mut world = Model {
             machine: machine(schema, FaultyDisk::default()),
             schema: schema.clone(),
             now: START,
             writers: Vec::new(),
             running: Flat::new(),
-            lasting: Flat::new(),
-            trial: None,
+            durable: Flat::new(),
+            unconfirmed: None,
             last: 0,
         };
         (0..3).for_each(|who| world.open(who));
@@ -174,7 +173,7 @@
         let protocol = if who == 2 { Protocol::Gnmi } else { Protocol::NetconfSsh };
         let operator = Operator { user: "owner".into(), protocol, source: format!("w{who}") };
         let id = self.machine.open_session(self.now, operator).expect("a session");
-        let writer = Writer { id, base: Flat::new(), mine: None };
+        let writer = Writer { id, base: Flat::new(), edited_copy: None };
         if who < self.writers.len() {
             self.writers[who] = writer;
         } else {
@@ -183,19 +182,19 @@
     }
 
     fn undo(&mut self) {
-        if let Some(trial) = self.trial.take() {
-            self.running = trial.before;
+        if let Some(unconfirmed) = self.unconfirmed.take() {
+            self.running = unconfirmed.before;
         }
     }
 
     fn committed(&mut self, after: Flat) {
         self.running = after.clone();
-        self.lasting = after;
-        self.trial = None;
+        self.durable = after;
+        self.unconfirmed = None;
     }
 
-    fn play(&mut self, step: &Step) -> Result<(), TestCaseError> {
-        let around = ValidationContext::default();
+    fn perform(&mut self, step: &Step) -> Result<(), TestCaseError> {
+        let context = ValidationContext::default();
         let now = self.now;
         for writer in &self.writers {
             self.machine.record_activity(now, writer.id);
@@ -209,7 +208,7 @@
                     .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, EditMode::Apply)
                     .is_ok()
                 {
-                    self.edited(who, |mine| put(mine, host, reason));
+                    self.edited(who, |edited_copy| put(edited_copy, host, reason));
                 }
             }
             Step::Unmark { who, host } => {
@@ -221,36 +220,37 @@
                     .edit_config(id, Datastore::Candidate, &edits, ErrorOption::Rollback, EditMode::Apply)
                     .is_ok()
                 {
-                    self.edited(who, |mine| mine.retain(|(at, _), _| *at != host));
+                    self.edited(who, |edited_copy| edited_copy.retain(|(at, _), _| *at != host));
                 }
             }
             Step::Commit { who, within, persist } => {
                 let writer = &self.writers[who as usize];
                 let id = writer.id;
-                let wanted = match &writer.mine {
-                    Some(mine) => laid(&writer.base, mine, &self.running),
+                let wanted = match &writer.edited_copy {
+                    Some(edited_copy) => rebase(&writer.base, edited_copy, &self.running),
                     None => Some(self.running.clone()),
                 };
-                let persist_id = (persist && self.trial.as_ref().is_some_and(|trial| trial.owner.is_none()))
-                    .then(|| "name".to_string());
+                let persist_id = (persist
+                    && self.unconfirmed.as_ref().is_some_and(|unconfirmed| unconfirmed.owner.is_none()))
+                .then(|| "name".to_string());
                 let confirm = CommitOptions {
                     confirm_timeout: within.map(|seconds| Duration::from_secs(seconds.into())),
                     persist: (persist && within.is_some()).then(|| "name".to_string()),
                     persist_id,
                 };
-                match self.machine.commit(now, id, &confirm, "", &around) {
+                match self.machine.commit(now, id, &confirm, "", &context) {
                     Ok(_) => {
                         let Some(after) = wanted else {
                             return Err(TestCaseError::fail("a clash was acknowledged"));
                         };
-                        self.writers[who as usize].mine = None;
+                        self.writers[who as usize].edited_copy = None;
                         match confirm.confirm_timeout {
                             None => self.committed(after),
                             Some(within) => {
-                                let held = self.trial.take().map(|trial| trial.before);
+                                let held = self.unconfirmed.take().map(|unconfirmed| unconfirmed.before);
                                 let before = held.unwrap_or_else(|| self.running.clone());
                                 let owner = confirm.persist.is_none().then_some(id);
-                                self.trial = Some(Trial { before, due: now + within, owner });
+                                self.unconfirmed = Some(Unconfirmed { before, due: now + within, owner });
                                 self.running = after;
                             }
                         }
@@ -272,8 +272,8 @@
                 let id = self.writers[who as usize].id;
                 let mut after = self.running.clone();
                 put(&mut after, host, reason);
-                if self.machine.set(now, id, &edits, None, "", &around).is_ok() {
-                    prop_assert!(self.trial.is_none(), "set past a pending commit");
+                if self.machine.set(now, id, &edits, None, "", &context).is_ok() {
+                    prop_assert!(self.unconfirmed.is_none(), "set past a pending commit");
                     self.committed(after);
                 }
             }
@@ -285,7 +285,7 @@
                 let which = if candidate { Datastore::Candidate } else { Datastore::Running };
                 let unlocked = self.machine.unlock(self.writers[who as usize].id, which).is_ok();
                 if unlocked && candidate {
-                    self.writers[who as usize].mine = None;
+                    self.writers[who as usize].edited_copy = None;
                 }
             }
             Step::Hold { who, host } => {
@@ -295,12 +295,12 @@
             }
             Step::Discard { who } => {
                 self.machine.discard_changes(self.writers[who as usize].id).unwrap();
-                self.writers[who as usize].mine = None;
+                self.writers[who as usize].edited_copy = None;
             }
             Step::Close { who } => {
                 let id = self.writers[who as usize].id;
                 self.machine.close_session(now, id, SessionEndReason::Killed);
-                if self.trial.as_ref().is_some_and(|trial| trial.owner == Some(id)) {
+                if self.unconfirmed.as_ref().is_some_and(|unconfirmed| unconfirmed.owner == Some(id)) {
                     self.undo();
                 }
                 self.open(who as usize);
@@ -308,7 +308,7 @@
             Step::Wait(seconds) => {
                 self.now += Duration::from_secs(seconds.into());
                 self.machine.on_tick(self.now);
-                if self.trial.as_ref().is_some_and(|trial| trial.due <= self.now) {
+                if self.unconfirmed.as_ref().is_some_and(|unconfirmed| unconfirmed.due <= self.now) {
                     self.undo();
                 }
             }
@@ -324,14 +324,14 @@
                         [usize::from(bytes)];
                 let disk = disk.after_crash(names, bytes);
                 self.machine = machine(&self.schema, disk);
-                self.trial = None;
-                self.running = self.lasting.clone();
+                self.unconfirmed = None;
+                self.running = self.durable.clone();
                 (0..3).for_each(|who| self.open(who));
             }
         }
-        let have = flat(&self.schema, self.machine.running());
+        let have = flatten(&self.schema, self.machine.running());
         prop_assert_eq!(&have, &self.running, "after {:?}", step);
-        prop_assert_eq!(self.machine.pending_commit().is_some(), self.trial.is_some());
+        prop_assert_eq!(self.machine.pending_commit().is_some(), self.unconfirmed.is_some());
         prop_assert!(self.machine.version() >= self.last, "numbers went back");
         self.last = self.machine.version();
         Ok(())
@@ -340,20 +340,20 @@
     fn edited(&mut self, who: u8, change: impl FnOnce(&mut Flat)) {
         let running = &self.running;
         let writer = &mut self.writers[who as usize];
-        if writer.mine.is_none() {
+        if writer.edited_copy.is_none() {
             writer.base = running.clone();
         }
-        let mut mine = writer.mine.clone().unwrap_or_else(|| running.clone());
-        change(&mut mine);
+        let mut edited_copy = writer.edited_copy.clone().unwrap_or_else(|| running.clone());
+        change(&mut edited_copy);
         // An edit that changes nothing begins no candidate.
-        if writer.mine.is_some() || mine != *running {
-            writer.mine = Some(mine);
+        if writer.edited_copy.is_some() || edited_copy != *running {
+            writer.edited_copy = Some(edited_copy);
         }
     }
 }
 
 #[test]
-fn every_history_is_a_serial_one_and_nothing_told_is_lost() {
+fn every_interleaving_is_serial_and_loses_no_acknowledged_commit() {
     let cases = std::env::var("ROCKFLOW_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(600);
     let config = Config { cases, failure_persistence: None, max_shrink_iters: 20_000, ..Config::default() };
     // One seed, the same verdict every time.
@@ -361,15 +361,15 @@
     let schema = Arc::new(Schema::published());
     let (steps, commits) = (Cell::new(0usize), Cell::new(0u64));
     let ran = runner.run(&prop::collection::vec(step(), 1..60), |all| {
-        let mut world = World::new(&schema);
+        let mut world = Model::new(&schema);
         for step in &all {
-            world.play(step)?;
+            world.perform(step)?;
         }
         // Nothing stays locked or pending once everybody has gone and what was due is past.
         for who in 0..3 {
-            world.play(&Step::Close { who })?;
+            world.perform(&Step::Close { who })?;
         }
-        world.play(&Step::Wait(20))?;
+        world.perform(&Step::Wait(20))?;
         prop_assert_eq!(world.machine.locks().count(), 0);
         prop_assert!(world.machine.pending_commit().is_none());
         let disk = world.machine.storage_mut().disk_mut();
--- a/crates/rockflow-management/tests/stored_snapshot.rs
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -34,7 +34,7 @@
     Edit { path: Path::default(), op: Op::Merge, value: Some(Data::Container(fields)) }
 }
 
-fn mark_edit(schema: &Schema, host: &str, leaves: &Value) -> Edit {
+fn override_edit(schema: &Schema, host: &str, leaves: &Value) -> Edit {
     let path = Path::read(schema, &format!("/router/marks/mark[host='{host}']")).unwrap();
     let fields = json::read(schema, path.node(), leaves, false).unwrap();
     Edit { path, op: Op::Merge, value: Some(Data::Container(fields)) }
@@ -59,7 +59,7 @@
         startup: StartupMode::Separate,
     };
     let mut datastores = Management::restore(START, options, store, None).unwrap().management;
-    let around = ValidationContext::default();
+    let context = ValidationContext::default();
     let root =
         datastores.open_session(START, operator("root", Protocol::NetconfTls, "192.0.2.1:5000")).unwrap();
     let ana =
@@ -72,44 +72,44 @@
     datastores
         .edit_config(root, Datastore::Candidate, &rules, ErrorOption::Rollback, EditMode::Apply)
         .unwrap();
-    datastores.commit(seconds_after_start(1), root, &plain, "access for operators", &around).unwrap();
-    let startup = [mark_edit(schema, "c0", &json!({"state": "gone", "reason": "not \"built\" yet"}))];
+    datastores.commit(seconds_after_start(1), root, &plain, "access for operators", &context).unwrap();
+    let startup = [override_edit(schema, "c0", &json!({"state": "gone", "reason": "not \"built\" yet"}))];
     datastores
         .edit_config(root, Datastore::Startup, &startup, ErrorOption::Rollback, EditMode::Apply)
         .unwrap();
-    let marks = [
-        mark_edit(schema, "c1", &json!({"state": "draining", "reason": "disk \u{e4}", "force": true})),
-        mark_edit(schema, "c2", &json!({"expires": "2026-06-01T00:00:00Z"})),
+    let overrides = [
+        override_edit(schema, "c1", &json!({"state": "draining", "reason": "disk \u{e4}", "force": true})),
+        override_edit(schema, "c2", &json!({"expires": "2026-06-01T00:00:00Z"})),
     ];
     datastores
-        .edit_config(ana, Datastore::Candidate, &marks, ErrorOption::Rollback, EditMode::Apply)
+        .edit_config(ana, Datastore::Candidate, &overrides, ErrorOption::Rollback, EditMode::Apply)
         .unwrap();
-    datastores.commit(seconds_after_start(2), ana, &plain, "two hosts", &around).unwrap();
-    let set = [mark_edit(schema, "c1", &json!({"reason": "disk swapped"}))];
-    datastores.set(seconds_after_start(3), bert, &set, None, "", &around).unwrap();
+    datastores.commit(seconds_after_start(2), ana, &plain, "two hosts", &context).unwrap();
+    let set = [override_edit(schema, "c1", &json!({"reason": "disk swapped"}))];
+    datastores.set(seconds_after_start(3), bert, &set, None, "", &context).unwrap();
     let gone = [("state", Scalar::text("gone"))];
-    datastores.set_override(seconds_after_start(4), root, "drain", "c3", &gone, &around).unwrap();
-    datastores.set_override(seconds_after_start(5), root, "undrain", "c2", &[], &around).unwrap();
+    datastores.set_override(seconds_after_start(4), root, "drain", "c3", &gone, &context).unwrap();
+    datastores.set_override(seconds_after_start(5), root, "undrain", "c2", &[], &context).unwrap();
     // A confirmed commit that runs out, so that one commit is the dispatcher's own.
     let confirmed = CommitOptions {
         confirm_timeout: Some(Duration::from_secs(5)),
         persist: Some("p".into()),
         persist_id: None,
     };
-    let fourth = [mark_edit(schema, "c4", &json!({"state": "draining"}))];
+    let fourth = [override_edit(schema, "c4", &json!({"state": "draining"}))];
     datastores
         .edit_config(ana, Datastore::Candidate, &fourth, ErrorOption::Rollback, EditMode::Apply)
         .unwrap();
-    datastores.commit(seconds_after_start(6), ana, &confirmed, "", &around).unwrap();
+    datastores.commit(seconds_after_start(6), ana, &confirmed, "", &context).unwrap();
     datastores.on_tick(seconds_after_start(11));
     // And one that is pending as the last snapshot is written.
-    let fifth = [mark_edit(schema, "c5", &json!({"state": "gone"}))];
+    let fifth = [override_edit(schema, "c5", &json!({"state": "gone"}))];
     datastores
         .edit_config(ana, Datastore::Candidate, &fifth, ErrorOption::Rollback, EditMode::Apply)
         .unwrap();
     let confirmed =
         CommitOptions { confirm_timeout: Some(Duration::from_secs(60)), ..CommitOptions::default() };
-    datastores.commit(seconds_after_start(12), ana, &confirmed, "on trial", &around).unwrap();
+    datastores.commit(seconds_after_start(12), ana, &confirmed, "on trial", &context).unwrap();
     datastores
 }
 
--- a/crates/rockflow-operator-config/src/dissemination.rs
+++ b/crates/rockflow-operator-config/src/dissemination.rs
@@ -73,7 +73,7 @@
         }
         self.require(section, "directory", "a file with a line a member");
         let directory = self.path(section, "directory")?;
-        Some(ControlSection { directory, marks: self.path(section, "marks") })
+        Some(ControlSection { directory, overrides: self.path(section, "marks") })
     }
 
     fn read_name(&mut self, section: &str, key: &str) -> Option<String> {
--- a/crates/rockflow-operator-config/src/sections.rs
+++ b/crates/rockflow-operator-config/src/sections.rs
@@ -140,5 +140,5 @@
     /// The file of the members, as CSV.
     pub directory: PathBuf,
     /// The file of administrative overrides (`marks`).
-    pub marks: Option<PathBuf>,
+    pub overrides: Option<PathBuf>,
 }
--- a/crates/rockflow-operator-config/tests/dissemination.rs
+++ b/crates/rockflow-operator-config/tests/dissemination.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_is_not_told_has_its_usual_value() {
+fn absent_keys_have_their_defaults() {
     let part = one(GOOD).unwrap().dissemination.unwrap();
     assert_eq!((part.fleet.as_str(), part.listen), ("shops", "127.0.0.1:7510".parse().unwrap()));
     let control: Vec<_> =
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn all_keys_are_read() {
+fn reads_all_keys() {
     let more = "seeds = 127.0.0.1:7511,127.0.0.1:7512\nbytes-per-second = 1024\npulse-ms = 50\n\
                 [control]\ndirectory = members.csv\nmarks = marks\n";
     let file = one(&format!("{GOOD}{more}")).unwrap();
@@ -42,11 +42,11 @@
     assert_eq!((part.seeds.len(), part.bytes_per_second), (2, 1024));
     assert_eq!(part.heartbeat_interval, Duration::from_millis(50));
     assert_eq!(control.directory.to_str(), Some("members.csv"));
-    assert_eq!(control.marks.unwrap().to_str(), Some("marks"));
+    assert_eq!(control.overrides.unwrap().to_str(), Some("marks"));
 }
 
 #[test]
-fn a_trusted_network_may_be_any() {
+fn trusted_network_allows_any_address() {
     let text = GOOD.replace("127.0.0.1", "192.0.2.7");
     let faults = one(&text).unwrap_err();
     let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
@@ -84,14 +84,14 @@
 #[test_case("pulse-ms", "1.5", "a number from 50 to 5000 is allowed"; "half a millisecond")]
 #[test_case("trusted-network", "maybe", "[dissemination] trusted-network: \"maybe\" is neither yes nor no"; "no yes or no")]
 #[test_case("size", "1", "a.ini:6: [dissemination] size: no such key"; "no such key")]
-fn a_fault_names_its_line_key_and_what_is_allowed(key: &str, value: &str, wanted: &str) {
+fn error_names_its_line_key_and_what_is_allowed(key: &str, value: &str, wanted: &str) {
     let faults = one(&with(key, value)).unwrap_err();
     let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
     assert!(texts.iter().any(|text| text.contains(wanted)), "{texts:?}");
 }
 
 #[test]
-fn more_control_nodes_than_may_be_are_refused() {
+fn rejects_more_control_nodes_than_allowed() {
     let nodes: Vec<_> = (1..=17).map(|n| format!("c{n}@127.0.0.1:{n}")).collect();
     assert!(one(&with("control", &nodes[..16].join(","))).is_ok());
     let faults = one(&with("control", &nodes.join(","))).unwrap_err();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn control_stands_with_dissemination_alone() {
+fn rejects_control_without_dissemination() {
     let faults = one("[control]\ndirectory = x\n").unwrap_err();
     assert!(faults[0].to_string().starts_with("a.ini:2: [control] needs a section"), "{}", faults[0]);
     let faults = one(&format!("{GOOD}[control]\nmarks = x\n")).unwrap_err();
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn an_empty_section_is_faulty_where_it_stands() {
+fn reports_empty_section_at_its_line() {
     let faults = one("\n[dissemination]\n").unwrap_err();
     assert!(faults[0].to_string().starts_with("a.ini:2: [dissemination] "), "{}", faults[0]);
 }
 
 #[test]
-fn all_faults_of_a_section_come_at_once() {
+fn reports_all_errors_of_a_section_at_once() {
     let faults = one("[dissemination]\nlisten = x\ncontrol = y\npulse-ms = z\n").unwrap_err();
     let keys: Vec<_> = faults.iter().map(|fault| fault.key.as_str()).collect();
     let wanted = ["fleet", "purge-seconds", "listen", "control", "pulse-ms"];
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn marks_are_read_line_by_line() {
+fn parses_overrides_line_by_line() {
     let marks = parse_overrides("marks", "# none\n\nc1 = draining # for now\n c2=gone\n").unwrap();
     let marks: Vec<_> = marks.iter().map(|(name, mark)| (name.as_str(), *mark)).collect();
     assert_eq!(marks, [("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
@@ -131,7 +131,7 @@
 #[test_case("\nc1 = ready\n", "marks:2: \"ready\" is neither draining nor gone"; "odd state")]
 #[test_case(" = gone\n", "marks:1: \"\" is no host's name"; "no name")]
 #[test_case("c1 = gone\nc1 = draining\n", "marks:2: \"c1\" stands twice"; "twice")]
-fn a_fault_in_a_mark_names_its_line(text: &str, wanted: &str) {
+fn error_in_an_override_names_its_line(text: &str, wanted: &str) {
     let faults = parse_overrides("marks", text).unwrap_err();
     assert!(faults[0].to_string().starts_with(wanted), "{}", faults[0]);
 }
--- a/crates/rockflow-operator-config/tests/literal_text.rs
+++ b/crates/rockflow-operator-config/tests/literal_text.rs
@@ -108,7 +108,7 @@
     assert!(part.trusted_network);
     let control = file.control.unwrap();
     assert_eq!(control.directory, path("/etc/rockflow/members.csv"));
-    assert_eq!(control.marks.as_deref(), Some(path("/etc/rockflow/marks")));
+    assert_eq!(control.overrides.as_deref(), Some(path("/etc/rockflow/marks")));
 }
 
 /// The sections and keys of a text, in its order; lines of the example are commented out.
--- a/crates/rockflow-operator-config/tests/file.rs
+++ b/crates/rockflow-operator-config/tests/management.rs
@@ -23,7 +23,7 @@
 ";
 
 #[test]
-fn an_absent_file_and_an_absent_section_are_parts_that_do_not_exist() {
+fn absent_file_or_section_configures_nothing() {
     assert_eq!(parse(&[]).unwrap(), OperatorConfig::default());
     let file = one(GOOD).unwrap();
     assert!(file.gnmi.is_none());
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn the_example_reads() {
+fn example_configures_nothing() {
     let file = one(include_str!("../../../deploy/rockflow.ini"));
     assert_eq!(file.unwrap(), OperatorConfig::default());
 }
 
 #[test]
-fn a_later_layer_holds_key_by_key() {
+fn later_layer_overrides_key_by_key() {
     let over = "[netconf]\nmessage-kb = 128\n[management]\nrestart = startup\n";
     let layers = [("a.ini", GOOD), ("b.ini", over)].map(|(name, text)| layer(name, text));
     let file = parse(&layers).unwrap();
@@ -66,14 +66,14 @@
 #[test_case("[management]\nowner = ana\n[gnmi]\nlisten = 127.0.0.1:1\nkey = k\ncertificate = c\nclient-ca = a\nsubscribers = many\n", "a.ini:8: [gnmi] subscribers: \"many\" is no whole number"; "no number")]
 #[test_case("[management\nowner = ana\n", "a.ini:"; "no INI")]
 #[test_case("stray = 1\n", "no such section"; "ahead of any section")]
-fn a_fault_names_its_line_section_and_key(text: &str, wanted: &str) {
+fn error_names_its_line_section_and_key(text: &str, wanted: &str) {
     let faults = one(text).unwrap_err();
     let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
     assert!(texts.iter().any(|text| text.contains(wanted)), "{texts:?}");
 }
 
 #[test]
-fn all_faults_come_at_once() {
+fn reports_all_errors_at_once() {
     let text = "[management]\nrestart = never\n[netconf]\nssh = x\nmessage-kb = y\n";
     assert!(one(text).unwrap_err().len() >= 4);
 }
--- a/crates/rockflow-store/tests/crashes.rs
+++ b/crates/rockflow-store/tests/crashes.rs
@@ -30,7 +30,7 @@
 
 /// Every step of the saves that follow, every part of the unsynced names, every fate of unsynced bytes.
 #[test]
-fn a_crash_leaves_the_old_or_the_new_whole_and_loses_nothing_acknowledged() {
+fn crash_leaves_old_or_new_snapshot_whole_and_loses_nothing_acknowledged() {
     let mut points = 0;
     for before in 0..4 {
         for step in 0.. {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_failed_step_leaves_what_was_and_the_next_save_holds() {
+fn failed_step_leaves_last_snapshot_and_next_save_succeeds() {
     for step in 0..5 {
         let mut store = open(after(3).failing_at([step])).store;
         let saved = store.save(&payload(3));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_folder_that_can_not_be_synced_is_acknowledged_as_unsure() {
+fn reports_uncertain_save_where_folder_can_not_be_synced() {
     // The write, the sync and the rename pass; the folder's sync and the taking back fail.
     let mut store = open(after(1).failing_at([3, 4])).store;
     assert!(matches!(store.save(&payload(1)), Err(SaveError::Uncertain(_))));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_full_disk_keeps_the_last_and_frees_what_it_took() {
+fn full_disk_retains_last_snapshot_and_frees_the_temporary_file() {
     let full = after(2);
     let used: usize = full.names().iter().map(|name| full.bytes(name).unwrap().len()).sum();
     let mut store = open(full.with_capacity(used + 10)).store;
@@ -105,14 +105,14 @@
 }
 
 #[test]
-fn a_disk_that_takes_no_writes_still_reads() {
+fn read_only_disk_still_reads() {
     let Opened { mut store, snapshot, .. } = open(after(2).read_only());
     assert_eq!(snapshot.unwrap().payload, payload(1));
     assert!(matches!(store.save(&payload(2)), Err(SaveError::NotSaved(_))));
 }
 
 #[test]
-fn every_flipped_bit_is_seen() {
+fn detects_every_flipped_bit() {
     let disk = after(2);
     let newest = disk.names().into_iter().max().unwrap();
     let bytes = disk.bytes(&newest).unwrap().to_vec();
@@ -129,7 +129,7 @@
 #[test_case(&[], "shorter"; "empty")]
 #[test_case(&[7; 400], "not a file"; "foreign")]
 #[test_case(&[0; MAX_BYTES * 2], "large"; "larger than the cap")]
-fn what_is_not_ours_is_passed_over_and_left_alone(bytes: &[u8], complaint: &str) {
+fn skips_foreign_files_and_leaves_them_alone(bytes: &[u8], complaint: &str) {
     let mut disk = after(2);
     let foreign = format!("marks.{:020}", 77);
     disk.plant(&foreign, bytes);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_newer_form_is_left_for_the_newer_program() {
+fn skips_newer_format_and_leaves_it_for_the_newer_program() {
     let mut newer = Store::open(after(2), "marks", 9, MAX_BYTES).unwrap().store;
     newer.save(b"from tomorrow").unwrap();
     let Opened { snapshot, unreadable, .. } = open(newer.disk().clone());
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn what_can_not_be_read_back_is_not_written() {
+fn rejects_payload_too_large_to_be_read_back() {
     let mut store = open(FaultyDisk::default()).store;
     assert!(matches!(store.save(&[0; MAX_BYTES + 1]), Err(SaveError::TooLarge { .. })));
     assert_eq!(store.disk().steps(), 0);
 }
 
 #[test]
-fn a_folder_of_the_file_system_comes_back_and_is_held_once() {
+fn folder_reads_back_its_snapshots_and_is_open_only_once() {
     let path = std::env::temp_dir().join(format!("rockflow-store-{}", std::process::id()));
     let Opened { mut store, snapshot, .. } =
         Store::open(Folder::open(&path).unwrap(), "marks", 1, MAX_BYTES).unwrap();
