--- a/crates/rockflow-management-service/src/lib.rs
+++ b/crates/rockflow-management-service/src/lib.rs
@@ -1,4 +1,4 @@
-//! What stands between the management datastores and the servers of NETCONF and gNMI: the datastores beside a
+//! The layer between the management datastores and the servers of NETCONF and gNMI: the datastores beside a
 //! running dispatcher, authentication of connections, credentials, and the audit log. A server decodes a request,
 //! makes a call of a [`SessionHandle`], and encodes the result; it decides nothing.
 
--- a/crates/rockflow-management-service/src/service/changes.rs
+++ b/crates/rockflow-management-service/src/service/changes.rs
@@ -46,8 +46,8 @@
     }
 
     /// Carries out what a change has brought, while the lock is held, so that commits reach the endpoint list in
-    /// their order, also those of an ended session or a timeout. Where overrides were sent, the receiver tells
-    /// when the decisions apply them.
+    /// their order, also those of an ended session or a timeout. Where overrides were sent, the receiver
+    /// completes when the decisions apply them.
     pub(crate) fn process_notifications(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
         let now = self.now();
         let mut has_commit = false;
--- a/crates/rockflow-management-service/src/service/observation.rs
+++ b/crates/rockflow-management-service/src/service/observation.rs
@@ -15,7 +15,7 @@
 /// The shortest wait, whatever is due or changes.
 const MIN_TIMER_WAIT: Duration = Duration::from_millis(5);
 
-/// What subscribers of events were last told of the endpoints.
+/// The states of the endpoints that subscribers of events were last notified of.
 #[derive(Default)]
 pub(super) struct EndpointObserver {
     states: BTreeMap<String, EffectiveReadiness>,
--- a/crates/rockflow-management/src/confirmed_commit.rs
+++ b/crates/rockflow-management/src/confirmed_commit.rs
@@ -62,7 +62,7 @@
         PendingCommitInfo { author: &self.author, session: self.session, deadline: self.deadline }
     }
 
-    /// The session that stands in the way of others until it is confirmed.
+    /// The session that blocks others until it is confirmed.
     pub(crate) fn holder(&self) -> SessionId {
         self.session.unwrap_or(SessionId::NONE)
     }
--- a/crates/rockflow-management/src/history.rs
+++ b/crates/rockflow-management/src/history.rs
@@ -1,4 +1,4 @@
-//! Past commits, the way back to an earlier configuration, and who set each value last.
+//! Past commits, the reconstruction of earlier configurations, and who set each value last.
 
 use crate::session::Operator;
 use rockflow_yang::{data, Change, Fields, Path, Schema};
@@ -17,7 +17,7 @@
     pub operator: Operator,
     /// When, as Unix time.
     pub time: Duration,
-    /// The operator's remark, or what the dispatcher says of a commit of its own.
+    /// The operator's remark, or the dispatcher's, of a commit of its own.
     pub comment: String,
     /// Each leaf that changed.
     pub changes: Vec<Change>,
--- a/crates/rockflow-management/src/lib.rs
+++ b/crates/rockflow-management/src/lib.rs
@@ -5,7 +5,7 @@
 //! goes through the narrow trait [`SnapshotStorage`].
 //!
 //! [`Management`] holds the datastores and sessions; [`Access`] is the compiled form of a configuration's access
-//! rules; [`Subscription`] tells what a subscriber is sent and when.
+//! rules; [`Subscription`] decides what a subscriber is sent and when.
 
 pub mod access;
 mod candidate;
--- a/crates/rockflow-management/src/management.rs
+++ b/crates/rockflow-management/src/management.rs
@@ -192,8 +192,8 @@
     }
 }
 
-/// Drops the pending commit of a stored record, whose running is the configuration before it, and says so in the
-/// history.
+/// Drops the pending commit of a stored record, whose running is the configuration before it, and records that in
+/// the history.
 fn revert_pending(now: Duration, record: &mut Record) -> Option<RestoreWarning> {
     let pending = record.pending.take()?;
     let warning = RestoreWarning::UnconfirmedCommit { version: pending.version, author: pending.author };
--- a/crates/rockflow-management/src/management/installation.rs
+++ b/crates/rockflow-management/src/management/installation.rs
@@ -1,4 +1,4 @@
-//! Putting commits in force: stored first, then installed, with a way back while one waits for its confirmation.
+//! Putting commits in force: stored first, then installed, and reverted where a confirmed commit is not confirmed.
 
 use super::Management;
 use crate::access::Access;
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -81,7 +81,7 @@
             match read_commit(schema, entry) {
                 Some(commit) => record.history.push_back(commit),
                 None => {
-                    // Guards against a way back that leaves one of its steps out.
+                    // Guards against a rollback that leaves out one of its steps.
                     warnings.push(RestoreWarning::HistoryLeftOut { version: entry["version"].to_string() });
                     record.history.clear();
                 }
--- a/crates/rockflow-operator-config/tests/literal_text.rs
+++ b/crates/rockflow-operator-config/tests/literal_text.rs
@@ -142,5 +142,5 @@
     assert_eq!(file.netconf.unwrap().handshakes, 32);
     assert_eq!(file.gnmi.unwrap().least_interval_ms, 100);
     assert_eq!(file.dissemination.unwrap().bytes_per_second, 6144);
-    assert!(file.control.unwrap().marks.is_some());
+    assert!(file.control.unwrap().overrides.is_some());
 }
--- a/crates/rockflow-store/src/faulty.rs
+++ b/crates/rockflow-store/src/faulty.rs
@@ -1,4 +1,4 @@
-//! A disk in memory for tests: it fails at the steps it is told to, and after a crash it retains only what was
+//! A disk in memory for tests: it fails at the steps that a test names, and after a crash it retains only what was
 //! synced, or any part of the rest that a real one might have retained.
 
 use crate::disk::Disk;
@@ -110,7 +110,7 @@
     }
 
     /// The disk as a new process finds it after a crash: the first so many unsynced changes of names are durable,
-    /// and of unsynced bytes what is told.
+    /// and `unsynced` says what is left of unsynced bytes.
     pub fn after_crash(&self, name_changes: usize, unsynced: UnsyncedBytes) -> FaultyDisk {
         let mut names = self.synced_names.clone();
         for change in self.unsynced_changes.iter().take(name_changes) {
