--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -40,10 +40,11 @@
         let (part, files) = (beside.file().dissemination.clone(), beside.file().control.clone());
         let part = part.ok_or("a control process needs a section [dissemination] in the operator's file")?;
         let files = files.ok_or("a control process needs a section [control] in the operator's file")?;
-        let own = part.control.iter().find(|(name, _)| *name == told.name);
-        let (_, at) = own.ok_or_else(|| format!("[dissemination] control: does not name {}", told.name))?;
+        let own = part.control.iter().find(|node| node.name == told.name);
+        let own = own.ok_or_else(|| format!("[dissemination] control: does not name {}", told.name))?;
+        let at = own.address;
         // Within a trusted network addresses may be translated on the way.
-        let elsewhere = !part.listen.ip().is_unspecified() && part.listen != *at;
+        let elsewhere = !part.listen.ip().is_unspecified() && part.listen != at;
         if elsewhere && !part.trusted_network {
             return Err(format!(
                 "[dissemination] listen: {} is another address than {at} of {} in control",
@@ -51,7 +52,7 @@
             ));
         }
         let directory = directory(&files.directory, &part)?;
-        let marks = marks(files.marks.as_deref())?;
+        let marks = marks(files.overrides.as_deref())?;
         Ok(Given { told, part, files, directory, marks })
     }
 
@@ -230,7 +231,7 @@
     }
 
     fn read_marks(&mut self) {
-        match marks(self.given.files.marks.as_deref()) {
+        match marks(self.given.files.overrides.as_deref()) {
             Ok(read) => {
                 self.given.marks = read;
                 self.unsaid = true;
--- a/crates/rockflow-netconf/src/rpc/edit.rs
+++ b/crates/rockflow-netconf/src/rpc/edit.rs
@@ -5,7 +5,7 @@
 use crate::codec;
 use crate::ns;
 use crate::xml::Element;
-use rockflow_management::{Datastore, ErrorOption, ManagementError};
+use rockflow_management::{ConfigSource, Datastore, EditMode, ErrorOption, ManagementError};
 use rockflow_management_service::SessionHandle;
 use rockflow_yang::{data, DataTree, Edit, EditOperation, Schema};
 
@@ -34,12 +34,12 @@
         let request = EditRequest::parse(schema, operation).map_err(|error| vec![error])?;
         if request.test != TestOption::Set {
             let tested = apply_to_copy(schema, session, &request)?;
-            session.validate(Err(tested)).await.map_err(|error| vec![error])?;
+            session.validate(ConfigSource::Inline(tested)).await.map_err(|error| vec![error])?;
         }
         if request.test != TestOption::TestOnly {
             let EditRequest { target, edits, on_error, .. } = request;
             session.update(|datastores, _| {
-                datastores.edit_config(session.id, target, &edits, on_error, false)
+                datastores.edit_config(session.id, target, &edits, on_error, EditMode::Apply)
             })?;
         }
         Ok(Reply::Ok)
@@ -54,7 +54,7 @@
 ) -> Result<DataTree, Vec<ManagementError>> {
     let EditRequest { target, edits, .. } = request;
     session.update(|datastores, _| {
-        datastores.edit_config(session.id, *target, edits, ErrorOption::Rollback, true)?;
+        datastores.edit_config(session.id, *target, edits, ErrorOption::Rollback, EditMode::TestOnly)?;
         let mut tree = datastores.datastore(session.id, *target).clone();
         for edit in edits {
             data::apply_edit(schema, &mut tree, edit).map_err(|error| vec![error.into()])?;
