--- /dev/null
+++ b/crates/rockflow-simulator-adapter/src/instances.rs
@@ -0,0 +1,142 @@
+//! The instances of dispatchers in the process, and the batches of events for them.
+
+use crate::error::AdapterError;
+use crate::wire::decode::{read_entries, read_event, UnresolvedEntry};
+use crate::wire::encode::InstanceRecords;
+use crate::wire::reader::Reader;
+use crate::wire::EventCode;
+use rockflow::Dispatcher;
+use rockflow_settings::{DeploymentSettings, DottedSettings};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// The number of endpoint lists that can be sent.
+const LIST_COUNT: usize = 16;
+
+struct Instance {
+    dispatcher: Dispatcher,
+    settings: DeploymentSettings,
+}
+
+/// The endpoint lists of the process, and its instances by number.
+#[derive(Default)]
+pub(crate) struct Instances {
+    lists: [Option<Vec<UnresolvedEntry>>; LIST_COUNT],
+    /// None: the settings of the instance did not parse.
+    instances: BTreeMap<u32, Option<Instance>>,
+}
+
+/// What the instances answer to a batch.
+#[derive(Default)]
+struct Reply {
+    instances: Vec<InstanceRecords>,
+    /// The index of the instance that was named last.
+    current: Option<usize>,
+}
+
+impl Reply {
+    fn name_instance(&mut self, instance: u32) {
+        let known = self.instances.iter().position(|records| records.instance() == instance);
+        let index = known.unwrap_or_else(|| {
+            self.instances.push(InstanceRecords::new(instance));
+            self.instances.len() - 1
+        });
+        self.current = Some(index);
+    }
+
+    fn current(&mut self) -> Option<&mut InstanceRecords> {
+        self.instances.get_mut(self.current?)
+    }
+}
+
+impl Instances {
+    /// Plays a batch of `count` records at a time, and returns what each instance answers.
+    ///
+    /// # Errors
+    /// If the batch is malformed or refers to what is not known.
+    pub(crate) fn play_batch(
+        &mut self,
+        reader: &mut Reader,
+        now: Duration,
+        count: u32,
+    ) -> Result<Vec<InstanceRecords>, AdapterError> {
+        let mut reply = Reply::default();
+        for _ in 0..count {
+            self.play_record(reader, now, &mut reply)?;
+        }
+        if !reader.is_empty() {
+            return Err(AdapterError::BytesLeftOver { at: reader.place() });
+        }
+        Ok(reply.instances)
+    }
+
+    fn play_record(
+        &mut self,
+        reader: &mut Reader,
+        now: Duration,
+        reply: &mut Reply,
+    ) -> Result<(), AdapterError> {
+        let at = reader.place();
+        let code = reader.u16()?;
+        let event = EventCode::from_code(code).ok_or(AdapterError::UnknownEventCode { code, at })?;
+        match event {
+            EventCode::InstanceNamed => {
+                reply.name_instance(reader.u32()?);
+                return Ok(());
+            }
+            EventCode::EndpointList => return self.set_list(reader),
+            _ => {}
+        }
+        let records = reply.current().ok_or(AdapterError::NoInstanceNamed { code, at })?;
+        let instance = records.instance();
+        match event {
+            EventCode::InstanceCreated => self.create(reader, records),
+            EventCode::InstanceRetired => {
+                // What it answered earlier in this batch is void with it.
+                self.instances.remove(&instance);
+                records.clear();
+                Ok(())
+            }
+            _ => {
+                let Some(instance) = self.instances.get_mut(&instance) else {
+                    return Err(AdapterError::InstanceNotRunning { code, instance, at });
+                };
+                let settings = instance.as_ref().map(|instance| &instance.settings);
+                let event = read_event(reader, event, &self.lists, settings)?;
+                if let (Some(instance), Some(event)) = (instance, event) {
+                    records.push_actions(&instance.dispatcher.handle(now, event));
+                }
+                Ok(())
+            }
+        }
+    }
+
+    fn set_list(&mut self, reader: &mut Reader) -> Result<(), AdapterError> {
+        let at = reader.place();
+        let list = usize::from(reader.u8()?);
+        let entries = read_entries(reader)?;
+        let max = LIST_COUNT - 1;
+        let slot = self.lists.get_mut(list).ok_or(AdapterError::ListNumberTooHigh { list, max, at })?;
+        *slot = Some(entries);
+        Ok(())
+    }
+
+    fn create(&mut self, reader: &mut Reader, records: &mut InstanceRecords) -> Result<(), AdapterError> {
+        let seed = reader.u64()?;
+        let length = reader.u32()? as usize;
+        let text = String::from_utf8_lossy(reader.bytes(length)?);
+        let instance = match DeploymentSettings::parse(&DottedSettings::from_lines(&text)) {
+            Ok(settings) => {
+                let mut dispatcher = Dispatcher::new(settings.deployment.clone(), seed);
+                records.push_actions(&dispatcher.start());
+                Some(Instance { dispatcher, settings })
+            }
+            Err(error) => {
+                records.push_settings_rejected(&error.to_string());
+                None
+            }
+        };
+        self.instances.insert(records.instance(), instance);
+        Ok(())
+    }
+}
--- a/crates/rockflow-simulator-adapter/src/main.rs
+++ b/crates/rockflow-simulator-adapter/src/main.rs
@@ -1,11 +1,13 @@
+//! Plays the batches on standard input and writes the replies to standard output.
+
 use std::io::{stdin, stdout};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     match rockflow_simulator_adapter::run(stdin().lock(), stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("rockflow-simulator-adapter: {what}");
+        Err(error) => {
+            eprintln!("rockflow-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/rockflow-simulator-adapter/src/wire/decode.rs
@@ -0,0 +1,250 @@
+//! Decodes the records that the simulator sends.
+
+use super::reader::Reader;
+use super::EventCode;
+use crate::error::AdapterError;
+use rockflow::{
+    AttemptEnd, AttemptNumber, CacheStatus, CellId, ClassId, EndpointEntry, Event, GroupId, ListScope,
+    LocationId, ObjectId, Outcome, Readiness, Request, RequestId, Role, TimerId,
+};
+use rockflow_settings::DeploymentSettings;
+use std::time::Duration;
+
+/// An entry of an endpoint list, before the settings tell its role.
+pub struct UnresolvedEntry {
+    entry: EndpointEntry,
+    /// The index of its kind in the settings.
+    kind: i64,
+}
+
+/// An endpoint list by its number; none if it was not sent.
+pub type EndpointLists = [Option<Vec<UnresolvedEntry>>];
+
+/// Reads the entries of an endpoint list behind their count.
+///
+/// # Errors
+/// If the record is malformed.
+pub fn read_entries(reader: &mut Reader) -> Result<Vec<UnresolvedEntry>, AdapterError> {
+    let count = reader.u32()?;
+    let mut entries = Vec::new();
+    for _ in 0..count {
+        entries.push(read_entry(reader)?);
+    }
+    Ok(entries)
+}
+
+/// Reads what an instance is informed of. None: the instance has no settings, as they did not parse; then the record is
+/// read all the same.
+///
+/// # Errors
+/// If the record is malformed, or refers to what is not known.
+///
+/// # Panics
+/// If the code is not one of an instance's events.
+pub fn read_event(
+    reader: &mut Reader,
+    code: EventCode,
+    lists: &EndpointLists,
+    settings: Option<&DeploymentSettings>,
+) -> Result<Option<Event>, AdapterError> {
+    let event = match code {
+        EventCode::EndpointsListed => return read_endpoints_listed(reader, lists, settings),
+        EventCode::RequestArrived => Event::RequestArrived(read_request(reader, settings)?),
+        EventCode::ClientDisconnected => Event::ClientDisconnected(RequestId(reader.u64()?)),
+        EventCode::TimerFired => Event::TimerFired(TimerId(reader.u32()?)),
+        EventCode::HealthChecked => Event::HealthChecked {
+            host: reader.host()?,
+            outcome: read_outcome(reader)?,
+            duration: reader.duration()?,
+            load_report: reader.floats()?,
+        },
+        EventCode::AttemptEnded => Event::AttemptEnded(read_attempt_end(reader)?),
+        EventCode::ResponseStarted => read_response_started(reader)?,
+        EventCode::Purged => read_purge(reader)?,
+        EventCode::MessageReceived => {
+            let from = reader.u16()?;
+            let length = reader.u16()?;
+            Event::MessageReceived { from, payload: reader.bytes(usize::from(length))?.to_vec() }
+        }
+        EventCode::InstanceNamed
+        | EventCode::EndpointList
+        | EventCode::InstanceCreated
+        | EventCode::InstanceRetired => unreachable!("the adapter itself handles {code:?}"),
+    };
+    Ok(settings.is_some().then_some(event))
+}
+
+fn read_entry(reader: &mut Reader) -> Result<UnresolvedEntry, AdapterError> {
+    let cell = CellId(reader.u16()?);
+    let host = reader.host()?;
+    let location = LocationId(reader.u16()?);
+    let readiness = read_readiness(reader)?;
+    let weight = f64::from(reader.f32()?);
+    let started = match reader.u64()? {
+        0 => None,
+        micros => Some(Duration::from_micros(micros)),
+    };
+    let kind = i64::from(reader.u8()?);
+    let entry = EndpointEntry { host, cell, location, role: Role::Cache, readiness, weight, started };
+    Ok(UnresolvedEntry { entry, kind })
+}
+
+fn read_endpoints_listed(
+    reader: &mut Reader,
+    lists: &EndpointLists,
+    settings: Option<&DeploymentSettings>,
+) -> Result<Option<Event>, AdapterError> {
+    let at = reader.place();
+    let scope = read_list_scope(reader)?;
+    let _generation = reader.u32()?;
+    let list = reader.u8()?;
+    let unresolved = match lists.get(usize::from(list)) {
+        _ if scope == ListScope::Failed => &[][..],
+        Some(Some(entries)) => entries,
+        _ => return Err(AdapterError::ListNeverSent { list, at }),
+    };
+    let Some(settings) = settings else { return Ok(None) };
+    let mut entries = Vec::with_capacity(unresolved.len());
+    for entry in unresolved {
+        let entry = resolve(entry, settings).ok_or(AdapterError::UnknownLocationOrKind { list, at })?;
+        entries.push(entry);
+    }
+    Ok(Some(Event::EndpointsListed { scope, entries }))
+}
+
+/// The entry with its role. None: its location or kind is not known.
+fn resolve(unresolved: &UnresolvedEntry, settings: &DeploymentSettings) -> Option<EndpointEntry> {
+    let is_known = usize::from(unresolved.entry.location.0) < settings.location_count
+        && unresolved.kind < settings.kind_count as i64;
+    if !is_known {
+        return None;
+    }
+    let role = match unresolved.kind {
+        kind if kind == settings.parent_kind => Role::Parent,
+        kind if kind == settings.origin_kind => Role::Origin,
+        _ => Role::Cache,
+    };
+    Some(EndpointEntry { role, ..unresolved.entry.clone() })
+}
+
+fn read_request(reader: &mut Reader, settings: Option<&DeploymentSettings>) -> Result<Request, AdapterError> {
+    let at = reader.place();
+    let id = RequestId(reader.u64()?);
+    let class = usize::from(reader.u8()?);
+    let _tenant = reader.u16()?;
+    let object = ObjectId(reader.u64()?);
+    let time_left = reader.duration()?;
+    let size_kb = f64::from(reader.f32()?);
+    let group = reader.f32()?;
+    let part = reader.f32()?;
+    let _marks = reader.u16()?;
+    if settings.is_some_and(|settings| class >= settings.deployment.classes.len()) {
+        return Err(AdapterError::UnknownClass { class, at });
+    }
+    Ok(Request {
+        id,
+        class: ClassId(class),
+        object,
+        part: part as u32,
+        group: GroupId(group as u64),
+        time_left,
+        size_kb: if size_kb.is_finite() { size_kb.max(0.0) } else { 0.0 },
+        previous_attempts: Vec::new(),
+    })
+}
+
+fn read_attempt_end(reader: &mut Reader) -> Result<AttemptEnd, AdapterError> {
+    let request = RequestId(reader.u64()?);
+    let attempt = AttemptNumber(reader.u16()?);
+    let host = reader.host()?;
+    let outcome = read_outcome(reader)?;
+    let duration = reader.duration()?;
+    let request_finished = reader.u8()? != 0;
+    let cache_status = read_cache_status(reader)?;
+    let fill_wait = reader.duration()?;
+    let _load_report = reader.floats()?;
+    Ok(AttemptEnd {
+        request,
+        attempt,
+        host,
+        outcome,
+        duration,
+        request_finished,
+        cache_status,
+        fill_wait,
+        // The simulator sends what it is handed.
+        first_byte_sent: true,
+    })
+}
+
+fn read_response_started(reader: &mut Reader) -> Result<Event, AdapterError> {
+    let request = RequestId(reader.u64()?);
+    let _host = reader.host()?;
+    let _duration = reader.duration()?;
+    let attempt = AttemptNumber(reader.u16()?);
+    Ok(Event::ResponseStarted { request, attempt })
+}
+
+fn read_purge(reader: &mut Reader) -> Result<Event, AdapterError> {
+    let object = match reader.u64()? {
+        0 => None,
+        object => Some(ObjectId(object)),
+    };
+    let group = Some(GroupId(u64::from(reader.u16()?)));
+    Ok(Event::Purged { object, group, age: reader.duration()? })
+}
+
+fn read_list_scope(reader: &mut Reader) -> Result<ListScope, AdapterError> {
+    let at = reader.place();
+    match reader.u8()? {
+        0 => Ok(ListScope::Failed),
+        1 => Ok(ListScope::Restored),
+        2 => Ok(ListScope::Full),
+        4 => Ok(ListScope::Changes),
+        other => Err(AdapterError::UnknownCode { what: "list scope", code: u16::from(other), at }),
+    }
+}
+
+fn read_readiness(reader: &mut Reader) -> Result<Readiness, AdapterError> {
+    let at = reader.place();
+    match reader.u8()? {
+        0 => Ok(Readiness::Gone),
+        1 => Ok(Readiness::Ready),
+        2 => Ok(Readiness::Draining),
+        other => Err(AdapterError::UnknownCode { what: "readiness", code: u16::from(other), at }),
+    }
+}
+
+fn read_outcome(reader: &mut Reader) -> Result<Outcome, AdapterError> {
+    let at = reader.place();
+    match reader.u16()? {
+        0 => Ok(Outcome::Succeeded),
+        1 => Ok(Outcome::Cancelled),
+        4 => Ok(Outcome::TimedOut),
+        5 => Ok(Outcome::Miss),
+        8 => Ok(Outcome::Rejected),
+        9 => Ok(Outcome::NotSent),
+        10 => Ok(Outcome::ConnectionLost),
+        13 => Ok(Outcome::HostError),
+        14 => Ok(Outcome::ConnectFailed),
+        code => Err(AdapterError::UnknownCode { what: "outcome", code, at }),
+    }
+}
+
+fn read_cache_status(reader: &mut Reader) -> Result<CacheStatus, AdapterError> {
+    let at = reader.place();
+    match reader.u8()? {
+        0 => Ok(CacheStatus::Unknown),
+        1 => Ok(CacheStatus::Hit),
+        2 => Ok(CacheStatus::Filled),
+        3 => Ok(CacheStatus::FilledByOrigin),
+        4 => Ok(CacheStatus::Coalesced),
+        5 => Ok(CacheStatus::Stale),
+        6 => Ok(CacheStatus::SourceRejected),
+        7 => Ok(CacheStatus::SourceUnreachable),
+        8 => Ok(CacheStatus::SourceMiss),
+        9 => Ok(CacheStatus::NoFillCapacity),
+        10 => Ok(CacheStatus::OriginFailed),
+        other => Err(AdapterError::UnknownCode { what: "note", code: u16::from(other), at }),
+    }
+}
--- a/crates/rockflow-simulator-adapter/tests/frames.rs
+++ b/crates/rockflow-simulator-adapter/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames in, frames out, and what is said of bad ones.
+//! Frames in, frames out, and the errors of malformed ones.
 
 use rockflow_simulator_adapter::run;
 use test_case::test_case;
@@ -33,10 +33,10 @@
     record
 }
 
-fn play(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
+fn run_to_end(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
     let mut output = Vec::new();
     let result = run(input, &mut output);
-    (result, output)
+    (result.map_err(|error| error.to_string()), output)
 }
 
 const INSTANCE: &str = "0101 00000003";
@@ -47,17 +47,17 @@
 const RETIRED: &str = "010a";
 
 #[test]
-fn an_empty_batch_has_an_empty_reply() {
-    let (result, output) = play(&hex("00000001 00000000 00000008 0000000000805c5a"));
+fn empty_batch_has_empty_reply() {
+    let (result, output) = run_to_end(&hex("00000001 00000000 00000008 0000000000805c5a"));
     assert_eq!((result, output), (Ok(()), hex("00000001 00000000 00000000")));
 }
 
 #[test]
-fn a_request_becomes_an_attempt_that_reads_through() {
+fn request_becomes_attempt() {
     let batch = frame(7, &[hex(INSTANCE), create(SETTINGS), hex(CACHE), hex(LISTED), hex(REQUEST)]);
-    let (result, output) = play(&batch);
+    let (result, output) = run_to_end(&batch);
     assert_eq!(result, Ok(()));
-    // With neither parent nor origin listed the cache itself is named as the source: held copies only.
+    // With neither parent nor origin listed the cache itself is named as the source: cached copies only.
     let attempt = "014c 000fa47d5d3a91c4 0a124a07 1b5b 0003a980 0a124a07 1b5b 01 00000000 00";
     assert_eq!(output[..12], hex("00000007 00000002 00000026"));
     assert_eq!(output[12..18], hex("014d 00000003"));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_an_instance_said_before_its_end_is_void() {
+fn actions_of_a_retired_instance_are_void() {
     let first = [
         hex(INSTANCE),
         create(SETTINGS),
@@ -75,22 +75,22 @@
         hex(RETIRED),
         create(SETTINGS),
     ];
-    let (result, output) = play(&frame(1, &first));
+    let (result, output) = run_to_end(&frame(1, &first));
     assert_eq!((result, output), (Ok(()), hex("00000001 00000000 00000000")));
 }
 
 #[test_case("peersTotal=1\n", "settings: peersTotal is missing"; "missing")]
 #[test_case("limits.tryLimit=6", "settings: limits.tryLimit does not parse"; "malformed")]
-fn a_bad_key_ends_the_instance_alone(key: &str, said: &str) {
-    let with = if said.contains("missing") { "" } else { "limits.tryLimit=six" };
+fn settings_error_ends_the_instance_alone(key: &str, error: &str) {
+    let replacement = if error.contains("missing") { "" } else { "limits.tryLimit=six" };
     let batch = frame(
         1,
-        &[hex(INSTANCE), create(&SETTINGS.replace(key, with)), hex(CACHE), hex(LISTED), hex(REQUEST)],
+        &[hex(INSTANCE), create(&SETTINGS.replace(key, replacement)), hex(CACHE), hex(LISTED), hex(REQUEST)],
     );
-    let (result, output) = play(&batch);
+    let (result, output) = run_to_end(&batch);
     assert_eq!(result, Ok(()));
     assert_eq!(output[18..20], hex("0149")[..]);
-    assert_eq!(&output[22..], said.as_bytes());
+    assert_eq!(&output[22..], error.as_bytes());
 }
 
 #[test_case(&hex("00000001 0000"), "frame cut short at byte 6"; "header cut")]
@@ -104,9 +104,9 @@
 #[test_case(&frame(1, &[hex(INSTANCE), create(SETTINGS), hex(&REQUEST.replacen("c4 00", "c4 05", 1))]), "class 5 is not"; "class")]
 #[test_case(&frame(1, &[hex(REQUEST)]), "event 258 before any instance was named at byte 20"; "no instance")]
 #[test_case(&frame(1, &[hex(INSTANCE), hex(REQUEST)]), "event 258 for instance 3 that does not run"; "not running")]
-fn bad_input_ends_with_what_and_where(input: &[u8], said: &str) {
-    let (result, _) = play(input);
-    let what = result.expect_err("bad input");
-    assert!(what.starts_with(said), "{what}");
-    assert!(!what.contains('\n'));
+fn malformed_input_ends_with_cause_and_place(input: &[u8], expected: &str) {
+    let (result, _) = run_to_end(input);
+    let error = result.expect_err("malformed input");
+    assert!(error.starts_with(expected), "{error}");
+    assert!(!error.contains('\n'));
 }
