--- a/crates/rockflow-dissemination/src/children.rs
+++ b/crates/rockflow-dissemination/src/children.rs
@@ -1,103 +1,121 @@
-//! Who follows this node, and what they report.
+//! The nodes that follow this one, and what they report.
 
-use crate::messages::{Report, MAX_REPORTS};
-use crate::words::{Identity, NodeId};
+use crate::identity::{Identity, NodeId};
+use crate::message::MAX_REPORTS;
+use crate::subtree_report::SubtreeReport;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Children of a member. One more is answered `Full`, and goes to its next candidate.
+/// Children of a member. A further one is answered with [`Message::Full`](crate::Message::Full), and follows its next
+/// candidate.
 pub const MAX_CHILDREN: usize = 16;
 /// Children of a control node, likewise.
 pub const MAX_CONTROL_CHILDREN: usize = 256;
 
+/// A node that follows this one.
 #[derive(Clone, Debug)]
-pub struct Child {
-    pub me: Identity,
-    pub at: SocketAddr,
-    pub heard: Duration,
-    pub reports: Vec<Report>,
+pub(crate) struct Child {
+    pub identity: Identity,
+    pub address: SocketAddr,
+    /// When its last acknowledgement was received.
+    pub last_received: Duration,
+    pub reports: Vec<SubtreeReport>,
 }
 
+/// What became of an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub(crate) enum AckOutcome {
+    /// From a new child, or a new incarnation of one.
     New,
     Known {
+        /// Whether its reports differ from those before.
         changed: bool,
     },
+    /// There is no room for another child.
     Full,
-    /// An earlier life of one that is a child.
+    /// From an earlier incarnation of a child.
     Earlier,
 }
 
+/// Owns the children and their last reports.
 #[derive(Clone, Debug)]
-pub struct Children {
-    map: BTreeMap<NodeId, Child>,
-    most: usize,
-    keep: Duration,
+pub(crate) struct Children {
+    children: BTreeMap<NodeId, Child>,
+    max_children: usize,
+    ttl: Duration,
 }
 
 impl Children {
-    /// Children are kept, and their reports count, for `keep` after an ack.
-    pub fn new(most: usize, keep: Duration) -> Children {
-        Children { map: BTreeMap::new(), most, keep }
+    /// A child is kept, and its reports count, for `ttl` after an acknowledgement.
+    pub fn new(max_children: usize, ttl: Duration) -> Children {
+        Children { children: BTreeMap::new(), max_children, ttl }
     }
 
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.children.len()
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+    pub fn iter(&self) -> impl Iterator<Item = &Child> {
+        self.children.values()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Child> {
-        self.map.values()
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.children.values().map(|child| child.address).collect()
+    }
+
+    pub fn reports(&self) -> impl Iterator<Item = &SubtreeReport> {
+        self.children.values().flat_map(|child| &child.reports)
     }
 
-    pub fn hear(&mut self, now: Duration, me: Identity, at: SocketAddr, mut reports: Vec<Report>) -> Heard {
+    pub fn on_acknowledgement(
+        &mut self,
+        now: Duration,
+        identity: Identity,
+        address: SocketAddr,
+        mut reports: Vec<SubtreeReport>,
+    ) -> AckOutcome {
         reports.truncate(MAX_REPORTS);
         for report in &mut reports {
-            report.cut();
+            report.truncate_to_limits();
         }
-        let full = self.map.len() >= self.most;
-        let heard = match self.map.get(&me.node) {
-            Some(child) if child.me.incarnation > me.incarnation => return Heard::Earlier,
-            Some(child) if child.me == me => Heard::Known { changed: child.reports != reports },
-            Some(_) => Heard::New,
-            None if full => return Heard::Full,
-            None => Heard::New,
+        let is_full = self.children.len() >= self.max_children;
+        let outcome = match self.children.get(&identity.node) {
+            Some(child) if child.identity.incarnation > identity.incarnation => return AckOutcome::Earlier,
+            Some(child) if child.identity == identity => {
+                AckOutcome::Known { changed: child.reports != reports }
+            }
+            Some(_) => AckOutcome::New,
+            None if is_full => return AckOutcome::Full,
+            None => AckOutcome::New,
         };
-        self.map.insert(me.node, Child { me, at, heard: now, reports });
-        heard
+        self.children.insert(identity.node, Child { identity, address, last_received: now, reports });
+        outcome
     }
 
-    /// Whether an ack of this one would be taken.
+    /// Whether an acknowledgement of this node would be accepted.
     pub fn has_room_for(&self, node: NodeId) -> bool {
-        self.map.len() < self.most || self.map.contains_key(&node)
+        self.children.len() < self.max_children || self.children.contains_key(&node)
     }
 
-    pub fn leave(&mut self, me: Identity) -> bool {
-        let there = self.map.get(&me.node).is_some_and(|child| child.me == me);
-        there && self.map.remove(&me.node).is_some()
+    /// Returns whether it was a child.
+    pub fn remove(&mut self, identity: Identity) -> bool {
+        let is_child = self.children.get(&identity.node).is_some_and(|child| child.identity == identity);
+        is_child && self.children.remove(&identity.node).is_some()
     }
 
-    /// Drops those not heard of for too long. True: some were.
+    /// Drops children that were silent for too long. Returns whether there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
-        let before = self.map.len();
-        let keep = self.keep;
-        self.map.retain(|_, child| now.saturating_sub(child.heard) <= keep);
-        self.map.len() < before
+        let before = self.children.len();
+        let ttl = self.ttl;
+        self.children.retain(|_, child| now.saturating_sub(child.last_received) <= ttl);
+        self.children.len() < before
     }
 
-    /// What they said is too old to count; they say it again.
+    /// The reports are too old to count; the children repeat them.
     pub fn forget_reports(&mut self) {
-        for child in self.map.values_mut() {
+        for child in self.children.values_mut() {
             child.reports.clear();
         }
     }
-
-    pub fn reports(&self) -> impl Iterator<Item = &Report> {
-        self.map.values().flat_map(|child| &child.reports)
-    }
 }
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -1,11 +1,11 @@
 //! The dispatcher's state as the model has it, from a survey and what the datastores tell of themselves.
 
 use rockflow::{Effect, Readiness, Role};
-use rockflow_dispatcher::messages::Survey;
-use rockflow_dispatcher::{Link, Phase};
-use rockflow_endpoints::{beside, merged};
-use rockflow_management::{moment, Durable, Management, Surroundings};
-use rockflow_yang::{Data, Fields, NodeId, Path, Scalar, Schema, Step};
+use rockflow_dispatcher::StatusReport;
+use rockflow_dispatcher::{FillLevel, Phase, ServiceHandle};
+use rockflow_endpoints::{apply_overrides, merge_readiness};
+use rockflow_management::{timestamp, Durable, Management, ValidationContext};
+use rockflow_yang::{DataNode, DataTree, NodeId, Path, PathStep, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 pub struct Writer<'a> {
     schema: &'a Schema,
     at: NodeId,
-    pub fields: Fields,
+    pub fields: DataTree,
 }
 
 impl<'a> Writer<'a> {
     pub fn new(schema: &'a Schema, names: &[&str]) -> Writer<'a> {
         let at = schema.find(names).unwrap_or_else(|| panic!("the model lacks {names:?}"));
-        Writer { schema, at, fields: Fields::new() }
+        Writer { schema, at, fields: DataTree::new() }
     }
 
     fn below(&self, name: &str) -> NodeId {
         let child = self.schema.child(Some(self.at), None, name);
-        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.path_of(self.at)))
+        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.schema_path(self.at)))
     }
 
     pub fn leaf(&mut self, name: &str, value: Scalar) {
-        self.fields.insert(self.below(name), Data::Leaf(value));
+        self.fields.insert(self.below(name), DataNode::Leaf(value));
     }
 
     pub fn text(&mut self, name: &str, value: impl Into<String>) {
@@ -48,14 +48,14 @@
 
     pub fn values(&mut self, name: &str, values: BTreeSet<Scalar>) {
         if !values.is_empty() {
-            self.fields.insert(self.below(name), Data::LeafList(values));
+            self.fields.insert(self.below(name), DataNode::LeafList(values));
         }
     }
 
     pub fn container(&mut self, name: &str, fill: impl FnOnce(&mut Writer)) {
-        let mut inner = Writer { schema: self.schema, at: self.below(name), fields: Fields::new() };
+        let mut inner = Writer { schema: self.schema, at: self.below(name), fields: DataTree::new() };
         fill(&mut inner);
-        self.fields.insert(inner.at, Data::Container(inner.fields));
+        self.fields.insert(inner.at, DataNode::Container(inner.fields));
     }
 
     /// A list's entries; each sets its keys.
@@ -68,14 +68,14 @@
         let at = self.below(name);
         let mut all = BTreeMap::new();
         for entry in entries {
-            let mut inner = Writer { schema: self.schema, at, fields: Fields::new() };
+            let mut inner = Writer { schema: self.schema, at, fields: DataTree::new() };
             fill(&mut inner, entry);
-            let key = |key: &NodeId| inner.fields.get(key).and_then(Data::scalar).cloned();
+            let key = |key: &NodeId| inner.fields.get(key).and_then(DataNode::scalar).cloned();
             let keys: Option<Vec<_>> = self.schema.keys(at).iter().map(key).collect();
             all.insert(keys.unwrap_or_default(), inner.fields);
         }
         if !all.is_empty() {
-            self.fields.insert(at, Data::List(all));
+            self.fields.insert(at, DataNode::List(all));
         }
     }
 }
@@ -89,7 +89,7 @@
 }
 
 fn moment_of(at: Duration) -> Scalar {
-    Scalar::Text(moment::write(at))
+    Scalar::Text(timestamp::format(at))
 }
 
 fn millis(span: Duration) -> u64 {
@@ -97,19 +97,19 @@
 }
 
 /// The hosts as listed, for the checks of a commit.
-pub fn surroundings(survey: &Survey, now: Duration) -> Surroundings {
-    let listed = survey.told.iter().map(|entry| (entry.name.clone(), entry.listed()));
-    Surroundings { hosts: beside(listed.collect(), &survey.fleet, now) }
+pub fn surroundings(survey: &StatusReport, now: Duration) -> ValidationContext {
+    let listed = survey.discovered.iter().map(|entry| (entry.name.clone(), entry.to_listed()));
+    ValidationContext { hosts: apply_overrides(listed.collect(), &survey.control_overrides, now) }
 }
 
 /// `/router/state`.
 pub fn state<S: Durable>(
     management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
+    link: &ServiceHandle,
+    survey: &StatusReport,
     started: Duration,
     now: Duration,
-) -> Fields {
+) -> DataTree {
     let schema = management.schema();
     let mut top = Writer::new(schema, &["router", "state"]);
     top.text("name", &*link.name);
@@ -117,9 +117,9 @@
     let phase = match link.phase() {
         Phase::Starting => "starting",
         Phase::Serving => "serving",
-        Phase::Leaving => "leaving",
-        Phase::Finishing => "finishing",
-        Phase::Over => "over",
+        Phase::Draining => "leaving",
+        Phase::Closing => "finishing",
+        Phase::Stopped => "over",
     };
     top.text("phase", phase);
     top.number("up", millis(now.saturating_sub(started)));
@@ -131,26 +131,26 @@
             at.number("outer-limit", millis(told.deadline));
             at.number("fresh", millis(told.fresh_lifetime));
             at.number("grace", millis(told.grace));
-            let ended = survey.ended.get(place).copied().unwrap_or_default();
+            let ended = survey.outcomes.get(place).copied().unwrap_or_default();
             at.number("succeeded", ended.succeeded);
-            at.number("dismissed", ended.dismissed);
-            at.number("terminated", ended.terminated);
-            at.number("left", ended.left);
+            at.number("dismissed", ended.rejected);
+            at.number("terminated", ended.failed);
+            at.number("left", ended.disconnected);
         });
     });
     top.container("caps", |caps| {
-        let own = [("open-queries", link.caps.clients, survey.open)];
-        caps.list("cap", link.fills().into_iter().chain(own), |at, (name, limit, held)| {
-            at.text("name", name);
-            at.number("limit", limit as u64);
-            at.number("held", held as u64);
+        let own = [FillLevel { name: "open-queries", cap: link.caps.clients, fill: survey.open_requests }];
+        caps.list("cap", link.fill_levels().into_iter().chain(own), |at, level| {
+            at.text("name", level.name);
+            at.number("limit", level.cap as u64);
+            at.number("held", level.fill as u64);
         });
     });
-    let (address, last, heard) = link.board();
+    let discovery = link.discovery_status();
     top.container("board", |board| {
-        board.text("address", address.to_string());
-        board.number("last", last);
-        let age = heard.map(|heard| Scalar::Unsigned(millis(now.saturating_sub(heard))));
+        board.text("address", discovery.address.to_string());
+        board.number("last", discovery.last_revision);
+        let age = discovery.last_received.map(|heard| Scalar::Unsigned(millis(now.saturating_sub(heard))));
         board.maybe("heard", age);
     });
     top.container("history", |history| history_of(history, management));
@@ -165,18 +165,19 @@
     }
 }
 
-fn hosts_of(hosts: &mut Writer, link: &Link, survey: &Survey, now: Duration) {
+fn hosts_of(hosts: &mut Writer, link: &ServiceHandle, survey: &StatusReport, now: Duration) {
     // As the list has them: what is committed and not told yet does not hold yet.
-    let marks = &survey.marks;
-    let told: BTreeMap<&str, _> = survey.told.iter().map(|entry| (entry.name.as_str(), entry)).collect();
-    let views: BTreeMap<_, _> = survey.views.iter().map(|view| (view.host, view)).collect();
+    let marks = &survey.operator_overrides;
+    let told: BTreeMap<&str, _> =
+        survey.discovered.iter().map(|entry| (entry.name.as_str(), entry)).collect();
+    let views: BTreeMap<_, _> = survey.host_statuses.iter().map(|view| (view.host, view)).collect();
     let names: BTreeSet<&str> = told.keys().copied().chain(marks.keys().map(String::as_str)).collect();
     hosts.list("host", names, |at, name| {
         let (entry, mark) = (told.get(name), marks.get(name));
         at.text("name", name);
-        at.maybe("marked", mark.filter(|mark| mark.holds(now)).map(|mark| word(mark.readiness)));
+        at.maybe("marked", mark.filter(|mark| mark.is_active(now)).map(|mark| word(mark.readiness)));
         let Some(entry) = entry else { return };
-        let listing = &entry.listing;
+        let listing = &entry.entry;
         at.text("address", entry.address.to_string());
         at.text(
             "role",
@@ -190,10 +191,10 @@
         at.maybe("location", location.map(|name| Scalar::text(name.as_str())));
         at.number("cell", u64::from(listing.cell.0));
         at.leaf("listed", word(listing.readiness));
-        let fleet = survey.fleet.get(name);
-        if let Some((readiness, says)) = merged(Some(listing.readiness), mark, fleet, now) {
-            at.leaf("effective", word(readiness));
-            at.text("says", says.name());
+        let fleet = survey.control_overrides.get(name);
+        if let Some(effective) = merge_readiness(Some(listing.readiness), mark, fleet, now) {
+            at.leaf("effective", word(effective.readiness));
+            at.text("says", effective.source.as_str());
         }
         let Some(view) = views.get(&listing.host) else { return };
         at.number("legs-out", view.in_flight as u64);
@@ -207,42 +208,45 @@
     let schema = management.schema();
     history.number("version", management.version());
     history.container("pending", |at| {
-        if let Some((who, session, due)) = management.pending() {
-            at.text("author", &*who.user);
+        if let Some((operator, session, due)) = management.pending() {
+            at.text("author", &*operator.user);
             at.maybe("session", session.map(|session| Scalar::Unsigned(session.0.into())));
             at.leaf("due", moment_of(due));
         }
     });
     history.list("commit", management.history(), |at, commit| {
         at.number("version", commit.version);
-        at.text("author", &*commit.who.user);
-        at.text("protocol", commit.who.protocol.name());
-        at.text("source", &*commit.who.source);
+        at.text("author", &*commit.operator.user);
+        at.text("protocol", commit.operator.protocol.name());
+        at.text("source", &*commit.operator.source);
         at.leaf("time", moment_of(commit.time));
         if !commit.comment.is_empty() {
             at.text("comment", &*commit.comment);
         }
-        at.values("change", commit.changes.iter().map(|change| Scalar::Text(change.text(schema))).collect());
+        at.values(
+            "change",
+            commit.changes.iter().map(|change| Scalar::Text(change.to_text(schema))).collect(),
+        );
     });
 }
 
 /// Running, with what is only known of it: who made each mark, when and with which commit.
-pub fn annotated<S: Durable>(management: &Management<S>) -> Fields {
+pub fn annotated<S: Durable>(management: &Management<S>) -> DataTree {
     let schema = management.schema();
     let mut fields = (**management.running()).clone();
     let names = ["router", "marks", "mark"];
     let steps =
         (1..=3).map(|n| schema.find(&names[..n]).unwrap_or_else(|| panic!("the model lacks {names:?}")));
-    let steps: Vec<Step> = steps.map(|node| Step { node, keys: Vec::new() }).collect();
+    let steps: Vec<PathStep> = steps.map(|node| PathStep { node, keys: Vec::new() }).collect();
     let list = steps[2].node;
     let router = fields.get_mut(&steps[0].node);
-    let Some(Data::Container(router)) = router else { return fields };
-    let Some(Data::Container(marks)) = router.get_mut(&steps[1].node) else { return fields };
-    let Some(Data::List(entries)) = marks.get_mut(&list) else { return fields };
+    let Some(DataNode::Container(router)) = router else { return fields };
+    let Some(DataNode::Container(marks)) = router.get_mut(&steps[1].node) else { return fields };
+    let Some(DataNode::List(entries)) = marks.get_mut(&list) else { return fields };
     for (keys, entry) in entries {
-        let path = Path(steps[..2].to_vec()).then(list, keys.clone());
+        let path = Path(steps[..2].to_vec()).child(list, keys.clone());
         if let Some(origin) = management.last_origin(&path) {
-            let mut at = Writer { schema, at: list, fields: Fields::new() };
+            let mut at = Writer { schema, at: list, fields: DataTree::new() };
             at.text("author", &*origin.author);
             at.leaf("made", moment_of(origin.time));
             at.number("version", origin.version);
@@ -255,19 +259,19 @@
 /// Everything: running with its notes, and state.
 pub fn operational<S: Durable>(
     management: &Management<S>,
-    link: &Link,
-    survey: &Survey,
+    link: &ServiceHandle,
+    survey: &StatusReport,
     started: Duration,
     now: Duration,
-) -> Fields {
+) -> DataTree {
     let schema = management.schema();
     let mut fields = annotated(management);
     let state = state(management, link, survey, started, now);
     let (router, below) = (schema.find(&["router"]), schema.find(&["router", "state"]));
     let (Some(router), Some(below)) = (router, below) else { return fields };
-    let inner = fields.entry(router).or_insert_with(|| Data::Container(Fields::new()));
-    if let Data::Container(inner) = inner {
-        inner.insert(below, Data::Container(state));
+    let inner = fields.entry(router).or_insert_with(|| DataNode::Container(DataTree::new()));
+    if let DataNode::Container(inner) = inner {
+        inner.insert(below, DataNode::Container(state));
     }
     fields
 }
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -2,7 +2,7 @@
 //! a snapshot. Names are the model's, so that a later program reads what an earlier one wrote.
 
 use crate::words::{Commit, Operator, Origin, Protocol};
-use rockflow_yang::{data, json, Change, Fields, Path, Scalar, Schema};
+use rockflow_yang::{data, json, Change, DataTree, NodeScope, Path, Scalar, Schema};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -21,8 +21,8 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
-    pub running: Fields,
-    pub startup: Fields,
+    pub running: DataTree,
+    pub startup: DataTree,
     pub version: u64,
     /// The greatest number given to a commit, in force or not.
     pub used: u64,
@@ -35,16 +35,16 @@
     pub fn write(&self, schema: &Schema) -> Vec<u8> {
         let text = |value: &Option<Scalar>| value.as_ref().map(Scalar::to_string);
         let change =
-            |change: &Change| json!([change.path.text(schema), text(&change.before), text(&change.after)]);
+            |change: &Change| json!([change.path.to_text(schema), text(&change.before), text(&change.after)]);
         let commit = |commit: &Commit| {
             json!({
-                "version": commit.version, "user": commit.who.user, "protocol": commit.who.protocol.name(),
-                "source": commit.who.source, "time": millis(commit.time), "comment": commit.comment,
+                "version": commit.version, "user": commit.operator.user, "protocol": commit.operator.protocol.name(),
+                "source": commit.operator.source, "time": millis(commit.time), "comment": commit.comment,
                 "changes": commit.changes.iter().map(change).collect::<Vec<_>>(),
             })
         };
         let origin = |(path, origin): (&Path, &Origin)| {
-            json!([path.text(schema), origin.author, origin.version, millis(origin.time)])
+            json!([path.to_text(schema), origin.author, origin.version, millis(origin.time)])
         };
         let value = json!({
             "version": self.version,
@@ -66,8 +66,10 @@
             value.get(key).and_then(Value::as_u64).ok_or_else(|| format!("{key} is no number"))
         };
         let tree = |key: &str| {
-            let fields = json::read(schema, None, value.get(key).unwrap_or(&Value::Null), false)?;
-            data::check(schema, &fields, &Path::default()).map_err(|what| what.to_string())?;
+            let value = value.get(key).unwrap_or(&Value::Null);
+            let fields = json::read(schema, None, value, NodeScope::ConfigOnly);
+            let fields = fields.map_err(|error| error.to_string())?;
+            data::check_constraints(schema, &fields, &Path::default()).map_err(|what| what.to_string())?;
             Ok::<_, String>(fields)
         };
         let mut record = Record {
@@ -117,14 +119,14 @@
         let of = schema.type_of(path.node()?)?;
         let side = |at: usize| match change.get(at)? {
             Value::Null => Some(None),
-            value => Some(Some(of.read(value.as_str()?).ok()?)),
+            value => Some(Some(of.parse(value.as_str()?).ok()?)),
         };
         Some(Change { path, before: side(1)?, after: side(2)? })
     });
     let changes: Option<Vec<_>> = changes.collect();
     Some(Commit {
         version: entry.get("version")?.as_u64()?,
-        who: Operator {
+        operator: Operator {
             user: text("user")?,
             protocol: Protocol::named(&text("protocol")?),
             source: text("source")?,
@@ -136,5 +138,5 @@
 }
 
 fn named(schema: &Schema, text: &str) -> Option<Path> {
-    Path::read(schema, text).ok()
+    Path::parse(schema, text).ok()
 }
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -22,11 +22,11 @@
 //! `! TAG WORD...` at a line's end: it fails with that tag, and its message and finer tag hold the words.
 
 use rockflow::{Readiness, Role};
-use rockflow_endpoints::{Listed, Mark};
+use rockflow_endpoints::{AdminOverride, ListedEndpoint};
 use rockflow_management::*;
 use rockflow_store::faulty::{Bytes, Disk};
 use rockflow_store::Store;
-use rockflow_yang::{json, Data, Edit, Op, Path, Pattern, Scalar, Schema};
+use rockflow_yang::{json, DataNode, Edit, EditOperation, NodeScope, Path, Pattern, Scalar, Schema};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     schema: Arc<Schema>,
     machine: Machine,
     now: Duration,
-    around: Surroundings,
+    around: ValidationContext,
     sessions: BTreeMap<String, SessionId>,
     notices: Vec<String>,
 }
@@ -51,28 +51,30 @@
     Management::new(START, schema.clone(), store, found.as_deref(), Some("owner".into()), false).unwrap().0
 }
 
-fn op(name: &str) -> Op {
+fn op(name: &str) -> EditOperation {
     match name {
-        "merge" => Op::Merge,
-        "replace" => Op::Replace,
-        "create" => Op::Create,
-        "delete" => Op::Delete,
-        "remove" => Op::Remove,
+        "merge" => EditOperation::Merge,
+        "replace" => EditOperation::Replace,
+        "create" => EditOperation::Create,
+        "delete" => EditOperation::Delete,
+        "remove" => EditOperation::Remove,
         other => panic!("{other}"),
     }
 }
 
 impl Play {
     fn edit(&self, words: &[&str]) -> Edit {
-        let path = Path::read(&self.schema, words[1]).unwrap();
+        let path = Path::parse(&self.schema, words[1]).unwrap();
         let node = path.node().unwrap();
         let whole = path.0.last().unwrap().keys.is_empty();
         let value = words.get(2).filter(|word| !word.contains('=')).map(|text| {
             let value: Value = serde_json::from_str(text).unwrap();
             if whole {
-                json::read_data(&self.schema, node, &value, true).unwrap()
+                json::read_data(&self.schema, node, &value, NodeScope::ConfigAndState).unwrap()
             } else {
-                Data::Container(json::read(&self.schema, Some(node), &value, true).unwrap())
+                DataNode::Container(
+                    json::read(&self.schema, Some(node), &value, NodeScope::ConfigAndState).unwrap(),
+                )
             }
         });
         Edit { path, op: op(words[0]), value }
@@ -86,7 +88,7 @@
                 Some(("reason", reason)) => leaves.insert("reason".into(), reason.into()),
                 Some(("expires", seconds)) => {
                     let at = self.now + Duration::from_secs(seconds.parse().unwrap());
-                    leaves.insert("expires".into(), moment::write(at).into())
+                    leaves.insert("expires".into(), timestamp::format(at).into())
                 }
                 _ if *word == "force" => leaves.insert("force".into(), true.into()),
                 _ => leaves.insert("state".into(), (*word).into()),
@@ -96,7 +98,7 @@
         vec![self.edit(&["merge", &path, &leaves])]
     }
 
-    fn act(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), Fault> {
+    fn act(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), ManagementError> {
         let now = self.now;
         let option = |name: &str| words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
         let number = |name: &str| option(name).map(|word| word.parse::<u64>().unwrap());
@@ -115,7 +117,8 @@
             _ => Datastore::Candidate,
         };
         let edit = |play: &mut Play, edits: &[Edit]| {
-            let made = play.machine.edit(id, Datastore::Candidate, edits, ErrorOption::Rollback, false);
+            let made =
+                play.machine.edit_config(id, Datastore::Candidate, edits, ErrorOption::Rollback, false);
             made.map_err(|faults| faults[0].clone())
         };
         match what {
@@ -126,8 +129,8 @@
             }
             "edits" => edit(self, &[self.edit(words)]),
             "commits" => {
-                let confirm = Confirm {
-                    within: number("within").map(Duration::from_secs),
+                let confirm = CommitOptions {
+                    confirm_timeout: number("within").map(Duration::from_secs),
                     persist: option("persist").map(str::to_string),
                     persist_id: option("id").map(str::to_string),
                 };
@@ -138,7 +141,7 @@
                 self.machine.follows(id, true);
                 Ok(())
             }
-            "discards" => self.machine.discard(id),
+            "discards" => self.machine.discard_changes(id),
             "validates" => self.machine.validate(now, id, Ok(Datastore::Candidate), &self.around),
             "closes" => {
                 self.machine.close(now, id, "closed");
@@ -148,7 +151,7 @@
             "locks" => self.machine.lock(now, id, which(words[0])),
             "unlocks" => self.machine.unlock(id, which(words[0])),
             "holds" => {
-                let pattern = Pattern::read(&self.schema, words[0]).unwrap();
+                let pattern = Pattern::parse(&self.schema, words[0]).unwrap();
                 self.machine.partial_lock(id, &[pattern]).map(|_| ())
             }
             "frees" => self.machine.partial_unlock(id, words[0].parse().unwrap()),
@@ -180,8 +183,8 @@
                     "parent" => Role::Parent,
                     _ => Role::Origin,
                 };
-                let told = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
-                let listed = Listed { role, location: location.parse().unwrap(), told };
+                let readiness = if rest.is_empty() { Readiness::Ready } else { Readiness::Draining };
+                let listed = ListedEndpoint { role, location: location.parse().unwrap(), readiness };
                 self.around.hosts.insert(name.to_string(), listed);
             }
             ["rules", ..] => {
@@ -211,7 +214,13 @@
             }
             ["marked", told @ ..] => {
                 let marks = self.machine.marks();
-                let state = |mark: &Mark| if mark.readiness == Readiness::Gone { "gone" } else { "draining" };
+                let state = |mark: &AdminOverride| {
+                    if mark.readiness == Readiness::Gone {
+                        "gone"
+                    } else {
+                        "draining"
+                    }
+                };
                 let have: Vec<_> =
                     marks.iter().map(|(host, mark)| format!("{host}={}", state(mark))).collect();
                 let told: Vec<_> = told.iter().filter(|word| **word != "nothing").collect();
@@ -262,7 +271,7 @@
         machine: machine(&schema, Disk::default()),
         schema,
         now: START,
-        around: Surroundings::default(),
+        around: ValidationContext::default(),
         sessions: BTreeMap::new(),
         notices: Vec::new(),
     };
--- a/crates/rockflow-netconf/src/codec.rs
+++ b/crates/rockflow-netconf/src/codec.rs
@@ -2,13 +2,15 @@
 
 use crate::ns;
 use crate::xml::{Element, Writer};
-use rockflow_management::{Fault, Tag};
-use rockflow_yang::{Data, Edit, Fields, Keys, Kind, NodeId, Op, Path, Scalar, Schema};
+use rockflow_management::{ErrorTag, ManagementError};
+use rockflow_yang::{
+    DataNode, DataTree, Edit, EditOperation, KeyValues, NodeId, NodeKind, NodeScope, Path, Scalar, Schema,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is told beside the values.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Notes {
+pub struct Annotations {
     /// Values that are the default's bear `wd:default` (RFC 6243, report-all-tagged).
     pub tag_defaults: bool,
     /// Where each part comes from (RFC 8526, with-origin).
@@ -16,7 +18,13 @@
 }
 
 /// The values below `parent`, as its content.
-pub fn write(schema: &Schema, fields: &Fields, parent: Option<NodeId>, notes: Notes, out: &mut Writer) {
+pub fn write(
+    schema: &Schema,
+    fields: &DataTree,
+    parent: Option<NodeId>,
+    notes: Annotations,
+    out: &mut Writer,
+) {
     for (id, data) in fields {
         let node = schema.node(*id);
         let own = parent.is_none_or(|parent| schema.node(parent).module != node.module);
@@ -28,21 +36,21 @@
             attributes.extend([("xmlns:or", ns::ORIGIN), ("or:origin", "or:intended")]);
         }
         match data {
-            Data::Leaf(value) => {
+            DataNode::Leaf(value) => {
                 if notes.tag_defaults && schema.default_of(*id) == Some(value) {
                     attributes.extend([("xmlns:wd", ns::DEFAULT_TAG), ("wd:default", "true")]);
                 }
                 out.leaf(&node.name, &attributes, &value.to_string());
             }
-            Data::LeafList(values) => {
+            DataNode::LeafList(values) => {
                 values.iter().for_each(|value| out.leaf(&node.name, &attributes, &value.to_string()))
             }
-            Data::Container(inner) => {
+            DataNode::Container(inner) => {
                 out.open(&node.name, &attributes);
                 write(schema, inner, Some(*id), notes, out);
                 out.close(&node.name);
             }
-            Data::List(entries) => {
+            DataNode::List(entries) => {
                 for (keys, inner) in entries {
                     out.open(&node.name, &attributes);
                     // Keys come first (RFC 7950, section 7.8.5).
@@ -60,39 +68,55 @@
 }
 
 /// The node that an element names below `parent`.
-pub fn node_of(schema: &Schema, parent: Option<NodeId>, element: &Element) -> Result<NodeId, Fault> {
+pub fn node_of(
+    schema: &Schema,
+    parent: Option<NodeId>,
+    element: &Element,
+) -> Result<NodeId, ManagementError> {
     let module = schema.modules().iter().position(|module| module.namespace == element.ns);
     let Some(module) = module else {
         let message = format!("{}: no such namespace", element.ns);
-        return Err(Fault::new(Tag::UnknownNamespace, message).element(&element.name));
+        return Err(ManagementError::new(ErrorTag::UnknownNamespace, message).with_element(&element.name));
     };
     let module = rockflow_yang::ModuleId(module as u8);
     schema.child(parent, Some(module), &element.name).ok_or_else(|| {
-        Fault::new(Tag::UnknownElement, format!("{}: no such node", element.name)).element(&element.name)
+        ManagementError::new(ErrorTag::UnknownElement, format!("{}: no such node", element.name))
+            .with_element(&element.name)
     })
 }
 
-fn scalar(schema: &Schema, node: NodeId, element: &Element, path: &Path) -> Result<Scalar, Fault> {
+fn scalar(schema: &Schema, node: NodeId, element: &Element, path: &Path) -> Result<Scalar, ManagementError> {
     let of = schema.type_of(node);
-    let of = of.ok_or_else(|| Fault::new(Tag::InvalidValue, "holds no value").at(path))?;
+    let of =
+        of.ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "holds no value").with_path(path))?;
     if !element.children.is_empty() {
-        return Err(Fault::new(Tag::UnknownElement, "a value is wanted").at(path).element(&element.name));
+        return Err(ManagementError::new(ErrorTag::UnknownElement, "a value is wanted")
+            .with_path(path)
+            .with_element(&element.name));
     }
-    let text = if matches!(of, rockflow_yang::Type::Text { .. }) { &element.text } else { element.text() };
-    of.read(text).map_err(|what| {
+    let text =
+        if matches!(of, rockflow_yang::LeafType::Text { .. }) { &element.text } else { element.text() };
+    of.parse(text).map_err(|what| {
         let message = format!("{}: {what}", element.name);
-        Fault::new(Tag::InvalidValue, message).at(path).element(&element.name)
+        ManagementError::new(ErrorTag::InvalidValue, message).with_path(path).with_element(&element.name)
     })
 }
 
 /// The keys of an entry, each told once.
-fn keys_of(schema: &Schema, list: NodeId, element: &Element, path: &Path) -> Result<Keys, Fault> {
+fn keys_of(
+    schema: &Schema,
+    list: NodeId,
+    element: &Element,
+    path: &Path,
+) -> Result<KeyValues, ManagementError> {
     let key = |key: &NodeId| {
         let name = &schema.node(*key).name;
         let mut told = element.children.iter().filter(|child| child.name == *name);
         let (Some(child), None) = (told.next(), told.next()) else {
             let message = format!("the key {name} must stand once");
-            return Err(Fault::new(Tag::MissingElement, message).at(path).element(name));
+            return Err(ManagementError::new(ErrorTag::MissingElement, message)
+                .with_path(path)
+                .with_element(name));
         };
         scalar(schema, *key, child, path)
     };
@@ -105,45 +129,50 @@
     parent: Option<NodeId>,
     elements: &[Element],
     at: &Path,
-    state: bool,
-) -> Result<Fields, Fault> {
-    let mut fields = Fields::new();
+    scope: NodeScope,
+) -> Result<DataTree, ManagementError> {
+    let mut fields = DataTree::new();
     for element in elements {
         let id = node_of(schema, parent, element)?;
         let node = schema.node(id);
-        let here = at.then(id, Vec::new());
-        if !state && !node.config {
-            return Err(Fault::new(Tag::InvalidValue, "is state, which can't be written").at(&here));
+        let here = at.child(id, Vec::new());
+        if !scope.includes(node) {
+            return Err(ManagementError::new(ErrorTag::InvalidValue, "is state, which can't be written")
+                .with_path(&here));
         }
-        let twice = || Fault::new(Tag::BadElement, "stands twice").at(&here).element(&element.name);
+        let twice = || {
+            ManagementError::new(ErrorTag::BadElement, "stands twice")
+                .with_path(&here)
+                .with_element(&element.name)
+        };
         match &node.kind {
-            Kind::Leaf { .. } => {
+            NodeKind::Leaf { .. } => {
                 let value = scalar(schema, id, element, &here)?;
-                if fields.insert(id, Data::Leaf(value)).is_some() {
+                if fields.insert(id, DataNode::Leaf(value)).is_some() {
                     return Err(twice());
                 }
             }
-            Kind::LeafList { .. } => {
+            NodeKind::LeafList { .. } => {
                 let value = scalar(schema, id, element, &here)?;
-                let values = fields.entry(id).or_insert_with(|| Data::LeafList(BTreeSet::new()));
-                let Data::LeafList(values) = values else { return Err(twice()) };
+                let values = fields.entry(id).or_insert_with(|| DataNode::LeafList(BTreeSet::new()));
+                let DataNode::LeafList(values) = values else { return Err(twice()) };
                 if !values.insert(value) {
                     return Err(twice());
                 }
             }
-            Kind::List { .. } => {
+            NodeKind::List { .. } => {
                 let keys = keys_of(schema, id, element, &here)?;
-                let entry = at.then(id, keys.clone());
-                let inner = read(schema, Some(id), &element.children, &entry, state)?;
-                let entries = fields.entry(id).or_insert_with(|| Data::List(BTreeMap::new()));
-                let Data::List(entries) = entries else { return Err(twice()) };
+                let entry = at.child(id, keys.clone());
+                let inner = read(schema, Some(id), &element.children, &entry, scope)?;
+                let entries = fields.entry(id).or_insert_with(|| DataNode::List(BTreeMap::new()));
+                let DataNode::List(entries) = entries else { return Err(twice()) };
                 if entries.insert(keys, inner).is_some() {
                     return Err(twice());
                 }
             }
             _ => {
-                let inner = read(schema, Some(id), &element.children, &here, state)?;
-                if fields.insert(id, Data::Container(inner)).is_some() {
+                let inner = read(schema, Some(id), &element.children, &here, scope)?;
+                if fields.insert(id, DataNode::Container(inner)).is_some() {
                     return Err(twice());
                 }
             }
@@ -153,23 +182,33 @@
 }
 
 /// Reads the content of `<config>` as edits, in their order.
-pub fn edits(schema: &Schema, config: &Element, default: Op) -> Result<Vec<Edit>, Fault> {
+pub fn edits(
+    schema: &Schema,
+    config: &Element,
+    default: EditOperation,
+) -> Result<Vec<Edit>, ManagementError> {
     let mut edits = Vec::new();
     children(schema, None, config, &Path::default(), default, &mut edits)?;
     Ok(edits)
 }
 
-fn operation(element: &Element, otherwise: Op, path: &Path) -> Result<(Op, bool), Fault> {
+fn operation(
+    element: &Element,
+    otherwise: EditOperation,
+    path: &Path,
+) -> Result<(EditOperation, bool), ManagementError> {
     let op = match element.attribute(ns::BASE, "operation") {
         None => return Ok((otherwise, false)),
-        Some("merge") => Op::Merge,
-        Some("replace") => Op::Replace,
-        Some("create") => Op::Create,
-        Some("delete") => Op::Delete,
-        Some("remove") => Op::Remove,
+        Some("merge") => EditOperation::Merge,
+        Some("replace") => EditOperation::Replace,
+        Some("create") => EditOperation::Create,
+        Some("delete") => EditOperation::Delete,
+        Some("remove") => EditOperation::Remove,
         Some(other) => {
             let message = format!("{other}: no such operation");
-            return Err(Fault::new(Tag::BadAttribute, message).at(path).element(&element.name));
+            return Err(ManagementError::new(ErrorTag::BadAttribute, message)
+                .with_path(path)
+                .with_element(&element.name));
         }
     };
     Ok((op, true))
@@ -180,9 +219,9 @@
     parent: Option<NodeId>,
     element: &Element,
     at: &Path,
-    op: Op,
+    op: EditOperation,
     edits: &mut Vec<Edit>,
-) -> Result<(), Fault> {
+) -> Result<(), ManagementError> {
     for child in &element.children {
         one(schema, parent, child, at, op, edits)?;
     }
@@ -194,48 +233,59 @@
     parent: Option<NodeId>,
     element: &Element,
     at: &Path,
-    above: Op,
+    above: EditOperation,
     edits: &mut Vec<Edit>,
-) -> Result<(), Fault> {
+) -> Result<(), ManagementError> {
     let id = node_of(schema, parent, element)?;
     let kind = &schema.node(id).kind;
     let keys = match kind {
-        Kind::List { .. } => keys_of(schema, id, element, &at.then(id, Vec::new()))?,
-        Kind::LeafList { .. } => vec![scalar(schema, id, element, &at.then(id, Vec::new()))?],
+        NodeKind::List { .. } => keys_of(schema, id, element, &at.child(id, Vec::new()))?,
+        NodeKind::LeafList { .. } => vec![scalar(schema, id, element, &at.child(id, Vec::new()))?],
         _ => Vec::new(),
     };
-    let path = at.then(id, keys);
+    let path = at.child(id, keys);
     let (op, _) = operation(element, above, &path)?;
-    let whole = matches!(op, Op::Replace | Op::Create);
+    let whole = matches!(op, EditOperation::Replace | EditOperation::Create);
     let value = match kind {
-        Kind::Leaf { .. } if matches!(op, Op::Delete | Op::Remove) => None,
-        Kind::Leaf { .. } => Some(Data::Leaf(scalar(schema, id, element, &path)?)),
-        Kind::LeafList { .. } => None,
-        Kind::Container | Kind::List { .. } if whole => {
+        NodeKind::Leaf { .. } if matches!(op, EditOperation::Delete | EditOperation::Remove) => None,
+        NodeKind::Leaf { .. } => Some(DataNode::Leaf(scalar(schema, id, element, &path)?)),
+        NodeKind::LeafList { .. } => None,
+        NodeKind::Container | NodeKind::List { .. } if whole => {
             plain(&element.children, &path)?;
-            Some(Data::Container(read(schema, Some(id), &element.children, &path, false)?))
+            Some(DataNode::Container(read(
+                schema,
+                Some(id),
+                &element.children,
+                &path,
+                NodeScope::ConfigOnly,
+            )?))
+        }
+        NodeKind::Container | NodeKind::List { .. } => None,
+        _ => {
+            return Err(ManagementError::new(ErrorTag::UnknownElement, "no configuration")
+                .with_element(&element.name))
         }
-        Kind::Container | Kind::List { .. } => None,
-        _ => return Err(Fault::new(Tag::UnknownElement, "no configuration").element(&element.name)),
     };
-    let leaf = matches!(kind, Kind::Leaf { .. } | Kind::LeafList { .. });
+    let leaf = matches!(kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. });
     match op {
         // Nothing is asked of a leaf that only shows the way.
-        Op::Expect if leaf => {}
+        EditOperation::AssertExists if leaf => {}
         // A container is there where anything in it is; entries are there by themselves.
-        Op::Merge | Op::Expect if matches!(kind, Kind::Container) => {
+        EditOperation::Merge | EditOperation::AssertExists if matches!(kind, NodeKind::Container) => {
             children(schema, Some(id), element, &path, op, edits)?;
         }
-        Op::Merge | Op::Expect if !leaf => {
-            let value = (op == Op::Merge).then(|| Data::Container(Fields::new()));
+        EditOperation::Merge | EditOperation::AssertExists if !leaf => {
+            let value = (op == EditOperation::Merge).then(|| DataNode::Container(DataTree::new()));
             edits.push(Edit { path: path.clone(), op, value });
             for child in &element.children {
                 let inner = node_of(schema, Some(id), child)?;
                 if !schema.is_key(inner) {
                     one(schema, Some(id), child, &path, op, edits)?;
-                } else if operation(child, Op::Merge, &path)?.1 {
+                } else if operation(child, EditOperation::Merge, &path)?.1 {
                     let message = "a key bears no operation of its own";
-                    return Err(Fault::new(Tag::BadAttribute, message).at(&path).element(&child.name));
+                    return Err(ManagementError::new(ErrorTag::BadAttribute, message)
+                        .with_path(&path)
+                        .with_element(&child.name));
                 }
             }
         }
@@ -247,12 +297,14 @@
 }
 
 /// Guards against an operation within what is replaced or created as a whole, which would have no clear order.
-fn plain(elements: &[Element], path: &Path) -> Result<(), Fault> {
+fn plain(elements: &[Element], path: &Path) -> Result<(), ManagementError> {
     for element in elements {
         if let Some(op) = element.attribute(ns::BASE, "operation") {
             if !matches!(op, "merge" | "replace" | "create") {
                 let message = format!("{op} within what is replaced or created as a whole");
-                return Err(Fault::new(Tag::BadAttribute, message).at(path).element(&element.name));
+                return Err(ManagementError::new(ErrorTag::BadAttribute, message)
+                    .with_path(path)
+                    .with_element(&element.name));
             }
         }
         plain(&element.children, path)?;
