--- a/crates/rockflow-simulator-adapter/tests/actions.rs
+++ b/crates/rockflow-simulator-adapter/tests/wire/actions.rs
@@ -1,5 +1,6 @@
 //! The bytes of every action on the wire.
 
+use crate::common::hex;
 use rockflow::{Action, Attempt, AttemptNumber, CachePriority, HostId, RequestId, TimerId};
 use rockflow_simulator_adapter::wire::encode::{encode_reply, InstanceRecords};
 use std::time::Duration;
@@ -18,12 +19,6 @@
     bytes
 }
 
-fn hex(text: &str) -> Vec<u8> {
-    let digits: Vec<u8> = text.bytes().filter(|byte| !byte.is_ascii_whitespace()).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
-    digits.chunks(2).map(byte).collect()
-}
-
 fn encode(action: Action) -> Vec<u8> {
     let mut records = InstanceRecords::new(3);
     records.push_actions(&[action]);
