--- a/crates/rockflow-management/src/management/installation.rs
+++ b/crates/rockflow-management/src/management/installation.rs
@@ -101,7 +101,7 @@
     /// Stores a commit, then puts it in force; where it can't be stored, all stays as it was.
     fn install(&mut self, commit: Commit, configuration: Arc<Fields>) -> Result<(), ManagementError> {
         let running_before = std::mem::replace(&mut self.running, configuration);
-        let (version_before, last_used_before) = (self.version, self.last_used_version);
+        let version_before = self.version;
         let origins_before = self.history.record_origins(&commit);
         // A confirmation alone changes nothing, and is no commit to go back to.
         let is_change = !commit.changes.is_empty();
@@ -118,7 +118,6 @@
             self.version = version_before;
             self.history.restore_origins(origins_before);
             // `last_used_version` stays: the commit may have reached the disk.
-            debug_assert!(is_change || self.last_used_version == last_used_before);
             return Err(error);
         }
         self.trim_history();
