--- a/crates/rockflow-dispatcher/tests/config.rs
+++ b/crates/rockflow-dispatcher/tests/config.rs
@@ -2,7 +2,7 @@
 
 use rockflow_dispatcher::caps::Caps;
 use rockflow_dispatcher::Config;
-use rockflow_settings::Pairs;
+use rockflow_settings::DottedSettings;
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -27,15 +27,16 @@
         Some(value) => parent.insert(key.to_string(), value),
         None => parent.remove(key),
     };
-    assert_eq!(Config::parse(&told.to_string()).err().as_deref(), Some(what));
+    assert_eq!(Config::parse(&told.to_string()).err().map(|error| error.to_string()).as_deref(), Some(what));
 }
 
 #[test]
 fn nested_settings_read_as_dotted_lines() {
     let nested =
         json!({"az": 1, "a": {"b": [true, 2.5], "c": "one, two"}, "grades": [{"name": "x"}, {"name": "y"}]});
-    let (nested, dotted) = (Pairs::from_json(&nested), "az=1\na.b=true,2.5\na.c=one__two\ngrades.count=2\n");
-    let dotted = Pairs::from_lines(&format!("{dotted}grades.0.name=x\ngrades.1.name=y\n"));
+    let (nested, dotted) =
+        (DottedSettings::from_json(&nested), "az=1\na.b=true,2.5\na.c=one__two\ngrades.count=2\n");
+    let dotted = DottedSettings::from_lines(&format!("{dotted}grades.0.name=x\ngrades.1.name=y\n"));
     for key in ["az", "a.b", "a.c", "grades.count", "grades.0.name", "grades.1.name"] {
         assert_eq!(nested.text(key), dotted.text(key));
     }
@@ -48,6 +49,8 @@
     let mut told = example();
     told["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
     let caps = Caps::of(&Config::parse(&told.to_string()).unwrap().limits);
-    assert!(caps.location_dispatchers < caps.clients && caps.clients + caps.hosts < sockets);
-    assert!(caps.held + caps.hosts * caps.line_out < memory_mb * 1024 * 1024 / 2);
+    assert!(caps.idle_clients < caps.clients && caps.clients + caps.upstream_connections < sockets);
+    assert!(
+        caps.buffered_bytes + caps.upstream_connections * caps.unsent_bytes < memory_mb * 1024 * 1024 / 2
+    );
 }
--- a/crates/rockflow-management-service/src/audit.rs
+++ b/crates/rockflow-management-service/src/audit.rs
@@ -61,7 +61,7 @@
 fn audit_line(schema: &Schema, commit: &Commit) -> Value {
     let named = |change: &Change| {
         json!({
-            "path": change.path.text(schema),
+            "path": change.path.to_text(schema),
             "before": change.before.as_ref().map(ToString::to_string),
             "after": change.after.as_ref().map(ToString::to_string),
         })
--- a/crates/rockflow-management-service/src/model_writer.rs
+++ b/crates/rockflow-management-service/src/model_writer.rs
@@ -1,6 +1,6 @@
 //! Writing data under the names of the model.
 
-use rockflow_yang::{Data, Fields, NodeId, Scalar, Schema};
+use rockflow_yang::{DataNode, DataTree, NodeId, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Writes the children of one container or list entry.
@@ -10,7 +10,7 @@
 pub(crate) struct ModelWriter<'a> {
     schema: &'a Schema,
     node: NodeId,
-    fields: Fields,
+    fields: DataTree,
 }
 
 impl<'a> ModelWriter<'a> {
@@ -22,16 +22,16 @@
 
     /// A writer of that container or list entry.
     pub(crate) fn below(schema: &'a Schema, node: NodeId) -> ModelWriter<'a> {
-        ModelWriter { schema, node, fields: Fields::new() }
+        ModelWriter { schema, node, fields: DataTree::new() }
     }
 
     /// What was written.
-    pub(crate) fn into_fields(self) -> Fields {
+    pub(crate) fn into_fields(self) -> DataTree {
         self.fields
     }
 
     pub(crate) fn leaf(&mut self, name: &str, value: Scalar) {
-        self.fields.insert(self.child(name), Data::Leaf(value));
+        self.fields.insert(self.child(name), DataNode::Leaf(value));
     }
 
     pub(crate) fn text(&mut self, name: &str, value: impl Into<String>) {
@@ -51,14 +51,14 @@
 
     pub(crate) fn leaf_list(&mut self, name: &str, values: BTreeSet<Scalar>) {
         if !values.is_empty() {
-            self.fields.insert(self.child(name), Data::LeafList(values));
+            self.fields.insert(self.child(name), DataNode::LeafList(values));
         }
     }
 
     pub(crate) fn container(&mut self, name: &str, fill: impl FnOnce(&mut ModelWriter<'_>)) {
         let mut inner = ModelWriter::below(self.schema, self.child(name));
         fill(&mut inner);
-        self.fields.insert(inner.node, Data::Container(inner.fields));
+        self.fields.insert(inner.node, DataNode::Container(inner.fields));
     }
 
     /// The entries of a list; `fill` sets each entry's keys too.
@@ -73,17 +73,17 @@
         for entry in entries {
             let mut inner = ModelWriter::below(self.schema, node);
             fill(&mut inner, entry);
-            let key = |key: &NodeId| inner.fields.get(key).and_then(Data::scalar).cloned();
+            let key = |key: &NodeId| inner.fields.get(key).and_then(DataNode::scalar).cloned();
             let keys: Option<Vec<_>> = self.schema.keys(node).iter().map(key).collect();
             written.insert(keys.unwrap_or_default(), inner.fields);
         }
         if !written.is_empty() {
-            self.fields.insert(node, Data::List(written));
+            self.fields.insert(node, DataNode::List(written));
         }
     }
 
     fn child(&self, name: &str) -> NodeId {
         let child = self.schema.child(Some(self.node), None, name);
-        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.path_of(self.node)))
+        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.schema_path(self.node)))
     }
 }
--- a/crates/rockflow-management-service/src/service.rs
+++ b/crates/rockflow-management-service/src/service.rs
@@ -13,7 +13,7 @@
 use observation::EndpointObserver;
 use rockflow_dispatcher::{Clock, ServiceHandle, StatusReport};
 use rockflow_management::{Management, ManagementError, Operator, SessionId, SnapshotStorage, Subscription};
-use rockflow_yang::{Fields, Schema};
+use rockflow_yang::{DataTree, Schema};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -75,7 +75,7 @@
     pub(crate) active: BTreeMap<u64, ActiveSubscription>,
     next_id: u64,
     /// The operational state that was compared last; none while no subscription waits for changes.
-    pub(crate) last_state: Option<Fields>,
+    pub(crate) last_state: Option<DataTree>,
 }
 
 /// One value subscription.
@@ -175,7 +175,7 @@
     }
 
     /// The operational datastore (RFC 8342): running with its origins, and the dispatcher's state.
-    pub async fn operational(&self) -> Fields {
+    pub async fn operational(&self) -> DataTree {
         let status = self.status().await.unwrap_or_default();
         let shared = self.lock();
         self.operational_state(&shared, &status, self.now())
@@ -190,7 +190,7 @@
         self.reschedule.notify_one();
     }
 
-    fn operational_state(&self, shared: &Shared, status: &StatusReport, now: Duration) -> Fields {
+    fn operational_state(&self, shared: &Shared, status: &StatusReport, now: Duration) -> DataTree {
         let source = StateSource { dispatcher: &self.dispatcher, status, started: self.started, now };
         state::operational(&shared.datastores, &source)
     }
--- a/crates/rockflow-management-service/src/service/changes.rs
+++ b/crates/rockflow-management-service/src/service/changes.rs
@@ -79,7 +79,7 @@
     fn update_log_level(&self, shared: &mut Shared) {
         let names = ["router", "logging", "level"];
         let running = shared.datastores.running();
-        let configured = data::leaf(&self.schema, running, &names).map(Scalar::to_string);
+        let configured = data::leaf_by_names(&self.schema, running, &names).map(Scalar::to_string);
         if configured != shared.log_level {
             (self.set_log_level)(configured.as_deref());
             shared.log_level = configured;
--- a/crates/rockflow-management-service/src/service/observation.rs
+++ b/crates/rockflow-management-service/src/service/observation.rs
@@ -114,7 +114,7 @@
         let state = self.operational_state(shared, status, now);
         let subscriptions = &mut shared.subscriptions;
         let last_state = subscriptions.last_state.as_ref();
-        let changes = last_state.map(|last| data::differences(last, &state)).unwrap_or_default();
+        let changes = last_state.map(|last| data::diff(last, &state)).unwrap_or_default();
         subscriptions.last_state = Some(state);
         if changes.is_empty() {
             return;
--- a/crates/rockflow-management-service/src/session_handle.rs
+++ b/crates/rockflow-management-service/src/session_handle.rs
@@ -7,7 +7,7 @@
     timestamp, CommitOptions, ConfigSource, Datastore, ErrorTag, ManagementError, SessionEndReason,
     SessionId, Subscription, Trigger,
 };
-use rockflow_yang::{Edit, Fields, Pattern, Scalar};
+use rockflow_yang::{DataTree, Edit, Pattern, Scalar};
 use std::sync::{Arc, MutexGuard};
 use std::time::Duration;
 use tokio::sync::{broadcast, Notify};
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// [`ErrorTag::AccessDenied`] where an access rule denies the call.
-    pub async fn read(&self, datastore: Option<Datastore>) -> Result<Fields, ManagementError> {
+    pub async fn read(&self, datastore: Option<Datastore>) -> Result<DataTree, ManagementError> {
         let call = if datastore.is_some() { "get-config" } else { "get" };
         self.authorize_call(call)?;
         let fields = match datastore {
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -6,7 +6,7 @@
 use rockflow_dispatcher::{FillLevel, Phase, ServiceHandle, StatusReport};
 use rockflow_endpoints::{apply_overrides, merge_readiness};
 use rockflow_management::{timestamp, Commit, Management, SnapshotStorage, ValidationContext};
-use rockflow_yang::{Data, Fields, Path, Scalar, Schema, Step};
+use rockflow_yang::{DataNode, DataTree, Path, PathStep, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -34,30 +34,30 @@
 pub(crate) fn operational<S: SnapshotStorage>(
     management: &Management<S>,
     source: &StateSource<'_>,
-) -> Fields {
+) -> DataTree {
     let schema = management.schema();
     let mut fields = running_with_origins(management);
     let state = router_state(management, source);
     let Some(router) = schema.find(&["router"]) else { return fields };
     let Some(state_node) = schema.find(&["router", "state"]) else { return fields };
-    let inner = fields.entry(router).or_insert_with(|| Data::Container(Fields::new()));
-    if let Data::Container(inner) = inner {
-        inner.insert(state_node, Data::Container(state));
+    let inner = fields.entry(router).or_insert_with(|| DataNode::Container(DataTree::new()));
+    if let DataNode::Container(inner) = inner {
+        inner.insert(state_node, DataNode::Container(state));
     }
     fields
 }
 
 /// Running, with who set each override, when and by which commit.
-fn running_with_origins<S: SnapshotStorage>(management: &Management<S>) -> Fields {
+fn running_with_origins<S: SnapshotStorage>(management: &Management<S>) -> DataTree {
     let schema = management.schema();
     let mut fields = (**management.running()).clone();
     let path = override_list_path(schema);
     let list = path[2].node;
-    let Some(Data::Container(router)) = fields.get_mut(&path[0].node) else { return fields };
-    let Some(Data::Container(overrides)) = router.get_mut(&path[1].node) else { return fields };
-    let Some(Data::List(entries)) = overrides.get_mut(&list) else { return fields };
+    let Some(DataNode::Container(router)) = fields.get_mut(&path[0].node) else { return fields };
+    let Some(DataNode::Container(overrides)) = router.get_mut(&path[1].node) else { return fields };
+    let Some(DataNode::List(entries)) = overrides.get_mut(&list) else { return fields };
     for (keys, entry) in entries {
-        let entry_path = Path(path[..2].to_vec()).then(list, keys.clone());
+        let entry_path = Path(path[..2].to_vec()).child(list, keys.clone());
         if let Some(origin) = management.last_origin(&entry_path) {
             let mut writer = ModelWriter::below(schema, list);
             writer.text("author", &*origin.author);
@@ -69,16 +69,16 @@
     fields
 }
 
-fn override_list_path(schema: &Schema) -> Vec<Step> {
+fn override_list_path(schema: &Schema) -> Vec<PathStep> {
     let step = |length: usize| {
         let names = &OVERRIDE_LIST[..length];
         let node = schema.find(names).unwrap_or_else(|| panic!("the model lacks {names:?}"));
-        Step { node, keys: Vec::new() }
+        PathStep { node, keys: Vec::new() }
     };
     (1..=OVERRIDE_LIST.len()).map(step).collect()
 }
 
-fn router_state<S: SnapshotStorage>(management: &Management<S>, source: &StateSource<'_>) -> Fields {
+fn router_state<S: SnapshotStorage>(management: &Management<S>, source: &StateSource<'_>) -> DataTree {
     let StateSource { dispatcher, status, started, now } = *source;
     let mut state = ModelWriter::new(management.schema(), &["router", "state"]);
     state.text("name", &*dispatcher.name);
@@ -188,7 +188,7 @@
     if !commit.comment.is_empty() {
         writer.text("comment", &*commit.comment);
     }
-    let changes = commit.changes.iter().map(|change| Scalar::Text(change.text(schema)));
+    let changes = commit.changes.iter().map(|change| Scalar::Text(change.to_text(schema)));
     writer.leaf_list("change", changes.collect());
 }
 
--- a/crates/rockflow-management-service/src/value_subscription.rs
+++ b/crates/rockflow-management-service/src/value_subscription.rs
@@ -2,7 +2,7 @@
 
 use crate::service::ManagementService;
 use rockflow_management::{Operation, Update};
-use rockflow_yang::{data, Fields, Path, Pattern};
+use rockflow_yang::{data, DataTree, Path, Pattern};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -58,7 +58,7 @@
         shared.subscriptions.active.get(&self.number).and_then(|active| active.subscription.next_due())
     }
 
-    fn take_update(&self, now: Duration, present: &Fields) -> Option<Update> {
+    fn take_update(&self, now: Duration, present: &DataTree) -> Option<Update> {
         let mut shared = self.service.lock();
         let active = shared.subscriptions.active.get_mut(&self.number)?;
         let user = active.user.clone();
@@ -79,10 +79,10 @@
     }
 
     /// The part of the state that the patterns select.
-    fn select(&self, present: &Fields) -> Fields {
-        let mut selected = Fields::new();
+    fn select(&self, present: &DataTree) -> DataTree {
+        let mut selected = DataTree::new();
         for pattern in &self.patterns {
-            data::merge(&mut selected, &data::select(present, pattern));
+            data::merge(&mut selected, &data::select_matching(present, pattern));
         }
         selected
     }
@@ -91,5 +91,5 @@
 /// The leaf-list of one of its values, which is what access rules name.
 fn leaf_list_of(path: &Path) -> Option<Path> {
     let last = path.0.last().filter(|step| !step.keys.is_empty())?;
-    Some(Path(path.0[..path.0.len() - 1].to_vec()).then(last.node, Vec::new()))
+    Some(Path(path.0[..path.0.len() - 1].to_vec()).child(last.node, Vec::new()))
 }
--- a/crates/rockflow-management/src/access.rs
+++ b/crates/rockflow-management/src/access.rs
@@ -2,7 +2,7 @@
 //! then the defaults. No rule restricts the owner, so that nobody can lock everybody out.
 
 use crate::error::AccessRuleError;
-use rockflow_yang::{data, Data, Fields, Path, Pattern, Scalar, Schema, Step};
+use rockflow_yang::{data, DataNode, DataTree, Path, PathStep, Pattern, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is done to a node.
@@ -45,7 +45,7 @@
     fn includes_node(&self, path: &Path) -> bool {
         match self {
             Target::Anything => true,
-            Target::Nodes(pattern) => pattern.holds(path),
+            Target::Nodes(pattern) => pattern.matches(path),
             Target::Call(_) => false,
         }
     }
@@ -84,10 +84,10 @@
 }
 
 impl Rule {
-    fn read(schema: &Schema, fields: &Fields) -> Result<Rule, AccessRuleError> {
+    fn read(schema: &Schema, fields: &DataTree) -> Result<Rule, AccessRuleError> {
         let rule = leaf_text(schema, fields, "number").unwrap_or_default();
         let target = match (leaf_text(schema, fields, "path"), leaf_text(schema, fields, "rpc")) {
-            (Some(path), None) => match Pattern::read(schema, &path) {
+            (Some(path), None) => match Pattern::parse(schema, &path) {
                 Ok(pattern) => Target::Nodes(pattern),
                 Err(reason) => return Err(AccessRuleError::Path { rule, reason: reason.to_string() }),
             },
@@ -156,11 +156,11 @@
     /// The first rule that can't be read.
     pub fn compile(
         schema: &Schema,
-        configuration: &Fields,
+        configuration: &DataTree,
         owner: Option<String>,
     ) -> Result<Access, AccessRuleError> {
         let default = |name: &str, otherwise: Action| {
-            let leaf = data::leaf(schema, configuration, &["router", "access", name]);
+            let leaf = data::leaf_by_names(schema, configuration, &["router", "access", name]);
             let action = leaf.and_then(Scalar::as_text);
             action.map_or(otherwise, |action| Action::from_name(Some(action)))
         };
@@ -181,7 +181,7 @@
                 write: default("write-default", Action::Deny),
                 exec: default("exec-default", Action::Deny),
             },
-            protected: Pattern::read(schema, "/rockflow-router:router/rockflow-access:access").ok(),
+            protected: Pattern::parse(schema, "/rockflow-router:router/rockflow-access:access").ok(),
         })
     }
 
@@ -194,7 +194,7 @@
         if let Some(rule) = self.rules.iter().find(fits) {
             return rule.action == Action::Permit;
         }
-        let is_protected = self.protected.as_ref().is_some_and(|protected| protected.holds(path));
+        let is_protected = self.protected.as_ref().is_some_and(|protected| protected.matches(path));
         let default = match operation {
             Operation::Read => self.defaults.read,
             _ => self.defaults.write,
@@ -216,12 +216,12 @@
     }
 
     /// The part of a tree that the user may read.
-    pub fn readable(&self, schema: &Schema, user: &str, fields: &Fields) -> Fields {
+    pub fn readable(&self, schema: &Schema, user: &str, fields: &DataTree) -> DataTree {
         if self.is_owner(user) {
             return fields.clone();
         }
         let may_read = |path: &Path| self.is_permitted(user, Operation::Read, path);
-        data::prune(schema, fields, &Path::default(), &may_read)
+        data::retain_leaves(schema, fields, &Path::default(), &may_read)
     }
 
     fn is_owner(&self, user: &str) -> bool {
@@ -238,29 +238,29 @@
 }
 
 /// The entries of the list at that place of the model.
-fn entries<'a>(schema: &Schema, fields: &'a Fields, names: &[&str]) -> Vec<&'a Fields> {
+fn entries<'a>(schema: &Schema, fields: &'a DataTree, names: &[&str]) -> Vec<&'a DataTree> {
     let step = |length: usize| {
         let node = schema.find(&names[..length])?;
-        Some(Step { node, keys: Vec::new() })
+        Some(PathStep { node, keys: Vec::new() })
     };
     let path: Option<Vec<_>> = (1..=names.len()).map(step).collect();
-    match data::get(fields, &path.unwrap_or_default()) {
-        Some(data::Found::Data(Data::List(entries))) => entries.values().collect(),
+    match data::find_instance(fields, &path.unwrap_or_default()) {
+        Some(data::Instance::DataNode(DataNode::List(entries))) => entries.values().collect(),
         _ => Vec::new(),
     }
 }
 
-fn child<'a>(schema: &Schema, fields: &'a Fields, name: &str) -> Option<&'a Data> {
+fn child<'a>(schema: &Schema, fields: &'a DataTree, name: &str) -> Option<&'a DataNode> {
     fields.iter().find(|(id, _)| schema.node(**id).name == name).map(|(_, data)| data)
 }
 
-fn leaf_text(schema: &Schema, fields: &Fields, name: &str) -> Option<String> {
-    child(schema, fields, name).and_then(Data::scalar).map(Scalar::to_string)
+fn leaf_text(schema: &Schema, fields: &DataTree, name: &str) -> Option<String> {
+    child(schema, fields, name).and_then(DataNode::scalar).map(Scalar::to_string)
 }
 
-fn leaf_list_texts(schema: &Schema, fields: &Fields, name: &str) -> BTreeSet<String> {
+fn leaf_list_texts(schema: &Schema, fields: &DataTree, name: &str) -> BTreeSet<String> {
     match child(schema, fields, name) {
-        Some(Data::LeafList(values)) => values.iter().map(Scalar::to_string).collect(),
+        Some(DataNode::LeafList(values)) => values.iter().map(Scalar::to_string).collect(),
         _ => BTreeSet::new(),
     }
 }
--- a/crates/rockflow-management/src/candidate.rs
+++ b/crates/rockflow-management/src/candidate.rs
@@ -3,21 +3,21 @@
 use crate::error::{ErrorTag, ManagementError};
 use crate::history::History;
 use crate::lock::paths_overlap;
-use rockflow_yang::{data, Change, Fields, Path, Schema, Step};
+use rockflow_yang::{data, Change, DataTree, Path, PathStep, Schema};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// An edited copy of running.
 pub(crate) struct Candidate {
-    pub(crate) fields: Fields,
+    pub(crate) fields: DataTree,
     /// Running as it was when the first edit was made.
-    base: Arc<Fields>,
+    base: Arc<DataTree>,
     base_version: u64,
 }
 
 impl Candidate {
-    pub(crate) fn new(base: Arc<Fields>, base_version: u64) -> Candidate {
-        Candidate { fields: Fields::new(), base, base_version }
+    pub(crate) fn new(base: Arc<DataTree>, base_version: u64) -> Candidate {
+        Candidate { fields: DataTree::new(), base, base_version }
     }
 
     /// The candidate's changes on top of running as it is now; an error of the application tag `conflict` where
@@ -25,20 +25,20 @@
     pub(crate) fn rebase(
         &self,
         schema: &Schema,
-        running: &Fields,
+        running: &DataTree,
         version: u64,
         history: &History,
-    ) -> Result<Fields, ManagementError> {
+    ) -> Result<DataTree, ManagementError> {
         if self.base_version == version {
             return Ok(self.fields.clone());
         }
-        let ours = data::differences(&self.base, &self.fields);
-        let theirs = data::differences(&self.base, running);
+        let ours = data::diff(&self.base, &self.fields);
+        let theirs = data::diff(&self.base, running);
         if let Some(path) = find_conflict(schema, &ours, &theirs) {
             return Err(self.conflict_error(schema, path, history));
         }
         let mut merged = running.clone();
-        data::replay(schema, &mut merged, &ours);
+        data::apply_changes(schema, &mut merged, &ours);
         Ok(merged)
     }
 
@@ -51,7 +51,7 @@
         let by = commit.map_or("meanwhile".to_string(), |commit| {
             format!("by {} in commit {}", commit.operator.user, commit.version)
         });
-        let message = format!("{} was changed {by}; discard and begin anew", path.text(schema));
+        let message = format!("{} was changed {by}; discard and begin anew", path.to_text(schema));
         ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("conflict").with_path(path)
     }
 }
@@ -72,7 +72,7 @@
 }
 
 /// The list entries that the changes delete: those whose key goes.
-fn deleted_entries<'a>(schema: &Schema, changes: &'a [Change]) -> Vec<&'a [Step]> {
+fn deleted_entries<'a>(schema: &Schema, changes: &'a [Change]) -> Vec<&'a [PathStep]> {
     let deletes_key = |change: &&Change| {
         change.after.is_none() && change.path.node().is_some_and(|node| schema.is_key(node))
     };
@@ -81,7 +81,7 @@
 }
 
 /// The first change that sets a value inside one of the entries.
-fn first_set_inside<'a>(changes: &'a [Change], entries: &[&[Step]]) -> Option<&'a Path> {
+fn first_set_inside<'a>(changes: &'a [Change], entries: &[&[PathStep]]) -> Option<&'a Path> {
     let is_inside = |change: &&Change| {
         change.after.is_some() && entries.iter().any(|entry| change.path.0.starts_with(entry))
     };
--- a/crates/rockflow-management/src/confirmed_commit.rs
+++ b/crates/rockflow-management/src/confirmed_commit.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{ErrorTag, ManagementError};
 use crate::session::{Operator, SessionId};
-use rockflow_yang::Fields;
+use rockflow_yang::DataTree;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
     pub(crate) author: Operator,
     pub(crate) version: u64,
     /// The configuration that returns unless it is confirmed.
-    pub(crate) before: Arc<Fields>,
+    pub(crate) before: Arc<DataTree>,
     /// The commit that made that configuration.
     pub(crate) before_version: u64,
     pub(crate) deadline: Duration,
--- a/crates/rockflow-management/src/datastore.rs
+++ b/crates/rockflow-management/src/datastore.rs
@@ -1,6 +1,6 @@
 //! The datastores (RFC 8342), and how edits of one are made.
 
-use rockflow_yang::Fields;
+use rockflow_yang::DataTree;
 
 /// A configuration datastore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
     /// What the datastore holds.
     Datastore(Datastore),
     /// The tree that came with the request.
-    Inline(Fields),
+    Inline(DataTree),
 }
 
 /// What the startup datastore is.
--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -2,8 +2,7 @@
 //! appendix A, which servers of other protocols translate.
 
 use crate::session::SessionId;
-use rockflow_yang::data::{EditError, EditFault};
-use rockflow_yang::Path;
+use rockflow_yang::{EditError, EditErrorKind, Path};
 use std::fmt;
 use thiserror::Error;
 
@@ -127,14 +126,14 @@
     }
 }
 
-impl From<EditFault> for ManagementError {
-    fn from(error: EditFault) -> ManagementError {
-        let tag = match error.error {
-            EditError::Exists => ErrorTag::DataExists,
-            EditError::Missing => ErrorTag::DataMissing,
-            EditError::NotWritable | EditError::BadValue => ErrorTag::InvalidValue,
+impl From<EditError> for ManagementError {
+    fn from(error: EditError) -> ManagementError {
+        let tag = match error.kind {
+            EditErrorKind::Exists => ErrorTag::DataExists,
+            EditErrorKind::Missing => ErrorTag::DataMissing,
+            EditErrorKind::NotWritable | EditErrorKind::BadValue => ErrorTag::InvalidValue,
         };
-        ManagementError::new(tag, error.what).with_path(&error.path)
+        ManagementError::new(tag, error.message).with_path(&error.path)
     }
 }
 
--- a/crates/rockflow-management/src/history.rs
+++ b/crates/rockflow-management/src/history.rs
@@ -1,7 +1,7 @@
 //! Past commits, the reconstruction of earlier configurations, and who set each value last.
 
 use crate::session::Operator;
-use rockflow_yang::{data, Change, Fields, Path, Schema};
+use rockflow_yang::{data, Change, DataTree, Path, Schema};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
 
     /// The origin that is newest of all at or below the path.
     pub(crate) fn last_origin(&self, path: &Path) -> Option<&Origin> {
-        let below = self.origins.range(path.clone()..).take_while(|(at, _)| path.holds(at));
+        let below = self.origins.range(path.clone()..).take_while(|(at, _)| path.contains(at));
         below.map(|(_, origin)| origin).max_by_key(|origin| origin.version)
     }
 
@@ -108,10 +108,10 @@
     pub(crate) fn configuration_at(
         &self,
         schema: &Schema,
-        running: &Fields,
+        running: &DataTree,
         running_version: u64,
         version: u64,
-    ) -> Option<Fields> {
+    ) -> Option<DataTree> {
         let is_reachable = version == running_version
             || self.commits.iter().any(|commit| commit.version == version)
             || self.oldest_version().is_some_and(|oldest| oldest == version + 1);
@@ -120,7 +120,7 @@
         }
         let mut fields = running.clone();
         for commit in self.commits.iter().rev().take_while(|commit| commit.version > version) {
-            data::replay(schema, &mut fields, &inverse(&commit.changes));
+            data::apply_changes(schema, &mut fields, &inverse(&commit.changes));
         }
         Some(fields)
     }
--- a/crates/rockflow-management/src/lock.rs
+++ b/crates/rockflow-management/src/lock.rs
@@ -141,7 +141,7 @@
         for lock in self.partial.values().filter(|lock| lock.session != session) {
             let is_changed = |node: &Path| changes.iter().any(|change| paths_overlap(node, &change.path));
             if let Some(node) = lock.nodes.iter().find(|node| is_changed(node)) {
-                let what = format!("{} is locked", node.text(schema));
+                let what = format!("{} is locked", node.to_text(schema));
                 return Err(in_use(lock.session, &what).with_path(node));
             }
         }
@@ -163,5 +163,5 @@
 
 /// Whether one path is the other, or lies below it.
 pub(crate) fn paths_overlap(one: &Path, other: &Path) -> bool {
-    one.holds(other) || other.holds(one)
+    one.contains(other) || other.contains(one)
 }
--- a/crates/rockflow-management/src/management.rs
+++ b/crates/rockflow-management/src/management.rs
@@ -23,7 +23,7 @@
 use crate::session::{Operator, SessionId, Sessions};
 use crate::storage::SnapshotStorage;
 use rockflow_endpoints::AdminOverrides;
-use rockflow_yang::{data, Fields, Path, Scalar, Schema};
+use rockflow_yang::{data, DataTree, Path, Scalar, Schema};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -50,8 +50,8 @@
 pub struct Management<S> {
     schema: Arc<Schema>,
     storage: S,
-    running: Arc<Fields>,
-    startup: Fields,
+    running: Arc<DataTree>,
+    startup: DataTree,
     /// The commit in force.
     version: u64,
     /// The greatest number given to a commit, in force or not.
@@ -125,7 +125,7 @@
     }
 
     /// The configuration in force.
-    pub fn running(&self) -> &Arc<Fields> {
+    pub fn running(&self) -> &Arc<DataTree> {
         &self.running
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// The configuration that a session sees under that name.
-    pub fn datastore(&self, session: SessionId, datastore: Datastore) -> &Fields {
+    pub fn datastore(&self, session: SessionId, datastore: Datastore) -> &DataTree {
         match datastore {
             Datastore::Running => &self.running,
             Datastore::Startup if self.has_separate_startup() => &self.startup,
@@ -186,7 +186,7 @@
     /// A number of the `management` container, or the model's default.
     fn setting(&self, name: &str) -> u64 {
         let names = ["router", "management", name];
-        let configured = data::leaf(&self.schema, &self.running, &names).and_then(Scalar::as_u64);
+        let configured = data::leaf_by_names(&self.schema, &self.running, &names).and_then(Scalar::as_u64);
         let default = || self.schema.find(&names).and_then(|id| self.schema.default_of(id)?.as_u64());
         configured.or_else(default).unwrap_or(1)
     }
--- a/crates/rockflow-management/src/management/commits.rs
+++ b/crates/rockflow-management/src/management/commits.rs
@@ -8,7 +8,7 @@
 use crate::session::SessionId;
 use crate::storage::SnapshotStorage;
 use crate::validation::ValidationContext;
-use rockflow_yang::{data, Data, Edit, Fields, Op, Path, Scalar};
+use rockflow_yang::{data, DataNode, DataTree, Edit, EditOperation, Path, Scalar};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 /// A new running configuration that a session proposes.
 struct ProposedChange {
     session: SessionId,
-    configuration: Fields,
+    configuration: DataTree,
     comment: String,
     options: CommitOptions,
     authorization: Authorization,
@@ -35,7 +35,7 @@
 
 impl ProposedChange {
     /// A change that needs no confirmation, and the permission for each node.
-    fn new(session: SessionId, configuration: Fields, comment: &str) -> ProposedChange {
+    fn new(session: SessionId, configuration: DataTree, comment: &str) -> ProposedChange {
         ProposedChange {
             session,
             configuration,
@@ -90,7 +90,7 @@
         self.check_version(expected_version)?;
         let mut configuration = (*self.running).clone();
         for edit in edits {
-            data::apply(&self.schema, &mut configuration, edit)?;
+            data::apply_edit(&self.schema, &mut configuration, edit)?;
         }
         self.apply_change(now, ProposedChange::new(id, configuration, comment), context)
     }
@@ -112,7 +112,7 @@
         self.authorize_call(id, call)?;
         self.check_none_pending()?;
         let text = format!("/rockflow-router:router/marks/mark[host=\"{host}\"]");
-        let path = Path::read(&self.schema, &text)
+        let path = Path::parse(&self.schema, &text)
             .map_err(|reason| ManagementError::new(ErrorTag::InvalidValue, reason.to_string()))?;
         let configuration = if leaves.is_empty() {
             self.without_override(host, path)?
@@ -169,7 +169,7 @@
     }
 
     /// The configuration as it was when that commit was in force; none where the history does not reach back.
-    pub fn configuration_at(&self, version: u64) -> Option<Fields> {
+    pub fn configuration_at(&self, version: u64) -> Option<DataTree> {
         self.history.configuration_at(&self.schema, &self.running, self.version, version)
     }
 
@@ -204,27 +204,27 @@
         Err(ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("conflict"))
     }
 
-    fn without_override(&self, host: &str, path: Path) -> Result<Fields, ManagementError> {
+    fn without_override(&self, host: &str, path: Path) -> Result<DataTree, ManagementError> {
         let mut configuration = (*self.running).clone();
-        let edit = Edit { path: path.clone(), op: Op::Delete, value: None };
-        data::apply(&self.schema, &mut configuration, &edit).map_err(|_| {
+        let edit = Edit { path: path.clone(), op: EditOperation::Delete, value: None };
+        data::apply_edit(&self.schema, &mut configuration, &edit).map_err(|_| {
             let message = format!("{host} has no mark");
             ManagementError::new(ErrorTag::DataMissing, message).with_path(&path)
         })?;
         Ok(configuration)
     }
 
-    fn with_override(&self, path: Path, leaves: &[(&str, Scalar)]) -> Result<Fields, ManagementError> {
-        let mut fields = Fields::new();
+    fn with_override(&self, path: Path, leaves: &[(&str, Scalar)]) -> Result<DataTree, ManagementError> {
+        let mut fields = DataTree::new();
         for (name, value) in leaves {
             let node = path.node().and_then(|list| self.schema.child(Some(list), None, name));
             let node = node
                 .ok_or_else(|| ManagementError::new(ErrorTag::OperationFailed, format!("no leaf {name}")))?;
-            fields.insert(node, Data::Leaf(value.clone()));
+            fields.insert(node, DataNode::Leaf(value.clone()));
         }
         let mut configuration = (*self.running).clone();
-        let edit = Edit { path, op: Op::Replace, value: Some(Data::Container(fields)) };
-        data::apply(&self.schema, &mut configuration, &edit)?;
+        let edit = Edit { path, op: EditOperation::Replace, value: Some(DataNode::Container(fields)) };
+        data::apply_edit(&self.schema, &mut configuration, &edit)?;
         Ok(configuration)
     }
 
@@ -236,7 +236,7 @@
         context: &ValidationContext,
     ) -> Result<u64, ManagementError> {
         let operator = self.sessions.get(change.session)?.operator.clone();
-        let changes = data::differences(&self.running, &change.configuration);
+        let changes = data::diff(&self.running, &change.configuration);
         self.locks.check_changes(&self.schema, change.session, &changes)?;
         if change.authorization == Authorization::EachNode {
             self.authorize_changes(&operator.user, &changes)?;
--- a/crates/rockflow-management/src/management/editing.rs
+++ b/crates/rockflow-management/src/management/editing.rs
@@ -9,7 +9,7 @@
 use crate::session::SessionId;
 use crate::storage::SnapshotStorage;
 use crate::validation::{self, ValidationContext};
-use rockflow_yang::{data, Change, Data, Edit, Fields, Op, Path};
+use rockflow_yang::{data, Change, DataNode, DataTree, Edit, EditOperation, Path};
 use std::time::Duration;
 
 impl<S: SnapshotStorage> Management<S> {
@@ -81,8 +81,8 @@
             ConfigSource::Inline(fields) => fields,
         };
         self.check_copy_target(id, target)?;
-        let value = Some(Data::Container(fields));
-        self.edit_whole(id, target, Edit { path: Path::default(), op: Op::Replace, value })
+        let value = Some(DataNode::Container(fields));
+        self.edit_whole(id, target, Edit { path: Path::default(), op: EditOperation::Replace, value })
     }
 
     /// Empties startup.
@@ -91,7 +91,11 @@
     /// [`ErrorTag::OperationNotSupported`] where startup is not separate.
     pub fn delete_startup(&mut self, id: SessionId) -> Result<(), ManagementError> {
         self.authorize_call(id, "delete-config")?;
-        self.edit_whole(id, Datastore::Startup, Edit { path: Path::default(), op: Op::Remove, value: None })
+        self.edit_whole(
+            id,
+            Datastore::Startup,
+            Edit { path: Path::default(), op: EditOperation::Remove, value: None },
+        )
     }
 
     /// Checks a whole configuration as a commit would.
@@ -118,7 +122,7 @@
     pub(super) fn check_valid(
         &self,
         now: Duration,
-        proposed: &Fields,
+        proposed: &DataTree,
         context: &ValidationContext,
     ) -> Result<(), ManagementError> {
         let owner = self.owner.as_deref();
@@ -134,7 +138,7 @@
     }
 
     /// The session's candidate on top of running as it is now.
-    pub(super) fn rebased_candidate(&self, id: SessionId) -> Result<Fields, ManagementError> {
+    pub(super) fn rebased_candidate(&self, id: SessionId) -> Result<DataTree, ManagementError> {
         match &self.sessions.get(id)?.candidate {
             Some(candidate) => candidate.rebase(&self.schema, &self.running, self.version, &self.history),
             None => Ok((*self.running).clone()),
@@ -203,10 +207,15 @@
     }
 
     /// Makes one edit, or leaves the fields as they are.
-    fn apply_authorized(&self, user: &str, fields: &mut Fields, edit: &Edit) -> Result<(), ManagementError> {
+    fn apply_authorized(
+        &self,
+        user: &str,
+        fields: &mut DataTree,
+        edit: &Edit,
+    ) -> Result<(), ManagementError> {
         let mut after = fields.clone();
-        data::apply(&self.schema, &mut after, edit)?;
-        self.authorize_changes(user, &data::differences(fields, &after))?;
+        data::apply_edit(&self.schema, &mut after, edit)?;
+        self.authorize_changes(user, &data::diff(fields, &after))?;
         *fields = after;
         Ok(())
     }
@@ -215,7 +224,7 @@
         &mut self,
         id: SessionId,
         target: Datastore,
-        fields: Fields,
+        fields: DataTree,
     ) -> Result<(), ManagementError> {
         if target != Datastore::Startup {
             self.set_candidate(id, fields);
@@ -225,7 +234,7 @@
         self.save().inspect_err(|_| self.startup = before)
     }
 
-    fn set_candidate(&mut self, id: SessionId, fields: Fields) {
+    fn set_candidate(&mut self, id: SessionId, fields: DataTree) {
         let (running, version) = (self.running.clone(), self.version);
         if let Some(session) = self.sessions.get_mut(id) {
             session.candidate.get_or_insert_with(|| Candidate::new(running, version)).fields = fields;
--- a/crates/rockflow-management/src/management/installation.rs
+++ b/crates/rockflow-management/src/management/installation.rs
@@ -9,7 +9,7 @@
 use crate::record::{PendingRecord, Record};
 use crate::session::{Operator, SessionId};
 use crate::storage::SnapshotStorage;
-use rockflow_yang::{data, Fields, Path};
+use rockflow_yang::{data, DataTree, Path};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     pub(super) fn install_permanent(
         &mut self,
         commit: Commit,
-        configuration: Arc<Fields>,
+        configuration: Arc<DataTree>,
     ) -> Result<(), ManagementError> {
         let operator = commit.operator.clone();
         let confirmed = self.pending.take();
@@ -38,7 +38,7 @@
     pub(super) fn install_unconfirmed(
         &mut self,
         commit: Commit,
-        configuration: Arc<Fields>,
+        configuration: Arc<DataTree>,
         session: SessionId,
         options: &CommitOptions,
         deadline: Duration,
@@ -75,7 +75,7 @@
             operator: Operator::system(),
             time: now,
             comment: format!("commit {} of {} was not confirmed", pending.version, author.user),
-            changes: data::differences(&self.running, &pending.before),
+            changes: data::diff(&self.running, &pending.before),
         };
         if self.install(commit.clone(), pending.before.clone()).is_err() {
             // The configuration before is durable already, so that a failing disk must not keep it back.
@@ -99,7 +99,7 @@
     }
 
     /// Stores a commit, then puts it in force; where it can't be stored, all stays as it was.
-    fn install(&mut self, commit: Commit, configuration: Arc<Fields>) -> Result<(), ManagementError> {
+    fn install(&mut self, commit: Commit, configuration: Arc<DataTree>) -> Result<(), ManagementError> {
         let running_before = std::mem::replace(&mut self.running, configuration);
         let version_before = self.version;
         let origins_before = self.history.record_origins(&commit);
@@ -141,7 +141,7 @@
     }
 
     fn record(&self) -> Record {
-        let startup = if self.has_separate_startup() { self.startup.clone() } else { Fields::new() };
+        let startup = if self.has_separate_startup() { self.startup.clone() } else { DataTree::new() };
         let mut record = Record {
             running: (*self.running).clone(),
             startup,
--- a/crates/rockflow-management/src/management/locking.rs
+++ b/crates/rockflow-management/src/management/locking.rs
@@ -99,7 +99,7 @@
     fn select_nodes(&self, select: &[Pattern]) -> Result<Vec<Path>, ManagementError> {
         let mut nodes = Vec::new();
         for pattern in select {
-            let found = data::instances(&self.running, pattern, MAX_LOCKED_NODES)
+            let found = data::instances_matching(&self.running, pattern, MAX_LOCKED_NODES)
                 .ok_or_else(|| ManagementError::new(ErrorTag::TooBig, "too much to lock in part"))?;
             nodes.extend(found.into_iter().map(|(path, _)| path));
         }
--- a/crates/rockflow-management/src/overrides.rs
+++ b/crates/rockflow-management/src/overrides.rs
@@ -3,16 +3,17 @@
 use crate::timestamp;
 use rockflow::Readiness;
 use rockflow_endpoints::{AdminOverride, AdminOverrides};
-use rockflow_yang::{data, Data, Fields, NodeId, Scalar, Schema, Step};
+use rockflow_yang::{data, DataNode, DataTree, NodeId, PathStep, Scalar, Schema};
 
 /// The list of the model that holds one entry an override.
 const OVERRIDE_LIST: [&str; 3] = ["router", "marks", "mark"];
 
 /// The overrides of a configuration, by endpoint.
-pub fn administrative_overrides(schema: &Schema, configuration: &Fields) -> AdminOverrides {
+pub fn administrative_overrides(schema: &Schema, configuration: &DataTree) -> AdminOverrides {
     let Some(leaves) = OverrideLeaves::find(schema) else { return AdminOverrides::new() };
     let Some(path) = list_path(schema) else { return AdminOverrides::new() };
-    let Some(data::Found::Data(Data::List(entries))) = data::get(configuration, &path) else {
+    let Some(data::Instance::DataNode(DataNode::List(entries))) = data::find_instance(configuration, &path)
+    else {
         return AdminOverrides::new();
     };
     let mut overrides = AdminOverrides::new();
@@ -37,8 +38,8 @@
         Some(OverrideLeaves { state: leaf("state")?, expires: leaf("expires")?, force: leaf("force")? })
     }
 
-    fn read(&self, fields: &Fields) -> AdminOverride {
-        let scalar = |leaf: NodeId| fields.get(&leaf).and_then(Data::scalar);
+    fn read(&self, fields: &DataTree) -> AdminOverride {
+        let scalar = |leaf: NodeId| fields.get(&leaf).and_then(DataNode::scalar);
         let text = |leaf: NodeId| scalar(leaf).and_then(Scalar::as_text);
         let readiness = match text(self.state) {
             Some("gone") => Readiness::Gone,
@@ -50,10 +51,10 @@
     }
 }
 
-fn list_path(schema: &Schema) -> Option<Vec<Step>> {
+fn list_path(schema: &Schema) -> Option<Vec<PathStep>> {
     let step = |length: usize| {
         let node = schema.find(&OVERRIDE_LIST[..length])?;
-        Some(Step { node, keys: Vec::new() })
+        Some(PathStep { node, keys: Vec::new() })
     };
     (1..=OVERRIDE_LIST.len()).map(step).collect()
 }
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -5,7 +5,7 @@
 use crate::error::{RestoreError, RestoreWarning};
 use crate::history::{Commit, Origin};
 use crate::session::{Operator, Protocol};
-use rockflow_yang::{data, json, Change, Fields, Path, Scalar, Schema};
+use rockflow_yang::{data, json, Change, DataTree, NodeScope, Path, Scalar, Schema};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     /// The configuration in force or, while a commit is pending, the one before it.
-    pub running: Fields,
+    pub running: DataTree,
     /// The startup configuration; empty where it is not separate.
-    pub startup: Fields,
+    pub startup: DataTree,
     /// The commit that made `running`.
     pub version: u64,
     /// The greatest number given to a commit, in force or not.
@@ -95,7 +95,7 @@
 fn write_commit(schema: &Schema, commit: &Commit) -> Value {
     let text = |value: &Option<Scalar>| value.as_ref().map(Scalar::to_string);
     let change =
-        |change: &Change| json!([change.path.text(schema), text(&change.before), text(&change.after)]);
+        |change: &Change| json!([change.path.to_text(schema), text(&change.before), text(&change.after)]);
     let changes: Vec<_> = commit.changes.iter().map(change).collect();
     json!({
         "version": commit.version,
@@ -109,14 +109,15 @@
 }
 
 fn write_origin(schema: &Schema, path: &Path, origin: &Origin) -> Value {
-    json!([path.text(schema), origin.author, origin.version, millis(origin.time)])
+    json!([path.to_text(schema), origin.author, origin.version, millis(origin.time)])
 }
 
-fn read_configuration(schema: &Schema, value: &Value, key: &'static str) -> Result<Fields, RestoreError> {
+fn read_configuration(schema: &Schema, value: &Value, key: &'static str) -> Result<DataTree, RestoreError> {
     let error = |reason: String| RestoreError::Configuration { key, reason };
     let tree = value.get(key).unwrap_or(&Value::Null);
-    let fields = json::read(schema, None, tree, false).map_err(|reason| error(reason.to_string()))?;
-    data::check(schema, &fields, &Path::default()).map_err(|reason| error(reason.to_string()))?;
+    let fields =
+        json::read(schema, None, tree, NodeScope::ConfigOnly).map_err(|reason| error(reason.to_string()))?;
+    data::check_constraints(schema, &fields, &Path::default()).map_err(|reason| error(reason.to_string()))?;
     Ok(fields)
 }
 
@@ -150,18 +151,18 @@
 }
 
 fn read_change(schema: &Schema, change: &Value) -> Option<Change> {
-    let path = Path::read(schema, change.get(0)?.as_str()?).ok()?;
+    let path = Path::parse(schema, change.get(0)?.as_str()?).ok()?;
     let leaf_type = schema.type_of(path.node()?)?;
     let side = |index: usize| match change.get(index)? {
         Value::Null => Some(None),
-        value => Some(Some(leaf_type.read(value.as_str()?).ok()?)),
+        value => Some(Some(leaf_type.parse(value.as_str()?).ok()?)),
     };
     let (before, after) = (side(1)?, side(2)?);
     Some(Change { path, before, after })
 }
 
 fn read_origin(schema: &Schema, entry: &Value) -> Option<(Path, Origin)> {
-    let path = Path::read(schema, entry.get(0)?.as_str()?).ok()?;
+    let path = Path::parse(schema, entry.get(0)?.as_str()?).ok()?;
     let number = |index: usize| entry.get(index).and_then(Value::as_u64).unwrap_or_default();
     let author = entry.get(1).and_then(Value::as_str).unwrap_or_default().to_string();
     let time = Duration::from_millis(number(3));
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -3,7 +3,7 @@
 //! Of the changes that wait to be sent only the last one of each path is held, so that a slow reader costs no
 //! more than what it subscribes to; past [`MAX_WAITING`] paths it is sent a whole snapshot instead.
 
-use rockflow_yang::{data, Change, Fields, Path, Pattern, Scalar};
+use rockflow_yang::{data, Change, DataTree, Path, Pattern, Scalar};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -117,7 +117,7 @@
     }
 
     /// The update that is due by now, if any; `present` gives the present values where they are needed.
-    pub fn take_update(&mut self, now: Duration, present: impl FnOnce() -> Fields) -> Option<Update> {
+    pub fn take_update(&mut self, now: Duration, present: impl FnOnce() -> DataTree) -> Option<Update> {
         if self.next_due().is_none_or(|due| due > now) {
             return None;
         }
@@ -181,10 +181,10 @@
     }
 
     fn selects(&self, path: &Path) -> bool {
-        self.patterns.iter().any(|pattern| pattern.holds(path))
+        self.patterns.iter().any(|pattern| pattern.matches(path))
     }
 
-    fn selected_values(&self, present: Fields) -> BTreeMap<Path, Scalar> {
+    fn selected_values(&self, present: DataTree) -> BTreeMap<Path, Scalar> {
         data::leaves(&present).into_iter().filter(|(path, _)| self.selects(path)).collect()
     }
 }
--- a/crates/rockflow-management/src/validation.rs
+++ b/crates/rockflow-management/src/validation.rs
@@ -4,7 +4,7 @@
 use crate::error::{ErrorTag, ManagementError};
 use crate::overrides::administrative_overrides;
 use rockflow_endpoints::{find_emptied_group, ListedEndpoint};
-use rockflow_yang::{data, Fields, Path, Schema};
+use rockflow_yang::{data, DataTree, Path, Schema};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,12 +23,12 @@
 pub(crate) fn validate(
     schema: &Schema,
     now: Duration,
-    running: &Fields,
-    proposed: &Fields,
+    running: &DataTree,
+    proposed: &DataTree,
     owner: Option<&str>,
     context: &ValidationContext,
 ) -> Result<(), ManagementError> {
-    data::check(schema, proposed, &Path::default()).map_err(ManagementError::from)?;
+    data::check_constraints(schema, proposed, &Path::default()).map_err(ManagementError::from)?;
     check_size(proposed)?;
     Access::compile(schema, proposed, owner.map(str::to_string))
         .map_err(|error| ManagementError::new(ErrorTag::InvalidValue, error.to_string()))?;
@@ -42,8 +42,8 @@
 }
 
 /// An error where a configuration holds more values than allowed.
-pub(crate) fn check_size(fields: &Fields) -> Result<(), ManagementError> {
-    if data::count(fields) > MAX_VALUES {
+pub(crate) fn check_size(fields: &DataTree) -> Result<(), ManagementError> {
+    if data::count_values(fields) > MAX_VALUES {
         let message = format!("more than {MAX_VALUES} values");
         return Err(ManagementError::new(ErrorTag::ResourceDenied, message));
     }
--- a/crates/rockflow-management/tests/crashes.rs
+++ b/crates/rockflow-management/tests/crashes.rs
@@ -7,7 +7,7 @@
 use common::{restore, DiskManagement};
 use rockflow_management::*;
 use rockflow_store::faulty::{FaultyDisk, UnsyncedBytes};
-use rockflow_yang::{json, Scalar, Schema};
+use rockflow_yang::{json, NodeScope, Scalar, Schema};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -29,11 +29,11 @@
 
 fn candidate(management: &mut DiskManagement, id: SessionId, schema: &Schema, host: &str) {
     let value = serde_json::json!({"rockflow-router:router": {"marks": {"mark": [{"host": host}]}}});
-    let fields = json::read(schema, None, &value, false).unwrap();
+    let fields = json::read(schema, None, &value, NodeScope::ConfigOnly).unwrap();
     let merged = rockflow_yang::Edit {
         path: Default::default(),
-        op: rockflow_yang::Op::Merge,
-        value: Some(rockflow_yang::Data::Container(fields)),
+        op: rockflow_yang::EditOperation::Merge,
+        value: Some(rockflow_yang::DataNode::Container(fields)),
     };
     management
         .edit_config(id, Datastore::Candidate, &[merged], ErrorOption::Rollback, EditMode::Apply)
--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -30,7 +30,7 @@
 use rockflow_endpoints::{AdminOverride, ListedEndpoint};
 use rockflow_management::*;
 use rockflow_store::faulty::{FaultyDisk, UnsyncedBytes};
-use rockflow_yang::{json, Data, Edit, Op, Path, Pattern, Scalar, Schema};
+use rockflow_yang::{json, DataNode, Edit, EditOperation, NodeScope, Path, Pattern, Scalar, Schema};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -52,28 +52,30 @@
     restore(schema, disk, "owner", START)
 }
 
-fn op(name: &str) -> Op {
+fn op(name: &str) -> EditOperation {
     match name {
-        "merge" => Op::Merge,
-        "replace" => Op::Replace,
-        "create" => Op::Create,
-        "delete" => Op::Delete,
-        "remove" => Op::Remove,
+        "merge" => EditOperation::Merge,
+        "replace" => EditOperation::Replace,
+        "create" => EditOperation::Create,
+        "delete" => EditOperation::Delete,
+        "remove" => EditOperation::Remove,
         other => panic!("{other}"),
     }
 }
 
 impl Scenario {
     fn edit(&self, words: &[&str]) -> Edit {
-        let path = Path::read(&self.schema, words[1]).unwrap();
+        let path = Path::parse(&self.schema, words[1]).unwrap();
         let node = path.node().unwrap();
         let whole = path.0.last().unwrap().keys.is_empty();
         let value = words.get(2).filter(|word| !word.contains('=')).map(|text| {
             let value: Value = serde_json::from_str(text).unwrap();
             if whole {
-                json::read_data(&self.schema, node, &value, true).unwrap()
+                json::read_data(&self.schema, node, &value, NodeScope::ConfigAndState).unwrap()
             } else {
-                Data::Container(json::read(&self.schema, Some(node), &value, true).unwrap())
+                DataNode::Container(
+                    json::read(&self.schema, Some(node), &value, NodeScope::ConfigAndState).unwrap(),
+                )
             }
         });
         Edit { path, op: op(words[0]), value }
@@ -158,7 +160,7 @@
             "locks" => self.management.lock(now, id, parse_datastore(words[0])),
             "unlocks" => self.management.unlock(id, parse_datastore(words[0])),
             "holds" => {
-                let pattern = Pattern::read(&self.schema, words[0]).unwrap();
+                let pattern = Pattern::parse(&self.schema, words[0]).unwrap();
                 self.management.partial_lock(id, &[pattern]).map(|_| ())
             }
             "frees" => self.management.partial_unlock(id, words[0].parse().unwrap()),
--- a/crates/rockflow-management/tests/stored_snapshot.rs
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -10,7 +10,7 @@
 use rockflow_management::*;
 use rockflow_store::faulty::FaultyDisk;
 use rockflow_store::{Opened, Snapshot};
-use rockflow_yang::{json, Data, Edit, Op, Path, Scalar, Schema};
+use rockflow_yang::{json, DataNode, Edit, EditOperation, NodeScope, Path, Scalar, Schema};
 use serde_json::{json, Value};
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,14 +30,14 @@
 }
 
 fn merge(schema: &Schema, tree: &Value) -> Edit {
-    let fields = json::read(schema, None, tree, false).unwrap();
-    Edit { path: Path::default(), op: Op::Merge, value: Some(Data::Container(fields)) }
+    let fields = json::read(schema, None, tree, NodeScope::ConfigOnly).unwrap();
+    Edit { path: Path::default(), op: EditOperation::Merge, value: Some(DataNode::Container(fields)) }
 }
 
 fn override_edit(schema: &Schema, host: &str, leaves: &Value) -> Edit {
-    let path = Path::read(schema, &format!("/router/marks/mark[host='{host}']")).unwrap();
-    let fields = json::read(schema, path.node(), leaves, false).unwrap();
-    Edit { path, op: Op::Merge, value: Some(Data::Container(fields)) }
+    let path = Path::parse(schema, &format!("/router/marks/mark[host='{host}']")).unwrap();
+    let fields = json::read(schema, path.node(), leaves, NodeScope::ConfigOnly).unwrap();
+    Edit { path, op: EditOperation::Merge, value: Some(DataNode::Container(fields)) }
 }
 
 fn access_rules() -> Value {
@@ -141,7 +141,7 @@
     );
     let value = |value: &Option<Scalar>| value.as_ref().map_or("-".to_string(), Scalar::to_string);
     let change = |change: &rockflow_yang::Change| {
-        format!("  {} {} -> {}", change.path.text(schema), value(&change.before), value(&change.after))
+        format!("  {} {} -> {}", change.path.to_text(schema), value(&change.before), value(&change.after))
     };
     std::iter::once(head).chain(commit.changes.iter().map(change)).collect()
 }
@@ -229,7 +229,7 @@
     let history: Vec<_> = record.history.iter().flat_map(|commit| commit_lines(&schema, commit)).collect();
     assert_eq!(history.join("\n"), HISTORY);
     let origin = |(path, origin): (&Path, &Origin)| {
-        format!("{} {} {} {}", path.text(&schema), origin.author, origin.version, origin.time.as_millis())
+        format!("{} {} {} {}", path.to_text(&schema), origin.author, origin.version, origin.time.as_millis())
     };
     let origins: Vec<_> = record.origins.iter().map(origin).collect();
     assert_eq!(origins.join("\n"), ORIGINS);
--- a/crates/rockflow-management/tests/subscriptions.rs
+++ b/crates/rockflow-management/tests/subscriptions.rs
@@ -1,22 +1,22 @@
 //! What a subscriber is sent, on a virtual clock.
 
 use rockflow_management::{Subscription, Trigger, Update};
-use rockflow_yang::{data, json, Fields, Pattern, Schema};
+use rockflow_yang::{data, json, DataTree, NodeScope, Pattern, Schema};
 use std::time::Duration;
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn overrides(schema: &Schema, marks: &[(&str, &str)]) -> Fields {
+fn overrides(schema: &Schema, marks: &[(&str, &str)]) -> DataTree {
     let marks: Vec<_> =
         marks.iter().map(|(host, why)| serde_json::json!({"host": host, "reason": why})).collect();
     let value = serde_json::json!({"rockflow-router:router": {"marks": {"mark": marks}}});
-    json::read(schema, None, &value, false).unwrap()
+    json::read(schema, None, &value, NodeScope::ConfigOnly).unwrap()
 }
 
 fn on_change_subscription(schema: &Schema, dampening: u64, heartbeat: Option<u64>) -> Subscription {
-    let pattern = Pattern::read(schema, "/router/marks/mark[host=*]/reason").unwrap();
+    let pattern = Pattern::parse(schema, "/router/marks/mark[host=*]/reason").unwrap();
     let trigger = Trigger::OnChange { dampening: at(dampening), heartbeat: heartbeat.map(at) };
     Subscription::new(vec![pattern], trigger, false, at(0))
 }
@@ -44,13 +44,13 @@
     );
     assert_eq!(subscription.next_due(), None);
     // Two changes of the same value within the dampening are one, and it says so.
-    subscription.record_changes(&data::differences(&one, &two));
+    subscription.record_changes(&data::diff(&one, &two));
     assert_eq!(subscription.next_due(), Some(at(101)));
-    assert!(subscription.take_update(at(50), Fields::new).is_none());
-    subscription.record_changes(&data::differences(&two, &three));
-    assert_eq!(change_counts(subscription.take_update(at(101), Fields::new)), (1, 1));
+    assert!(subscription.take_update(at(50), DataTree::new).is_none());
+    subscription.record_changes(&data::diff(&two, &three));
+    assert_eq!(change_counts(subscription.take_update(at(101), DataTree::new)), (1, 1));
     // What it does not follow is not owed.
-    subscription.record_changes(&data::differences(&overrides(&schema, &[]), &Fields::new()));
+    subscription.record_changes(&data::diff(&overrides(&schema, &[]), &DataTree::new()));
     assert_eq!(subscription.next_due(), None);
 }
 
@@ -69,20 +69,20 @@
 fn slow_reader_gets_snapshot_in_place_of_more_changes_than_may_wait() {
     let schema = Schema::published();
     let mut subscription = on_change_subscription(&schema, 10, None);
-    subscription.take_update(at(0), Fields::new);
+    subscription.take_update(at(0), DataTree::new);
     let most = rockflow_management::subscription::MAX_WAITING;
     for start in (0..most + 10).step_by(1000) {
         let names: Vec<_> = (start..start + 1000).map(|number| format!("c{number}")).collect();
         let marks: Vec<_> = names.iter().map(|name| (name.as_str(), "a")).collect();
-        subscription.record_changes(&data::differences(&Fields::new(), &overrides(&schema, &marks)));
+        subscription.record_changes(&data::diff(&DataTree::new(), &overrides(&schema, &marks)));
     }
-    assert!(matches!(subscription.take_update(at(20), Fields::new), Some(Update::Snapshot(_))));
+    assert!(matches!(subscription.take_update(at(20), DataTree::new), Some(Update::Snapshot(_))));
 }
 
 #[test]
 fn periods_stay_on_their_grid_and_suppress_unchanged_values() {
     let schema = Schema::published();
-    let pattern = Pattern::read(&schema, "/router/marks").unwrap();
+    let pattern = Pattern::parse(&schema, "/router/marks").unwrap();
     let trigger = Trigger::Periodic { period: at(100), suppress: true, heartbeat: Some(at(300)) };
     let mut subscription = Subscription::new(vec![pattern], trigger, false, at(0));
     let one = overrides(&schema, &[("c1", "a"), ("c2", "b")]);
@@ -101,10 +101,10 @@
 #[test]
 fn updates_only_sends_no_snapshot_at_the_start() {
     let schema = Schema::published();
-    let pattern = Pattern::read(&schema, "/router/marks").unwrap();
+    let pattern = Pattern::parse(&schema, "/router/marks").unwrap();
     let trigger = Trigger::OnChange { dampening: at(0), heartbeat: None };
     let mut subscription = Subscription::new(vec![pattern], trigger, true, at(0));
-    assert!(subscription.take_update(at(5), Fields::new).is_none());
-    subscription.record_changes(&data::differences(&Fields::new(), &overrides(&schema, &[("c1", "a")])));
-    assert_eq!(change_counts(subscription.take_update(at(6), Fields::new)), (2, 0));
+    assert!(subscription.take_update(at(5), DataTree::new).is_none());
+    subscription.record_changes(&data::diff(&DataTree::new(), &overrides(&schema, &[("c1", "a")])));
+    assert_eq!(change_counts(subscription.take_update(at(6), DataTree::new)), (2, 0));
 }
--- a/crates/rockflow-transport/tests/processes.rs
+++ b/crates/rockflow-transport/tests/processes.rs
@@ -1,9 +1,9 @@
-//! Five real processes on loopback, killed, stopped and restarted with nothing. This program is the members too: started
-//! again with `MEMBER` set, it runs one, takes its dispatcher's words as lines and prints what comes of them.
+//! Five real processes on loopback, killed, paused and restarted with empty memory. This program is the members too:
+//! started again with `MEMBER` set, it runs one, takes its dispatcher's commands as lines and prints what comes of them.
 
 use rockflow_cluster::*;
 use rockflow_process_harness::{free_udp, Process, Signal, Start};
-use rockflow_transport::{Link, Plan, Word};
+use rockflow_transport::cluster::{Command, NodeHandle, Plan};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -14,22 +14,22 @@
 const MEMBERS: usize = 5;
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn told() -> Told {
-    Told {
+fn config() -> ClusterConfig {
+    ClusterConfig {
         members: (0..MEMBERS).map(|n| format!("n{n}")).collect(),
-        keepers: 3,
-        keep: Duration::from_secs(30),
+        replicas: 3,
+        retention: Duration::from_secs(30),
         round_trip: Duration::from_millis(5),
-        max_kept: 1000,
-        max_body: 64,
+        max_records: 1000,
+        max_body_bytes: 64,
     }
 }
 
-fn subject(kind: Kind) -> Subject {
-    Subject { kind, class: 0, object: 1, part: 0, group: 0, size: 0 }
+fn descriptor(kind: EffectKind) -> RequestDescriptor {
+    RequestDescriptor { kind, class: 0, object: 1, part: 0, group: 0, size: 0 }
 }
 
-fn say(line: String) {
+fn print(line: String) {
     let mut out = std::io::stdout().lock();
     writeln!(out, "{line}").and_then(|()| out.flush()).expect("the parent reads");
 }
@@ -38,47 +38,61 @@
 #[test]
 fn member() {
     let Ok(spec) = std::env::var("MEMBER") else { return };
-    let words: Vec<&str> = spec.split(' ').collect();
-    let (me, life, first) = (words[0].parse().unwrap(), words[1].parse().unwrap(), words[2] == "first");
-    let addresses: Vec<SocketAddr> = words[3..].iter().map(|word| word.parse().unwrap()).collect();
+    let commands: Vec<&str> = spec.split(' ').collect();
+    let (me, incarnation, first) =
+        (commands[0].parse().unwrap(), commands[1].parse().unwrap(), commands[2] == "first");
+    let addresses: Vec<SocketAddr> = commands[3..].iter().map(|command| command.parse().unwrap()).collect();
     let listen = addresses[usize::from(me)];
-    let plan =
-        Plan { told: told(), me: MemberId(me), addresses, listen, life: Life(life), seed: life, first };
-    let heard = |out: Out| match out {
-        Out::MayBegin { call, .. } => say(format!("may-begin {}", call.0)),
-        Out::Final { call, answer } => {
+    let plan = Plan {
+        config: config(),
+        member: MemberId(me),
+        addresses,
+        listen,
+        incarnation: Incarnation(incarnation),
+        seed: incarnation,
+        is_new_cluster: first,
+    };
+    let heard = |out: Output| match out {
+        Output::MaySend { request, .. } => print(format!("may-send {}", request.0)),
+        Output::FinalAnswer { request, answer } => {
             let body = answer.body.map(|body| String::from_utf8(body).unwrap()).unwrap_or_default();
-            say(format!("final {} {:?} {body}", call.0, answer.ended));
+            print(format!("final {} {:?} {body}", request.0, answer.outcome));
+        }
+        Output::OwnedElsewhere { request } => print(format!("owned-elsewhere {}", request.0)),
+        Output::QuorumUnavailable { request } => print(format!("quorum-unavailable {}", request.0)),
+        Output::IdInUse { request } => print(format!("in-use {}", request.0)),
+        Output::TakeOver { request, started_attempts, .. } => {
+            print(format!("take-over {} {}", request.0, started_attempts.len()))
         }
-        Out::Joined { call } => say(format!("joined {}", call.0)),
-        Out::Uncovered { call } => say(format!("uncovered {}", call.0)),
-        Out::InUse { call } => say(format!("in-use {}", call.0)),
-        Out::TakeOver { call, begun, .. } => say(format!("take-over {} {}", call.0, begun.len())),
-        Out::Changed(change) => say(format!("changed {change:?}")),
-        Out::Send { .. } | Out::Outlived { .. } => {}
+        Output::MembershipChanged(change) => print(format!("changed {change:?}")),
+        Output::Send { .. } | Output::IncarnationSuperseded { .. } => {}
     };
-    let link = Link::start(plan, heard).unwrap();
+    let link = NodeHandle::start(plan, heard).unwrap();
     for line in std::io::stdin().lock().lines() {
         let line = line.unwrap();
-        let words: Vec<&str> = line.split(' ').collect();
-        let call = CallId(words.get(1).map_or(0, |word| word.parse().unwrap()));
-        let word = match words[0] {
-            "take" => {
-                let kind = if words[2] == "labelled" { Kind::Labelled } else { Kind::Irreversible };
-                Word::Taken { call, subject: subject(kind), left: PATIENCE }
+        let commands: Vec<&str> = line.split(' ').collect();
+        let request = RequestId(commands.get(1).map_or(0, |command| command.parse().unwrap()));
+        let command = match commands[0] {
+            "request" => {
+                let kind = if commands[2] == "idempotency-key" {
+                    EffectKind::IdempotencyKey
+                } else {
+                    EffectKind::AtMostOnce
+                };
+                Command::RequestArrived { request, descriptor: descriptor(kind), left: PATIENCE }
             }
-            "begin" => Word::Begin { call, attempt: 0, host: 1 },
+            "propose" => Command::ProposeAttempt { request, attempt: 0, host: 1 },
             "end" => {
-                let body = Some(words[2].as_bytes().to_vec());
-                let answer = Answer { ended: Ended::Succeeded, tag: None, body };
-                Word::Ended { call, kind: Kind::Irreversible, answer }
-            }
-            "stop" => Word::Stop,
-            _ => {
-                Word::Survey(Box::new(|tally| say(format!("present {} {}", tally.present.len(), tally.sure))))
+                let body = Some(commands[2].as_bytes().to_vec());
+                let answer = Answer { outcome: Outcome::Succeeded, tag: None, body };
+                Command::RequestEnded { request, kind: EffectKind::AtMostOnce, answer }
             }
+            "stop" => Command::ShutDown,
+            _ => Command::ReportStatus(Box::new(|status_report| {
+                print(format!("present {} {}", status_report.present.len(), status_report.is_synchronized))
+            })),
         };
-        assert!(link.say(word));
+        assert!(link.send(command));
     }
 }
 
@@ -88,26 +102,26 @@
 }
 
 impl Member {
-    fn tell(&mut self, line: &str) {
+    fn send_line(&mut self, line: &str) {
         self.process.tell(line).unwrap();
     }
 
-    /// A client's call comes.
-    fn takes(&mut self, call: u128) {
-        self.tell(&format!("take {call} irreversible"));
+    /// A client's request arrives.
+    fn request(&mut self, request: u128) {
+        self.send_line(&format!("request {request} at-most-once"));
     }
 
-    /// It asks whether it may run a call's attempt.
-    fn begins(&mut self, call: u128) {
-        self.tell(&format!("begin {call}"));
+    /// It proposes an attempt of the request.
+    fn propose(&mut self, request: u128) {
+        self.send_line(&format!("propose {request}"));
     }
 
-    fn takes_and_begins(&mut self, call: u128) {
-        self.takes(call);
-        self.begins(call);
+    fn request_and_propose(&mut self, request: u128) {
+        self.request(request);
+        self.propose(request);
     }
 
-    /// Reads on till a line that begins so, which it returns.
+    /// Reads up to a line that begins so, and returns it.
     fn wait(&mut self, begins: &str) -> String {
         let end = Instant::now() + PATIENCE;
         if let Some(at) = self.seen.iter().position(|line| line.starts_with(begins)) {
@@ -122,7 +136,7 @@
         }
     }
 
-    /// Whether a line that begins so has come by now.
+    /// Whether a line that begins so has arrived by now.
     fn has(&mut self, begins: &str) -> bool {
         loop {
             match self.process.line_now() {
@@ -136,11 +150,11 @@
         self.process.signal(signal).unwrap();
     }
 
-    /// Till it sees so many, and is sure of what it kept.
-    fn settles(&mut self, present: usize) {
+    /// Until that many members are present, and it has recovered its records.
+    fn wait_until_settled(&mut self, present: usize) {
         let end = Instant::now() + PATIENCE;
         loop {
-            self.tell("survey");
+            self.send_line("status");
             if self.wait("present ") == format!("present {present} true") {
                 return;
             }
@@ -154,31 +168,31 @@
     }
 }
 
-/// One fleet at a time: between a port's choice and its member's start nobody else is to take it.
+/// One cluster at a time: between the choice of a port and the start of its member nobody else may take it.
 static ALONE: Mutex<()> = Mutex::new(());
 
-struct Fleet5 {
+struct TestCluster {
     _alone: MutexGuard<'static, ()>,
     addresses: Vec<SocketAddr>,
     members: BTreeMap<usize, Member>,
 }
 
-impl Fleet5 {
-    fn start() -> Fleet5 {
+impl TestCluster {
+    fn start() -> TestCluster {
         let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
         let addresses = free_udp(MEMBERS).unwrap();
-        let mut fleet = Fleet5 { _alone: alone, addresses, members: BTreeMap::new() };
-        (0..MEMBERS).for_each(|at| fleet.member(at, 1, true));
-        (0..MEMBERS).for_each(|at| fleet.on(at).settles(MEMBERS));
-        fleet
+        let mut cluster = TestCluster { _alone: alone, addresses, members: BTreeMap::new() };
+        (0..MEMBERS).for_each(|at| cluster.member(at, 1, true));
+        (0..MEMBERS).for_each(|at| cluster.on(at).wait_until_settled(MEMBERS));
+        cluster
     }
 
-    fn member(&mut self, at: usize, life: u64, first: bool) {
+    fn member(&mut self, at: usize, incarnation: u64, first: bool) {
         let addresses: Vec<_> = self.addresses.iter().map(ToString::to_string).collect();
         let first = if first { "first" } else { "again" };
         let process = Start::of(std::env::current_exe().unwrap())
             .args(["--exact", "member", "--nocapture"])
-            .env("MEMBER", format!("{at} {life} {first} {}", addresses.join(" ")))
+            .env("MEMBER", format!("{at} {incarnation} {first} {}", addresses.join(" ")))
             .talks()
             .start()
             .unwrap();
@@ -194,138 +208,147 @@
     }
 }
 
-/// The members in the order of a call's keepers, then the others.
-fn ranked(call: u128) -> Vec<usize> {
-    let mut ids: Vec<usize> = told().keepers_of(CallId(call)).iter().map(|id| usize::from(id.0)).collect();
+/// The members in the order of a request's replicas, then the others.
+fn ranked(request: u128) -> Vec<usize> {
+    let mut ids: Vec<usize> =
+        config().replicas_of(RequestId(request)).iter().map(|id| usize::from(id.0)).collect();
     let others: Vec<_> = (0..MEMBERS).filter(|at| !ids.contains(at)).collect();
     ids.extend(others);
     ids
 }
 
 #[test]
-fn an_attempt_that_may_have_begun_is_never_begun_again() {
-    let mut fleet = Fleet5::start();
-    let call = 11;
-    let rank = ranked(call);
-    // The owner keeps the call too: the case with the fewest left.
+fn attempt_that_may_have_executed_is_never_repeated() {
+    let mut cluster = TestCluster::start();
+    let request = 11;
+    let rank = ranked(request);
+    // The owner is a replica of the request too: the case with the fewest replicas left.
     let (owner, other) = (rank[0], rank[4]);
-    fleet.on(owner).takes_and_begins(call);
-    fleet.on(owner).wait(&format!("may-begin {call}"));
-    fleet.kill(owner);
-    // Asked again before anybody has noticed.
-    fleet.on(other).takes_and_begins(call);
-    let line = fleet.on(other).wait(&format!("final {call}"));
-    assert_eq!(line, format!("final {call} Terminated "));
-    // And a third time, elsewhere, after the end: the same.
-    fleet.on(rank[3]).takes_and_begins(call);
-    assert_eq!(fleet.on(rank[3]).wait(&format!("final {call}")), line);
+    cluster.on(owner).request_and_propose(request);
+    cluster.on(owner).wait(&format!("may-send {request}"));
+    cluster.kill(owner);
+    // Asked again before anybody has noticed the loss.
+    cluster.on(other).request_and_propose(request);
+    let line = cluster.on(other).wait(&format!("final {request}"));
+    assert_eq!(line, format!("final {request} Failed "));
+    // And a third time, elsewhere, after the end: the same answer.
+    cluster.on(rank[3]).request_and_propose(request);
+    assert_eq!(cluster.on(rank[3]).wait(&format!("final {request}")), line);
     for at in 0..MEMBERS {
-        assert!(at == owner || !fleet.on(at).has(&format!("may-begin {call}")), "n{at}");
+        assert!(at == owner || !cluster.on(at).has(&format!("may-send {request}")), "n{at}");
     }
 }
 
 #[test]
-fn what_had_not_begun_is_run_where_it_is_asked_again_once() {
-    let mut fleet = Fleet5::start();
-    let call = 12;
-    let rank = ranked(call);
-    fleet.on(rank[4]).takes(call);
-    fleet.kill(rank[4]);
-    fleet.on(rank[3]).takes_and_begins(call);
-    fleet.on(rank[3]).wait(&format!("may-begin {call}"));
-    fleet.on(rank[3]).tell(&format!("end {call} done"));
-    assert_eq!(fleet.on(rank[3]).wait(&format!("final {call}")), format!("final {call} Succeeded done"));
+fn unstarted_request_runs_once_where_the_client_asks_again() {
+    let mut cluster = TestCluster::start();
+    let request = 12;
+    let rank = ranked(request);
+    cluster.on(rank[4]).request(request);
+    cluster.kill(rank[4]);
+    cluster.on(rank[3]).request_and_propose(request);
+    cluster.on(rank[3]).wait(&format!("may-send {request}"));
+    cluster.on(rank[3]).send_line(&format!("end {request} done"));
+    assert_eq!(
+        cluster.on(rank[3]).wait(&format!("final {request}")),
+        format!("final {request} Succeeded done")
+    );
 }
 
 #[test]
-fn one_id_at_two_dispatchers_at_once_runs_once_and_both_get_the_answer() {
-    let mut fleet = Fleet5::start();
-    for call in 20..30 {
-        let rank = ranked(call);
+fn one_id_at_two_dispatchers_runs_once_and_both_get_the_answer() {
+    let mut cluster = TestCluster::start();
+    for request in 20..30 {
+        let rank = ranked(request);
         let two = [rank[3], rank[4]];
         for at in two {
-            fleet.on(at).takes_and_begins(call);
+            cluster.on(at).request_and_propose(request);
         }
-        // Whoever is let to begin ends it; the other is told.
+        // Whoever may send ends it; the other gets the answer.
         let end = Instant::now() + PATIENCE;
         let runs = loop {
             let let_to: Vec<_> =
-                two.into_iter().filter(|at| fleet.on(*at).has(&format!("may-begin {call}"))).collect();
+                two.into_iter().filter(|at| cluster.on(*at).has(&format!("may-send {request}"))).collect();
             if !let_to.is_empty() {
                 break let_to;
             }
-            assert!(Instant::now() < end, "call {call}: nobody may begin");
+            assert!(Instant::now() < end, "request {request}: nobody may begin");
             std::thread::yield_now();
         };
-        assert_eq!(runs.len(), 1, "call {call}");
-        fleet.on(runs[0]).tell(&format!("end {call} by-{}", runs[0]));
+        assert_eq!(runs.len(), 1, "request {request}");
+        cluster.on(runs[0]).send_line(&format!("end {request} by-{}", runs[0]));
         for at in two {
-            let line = fleet.on(at).wait(&format!("final {call}"));
-            assert_eq!(line, format!("final {call} Succeeded by-{}", runs[0]), "call {call} at n{at}");
+            let line = cluster.on(at).wait(&format!("final {request}"));
+            assert_eq!(
+                line,
+                format!("final {request} Succeeded by-{}", runs[0]),
+                "request {request} at n{at}"
+            );
         }
     }
 }
 
 #[test]
-fn an_owner_that_is_stopped_for_long_and_wakes_gives_no_second_answer() {
-    let mut fleet = Fleet5::start();
-    let call = 13;
-    let rank = ranked(call);
+fn owner_that_resumes_after_a_long_pause_gives_no_second_answer() {
+    let mut cluster = TestCluster::start();
+    let request = 13;
+    let rank = ranked(request);
     let owner = rank[4];
-    fleet.on(owner).takes_and_begins(call);
-    fleet.on(owner).wait(&format!("may-begin {call}"));
-    fleet.on(owner).signal(Signal::SIGSTOP);
-    // Longer than any suspicion: the first of its keepers has it for lost, and the call is ended there.
-    fleet.on(rank[0]).wait("changed Lost");
-    fleet.on(rank[3]).takes_and_begins(call);
-    let line = fleet.on(rank[3]).wait(&format!("final {call}"));
-    assert_eq!(line, format!("final {call} Terminated "));
-    // It wakes in the middle of its work, and its host's answer is there.
-    fleet.on(owner).signal(Signal::SIGCONT);
-    fleet.on(owner).tell(&format!("end {call} late"));
-    fleet.on(owner).settles(MEMBERS);
-    assert!(!fleet.on(owner).has(&format!("final {call} Succeeded")));
-    fleet.on(rank[2]).takes_and_begins(call);
-    assert_eq!(fleet.on(rank[2]).wait(&format!("final {call}")), line);
+    cluster.on(owner).request_and_propose(request);
+    cluster.on(owner).wait(&format!("may-send {request}"));
+    cluster.on(owner).signal(Signal::SIGSTOP);
+    // Longer than any suspicion: the first of its replicas takes it for lost, and ends the request.
+    cluster.on(rank[0]).wait("changed Lost");
+    cluster.on(rank[3]).request_and_propose(request);
+    let line = cluster.on(rank[3]).wait(&format!("final {request}"));
+    assert_eq!(line, format!("final {request} Failed "));
+    // It resumes in the middle of its work, and its host's answer is there.
+    cluster.on(owner).signal(Signal::SIGCONT);
+    cluster.on(owner).send_line(&format!("end {request} late"));
+    cluster.on(owner).wait_until_settled(MEMBERS);
+    assert!(!cluster.on(owner).has(&format!("final {request} Succeeded")));
+    cluster.on(rank[2]).request_and_propose(request);
+    assert_eq!(cluster.on(rank[2]).wait(&format!("final {request}")), line);
 }
 
 #[test]
-fn all_are_restarted_in_turn_and_nothing_kept_is_forgotten() {
-    let mut fleet = Fleet5::start();
-    let call = 14;
-    let rank = ranked(call);
-    fleet.on(rank[4]).takes_and_begins(call);
-    fleet.on(rank[4]).wait(&format!("may-begin {call}"));
-    fleet.on(rank[4]).tell(&format!("end {call} once"));
-    let line = fleet.on(rank[4]).wait(&format!("final {call}"));
+fn rolling_restart_forgets_no_record() {
+    let mut cluster = TestCluster::start();
+    let request = 14;
+    let rank = ranked(request);
+    cluster.on(rank[4]).request_and_propose(request);
+    cluster.on(rank[4]).wait(&format!("may-send {request}"));
+    cluster.on(rank[4]).send_line(&format!("end {request} once"));
+    let line = cluster.on(rank[4]).wait(&format!("final {request}"));
     for at in 0..MEMBERS {
-        fleet.kill(at);
-        fleet.member(at, 2, false);
-        fleet.on(at).settles(MEMBERS);
+        cluster.kill(at);
+        cluster.member(at, 2, false);
+        cluster.on(at).wait_until_settled(MEMBERS);
     }
-    fleet.on(rank[3]).takes_and_begins(call);
-    assert_eq!(fleet.on(rank[3]).wait(&format!("final {call}")), line);
+    cluster.on(rank[3]).request_and_propose(request);
+    assert_eq!(cluster.on(rank[3]).wait(&format!("final {request}")), line);
 }
 
 #[test]
-fn a_planned_stop_hands_over_what_it_has_not_ended() {
-    let mut fleet = Fleet5::start();
-    let (fresh, begun) = (15, 16);
-    // One that keeps neither call.
-    let owner = (0..MEMBERS).find(|at| !ranked(fresh)[..3].contains(at) && !ranked(begun)[..3].contains(at));
-    let owner = owner.expect("a call each that somebody does not keep");
-    for call in [fresh, begun] {
-        fleet.on(owner).takes(call);
+fn graceful_shutdown_hands_over_open_requests() {
+    let mut cluster = TestCluster::start();
+    let (fresh, started) = (15, 16);
+    // One that is a replica of neither request.
+    let owner =
+        (0..MEMBERS).find(|at| !ranked(fresh)[..3].contains(at) && !ranked(started)[..3].contains(at));
+    let owner = owner.expect("a request each of which somebody is no replica");
+    for request in [fresh, started] {
+        cluster.on(owner).request(request);
     }
-    fleet.on(owner).begins(begun);
-    fleet.on(owner).wait(&format!("may-begin {begun}"));
-    fleet.on(owner).tell("stop");
-    // What was not begun is to be run elsewhere; what may have begun has its end there, and only that.
-    fleet.on(ranked(fresh)[0]).wait(&format!("take-over {fresh} 0"));
+    cluster.on(owner).propose(started);
+    cluster.on(owner).wait(&format!("may-send {started}"));
+    cluster.on(owner).send_line("stop");
+    // What was not started is to run elsewhere; what may have executed is ended there, and only that.
+    cluster.on(ranked(fresh)[0]).wait(&format!("take-over {fresh} 0"));
     for at in (0..MEMBERS).filter(|at| *at != owner) {
-        fleet.on(at).wait("changed Lost");
+        cluster.on(at).wait("changed Lost");
     }
-    let other = ranked(begun).into_iter().rev().find(|at| *at != owner).expect("another");
-    fleet.on(other).takes_and_begins(begun);
-    assert_eq!(fleet.on(other).wait(&format!("final {begun}")), format!("final {begun} Terminated "));
+    let other = ranked(started).into_iter().rev().find(|at| *at != owner).expect("another");
+    cluster.on(other).request_and_propose(started);
+    assert_eq!(cluster.on(other).wait(&format!("final {started}")), format!("final {started} Failed "));
 }
