--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -2,8 +2,7 @@
 //! appendix A, which servers of other protocols translate.
 
 use crate::session::SessionId;
-use rockflow_yang::Path;
-use rockflow_yang::{EditError, EditErrorKind};
+use rockflow_yang::{EditError, EditErrorKind, Path};
 use std::fmt;
 use thiserror::Error;
 
--- a/crates/rockflow-management/src/management/installation.rs
+++ b/crates/rockflow-management/src/management/installation.rs
@@ -14,6 +14,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Whether a commit holds until another one, or is reverted unless it is confirmed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Finality {
+    Final,
+    AwaitsConfirmation,
+}
+
 impl<S: SnapshotStorage> Management<S> {
     /// Installs a commit for good, which confirms the pending one.
     pub(super) fn install_permanent(
@@ -23,7 +30,7 @@
     ) -> Result<(), ManagementError> {
         let operator = commit.operator.clone();
         let confirmed = self.pending.take();
-        if let Err(error) = self.install(commit, configuration) {
+        if let Err(error) = self.install(commit, configuration, Finality::Final) {
             self.pending = confirmed;
             return Err(error);
         }
@@ -58,7 +65,7 @@
             deadline,
         };
         let replaced = self.pending.replace(pending);
-        if let Err(error) = self.install(commit, configuration) {
+        if let Err(error) = self.install(commit, configuration, Finality::AwaitsConfirmation) {
             self.pending = replaced;
             return Err(error);
         }
@@ -77,7 +84,7 @@
             comment: format!("commit {} of {} was not confirmed", pending.version, author.user),
             changes: data::diff(&self.running, &pending.before),
         };
-        if self.install(commit.clone(), pending.before.clone()).is_err() {
+        if self.install(commit.clone(), pending.before.clone(), Finality::Final).is_err() {
             // The configuration before is durable already, so that a failing disk must not keep it back.
             self.running = pending.before;
             self.version = commit.version;
@@ -99,9 +106,14 @@
     }
 
     /// Stores a commit, then puts it in force; where it can't be stored, all stays as it was.
-    fn install(&mut self, commit: Commit, configuration: Arc<DataTree>) -> Result<(), ManagementError> {
+    fn install(
+        &mut self,
+        commit: Commit,
+        configuration: Arc<DataTree>,
+        finality: Finality,
+    ) -> Result<(), ManagementError> {
         let running_before = std::mem::replace(&mut self.running, configuration);
-        let (version_before, last_used_before) = (self.version, self.last_used_version);
+        let version_before = self.version;
         let origins_before = self.history.record_origins(&commit);
         // A confirmation alone changes nothing, and is no commit to go back to.
         let is_change = !commit.changes.is_empty();
@@ -118,7 +130,7 @@
             self.version = version_before;
             self.history.restore_origins(origins_before);
             // `last_used_version` stays: the commit may have reached the disk.
-            debug_assert!(is_change || self.last_used_version == last_used_before);
+            debug_assert!(finality == Finality::AwaitsConfirmation || self.pending.is_none());
             return Err(error);
         }
         self.trim_history();
