--- a/crates/rockflow-dispatcher/tests/upstream.rs
+++ b/crates/rockflow-dispatcher/tests/upstream.rs
@@ -1,5 +1,8 @@
 //! One connection to a host, with a scripted peer at its other end: what crosses there is held back till both are here.
 
+#[path = "common/worker.rs"]
+mod worker;
+
 use rockflow::{AttemptNumber, Outcome, RequestId};
 use rockflow_dispatcher::attempt::{AttemptKey, OutgoingAttempt};
 use rockflow_dispatcher::connection_pool::{AttemptQueue, ConnectionPool, UpstreamConnection};
@@ -13,9 +16,9 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, AtomicUsize};
-use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex, Once, PoisonError};
 use std::time::{Duration, Instant};
+use worker::WorkerGate;
 
 const PATIENCE: Duration = Duration::from_secs(5);
 /// More than the system takes from a writer before somebody reads.
@@ -126,18 +129,6 @@
     }
 }
 
-/// Stops the one worker on which all actors run, till the gate is dropped.
-fn freeze() -> Sender<()> {
-    let (frozen, stands) = channel();
-    let (thaw, go) = channel::<()>();
-    may::go!(move || {
-        frozen.send(()).unwrap();
-        let _ = go.recv();
-    });
-    stands.recv_timeout(PATIENCE).unwrap();
-    thaw
-}
-
 fn alone() -> impl Drop {
     ALONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -149,7 +140,7 @@
     let first = bed.small(1);
     bed.give(&first);
     bed.answers(&first);
-    let gate = freeze();
+    let gate = WorkerGate::close();
     let second = bed.small(2);
     bed.give(&second);
     bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
@@ -168,7 +159,7 @@
 fn a_connection_that_never_brought_anything_is_no_reason_to_try_another() {
     let _alone = alone();
     let bed = Bed::new();
-    let gate = freeze();
+    let gate = WorkerGate::close();
     let wanted = bed.small(1);
     bed.give(&wanted);
     bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
@@ -184,7 +175,7 @@
 fn an_attempt_withdrawn_before_its_first_byte_never_goes_out() {
     let _alone = alone();
     let mut bed = Bed::new();
-    let gate = freeze();
+    let gate = WorkerGate::close();
     let (gone, client_left, late, next) = (bed.small(1), bed.small(2), bed.small(3), bed.small(4));
     let client = Mailbox::new();
     let client_left = OutgoingAttempt {
