--- a/crates/rockflow-dispatcher/src/client/connection.rs
+++ b/crates/rockflow-dispatcher/src/client/connection.rs
@@ -1,6 +1,8 @@
 //! One client connection: its requests, its responses, and when it ends.
 
+use crate::client::end_reason::EndReason;
 use crate::client::message::ClientMessage;
+use crate::client::outgoing::OutgoingResponse;
 use crate::client::registry::{ClientRegistry, ClientSlot};
 use crate::decision::message::DecisionMessage;
 use may::io::WaitIo;
@@ -27,30 +29,6 @@
 /// One head, and the start of the next.
 const RECEIVE_BUFFER_BYTES: usize = 2 * client::MAX_HEAD_BYTES;
 
-/// Why a connection ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EndReason {
-    Expired,
-    WriteFailed,
-    EndOfStream,
-    ReadFailed,
-    Yielded,
-    Panicked,
-}
-
-impl EndReason {
-    pub(super) fn as_str(self) -> &'static str {
-        match self {
-            EndReason::Expired => "expired",
-            EndReason::WriteFailed => "write failed",
-            EndReason::EndOfStream => "end of stream",
-            EndReason::ReadFailed => "read failed",
-            EndReason::Yielded => "yielded",
-            EndReason::Panicked => "panicked",
-        }
-    }
-}
-
 /// What came of an attempt to read.
 enum ReadOutcome {
     /// Nothing is there, or nothing is to be read now.
@@ -67,29 +45,6 @@
     persistence: Persistence,
 }
 
-/// The response that is being written.
-#[derive(Default)]
-struct OutgoingResponse {
-    head: Vec<u8>,
-    body: Vec<u8>,
-    written: usize,
-}
-
-impl OutgoingResponse {
-    fn is_complete(&self) -> bool {
-        self.written >= self.head.len() + self.body.len()
-    }
-
-    fn unwritten(&self) -> &[u8] {
-        let head = self.head.len();
-        if self.written < head {
-            &self.head[self.written..]
-        } else {
-            &self.body[self.written - head..]
-        }
-    }
-}
-
 /// Owns the state of one connection; only its [`ClientSlot`] is seen by others.
 pub(super) struct ClientConnection<'a> {
     registry: &'a ClientRegistry,
--- a/crates/rockflow-dispatcher/src/client/mod.rs
+++ b/crates/rockflow-dispatcher/src/client/mod.rs
@@ -1,10 +1,13 @@
 //! The actor of a client's connection: one request at a time, exactly one response to each.
 
 mod connection;
+mod end_reason;
 pub mod message;
+mod outgoing;
 mod registry;
 
-use crate::client::connection::{ClientConnection, EndReason};
+use crate::client::connection::ClientConnection;
+use crate::client::end_reason::EndReason;
 use crate::decision::message::DecisionMessage;
 use crate::mailbox::Wake;
 use may::io::WaitIo;
--- a/crates/rockflow-dispatcher/tests/common/mod.rs
+++ b/crates/rockflow-dispatcher/tests/common/mod.rs
@@ -68,7 +68,9 @@
     lines.for_each(|line| {
         println!("{line}");
         if let Err(what) = catch_unwind(AssertUnwindSafe(|| play.play(line))) {
-            play.parties.iter_mut().for_each(|(name, party)| println!("# {name} {}", party.unread()));
+            play.parties
+                .iter_mut()
+                .for_each(|(name, party)| println!("# {name} {}", party.describe_unread()));
             resume_unwind(what);
         }
     });
--- a/crates/rockflow-dispatcher/tests/common/party.rs
+++ b/crates/rockflow-dispatcher/tests/common/party.rs
@@ -29,10 +29,10 @@
 
 impl Comments {
     pub(super) fn start(mut stream: TcpStream) -> Comments {
-        let (end, ended) = channel::<()>();
+        let (end, expect_end) = channel::<()>();
         let run = move || {
             OURS.set(true);
-            while ended.recv_timeout(COMMENT) == Err(RecvTimeoutError::Timeout)
+            while expect_end.recv_timeout(COMMENT) == Err(RecvTimeoutError::Timeout)
                 && stream.write_all(b":\n\n").is_ok()
             {}
         };
@@ -63,7 +63,7 @@
     }
 
     /// Fills the queue of those who wait to be accepted: whoever else connects stays on the way.
-    pub(super) fn shut(&mut self) {
+    pub(super) fn fill_queue(&mut self) {
         let address = self.listener.as_ref().expect("a listener").local_addr().unwrap();
         let fill = |_| {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -83,13 +83,13 @@
         listener.set_nonblocking(false).unwrap();
     }
 
-    pub(super) fn untaken(&mut self, span: Duration) {
+    pub(super) fn expect_no_connection(&mut self, span: Duration) {
         let listener = self.listener.as_ref().expect("a listener");
         socket2::SockRef::from(listener).set_read_timeout(Some(span)).unwrap();
         assert!(listener.accept().is_err(), "somebody connected");
     }
 
-    pub(super) fn quiet(&mut self, span: Duration) {
+    pub(super) fn expect_silence(&mut self, span: Duration) {
         let stream = self.stream().get_ref();
         stream.set_read_timeout(Some(span)).unwrap();
         let mut byte = [0];
@@ -107,7 +107,7 @@
 
     /// Waits till the dispatcher's end holds all that was sent: the system may still keep it back when the write has
     /// returned, and what another sends after it would be there before.
-    pub(super) fn delivered(&mut self) {
+    pub(super) fn await_delivery(&mut self) {
         use std::os::fd::AsRawFd;
         let (socket, end) = (self.stream().get_ref().as_raw_fd(), Instant::now() + PATIENCE);
         loop {
@@ -147,7 +147,7 @@
     }
 
     /// What is here and not read, for whoever reads why a play failed.
-    pub(super) fn unread(&mut self) -> String {
+    pub(super) fn describe_unread(&mut self) -> String {
         let waits = self.listener.as_ref().map(|listener| {
             let _ = listener.set_nonblocking(true);
             std::iter::from_fn(|| listener.accept().ok()).count()
@@ -155,13 +155,13 @@
         let said = self.stream.as_mut().map(|stream| {
             let _ = stream.get_ref().set_nonblocking(true);
             let mut rest = Vec::new();
-            let ended = stream.read_to_end(&mut rest);
-            format!("{:?} {ended:?}", String::from_utf8_lossy(&rest[..rest.len().min(512)]))
+            let expect_end = stream.read_to_end(&mut rest);
+            format!("{:?} {expect_end:?}", String::from_utf8_lossy(&rest[..rest.len().min(512)]))
         });
         format!("connections not taken: {waits:?}; not read: {said:?}")
     }
 
-    pub(super) fn ended(&mut self) {
+    pub(super) fn expect_end(&mut self) {
         let mut rest = Vec::new();
         match self.stream().read_to_end(&mut rest) {
             Ok(_) => assert!(rest.is_empty(), "{:?}", String::from_utf8_lossy(&rest)),
--- a/crates/rockflow-dispatcher/tests/common/play.rs
+++ b/crates/rockflow-dispatcher/tests/common/play.rs
@@ -18,7 +18,7 @@
 static SET_UP: Once = Once::new();
 
 /// The word of the play for a rejection.
-pub(super) fn rejection_word(rejection: RejectedOverride) -> &'static str {
+pub(super) fn rejection_name(rejection: RejectedOverride) -> &'static str {
     match rejection {
         RejectedOverride::LastReadyEndpoint => "lastone",
         RejectedOverride::TooMany => "full",
@@ -41,20 +41,20 @@
     pub(super) stopping: Option<JoinHandle<Service>>,
     /// Configurations for a dispatcher that is stopping.
     pub(super) reloads: Option<Sender<Config>>,
-    pub(super) link: Option<ServiceHandle>,
+    pub(super) handle: Option<ServiceHandle>,
     pub(super) got: Instant,
     /// Since when the last purge has been sent.
     pub(super) purged: Instant,
-    /// Boards comment.
+    /// Discovery services send comments.
     pub(super) comments: bool,
-    /// A planned stop does not go on while this is set.
+    /// A shutdown does not go on while this is set.
     pub(super) held: Arc<(Mutex<bool>, Condvar)>,
     /// Held while the dispatcher's one worker stands still.
     pub(super) frozen: Option<WorkerGate>,
-    /// Clients that say nothing.
+    /// Clients that send nothing.
     pub(super) crowd: Vec<TcpStream>,
-    /// What was posted and is heeded by now, in that order.
-    pub(super) heeded: (Sender<String>, Receiver<String>),
+    /// What was posted and is applied by now, in that order.
+    pub(super) applied: (Sender<String>, Receiver<String>),
 }
 
 impl Play {
@@ -66,14 +66,14 @@
             address: None,
             stopping: None,
             reloads: None,
-            link: None,
+            handle: None,
             got: Instant::now(),
             purged: Instant::now(),
             comments: false,
             held: Arc::default(),
             frozen: None,
             crowd: Vec::new(),
-            heeded: channel(),
+            applied: channel(),
         }
     }
 
@@ -85,15 +85,15 @@
         use socket2::{Domain, Socket, Type};
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        // One that can be shut has room for one in its queue.
-        let shut = words.contains(&"shut");
-        socket.listen(if shut || words.contains(&"narrow") { 0 } else { 128 }).unwrap();
+        // One whose queue can be filled has room for one in it.
+        let fill_queue = words.contains(&"shut");
+        socket.listen(if fill_queue || words.contains(&"narrow") { 0 } else { 128 }).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap().to_string();
         let party = self.party(name);
         party.listener = Some(listener);
-        if shut {
-            party.shut();
+        if fill_queue {
+            party.fill_queue();
         }
         if words.contains(&"unlisted") {
             return;
@@ -107,7 +107,7 @@
             "lifecycle": "active", "weight": 8, "startedAtMs": 0}));
     }
 
-    pub(super) fn told(&mut self, board: &str, words: &[&str]) -> Config {
+    pub(super) fn config(&mut self, board: &str, words: &[&str]) -> Config {
         let mut value: Value = serde_json::from_str(include_str!("../../../../deploy/example.json")).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         value["board"] = json!(listener.local_addr().unwrap().to_string());
@@ -117,11 +117,11 @@
         if let Some(sockets) = words.iter().find_map(|word| word.strip_prefix("sockets=")) {
             value["limits"]["sockets"] = json!(sockets.parse::<usize>().unwrap());
         }
-        for (path, told) in words.iter().filter_map(|word| word.split_once('=')) {
+        for (path, config) in words.iter().filter_map(|word| word.split_once('=')) {
             if path.starts_with('/') {
                 let (above, key) = path.rsplit_once('/').unwrap();
                 let above = value.pointer_mut(above).expect("a place in the configuration");
-                above[key] = serde_json::from_str(told).unwrap();
+                above[key] = serde_json::from_str(config).unwrap();
             }
         }
         Config::parse(&value.to_string()).unwrap()
@@ -129,11 +129,11 @@
 
     /// Waits for what the dispatcher itself counts.
     pub(super) fn until(&mut self, what: &str, count: usize) {
-        let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
+        let handle = self.handle.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
         let mut end = Instant::now() + PATIENCE;
         let mut least = usize::MAX;
         loop {
-            let fill = link
+            let fill = handle
                 .fill_levels()
                 .iter()
                 .find(|level| level.name == what)
@@ -143,21 +143,21 @@
                 (least, end) = (fill.unwrap_or_default(), Instant::now() + PATIENCE);
             }
             let there = match what {
-                "leaving" => link.phase() == Phase::Draining,
-                "finishing" => link.phase() == Phase::Closing,
-                "rev" => link.discovery_status().last_revision >= count as u64,
+                "leaving" => handle.phase() == Phase::Draining,
+                "finishing" => handle.phase() == Phase::Closing,
+                "rev" => handle.discovery_status().last_revision >= count as u64,
                 _ => fill == Some(0),
             };
             if there && what == "rev" {
-                // And the decisions have heard of it.
+                // And the decisions have applied it.
                 let (done, wait) = channel();
-                assert!(link.request_status(move |_| done.send(()).unwrap()));
+                assert!(handle.request_status(move |_| done.send(()).unwrap()));
                 return wait.recv_timeout(PATIENCE).unwrap();
             }
             if there {
                 return;
             }
-            assert!(Instant::now() < end, "{what} {count}: {:?}, {:?}", link.phase(), link.fill_levels());
+            assert!(Instant::now() < end, "{what} {count}: {:?}, {:?}", handle.phase(), handle.fill_levels());
             std::thread::sleep(MS);
         }
     }
@@ -176,14 +176,14 @@
     }
 
     pub(super) fn start(&mut self, words: &[&str]) {
-        let mut told = self.told("board", words);
+        let mut config = self.config("board", words);
         if words.contains(&"unknown-class") {
-            told.wiring.classes.push("unknown".to_string());
+            config.wiring.classes.push("unknown".to_string());
         }
         self.comments = words.contains(&"comments");
         SET_UP.call_once(Service::set_up);
-        let marked = words.contains(&"marked").then(AdminOverrides::new);
-        let service = Service::start_with_overrides(Clock::start(), told, marked).unwrap();
+        let overrides = words.contains(&"marked").then(AdminOverrides::new);
+        let service = Service::start_with_overrides(Clock::start(), config, overrides).unwrap();
         self.address = Some(service.listen_address());
         self.service = Some(service);
     }
@@ -197,10 +197,10 @@
         party
     }
 
-    /// Gives the dispatcher marks or a purge; `done` is called once the decisions go by it, with what is kept apart.
+    /// Gives the dispatcher overrides or a purge; `done` is called once the decisions go by it, with what is rejected.
     pub(super) fn put(&self, line: &str, done: Box<dyn FnOnce(BTreeMap<String, RejectedOverride>) + Send>) {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let link = self.service.as_ref().unwrap().handle();
+        let handle = self.service.as_ref().unwrap().handle();
         let marks = |text: &str, until| -> AdminOverrides {
             let marks = pairs(text).into_iter().filter(|(name, _)| name != "until");
             let mark = |(name, state): (String, String)| {
@@ -212,17 +212,17 @@
         match words[0] {
             "mark" => {
                 let until = words.iter().find_map(|word| word.strip_prefix("until="));
-                let until = until.map(|ms| link.clock.now() + Duration::from_millis(ms.parse().unwrap()));
+                let until = until.map(|ms| handle.clock.now() + Duration::from_millis(ms.parse().unwrap()));
                 let marks = marks(&line["mark".len()..], until);
-                assert!(link.set_operator_overrides(marks, move || done(BTreeMap::new())));
+                assert!(handle.set_operator_overrides(marks, move || done(BTreeMap::new())));
             }
             "fleet" => {
                 let wanted = line["fleet".len()..].split('!').next().unwrap_or_default();
-                assert!(link.set_control_overrides(marks(wanted, None), done));
+                assert!(handle.set_control_overrides(marks(wanted, None), done));
             }
             _ => {
                 let ago = words.iter().find_map(|word| word.strip_prefix("ago=")).unwrap_or("0");
-                let purged_at = link.timestamp_before_now(Duration::from_millis(ago.parse().unwrap()));
+                let purged_at = handle.timestamp_before_now(Duration::from_millis(ago.parse().unwrap()));
                 let purge = match words[1].strip_prefix("group=") {
                     _ if words[1] == "all" => Purge::everything(purged_at),
                     Some(group) => {
@@ -230,14 +230,14 @@
                     }
                     None => Purge { object: Some(ObjectId(id_from_name(words[1]))), group: None, purged_at },
                 };
-                assert!(link.purge(vec![purge], move || done(BTreeMap::new())));
+                assert!(handle.purge(vec![purge], move || done(BTreeMap::new())));
             }
         }
     }
 }
 
-/// Guards against a dispatcher whose play is over, but whose actors last as long as the process: it would go on calling
-/// its board at a port that is another's by then. From here on it calls one where nobody ever answers.
+/// Guards against a dispatcher whose play is over, but whose actors last as long as the process: it would go on connecting to
+/// its discovery service at a port that is another's by then. From here on it connects where nobody ever responds.
 impl Drop for Play {
     fn drop(&mut self) {
         if std::thread::panicking() {
@@ -249,9 +249,9 @@
         *self.held.0.lock().unwrap() = false;
         let ended = self.stopping.take().and_then(|stopping| stopping.join().ok());
         if let Some(mut service) = self.service.take().or(ended) {
-            let mut told = self.told("nobody", &[]);
-            told.discovery_address = nobody.local_addr().unwrap();
-            service.reload(&told);
+            let mut config = self.config("nobody", &[]);
+            config.discovery_address = nobody.local_addr().unwrap();
+            service.reload(&config);
         }
     }
 }
--- a/crates/rockflow-dispatcher/tests/common/steps.rs
+++ b/crates/rockflow-dispatcher/tests/common/steps.rs
@@ -1,7 +1,7 @@
 //! The lines of a play, and what each does.
 
 use super::party::Comments;
-use super::play::{pairs, rejection_word, Play};
+use super::play::{pairs, rejection_name, Play};
 use super::sockets::NO_DELAY;
 use super::worker::WorkerGate;
 use super::{MS, PATIENCE};
@@ -45,7 +45,7 @@
         let ordered = self.frozen.is_some() && matches!(verb, "asks" | "says" | "sends" | "closes");
         if ordered && verb == "closes" {
             let _ = self.party(name).stream().get_ref().shutdown(Shutdown::Write);
-            self.party(name).delivered();
+            self.party(name).await_delivery();
         }
         let is_known = self.play_dispatcher(&step)
             || self.play_control(&step)
@@ -55,11 +55,11 @@
             || self.play_connection(&step);
         assert!(is_known, "no such line: {line:?}");
         if ordered && verb != "closes" {
-            self.party(name).delivered();
+            self.party(name).await_delivery();
         }
     }
 
-    /// Starts, stops and reloads the dispatcher; false: it is none.
+    /// Starts, stops and reloads the dispatcher. Returns false for another line.
     fn play_dispatcher(&mut self, step: &Step) -> bool {
         let Step { words, rest, name, verb, .. } = *step;
         match (name, verb) {
@@ -67,15 +67,15 @@
             ("start", _) => self.start(words),
             ("stop", _) => {
                 let mut service = self.service.take().unwrap();
-                self.link = Some(service.handle());
+                self.handle = Some(service.handle());
                 assert_eq!(service.phase(), Phase::Serving);
-                let (reloads, told) = channel();
+                let (reloads, config) = channel();
                 self.reloads = Some(reloads);
                 *self.held.0.lock().unwrap() = words.contains(&"held");
                 let held = self.held.clone();
                 self.stopping = Some(std::thread::spawn(move || {
                     service.stop_with(|service| loop {
-                        told.try_iter().for_each(|told| service.reload(&told));
+                        config.try_iter().for_each(|config| service.reload(&config));
                         let (held, released) = &*held;
                         let held = held.lock().unwrap();
                         let (held, _) = released.wait_timeout(held, Duration::from_millis(1)).unwrap();
@@ -87,7 +87,7 @@
                 }));
             }
             ("release", _) => {
-                assert_eq!(self.link.as_ref().expect("stopping").phase(), Phase::Draining);
+                assert_eq!(self.handle.as_ref().expect("stopping").phase(), Phase::Draining);
                 *self.held.0.lock().unwrap() = false;
                 self.held.1.notify_all();
             }
@@ -116,10 +116,10 @@
             // Time itself is what the line is about: the dispatcher's clock is the system's.
             ("wait", ms) => std::thread::sleep(Duration::from_millis(ms.parse().unwrap())),
             ("reload", board) => {
-                let told = self.told(board, &[]);
+                let config = self.config(board, &[]);
                 match &mut self.service {
-                    Some(service) => service.reload(&told),
-                    None => self.reloads.as_ref().expect("stopping").send(told).unwrap(),
+                    Some(service) => service.reload(&config),
+                    None => self.reloads.as_ref().expect("stopping").send(config).unwrap(),
                 }
             }
             ("nodelay", least) => {
@@ -131,25 +131,25 @@
         true
     }
 
-    /// Uses the handle of the dispatcher; false: it is none.
+    /// Uses the handle of the dispatcher. Returns false for another line.
     fn play_control(&mut self, step: &Step) -> bool {
         let Step { line, words, name, verb, .. } = *step;
         match (name, verb) {
             ("overdue", count) => {
                 let (done, wait) = channel();
-                let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
-                assert!(link.request_status(move |survey| done.send(survey.overdue).unwrap()));
+                let handle = self.handle.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
+                assert!(handle.request_status(move |survey| done.send(survey.overdue).unwrap()));
                 assert_eq!(wait.recv_timeout(PATIENCE).unwrap().to_string(), count);
             }
             ("post", what) => {
                 if what == "purge" {
                     self.purged = Instant::now();
                 }
-                let (heeded, what) = (self.heeded.0.clone(), what.to_string());
-                self.put(&line["post ".len()..], Box::new(move |_| heeded.send(what).unwrap()));
+                let (applied, what) = (self.applied.0.clone(), what.to_string());
+                self.put(&line["post ".len()..], Box::new(move |_| applied.send(what).unwrap()));
             }
             ("heeded", _) => {
-                let said = words[1..].iter().map(|_| self.heeded.1.recv_timeout(PATIENCE).unwrap());
+                let said = words[1..].iter().map(|_| self.applied.1.recv_timeout(PATIENCE).unwrap());
                 assert_eq!(said.collect::<Vec<_>>(), words[1..], "{line}");
             }
             ("mark" | "fleet" | "purge", _) => {
@@ -157,22 +157,22 @@
                     self.purged = Instant::now();
                 }
                 let (done, wait) = channel();
-                self.put(line, Box::new(move |refused| done.send(refused).unwrap()));
-                let refused = wait.recv_timeout(PATIENCE).unwrap();
-                let refused: Vec<_> = refused
+                self.put(line, Box::new(move |rejected| done.send(rejected).unwrap()));
+                let rejected = wait.recv_timeout(PATIENCE).unwrap();
+                let rejected: Vec<_> = rejected
                     .iter()
-                    .map(|(name, why)| (name.clone(), rejection_word(*why).to_string()))
+                    .map(|(name, why)| (name.clone(), rejection_name(*why).to_string()))
                     .collect();
-                assert_eq!(refused, pairs(line.split_once('!').map_or("", |(_, kept)| kept)), "{line}");
+                assert_eq!(rejected, pairs(line.split_once('!').map_or("", |(_, kept)| kept)), "{line}");
             }
             ("purges", count) => {
-                let link = self.link.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
+                let handle = self.handle.clone().unwrap_or_else(|| self.service.as_ref().unwrap().handle());
                 let ago = words.iter().find_map(|word| word.strip_prefix("ago=")).unwrap_or("0");
                 self.purged = Instant::now();
-                let purged_at = link.timestamp_before_now(Duration::from_millis(ago.parse().unwrap()));
+                let purged_at = handle.timestamp_before_now(Duration::from_millis(ago.parse().unwrap()));
                 for n in 0..count.parse::<u64>().unwrap() {
                     let purge = Purge { object: Some(ObjectId(n)), group: None, purged_at };
-                    link.purge(vec![purge], || {});
+                    handle.purge(vec![purge], || {});
                 }
             }
             _ => return false,
@@ -180,7 +180,7 @@
         true
     }
 
-    /// Plays a discovery service; false: it is none.
+    /// Plays a discovery service. Returns false for another line.
     fn play_discovery(&mut self, step: &Step) -> bool {
         let Step { rest, name, verb, .. } = *step;
         let raw = || step.raw();
@@ -202,7 +202,7 @@
                 let by = rest.get(2).map_or(PATIENCE, |ms| Duration::from_millis(ms.parse().unwrap()));
                 let end = Instant::now() + by;
                 let board = self.party(name);
-                // A call that the dispatcher has given up while it connected is still in the queue and asks nothing.
+                // A connection that the dispatcher has given up while it connected is still in the queue and sends nothing.
                 let head = loop {
                     let stream = board.accept(end.saturating_duration_since(Instant::now()).max(MS));
                     board.connect(stream);
@@ -227,7 +227,7 @@
         true
     }
 
-    /// Plays a client; false: it is none.
+    /// Plays a client. Returns false for another line.
     fn play_client(&mut self, step: &Step) -> bool {
         let Step { line, rest, name, verb, .. } = *step;
         let value = |key: &str| rest.iter().find_map(|word| word.strip_prefix(key));
@@ -260,7 +260,7 @@
         true
     }
 
-    /// Plays a host; false: it is none.
+    /// Plays a host. Returns false for another line.
     fn play_host(&mut self, step: &Step) -> bool {
         let Step { line, rest, name, verb, .. } = *step;
         let value = |key: &str| rest.iter().find_map(|word| word.strip_prefix(key));
@@ -321,7 +321,7 @@
         true
     }
 
-    /// Does what any party can; false: it is none.
+    /// Does what any party can. Returns false for another line.
     fn play_connection(&mut self, step: &Step) -> bool {
         let Step { rest, name, verb, .. } = *step;
         match (name, verb) {
@@ -336,11 +336,13 @@
                 let stream = self.party(name).stream.take().unwrap();
                 socket2::SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            (_, "shuts") => self.party(name).shut(),
+            (_, "shuts") => self.party(name).fill_queue(),
             (_, "opens") => self.party(name).open(),
-            (_, "untaken") => self.party(name).untaken(Duration::from_millis(rest[0].parse().unwrap())),
-            (_, "quiet") => self.party(name).quiet(Duration::from_millis(rest[0].parse().unwrap())),
-            (_, "ended") => self.party(name).ended(),
+            (_, "untaken") => {
+                self.party(name).expect_no_connection(Duration::from_millis(rest[0].parse().unwrap()))
+            }
+            (_, "quiet") => self.party(name).expect_silence(Duration::from_millis(rest[0].parse().unwrap())),
+            (_, "ended") => self.party(name).expect_end(),
             _ => return false,
         }
         true
--- a/crates/rockflow-dispatcher/tests/config.rs
+++ b/crates/rockflow-dispatcher/tests/config.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told: faults name their key, and nested settings read as dotted ones do.
+//! The configuration: errors name their key, and nested settings read as dotted ones do.
 
 use rockflow_dispatcher::caps::Caps;
 use rockflow_dispatcher::Config;
@@ -19,15 +19,18 @@
 #[test_case("/settings/grades/1/name", None, "settings: grades.1.name is missing")]
 #[test_case("/settings/rules/startCapacity", Some(json!(-1)), "settings: rules.startCapacity does not parse")]
 #[test_case("/settings/limits/connIdleUs", Some(json!("x")), "settings: limits.connIdleUs does not parse")]
-fn faults(path: &str, value: Option<Value>, what: &str) {
-    let mut told = example();
+fn rejects_invalid_value_and_names_its_key(path: &str, value: Option<Value>, what: &str) {
+    let mut document = example();
     let (parent, key) = path.rsplit_once('/').unwrap();
-    let parent = told.pointer_mut(parent).unwrap().as_object_mut().unwrap();
+    let parent = document.pointer_mut(parent).unwrap().as_object_mut().unwrap();
     match value {
         Some(value) => parent.insert(key.to_string(), value),
         None => parent.remove(key),
     };
-    assert_eq!(Config::parse(&told.to_string()).err().map(|error| error.to_string()).as_deref(), Some(what));
+    assert_eq!(
+        Config::parse(&document.to_string()).err().map(|error| error.to_string()).as_deref(),
+        Some(what)
+    );
 }
 
 #[test]
@@ -44,10 +47,10 @@
 #[test_case(192, 1024)]
 #[test_case(16, 64)]
 #[test_case(2048, 4096)]
-fn caps_keep_the_told_limits(memory_mb: usize, sockets: usize) {
-    let mut told = example();
-    told["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
-    let caps = Caps::of(&Config::parse(&told.to_string()).unwrap().limits);
+fn caps_keep_within_limits(memory_mb: usize, sockets: usize) {
+    let mut document = example();
+    document["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
+    let caps = Caps::of(&Config::parse(&document.to_string()).unwrap().limits);
     assert!(caps.idle_clients < caps.clients && caps.clients + caps.upstream_connections < sockets);
     assert!(
         caps.buffered_bytes + caps.upstream_connections * caps.unsent_bytes < memory_mb * 1024 * 1024 / 2
--- a/crates/rockflow-dispatcher/tests/discovery.rs
+++ b/crates/rockflow-dispatcher/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! The board is left and called again a hundred times, in every way that a call can end, while connections to a host
-//! and from a client come and go, so that descriptors are used again at once. Each call must reach the board, and
-//! nothing may be left behind.
+//! The discovery service is left and connected again a hundred times, in every way that a connection can end, while
+//! connections to a host and from a client come and go, so that descriptors are used again at once. Each connection must
+//! reach the service, and nothing may leak.
 
 use rockflow_dispatcher::{Config, Service};
 use serde_json::{json, Value};
@@ -11,25 +11,25 @@
 use std::time::{Duration, Instant};
 
 const PATIENCE: Duration = Duration::from_secs(10);
-/// A host closes a connection on which nothing came for so long.
-const RESTS: Duration = Duration::from_secs(1);
+/// A host closes a connection on which nothing arrived for so long.
+const HOST_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 const CALLS: u64 = 100;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
-    /// The configuration names another board.
+    /// The configuration names another address.
     Moved,
     Ended,
     Reset,
-    /// Taken, answered, and then silent.
+    /// Accepted, responded to, and then silent.
     Silent,
-    /// Told of a board where nobody listens, then of one that does.
+    /// The configuration names an address where nobody listens, then one where somebody does.
     Refused,
-    /// The same, with one whose connections never come up.
+    /// The same, with an address whose connections are never established.
     NeverUp,
 }
 
-/// How call number `n` ends. The slow ways are the rarer ones.
+/// How connection number `n` ends. The slow ways are the rarer ones.
 fn end_of(n: u64) -> End {
     match n {
         n if n % 33 == 20 => End::Silent,
@@ -44,9 +44,9 @@
     (listener, address)
 }
 
-fn told(board: SocketAddr, host: SocketAddr) -> Config {
+fn config(discovery: SocketAddr, host: SocketAddr) -> Config {
     let mut value: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
-    value["board"] = json!(board.to_string());
+    value["board"] = json!(discovery.to_string());
     value["listen"] = json!("127.0.0.1:0");
     let instances = &mut value["known"]["notices"][0]["pool"]["instances"];
     instances.as_array_mut().unwrap().truncate(1);
@@ -54,12 +54,12 @@
     Config::parse(&value.to_string()).unwrap()
 }
 
-/// Answers one attempt on each connection and closes it; one that rests is closed too, as a spare connection carries none.
+/// Responds to one attempt on each connection and closes it; an idle one is closed too, as a spare connection carries none.
 fn host(listener: TcpListener) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let stream = stream.unwrap();
-            stream.set_read_timeout(Some(RESTS)).unwrap();
+            stream.set_read_timeout(Some(HOST_IDLE_TIMEOUT)).unwrap();
             std::thread::spawn(move || {
                 let mut stream = BufReader::new(stream);
                 let mut line = String::new();
@@ -73,11 +73,11 @@
     });
 }
 
-/// Asks one request on each connection, till it is told to stop; returns how many were served.
-fn client(to: SocketAddr, over: Arc<AtomicBool>, served: Arc<AtomicUsize>) -> std::thread::JoinHandle<()> {
+/// Sends one request on each connection, until it is stopped; counts those that succeeded.
+fn client(to: SocketAddr, stop: Arc<AtomicBool>, served: Arc<AtomicUsize>) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         for n in 0u64.. {
-            if over.load(Ordering::Relaxed) {
+            if stop.load(Ordering::Relaxed) {
                 return;
             }
             let mut stream = TcpStream::connect(to).unwrap();
@@ -96,10 +96,10 @@
     std::fs::read_dir("/proc/self/fd").unwrap().count()
 }
 
-/// Takes the next call in time, and its head.
-fn take(board: &TcpListener, last: u64) -> TcpStream {
-    socket2::SockRef::from(board).set_read_timeout(Some(PATIENCE)).unwrap();
-    let (stream, _) = board.accept().expect("the board is called again");
+/// Accepts the next connection in time, and reads its head.
+fn accept_call(discovery: &TcpListener, last: u64) -> TcpStream {
+    socket2::SockRef::from(discovery).set_read_timeout(Some(PATIENCE)).unwrap();
+    let (stream, _) = discovery.accept().expect("the board is called again");
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut reader = BufReader::new(stream);
     let mut head = String::new();
@@ -110,17 +110,17 @@
     reader.into_inner()
 }
 
-/// Waits till the number has come through to the dispatcher.
-fn heard(service: &Service, rev: u64) {
+/// Waits until the revision has arrived at the dispatcher.
+fn await_revision(service: &Service, revision: u64) {
     let until = Instant::now() + PATIENCE;
-    while service.handle().discovery_status().last_revision < rev {
-        assert!(Instant::now() < until, "notice {rev} was not heard");
+    while service.handle().discovery_status().last_revision < revision {
+        assert!(Instant::now() < until, "notice {revision} was not heard");
         std::thread::yield_now();
     }
 }
 
-/// A listener whose queue is full: what connects to it stays on its way.
-fn never_up() -> (socket2::Socket, Vec<socket2::Socket>, SocketAddr) {
+/// A listener whose queue is full: connections to it are never established.
+fn listener_with_full_queue() -> (socket2::Socket, Vec<socket2::Socket>, SocketAddr) {
     use socket2::{Domain, Socket, Type};
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -137,44 +137,44 @@
 }
 
 #[test]
-fn every_call_reaches_the_board_and_nothing_is_left_behind() {
+fn every_reconnect_succeeds_and_leaks_nothing() {
     Service::set_up();
-    let (hosts, host_at) = listener();
+    let (hosts, host_address) = listener();
     host(hosts);
-    let (mut board, mut board_at) = listener();
-    let mut service = Service::start(told(board_at, host_at)).unwrap();
-    let (over, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (mut discovery, mut discovery_address) = listener();
+    let mut service = Service::start(config(discovery_address, host_address)).unwrap();
+    let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let mut counted = 0;
     let clients: Vec<_> =
-        (0..2).map(|_| client(service.listen_address(), over.clone(), served.clone())).collect();
+        (0..2).map(|_| client(service.listen_address(), stop.clone(), served.clone())).collect();
     let mut last = 1;
     for n in 0..CALLS {
-        let mut call = take(&board, last);
+        let mut call = accept_call(&discovery, last);
         last += 1;
-        let notice = format!("{{\"rev\":{last},\"flush\":{{\"collection\":200,\"ms\":1}}}}");
+        let event = format!("{{\"rev\":{last},\"flush\":{{\"collection\":200,\"ms\":1}}}}");
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-        call.write_all(format!("{head}id: {last}\ndata: {notice}\n\n").as_bytes()).unwrap();
-        heard(&service, last);
+        call.write_all(format!("{head}id: {last}\ndata: {event}\n\n").as_bytes()).unwrap();
+        await_revision(&service, last);
         match end_of(n) {
             End::Ended => drop(call),
             End::Reset => {
                 socket2::SockRef::from(&call).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            // Left for its silence: its end is the dispatcher's.
+            // The dispatcher ends it for its silence.
             End::Silent => assert_eq!(call.read(&mut [0; 16]).unwrap(), 0),
             end => {
                 if end == End::Refused {
                     let nobody = listener().1;
-                    service.reload(&told(nobody, host_at));
+                    service.reload(&config(nobody, host_address));
                     assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
                 }
-                let held = (end == End::NeverUp).then(never_up);
+                let held = (end == End::NeverUp).then(listener_with_full_queue);
                 if let Some((_, _, nowhere)) = &held {
-                    service.reload(&told(*nowhere, host_at));
+                    service.reload(&config(*nowhere, host_address));
                     assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
                 }
-                (board, board_at) = listener();
-                service.reload(&told(board_at, host_at));
+                (discovery, discovery_address) = listener();
+                service.reload(&config(discovery_address, host_address));
                 if end == End::Moved {
                     assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
                 }
@@ -184,10 +184,10 @@
             counted = descriptors();
         }
     }
-    let call = take(&board, last);
-    over.store(true, Ordering::Relaxed);
+    let call = accept_call(&discovery, last);
+    stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    // Connections whose ends are still on their way may take a moment; what is left behind stays.
+    // Connections that are closing may take a moment; what leaks stays.
     let until = Instant::now() + PATIENCE;
     let busy = || service.handle().fill_levels()[..2].iter().any(|level| level.fill > 0);
     while (busy() || descriptors() > counted) && Instant::now() < until {
--- a/crates/rockflow-dispatcher/tests/discovery_clock.rs
+++ b/crates/rockflow-dispatcher/tests/discovery_clock.rs
@@ -1,19 +1,19 @@
-//! The age of a board's news is never more than it is by a clock that is right, and not always none.
+//! The age of a purge that discovery sends is never more than its true age, and not always zero.
 
 use rockflow_dispatcher::discovery::clock::DiscoveryClock;
 use rockflow_dispatcher::purge_backlog::MAX_DELIVERY_DELAY;
 use std::time::Duration;
 use test_case::test_case;
 
-const BINDS: Duration = Duration::from_millis(8700);
+const PURGE_WINDOW: Duration = Duration::from_millis(8700);
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// How far the board's clock is behind; a purge is told each 20 ms, `took` after it was made.
+/// Ages with a clock that is `behind`; a purge arrives each 20 ms, `took` after it was made.
 fn ages(behind: Duration, took: impl Fn(u64) -> Duration) -> Vec<(Duration, Duration)> {
-    let mut clock = DiscoveryClock::new(BINDS, Duration::ZERO);
+    let mut clock = DiscoveryClock::new(PURGE_WINDOW, Duration::ZERO);
     let told = |n| (ms(20 * n), took(n));
     (0..2000).map(told).map(|(now, took)| (took, clock.age(now, took + behind))).collect()
 }
@@ -21,7 +21,7 @@
 #[test_case(0; "right")]
 #[test_case(3_000; "3 s behind")]
 #[test_case(60_000; "a minute behind")]
-fn no_purge_is_taken_for_older_than_it_is(behind: u64) {
+fn no_age_exceeds_the_true_age(behind: u64) {
     let took = |n| ms(5 + n * 7919 % 6500);
     for (took, age) in ages(ms(behind), took) {
         assert!(age <= took, "{age:?} of {took:?}");
@@ -30,7 +30,7 @@
 
 #[test_case(0; "right")]
 #[test_case(60_000; "a minute behind")]
-fn an_age_is_short_by_that_of_the_youngest(behind: u64) {
+fn age_is_short_by_that_of_the_youngest(behind: u64) {
     let took = |n| if n % 100 == 0 { ms(10) } else { ms(3000) };
     for (took, age) in ages(ms(behind), took) {
         assert_eq!(age, took - ms(10));
@@ -38,17 +38,17 @@
 }
 
 #[test]
-fn nothing_is_older_than_a_board_takes_to_tell() {
+fn no_age_exceeds_the_delivery_delay() {
     let took = |n| if n == 0 { ms(10) } else { ms(100_000) };
     for (_, age) in ages(Duration::ZERO, took) {
         assert!(age <= MAX_DELIVERY_DELAY);
     }
 }
 
-/// A board's clock that is set back: within two spans its news are counted by the new one.
+/// A clock of discovery that is set back: within two windows purges are aged by the new one.
 #[test]
-fn a_clock_that_is_set_counts_no_more() {
-    let mut clock = DiscoveryClock::new(BINDS, Duration::ZERO);
+fn clock_that_is_set_has_no_lasting_effect() {
+    let mut clock = DiscoveryClock::new(PURGE_WINDOW, Duration::ZERO);
     clock.age(Duration::ZERO, ms(10));
     let ages = (1..1500).map(|n| clock.age(ms(20 * n), ms(60_010))).collect::<Vec<_>>();
     assert_eq!(ages[0], MAX_DELIVERY_DELAY);
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn after_a_long_silence_only_what_is_told_then_counts() {
-    let mut clock = DiscoveryClock::new(BINDS, Duration::ZERO);
+fn after_a_long_silence_only_recent_purges_count() {
+    let mut clock = DiscoveryClock::new(PURGE_WINDOW, Duration::ZERO);
     clock.age(Duration::ZERO, ms(10));
-    assert_eq!(clock.age(BINDS * 3, ms(5000)), Duration::ZERO);
+    assert_eq!(clock.age(PURGE_WINDOW * 3, ms(5000)), Duration::ZERO);
 }
--- a/crates/rockflow-dispatcher/tests/handover.rs
+++ b/crates/rockflow-dispatcher/tests/handover.rs
@@ -37,7 +37,7 @@
 static ENDED: AtomicBool = AtomicBool::new(false);
 /// The worker was held up, and whether the coroutine went on meanwhile.
 static GATED: AtomicBool = AtomicBool::new(false);
-static BESIDE: AtomicBool = AtomicBool::new(false);
+static RAN_IN_PARALLEL: AtomicBool = AtomicBool::new(false);
 
 /// Stands before the C library's own; the standard library wakes threads by it.
 ///
@@ -58,7 +58,7 @@
         std::mem::transmute::<*mut libc::c_void, Call>(libc::dlsym(libc::RTLD_NEXT, c"syscall".as_ptr()));
     let operation = if number == libc::SYS_futex { b as i32 & !libc::FUTEX_PRIVATE_FLAG } else { -1 };
     // The test's own threads wait for seconds or without a limit.
-    if operation == libc::FUTEX_WAIT_BITSET && d != 0 && near(&*(d as *const libc::timespec)) {
+    if operation == libc::FUTEX_WAIT_BITSET && d != 0 && is_within_a_second(&*(d as *const libc::timespec)) {
         WATCHED.store(true, Ordering::SeqCst);
     }
     let wake = operation == libc::FUTEX_WAKE;
@@ -72,14 +72,14 @@
             }
             libc::usleep(1000);
         }
-        BESIDE.store(WENT_ON.load(Ordering::SeqCst), Ordering::SeqCst);
+        RAN_IN_PARALLEL.store(WENT_ON.load(Ordering::SeqCst), Ordering::SeqCst);
         *libc::__errno_location() = errno;
     }
     result
 }
 
 /// Whether it is within the second, on the monotonic clock.
-fn near(deadline: &libc::timespec) -> bool {
+fn is_within_a_second(deadline: &libc::timespec) -> bool {
     let mut now = libc::timespec { tv_sec: 0, tv_nsec: 0 };
     unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &mut now) };
     let nanos = |time: &libc::timespec| time.tv_sec as i128 * 1_000_000_000 + time.tv_nsec as i128;
@@ -93,7 +93,9 @@
 fn passes_while_the_worker_is_held_up(wait: fn(Duration)) {
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
     SET_UP.call_once(Service::set_up);
-    [&WATCHED, &WENT_ON, &ENDED, &GATED, &BESIDE].iter().for_each(|flag| flag.store(false, Ordering::SeqCst));
+    [&WATCHED, &WENT_ON, &ENDED, &GATED, &RAN_IN_PARALLEL]
+        .iter()
+        .for_each(|flag| flag.store(false, Ordering::SeqCst));
     let (done, ended) = mpsc::channel();
     let (other, third) = (done.clone(), done.clone());
     // Goes on behind the other, on the thread of whoever woke both.
@@ -117,18 +119,18 @@
     may::go!(move || third.send("after").unwrap());
     assert_eq!(next(), Ok("after"), "the worker goes on");
     assert!(GATED.load(Ordering::SeqCst), "the worker was not held up");
-    assert!(!BESIDE.load(Ordering::SeqCst), "went on beside its worker");
+    assert!(!RAN_IN_PARALLEL.load(Ordering::SeqCst), "went on beside its worker");
 }
 
 /// Fails with the runtime's timers: they run the coroutine to its end on their own thread, and the worker then writes
 /// into what was the coroutine's, which is another's by then; the process dies of it.
 #[test]
-fn a_sleep_that_passes_while_the_worker_is_held_up_ends_behind_it() {
+fn sleep_that_passes_while_worker_is_delayed_ends_behind_it() {
     passes_while_the_worker_is_held_up(timer::sleep);
 }
 
 /// Fails with the runtime's timers: they find nobody to wake yet, and the park lasts for ever.
 #[test]
-fn a_park_that_passes_while_the_worker_is_held_up_ends_behind_it() {
+fn park_that_passes_while_worker_is_delayed_ends_behind_it() {
     passes_while_the_worker_is_held_up(timer::park);
 }
--- a/crates/rockflow-dispatcher/tests/panics.rs
+++ b/crates/rockflow-dispatcher/tests/panics.rs
@@ -1,4 +1,4 @@
-//! What waits for the decisions is told also where they panic over it, and then only once they go by it.
+//! Callers that wait for the decisions are notified also where these panic over it, and then only once they go by it.
 
 mod common;
 
@@ -8,11 +8,11 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// So many times more the module panics as it takes news to the decisions.
+/// How many times more a panic is forced as changes are applied to the decisions.
 static PANICS: AtomicUsize = AtomicUsize::new(0);
 
-/// Whoever reads the log, and panics over a line of the module.
-struct Reader;
+/// Reads the log, and panics over a line of the decisions' actor.
+struct PanickingSubscriber;
 
 #[derive(Default)]
 struct Text(String);
@@ -23,7 +23,7 @@
     }
 }
 
-impl Subscriber for Reader {
+impl Subscriber for PanickingSubscriber {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.target() == "rockflow_dispatcher::decision"
     }
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn what_is_heeded_is_told_also_across_a_panic() {
-    tracing::subscriber::set_global_default(Reader).unwrap();
+fn callers_are_notified_across_a_panic() {
+    tracing::subscriber::set_global_default(PanickingSubscriber).unwrap();
     PANICS.store(4, Ordering::Relaxed);
     common::play(include_str!("scenarios/panics.txt"));
     assert_eq!(PANICS.load(Ordering::Relaxed), 0);
--- a/crates/rockflow-dispatcher/tests/timer.rs
+++ b/crates/rockflow-dispatcher/tests/timer.rs
@@ -13,7 +13,7 @@
 
 /// Every length is one of its own: past 1,024 of them the runtime's timers lose some.
 #[test]
-fn waits_of_thousands_of_lengths_come_out_whole() {
+fn sleeps_of_thousands_of_lengths_are_complete() {
     set_up();
     let (done, ended) = mpsc::channel();
     for n in 0..4000 {
@@ -33,7 +33,7 @@
 
 /// Fails where each wait is a length of its own: sleepers are left behind, or the process dies of it.
 #[test]
-fn nobody_sleeps_for_ever_among_thousands_of_waits() {
+fn every_sleeper_wakes_among_thousands() {
     set_up();
     let (done, ended) = mpsc::channel();
     for n in 0..3000 {
@@ -60,7 +60,7 @@
 
 /// Fails with the runtime's timers, which run whom they wake on a thread of their own, beside the worker.
 #[test]
-fn whoever_waits_runs_on_the_worker_alone() {
+fn waiting_coroutines_run_on_the_worker_alone() {
     set_up();
     let (done, ended) = mpsc::channel();
     may::go!(move || {
--- a/crates/rockflow-dispatcher/tests/upstream.rs
+++ b/crates/rockflow-dispatcher/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! One connection to a host, with a scripted peer at its other end: what crosses there is held back till both are here.
+//! One connection to a host, with a scripted peer at its other end: what crosses there is held back until both are here.
 
 #[path = "common/worker.rs"]
 mod worker;
@@ -24,10 +24,10 @@
 /// More than the system takes from a writer before somebody reads.
 const MUCH: usize = 64 << 20;
 static SET_UP: Once = Once::new();
-/// One at a time: a freeze stops every line of the process.
+/// One at a time: the gate stops every connection of the process.
 static ALONE: Mutex<()> = Mutex::new(());
 
-struct Bed {
+struct Fixture {
     clock: Clock,
     decisions: Arc<Mailbox<DecisionMessage>>,
     host: Arc<Mailbox<HostMessage>>,
@@ -37,7 +37,7 @@
     peer: BufReader<TcpStream>,
 }
 
-fn wait<T>(what: &str, mut there: impl FnMut() -> Option<T>) -> T {
+fn await_some<T>(what: &str, mut there: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + PATIENCE;
     loop {
         if let Some(there) = there() {
@@ -48,12 +48,12 @@
     }
 }
 
-impl Bed {
-    fn new() -> Bed {
-        Bed::idle_for(Duration::from_secs(30))
+impl Fixture {
+    fn new() -> Fixture {
+        Fixture::idle_for(Duration::from_secs(30))
     }
 
-    fn idle_for(idle_timeout: Duration) -> Bed {
+    fn idle_for(idle_timeout: Duration) -> Fixture {
         SET_UP.call_once(Service::set_up);
         let (clock, decisions, host) = (Clock::start(), Mailbox::new(), Mailbox::new());
         let pool = Arc::new(ConnectionPool {
@@ -76,11 +76,11 @@
         let connection = upstream::start("c1".to_string(), at, pool.clone(), host.clone(), queue.clone());
         let (peer, _) = listener.accept().unwrap();
         peer.set_read_timeout(Some(PATIENCE)).unwrap();
-        wait("the line is up", || connection.is_open().then_some(()));
-        Bed { clock, decisions, host, queue, pool, connection, peer: BufReader::new(peer) }
+        await_some("the line is up", || connection.is_open().then_some(()));
+        Fixture { clock, decisions, host, queue, pool, connection, peer: BufReader::new(peer) }
     }
 
-    fn wanted(&self, number: u64, line: Vec<u8>) -> OutgoingAttempt {
+    fn attempt(&self, number: u64, line: Vec<u8>) -> OutgoingAttempt {
         let permit = SendPermit::new(self.clock.now() + PATIENCE, Mailbox::new());
         OutgoingAttempt {
             key: AttemptKey { request: RequestId(number), attempt: AttemptNumber(0) },
@@ -91,38 +91,38 @@
         }
     }
 
-    fn small(&self, number: u64) -> OutgoingAttempt {
-        self.wanted(number, format!("want {number:016x} - 0\r\n\r\n").into_bytes())
+    fn small_attempt(&self, number: u64) -> OutgoingAttempt {
+        self.attempt(number, format!("want {number:016x} - 0\r\n\r\n").into_bytes())
     }
 
-    fn give(&self, wanted: &OutgoingAttempt) {
-        self.connection.send_attempt(wanted.clone(), &self.pool);
+    fn hand_over(&self, attempt: &OutgoingAttempt) {
+        self.connection.send_attempt(attempt.clone(), &self.pool);
     }
 
-    fn got(&mut self) -> String {
+    fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.peer.read_line(&mut line).expect("a line in time");
         line
     }
 
-    /// Answers an attempt, and waits till the module has it.
-    fn answers(&mut self, wanted: &OutgoingAttempt) {
-        assert!(self.got().contains(&wanted.id));
-        assert_eq!(self.got(), "\r\n");
-        let answer = format!("{} data ver=t 2\r\nok\r\n", wanted.id);
+    /// Responds to an attempt, and waits until the decisions have the response.
+    fn respond(&mut self, attempt: &OutgoingAttempt) {
+        assert!(self.read_line().contains(&attempt.id));
+        assert_eq!(self.read_line(), "\r\n");
+        let answer = format!("{} data ver=t 2\r\nok\r\n", attempt.id);
         self.peer.get_mut().write_all(answer.as_bytes()).unwrap();
-        assert_eq!(self.answered(), wanted.key);
+        assert_eq!(self.await_response(), attempt.key);
     }
 
-    fn answered(&self) -> AttemptKey {
-        match wait("a word to the module", || self.decisions.take()) {
+    fn await_response(&self) -> AttemptKey {
+        match await_some("a word to the module", || self.decisions.take()) {
             DecisionMessage::ResponseReceived { key, .. } => key,
             _ => panic!("another word"),
         }
     }
 
-    fn fell(&self) -> (AttemptKey, Outcome) {
-        match wait("a word to the module", || self.decisions.take()) {
+    fn await_failure(&self) -> (AttemptKey, Outcome) {
+        match await_some("a word to the module", || self.decisions.take()) {
             DecisionMessage::AttemptFailed { key, outcome } => (key, outcome),
             _ => panic!("another word"),
         }
@@ -134,110 +134,117 @@
 }
 
 #[test]
-fn a_connection_closed_as_an_attempt_is_given_to_it_leaves_the_attempt_unbegun() {
+fn connection_closed_as_it_gets_an_attempt_leaves_it_unsent() {
     let _alone = alone();
-    let mut bed = Bed::new();
-    let first = bed.small(1);
-    bed.give(&first);
-    bed.answers(&first);
+    let mut fixture = Fixture::new();
+    let first = fixture.small_attempt(1);
+    fixture.hand_over(&first);
+    fixture.respond(&first);
     let gate = WorkerGate::close();
-    let second = bed.small(2);
-    bed.give(&second);
-    bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
+    let second = fixture.small_attempt(2);
+    fixture.hand_over(&second);
+    fixture.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     drop(gate);
-    let over = wait("the line is over", || bed.host.take());
+    let over = await_some("the line is over", || fixture.host.take());
     let HostMessage::ConnectionEnded { ended, resend, never_established } = over else {
         panic!("another order")
     };
     assert!(!second.permit.is_sent() && !never_established);
-    assert_eq!(resend.iter().map(|wanted| wanted.key).collect::<Vec<_>>(), [second.key]);
+    assert_eq!(resend.iter().map(|attempt| attempt.key).collect::<Vec<_>>(), [second.key]);
     assert!(ended.iter().all(|ended| ended.attempts.is_empty()), "{ended:?}");
 }
 
-/// From a host that takes connections and closes them at once it is not tried without end.
+/// A host that accepts connections and closes them at once is not tried without end.
 #[test]
-fn a_connection_that_never_brought_anything_is_no_reason_to_try_another() {
+fn unsent_attempt_of_silent_connection_is_not_resent() {
     let _alone = alone();
-    let bed = Bed::new();
+    let fixture = Fixture::new();
     let gate = WorkerGate::close();
-    let wanted = bed.small(1);
-    bed.give(&wanted);
-    bed.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
+    let attempt = fixture.small_attempt(1);
+    fixture.hand_over(&attempt);
+    fixture.peer.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     drop(gate);
-    let over = wait("the line is over", || bed.host.take());
+    let over = await_some("the line is over", || fixture.host.take());
     let HostMessage::ConnectionEnded { ended, resend, .. } = over else { panic!("another order") };
-    assert!(!wanted.permit.is_sent() && resend.is_empty());
+    assert!(!attempt.permit.is_sent() && resend.is_empty());
     let last = ended.last().unwrap();
-    assert_eq!((&last.attempts[..], last.outcome_if_alive), (&[wanted.key][..], Outcome::NotSent));
+    assert_eq!((&last.attempts[..], last.outcome_if_alive), (&[attempt.key][..], Outcome::NotSent));
 }
 
 #[test]
-fn an_attempt_withdrawn_before_its_first_byte_never_goes_out() {
+fn attempt_withdrawn_before_its_first_byte_is_never_sent() {
     let _alone = alone();
-    let mut bed = Bed::new();
+    let mut fixture = Fixture::new();
     let gate = WorkerGate::close();
-    let (gone, client_left, late, next) = (bed.small(1), bed.small(2), bed.small(3), bed.small(4));
+    let (gone, client_left, late, next) = (
+        fixture.small_attempt(1),
+        fixture.small_attempt(2),
+        fixture.small_attempt(3),
+        fixture.small_attempt(4),
+    );
     let client = Mailbox::new();
     let client_left = OutgoingAttempt {
-        permit: SendPermit::new(bed.clock.now() + PATIENCE, client.clone()),
+        permit: SendPermit::new(fixture.clock.now() + PATIENCE, client.clone()),
         ..client_left
     };
-    let late = OutgoingAttempt { permit: SendPermit::new(bed.clock.now(), Mailbox::new()), ..late };
-    [&gone, &client_left, &late, &next].into_iter().for_each(|wanted| bed.give(wanted));
+    let late = OutgoingAttempt { permit: SendPermit::new(fixture.clock.now(), Mailbox::new()), ..late };
+    [&gone, &client_left, &late, &next].into_iter().for_each(|attempt| fixture.hand_over(attempt));
     assert!(gone.permit.withdraw());
     client.close();
     drop(gate);
-    for wanted in [&gone, &client_left, &late] {
-        assert_eq!(bed.fell(), (wanted.key, Outcome::NotSent));
+    for attempt in [&gone, &client_left, &late] {
+        assert_eq!(fixture.await_failure(), (attempt.key, Outcome::NotSent));
     }
-    bed.answers(&next);
+    fixture.respond(&next);
 }
 
-/// The host reads nothing, so that an attempt waits behind what is half out: it is taken back, and when the host reads again
+/// The host reads nothing, so that an attempt waits behind what is half sent: it is withdrawn, and when the host reads again
 /// it never sees it.
 #[test]
-fn an_attempt_behind_a_host_that_reads_nothing_can_be_taken_back() {
+fn attempt_behind_a_host_that_does_not_read_can_be_withdrawn() {
     let _alone = alone();
-    let mut bed = Bed::new();
-    let (much, taken_back, next) = (bed.wanted(1, vec![b'x'; MUCH]), bed.small(2), bed.small(3));
-    bed.give(&much);
-    wait("the first is half out", || much.permit.is_sent().then_some(()));
-    bed.give(&taken_back);
-    bed.give(&next);
+    let mut fixture = Fixture::new();
+    let (much, taken_back, next) =
+        (fixture.attempt(1, vec![b'x'; MUCH]), fixture.small_attempt(2), fixture.small_attempt(3));
+    fixture.hand_over(&much);
+    await_some("the first is half out", || much.permit.is_sent().then_some(()));
+    fixture.hand_over(&taken_back);
+    fixture.hand_over(&next);
     assert!(taken_back.permit.withdraw(), "it has begun");
     assert!(!much.permit.withdraw());
     let mut rest = vec![0; MUCH];
-    bed.peer.read_exact(&mut rest).unwrap();
-    assert_eq!(bed.fell(), (taken_back.key, Outcome::NotSent));
-    bed.answers(&next);
+    fixture.peer.read_exact(&mut rest).unwrap();
+    assert_eq!(fixture.await_failure(), (taken_back.key, Outcome::NotSent));
+    fixture.respond(&next);
 }
 
 /// What waits for a connection goes on the first that is free, and not where its id has been.
 #[test]
-fn an_attempt_that_waits_for_a_connection_goes_on_the_one_that_is_free_first() {
+fn queued_attempt_goes_on_the_first_free_connection() {
     let _alone = alone();
-    let mut bed = Bed::new();
-    let (first, again, other) = (bed.small(1), bed.small(1), bed.small(2));
-    bed.give(&first);
-    assert!(bed.got().contains(&first.id));
-    assert_eq!(bed.got(), "\r\n");
-    bed.queue.push(again);
-    bed.queue.push(other.clone());
+    let mut fixture = Fixture::new();
+    let (first, again, other) =
+        (fixture.small_attempt(1), fixture.small_attempt(1), fixture.small_attempt(2));
+    fixture.hand_over(&first);
+    assert!(fixture.read_line().contains(&first.id));
+    assert_eq!(fixture.read_line(), "\r\n");
+    fixture.queue.push(again);
+    fixture.queue.push(other.clone());
     let answer = format!("{} absent - 0\r\n\r\n", first.id);
-    bed.peer.get_mut().write_all(answer.as_bytes()).unwrap();
-    assert_eq!(bed.answered(), first.key);
-    bed.answers(&other);
-    assert_eq!(bed.queue.len(), 1);
+    fixture.peer.get_mut().write_all(answer.as_bytes()).unwrap();
+    assert_eq!(fixture.await_response(), first.key);
+    fixture.respond(&other);
+    assert_eq!(fixture.queue.len(), 1);
 }
 
 /// Its host may be closing it just then.
 #[test]
-fn a_connection_that_has_rested_for_most_of_the_told_time_takes_nothing() {
+fn connection_idle_for_most_of_its_timeout_accepts_nothing() {
     let _alone = alone();
-    let bed = Bed::idle_for(Duration::from_millis(500));
-    assert!(bed.connection.accepts("x", &bed.pool));
-    wait("it takes nothing more", || (!bed.connection.accepts("x", &bed.pool)).then_some(()));
-    let rested = bed.clock.now() - bed.connection.last_used();
+    let fixture = Fixture::idle_for(Duration::from_millis(500));
+    assert!(fixture.connection.accepts("x", &fixture.pool));
+    await_some("it takes nothing more", || (!fixture.connection.accepts("x", &fixture.pool)).then_some(()));
+    let rested = fixture.clock.now() - fixture.connection.last_used();
     assert!(rested >= Duration::from_millis(400), "{rested:?}");
-    assert!(bed.connection.is_open());
+    assert!(fixture.connection.is_open());
 }
