--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -9,8 +9,8 @@
 use rockflow::{GroupId, ObjectId};
 use rockflow_dispatcher::{Clock, Config, ObservedPurge, Purge, PurgeFollower};
 use rockflow_dissemination as node;
-use rockflow_dissemination::{Directory, Out, Publication};
-use rockflow_operator_config::{read_marks, ControlPart, DisseminationPart};
+use rockflow_dissemination::{Directory, Output, Publication};
+use rockflow_operator_config::{parse_overrides, ControlSection, DisseminationSection};
 use rockflow_transport::dissemination::{Link, Tally, WeakLink, Word};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
@@ -27,8 +27,8 @@
 /// What a control process is told, read and judged as a whole.
 pub struct Given {
     told: Config,
-    part: DisseminationPart,
-    files: ControlPart,
+    part: DisseminationSection,
+    files: ControlSection,
     directory: Directory,
     marks: Marks,
 }
@@ -40,10 +40,11 @@
         let (part, files) = (beside.file().dissemination.clone(), beside.file().control.clone());
         let part = part.ok_or("a control process needs a section [dissemination] in the operator's file")?;
         let files = files.ok_or("a control process needs a section [control] in the operator's file")?;
-        let own = part.control.iter().find(|(name, _)| *name == told.name);
-        let (_, at) = own.ok_or_else(|| format!("[dissemination] control: does not name {}", told.name))?;
+        let own = part.control.iter().find(|node| node.name == told.name);
+        let own = own.ok_or_else(|| format!("[dissemination] control: does not name {}", told.name))?;
+        let at = own.address;
         // Within a trusted network addresses may be translated on the way.
-        let elsewhere = !part.listen.ip().is_unspecified() && part.listen != *at;
+        let elsewhere = !part.listen.ip().is_unspecified() && part.listen != at;
         if elsewhere && !part.trusted_network {
             return Err(format!(
                 "[dissemination] listen: {} is another address than {at} of {} in control",
@@ -51,7 +52,7 @@
             ));
         }
         let directory = directory(&files.directory, &part)?;
-        let marks = marks(files.marks.as_deref())?;
+        let marks = marks(files.overrides.as_deref())?;
         Ok(Given { told, part, files, directory, marks })
     }
 
@@ -70,7 +71,7 @@
     std::fs::read_to_string(path).map_err(|what| format!("{}: {what}", path.display()))
 }
 
-fn directory(path: &Path, part: &DisseminationPart) -> Result<Directory, String> {
+fn directory(path: &Path, part: &DisseminationSection) -> Result<Directory, String> {
     let fault = |what: String| format!("{}: {what}", path.display());
     let directory = Directory::parse(&text(path)?).map_err(|what| fault(what.to_string()))?;
     let outside = directory.members.iter().find(|member| !member.address.ip().is_loopback());
@@ -85,7 +86,7 @@
 
 fn marks(path: Option<&Path>) -> Result<Marks, String> {
     let Some(path) = path else { return Ok(Marks::new()) };
-    read_marks(&path.display().to_string(), &text(path)?).map_err(|faults| {
+    parse_overrides(&path.display().to_string(), &text(path)?).map_err(|faults| {
         let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
         faults.join("\n")
     })
@@ -98,7 +99,7 @@
     let clock = Clock::start();
     rockflow_dispatcher::Service::set_up();
     let mut plan = base(&given.part, given.told.seed);
-    plan.told = told_of(&given.part, &given.told.name);
+    plan.config = told_of(&given.part, &given.told.name);
     plan.directory = Some(given.directory.clone());
     let link = Link::start(plan, heard).map_err(|what| format!("dissemination: {what}"))?;
     let (name, members) = (&given.told.name, given.directory.members.len());
@@ -168,7 +169,7 @@
             if said.elapsed() >= SUMMARY {
                 said = Instant::now();
                 let troubled = self.troubled.clone();
-                self.carried.0.say(Word::Survey(Box::new(move |tally| summary(&tally, &troubled))));
+                self.carried.0.say(Word::Status(Box::new(move |tally| summary(&tally, &troubled))));
             }
             std::thread::sleep(LOOK);
         }
@@ -230,7 +231,7 @@
     }
 
     fn read_marks(&mut self) {
-        match marks(self.given.files.marks.as_deref()) {
+        match marks(self.given.files.overrides.as_deref()) {
             Ok(read) => {
                 self.given.marks = read;
                 self.unsaid = true;
@@ -248,7 +249,8 @@
         let said = self.published.publish(&self.given.marks, |changes| {
             changes.iter().for_each(|(host, wanted)| info!(host, ?wanted, "published"));
             let publications = changes.into_iter();
-            let publications = publications.map(|(host, wanted)| Publication::Setting { host, wanted });
+            let publications =
+                publications.map(|(host, wanted)| Publication::Setting { host, desired: wanted });
             let reply = Box::new(|ids: Vec<node::EntryId>| {
                 if let (Some((_, first)), Some((_, last))) = (ids.first(), ids.last()) {
                     info!(first = first.0, last = last.0, "settings numbered");
@@ -263,56 +265,58 @@
     }
 }
 
-fn heard(_: &WeakLink, out: Out) {
+fn heard(_: &WeakLink, out: Output) {
     match out {
-        Out::Everywhere { stream, number, after } => info!(
+        Output::ReplicatedToAll { stream, number, after } => info!(
             control = stream.control.0,
             kind = ?stream.kind,
             number = number.0,
             seconds = after.as_secs_f64(),
             "everywhere"
         ),
-        Out::Outlived { incarnation } => {
+        Output::IncarnationSuperseded { incarnation } => {
             warn!(
                 incarnation = incarnation.0,
                 "a later life of this control node was known; begun again above it"
             )
         }
-        Out::Send { .. } | Out::Purge { .. } | Out::Configure { .. } => {}
+        Output::Send { .. } | Output::Purge { .. } | Output::Configure { .. } => {}
     }
 }
 
 /// One line while somebody is missing or behind, or refuses a setting, and one when nobody is any more.
 fn summary(tally: &Tally, troubled: &AtomicBool) {
     let Some(control) = &tally.survey.control else { return };
-    let well = control.present >= control.told && control.behind.is_empty() && control.refused.is_empty();
+    let well = control.present >= control.expected_members
+        && control.lagging.is_empty()
+        && control.rejected.is_empty();
     if troubled.swap(!well, Ordering::Relaxed) && well {
-        info!(told = control.told, "all members are there and go by what was published");
+        info!(told = control.expected_members, "all members are there and go by what was published");
     }
     if well {
         return;
     }
     let behind: Vec<_> = control
-        .behind
+        .lagging
         .iter()
         .map(|(name, stream, number)| format!("{name}:{}", numbered(stream, *number)))
         .collect();
     let refused = control
-        .refused
+        .rejected
         .iter()
         .map(|(stream, number, why, members)| format!("{}:{why:?} at {members}", numbered(stream, *number)));
     warn!(
-        told = control.told,
+        told = control.expected_members,
         present = control.present,
         missing = control.missing.join(" "),
         behind = behind.join(" "),
         refused = refused.collect::<Vec<_>>().join(" "),
-        publishing = control.publishing,
+        publishing = control.is_publishing,
         faults = tally.traffic.faults.values().sum::<u64>(),
         "not in force everywhere"
     );
 }
 
-fn numbered(stream: &node::StreamId, number: node::Number) -> String {
+fn numbered(stream: &node::StreamId, number: node::SequenceNumber) -> String {
     format!("{:?}@{}/{}", stream.kind, stream.control.0, number.0)
 }
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -6,7 +6,7 @@
 use rockflow_gnmi::wire;
 use rockflow_management_client::{gnmi, netconf, Trouble};
 use rockflow_netconf::xml::Element;
-use rockflow_yang::{data, json, Data, Fields, Path, Schema};
+use rockflow_yang::{data, json, DataNode, DataTree, NodeScope, Path, Schema};
 use russh::keys::{PrivateKey, PublicKey};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -135,7 +135,7 @@
                     return Err(only_netconf());
                 }
                 let found = grpc.client.get(schema, paths).await?;
-                let mut fields = Fields::new();
+                let mut fields = DataTree::new();
                 for (text, value) in &found {
                     match put(schema, text, value) {
                         Ok(part) => data::merge(&mut fields, &part),
@@ -216,7 +216,7 @@
                 if let Some(seconds) = expires_in {
                     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
                     let until = now.unwrap_or_default() + Duration::from_secs(seconds.into());
-                    mark["expires"] = json!(rockflow_management::moment::write(until));
+                    mark["expires"] = json!(rockflow_management::timestamp::format(until));
                 }
                 if force {
                     mark["force"] = json!(true);
@@ -246,7 +246,8 @@
     ) -> Result<(), Trouble> {
         match self {
             Peer::Netconf(client) => {
-                let fields = json::read(schema, None, value, false).map_err(Trouble::Unreadable)?;
+                let fields = json::read(schema, None, value, NodeScope::ConfigOnly)
+                    .map_err(|error| Trouble::Unreadable(error.to_string()))?;
                 client.edit(schema, &fields).await?;
                 client.commit(within, persist, None).await
             }
@@ -288,30 +289,40 @@
 }
 
 /// A value at its path, as a tree.
-fn put(schema: &Schema, text: &str, value: &Value) -> Result<Fields, String> {
+fn put(schema: &Schema, text: &str, value: &Value) -> Result<DataTree, String> {
     // Keys come without quotes here.
-    let path = Path::read(schema, text)?;
-    let Some(last) = path.0.last() else { return json::read(schema, None, value, true) };
+    let path = Path::parse(schema, text).map_err(|error| error.to_string())?;
+    let read = |parent| {
+        json::read(schema, parent, value, NodeScope::ConfigAndState).map_err(|error| error.to_string())
+    };
+    let Some(last) = path.0.last() else { return read(None) };
     let data = if last.keys.is_empty() {
-        json::read_data(schema, last.node, value, true)?
+        json::read_data(schema, last.node, value, NodeScope::ConfigAndState)
+            .map_err(|error| error.to_string())?
     } else {
-        Data::Container(json::read(schema, Some(last.node), value, true)?)
+        DataNode::Container(read(Some(last.node))?)
     };
-    let mut fields = Fields::new();
-    data::place_at(schema, &mut fields, &path, data);
+    let mut fields = DataTree::new();
+    data::insert_at(schema, &mut fields, &path, data);
     Ok(fields)
 }
 
 /// What a push tells: all values, or those that changed.
 fn pushed(schema: &Schema, told: &Element) -> Vec<Changed> {
     if let Some(update) = told.child("push-update").and_then(|update| update.child("datastore-contents")) {
-        let read = rockflow_netconf::codec::read(schema, None, &update.children, &Path::default(), true);
+        let read = rockflow_netconf::codec::read(
+            schema,
+            None,
+            &update.children,
+            &Path::default(),
+            rockflow_yang::NodeScope::ConfigAndState,
+        );
         let leaves = read.map(|fields| data::leaves(&fields)).unwrap_or_default();
         return leaves
             .into_iter()
             .map(|(path, value)| {
                 let of = path.node().and_then(|node| schema.type_of(node));
-                (path.text(schema), Some(json::write_scalar(of, &value)))
+                (path.to_text(schema), Some(json::write_scalar(of, &value)))
             })
             .collect();
     }
@@ -321,7 +332,7 @@
     edits
         .map(|edit| {
             let value = edit.child("value").and_then(|value| value.children.first());
-            let target = edit.word("target").unwrap_or_default().to_string();
+            let target = edit.text_of("target").unwrap_or_default().to_string();
             (target, value.map(|value| Value::String(value.text().to_string())))
         })
         .collect()
--- a/crates/rockflow-dispatcher/src/config.rs
+++ b/crates/rockflow-dispatcher/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a dispatcher, read from JSON.
 
 use rockflow_protocol::discovery::Snapshot;
-use rockflow_settings::{facts, wiring, Facts, Pairs, Wiring};
+use rockflow_settings::{DeploymentSettings, DottedSettings, NetworkSettings};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::error::Error as StdError;
@@ -36,9 +36,9 @@
     /// Endpoints and purges at the start.
     pub snapshot: Snapshot,
     /// What the decisions go by.
-    pub facts: Facts,
+    pub facts: DeploymentSettings,
     /// What only the sockets need.
-    pub wiring: Wiring,
+    pub wiring: NetworkSettings,
     /// The values that take effect only with a restart.
     pub restart_only: RestartOnlyValues,
 }
@@ -78,7 +78,7 @@
         let root: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let document = Document { root: &root };
         let seed = u64::from_str_radix(document.text("seed")?, 16).map_err(|_| ConfigError::InvalidSeed)?;
-        let pairs = Pairs::from_json(document.value("settings")?);
+        let pairs = DottedSettings::from_json(document.value("settings")?);
         Ok(Config {
             name: document.text("name")?.to_string(),
             listen: document.address("listen")?,
@@ -90,8 +90,10 @@
             discovery_address: document.address("board")?,
             snapshot: serde_json::from_value(document.value("known")?.clone())
                 .map_err(ConfigError::InvalidSnapshot)?,
-            facts: facts::parse(&pairs).map_err(|error| ConfigError::InvalidSetting(error.into()))?,
-            wiring: wiring::parse(&pairs).map_err(|error| ConfigError::InvalidSetting(error.into()))?,
+            facts: DeploymentSettings::parse(&pairs)
+                .map_err(|error| ConfigError::InvalidSetting(error.into()))?,
+            wiring: NetworkSettings::parse(&pairs)
+                .map_err(|error| ConfigError::InvalidSetting(error.into()))?,
             restart_only: document.restart_only()?,
         })
     }
--- a/crates/rockflow-dispatcher/src/decision/mod.rs
+++ b/crates/rockflow-dispatcher/src/decision/mod.rs
@@ -186,7 +186,7 @@
     }
 
     fn complete_report(&self, mut report: Box<StatusReport>) -> Box<StatusReport> {
-        report.host_statuses = self.dispatcher.views();
+        report.host_statuses = self.dispatcher.host_statuses();
         report.outcomes = self.requests.outcomes().to_vec();
         report.open_requests = self.requests.len();
         report.queued_messages = self.dependencies.mailbox.len();
--- a/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
@@ -5,7 +5,7 @@
 use crate::purge::Purge;
 use rockflow::{CellId, EndpointEntry, HostId, LocationId, Readiness, Role};
 use rockflow_protocol::discovery::{EndpointUpdate, Instance, Lifecycle, WatchEvent};
-use rockflow_settings::{dotted, Facts, Wiring};
+use rockflow_settings::{normalize_value, DeploymentSettings, NetworkSettings};
 use std::collections::BTreeMap;
 use thiserror::Error;
 use tracing::warn;
@@ -55,11 +55,11 @@
 
 impl EndpointReader {
     /// A reader by these settings.
-    pub fn new(clock: Clock, facts: &Facts, wiring: &Wiring) -> Self {
+    pub fn new(clock: Clock, facts: &DeploymentSettings, wiring: &NetworkSettings) -> Self {
         EndpointReader {
             clock,
-            locations: wiring.locations.clone(),
-            kinds: wiring.kinds.clone(),
+            locations: wiring.location_names.clone(),
+            kinds: wiring.kind_names.clone(),
             parent_kind: facts.parent_kind,
             origin_kind: facts.origin_kind,
         }
@@ -138,5 +138,5 @@
 }
 
 fn index_of(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| *known == dotted::plain(name))
+    names.iter().position(|known| *known == normalize_value(name))
 }
--- a/crates/rockflow-dispatcher/src/service.rs
+++ b/crates/rockflow-dispatcher/src/service.rs
@@ -218,10 +218,10 @@
         let pool = Arc::new(ConnectionPool {
             clock,
             decisions: decisions.clone(),
-            connect_timeout: wiring.connect_limit,
-            idle_timeout: wiring.idle_limit,
+            connect_timeout: wiring.connect_timeout,
+            idle_timeout: wiring.idle_timeout,
             max_concurrent_attempts: wiring.max_streams,
-            max_request_time: max_deadline + wiring.connect_limit,
+            max_request_time: max_deadline + wiring.connect_timeout,
             max_unsent_bytes: caps.unsent_bytes,
             max_connections: caps.upstream_connections,
             buffered_bytes,
@@ -242,9 +242,9 @@
         Dependencies {
             clock: self.clock,
             deployment: config.facts.deployment.clone(),
-            classes: config.wiring.classes.clone(),
+            classes: config.wiring.class_names.clone(),
             seed: config.seed,
-            load_report: config.wiring.report.clone(),
+            load_report: config.wiring.load_report_fields.clone(),
             pool: self.pool.clone(),
             ready: self.ready.clone(),
             response_slack: config.wiring.answer_slack,
@@ -253,14 +253,14 @@
     }
 
     fn handle(&self, config: &Config, discovery: Arc<SharedDiscoveryStatus>) -> ServiceHandle {
-        let names = config.wiring.classes.iter().cloned();
+        let names = config.wiring.class_names.iter().cloned();
         let classes = names.zip(config.facts.deployment.classes.iter().cloned()).collect();
         ServiceHandle {
             clock: self.clock,
             name: config.name.clone(),
             caps: self.caps,
             classes,
-            locations: config.wiring.locations.clone(),
+            locations: config.wiring.location_names.clone(),
             endpoint_list: self.endpoint_list.clone(),
             clients: self.clients.clone(),
             pool: self.pool.clone(),
--- /dev/null
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -0,0 +1,179 @@
+//! Entries, settings and stream tips as they are received.
+
+use super::heartbeats::TipSource;
+use super::Node;
+use crate::entry::{AgedEntry, Entry, SequenceNumber, StreamId, StreamKind};
+use crate::message::MAX_BATCH_ENTRIES;
+use crate::setting::{RejectionReason, SettingVersion};
+use crate::settings_table::SettingOutcome;
+use crate::stream::{InsertOutcome, LogEntry, Stream, StreamTip};
+use crate::streams::StreamAdmission;
+use crate::timestamp::Timestamp;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl Node {
+    /// Whether a stream is this control node's own, of its current incarnation.
+    pub(super) fn is_own(&self, id: StreamId) -> bool {
+        self.control.as_ref().is_some_and(|control| control.is_own(id))
+    }
+
+    /// Makes sure that a stream is held. Returns false where nothing of it is accepted.
+    pub(super) fn admit_stream(&mut self, now: Duration, id: StreamId) -> bool {
+        let (admission, evicted) = self.streams.admit(now, id);
+        if let Some(evicted) = evicted {
+            // It is evicted before its time: there may be more of it than was advertised here.
+            self.counters.streams_retired += 1;
+            if evicted.id.kind == StreamKind::Purges {
+                self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
+            }
+        }
+        if admission == StreamAdmission::NoCapacity && id.kind == StreamKind::Purges {
+            self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
+        }
+        matches!(admission, StreamAdmission::Held | StreamAdmission::New)
+    }
+
+    /// A stream is dropped. A purge of everything stands for what is missing of it, or may be: that is where nobody
+    /// has advertised how far it reaches since this node is in contact with control.
+    pub(super) fn cover_dropped_stream(&mut self, now: Duration, dropped: &Stream) {
+        let end_is_known = dropped.last_advertised >= self.contact.since();
+        if dropped.id.kind == StreamKind::Purges && (dropped.has_gap() || !end_is_known) {
+            self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
+        }
+    }
+
+    /// Nothing older than this is to be served.
+    pub(super) fn substitute_full_purge(&mut self, timestamp: Timestamp) {
+        self.apply_queue.push_substitute_purge(timestamp, &mut self.counters);
+    }
+
+    pub(super) fn on_batch(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        id: StreamId,
+        first: SequenceNumber,
+        entries: Vec<AgedEntry>,
+    ) {
+        if first.0 > 0 && !entries.is_empty() {
+            let last = first.0.saturating_add(entries.len() as u64 - 1);
+            self.on_own_stream_advertised(now, id, SequenceNumber(last));
+        }
+        if self.is_own(id) || first.0 == 0 || !self.admit_stream(now, id) {
+            self.counters.entries_rejected += entries.len() as u64;
+            return;
+        }
+        let mut number = first;
+        let mut last = SequenceNumber(0);
+        for aged in entries.into_iter().take(MAX_BATCH_ENTRIES) {
+            let log_entry = LogEntry { timestamp: Timestamp::ms_ago(now, aged.age_ms), entry: aged.entry };
+            if self.insert_entry(now, id, number, log_entry) {
+                last = number;
+            }
+            number = number.next();
+        }
+        if let Some(stream) = self.streams.get_mut(id) {
+            stream.observe_last(now, last, Some(from));
+            if first.0 == 1 && last.0 > 0 {
+                stream.mark_start_known();
+            }
+            stream.advance();
+            stream.update_gap(now, self.config.heartbeat_interval / 2);
+        }
+        self.apply_queue.touch(id);
+    }
+
+    /// Returns whether the stream has such an entry, accepted or not.
+    fn insert_entry(
+        &mut self,
+        now: Duration,
+        id: StreamId,
+        number: SequenceNumber,
+        log_entry: LogEntry,
+    ) -> bool {
+        let Some(stream) = self.streams.get_mut(id) else { return false };
+        let LogEntry { timestamp, entry } = log_entry.clone();
+        let outcome = stream.insert(number, log_entry);
+        match outcome {
+            InsertOutcome::New => {
+                self.counters.accepted += 1;
+                self.forward_queue.push_new(id, number);
+                self.queue_entry(id, number, timestamp, entry);
+            }
+            InsertOutcome::Known => self.counters.duplicates += 1,
+            InsertOutcome::Conflict => {
+                self.counters.conflicts += 1;
+                self.forward_queue.push_conflicting(id, number, timestamp, entry.clone());
+                self.queue_entry(id, number, timestamp, entry);
+            }
+            InsertOutcome::ConflictUntracked => {
+                self.counters.conflicts += 1;
+                match entry {
+                    Entry::Purge(_) => self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO)),
+                    Entry::Setting(_) => self.queue_entry(id, number, timestamp, entry),
+                }
+            }
+            InsertOutcome::Dropped => {
+                self.counters.duplicates += 1;
+                self.counters.stale_numbers += 1;
+            }
+            InsertOutcome::TooFarAhead | InsertOutcome::Invalid => self.counters.entries_rejected += 1,
+        }
+        outcome != InsertOutcome::Invalid
+    }
+
+    fn queue_entry(&mut self, stream: StreamId, number: SequenceNumber, timestamp: Timestamp, entry: Entry) {
+        match entry {
+            Entry::Purge(purge) => self.apply_queue.push_purge(purge, timestamp),
+            Entry::Setting(setting) => self.insert_setting(SettingVersion { stream, number, setting }),
+        }
+    }
+
+    /// Takes one version of a setting, by whichever message it came.
+    pub(super) fn insert_setting(&mut self, version: SettingVersion) {
+        let id = (version.stream, version.number);
+        let host = version.setting.host.clone();
+        if let Some(control) = &mut self.control {
+            control.observe_clock(version.setting.timestamp.unix_ms);
+        }
+        match self.settings.insert(version) {
+            SettingOutcome::Changed { concurrent } => {
+                self.counters.concurrent_settings += u64::from(concurrent);
+                self.apply_queue.push_setting(id, host);
+            }
+            SettingOutcome::Conflict => {
+                self.counters.conflicts += 1;
+                self.apply_queue.push_setting(id, host);
+            }
+            SettingOutcome::NoCapacity => {
+                self.counters.settings_rejected += 1;
+                self.quarantined.insert(id, host, RejectionReason::Full);
+                self.acks.request();
+            }
+            SettingOutcome::Known => {}
+            SettingOutcome::Invalid => self.counters.entries_rejected += 1,
+        }
+    }
+
+    /// A node says how far a stream reaches.
+    pub(super) fn on_tip(&mut self, now: Duration, from: SocketAddr, tip: StreamTip, source: TipSource) {
+        let id = tip.stream;
+        self.on_own_stream_advertised(now, id, tip.last);
+        let is_valid = tip.last.0 > 0 && tip.last.0 < u64::MAX && tip.first <= tip.last.next();
+        if self.is_own(id) || !is_valid || !self.admit_stream(now, id) {
+            return;
+        }
+        let Some(stream) = self.streams.get_mut(id) else { return };
+        if !stream.start_known && tip.first.0 <= 1 {
+            stream.mark_start_known();
+        }
+        if source == TipSource::Upstream {
+            stream.last_advertised = now;
+        }
+        stream.observe_last(now, tip.last, Some(from));
+        let wait = if stream.start_known { self.config.heartbeat_interval / 2 } else { Duration::ZERO };
+        stream.update_gap(now, wait);
+        self.apply_queue.touch(id);
+    }
+}
--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -1,215 +1,289 @@
-//! Which of the board's purges a control node publishes, so that another goes on where one has failed.
+//! Which purges of the notice board a control node publishes, so that another one takes over where it has failed.
 
-use crate::outs::Publication;
-use crate::words::Purge;
+use crate::entry::Purge;
+use crate::output::Publication;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Purges heard from the board and not seen published, by their names. When full, a purge of everything stands for all
-/// of them.
-pub const MAX_WAITING: usize = 16_384;
-/// Words of the board for one purge that wait; the latest of them cover those before.
-pub const MAX_WORDS: usize = 8;
-/// Purges seen published within the window, by their names. When full, all are forgotten: some may be published twice,
-/// which is harmless.
-pub const MAX_SEEN: usize = 16_384;
-/// Control nodes' clocks may differ by this part of the window, by which a purge's age is told there.
-const CLOCKS: i128 = 4;
-/// A purge in the backlog may be younger by so much than it is taken for, where a clock is wrong.
-pub const TOLD_WITHIN: Duration = Duration::from_secs(7);
-
-/// When it was made, in microseconds by this machine's clock; may be before its start.
-type Moment = i128;
+/// Purges received from the board and not seen published. When full, a purge of everything stands for all of them.
+pub const MAX_PENDING_PURGES: usize = 16_384;
+/// Notices of one purge that wait; the latest of them cover those before.
+pub const MAX_NOTICES_PER_PURGE: usize = 8;
+/// Purges seen published within the window. When full, all are forgotten: some may be published twice, which is
+/// harmless.
+pub const MAX_PUBLISHED_PURGES: usize = 16_384;
+/// The clocks of control nodes, by which the age of a purge is told, may differ by this part of the window.
+const CLOCK_SKEW_DIVISOR: i128 = 4;
+/// A purge that no active control node has published within this part of the window is overdue.
+const OVERDUE_DIVISOR: i128 = 2;
+/// A purge of the backlog may be younger by this much than its age says, where a clock is wrong.
+pub const BACKLOG_AGE_UNCERTAINTY: Duration = Duration::from_secs(7);
 
+/// Whether a control node publishes purges.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PublisherRole {
+    /// It publishes.
+    Active,
+    /// Another one does; this one publishes what is overdue.
+    Standby,
+}
+
+/// Microseconds since the origin of the node's time; negative before it.
+type Micros = i128;
+
+/// Whether a notice was part of what the board repeats to a control node that starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum NoticeOrigin {
+    New,
+    /// The purge may have been published long before.
+    Backlog,
+}
+
+/// One notice of the board.
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    made: Moment,
-    heard: Moment,
-    /// Of the backlog, which a control node that begins is told: it may have been published long since.
-    backlog: bool,
-    /// One that was seen published may be this one.
-    matched: bool,
+struct Notice {
+    /// When the purge was made.
+    created: Micros,
+    received: Micros,
+    origin: NoticeOrigin,
+    /// A purge that was seen published may be this one.
+    is_matched: bool,
 }
 
-impl Word {
-    /// Surely made by then.
-    fn is_covered(&self, by: Moment) -> bool {
-        let doubt = if self.backlog { micros(TOLD_WITHIN) } else { 0 };
-        self.made + doubt <= by
+impl Notice {
+    fn is_backlog(&self) -> bool {
+        self.origin == NoticeOrigin::Backlog
+    }
+
+    /// Whether the purge was surely made by then.
+    fn is_covered(&self, by: Micros) -> bool {
+        let uncertainty = if self.is_backlog() { as_micros(BACKLOG_AGE_UNCERTAINTY) } else { 0 };
+        self.created + uncertainty <= by
+    }
+
+    /// Whether the purge was older than the window when its notice was received.
+    fn was_expired(&self, window: Micros) -> bool {
+        self.received - self.created > window
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
-    made: Moment,
-    /// Publications that stand for no word heard here so far.
-    spare: u32,
+struct PublishedPurge {
+    /// The latest time at which a published purge was made.
+    created: Micros,
+    /// Publications that match no notice received so far.
+    unmatched: u32,
 }
 
-/// Holds what the board said within the window. The node that publishes says it at once; the others keep it until they
-/// see it published, and say it when it is theirs to publish before that, or when half the window has passed: who is to
-/// publish may have begun anew since, and not have heard it.
+/// Owns the board's notices within the purge window.
 ///
-/// A publication stands for every word of the board that is not later. To who is not to publish, it also stands for one
-/// that is later by less than clocks may differ: one for one, so that a second purge of the same name doesn't pass for the
-/// first. Who is to publish goes by no such guess.
+/// The active control node publishes them at once. The others keep them until they see them published, and publish them
+/// when they become active before that, or when half the window has passed: the active node may have restarted, and not
+/// have received them.
 ///
-/// A control node that begins is told again what was said before. Such a backlog it keeps for `settle` also where it is to
-/// publish, while the streams bring what was published, and goes by the guess there. Words of the backlog that are past the
-/// window are kept only to be matched, so that their publications don't pass for those of later ones.
+/// A publication covers every notice that is not later. For a standby node it also matches one notice that is later by
+/// less than clocks may differ: one for one, so that a second purge of the same objects is not taken for the first. The
+/// active node does not rely on such matches.
+///
+/// A control node that starts receives the backlog. It keeps it for the settling time, also if it is active, while the
+/// streams bring what was published, and relies on matches there. Notices of the backlog that are past the window are
+/// kept only to be matched, so that their publications do not match later notices.
 #[derive(Clone, Debug)]
 pub struct Publisher {
-    window: i128,
-    settle: i128,
-    waiting: BTreeMap<Purge, Vec<Word>>,
-    seen: BTreeMap<Purge, Seen>,
-}
-
-fn micros(span: Duration) -> i128 {
-    span.as_micros() as i128
+    window: Micros,
+    settling: Micros,
+    pending: BTreeMap<Purge, Vec<Notice>>,
+    published: BTreeMap<Purge, PublishedPurge>,
 }
 
 impl Publisher {
+    /// Without a settling time.
     pub fn new(window: Duration) -> Publisher {
-        Publisher { window: micros(window), settle: 0, waiting: BTreeMap::new(), seen: BTreeMap::new() }
+        Publisher {
+            window: as_micros(window),
+            settling: 0,
+            pending: BTreeMap::new(),
+            published: BTreeMap::new(),
+        }
+    }
+
+    /// With a settling time, for which a backlog waits for what the streams bring.
+    pub fn settling(self, settling: Duration) -> Publisher {
+        Publisher { settling: as_micros(settling), ..self }
+    }
+
+    /// The board announces a purge that was made `age` ago.
+    pub fn on_purge_notice(&mut self, now: Duration, purge: Purge, age: Duration) {
+        self.insert(now, purge, age, NoticeOrigin::New);
     }
 
-    /// For so long a backlog waits for what the streams bring.
-    pub fn settling(self, settle: Duration) -> Publisher {
-        Publisher { settle: micros(settle), ..self }
+    /// The board repeats a purge that was made `age` ago by the board's clock.
+    pub fn on_backlog_notice(&mut self, now: Duration, purge: Purge, age: Duration) {
+        self.insert(now, purge, age, NoticeOrigin::Backlog);
+    }
+
+    /// Another control node has published a purge that was made `age` ago.
+    pub fn on_published(&mut self, now: Duration, purge: Purge, age: Duration) {
+        let created = as_micros(now) - as_micros(age);
+        if self.published.len() >= MAX_PUBLISHED_PURGES && !self.published.contains_key(&purge) {
+            self.published.clear();
+        }
+        self.record_published(purge, created);
+        if !self.match_notice(purge, created) {
+            if let Some(published) = self.published.get_mut(&purge) {
+                published.unmatched = published.unmatched.saturating_add(1);
+            }
+        }
+        if purge == Purge::Everything {
+            for notices in self.pending.values_mut() {
+                notices.retain(|notice| !notice.is_covered(created));
+            }
+            self.pending.retain(|_, notices| !notices.is_empty());
+        }
     }
 
-    /// The board says so.
-    pub fn heard(&mut self, now: Duration, purge: Purge, age: Duration) {
-        self.hear(now, purge, age, false);
+    /// What is to be published now; at a standby node only what the active one has had the time for.
+    pub fn tick(&mut self, now: Duration, role: PublisherRole) -> Vec<Publication> {
+        let skew = self.window / CLOCK_SKEW_DIVISOR;
+        let oldest = as_micros(now) - self.window;
+        self.published.retain(|_, published| published.created >= oldest - skew);
+        self.expire_notices(now, role);
+        let mut due = Vec::new();
+        for (purge, notices) in &self.pending {
+            if notices.iter().any(|notice| self.is_due(now, notice, role)) {
+                due.extend(notices.last().map(|latest| (*purge, latest.created)));
+            }
+        }
+        for (purge, _) in &due {
+            self.pending.remove(purge);
+        }
+        due.into_iter().map(|(purge, created)| self.publish(now, purge, created)).collect()
     }
 
-    /// The board says so as part of what it said before. Past the window only if it is so by the board's clock alone.
-    pub fn heard_backlog(&mut self, now: Duration, purge: Purge, age: Duration) {
-        self.hear(now, purge, age, true);
+    /// Notices that wait and purges seen published.
+    pub fn entry_count(&self) -> usize {
+        self.pending.values().map(Vec::len).sum::<usize>() + self.published.len()
     }
 
-    fn hear(&mut self, now: Duration, purge: Purge, age: Duration, backlog: bool) {
-        let (heard, is_over) = (micros(now), micros(age) > self.window);
-        let mut word = Word { made: heard - micros(age), heard, backlog, matched: false };
-        if (is_over && !backlog) || word.made < self.oldest_match(now) || self.is_covered(purge, &word) {
+    fn insert(&mut self, now: Duration, purge: Purge, age: Duration, origin: NoticeOrigin) {
+        let received = as_micros(now);
+        let mut notice = Notice { created: received - as_micros(age), received, origin, is_matched: false };
+        let is_expired = notice.was_expired(self.window);
+        let is_ignored = is_expired && !notice.is_backlog();
+        if is_ignored || notice.created < self.oldest_match(now) || self.is_published(purge, &notice) {
             return;
         }
-        if self.waiting.len() >= MAX_WAITING && !self.waiting.contains_key(&purge) {
-            if !is_over {
-                let all = Word { made: heard, heard, backlog: false, matched: false };
-                self.waiting = BTreeMap::from([(Purge::Everything, vec![all])]);
+        if self.pending.len() >= MAX_PENDING_PURGES && !self.pending.contains_key(&purge) {
+            if !is_expired {
+                let all =
+                    Notice { created: received, received, origin: NoticeOrigin::New, is_matched: false };
+                self.pending = BTreeMap::from([(Purge::Everything, vec![all])]);
             }
             return;
         }
-        word.matched = self.match_seen(purge, word.made);
-        let words = self.waiting.entry(purge).or_default();
-        words.push(word);
-        words.sort_by_key(|word| word.made);
-        if words.len() > MAX_WORDS {
-            words.remove(0);
+        notice.is_matched = self.match_published(purge, notice.created);
+        let notices = self.pending.entry(purge).or_default();
+        notices.push(notice);
+        notices.sort_by_key(|notice| notice.created);
+        if notices.len() > MAX_NOTICES_PER_PURGE {
+            notices.remove(0);
         }
     }
 
-    /// What is older than that no publication is taken for.
-    fn oldest_match(&self, now: Duration) -> Moment {
-        micros(now) - self.window - self.window / CLOCKS - micros(TOLD_WITHIN)
+    /// No publication matches a notice of an older purge.
+    fn oldest_match(&self, now: Duration) -> Micros {
+        let skew = self.window / CLOCK_SKEW_DIVISOR;
+        as_micros(now) - self.window - skew - as_micros(BACKLOG_AGE_UNCERTAINTY)
     }
 
-    fn is_covered(&self, purge: Purge, word: &Word) -> bool {
-        let covers = |other: &Purge| self.seen.get(other).is_some_and(|seen| word.is_covered(seen.made));
-        covers(&purge) || covers(&Purge::Everything)
+    fn is_published(&self, purge: Purge, notice: &Notice) -> bool {
+        let is_covered =
+            |by: &Purge| self.published.get(by).is_some_and(|published| notice.is_covered(published.created));
+        is_covered(&purge) || is_covered(&Purge::Everything)
     }
 
-    fn match_seen(&mut self, purge: Purge, made: Moment) -> bool {
-        let latest = made - self.window / CLOCKS;
-        let seen = self.seen.get_mut(&purge).filter(|seen| seen.spare > 0 && seen.made >= latest);
-        match seen {
-            Some(seen) => {
-                seen.spare -= 1;
+    /// Matches a new notice with a publication that has matched none. Returns whether there is one.
+    fn match_published(&mut self, purge: Purge, created: Micros) -> bool {
+        let earliest = created - self.window / CLOCK_SKEW_DIVISOR;
+        match self.published.get_mut(&purge) {
+            Some(published) if published.unmatched > 0 && published.created >= earliest => {
+                published.unmatched -= 1;
                 true
             }
-            None => false,
+            _ => false,
         }
     }
 
-    /// Another control node has published it.
-    pub fn seen(&mut self, now: Duration, purge: Purge, age: Duration) {
-        let made = micros(now) - micros(age);
-        if self.seen.len() >= MAX_SEEN && !self.seen.contains_key(&purge) {
-            self.seen.clear();
-        }
-        let seen = self.seen.entry(purge).or_insert(Seen { made, spare: 0 });
-        seen.made = seen.made.max(made);
-        if !self.stands_for_one(purge, made) {
-            if let Some(seen) = self.seen.get_mut(&purge) {
-                seen.spare = seen.spare.saturating_add(1);
-            }
+    /// Removes the notices that a publication covers, or else matches one that it may be. Returns whether there was one.
+    fn match_notice(&mut self, purge: Purge, created: Micros) -> bool {
+        let Some(notices) = self.pending.get_mut(&purge) else { return false };
+        let before = notices.len();
+        notices.retain(|notice| !notice.is_covered(created));
+        let has_covered = notices.len() < before;
+        if notices.is_empty() {
+            self.pending.remove(&purge);
+            return has_covered;
         }
-        if purge == Purge::Everything {
-            self.waiting.values_mut().for_each(|words| words.retain(|word| !word.is_covered(made)));
-            self.waiting.retain(|_, words| !words.is_empty());
+        if has_covered {
+            return true;
         }
-    }
-
-    /// Takes the words that a publication covers from those that wait, or else marks the one that it may be. False: there
-    /// was none.
-    fn stands_for_one(&mut self, purge: Purge, made: Moment) -> bool {
-        let Some(words) = self.waiting.get_mut(&purge) else { return false };
-        let before = words.len();
-        words.retain(|word| !word.is_covered(made));
-        let covered = words.len() < before;
-        let latest = made + self.window / CLOCKS;
-        let same = words.iter_mut().find(|word| !word.matched && word.made <= latest).filter(|_| !covered);
-        let matched = same.map(|word| word.matched = true).is_some();
-        if words.is_empty() {
-            self.waiting.remove(&purge);
+        let latest = created + self.window / CLOCK_SKEW_DIVISOR;
+        let matching = notices.iter_mut().find(|notice| !notice.is_matched && notice.created <= latest);
+        match matching {
+            Some(notice) => {
+                notice.is_matched = true;
+                true
+            }
+            None => false,
         }
-        covered || matched
     }
 
-    /// What is to be published now; where it is another's to publish, only what that one has had the time for.
-    pub fn tick(&mut self, now: Duration, publishing: bool) -> Vec<Publication> {
-        let oldest = micros(now) - self.window;
+    /// Drops notices that need not be published any more. One that nobody has published is kept however old it becomes.
+    fn expire_notices(&mut self, now: Duration, role: PublisherRole) {
+        let window = self.window;
+        let oldest = as_micros(now) - window;
         let oldest_match = self.oldest_match(now);
-        let overdue = micros(now) - self.window / 2;
-        let settled = micros(now) - self.settle;
-        self.seen.retain(|_, seen| seen.made >= oldest - self.window / CLOCKS);
-        let mut all = Vec::new();
-        self.waiting.retain(|purge, words| {
-            // What nobody has published is said however late. Of the rest, what is too old binds nobody any more.
-            words.retain(|word| {
-                let was_over = word.heard - word.made > self.window;
-                let says = |word: &Word| !word.matched || (publishing && !word.backlog);
-                if was_over {
-                    word.made >= oldest_match
-                } else {
-                    says(word) || word.made >= oldest
+        for notices in self.pending.values_mut() {
+            notices.retain(|notice| {
+                if notice.was_expired(window) {
+                    return notice.created >= oldest_match;
                 }
+                let relies_on_match = role == PublisherRole::Standby || notice.is_backlog();
+                let is_unpublished = !(notice.is_matched && relies_on_match);
+                is_unpublished || notice.created >= oldest
             });
-            let Some(latest) = words.last().copied() else { return false };
-            let say = words.iter().filter(|word| word.heard - word.made <= self.window).any(|word| {
-                let own =
-                    publishing && if word.backlog { !word.matched && word.heard <= settled } else { true };
-                own || (!word.matched && word.heard <= overdue)
-            });
-            if say {
-                all.push((*purge, latest.made));
+        }
+        self.pending.retain(|_, notices| !notices.is_empty());
+    }
+
+    fn is_due(&self, now: Duration, notice: &Notice, role: PublisherRole) -> bool {
+        if notice.was_expired(self.window) {
+            return false;
+        }
+        let overdue = as_micros(now) - self.window / OVERDUE_DIVISOR;
+        let settled = as_micros(now) - self.settling;
+        let is_due_here = match (role, notice.origin) {
+            (PublisherRole::Standby, _) => false,
+            (PublisherRole::Active, NoticeOrigin::New) => true,
+            (PublisherRole::Active, NoticeOrigin::Backlog) => {
+                !notice.is_matched && notice.received <= settled
             }
-            !say
-        });
-        all.into_iter().map(|(purge, made)| self.say(now, purge, made)).collect()
+        };
+        is_due_here || (!notice.is_matched && notice.received <= overdue)
     }
 
-    fn say(&mut self, now: Duration, purge: Purge, made: Moment) -> Publication {
-        let seen = self.seen.entry(purge).or_insert(Seen { made, spare: 0 });
-        seen.made = seen.made.max(made);
-        let age = Duration::from_micros(u64::try_from(micros(now) - made).unwrap_or(0));
+    fn publish(&mut self, now: Duration, purge: Purge, created: Micros) -> Publication {
+        self.record_published(purge, created);
+        let age = Duration::from_micros(u64::try_from(as_micros(now) - created).unwrap_or(0));
         Publication::Purge { purge, age }
     }
 
-    /// Words that wait and purges seen.
-    pub fn held(&self) -> usize {
-        self.waiting.values().map(Vec::len).sum::<usize>() + self.seen.len()
+    fn record_published(&mut self, purge: Purge, created: Micros) {
+        let published = self.published.entry(purge).or_insert(PublishedPurge { created, unmatched: 0 });
+        published.created = published.created.max(created);
     }
 }
+
+fn as_micros(span: Duration) -> Micros {
+    span.as_micros() as i128
+}
--- /dev/null
+++ b/crates/rockflow-dissemination/src/subtree_report.rs
@@ -0,0 +1,111 @@
+//! Which members of a region are present and what all of them have applied; reports are merged on the way to control.
+
+use crate::entry::{SequenceNumber, StreamId};
+use crate::message::MAX_STREAMS;
+use crate::setting::RejectionReason;
+use crate::slot_set::{SlotSet, MAX_SLOTS, SLOTS_PER_BYTE};
+use serde::{Deserialize, Serialize};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+/// Lagging members in one report.
+pub const MAX_LAGGING: usize = 4;
+/// Rejected settings in one report.
+pub const MAX_REJECTED: usize = 4;
+
+/// Which members of a subtree are present in one region, and how far all of them have applied the streams.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct SubtreeReport {
+    /// Index of the region.
+    pub region: u16,
+    /// Hash of the region's listing, by which the slots are counted.
+    pub listing_hash: u32,
+    /// Members that are present.
+    pub slots: SlotSet,
+    /// The number up to which all of them have applied a stream, for every stream that all of them know. Always
+    /// complete, as the slots may differ from those of the previous report.
+    pub applied: Vec<(StreamId, SequenceNumber)>,
+    /// The slots of those that lag most, and what they have applied.
+    pub lagging: Vec<(u16, StreamId, SequenceNumber)>,
+    /// Settings that members reject: which, why, and how many members do.
+    pub rejected: Vec<(StreamId, SequenceNumber, RejectionReason, u16)>,
+}
+
+/// A region as reported to one control node directly, for the other control nodes.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct RegionReport {
+    /// The merged report of the region.
+    pub report: SubtreeReport,
+    /// Milliseconds since the oldest report in it was received.
+    pub age_ms: u32,
+}
+
+impl SubtreeReport {
+    /// Cuts off what is above the limits.
+    pub(crate) fn truncate_to_limits(&mut self) {
+        self.slots.0.truncate(MAX_SLOTS / SLOTS_PER_BYTE);
+        self.applied.truncate(MAX_STREAMS);
+        self.lagging.truncate(MAX_LAGGING);
+        self.rejected.truncate(MAX_REJECTED);
+    }
+
+    /// Adds a report of the same region and listing.
+    fn merge(&mut self, other: &SubtreeReport, lag: LagOf) {
+        self.slots.union(&other.slots);
+        let others: BTreeMap<StreamId, SequenceNumber> = other.applied.iter().copied().collect();
+        let common = self
+            .applied
+            .iter()
+            .filter_map(|(stream, number)| others.get(stream).map(|other| (*stream, (*number).min(*other))));
+        self.applied = common.collect();
+        self.lagging.extend(other.lagging.iter().copied());
+        self.keep_most_lagging(lag);
+        self.rejected = merge_rejected(&self.rejected, &other.rejected);
+    }
+
+    fn keep_most_lagging(&mut self, lag: LagOf) {
+        self.lagging.sort_by_key(|(slot, stream, number)| (Reverse(lag(*stream, *number)), *slot, *stream));
+        self.lagging.dedup_by_key(|(slot, stream, _)| (*slot, *stream));
+        self.lagging.truncate(MAX_LAGGING);
+    }
+}
+
+/// How far a number is behind the last one known of its stream.
+pub(crate) type LagOf<'a> = &'a dyn Fn(StreamId, SequenceNumber) -> u64;
+
+/// Merges reports by region and listing, in the order they come. Also returns how many had no room: those of further
+/// listings after `max_reports`. Their members are left out, so that nothing counts as replicated to them.
+pub(crate) fn merge<'a>(
+    reports: impl Iterator<Item = &'a SubtreeReport>,
+    lag: LagOf,
+    max_reports: usize,
+) -> (Vec<SubtreeReport>, u64) {
+    let mut merged: Vec<SubtreeReport> = Vec::new();
+    let mut dropped = 0;
+    for report in reports {
+        let key = (report.region, report.listing_hash);
+        match merged.iter().position(|other| (other.region, other.listing_hash) == key) {
+            Some(index) => merged[index].merge(report, lag),
+            None if merged.len() < max_reports => {
+                let mut first = report.clone();
+                first.keep_most_lagging(lag);
+                merged.push(first);
+            }
+            None => dropped += 1,
+        }
+    }
+    (merged, dropped)
+}
+
+type RejectedSetting = (StreamId, SequenceNumber, RejectionReason, u16);
+
+/// Adds up the members that reject the same setting for the same reason.
+fn merge_rejected(one: &[RejectedSetting], other: &[RejectedSetting]) -> Vec<RejectedSetting> {
+    let mut members: BTreeMap<(StreamId, SequenceNumber, RejectionReason), u16> = BTreeMap::new();
+    for (stream, number, reason, count) in one.iter().chain(other) {
+        let sum = members.entry((*stream, *number, *reason)).or_default();
+        *sum = sum.saturating_add(*count).min(MAX_SLOTS as u16);
+    }
+    let merged = members.into_iter().map(|((stream, number, reason), sum)| (stream, number, reason, sum));
+    merged.take(MAX_REJECTED).collect()
+}
--- a/crates/rockflow-dissemination/tests/following.rs
+++ b/crates/rockflow-dissemination/tests/subscription.rs
@@ -1,17 +1,17 @@
 //! Whom a member goes to where its parent fails: candidates that are there, gone, stale or full are played, each after the
 //! same way there and back, and the time until a fresh one is followed is taken.
 
-use rockflow_dissemination::children::MAX_CHILDREN;
+use rockflow_dissemination::MAX_CHILDREN;
 use rockflow_dissemination::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
 
-const LIFE: u64 = 1_800_000_000_000;
-const PULSE: u64 = 500;
+const INCARNATION: u64 = 1_800_000_000_000;
+const HEARTBEAT_INTERVAL: u64 = 500;
 /// One way between any two.
-const WAY: u64 = 50;
+const TRANSIT_MS: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Is {
@@ -27,7 +27,7 @@
 }
 
 fn identity(name: &str) -> Identity {
-    Identity { node: NodeId::of(name), incarnation: Incarnation(LIFE) }
+    Identity { node: NodeId::of(name), incarnation: Incarnation(INCARNATION) }
 }
 
 fn candidate(index: usize) -> Identity {
@@ -53,29 +53,35 @@
     /// When another was followed, and whom.
     turns: Vec<(u64, usize)>,
     probes: Vec<u64>,
-    lose_pulse_at: Option<u64>,
+    lose_heartbeat_at: Option<u64>,
 }
 
 impl Play {
     fn new(are: &[Is]) -> Play {
         let control =
             Peer { node: NodeId::of("control-0"), address: SocketAddr::from(([10, 0, 0, 1], 7000)) };
-        let told = Told {
-            me: identity("me"),
+        let config = NodeConfig {
+            identity: identity("me"),
             control_id: None,
             control: vec![control],
             seeds: Vec::new(),
             purge_window: ms(8700),
             bytes_per_second: 6000,
-            pulse: ms(PULSE),
+            heartbeat_interval: ms(HEARTBEAT_INTERVAL),
         };
-        let mut node = Node::new(told, None, 1, Duration::ZERO);
+        let mut node = Node::new(config, None, 1, Duration::ZERO);
         node.start(Duration::ZERO);
         let parents =
             (0..are.len()).map(|index| Peer { node: candidate(index).node, address: address(index) });
-        let near =
-            Message::Near { directory: 1, near: 7, region: 0, slot: 1, slots: 2, parents: parents.collect() };
-        let outs = node.hear(Duration::ZERO, identity("control-0"), control.address, near);
+        let listing_hash = Message::Placement {
+            directory_version: 1,
+            listing_hash: 7,
+            region: 0,
+            slot: 1,
+            slots: 2,
+            parents: parents.collect(),
+        };
+        let outputs = node.on_message(Duration::ZERO, identity("control-0"), control.address, listing_hash);
         let mut play = Play {
             node,
             now: 0,
@@ -86,22 +92,22 @@
             parents: BTreeSet::new(),
             turns: Vec::new(),
             probes: Vec::new(),
-            lose_pulse_at: None,
+            lose_heartbeat_at: None,
         };
-        play.take(outs);
+        play.take(outputs);
         play
     }
 
-    fn take(&mut self, outs: Vec<Out>) {
-        for out in outs {
-            let Out::Send { to, message } = out else { continue };
+    fn take(&mut self, outputs: Vec<Output>) {
+        for out in outputs {
+            let Output::Send { to, message } = out else { continue };
             let Some(index) = (0..self.are.len()).find(|index| address(*index) == to) else { continue };
             if matches!(message, Message::Probe) {
                 self.probes.push(self.now);
             }
-            self.going.push((self.now + WAY, index, message));
+            self.going.push((self.now + TRANSIT_MS, index, message));
         }
-        let parent = self.node.survey(ms(self.now)).parent.map(|parent| parent.address);
+        let parent = self.node.status(ms(self.now)).parent.map(|parent| parent.address);
         let parent = (0..self.are.len()).find(|index| Some(address(*index)) == parent);
         if let Some(index) = parent.filter(|index| self.turns.last().map(|(_, last)| last) != Some(index)) {
             self.turns.push((self.now, index));
@@ -116,20 +122,20 @@
         }
     }
 
-    fn stale_ms(&self, index: usize) -> u32 {
+    fn staleness_ms(&self, index: usize) -> u32 {
         match self.is(index) {
             Is::Stale => (self.now - self.fault_at) as u32,
             _ => 10,
         }
     }
 
-    fn pulse_of(&self, index: usize) -> Message {
-        Message::Pulse {
-            stale_ms: self.stale_ms(index),
-            directory: 1,
-            near: 7,
+    fn heartbeat_of(&self, index: usize) -> Message {
+        Message::Heartbeat {
+            staleness_ms: self.staleness_ms(index),
+            directory_version: 1,
+            listing_hash: 7,
             tips: Vec::new(),
-            settings: None,
+            settings_digest: None,
         }
     }
 
@@ -138,11 +144,11 @@
         let is = self.is(index);
         let answer = match message {
             _ if is == Is::Gone => return,
-            Message::Ack { .. } => {
+            Message::Acknowledgement { .. } => {
                 if is == Is::Full {
                     Message::Full
                 } else if self.parents.insert(index) {
-                    self.pulse_of(index)
+                    self.heartbeat_of(index)
                 } else {
                     return;
                 }
@@ -151,21 +157,23 @@
                 self.parents.remove(&index);
                 return;
             }
-            Message::Probe if is != Is::Full => Message::Fresh { stale_ms: self.stale_ms(index) },
+            Message::Probe if is != Is::Full => {
+                Message::ProbeReply { staleness_ms: self.staleness_ms(index) }
+            }
             _ => return,
         };
-        self.coming.push((self.now + WAY, index, answer));
+        self.coming.push((self.now + TRANSIT_MS, index, answer));
     }
 
     fn run(&mut self, until: u64) {
         while self.now < until {
             self.now += 1;
             let now = self.now;
-            if now.is_multiple_of(PULSE) && self.lose_pulse_at != Some(now) {
+            if now.is_multiple_of(HEARTBEAT_INTERVAL) && self.lose_heartbeat_at != Some(now) {
                 let pulsing =
                     self.parents.iter().filter(|index| !matches!(self.is(**index), Is::Gone | Is::Full));
                 let pulses: Vec<_> =
-                    pulsing.map(|index| (now + WAY, *index, self.pulse_of(*index))).collect();
+                    pulsing.map(|index| (now + TRANSIT_MS, *index, self.heartbeat_of(*index))).collect();
                 self.coming.extend(pulses);
             }
             let due = |frames: &mut Vec<(u64, usize, Message)>| {
@@ -177,12 +185,12 @@
             going.into_iter().for_each(|(_, index, message)| self.heard(index, message));
             let coming: Vec<_> = due(&mut self.coming);
             for (_, index, message) in coming {
-                let outs = self.node.hear(ms(now), candidate(index), address(index), message);
-                self.take(outs);
+                let outputs = self.node.on_message(ms(now), candidate(index), address(index), message);
+                self.take(outputs);
             }
             if self.node.next_due() <= ms(now) {
-                let outs = self.node.tick(ms(now));
-                self.take(outs);
+                let outputs = self.node.tick(ms(now));
+                self.take(outputs);
             }
         }
     }
@@ -204,11 +212,11 @@
 #[test_case(&[Gone, Gone, Gone, Gone, Gone, Gone, Fresh, Gone], 6)]
 #[test_case(&[Gone, Full, Full, Gone, Full, Fresh], 5)]
 #[test_case(&[Gone, Stale, Gone, Full, Fresh, Gone, Gone], 1; "one that is stale since just now is as good as the member itself")]
-fn the_way_from_a_silent_parent_is_one_wait(are: &[Is], to: usize) {
+fn leaves_silent_parent_after_one_timeout(are: &[Is], to: usize) {
     let mut play = Play::new(are);
     play.run(play.fault_at);
     assert_eq!(play.turns.len(), 1);
-    play.run(play.fault_at + 3 * PULSE + 2 * WAY);
+    play.run(play.fault_at + 3 * HEARTBEAT_INTERVAL + 2 * TRANSIT_MS);
     assert_eq!(play.turns.last().map(|(_, index)| *index), Some(to), "{:?}", play.turns);
     assert_eq!(play.turns.len(), 2, "{:?}", play.turns);
 }
@@ -216,32 +224,32 @@
 #[test_case(&[Stale, Fresh], 1)]
 #[test_case(&[Stale, Stale, Stale, Stale, Stale, Fresh], 5)]
 #[test_case(&[Stale, Stale, Gone, Stale, Full, Gone, Gone, Fresh], 7)]
-fn the_way_from_a_stale_parent_is_one_wait(are: &[Is], to: usize) {
+fn leaves_stale_parent_after_one_timeout(are: &[Is], to: usize) {
     let mut play = Play::new(are);
     let found = play.found_after(to);
-    assert!(found <= 6 * PULSE + 2 * WAY, "{found} ms");
+    assert!(found <= 6 * HEARTBEAT_INTERVAL + 2 * TRANSIT_MS, "{found} ms");
     assert_eq!(play.turns.len(), 2, "{:?}", play.turns);
 }
 
 /// Silent, then one that is stale, then the rest: two waits at the most.
 #[test_case(&[Gone, Stale, Stale, Gone, Stale, Fresh], 5)]
-fn a_stale_one_on_the_way_is_left_as_soon_as_it_is_found_so(are: &[Is], to: usize) {
+fn leaves_stale_candidate_as_soon_as_it_is_found_stale(are: &[Is], to: usize) {
     let mut play = Play::new(are);
     let found = play.found_after(to);
-    assert!(found <= 6 * PULSE + 4 * WAY, "{found} ms");
+    assert!(found <= 6 * HEARTBEAT_INTERVAL + 4 * TRANSIT_MS, "{found} ms");
     assert!(play.turns.len() <= 3, "{:?}", play.turns);
 }
 
 #[test]
-fn where_nothing_fails_nobody_is_asked() {
+fn probes_nobody_without_a_fault() {
     let mut play = Play::new(&[Fresh; 8]);
-    play.lose_pulse_at = Some(30_000);
+    play.lose_heartbeat_at = Some(30_000);
     play.run(120_000);
     assert_eq!((play.probes.len(), play.turns.len()), (0, 1));
 }
 
 #[test]
-fn where_nobody_answers_the_asking_is_bounded() {
+fn probes_are_bounded_without_replies() {
     let mut play = Play::new(&[Gone; 8]);
     play.run(play.fault_at + 600_000);
     let minute =
@@ -252,7 +260,7 @@
 
 /// One that comes back is found by the next probe, however long all were gone.
 #[test]
-fn who_comes_back_is_found_though_the_waits_have_grown() {
+fn finds_returning_candidate_after_long_backoff() {
     let mut play = Play::new(&[Gone; 8]);
     play.run(play.fault_at + 300_000);
     play.are[6] = Fresh;
@@ -260,25 +268,26 @@
     play.run(back + 60_000);
     let first = play.turns.iter().find(|(at, _)| *at > back).expect("it is followed");
     assert_eq!(first.1, 6);
-    assert!(first.0 - back <= 5 * PULSE, "{} ms", first.0 - back);
+    assert!(first.0 - back <= 5 * HEARTBEAT_INTERVAL, "{} ms", first.0 - back);
 }
 
 #[test]
-fn who_has_no_room_or_has_heard_nothing_does_not_answer() {
+fn full_or_stale_node_does_not_reply_to_probe() {
     let mut play = Play::new(&[Fresh]);
     let probe = |play: &mut Play, name: &str, port: u16| {
         let at = SocketAddr::from(([10, 0, 2, 1], port));
-        let outs = play.node.hear(ms(play.now), identity(name), at, Message::Probe);
-        outs.into_iter()
-            .any(|out| matches!(out, Out::Send { to, message: Message::Fresh { .. } } if to == at))
+        let outputs = play.node.on_message(ms(play.now), identity(name), at, Message::Probe);
+        outputs
+            .into_iter()
+            .any(|out| matches!(out, Output::Send { to, message: Message::ProbeReply { .. } } if to == at))
     };
     assert!(!probe(&mut play, "asks", 1), "it knows of no control");
     play.run(2000);
     assert!(probe(&mut play, "asks", 1));
     for child in 0..MAX_CHILDREN as u16 {
         let at = SocketAddr::from(([10, 0, 2, 1], 100 + child));
-        let ack = Message::Ack { has: Vec::new(), reports: Vec::new() };
-        play.node.hear(ms(play.now), identity(&format!("child-{child}")), at, ack);
+        let ack = Message::Acknowledgement { received: Vec::new(), reports: Vec::new() };
+        play.node.on_message(ms(play.now), identity(&format!("child-{child}")), at, ack);
     }
     assert!(!probe(&mut play, "asks", 1), "it is full");
     assert!(probe(&mut play, "child-3", 103), "a child of its own has its place");
--- /dev/null
+++ b/crates/rockflow-management/src/timestamp.rs
@@ -0,0 +1,21 @@
+//! Dates and times as text (RFC 3339), from and to Unix time.
+
+use std::time::Duration;
+use time::format_description::well_known::Rfc3339;
+use time::OffsetDateTime;
+
+const NANOS_PER_MILLI: i128 = 1_000_000;
+
+/// Unix time as text, in whole milliseconds.
+pub fn format(unix_time: Duration) -> String {
+    let nanos = unix_time.as_millis() as i128 * NANOS_PER_MILLI;
+    let date_time = OffsetDateTime::from_unix_timestamp_nanos(nanos).unwrap_or(OffsetDateTime::UNIX_EPOCH);
+    date_time.format(&Rfc3339).unwrap_or_default()
+}
+
+/// Unix time from text; none where that is no date and time, or one before 1970.
+pub fn parse(text: &str) -> Option<Duration> {
+    let date_time = OffsetDateTime::parse(text, &Rfc3339).ok()?;
+    let nanos = u64::try_from(date_time.unix_timestamp_nanos()).ok()?;
+    Some(Duration::from_nanos(nanos))
+}
