--- a/crates/rockflow-dispatcher/tests/crossings.rs
+++ b/crates/rockflow-dispatcher/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! DottedSettings of events that cross, in the order that hurts, forced by gates and scripted peers: docs/crossings.md lists them.
+//! Pairs of events that cross, in the order that hurts, forced by gates and scripted peers: docs/crossings.md lists them.
 
 mod common;
 
