--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/beside.rs
@@ -6,7 +6,7 @@
 #[cfg_attr(not(feature = "management"), path = "beside/no_management.rs")]
 mod management;
 
-use dissemination::Carried;
+use dissemination::RunningNode;
 use rockflow_dispatcher::{Clock, Config, Service};
 use rockflow_operator_config::{self as file, OperatorConfig};
 use std::path::PathBuf;
@@ -62,7 +62,7 @@
         clock: Clock,
         told: Config,
         set_level: SetLevel,
-    ) -> Result<(Service, Option<Carried>), String> {
+    ) -> Result<(Service, Option<RunningNode>), String> {
         let plan = dissemination::plan(&self.0, &told)?;
         let opened = management::open(clock, &self.0)?;
         Service::set_up();
--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -1,189 +1,238 @@
-//! Dissemination beside a dispatcher: what its machine has heard goes to the decisions, and back goes what they go by.
+//! Dissemination beside a dispatcher: what its node receives goes to the decisions, and their confirmations go back.
 
 mod unjudged;
 
 use rockflow::{GroupId, ObjectId, Readiness};
 use rockflow_dispatcher::{Config, Purge, ServiceHandle};
 use rockflow_dissemination as node;
-use rockflow_dissemination::{ApplyToken, DesiredState, EntryId, Output};
+use rockflow_dissemination::{ApplyToken, DesiredState, EntryId, Output, RejectionReason};
 use rockflow_endpoints::{AdminOverride, AdminOverrides, RejectedOverride};
 use rockflow_operator_config::{DisseminationSection, OperatorConfig};
-use rockflow_transport::dissemination::{self as carrier, Bounds, WeakLink, Word};
+use rockflow_transport::dissemination::{AddressScope, Command, FrameCodec, Handle, NodeOptions, WeakHandle};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tracing::{debug, enabled, info, warn, Level};
 use unjudged::Unjudged;
 
+/// Whether the program is built with dissemination.
 pub const BUILT: bool = true;
-pub use carrier::Plan;
-
-/// The longest that an end waits for the last frames to go out, and how often it looks.
-const LAST_FRAMES: Duration = Duration::from_millis(500);
-const LOOK: Duration = Duration::from_millis(5);
-
-pub fn check(file: &OperatorConfig, told: &Config) -> Result<Vec<String>, String> {
-    let plan = plan(file, told)?;
-    Ok(plan.iter().map(|plan| format!("dissemination: at {}", plan.listen)).collect())
-}
-
-/// A member's; none: the operator's file has no such section.
-pub fn plan(file: &OperatorConfig, told: &Config) -> Result<Option<Plan>, String> {
-    let Some(part) = &file.dissemination else { return Ok(None) };
-    let binds = told.facts.deployment.purge_window;
-    if binds > part.purge_window {
-        return Err(format!(
-            "[dissemination] purge-seconds: {} is shorter than the {} s that a purge binds by the settings",
-            part.purge_window.as_secs_f64(),
-            binds.as_secs_f64()
-        ));
-    }
-    if part.control.iter().any(|(name, _)| *name == told.name) {
-        return Err(format!("[dissemination] control: {} is this dispatcher's own name", told.name));
-    }
-    Ok(Some(Plan { config: told_of(part, &told.name), ..base(part, told.seed) }))
+
+/// The longest wait for a stopping node's last datagrams.
+const MAX_STOP_WAIT: Duration = Duration::from_millis(500);
+/// Interval at which a stopping node is looked at.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Why dissemination can't run by the operator's file.
+#[derive(Debug, thiserror::Error)]
+enum SectionError {
+    #[error(
+        "[dissemination] purge-seconds: {} is shorter than the {} s that a purge binds by the settings",
+        section.as_secs_f64(), settings.as_secs_f64()
+    )]
+    WindowTooShort { section: Duration, settings: Duration },
+    #[error("[dissemination] control: {0} is this dispatcher's own name")]
+    OwnNameInControl(String),
+}
+
+/// Whether dissemination can run by the operator's file; what would listen, and where.
+pub fn check(file: &OperatorConfig, config: &Config) -> Result<Vec<String>, String> {
+    let options = plan(file, config)?;
+    Ok(options.iter().map(|options| format!("dissemination: at {}", options.listen)).collect())
+}
+
+/// The options of a member's node; `None`: the operator's file has no such section.
+pub fn plan(file: &OperatorConfig, config: &Config) -> Result<Option<NodeOptions>, String> {
+    let Some(section) = &file.dissemination else { return Ok(None) };
+    check_section(section, config).map_err(|error| error.to_string())?;
+    Ok(Some(node_options(section, &config.name, config.seed)))
 }
 
-pub fn base(part: &DisseminationSection, seed: u64) -> Plan {
-    Plan {
-        bounds: Bounds::new(&part.fleet, part.control.len(), !part.trusted_network),
-        config: told_of(part, ""),
+/// The options of the node with this name. One that the section lists as a control node is one.
+pub fn node_options(section: &DisseminationSection, name: &str, seed: u64) -> NodeOptions {
+    let addresses = if section.trusted_network { AddressScope::Any } else { AddressScope::LoopbackOnly };
+    NodeOptions {
+        codec: FrameCodec::new(&section.fleet, section.control.len(), addresses),
+        config: node_config(section, name),
         directory: None,
-        listen: part.listen,
+        listen: section.listen,
         seed,
     }
 }
 
-/// What a node of this name is told; a control node's place is that of its name.
-pub fn told_of(part: &DisseminationSection, name: &str) -> node::NodeConfig {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+/// A running node, which leaves the fleet when dropped.
+pub struct RunningNode(pub Handle);
+
+impl Drop for RunningNode {
+    fn drop(&mut self) {
+        self.0.send(Command::Stop);
+        let deadline = Instant::now() + MAX_STOP_WAIT;
+        while !self.0.has_ended() && Instant::now() < deadline {
+            std::thread::sleep(STOP_POLL_INTERVAL);
+        }
+    }
+}
+
+/// Starts the node of a dispatcher.
+pub fn serve(options: NodeOptions, service: ServiceHandle) -> Result<RunningNode, String> {
+    let unjudged: Arc<Mutex<Unjudged>> = Arc::default();
+    let on_output = move |node: &WeakHandle, output| {
+        let applier = Applier { service: &service, node, unjudged: &unjudged };
+        applier.on_output(output);
+    };
+    let handle = Handle::start(options, on_output).map_err(|error| format!("dissemination: {error}"))?;
+    info!(listen = %handle.listens_at, "dissemination listens");
+    Ok(RunningNode(handle))
+}
+
+fn check_section(section: &DisseminationSection, config: &Config) -> Result<(), SectionError> {
+    let window = config.facts.deployment.purge_window;
+    if window > section.purge_window {
+        return Err(SectionError::WindowTooShort { section: section.purge_window, settings: window });
+    }
+    if section.control.iter().any(|(name, _)| *name == config.name) {
+        return Err(SectionError::OwnNameInControl(config.name.clone()));
+    }
+    Ok(())
+}
+
+fn node_config(section: &DisseminationSection, name: &str) -> node::NodeConfig {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let peer = |(name, address): &(String, _)| node::Peer { node: node::NodeId::of(name), address: *address };
-    let place = part.control.iter().position(|(control, _)| control == name);
+    let index = section.control.iter().position(|(control, _)| control == name);
     node::NodeConfig {
         identity: node::Identity {
             node: node::NodeId::of(name),
-            incarnation: node::Incarnation(since.as_millis() as u64),
+            incarnation: node::Incarnation(since_epoch.as_millis() as u64),
         },
-        control_id: place.map(|place| node::ControlId(place as u8)),
-        control: part.control.iter().map(peer).collect(),
-        seeds: part.seeds.clone(),
-        purge_window: part.purge_window,
-        bytes_per_second: part.bytes_per_second,
-        heartbeat_interval: part.heartbeat_interval,
+        control_id: index.map(|index| node::ControlId(index as u8)),
+        control: section.control.iter().map(peer).collect(),
+        seeds: section.seeds.clone(),
+        purge_window: section.purge_window,
+        bytes_per_second: section.bytes_per_second,
+        heartbeat_interval: section.heartbeat_interval,
     }
 }
 
-/// A running carrier; dropped, its node leaves.
-pub struct Carried(pub carrier::Link);
+/// Hands a node's outputs to the dispatcher.
+struct Applier<'a> {
+    service: &'a ServiceHandle,
+    node: &'a WeakHandle,
+    unjudged: &'a Arc<Mutex<Unjudged>>,
+}
 
-impl Drop for Carried {
-    fn drop(&mut self) {
-        self.0.say(Word::Stop);
-        let by = Instant::now() + LAST_FRAMES;
-        while !self.0.is_over() && Instant::now() < by {
-            std::thread::sleep(LOOK);
+impl Applier<'_> {
+    fn on_output(&self, output: Output) {
+        match output {
+            Output::Purge { purges, token } => self.apply_purges(purges, token),
+            Output::Configure { settings, changed, token } => self.apply_settings(settings, changed, token),
+            Output::IncarnationSuperseded { incarnation } => {
+                warn!(incarnation = incarnation.0, "a later incarnation of this node is known");
+            }
+            Output::Send { .. } | Output::ReplicatedToAll { .. } => {}
         }
     }
-}
 
-pub fn serve(plan: Plan, link: ServiceHandle) -> Result<Carried, String> {
-    let unjudged = Arc::default();
-    let heard = move |words: &WeakLink, out| fact(&link, words, &unjudged, out);
-    let carried = carrier::Link::start(plan, heard).map_err(|what| format!("dissemination: {what}"))?;
-    info!(listen = %carried.listens_at, "dissemination listens");
-    Ok(Carried(carried))
-}
-
-fn fact(link: &ServiceHandle, words: &WeakLink, unjudged: &Arc<Mutex<Unjudged>>, out: Output) {
-    match out {
-        Output::Purge { purges, token: ticket } => purge(link, words, purges, ticket),
-        Output::Configure { settings, changed, token: ticket } => {
-            let hosts = changed.iter().map(|(_, host)| host.clone()).collect();
-            let beyond = lock(unjudged).give(ticket, changed);
-            beyond.into_iter().for_each(|(id, host)| refuse(words, id, &host, RejectedOverride::TooMany));
-            configure(link, words, unjudged, (settings, hosts), ticket);
-        }
-        Output::IncarnationSuperseded { incarnation } => {
-            warn!(incarnation = incarnation.0, "a later life of this node is known")
+    fn apply_purges(&self, purges: Vec<(node::Purge, Duration)>, token: ApplyToken) {
+        let shown = enabled!(Level::DEBUG).then(|| (PurgeSummary::of(&purges), Instant::now()));
+        let purges = purges.into_iter().map(|(purge, age)| self.dispatcher_purge(purge, age)).collect();
+        let node = self.node.clone();
+        let on_applied = move || {
+            if let Some((summary, given_at)) = shown {
+                let wider = summary.widest_age.map(|age| (age + given_at.elapsed()).as_secs_f64());
+                debug!(objects = %summary.objects, wider_seconds = wider, "purges in effect");
+            }
+            confirm(&node, token);
+        };
+        if !self.service.purge(purges, on_applied) {
+            warn!("purge queue full; a purge of everything replaces the waiting purges");
         }
-        Output::Send { .. } | Output::ReplicatedToAll { .. } => {}
     }
-}
-
-/// The objects of these purges, and the age of the youngest that is of more than one object, for whoever looks on.
-fn told_of_purges(purges: &[(node::Purge, Duration)]) -> (String, Option<Duration>) {
-    let object = |purge: &node::Purge| match purge {
-        node::Purge::Object(id) => Some(format!("{:016x}", u64::from_le_bytes(*id))),
-        node::Purge::Group(_) | node::Purge::Everything => None,
-    };
-    let objects: Vec<_> = purges.iter().filter_map(|(purge, _)| object(purge)).collect();
-    let wider = purges.iter().filter(|(purge, _)| object(purge).is_none());
-    (objects.join(","), wider.map(|(_, age)| *age).min())
-}
 
-fn purge(link: &ServiceHandle, words: &WeakLink, purges: Vec<(node::Purge, Duration)>, ticket: ApplyToken) {
-    let shown = enabled!(Level::DEBUG).then(|| (told_of_purges(&purges), Instant::now()));
-    let purges = purges.into_iter().map(|(purge, age)| {
+    fn dispatcher_purge(&self, purge: node::Purge, age: Duration) -> Purge {
         let (object, group) = match purge {
             node::Purge::Object(id) => (Some(ObjectId(u64::from_le_bytes(id))), None),
             node::Purge::Group(group) => (None, Some(GroupId(group))),
             node::Purge::Everything => (None, None),
         };
-        Purge { object, group, purged_at: link.timestamp_before_now(age) }
-    });
-    let words = words.clone();
-    let done = move || {
-        if let Some(((objects, wider), given)) = shown {
-            let wider = wider.map(|age| (age + given.elapsed()).as_secs_f64());
-            debug!(objects = %objects, wider_seconds = wider, "purges in effect");
+        Purge { object, group, purged_at: self.service.timestamp_before_now(age) }
+    }
+
+    fn apply_settings(
+        &self,
+        settings: BTreeMap<String, DesiredState>,
+        changed: Vec<(EntryId, String)>,
+        token: ApplyToken,
+    ) {
+        let hosts: Vec<String> = changed.iter().map(|(_, host)| host.clone()).collect();
+        let without_room = lock(self.unjudged).give(token, changed);
+        for (id, host) in without_room {
+            reject(self.node, id, &host, RejectionReason::Full);
+        }
+        let overrides = settings.into_iter().filter_map(|(host, desired)| {
+            let admin_override = admin_override(desired)?;
+            Some((host, admin_override))
+        });
+        let overrides: AdminOverrides = overrides.collect();
+        info!(marks = overrides.len(), changed = hosts.len(), "the fleet's marks");
+        let (node, unjudged) = (self.node.clone(), self.unjudged.clone());
+        let on_applied = move |rejected: BTreeMap<String, RejectedOverride>| {
+            debug!(hosts = %hosts.join(","), "marks in effect");
+            let judged = lock(&unjudged).judged(token, &rejected);
+            for (id, host, why) in judged {
+                reject(&node, id, &host, rejection_reason(why));
+            }
+            confirm(&node, token);
+        };
+        if !self.service.set_control_overrides(overrides, on_applied) {
+            warn!("override queue full; a later change replaces this one");
         }
-        confirm(&words, ticket);
-    };
-    if !link.purge(purges.collect(), done) {
-        warn!("too many purges wait at the decisions; one of everything stands for them");
     }
 }
 
-fn confirm(words: &WeakLink, ticket: ApplyToken) {
-    if !words.say(Word::InEffect(ticket)) {
-        warn!(ticket = ticket.0, "dissemination does not hear what is in effect");
-    }
+/// Purges as they are logged.
+struct PurgeSummary {
+    /// The ids of the objects that are purged by themselves.
+    objects: String,
+    /// The age of the youngest purge of more than one object.
+    widest_age: Option<Duration>,
 }
 
-fn lock(unjudged: &Mutex<Unjudged>) -> MutexGuard<'_, Unjudged> {
-    unjudged.lock().unwrap_or_else(PoisonError::into_inner)
+impl PurgeSummary {
+    fn of(purges: &[(node::Purge, Duration)]) -> PurgeSummary {
+        let mut objects = Vec::new();
+        let mut widest_age: Option<Duration> = None;
+        for (purge, age) in purges {
+            match purge {
+                node::Purge::Object(id) => objects.push(format!("{:016x}", u64::from_le_bytes(*id))),
+                node::Purge::Group(_) | node::Purge::Everything => {
+                    widest_age = Some(widest_age.map_or(*age, |youngest| youngest.min(*age)));
+                }
+            }
+        }
+        PurgeSummary { objects: objects.join(","), widest_age }
+    }
 }
 
-fn configure(
-    link: &ServiceHandle,
-    words: &WeakLink,
-    unjudged: &Arc<Mutex<Unjudged>>,
-    (settings, changed): (BTreeMap<String, DesiredState>, Vec<String>),
-    ticket: ApplyToken,
-) {
-    let marks: AdminOverrides =
-        settings.into_iter().filter_map(|(host, wanted)| Some((host, mark(wanted)?))).collect();
-    info!(marks = marks.len(), changed = changed.len(), "the fleet's marks");
-    let (words, unjudged) = (words.clone(), unjudged.clone());
-    let done = move |refused: BTreeMap<String, RejectedOverride>| {
-        debug!(hosts = %changed.join(","), "marks in effect");
-        let judged = lock(&unjudged).judged(ticket, &refused);
-        judged.into_iter().for_each(|(id, host, why)| refuse(&words, id, &host, why));
-        confirm(&words, ticket);
-    };
-    if !link.set_control_overrides(marks, done) {
-        warn!("too many changes wait at the list");
+fn confirm(node: &WeakHandle, token: ApplyToken) {
+    if !node.send(Command::ConfirmApplied(token)) {
+        warn!(token = token.0, "mailbox full; confirmation dropped");
     }
 }
 
-fn refuse(words: &WeakLink, id: EntryId, host: &str, why: RejectedOverride) {
-    warn!(host, ?why, "a mark of the fleet is kept apart");
-    words.say(Word::Refuse { id, why: refusal(why) });
+fn reject(node: &WeakHandle, id: EntryId, host: &str, reason: RejectionReason) {
+    warn!(host, why = ?reason, "a mark of the fleet is kept apart");
+    node.send(Command::Reject { id, reason });
+}
+
+/// The lock is held for one call of [`Unjudged`] at a time.
+fn lock(unjudged: &Mutex<Unjudged>) -> MutexGuard<'_, Unjudged> {
+    unjudged.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// None: as the board says.
-fn mark(wanted: DesiredState) -> Option<AdminOverride> {
-    let readiness = match wanted {
+/// `None`: the endpoint list applies.
+fn admin_override(desired: DesiredState) -> Option<AdminOverride> {
+    let readiness = match desired {
         DesiredState::Listed => return None,
         DesiredState::Draining => Readiness::Draining,
         DesiredState::Gone => Readiness::Gone,
@@ -191,9 +240,9 @@
     Some(AdminOverride { readiness, expires_at: None, force: false })
 }
 
-fn refusal(why: RejectedOverride) -> node::RejectionReason {
+fn rejection_reason(why: RejectedOverride) -> RejectionReason {
     match why {
-        RejectedOverride::LastReadyEndpoint => node::RejectionReason::LastOne,
-        RejectedOverride::TooMany => node::RejectionReason::Full,
+        RejectedOverride::LastReadyEndpoint => RejectionReason::LastOne,
+        RejectedOverride::TooMany => RejectionReason::Full,
     }
 }
--- a/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
+++ b/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
@@ -1,14 +1,15 @@
-//! Settings that the list of hosts has not judged yet. Decides; does no I/O.
+//! Settings that the endpoint list has not judged yet. Decides; does no I/O.
 
 use rockflow_dissemination::{ApplyToken, EntryId};
 use rockflow_endpoints::RejectedOverride;
 use std::collections::BTreeMap;
 
-/// Settings that may wait to be judged: four times as many as marks are held. One more is refused, and the machine gives it
-/// again with the next change.
+/// Settings that may wait: four times as many as overrides are held. A further one is rejected, and the node gives it again
+/// with the next change.
 pub const MAX_UNJUDGED: usize = 16_384;
 
-/// By the ticket under which they were given, so that those of a ticket that nobody is told of are judged with the next.
+/// Owns the waiting settings by the token under which they were given, so that those of a token whose judgement is lost
+/// are judged with the next.
 #[derive(Debug, Default)]
 pub struct Unjudged {
     waiting: BTreeMap<ApplyToken, Vec<(EntryId, String)>>,
@@ -16,31 +17,30 @@
 }
 
 impl Unjudged {
-    /// Takes what has changed under this ticket; what finds no place comes back.
-    pub fn give(
-        &mut self,
-        ticket: ApplyToken,
-        mut changed: Vec<(EntryId, String)>,
-    ) -> Vec<(EntryId, String)> {
-        let beyond = changed.split_off(changed.len().min(MAX_UNJUDGED - self.count));
+    /// Adds the settings that have changed under this token. Returns those for which there is no room.
+    pub fn give(&mut self, token: ApplyToken, mut changed: Vec<(EntryId, String)>) -> Vec<(EntryId, String)> {
+        let without_room = changed.split_off(changed.len().min(MAX_UNJUDGED - self.count));
         self.count += changed.len();
         if !changed.is_empty() {
-            self.waiting.entry(ticket).or_default().extend(changed);
+            self.waiting.entry(token).or_default().extend(changed);
         }
-        beyond
+        without_room
     }
 
-    /// The list goes by all that was given up to this ticket, but for these hosts: what of it is refused.
+    /// The list goes by all that was given up to this token, except these hosts. Returns the settings that are rejected.
     pub fn judged(
         &mut self,
-        ticket: ApplyToken,
-        refused: &BTreeMap<String, RejectedOverride>,
+        token: ApplyToken,
+        rejected: &BTreeMap<String, RejectedOverride>,
     ) -> Vec<(EntryId, String, RejectedOverride)> {
-        let later = self.waiting.split_off(&ApplyToken(ticket.0.saturating_add(1)));
+        let later = self.waiting.split_off(&ApplyToken(token.0.saturating_add(1)));
         let judged = std::mem::replace(&mut self.waiting, later);
-        let judged: Vec<_> = judged.into_values().flatten().collect();
+        let judged: Vec<(EntryId, String)> = judged.into_values().flatten().collect();
         self.count -= judged.len();
-        let why = |(id, host): (EntryId, String)| refused.get(&host).map(|why| (id, host.clone(), *why));
-        judged.into_iter().filter_map(why).collect()
+        let with_reason = |(id, host): (EntryId, String)| {
+            let why = *rejected.get(&host)?;
+            Some((id, host, why))
+        };
+        judged.into_iter().filter_map(with_reason).collect()
     }
 }
--- a/crates/rockflow-cli/src/beside/no_dissemination.rs
+++ b/crates/rockflow-cli/src/beside/no_dissemination.rs
@@ -5,17 +5,17 @@
 
 pub const BUILT: bool = false;
 
-pub struct Plan;
-pub struct Carried;
+pub struct NodeOptions;
+pub struct RunningNode;
 
 pub fn check(_: &OperatorConfig, _: &Config) -> Result<Vec<String>, String> {
     Ok(Vec::new())
 }
 
-pub fn plan(_: &OperatorConfig, _: &Config) -> Result<Option<Plan>, String> {
+pub fn plan(_: &OperatorConfig, _: &Config) -> Result<Option<NodeOptions>, String> {
     Ok(None)
 }
 
-pub fn serve(_: Plan, _: ServiceHandle) -> Result<Carried, String> {
-    Ok(Carried)
+pub fn serve(_: NodeOptions, _: ServiceHandle) -> Result<RunningNode, String> {
+    Ok(RunningNode)
 }
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -1,321 +1,225 @@
 //! `rockflow control`: a control node. It reads the notice board's purges, the directory of members and the operators'
-//! marks, publishes them to the fleet, and says in the log what is in force everywhere. It decides nothing.
+//! overrides, publishes them to the fleet, and logs what is replicated to all. It decides nothing.
 
+mod error;
+mod inputs;
 mod marks;
+mod report;
 
-use crate::beside::dissemination::{base, told_of, Carried};
+use crate::beside::dissemination::{node_options, RunningNode};
 use crate::Source;
-use marks::{Marks, Published};
+pub use error::ControlError;
+pub use inputs::ControlInputs;
+use inputs::{read_directory, read_marks};
+use marks::PublishedMarks;
+use report::{log_output, log_summary};
 use rockflow::{GroupId, ObjectId};
-use rockflow_dispatcher::{Clock, Config, ObservedPurge, Purge, PurgeFollower};
+use rockflow_dispatcher::{Clock, ObservedPurge, Purge, PurgeFollower};
 use rockflow_dissemination as node;
-use rockflow_dissemination::{Directory, Output, Publication};
-use rockflow_operator_config::{parse_overrides, ControlSection, DisseminationSection};
-use rockflow_transport::dissemination::{Link, Tally, WeakLink, Word};
+use rockflow_dissemination::Publication;
+use rockflow_transport::dissemination::{Command, Handle};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
-use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tracing::{error, info, warn};
 
-/// How often a signal is looked for, and how often it is said who is behind.
-const LOOK: Duration = Duration::from_millis(50);
-const SUMMARY: Duration = Duration::from_secs(10);
-
-/// What a control process is told, read and judged as a whole.
-pub struct Given {
-    told: Config,
-    part: DisseminationSection,
-    files: ControlSection,
-    directory: Directory,
-    marks: Marks,
-}
-
-impl Given {
-    pub fn read(source: &Source) -> Result<Given, String> {
-        let told = source.read()?;
-        let beside = source.beside()?;
-        let (part, files) = (beside.file().dissemination.clone(), beside.file().control.clone());
-        let part = part.ok_or("a control process needs a section [dissemination] in the operator's file")?;
-        let files = files.ok_or("a control process needs a section [control] in the operator's file")?;
-        let own = part.control.iter().find(|(name, _)| *name == told.name);
-        let (_, at) = own.ok_or_else(|| format!("[dissemination] control: does not name {}", told.name))?;
-        // Within a trusted network addresses may be translated on the way.
-        let elsewhere = !part.listen.ip().is_unspecified() && part.listen != *at;
-        if elsewhere && !part.trusted_network {
-            return Err(format!(
-                "[dissemination] listen: {} is another address than {at} of {} in control",
-                part.listen, told.name
-            ));
-        }
-        let directory = directory(&files.directory, &part)?;
-        let marks = marks(files.marks.as_deref())?;
-        Ok(Given { told, part, files, directory, marks })
-    }
-
-    pub fn lines(&self) -> Vec<String> {
-        let (name, at) = (&self.told.name, self.part.listen);
-        let (members, version) = (self.directory.members.len(), self.directory.version);
-        vec![
-            format!("{name}: ready to control at {at}"),
-            format!("directory {version}: {members} members"),
-            format!("marks: {}", self.marks.len()),
-        ]
-    }
-}
-
-fn text(path: &Path) -> Result<String, String> {
-    std::fs::read_to_string(path).map_err(|what| format!("{}: {what}", path.display()))
-}
-
-fn directory(path: &Path, part: &DisseminationSection) -> Result<Directory, String> {
-    let fault = |what: String| format!("{}: {what}", path.display());
-    let directory = Directory::parse(&text(path)?).map_err(|what| fault(what.to_string()))?;
-    let outside = directory.members.iter().find(|member| !member.address.ip().is_loopback());
-    if let Some(member) = outside.filter(|_| !part.trusted_network) {
-        let (name, at) = (&member.name, member.address);
-        return Err(fault(format!(
-            "{name}: {at} is no address of the loopback, and trusted-network does not say yes"
-        )));
-    }
-    Ok(directory)
-}
-
-fn marks(path: Option<&Path>) -> Result<Marks, String> {
-    let Some(path) = path else { return Ok(Marks::new()) };
-    parse_overrides(&path.display().to_string(), &text(path)?).map_err(|faults| {
-        let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
-        faults.join("\n")
-    })
-}
-
-/// Runs until another signal than SIGHUP comes. Error: it can't begin, or its machine is gone; whoever started it starts it
-/// again.
-pub fn run(source: &Source, signals: &mut Signals) -> Result<(), String> {
-    let given = Given::read(source)?;
+/// Interval at which signals, overrides and the node are looked at.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which missing and lagging members are logged.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Runs until a signal other than SIGHUP arrives.
+///
+/// # Errors
+/// The control node can't start, or its thread has ended. Whoever started the process starts it again.
+pub fn run(source: &Source, signals: &mut Signals) -> Result<(), ControlError> {
+    let inputs = ControlInputs::read(source)?;
     let clock = Clock::start();
     rockflow_dispatcher::Service::set_up();
-    let mut plan = base(&given.part, given.told.seed);
-    plan.config = told_of(&given.part, &given.told.name);
-    plan.directory = Some(given.directory.clone());
-    let link = Link::start(plan, heard).map_err(|what| format!("dissemination: {what}"))?;
-    let (name, members) = (&given.told.name, given.directory.members.len());
-    info!(name, listen = %link.listens_at, members, version = given.directory.version, "control");
+    let mut options = node_options(&inputs.dissemination, &inputs.config.name, inputs.config.seed);
+    options.directory = Some(inputs.directory.clone());
+    let handle = Handle::start(options, |_, output| log_output(output)).map_err(ControlError::Start)?;
+    let (name, members) = (&inputs.config.name, inputs.directory.members.len());
+    info!(name, listen = %handle.listens_at, members, version = inputs.directory.version, "control");
     let control = Control {
-        carried: Carried(link.clone()),
-        given,
-        published: Published::default(),
-        unsaid: true,
-        overflown: Arc::default(),
-        troubled: Arc::default(),
+        node: RunningNode(handle.clone()),
+        inputs,
+        published: PublishedMarks::default(),
+        marks_are_pending: true,
+        has_lost_purges: Arc::default(),
+        has_trouble: Arc::default(),
     };
-    let (words, overflown) = (link, control.overflown.clone());
-    let follow =
-        PurgeFollower::start(clock, &control.given.told, control.given.part.purge_window, move |heard| {
-            board(&words, &overflown, &heard);
-        });
-    let follow = follow.map_err(|what| format!("board: {what}"))?;
-    control.run(source, signals, &follow)
+    let has_lost_purges = control.has_lost_purges.clone();
+    let window = control.inputs.dissemination.purge_window;
+    let follower = PurgeFollower::start(clock, &control.inputs.config, window, move |observed| {
+        forward_purge(&handle, &has_lost_purges, &observed);
+    });
+    let follower = follower.map_err(ControlError::Board)?;
+    control.run(source, signals, &follower)
 }
 
+/// Owns the node and the inputs by which it runs.
 struct Control {
-    carried: Carried,
-    given: Given,
-    published: Published,
-    /// Marks were read that are not published yet.
-    unsaid: bool,
-    /// Purges found no place on their way: one of everything stands for them.
-    overflown: Arc<AtomicBool>,
-    /// Whether the last summary named anybody.
-    troubled: Arc<AtomicBool>,
-}
-
-fn named(purge: &Purge) -> node::Purge {
-    match (purge.object, purge.group) {
-        (Some(ObjectId(id)), _) => node::Purge::object(id),
-        (None, Some(GroupId(group))) => node::Purge::Group(group),
-        (None, None) => node::Purge::Everything,
-    }
-}
-
-/// Passes on what the board says. Where it finds no place, a purge of everything goes ahead of the next word.
-fn board(link: &Link, overflown: &AtomicBool, heard: &ObservedPurge) {
-    let (purge, age, backlog) = (named(&heard.purge), heard.age, heard.is_backlog);
-    if !link.say(Word::Board { purge, age, backlog }) && !overflown.swap(true, Ordering::Relaxed) {
-        warn!("too many purges of the board wait; one of everything stands for them");
-    }
+    node: RunningNode,
+    inputs: ControlInputs,
+    published: PublishedMarks,
+    /// Overrides were read that are not published yet.
+    marks_are_pending: bool,
+    /// Purges of the board were dropped: a purge of everything is to stand for them.
+    has_lost_purges: Arc<AtomicBool>,
+    /// Whether the last summary named a member.
+    has_trouble: Arc<AtomicBool>,
 }
 
 impl Control {
-    fn run(mut self, source: &Source, signals: &mut Signals, follow: &PurgeFollower) -> Result<(), String> {
-        let mut said = Instant::now();
+    fn run(
+        mut self,
+        source: &Source,
+        signals: &mut Signals,
+        follower: &PurgeFollower,
+    ) -> Result<(), ControlError> {
+        let mut summarized_at = Instant::now();
         loop {
             for signal in signals.pending() {
                 if signal != SIGHUP {
-                    info!("control ends");
+                    info!("control node stops");
                     return Ok(());
                 }
-                self.read_again(source, follow);
+                self.reload(source, follower);
             }
-            // Guards against a node that only seems to be there: without its thread nothing is published or heard.
-            if self.carried.0.is_over() {
-                return Err("dissemination: its thread has ended".to_string());
+            // Without its thread nothing is published or received, though the process seems to be there.
+            if self.node.0.has_ended() {
+                return Err(ControlError::NodeEnded);
             }
-            self.make_up();
+            self.replace_lost_purges();
             self.publish_marks();
-            if said.elapsed() >= SUMMARY {
-                said = Instant::now();
-                let troubled = self.troubled.clone();
-                self.carried.0.say(Word::Status(Box::new(move |tally| summary(&tally, &troubled))));
+            if summarized_at.elapsed() >= SUMMARY_INTERVAL {
+                summarized_at = Instant::now();
+                let has_trouble = self.has_trouble.clone();
+                let reply = Box::new(move |status| log_summary(&status, &has_trouble));
+                self.node.0.send(Command::Status(reply));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Guards against purges of the board that are lost for want of a place: stricter, and of now.
-    fn make_up(&self) {
-        let all = Word::Board { purge: node::Purge::Everything, age: Duration::ZERO, backlog: false };
-        if self.overflown.load(Ordering::Relaxed) && self.carried.0.say(all) {
-            self.overflown.store(false, Ordering::Relaxed);
+    /// Publishes a purge of everything in place of purges that were dropped.
+    fn replace_lost_purges(&self) {
+        let everything =
+            Command::PurgeNotice { purge: node::Purge::Everything, age: Duration::ZERO, backlog: false };
+        if self.has_lost_purges.load(Ordering::Relaxed) && self.node.0.send(everything) {
+            self.has_lost_purges.store(false, Ordering::Relaxed);
         }
     }
 
-    /// Each file on its own: a fault in one leaves what it said before in force.
-    fn read_again(&mut self, source: &Source, follow: &PurgeFollower) {
+    /// Reads each input anew. One that is not valid keeps its previous state.
+    fn reload(&mut self, source: &Source, follower: &PurgeFollower) {
+        self.reload_configuration(source, follower);
+        self.check_operator_file(source);
+        self.reload_directory();
+        self.reload_marks();
+    }
+
+    fn reload_configuration(&mut self, source: &Source, follower: &PurgeFollower) {
         match source.read() {
-            Ok(told) if told.discovery_address != self.given.told.discovery_address => {
-                info!(from = %self.given.told.discovery_address, to = %told.discovery_address, "the board has moved");
-                follow.set_address(told.discovery_address);
-                self.given.told.discovery_address = told.discovery_address;
+            Ok(config) if config.discovery_address != self.inputs.config.discovery_address => {
+                info!(from = %self.inputs.config.discovery_address, to = %config.discovery_address, "discovery address changed");
+                follower.set_address(config.discovery_address);
+                self.inputs.config.discovery_address = config.discovery_address;
             }
             Ok(_) => {}
-            Err(what) => error!(what, "configuration not taken; the old one stays in force"),
+            Err(error) => error!(error, "configuration rejected; the previous one stays in effect"),
         }
+    }
+
+    fn check_operator_file(&self, source: &Source) {
         match source.beside() {
-            Ok(read) if read.file().dissemination.as_ref() != Some(&self.given.part) => {
-                warn!("the operator's file has changed; that takes a restart");
-            }
-            Ok(read) if read.file().control.as_ref() != Some(&self.given.files) => {
-                warn!("the operator's file has changed; that takes a restart");
+            Ok(read) => {
+                let has_changed = read.file().dissemination.as_ref() != Some(&self.inputs.dissemination)
+                    || read.file().control.as_ref() != Some(&self.inputs.files);
+                if has_changed {
+                    warn!("operator's file changed; restart to apply it");
+                }
             }
-            Ok(_) => {}
-            Err(what) => error!(what, "operator's file not taken; the old one stays in force"),
+            Err(error) => error!(error, "operator's file rejected; the previous one stays in effect"),
         }
-        self.read_directory();
-        self.read_marks();
     }
 
-    fn read_directory(&mut self) {
-        let read = directory(&self.given.files.directory, &self.given.part);
-        let before = &self.given.directory;
-        match read {
+    fn reload_directory(&mut self) {
+        let before = &self.inputs.directory;
+        match read_directory(&self.inputs.files.directory, &self.inputs.dissemination) {
             Ok(read) if read == *before => {}
-            Ok(read) if read.version <= before.version => {
-                error!(
-                    version = read.version,
-                    in_force = before.version,
-                    "the directory has changed and its version has not grown; not taken"
-                );
-            }
+            Ok(read) if read.version <= before.version => error!(
+                version = read.version,
+                in_force = before.version,
+                "the directory has changed and its version has not grown; not taken"
+            ),
             Ok(read) => {
                 info!(version = read.version, members = read.members.len(), "directory");
-                if self.carried.0.say(Word::Directory(read.clone())) {
-                    self.given.directory = read;
+                if self.node.0.send(Command::SetDirectory(read.clone())) {
+                    self.inputs.directory = read;
                 }
             }
-            Err(what) => error!(what, "directory not taken; the old one stays in force"),
+            Err(error) => error!(%error, "directory rejected; the previous one stays in effect"),
         }
     }
 
-    fn read_marks(&mut self) {
-        match marks(self.given.files.marks.as_deref()) {
-            Ok(read) => {
-                self.given.marks = read;
-                self.unsaid = true;
+    fn reload_marks(&mut self) {
+        match read_marks(self.inputs.files.marks.as_deref()) {
+            Ok(marks) => {
+                self.inputs.marks = marks;
+                self.marks_are_pending = true;
             }
-            Err(what) => error!(what, "marks not taken; the old ones stay in force"),
+            Err(error) => error!(%error, "marks rejected; the previous ones stay in effect"),
         }
     }
 
-    /// What is wanted otherwise than it was published. What finds no place goes with the next look.
+    /// Publishes the overrides that differ from the published ones. If the mailbox is full, the next poll repeats it.
     fn publish_marks(&mut self) {
-        if !self.unsaid {
+        if !self.marks_are_pending {
             return;
         }
-        let link = &self.carried.0;
-        let said = self.published.publish(&self.given.marks, |changes| {
-            changes.iter().for_each(|(host, wanted)| info!(host, ?wanted, "published"));
+        let handle = &self.node.0;
+        let is_sent = self.published.publish(&self.inputs.marks, |changes| {
+            for (host, desired) in &changes {
+                info!(host, wanted = ?desired, "published");
+            }
             let publications = changes.into_iter();
-            let publications =
-                publications.map(|(host, wanted)| Publication::Setting { host, desired: wanted });
-            let reply = Box::new(|ids: Vec<node::EntryId>| {
-                if let (Some((_, first)), Some((_, last))) = (ids.first(), ids.last()) {
-                    info!(first = first.0, last = last.0, "settings numbered");
-                }
-            });
-            link.say(Word::Publish { publications: publications.collect(), reply })
+            let publications = publications.map(|(host, desired)| Publication::Setting { host, desired });
+            let reply = Box::new(|ids: Vec<node::EntryId>| log_numbers(&ids));
+            handle.send(Command::Publish { publications: publications.collect(), reply })
         });
-        if !said {
-            error!("too much waits; the marks are published later");
+        if !is_sent {
+            error!("mailbox full; the marks are published later");
         }
-        self.unsaid = !said;
+        self.marks_are_pending = !is_sent;
     }
 }
 
-fn heard(_: &WeakLink, out: Output) {
-    match out {
-        Output::ReplicatedToAll { stream, number, after } => info!(
-            control = stream.control.0,
-            kind = ?stream.kind,
-            number = number.0,
-            seconds = after.as_secs_f64(),
-            "everywhere"
-        ),
-        Output::IncarnationSuperseded { incarnation } => {
-            warn!(
-                incarnation = incarnation.0,
-                "a later life of this control node was known; begun again above it"
-            )
-        }
-        Output::Send { .. } | Output::Purge { .. } | Output::Configure { .. } => {}
+fn log_numbers(ids: &[node::EntryId]) {
+    if let (Some((_, first)), Some((_, last))) = (ids.first(), ids.last()) {
+        info!(first = first.0, last = last.0, "settings numbered");
     }
 }
 
-/// One line while somebody is missing or behind, or refuses a setting, and one when nobody is any more.
-fn summary(tally: &Tally, troubled: &AtomicBool) {
-    let Some(control) = &tally.survey.control else { return };
-    let well = control.present >= control.expected_members
-        && control.lagging.is_empty()
-        && control.rejected.is_empty();
-    if troubled.swap(!well, Ordering::Relaxed) && well {
-        info!(told = control.expected_members, "all members are there and go by what was published");
-    }
-    if well {
-        return;
+/// Passes a purge of the board on to the node. If its mailbox is full, a purge of everything is to follow.
+fn forward_purge(handle: &Handle, has_lost_purges: &AtomicBool, observed: &ObservedPurge) {
+    let command = Command::PurgeNotice {
+        purge: disseminated_purge(&observed.purge),
+        age: observed.age,
+        backlog: observed.is_backlog,
+    };
+    if !handle.send(command) && !has_lost_purges.swap(true, Ordering::Relaxed) {
+        warn!("mailbox full; a purge of everything replaces the dropped purges");
     }
-    let behind: Vec<_> = control
-        .lagging
-        .iter()
-        .map(|(name, stream, number)| format!("{name}:{}", numbered(stream, *number)))
-        .collect();
-    let refused = control
-        .rejected
-        .iter()
-        .map(|(stream, number, why, members)| format!("{}:{why:?} at {members}", numbered(stream, *number)));
-    warn!(
-        told = control.expected_members,
-        present = control.present,
-        missing = control.missing.join(" "),
-        behind = behind.join(" "),
-        refused = refused.collect::<Vec<_>>().join(" "),
-        publishing = control.is_publishing,
-        faults = tally.traffic.faults.values().sum::<u64>(),
-        "not in force everywhere"
-    );
 }
 
-fn numbered(stream: &node::StreamId, number: node::SequenceNumber) -> String {
-    format!("{:?}@{}/{}", stream.kind, stream.control.0, number.0)
+fn disseminated_purge(purge: &Purge) -> node::Purge {
+    match (purge.object, purge.group) {
+        (Some(ObjectId(id)), _) => node::Purge::object(id),
+        (None, Some(GroupId(group))) => node::Purge::Group(group),
+        (None, None) => node::Purge::Everything,
+    }
 }
--- /dev/null
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -0,0 +1,83 @@
+//! What a control process reads: its configuration, the directory of members, and the operators' overrides.
+
+use super::marks::Marks;
+use super::ControlError;
+use crate::Source;
+use rockflow_dispatcher::Config;
+use rockflow_dissemination::Directory;
+use rockflow_operator_config::{parse_overrides, ControlSection, DisseminationSection};
+use std::path::Path;
+
+/// The inputs of a control process, checked as a whole.
+pub struct ControlInputs {
+    pub(super) config: Config,
+    pub(super) dissemination: DisseminationSection,
+    pub(super) files: ControlSection,
+    pub(super) directory: Directory,
+    pub(super) marks: Marks,
+}
+
+impl ControlInputs {
+    /// Reads and checks all of them.
+    pub fn read(source: &Source) -> Result<ControlInputs, ControlError> {
+        let config = source.read().map_err(ControlError::Configuration)?;
+        let beside = source.beside().map_err(ControlError::Configuration)?;
+        let dissemination = beside.file().dissemination.clone();
+        let dissemination = dissemination.ok_or(ControlError::MissingSection("dissemination"))?;
+        let files = beside.file().control.clone().ok_or(ControlError::MissingSection("control"))?;
+        check_own_address(&config.name, &dissemination)?;
+        let directory = read_directory(&files.directory, &dissemination)?;
+        let marks = read_marks(files.marks.as_deref())?;
+        Ok(ControlInputs { config, dissemination, files, directory, marks })
+    }
+
+    /// A summary for the operator, line by line.
+    pub fn summary(&self) -> Vec<String> {
+        let (name, listen) = (&self.config.name, self.dissemination.listen);
+        let (members, version) = (self.directory.members.len(), self.directory.version);
+        vec![
+            format!("{name}: ready to control at {listen}"),
+            format!("directory {version}: {members} members"),
+            format!("marks: {}", self.marks.len()),
+        ]
+    }
+}
+
+/// Within a trusted network addresses may be translated on the way.
+fn check_own_address(name: &str, section: &DisseminationSection) -> Result<(), ControlError> {
+    let own = section.control.iter().find(|(control, _)| control == name);
+    let (_, address) = own.ok_or_else(|| ControlError::NotListed { name: name.to_owned() })?;
+    let is_same = section.listen.ip().is_unspecified() || section.listen == *address;
+    if is_same || section.trusted_network {
+        return Ok(());
+    }
+    Err(ControlError::ListenMismatch { listen: section.listen, address: *address, name: name.to_owned() })
+}
+
+/// Reads the directory, whose addresses must be allowed by the section.
+pub(super) fn read_directory(path: &Path, section: &DisseminationSection) -> Result<Directory, ControlError> {
+    let directory = Directory::parse(&read_file(path)?)
+        .map_err(|source| ControlError::Directory { path: path.to_owned(), source })?;
+    let outside = directory.members.iter().find(|member| !member.address.ip().is_loopback());
+    match outside {
+        Some(member) if !section.trusted_network => Err(ControlError::OutsideLoopback {
+            path: path.to_owned(),
+            name: member.name.clone(),
+            address: member.address,
+        }),
+        _ => Ok(directory),
+    }
+}
+
+/// Reads the operators' overrides; none without a file.
+pub(super) fn read_marks(path: Option<&Path>) -> Result<Marks, ControlError> {
+    let Some(path) = path else { return Ok(Marks::new()) };
+    parse_overrides(&path.display().to_string(), &read_file(path)?).map_err(|errors| {
+        let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
+        ControlError::Marks(lines.join("\n"))
+    })
+}
+
+fn read_file(path: &Path) -> Result<String, ControlError> {
+    std::fs::read_to_string(path).map_err(|source| ControlError::Read { path: path.to_owned(), source })
+}
--- a/crates/rockflow-cli/src/main.rs
+++ b/crates/rockflow-cli/src/main.rs
@@ -152,13 +152,13 @@
 #[cfg(feature = "dissemination")]
 fn control(source: &Source, check: bool, level: tracing::Level) -> Result<(), String> {
     if check {
-        let given = control::Given::read(source)?;
-        given.lines().iter().for_each(|line| println!("{line}"));
+        let inputs = control::ControlInputs::read(source)?;
+        inputs.summary().iter().for_each(|line| println!("{line}"));
         return Ok(());
     }
     let mut signals = signals()?;
     let _log = log_to_stderr(level);
-    control::run(source, &mut signals)
+    Ok(control::run(source, &mut signals)?)
 }
 
 fn serve(source: &Source, level: tracing::Level) -> Result<(), String> {
--- a/crates/rockflow-cli/tests/control_marks.rs
+++ b/crates/rockflow-cli/tests/control_marks.rs
@@ -4,7 +4,7 @@
 #[path = "../src/control/marks.rs"]
 mod marks;
 
-use marks::{Marks, Published};
+use marks::{Marks, PublishedMarks};
 use rockflow_dissemination::DesiredState;
 use rockflow_operator_config::AdministrativeState;
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn what_found_no_place_is_to_be_published_still() {
-    let mut published = Published::default();
+    let mut published = PublishedMarks::default();
     let first = marks(&[("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
     assert!(published.publish(&first, |changes| {
         assert_eq!(changes, wants(&[("c1", DesiredState::Draining), ("c2", DesiredState::Gone)]));
--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -7,7 +7,7 @@
 use rockflow_dissemination::{Directory, Identity, Incarnation, NodeId, Output, Peer};
 use rockflow_process_harness::datagrams::{Path, Rule, Who};
 use rockflow_process_harness::until;
-use rockflow_transport::dissemination::{Bounds, Link, Plan, Word};
+use rockflow_transport::dissemination::{AddressScope, Command, FrameCodec, Handle, NodeOptions};
 use serde_json::json;
 use std::time::Duration;
 use test_case::test_case;
@@ -187,8 +187,8 @@
     };
     let ahead = now_ms() + 3_600_000;
     let text = std::fs::read_to_string(rig.fleet.layout().folder.join("control-0.directory.csv")).unwrap();
-    let plan = Plan {
-        bounds: Bounds::new("processes", 2, true),
+    let plan = NodeOptions {
+        codec: FrameCodec::new("processes", 2, AddressScope::LoopbackOnly),
         config: rockflow_dissemination::NodeConfig {
             identity: Identity { node: peer(0).node, incarnation: Incarnation(ahead) },
             control_id: Some(rockflow_dissemination::ControlId(0)),
@@ -203,7 +203,7 @@
         seed: 1,
     };
     let (sender, said) = std::sync::mpsc::channel();
-    let earlier = Link::start(plan, move |_, out| {
+    let earlier = Handle::start(plan, move |_, out| {
         if let Output::ReplicatedToAll { number, .. } = out {
             let _ = sender.send(number);
         }
@@ -214,12 +214,12 @@
     for number in 1..=3 {
         let purge = rockflow_dissemination::Purge::object(number);
         let publication = rockflow_dissemination::Publication::Purge { purge, age: Duration::ZERO };
-        assert!(earlier.say(Word::Publish { publications: vec![publication], reply: Box::new(|_| {}) }));
+        assert!(earlier.send(Command::Publish { publications: vec![publication], reply: Box::new(|_| {}) }));
     }
     let all = std::iter::from_fn(|| said.recv_timeout(PATIENCE).ok()).any(|number| number.0 == 3);
     assert!(all, "{}", rig.logs());
-    assert!(earlier.say(Word::Stop));
-    assert!(until(PATIENCE, || earlier.is_over()));
+    assert!(earlier.send(Command::Stop));
+    assert!(until(PATIENCE, || earlier.has_ended()));
     // The real one, by a clock that is right: lower than its earlier life's.
     rig.fleet.start_control(0).unwrap();
     rig.fill(0..MEMBERS, 30);
--- a/crates/rockflow-scale/src/run/hollow.rs
+++ b/crates/rockflow-scale/src/run/hollow.rs
@@ -4,7 +4,7 @@
 use super::ledger::Ledger;
 use crate::Fault;
 use rockflow_dissemination::Output;
-use rockflow_transport::dissemination::{Link, Plan, Tally, Word};
+use rockflow_transport::dissemination::{Command, Handle, NodeOptions, TransportStatus};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::pin::Pin;
@@ -24,7 +24,7 @@
 enum Order {
     Start {
         member: usize,
-        plan: Box<Plan>,
+        plan: Box<NodeOptions>,
     },
     /// Ends it without a word.
     Kill(usize),
@@ -32,7 +32,7 @@
     End(usize),
     /// It stands still, as by SIGSTOP, or goes on.
     Stop(usize, bool),
-    NodeStatus(SyncSender<BTreeMap<usize, Tally>>),
+    NodeStatus(SyncSender<BTreeMap<usize, TransportStatus>>),
 }
 
 /// All hollow dispatchers, and the way to them.
@@ -58,7 +58,7 @@
         }
     }
 
-    pub fn begin(&self, member: usize, plan: Plan) {
+    pub fn begin(&self, member: usize, plan: NodeOptions) {
         self.order(Order::Start { member, plan: Box::new(plan) });
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Those that run and do not stand still, as they are now.
-    pub fn survey(&self) -> Result<BTreeMap<usize, Tally>, Fault> {
+    pub fn survey(&self) -> Result<BTreeMap<usize, TransportStatus>, Fault> {
         let (reply, tallies) = sync_channel(1);
         self.order(Order::NodeStatus(reply));
         tallies.recv_timeout(PATIENCE).map_err(|_| Fault("the hollow dispatchers do not answer".to_string()))
@@ -92,7 +92,7 @@
 }
 
 struct Running {
-    link: Link,
+    link: Handle,
     task: tokio::task::JoinHandle<()>,
     pause: Arc<Pause>,
 }
@@ -139,7 +139,7 @@
             }
             Order::End(member) => {
                 if let Some(node) = running.remove(&member) {
-                    if !node.link.say(Word::Stop) {
+                    if !node.link.send(Command::Stop) {
                         node.task.abort();
                     }
                     let _ = node.task.await;
@@ -164,10 +164,10 @@
     }
 }
 
-fn begin(member: usize, plan: Plan, ledger: &Arc<Mutex<Ledger>>) -> std::io::Result<Running> {
+fn begin(member: usize, plan: NodeOptions, ledger: &Arc<Mutex<Ledger>>) -> std::io::Result<Running> {
     ledger.lock().unwrap_or_else(PoisonError::into_inner).begin(Instant::now(), member);
     let ledger = ledger.clone();
-    let (link, node) = Link::shared(plan, move |words, out| {
+    let (link, node) = Handle::shared(plan, move |words, out| {
         let ticket = match out {
             Output::Purge { purges, token: ticket } => {
                 let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
@@ -184,14 +184,14 @@
                 return
             }
         };
-        words.say(Word::InEffect(ticket));
+        words.send(Command::ConfirmApplied(ticket));
     })?;
     let pause = Arc::new(Pause::default());
     let task = tokio::task::spawn_local(Pausable { inner: Box::pin(node), pause: pause.clone() });
     Ok(Running { link, task, pause })
 }
 
-async fn survey(running: &BTreeMap<usize, Running>) -> BTreeMap<usize, Tally> {
+async fn survey(running: &BTreeMap<usize, Running>) -> BTreeMap<usize, TransportStatus> {
     let mut tallies = BTreeMap::new();
     for (member, node) in running {
         if node.pause.stopped.load(Ordering::Relaxed) {
@@ -199,7 +199,7 @@
         }
         let (reply, tally) = tokio::sync::oneshot::channel();
         let reply = Box::new(|tally| drop(reply.send(tally)));
-        if node.link.say(Word::Status(reply)) {
+        if node.link.send(Command::Status(reply)) {
             if let Ok(tally) = tally.await {
                 tallies.insert(*member, tally);
             }
--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -23,7 +23,7 @@
 use rockflow_process_harness::{Fleet, Layout, Place, Signal};
 use rockflow_test_servers::keys::Folder;
 use rockflow_test_servers::Board;
-use rockflow_transport::dissemination::{Bounds, Plan, Tally};
+use rockflow_transport::dissemination::{AddressScope, FrameCodec, NodeOptions, TransportStatus};
 use schedule::{At, Node, PathFault, Step};
 use serde_json::json;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -196,7 +196,7 @@
     /// Those that follow each hollow dispatcher, as of the last look, and hollow ones that stand still, as they were
     /// just before.
     followers: BTreeMap<usize, usize>,
-    asleep: BTreeMap<usize, Tally>,
+    asleep: BTreeMap<usize, TransportStatus>,
     /// When the present life of a control node began.
     control_born: BTreeMap<usize, Instant>,
     said: Vec<Said>,
@@ -400,15 +400,15 @@
     }
 
     /// What a hollow dispatcher is told: the same as a real one by its file.
-    fn plan(&self, member: usize) -> Plan {
+    fn plan(&self, member: usize) -> NodeOptions {
         let (layout, own) = (self.fleet.layout(), &self.fleet.members[member]);
         let control = self.fleet.control.iter().enumerate();
         let peer = |(place, control): (usize, &rockflow_process_harness::Member)| node::Peer {
             node: node::NodeId::of(&control.name),
             address: self.fleet.control_at(place),
         };
-        Plan {
-            bounds: Bounds::new("processes", layout.control, true),
+        NodeOptions {
+            codec: FrameCodec::new("processes", layout.control, AddressScope::LoopbackOnly),
             config: node::NodeConfig {
                 identity: node::Identity {
                     node: node::NodeId::of(&own.name),
@@ -586,7 +586,7 @@
             *top = (*top).max(said.number);
         }
         let tallies = self.hollow.survey()?;
-        self.followers = tallies.iter().map(|(member, tally)| (*member, tally.survey.children)).collect();
+        self.followers = tallies.iter().map(|(member, tally)| (*member, tally.node.children)).collect();
         for (member, tally) in tallies.iter().chain(&self.asleep) {
             if self.born.get(member).is_none_or(|born| born.elapsed() < GRACE) {
                 continue;
@@ -597,7 +597,7 @@
                         && (stream.stream.kind == node::StreamKind::Purges) == *purges
                 };
                 let newest =
-                    tally.survey.streams.iter().filter(of).max_by_key(|stream| stream.stream.incarnation);
+                    tally.node.streams.iter().filter(of).max_by_key(|stream| stream.stream.incarnation);
                 self.checked += 1;
                 if newest.is_none_or(|stream| stream.applied.0 < *top) {
                     self.too_early += 1;
@@ -733,7 +733,7 @@
             .collect();
         let tallies = self.hollow.survey()?;
         let of = |purges: bool| {
-            let streams = tallies.values().flat_map(|tally| tally.survey.streams.iter());
+            let streams = tallies.values().flat_map(|tally| tally.node.streams.iter());
             let streams =
                 streams.filter(move |stream| (stream.stream.kind == node::StreamKind::Purges) == purges);
             streams.fold(BTreeMap::new(), |mut tops: BTreeMap<node::StreamId, u64>, stream| {
--- a/crates/rockflow-scale/src/virtual_fleet/wire.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/wire.rs
@@ -1,7 +1,7 @@
 //! Sizes of frames as the link packs them.
 
 use rockflow_dissemination::{Identity, Message};
-use rockflow_transport::datagram::{MAX_MESSAGES, PACKED};
+use rockflow_transport::datagram::{MAX_MESSAGES, MAX_PACKED_BYTES};
 
 /// Mark, version, fleet, number of messages and checksum.
 const AROUND: usize = 2 + 1 + 4 + 1 + 4;
@@ -23,7 +23,7 @@
         let bytes = size(&message);
         match frames.last_mut() {
             Some((held, pack))
-                if *held - IP_UDP + COUNT_SPARE + bytes <= PACKED && pack.len() < MAX_MESSAGES =>
+                if *held - IP_UDP + COUNT_SPARE + bytes <= MAX_PACKED_BYTES && pack.len() < MAX_MESSAGES =>
             {
                 *held += bytes;
                 pack.push(message);
--- a/crates/rockflow-transport/src/carry.rs
+++ b/crates/rockflow-transport/src/carry.rs
@@ -1,7 +1,7 @@
 //! The thread in which a member's machine lives: its socket, its clock, and two mailboxes of bounded size. It decides
 //! nothing.
 
-use crate::frame::{self, Fault};
+use crate::frame::{self, DatagramError};
 use crate::wire::{self, Carried, Traffic, Wire};
 use rockflow_cluster::{
     Answer, CallId, Counts, Fleet, Kind, Life, MemberId, Message, Out, Seat, Standing, Subject, Told,
@@ -194,7 +194,7 @@
                 }
             }
             // Its own, sent back, or another process under the same name: left alone.
-            Ok(_) => self.wire.fault(Fault::OutOfRange, from),
+            Ok(_) => self.wire.fault(DatagramError::OutOfRange, from),
             Err(fault) => self.wire.fault(fault, from),
         }
     }
--- a/crates/rockflow-transport/src/dissemination/mod.rs
+++ b/crates/rockflow-transport/src/dissemination/mod.rs
@@ -1,7 +1,8 @@
-//! Dissemination on sockets: its frames, and the thread in which its machine lives.
+//! Dissemination on sockets: the format of its datagrams, their checks, and the thread in which a node runs.
 
-pub mod carry;
 pub mod frame;
+mod service;
+mod validate;
 
-pub use carry::{Link, Plan, Tally, WeakLink, Word};
-pub use frame::{Bounds, Frame};
+pub use frame::{AddressScope, Frame, FrameCodec};
+pub use service::{Command, Handle, NodeOptions, Reply, TransportStatus, WeakHandle};
--- a/crates/rockflow-transport/src/frame.rs
+++ b/crates/rockflow-transport/src/frame.rs
@@ -1,12 +1,12 @@
 //! A datagram: a head with version, fleet and sender, messages in the order of their sending, and a checksum over all.
 //! What comes from others is judged here, strictly and once.
 
-use crate::datagram::Head;
+use crate::datagram::Header;
 use rockflow_cluster::keeper::MAX_TAUGHT;
 use rockflow_cluster::{Answer, Content, Kept, Lesson, Message, Refusal, Seat, Told};
 use serde::{Deserialize, Serialize};
 
-pub use crate::datagram::{Fault, MAX_BYTES, MAX_MESSAGES, PACKED};
+pub use crate::datagram::{DatagramError, MAX_DATAGRAM_BYTES, MAX_MESSAGES, MAX_PACKED_BYTES};
 
 pub const VERSION: u8 = 1;
 const MARK: [u8; 2] = [0x72, 0x66];
@@ -21,8 +21,8 @@
     pub messages: Vec<Message>,
 }
 
-fn head(told: &Told) -> Head {
-    Head { mark: MARK, version: VERSION, fleet: told.digest() }
+fn head(told: &Told) -> Header {
+    Header { magic: MARK, version: VERSION, fleet: told.digest() }
 }
 
 /// Packs messages to one peer into datagrams, in order. What does not fit even alone is left out, and counted.
@@ -31,18 +31,18 @@
     head(told).pack(&from, messages)
 }
 
-pub fn decode(told: &Told, bytes: &[u8]) -> Result<Frame, Fault> {
+pub fn decode(told: &Told, bytes: &[u8]) -> Result<Frame, DatagramError> {
     let inner = head(told).open(bytes)?;
-    let (frame, behind) = postcard::take_from_bytes::<Frame>(inner).map_err(|_| Fault::Unreadable)?;
+    let (frame, behind) = postcard::take_from_bytes::<Frame>(inner).map_err(|_| DatagramError::Unreadable)?;
     if !behind.is_empty() {
-        return Err(Fault::Unreadable);
+        return Err(DatagramError::Unreadable);
     }
     let members = told.members.len();
     let known = |seat: &Seat| usize::from(seat.member.0) < members;
     let within = known(&frame.from)
         && frame.messages.len() <= MAX_MESSAGES
         && frame.messages.iter().all(|message| fits(told, message, &known));
-    within.then_some(frame).ok_or(Fault::OutOfRange)
+    within.then_some(frame).ok_or(DatagramError::OutOfRange)
 }
 
 fn fits(told: &Told, message: &Message, known: &impl Fn(&Seat) -> bool) -> bool {
--- a/crates/rockflow-transport/src/lib.rs
+++ b/crates/rockflow-transport/src/lib.rs
@@ -18,7 +18,7 @@
 
 #[cfg(feature = "fleet")]
 pub use carry::{Link, Plan, Tally, Word};
-pub use datagram::{Fault, MAX_BYTES};
+pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 #[cfg(feature = "fleet")]
 pub use frame::Frame;
 pub use wire::Traffic;
--- a/crates/rockflow-transport/src/wire.rs
+++ b/crates/rockflow-transport/src/wire.rs
@@ -1,7 +1,7 @@
 //! What every thread with a socket of ours does alike: it takes datagrams and words, looks at the time, keeps to a rate,
 //! and counts what is not taken. It decides nothing.
 
-use crate::datagram::{Fault, MAX_BYTES};
+use crate::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     pub held_back: u64,
     pub left_out: u64,
     /// Datagrams that were not taken, by why.
-    pub faults: BTreeMap<Fault, u64>,
+    pub faults: BTreeMap<DatagramError, u64>,
 }
 
 pub struct Wire {
@@ -77,7 +77,7 @@
         frames.iter().for_each(|bytes| self.send(to, bytes));
     }
 
-    pub fn fault(&mut self, fault: Fault, from: SocketAddr) {
+    pub fn fault(&mut self, fault: DatagramError, from: SocketAddr) {
         let count = self.traffic.faults.entry(fault).or_default();
         *count += 1;
         if *count % SAID_EVERY == 1 {
@@ -103,7 +103,7 @@
 
 /// Till the machine is over, nobody holds a way in, or the socket fails.
 pub async fn run<C: Carried>(carried: &mut C, words: &mut mpsc::Receiver<C::Word>) {
-    let mut buffer = vec![0; MAX_BYTES + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     while !carried.is_over() {
         let now = carried.wire().now();
         let wait = carried.next_due().map_or(IDLE, |due| due.saturating_sub(now));
--- a/crates/rockflow-transport/tests/dissemination_frames.rs
+++ b/crates/rockflow-transport/tests/dissemination_frames.rs
@@ -6,13 +6,13 @@
 use rockflow_dissemination::MAX_CLOCK_UNIX_MS;
 use rockflow_dissemination::*;
 use rockflow_transport::dissemination::frame::{
-    Bounds, MAX_INCARNATION, MAX_NUMBER, MAX_TABLE_PARTS, VERSION,
+    AddressScope, FrameCodec, MAX_INCARNATION, MAX_NUMBER, MAX_TABLE_PARTS, VERSION,
 };
-use rockflow_transport::Fault;
+use rockflow_transport::DatagramError;
 use test_case::test_case;
 
-fn bounds() -> Bounds {
-    Bounds::new("fleet", 2, true)
+fn codec() -> FrameCodec {
+    FrameCodec::new("fleet", 2, AddressScope::LoopbackOnly)
 }
 
 fn me() -> Identity {
@@ -157,7 +157,7 @@
 }
 
 fn sealed(message: &Message) -> Vec<u8> {
-    let (mut frames, left_out) = bounds().encode(me(), std::slice::from_ref(message));
+    let (mut frames, left_out) = codec().encode(me(), std::slice::from_ref(message));
     assert_eq!((frames.len(), left_out), (1, 0));
     frames.remove(0)
 }
@@ -165,7 +165,7 @@
 #[test]
 fn every_message_comes_out_as_it_was() {
     for message in each() {
-        let frame = bounds().decode(&sealed(&message)).unwrap_or_else(|what| panic!("{message:?}: {what}"));
+        let frame = codec().decode(&sealed(&message)).unwrap_or_else(|what| panic!("{message:?}: {what}"));
         assert_eq!((frame.from, frame.messages), (me(), vec![message]));
     }
 }
@@ -173,10 +173,10 @@
 #[test]
 fn messages_are_packed_by_size_and_in_order() {
     let messages: Vec<_> = (1..200).map(|first| batch(StreamKind::Purges, first, vec![purge(); 9])).collect();
-    let (frames, left_out) = bounds().encode(me(), &messages);
+    let (frames, left_out) = codec().encode(me(), &messages);
     assert!(frames.len() > 4 && frames.iter().all(|bytes| bytes.len() <= 1400), "{}", frames.len());
     let read: Vec<_> =
-        frames.iter().flat_map(|bytes| bounds().decode(bytes).expect("a frame").messages).collect();
+        frames.iter().flat_map(|bytes| codec().decode(bytes).expect("a frame").messages).collect();
     assert_eq!((read, left_out), (messages, 0));
 }
 
@@ -185,23 +185,26 @@
     let bytes = sealed(&Message::Leave);
     let mut other = bytes.clone();
     other[2] = VERSION + 1;
-    assert_eq!(bounds().decode(&other), Err(Fault::Version(VERSION + 1)));
-    assert_eq!(Bounds::new("other", 2, true).decode(&bytes), Err(Fault::OtherFleet));
+    assert_eq!(codec().decode(&other), Err(DatagramError::Version(VERSION + 1)));
+    assert_eq!(
+        FrameCodec::new("other", 2, AddressScope::LoopbackOnly).decode(&bytes),
+        Err(DatagramError::OtherFleet)
+    );
     // One of the dispatchers' other link.
     let mut other = bytes;
     other[1] = 0x66;
-    assert_eq!(bounds().decode(&other), Err(Fault::Foreign));
+    assert_eq!(codec().decode(&other), Err(DatagramError::Foreign));
 }
 
 #[test]
 fn what_is_not_whole_is_not_taken() {
     let whole = sealed(&batch(StreamKind::Purges, 1, vec![purge(); 3]));
     for (how, bytes, fault) in spoiled::not_whole(&whole) {
-        assert_eq!(bounds().decode(&bytes), Err(fault), "{how}");
+        assert_eq!(codec().decode(&bytes), Err(fault), "{how}");
     }
     let mut less = whole;
     less.remove(less.len() - 5);
-    assert_eq!(bounds().decode(&spoiled::resealed(less)), Err(Fault::Unreadable), "less in it");
+    assert_eq!(codec().decode(&spoiled::resealed(less)), Err(DatagramError::Unreadable), "less in it");
 }
 
 fn of_report(spoil: fn(&mut SubtreeReport)) -> Message {
@@ -216,72 +219,72 @@
     batch(StreamKind::Configuration, 1, vec![set(setting)])
 }
 
-#[test_case(batch(StreamKind::Purges, 1, vec![purge(); MAX_BATCH_ENTRIES + 1]), Fault::Amount; "entries")]
-#[test_case(batch(StreamKind::Purges, 1, vec![]), Fault::Amount; "no entries")]
-#[test_case(batch(StreamKind::Purges, 0, vec![purge()]), Fault::OutOfRange; "number zero")]
-#[test_case(batch(StreamKind::Purges, MAX_NUMBER + 1, vec![purge()]), Fault::OutOfRange; "number without end")]
-#[test_case(batch(StreamKind::Configuration, 1, vec![purge()]), Fault::Kind; "a purge among settings")]
-#[test_case(batch(StreamKind::Purges, 1, vec![set(setting("c1"))]), Fault::Kind; "a setting among purges")]
-#[test_case(of_setting(|setting| setting.host.clear()), Fault::Name; "no name")]
-#[test_case(of_setting(|setting| setting.host = "h".repeat(MAX_NAME_BYTES + 1)), Fault::Name; "a long name")]
-#[test_case(of_setting(|setting| setting.timestamp = timestamp(MAX_CLOCK_UNIX_MS + 1)), Fault::OutOfRange; "a clock without end")]
-#[test_case(of_setting(|setting| setting.timestamp.control = 2), Fault::OutOfRange; "a stamp of nobody")]
-#[test_case(of_setting(|setting| setting.replaced.control = 2), Fault::OutOfRange; "seen of nobody")]
-#[test_case(of_setting(|setting| setting.replaced = setting.timestamp), Fault::OutOfRange; "seen itself")]
-#[test_case(ask(2, 1), Fault::OutOfRange; "a range that ends before it begins")]
-#[test_case(ask(0, 1), Fault::OutOfRange; "a range from zero")]
-#[test_case(ask(1, MAX_NUMBER + 1), Fault::OutOfRange; "a range without end")]
-#[test_case(Message::SettingsRequest { part: MAX_TABLE_PARTS }, Fault::OutOfRange; "a part that there is not")]
-#[test_case(of_version(|version| version.stream.kind = StreamKind::Purges), Fault::Kind; "a setting of a stream of purges")]
-#[test_case(of_version(|version| version.number = SequenceNumber(0)), Fault::OutOfRange; "a setting of no number")]
-#[test_case(of_version(|version| version.setting.host.clear()), Fault::Name; "a setting of no host")]
-#[test_case(Message::RepairRequest { stream: stream(StreamKind::Purges), ranges: vec![(SequenceNumber(1), SequenceNumber(1)); MAX_RANGES + 1] }, Fault::Amount; "ranges")]
-#[test_case(pulse(MAX_TIPS + 1, 1, 1), Fault::Amount; "tips")]
-#[test_case(pulse(1, 3, 1), Fault::OutOfRange; "a tip before its first")]
-#[test_case(pulse(1, 0, 1), Fault::OutOfRange; "a tip from zero")]
-#[test_case(pulse(1, 1, u64::MAX), Fault::OutOfRange; "a tip without end")]
-#[test_case(placement(1, 1, &[]), Fault::OutOfRange; "a slot behind the last")]
-#[test_case(placement(0, 0, &[]), Fault::OutOfRange; "no slots")]
-#[test_case(placement(0, MAX_SLOTS as u16 + 1, &[]), Fault::OutOfRange; "slots")]
-#[test_case(placement(0, 1, &["127.0.0.1:1"; MAX_PARENTS + 1]), Fault::Amount; "parents")]
-#[test_case(placement(0, 1, &["127.0.0.1:0"]), Fault::Address; "no port")]
-#[test_case(placement(0, 1, &["0.0.0.0:1"]), Fault::Address; "no address")]
-#[test_case(placement(0, 1, &["224.0.0.1:1"]), Fault::Address; "an address of many")]
-#[test_case(placement(0, 1, &["192.0.2.1:1"]), Fault::Address; "an address outside")]
-#[test_case(settings(1, 1, 1), Fault::OutOfRange; "a part behind the last")]
-#[test_case(settings(0, 0, 1), Fault::OutOfRange; "no parts")]
-#[test_case(settings(0, MAX_TABLE_PARTS + 1, 1), Fault::OutOfRange; "parts")]
-#[test_case(settings(0, 1, MAX_SETTINGS_PER_PART + 1), Fault::Amount; "settings")]
-#[test_case(rows(MAX_REGION_REPORTS + 1, 0), Fault::Amount; "rows")]
-#[test_case(rows(1, 2), Fault::OutOfRange; "a clock of nobody")]
-#[test_case(of_clock(MAX_CLOCK_UNIX_MS + 1), Fault::OutOfRange; "a clock of rows without end")]
-#[test_case(outlived(2, 1), Fault::OutOfRange; "a control node that there is not")]
-#[test_case(outlived(0, 0), Fault::OutOfRange; "no life")]
-#[test_case(outlived(0, MAX_INCARNATION + 1), Fault::OutOfRange; "a life without end")]
-#[test_case(Message::Acknowledgement { received: vec![held(1); MAX_STREAMS + 1], reports: vec![] }, Fault::Amount; "streams")]
-#[test_case(Message::Acknowledgement { received: vec![held(MAX_NUMBER + 1)], reports: vec![] }, Fault::OutOfRange; "has without end")]
-#[test_case(Message::Acknowledgement { received: vec![], reports: vec![SubtreeReport { slots: SlotSet(vec![]), ..report() }; MAX_REPORTS + 1] }, Fault::Amount; "reports")]
-#[test_case(of_report(|report| report.slots.0.push(0)), Fault::Amount; "slots of a report")]
-#[test_case(of_report(|report| report.applied.push(held(1))), Fault::Amount; "in force")]
-#[test_case(of_report(|report| report.lagging.push(report.lagging[0])), Fault::Amount; "behind")]
-#[test_case(of_report(|report| report.lagging[0].0 = MAX_SLOTS as u16), Fault::OutOfRange; "behind at a slot that there is not")]
-#[test_case(of_report(|report| report.rejected.push(report.rejected[0])), Fault::Amount; "refused")]
-#[test_case(of_report(|report| report.rejected[0].0.kind = StreamKind::Purges), Fault::Kind; "a purge refused")]
-#[test_case(of_report(|report| report.rejected[0].3 = MAX_SLOTS as u16 + 1), Fault::OutOfRange; "refused by more than there are")]
-#[test_case(of_report(|report| report.applied[0].0.control = ControlId(2)), Fault::OutOfRange; "a stream of nobody")]
-#[test_case(of_report(|report| report.applied[0].0.incarnation = Incarnation(0)), Fault::OutOfRange; "a stream of no life")]
-fn what_is_out_of_its_bounds_is_not_taken(message: Message, fault: Fault) {
-    assert_eq!(bounds().decode(&sealed(&message)), Err(fault));
+#[test_case(batch(StreamKind::Purges, 1, vec![purge(); MAX_BATCH_ENTRIES + 1]), DatagramError::WrongCount; "entries")]
+#[test_case(batch(StreamKind::Purges, 1, vec![]), DatagramError::WrongCount; "no entries")]
+#[test_case(batch(StreamKind::Purges, 0, vec![purge()]), DatagramError::OutOfRange; "number zero")]
+#[test_case(batch(StreamKind::Purges, MAX_NUMBER + 1, vec![purge()]), DatagramError::OutOfRange; "number without end")]
+#[test_case(batch(StreamKind::Configuration, 1, vec![purge()]), DatagramError::WrongKind; "a purge among settings")]
+#[test_case(batch(StreamKind::Purges, 1, vec![set(setting("c1"))]), DatagramError::WrongKind; "a setting among purges")]
+#[test_case(of_setting(|setting| setting.host.clear()), DatagramError::InvalidName; "no name")]
+#[test_case(of_setting(|setting| setting.host = "h".repeat(MAX_NAME_BYTES + 1)), DatagramError::InvalidName; "a long name")]
+#[test_case(of_setting(|setting| setting.timestamp = timestamp(MAX_CLOCK_UNIX_MS + 1)), DatagramError::OutOfRange; "a clock without end")]
+#[test_case(of_setting(|setting| setting.timestamp.control = 2), DatagramError::OutOfRange; "a stamp of nobody")]
+#[test_case(of_setting(|setting| setting.replaced.control = 2), DatagramError::OutOfRange; "seen of nobody")]
+#[test_case(of_setting(|setting| setting.replaced = setting.timestamp), DatagramError::OutOfRange; "seen itself")]
+#[test_case(ask(2, 1), DatagramError::OutOfRange; "a range that ends before it begins")]
+#[test_case(ask(0, 1), DatagramError::OutOfRange; "a range from zero")]
+#[test_case(ask(1, MAX_NUMBER + 1), DatagramError::OutOfRange; "a range without end")]
+#[test_case(Message::SettingsRequest { part: MAX_TABLE_PARTS }, DatagramError::OutOfRange; "a part that there is not")]
+#[test_case(of_version(|version| version.stream.kind = StreamKind::Purges), DatagramError::WrongKind; "a setting of a stream of purges")]
+#[test_case(of_version(|version| version.number = SequenceNumber(0)), DatagramError::OutOfRange; "a setting of no number")]
+#[test_case(of_version(|version| version.setting.host.clear()), DatagramError::InvalidName; "a setting of no host")]
+#[test_case(Message::RepairRequest { stream: stream(StreamKind::Purges), ranges: vec![(SequenceNumber(1), SequenceNumber(1)); MAX_RANGES + 1] }, DatagramError::WrongCount; "ranges")]
+#[test_case(pulse(MAX_TIPS + 1, 1, 1), DatagramError::WrongCount; "tips")]
+#[test_case(pulse(1, 3, 1), DatagramError::OutOfRange; "a tip before its first")]
+#[test_case(pulse(1, 0, 1), DatagramError::OutOfRange; "a tip from zero")]
+#[test_case(pulse(1, 1, u64::MAX), DatagramError::OutOfRange; "a tip without end")]
+#[test_case(placement(1, 1, &[]), DatagramError::OutOfRange; "a slot behind the last")]
+#[test_case(placement(0, 0, &[]), DatagramError::OutOfRange; "no slots")]
+#[test_case(placement(0, MAX_SLOTS as u16 + 1, &[]), DatagramError::OutOfRange; "slots")]
+#[test_case(placement(0, 1, &["127.0.0.1:1"; MAX_PARENTS + 1]), DatagramError::WrongCount; "parents")]
+#[test_case(placement(0, 1, &["127.0.0.1:0"]), DatagramError::InvalidAddress; "no port")]
+#[test_case(placement(0, 1, &["0.0.0.0:1"]), DatagramError::InvalidAddress; "no address")]
+#[test_case(placement(0, 1, &["224.0.0.1:1"]), DatagramError::InvalidAddress; "an address of many")]
+#[test_case(placement(0, 1, &["192.0.2.1:1"]), DatagramError::InvalidAddress; "an address outside")]
+#[test_case(settings(1, 1, 1), DatagramError::OutOfRange; "a part behind the last")]
+#[test_case(settings(0, 0, 1), DatagramError::OutOfRange; "no parts")]
+#[test_case(settings(0, MAX_TABLE_PARTS + 1, 1), DatagramError::OutOfRange; "parts")]
+#[test_case(settings(0, 1, MAX_SETTINGS_PER_PART + 1), DatagramError::WrongCount; "settings")]
+#[test_case(rows(MAX_REGION_REPORTS + 1, 0), DatagramError::WrongCount; "rows")]
+#[test_case(rows(1, 2), DatagramError::OutOfRange; "a clock of nobody")]
+#[test_case(of_clock(MAX_CLOCK_UNIX_MS + 1), DatagramError::OutOfRange; "a clock of rows without end")]
+#[test_case(outlived(2, 1), DatagramError::OutOfRange; "a control node that there is not")]
+#[test_case(outlived(0, 0), DatagramError::OutOfRange; "no life")]
+#[test_case(outlived(0, MAX_INCARNATION + 1), DatagramError::OutOfRange; "a life without end")]
+#[test_case(Message::Acknowledgement { received: vec![held(1); MAX_STREAMS + 1], reports: vec![] }, DatagramError::WrongCount; "streams")]
+#[test_case(Message::Acknowledgement { received: vec![held(MAX_NUMBER + 1)], reports: vec![] }, DatagramError::OutOfRange; "has without end")]
+#[test_case(Message::Acknowledgement { received: vec![], reports: vec![SubtreeReport { slots: SlotSet(vec![]), ..report() }; MAX_REPORTS + 1] }, DatagramError::WrongCount; "reports")]
+#[test_case(of_report(|report| report.slots.0.push(0)), DatagramError::WrongCount; "slots of a report")]
+#[test_case(of_report(|report| report.applied.push(held(1))), DatagramError::WrongCount; "in force")]
+#[test_case(of_report(|report| report.lagging.push(report.lagging[0])), DatagramError::WrongCount; "behind")]
+#[test_case(of_report(|report| report.lagging[0].0 = MAX_SLOTS as u16), DatagramError::OutOfRange; "behind at a slot that there is not")]
+#[test_case(of_report(|report| report.rejected.push(report.rejected[0])), DatagramError::WrongCount; "refused")]
+#[test_case(of_report(|report| report.rejected[0].0.kind = StreamKind::Purges), DatagramError::WrongKind; "a purge refused")]
+#[test_case(of_report(|report| report.rejected[0].3 = MAX_SLOTS as u16 + 1), DatagramError::OutOfRange; "refused by more than there are")]
+#[test_case(of_report(|report| report.applied[0].0.control = ControlId(2)), DatagramError::OutOfRange; "a stream of nobody")]
+#[test_case(of_report(|report| report.applied[0].0.incarnation = Incarnation(0)), DatagramError::OutOfRange; "a stream of no life")]
+fn what_is_out_of_its_bounds_is_not_taken(message: Message, fault: DatagramError) {
+    assert_eq!(codec().decode(&sealed(&message)), Err(fault));
 }
 
 #[test]
 fn addresses_outside_the_loopback_go_where_they_are_told() {
     let bytes = sealed(&placement(0, 1, &["192.0.2.1:1"]));
-    assert!(Bounds::new("fleet", 2, false).decode(&bytes).is_ok());
+    assert!(FrameCodec::new("fleet", 2, AddressScope::Any).decode(&bytes).is_ok());
 }
 
 #[test]
 fn nothing_that_comes_makes_it_panic() {
     let good: Vec<_> = each().iter().map(sealed).collect();
-    spoiled::none_makes_it_panic(&good, |bytes| bounds().decode(bytes).is_ok());
+    spoiled::none_makes_it_panic(&good, |bytes| codec().decode(bytes).is_ok());
 }
--- a/crates/rockflow-transport/tests/dissemination_wire_format.rs
+++ b/crates/rockflow-transport/tests/dissemination_wire_format.rs
@@ -2,7 +2,7 @@
 //! fails here: the encoding carries order and no names.
 
 use rockflow_dissemination::*;
-use rockflow_transport::dissemination::frame::{Bounds, Frame};
+use rockflow_transport::dissemination::frame::{AddressScope, Frame, FrameCodec};
 use std::fmt::Write;
 use test_case::test_case;
 
@@ -153,8 +153,8 @@
     Frame { from, messages }
 }
 
-fn bounds() -> Bounds {
-    Bounds::new("fleet", 3, true)
+fn codec() -> FrameCodec {
+    FrameCodec::new("fleet", 3, AddressScope::LoopbackOnly)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -194,6 +194,6 @@
 #[test_case(vec![fresh(), join(), batch_of_purges()], "726402471e5ea0f1d0b1a1b3b59fc98c0181d095ffbc31030ffb0100e724070100fbd095ffbc31ab0203dc0b00000807060504030201dc0b00014ddc0b0002b02492af"; "several messages")]
 fn a_frame_has_its_literal_bytes(messages: Vec<Message>, literal: &str) {
     let frame = frame(messages);
-    assert_eq!(bounds().encode(frame.from, &frame.messages), (vec![bytes(literal)], 0));
-    assert_eq!(bounds().decode(&bytes(literal)), Ok(frame));
+    assert_eq!(codec().encode(frame.from, &frame.messages), (vec![bytes(literal)], 0));
+    assert_eq!(codec().decode(&bytes(literal)), Ok(frame));
 }
--- a/crates/rockflow-transport/tests/frames.rs
+++ b/crates/rockflow-transport/tests/frames.rs
@@ -4,7 +4,7 @@
 mod spoiled;
 
 use rockflow_cluster::*;
-use rockflow_transport::frame::{decode, encode, Fault, MAX_BYTES, VERSION};
+use rockflow_transport::frame::{decode, encode, DatagramError, MAX_DATAGRAM_BYTES, VERSION};
 use std::time::Duration;
 
 fn told() -> Told {
@@ -51,7 +51,7 @@
         read.inspect(|frame| assert_eq!(frame.from, seat(1))).flat_map(|frame| frame.messages).collect();
     assert_eq!((read, left_out), (messages, 0));
     // One that fits no datagram costs itself alone.
-    let large = Message::Swim(vec![0; MAX_BYTES]);
+    let large = Message::Swim(vec![0; MAX_DATAGRAM_BYTES]);
     let (frames, left_out) = encode(&told(), seat(1), &[write(1), large, write(2)]);
     assert_eq!((frames.len(), left_out), (1, 1));
 }
@@ -61,10 +61,10 @@
     let bytes = sealed(&[write(1)]);
     let mut other = bytes.clone();
     other[2] = VERSION + 1;
-    assert_eq!(decode(&told(), &other), Err(Fault::Version(VERSION + 1)));
+    assert_eq!(decode(&told(), &other), Err(DatagramError::Version(VERSION + 1)));
     let more = Told { members: ["a", "b", "c", "d"].map(str::to_string).to_vec(), ..told() };
-    assert_eq!(decode(&more, &bytes), Err(Fault::OtherFleet));
-    assert_eq!(decode(&Told { keepers: 1, ..told() }, &bytes), Err(Fault::OtherFleet));
+    assert_eq!(decode(&more, &bytes), Err(DatagramError::OtherFleet));
+    assert_eq!(decode(&Told { keepers: 1, ..told() }, &bytes), Err(DatagramError::OtherFleet));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     nobody[7] = 3;
     assert_eq!(
         decode(&told(), &spoiled::resealed(nobody)),
-        Err(Fault::OutOfRange),
+        Err(DatagramError::OutOfRange),
         "a member that there is not"
     );
 }
@@ -87,7 +87,7 @@
     let within = sealed(&[write(1024)]);
     assert!(decode(&told(), &within).is_ok());
     let over = sealed(&[write(1025)]);
-    assert_eq!(decode(&told(), &over), Err(Fault::OutOfRange));
+    assert_eq!(decode(&told(), &over), Err(DatagramError::OutOfRange));
     let lesson = |records: usize, part: u16| {
         let kept = Kept { subject: None, promised: Ballot::first(seat(0), 1), content: Content::default() };
         let taught = |n| {
@@ -98,8 +98,8 @@
         sealed(&[Message::Lesson(Lesson { seat: seat(2), no: 1, part, parts: 2, by: None, records })])
     };
     assert!(decode(&told(), &lesson(4, 1)).is_ok());
-    assert_eq!(decode(&told(), &lesson(5, 1)), Err(Fault::OutOfRange));
-    assert_eq!(decode(&told(), &lesson(1, 2)), Err(Fault::OutOfRange));
+    assert_eq!(decode(&told(), &lesson(5, 1)), Err(DatagramError::OutOfRange));
+    assert_eq!(decode(&told(), &lesson(1, 2)), Err(DatagramError::OutOfRange));
 }
 
 #[test]
--- a/crates/rockflow-transport/tests/spoiled/mod.rs
+++ b/crates/rockflow-transport/tests/spoiled/mod.rs
@@ -1,6 +1,6 @@
 //! Frames that somebody spoiled, for the tests of both carriers' frames.
 
-use rockflow_transport::{Fault, MAX_BYTES};
+use rockflow_transport::{DatagramError, MAX_DATAGRAM_BYTES};
 
 /// With its checksum made to fit again.
 pub fn resealed(mut bytes: Vec<u8>) -> Vec<u8> {
@@ -11,22 +11,22 @@
 }
 
 /// What is not whole, whichever carrier's frame it was, and why it is not taken.
-pub fn not_whole(frame: &[u8]) -> Vec<(&'static str, Vec<u8>, Fault)> {
+pub fn not_whole(frame: &[u8]) -> Vec<(&'static str, Vec<u8>, DatagramError)> {
     let spoil = |name, fault, how: fn(&mut Vec<u8>)| {
         let mut bytes = frame.to_vec();
         how(&mut bytes);
         (name, bytes, fault)
     };
     vec![
-        spoil("cut in its head", Fault::Foreign, |bytes| bytes.truncate(3)),
-        spoil("another mark", Fault::Foreign, |bytes| bytes[0] = 0),
-        spoil("a flipped bit", Fault::Checksum, |bytes| {
+        spoil("cut in its head", DatagramError::Foreign, |bytes| bytes.truncate(3)),
+        spoil("another mark", DatagramError::Foreign, |bytes| bytes[0] = 0),
+        spoil("a flipped bit", DatagramError::Checksum, |bytes| {
             let middle = bytes.len() / 2;
             bytes[middle] ^= 1;
         }),
-        spoil("cut", Fault::Checksum, |bytes| bytes.truncate(bytes.len() - 1)),
-        spoil("longer than any", Fault::TooLarge, |bytes| bytes.resize(MAX_BYTES + 1, 0)),
-        spoil("more behind it", Fault::Unreadable, |bytes| {
+        spoil("cut", DatagramError::Checksum, |bytes| bytes.truncate(bytes.len() - 1)),
+        spoil("longer than any", DatagramError::TooLarge, |bytes| bytes.resize(MAX_DATAGRAM_BYTES + 1, 0)),
+        spoil("more behind it", DatagramError::Unreadable, |bytes| {
             bytes.insert(bytes.len() - 4, 0);
             *bytes = resealed(bytes.clone());
         }),
