--- a/crates/rockflow-dissemination/tests/directory.rs
+++ b/crates/rockflow-dissemination/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: its text, and the tree worked out from it.
+//! The directory: its text, and the tree derived from it.
 
 use rockflow_dissemination::{Directory, NodeId, Peer, MAX_PARENTS};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rockflow-dissemination/tests/directory_changes.rs
+++ b/crates/rockflow-dissemination/tests/directory_changes.rs
@@ -1,4 +1,4 @@
-//! What pulses say of the directory, passed on from parent to child.
+//! What heartbeats say of the directory, passed on from parent to child.
 
 mod support;
 
@@ -9,7 +9,7 @@
     fleet.members().map(|index| fleet.counters(index).messages_out.join).sum()
 }
 
-/// All control nodes begin anew, with a directory of an earlier version.
+/// All control nodes restart with a directory of an earlier version.
 #[test]
 fn earlier_directory_does_not_cause_endless_joins() {
     let regions: &[&[usize]] = &[&[9, 5], &[6]];
@@ -26,7 +26,7 @@
     for control in 0..3 {
         fleet.restart(control, INCARNATION + 100_000);
     }
-    // Places by the earlier one are taken when they are asked for anew, whatever is heard.
+    // Places of the earlier directory are accepted at the next join.
     fleet.run(s(1800));
     for index in fleet.members() {
         assert_eq!(fleet.status(index).directory, 3, "{}", fleet.nodes[index].name);
@@ -37,7 +37,7 @@
     assert!(asked <= fleet.members().len() as u64, "{asked} in 60 s");
 }
 
-/// One pulse of the parent names a directory without end.
+/// One heartbeat of the parent has an absurd directory version.
 #[test]
 fn absurd_directory_version_is_forgotten_with_the_next_heartbeat() {
     let mut fleet = Fleet::new(3, &[&[9, 5], &[6]], 91);
--- a/crates/rockflow-dissemination/tests/faults_and_moves.rs
+++ b/crates/rockflow-dissemination/tests/faults_and_moves.rs
@@ -1,4 +1,4 @@
-//! A small fleet whose nodes stand still, end, begin anew, or are given more than they hold.
+//! A small fleet whose nodes pause, stop, restart, or get more than they can hold.
 
 mod support;
 
@@ -13,7 +13,7 @@
     let moves = fleet.index("m-0-0-4");
     let missing = fleet.index("m-0-0-3");
     fleet.kill(missing);
-    // It changes its parents again and again, and is reported by several.
+    // It changes its parents repeatedly, and several of them report it.
     for turn in 0..12 {
         let parent = fleet.status(moves).parent.expect("a parent").address;
         let parent = (0..fleet.nodes.len()).find(|index| address(*index) == parent).expect("one");
@@ -39,7 +39,7 @@
     assert!(!fleet.everywhere(0, first));
     let behind = fleet.control(0).lagging;
     assert!(behind.contains(&("m-0-1-1".to_owned(), first.0, SequenceNumber(0))), "{behind:?}");
-    // The later one first: nothing is in force in a row yet.
+    // The later one first: nothing is applied without a gap yet.
     let tokens = std::mem::take(&mut fleet.nodes[member].done.tokens);
     for token in tokens.into_iter().rev() {
         assert!(!fleet.everywhere(0, first));
@@ -57,7 +57,7 @@
     let member = fleet.index("m-0-1-1");
     fleet.nodes[member].done.withholds = true;
     let id = fleet.purge(0, 1);
-    // Past the window and the quarter for which a log holds more.
+    // Past the window and the quarter of it for which a log holds purges longer.
     fleet.run(s(15));
     fleet.nodes[member].done.withholds = false;
     for token in std::mem::take(&mut fleet.nodes[member].done.tokens) {
@@ -121,7 +121,7 @@
 fn entry_reaches_its_region_without_control() {
     let mut fleet = settled(34);
     let leaf = fleet.index("m-0-0-4");
-    // Only the leaf hears of it before all control nodes end.
+    // Only the leaf receives it before all control nodes stop.
     fleet.eats = Some(Box::new(move |_, to, message| to != leaf && matches!(message, Message::Batch { .. })));
     let stream =
         StreamId { control: ControlId(0), kind: StreamKind::Purges, incarnation: Incarnation(INCARNATION) };
--- a/crates/rockflow-dissemination/tests/fleet.rs
+++ b/crates/rockflow-dissemination/tests/fleet.rs
@@ -138,7 +138,7 @@
 fn abandons_lost_entries_for_one_full_purge() {
     let mut fleet = settled(24);
     let member = fleet.index("m-1-0-2");
-    // No batch reaches it, but the pulses do.
+    // No batch reaches it, but the heartbeats do.
     fleet.eats = Some(Box::new(move |_, to, message| {
         to == member && matches!(message, Message::Batch { .. } | Message::Snapshot { .. })
     }));
@@ -220,7 +220,7 @@
 #[test]
 fn more_cautious_of_concurrent_settings_wins() {
     let mut fleet = settled(28);
-    // All before the next pulse, by which the control nodes hear of it.
+    // All before the next heartbeat, by which the control nodes learn of it.
     fleet.want(0, "a", DesiredState::Gone);
     fleet.want(1, "a", DesiredState::Draining);
     fleet.want(1, "b", DesiredState::Draining);
--- a/crates/rockflow-dissemination/tests/hostile.rs
+++ b/crates/rockflow-dissemination/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Whatever is heard: no panic, and no table above its cap.
+//! Random and hostile messages: no panic, and no table above its limit.
 
 use rockflow_dissemination::MAX_PENDING_TOKENS;
 use rockflow_dissemination::*;
@@ -236,7 +236,7 @@
     }
 }
 
-/// Frames that a decoder would let through are within these.
+/// Messages that a decoder would accept are within these limits.
 fn assert_message_within_limits(message: &Message) {
     match message {
         Message::Acknowledgement { received: has, reports } => {
@@ -268,7 +268,7 @@
     run_random_messages(control_id, seed, confirms, FRAMES, 300);
 }
 
-/// More hosts than the table holds; fewer frames, as the whole table goes to the caller at each change.
+/// More hosts than the table holds; fewer messages, as the whole table goes to the caller at each change.
 #[test]
 fn random_messages_with_too_many_hosts_stay_within_limits() {
     let held = run_random_messages(None, 5, true, FRAMES / 10, 9000);
--- a/crates/rockflow-dissemination/tests/incarnations.rs
+++ b/crates/rockflow-dissemination/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of control nodes that follow one another, some with clocks that no one has.
+//! Incarnations of control nodes that follow one another, some with impossible clocks.
 
 mod support;
 
@@ -20,8 +20,8 @@
     StreamTip { stream, first: SequenceNumber(1), last: SequenceNumber(last) }
 }
 
-/// Its parent was cut off from a control node for long, which has published more and begun anew; when they meet, the
-/// later life is heard of first.
+/// The parent was cut off from a control node for long, which has published more and restarted; when they rejoin, the
+/// later incarnation is received first.
 #[test]
 fn quiet_incarnation_is_not_retired_when_a_later_one_is_received_first() {
     let mut node = placed_member();
@@ -53,7 +53,7 @@
     ));
     let taken = node.counters().accepted;
     assert!(taken == 4 || floored, "{taken} taken");
-    // In the end it goes.
+    // In the end it is retired.
     for _ in 0..20 {
         now += HEARTBEAT_INTERVAL;
         parent_heartbeat(&mut node, now, vec![tip(two, 1)]);
@@ -62,7 +62,7 @@
     assert_eq!(node.counters().streams_retired, 1);
 }
 
-/// Two halves of a fleet, each with a control node; one of these begins anew shortly before they meet.
+/// Two halves of a fleet, each with a control node; one of these restarts shortly before they rejoin.
 #[test]
 fn halves_that_rejoin_after_a_publisher_restart_miss_nothing() {
     for before_rejoining in [ms(300), ms(1000), ms(2000), ms(4000)] {
@@ -109,7 +109,7 @@
     play(&mut fleet, s(12));
     fleet.run(s(30));
     for (object, published) in owed {
-        // What was past the window when they met binds nobody.
+        // What had expired when they rejoined does not have to be applied.
         for index in fleet.members().filter(|_| published + PURGE_WINDOW > met + s(2)) {
             let name = &fleet.nodes[index].name;
             assert!(
@@ -120,7 +120,7 @@
     }
 }
 
-/// More lives than streams are held: one that must go may still have purges that are not here.
+/// More incarnations than streams are held: an evicted one may still have purges that are not here.
 #[test]
 fn evicted_incarnation_is_covered_by_a_full_purge() {
     let mut node = placed_member();
@@ -179,7 +179,7 @@
     batches.collect()
 }
 
-/// One frame names a life of a clock that nobody has. Whatever it is, the control node's own purges go on to be taken.
+/// One message names an impossible incarnation. Whatever it is, the control node's own purges are still accepted.
 #[test]
 fn absurd_incarnation_in_one_message_does_not_lock_out_a_control_node() {
     for incarnation in [1 << 41, (1 << 42) - 1, 1 << 42, (1 << 42) + 1, 1 << 43, u64::MAX - 1, u64::MAX] {
@@ -191,9 +191,9 @@
         member.on_message(now, identity(&control_name(0)), node_address(0), first[0].clone());
         member.on_message(now, identity("m"), node_address(5), batch(named, 1, 50..51));
         own.on_message(now, identity("m"), node_address(5), batch(named, 1, 50..51));
-        // What a member knows of a later life it says to the control node.
+        // A member tells the control node of a later incarnation that it knows.
         for object in 2..80 {
-            // Once it is quiet for so long that a life which another follows is over.
+            // Once it is quiet for so long that a superseded incarnation is retired.
             for _ in 0..if object == 10 { 40 } else { 1 } {
                 now += HEARTBEAT_INTERVAL;
                 parent_heartbeat(&mut member, now, Vec::new());
@@ -222,7 +222,7 @@
     }
 }
 
-/// Its own clock is one that nobody has: it publishes under a life that all take, and above which others can begin.
+/// Its own clock is impossible: it publishes under an incarnation that all accept, and above which others can continue.
 #[test]
 fn accepts_control_node_with_clock_far_ahead_and_its_successor() {
     for incarnation in [1 << 42, (1 << 43) - 1, u64::MAX] {
@@ -239,7 +239,7 @@
             assert!(member.counters().accepted > taken, "life {incarnation}");
         }
         assert_eq!(member.status(ms(700)).desired.len(), 1);
-        // The next life has the right clock again: it is told to begin above.
+        // The next incarnation has the right clock again: it is told to continue above.
         let outputs = member.on_message(ms(800), identity(&control_name(0)), node_address(0), Message::Leave);
         let notice = outputs.iter().find_map(|out| match out {
             Output::Send { message: message @ Message::SupersededIncarnation { .. }, .. } => {
@@ -263,7 +263,7 @@
     }
 }
 
-/// One frame brings a setting whose stamp no clock has. What the control node publishes later is taken by others.
+/// One message has a setting with an impossible timestamp. What the control node publishes later is still accepted.
 #[test]
 fn absurd_timestamp_in_one_message_does_not_block_later_settings() {
     for timestamp in [1 << 41, (1 << 42) - 1, 1 << 42, (1 << 42) + 1, 1 << 43, u64::MAX] {
@@ -294,7 +294,8 @@
     }
 }
 
-/// What can't be numbered above the version it replaces isn't published: an entry that nobody takes would be a gap.
+/// A setting that can't be stamped above the version it replaces isn't published: an entry that no node accepts would be a
+/// gap.
 #[test]
 fn rejects_publication_of_setting_above_every_clock() {
     let mut own = control(0);
@@ -322,7 +323,7 @@
     assert_eq!(ids.len(), 1);
 }
 
-/// Frames that claim a further own stream come as fast as anybody sends them.
+/// Messages that claim a further own stream arrive as fast as anybody sends them.
 #[test]
 fn reincarnates_at_most_once_a_heartbeat() {
     let mut own = control(0);
@@ -338,7 +339,7 @@
             outputs.iter().filter(|out| matches!(out, Output::IncarnationSuperseded { .. })).count();
     }
     assert_eq!(incarnations, 1);
-    // The next pulse brings what it has not answered.
+    // The next heartbeat brings what it has not answered.
     let named = purges_of(INCARNATION + 5000);
     let outputs = own.on_message(ms(1000), identity("m"), node_address(5), batch(named, 1, 0..1));
     assert!(
@@ -347,7 +348,7 @@
     );
 }
 
-/// Places are answered by a pace, as the answer is ten times as large as what asks for it.
+/// Answers to joins are rate-limited, as they are ten times as large as the request.
 #[test]
 fn join_answers_are_rate_limited() {
     let mut own = control(0);
@@ -371,7 +372,7 @@
     assert!(own.counters().repair_requests_throttled > 0);
 }
 
-/// Its own next stream has to make room; what went is counted, as where another's does.
+/// The node's own next stream evicts another; that is counted as for a received stream.
 #[test]
 fn eviction_by_own_stream_is_counted() {
     let mut own = control(0);
--- a/crates/rockflow-dissemination/tests/member.rs
+++ b/crates/rockflow-dissemination/tests/member.rs
@@ -1,4 +1,4 @@
-//! A member alone, told what its neighbours say.
+//! A member alone, whose neighbours the test plays.
 
 mod support;
 
@@ -31,7 +31,7 @@
     StreamId { control: ControlId(0), kind, incarnation: Incarnation(INCARNATION) }
 }
 
-/// A member that is placed below a parent, and has heard it.
+/// A member that is placed below a parent and has received its heartbeat.
 fn placed() -> (Node, Duration) {
     let mut node = Node::new(config(), None, 1, Duration::ZERO);
     node.start(Duration::ZERO);
@@ -171,7 +171,7 @@
     assert_eq!(node.status(now).parent, Some(Peer { node: NodeId::of("seed"), address: node_address(9) }));
 }
 
-/// Half of control may be out of reach: three asks in vain, and what follows the fourth, fit into the window.
+/// Half of the control nodes may be out of reach: three joins in vain, and what follows the fourth, fit into the window.
 #[test]
 fn member_without_place_joins_every_two_heartbeats() {
     let mut node = Node::new(config(), None, 1, Duration::ZERO);
@@ -314,7 +314,7 @@
     }
 }
 
-/// A life of a control node ends, and a later one is heard of, with so much silence between; how many floors come of it.
+/// An incarnation of a control node ends, and a later one is received after this silence; returns how many full purges result.
 fn full_purges_after_a_later_incarnation(silence: Duration) -> u64 {
     let (mut node, mut now) = placed();
     let earlier =
@@ -363,7 +363,7 @@
         };
         node.on_message(ms(1), identity("control-0"), node_address(0), listing_hash);
     }
-    // One has heard a fresh pulse once, as if by a parent that was there before.
+    // One has received a fresh heartbeat once, as if from an earlier parent.
     heartbeat_of(&mut nodes[0], ms(1), "two", node_address(2));
     let mut frames: Vec<(usize, usize, Message)> = Vec::new();
     let mut count = 0;
@@ -425,7 +425,7 @@
     while node.counters().repair_requests_throttled == 0 {
         node.on_message(now, identity("child"), node_address(100), all.clone());
     }
-    // Held back before what it asks for is looked up at all.
+    // Throttled before what it requests is looked up at all.
     node.on_message(now, identity("child"), node_address(100), none);
     assert_eq!(node.counters().repair_requests_throttled, 2);
 }
--- a/crates/rockflow-dissemination/tests/publisher.rs
+++ b/crates/rockflow-dissemination/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! Which of the board's purges a control node publishes.
+//! Which purges of the board a control node publishes.
 
 use rockflow_dissemination::{Publication, Publisher, PublisherRole, Purge};
 use rockflow_dissemination::{MAX_NOTICES_PER_PURGE, MAX_PENDING_PURGES, MAX_PUBLISHED_PURGES};
@@ -33,7 +33,7 @@
     publisher.on_purge_notice(ms(10_000), one(), ms(30));
     assert_eq!(publisher.tick(ms(10_010), PublisherRole::Active), [purge(1, 40)]);
     assert_eq!(publisher.tick(ms(10_500), PublisherRole::Active), []);
-    // The same word again, as a board that was called anew tells it.
+    // The same notice again, as a board repeats it on a new connection.
     publisher.on_purge_notice(ms(11_000), one(), ms(1030));
     assert_eq!(publisher.tick(ms(11_000), PublisherRole::Active), []);
     publisher.on_purge_notice(ms(11_001), one(), ms(5));
@@ -66,7 +66,7 @@
     let mut publisher = Publisher::new(PURGE_WINDOW);
     publisher.on_purge_notice(ms(20_000), one(), ms(0));
     assert_eq!(publisher.tick(ms(20_000), PublisherRole::Active), [purge(1, 0)]);
-    // Another that thinks so too has said the same; the board's next word is another purge all the same.
+    // Another active control node has published the same; the board's next notice is a new purge all the same.
     publisher.on_published(ms(20_100), one(), ms(100));
     publisher.on_purge_notice(ms(20_500), one(), ms(0));
     assert_eq!(publisher.tick(ms(20_500), PublisherRole::Active), [purge(1, 0)]);
@@ -141,7 +141,7 @@
     Publisher::new(PURGE_WINDOW).settling(SETTLE)
 }
 
-/// Everything that is said in twenty seconds.
+/// Everything that is published in twenty seconds.
 fn published_from(publisher: &mut Publisher, from: u64, publishing: bool) -> Vec<Publication> {
     (0..200).flat_map(|at| publisher.tick(ms(from + at * 100), role(publishing))).collect()
 }
@@ -189,7 +189,7 @@
     }
 }
 
-/// The later of two of a name is said, though the publication of the first may look like its own.
+/// The later of two purges of an object is published, though the publication of the first may look like its own.
 #[test_case(4000, 1000, 4000; "clocks agree")]
 #[test_case(7000, 7000, 4000; "this clock is ahead")]
 #[test_case(3000, 0, 4000; "this clock is behind")]
@@ -238,7 +238,7 @@
     assert_eq!(publisher.tick(ms(20_500), PublisherRole::Active), [purge(2, 0)]);
 }
 
-/// What streams bring to a node that has just begun comes later than half the window after the purge was made.
+/// What streams bring to a node that has just started arrives later than half the window after the purge was made.
 #[test]
 fn overdue_time_counts_from_receipt() {
     let mut publisher = Publisher::new(PURGE_WINDOW);
--- a/crates/rockflow-dissemination/tests/publishing.rs
+++ b/crates/rockflow-dissemination/tests/publishing.rs
@@ -1,4 +1,4 @@
-//! Publications of both kinds leave a control node by one pace: neither waits for a flood of the other.
+//! Publications of both kinds share one budget: neither waits for a flood of the other.
 
 mod support;
 
@@ -8,23 +8,23 @@
 use support::*;
 use test_case::test_case;
 
-/// Within so long a change is to be in force everywhere, as the operators say.
+/// Within this time a setting is to be applied everywhere.
 const CHANGE: Duration = Duration::from_secs(4);
 const BYTES_PER_SECOND: u64 = 6000;
-/// Of these, publications leave by one part in so many, 30 s of it at once.
+/// Publications use this part of the bytes per second, up to 30 s of it at once.
 const SHARE: u64 = 6;
 const AT_ONCE: u64 = 30;
 
-/// One control node alone, beside another that is only sent to.
+/// One control node, and another that only receives.
 struct Alone {
     now: Duration,
     node: Node,
     names: u64,
     published: BTreeMap<EntryId, Duration>,
-    /// How long each waited.
+    /// How long each waited to be sent.
     waited: BTreeMap<EntryId, Duration>,
     bytes: u64,
-    /// The last number of its purges that its pulses told of.
+    /// The last purge that its heartbeats have advertised.
     advertised: SequenceNumber,
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// The target's purges, 49 a second, beside more changes than could ever leave.
+/// 49 purges a second, beside more settings than can be sent.
 #[test_case(4096, 0; "all hosts at once")]
 #[test_case(1000, 50; "hosts without end")]
 fn purges_do_not_wait_for_a_flood_of_settings(at_once: u64, each_pulse: u64) {
@@ -140,7 +140,7 @@
     assert!(waited <= HEARTBEAT_INTERVAL * 4, "a purge waited {waited:?}");
 }
 
-/// Both at once, for long: what leaves stays within the pace, and both go on.
+/// Both at once, for long: what is sent stays within the budget, and both advance.
 #[test]
 fn flood_of_both_stays_within_the_budget() {
     let mut alone = Alone::new();
@@ -159,7 +159,7 @@
     assert!(all.0 > 3000 && all.1 > 500, "{all:?}");
 }
 
-/// Who was told of a number may have asked for it, and taken it: nothing later hides behind it.
+/// A node to which a number was advertised may have requested and applied it: no later purge may be folded into it.
 #[test]
 fn folding_purge_was_not_advertised_before() {
     let mut alone = Alone::new();
@@ -180,7 +180,7 @@
     assert!(folded > 4000, "{folded}");
 }
 
-/// In a whole small fleet, a change is in force at each member in its time after a burst of purges.
+/// In a small fleet, a setting is applied at each member in time after a burst of purges.
 #[test_case(4000, 0, 0; "four thousand at once")]
 #[test_case(0, 245, 60; "490 a second for 30 s")]
 fn setting_is_applied_in_time_behind_a_burst_of_purges(at_once: u64, each_pulse: u64, pulses: u32) {
--- a/crates/rockflow-dissemination/tests/settings_tables.rs
+++ b/crates/rockflow-dissemination/tests/settings_tables.rs
@@ -1,4 +1,4 @@
-//! Whole tables of settings: fetched by who lacks something, and sent up where a peer lacks what is held here.
+//! Whole tables of settings: fetched where something is missing, and sent where the other node lacks something.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::*;
 
-/// As many hosts as the target names.
+/// Hosts of a large site.
 const HOSTS: usize = 450;
 
 fn host(index: usize) -> String {
@@ -51,7 +51,7 @@
     }
 }
 
-/// What goes up, part by part, in so long to a parent whose digest stays another.
+/// The parts sent within a span to a parent whose digest keeps differing.
 fn parts_sent_in_vain(span: Duration) -> Vec<(Duration, u16, u16)> {
     let mut node = placed_member();
     let mut table = SettingsTable::default();
@@ -122,7 +122,7 @@
     assert!((1..=3 * parts).contains(&second), "{second} of {parts} parts");
 }
 
-/// A host that is just listed again changes no digest of what is wanted; but it moves the parts.
+/// A host whose override is withdrawn does not change the digest of overrides; but it moves the parts.
 #[test]
 fn table_that_changes_during_a_fetch_is_not_taken_for_complete() {
     let mut node = placed_member();
@@ -144,7 +144,7 @@
     let snapshot = Message::Snapshot { stream: id, next: SequenceNumber(41), min_accepted_age_ms: None };
     let mut asked = to_parent(&node.on_message(now, identity("parent"), node_address(1), snapshot));
     assert!(asked.contains(&Message::SettingsRequest { part: 0 }), "{asked:?}");
-    // The first part is lost, and a host that sorts before all others is listed before it is asked for again.
+    // The first part is lost, and a host that sorts before all others is added before it is requested again.
     let last = source.messages(1).pop().expect("two parts");
     assert!(matches!(last, Message::SettingsPart { part: 1, parts: 2, .. }));
     asked.clear();
--- a/crates/rockflow-dissemination/tests/subscription.rs
+++ b/crates/rockflow-dissemination/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! Whom a member goes to where its parent fails: candidates that are there, gone, stale or full are played, each after the
-//! same way there and back, and the time until a fresh one is followed is taken.
+//! Which candidate a member follows when its parent fails: candidates that are present, gone, stale or full are played, each
+//! with the same round trip, and the time until a fresh one is followed is measured.
 
 use rockflow_dissemination::MAX_CHILDREN;
 use rockflow_dissemination::*;
@@ -10,14 +10,14 @@
 
 const INCARNATION: u64 = 1_800_000_000_000;
 const HEARTBEAT_INTERVAL: u64 = 500;
-/// One way between any two.
+/// Transit time between any two nodes.
 const TRANSIT_MS: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Is {
     Fresh,
     Gone,
-    /// Its pulses have grown stale since the fault.
+    /// Its heartbeats are stale since the fault.
     Stale,
     Full,
 }
@@ -42,15 +42,15 @@
     node: Node,
     now: u64,
     are: Vec<Is>,
-    /// From when on they are so; before, all are fresh.
+    /// When the fault begins; before, all are fresh.
     fault_at: u64,
-    /// Frames on their way to the member.
+    /// Messages in transit to the member.
     coming: Vec<(u64, usize, Message)>,
-    /// Frames on their way to a candidate.
+    /// Messages in transit to a candidate.
     going: Vec<(u64, usize, Message)>,
-    /// Candidates that hold the member for a child.
+    /// Candidates of which the member is a child.
     parents: BTreeSet<usize>,
-    /// When another was followed, and whom.
+    /// When another parent was followed, and which.
     turns: Vec<(u64, usize)>,
     probes: Vec<u64>,
     lose_heartbeat_at: Option<u64>,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A candidate hears something.
+    /// A candidate receives a message.
     fn heard(&mut self, index: usize, message: Message) {
         let is = self.is(index);
         let answer = match message {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// How long after the fault a fresh one was followed for good.
+    /// How long after the fault a fresh candidate was followed for good.
     fn found_after(&mut self, index: usize) -> u64 {
         self.run(self.fault_at + 60_000);
         let (at, last) = *self.turns.last().expect("one is followed");
@@ -206,7 +206,7 @@
 
 use Is::{Fresh, Full, Gone, Stale};
 
-/// However many candidates are no way, only the parent is waited for.
+/// However many candidates have failed, only the parent's timeout is waited for.
 #[test_case(&[Gone, Fresh], 1)]
 #[test_case(&[Gone, Gone, Gone, Gone, Fresh], 4)]
 #[test_case(&[Gone, Gone, Gone, Gone, Gone, Gone, Fresh, Gone], 6)]
@@ -231,7 +231,7 @@
     assert_eq!(play.turns.len(), 2, "{:?}", play.turns);
 }
 
-/// Silent, then one that is stale, then the rest: two waits at the most.
+/// A silent parent, then a stale candidate, then the rest: at most two timeouts.
 #[test_case(&[Gone, Stale, Stale, Gone, Stale, Fresh], 5)]
 fn leaves_stale_candidate_as_soon_as_it_is_found_stale(are: &[Is], to: usize) {
     let mut play = Play::new(are);
@@ -258,7 +258,7 @@
     assert!(minute > 0 && minute <= 7 * 31, "{minute} probes in a minute");
 }
 
-/// One that comes back is found by the next probe, however long all were gone.
+/// A returning candidate is found by the next probe, however long all were gone.
 #[test]
 fn finds_returning_candidate_after_long_backoff() {
     let mut play = Play::new(&[Gone; 8]);
--- a/crates/rockflow-dissemination/tests/support/fleet.rs
+++ b/crates/rockflow-dissemination/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A tiny fleet in virtual time: nodes, a network that loses, doubles and reorders, and what each node put in effect.
+//! A small fleet in virtual time: nodes, a network that loses, duplicates and reorders, and what each node has applied.
 
 use super::{control_name, ms, s, HEARTBEAT_INTERVAL, INCARNATION, PURGE_WINDOW};
 use rockflow_dissemination::*;
@@ -9,12 +9,12 @@
 /// Members by region and site.
 pub const TWO_REGIONS: &[&[usize]] = &[&[5, 3], &[4]];
 
-/// Whether a frame from one to another is lost.
+/// Whether a message from one node to another is lost.
 pub type Eats = Box<dyn FnMut(usize, usize, &Message) -> bool>;
 
 type Frame = std::cmp::Reverse<(Duration, u64, usize, usize, u64, bool)>;
 
-/// What a node's caller has done by its word.
+/// What a node's caller has applied.
 #[derive(Default)]
 pub struct Done {
     pub purges: Vec<(Purge, Duration, Duration)>,
@@ -24,7 +24,7 @@
     pub replicated: Vec<(StreamId, SequenceNumber, Duration, Duration)>,
     pub outlived: Vec<Incarnation>,
     pub refuse: BTreeSet<String>,
-    /// Tickets are confirmed at once.
+    /// Tokens are not confirmed until the test does.
     pub withholds: bool,
     pub tokens: Vec<ApplyToken>,
 }
@@ -34,7 +34,7 @@
     pub node: Node,
     pub config: NodeConfig,
     pub up: bool,
-    /// Stopped: frames wait unread.
+    /// Paused: messages wait unread.
     pub stopped: bool,
     pub unread: Vec<(Identity, SocketAddr, Message)>,
     pub done: Done,
@@ -54,12 +54,12 @@
     pub doubled: f64,
     pub delay: (u64, u64),
     pub cut: BTreeSet<(usize, usize)>,
-    /// Frames that are to be lost.
+    /// Messages to be lost.
     pub eats: Option<Eats>,
     pub bytes: usize,
     pub largest: usize,
     pub published: BTreeMap<EntryId, Duration>,
-    /// Objects purged, by the names of their entries.
+    /// Objects purged, by the ids of their entries.
     pub purged: BTreeMap<EntryId, u64>,
 }
 
@@ -205,8 +205,8 @@
         self.take(index, outputs);
     }
 
-    /// What is said to be everywhere is in force by each member's own word; where that has dropped the stream of a life
-    /// that is over, by what it has put in effect.
+    /// What is reported as replicated is applied by each member's own status; where that has retired the stream, by what it has
+    /// applied.
     fn check_everywhere(&self, stream: StreamId, number: SequenceNumber) {
         for index in self.members().filter(|index| self.nodes[*index].up) {
             let status = self.nodes[index].node.status(self.now);
@@ -314,7 +314,7 @@
         self.nodes[index].up = false;
     }
 
-    /// A later life of a process, its clock so many milliseconds after the first life's start.
+    /// Restarts a process, with this Unix time as its incarnation.
     pub fn restart(&mut self, index: usize, unix_ms: u64) {
         let mut config = self.nodes[index].config.clone();
         config.identity.incarnation = Incarnation(unix_ms);
@@ -334,7 +334,7 @@
         self.nodes[index].stopped = true;
     }
 
-    /// What waited unread is read at once, the latest first call after the pause.
+    /// Resumes a paused process: what waited unread is read at once.
     pub fn wake(&mut self, index: usize) {
         self.nodes[index].stopped = false;
         for (identity, at, message) in std::mem::take(&mut self.nodes[index].unread) {
@@ -355,13 +355,13 @@
         *self.nodes[index].node.counters()
     }
 
-    /// How often a member put the purge of an object in effect.
+    /// How often a member has applied the purge of an object.
     pub fn times(&self, index: usize, object: u64) -> usize {
         let purges = &self.nodes[index].done.purges;
         purges.iter().filter(|(purge, ..)| *purge == Purge::object(object)).count()
     }
 
-    /// Each is in effect once at a member, or a floor came that is at least as strict.
+    /// Whether a purge was applied once, or covered by a purge of everything.
     pub fn covered(&self, index: usize, object: u64, published: Duration) -> bool {
         let purges = &self.nodes[index].done.purges;
         let full_purge = |(purge, age, at): &(Purge, Duration, Duration)| {
