--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -7,7 +7,7 @@
 use rockflow_dissemination as node;
 use rockflow_dissemination::{ApplyToken, DesiredState, EntryId, Output, RejectionReason};
 use rockflow_endpoints::{AdminOverride, AdminOverrides, RejectedOverride};
-use rockflow_operator_config::{DisseminationSection, OperatorConfig};
+use rockflow_operator_config::{ControlNode, DisseminationSection, OperatorConfig};
 use rockflow_transport::dissemination::{AddressScope, Command, FrameCodec, Handle, NodeOptions, WeakHandle};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -90,7 +90,7 @@
     if window > section.purge_window {
         return Err(SectionError::WindowTooShort { section: section.purge_window, settings: window });
     }
-    if section.control.iter().any(|(name, _)| *name == config.name) {
+    if section.control.iter().any(|control| control.name == config.name) {
         return Err(SectionError::OwnNameInControl(config.name.clone()));
     }
     Ok(())
@@ -98,8 +98,11 @@
 
 fn node_config(section: &DisseminationSection, name: &str) -> node::NodeConfig {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let peer = |(name, address): &(String, _)| node::Peer { node: node::NodeId::of(name), address: *address };
-    let index = section.control.iter().position(|(control, _)| control == name);
+    let peer = |control: &ControlNode| node::Peer {
+        node: node::NodeId::of(&control.name),
+        address: control.address,
+    };
+    let index = section.control.iter().position(|control| control.name == name);
     node::NodeConfig {
         identity: node::Identity {
             node: node::NodeId::of(name),
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -167,7 +167,7 @@
     }
 
     fn reload_marks(&mut self) {
-        match read_marks(self.inputs.files.marks.as_deref()) {
+        match read_marks(self.inputs.files.overrides.as_deref()) {
             Ok(marks) => {
                 self.inputs.marks = marks;
                 self.marks_are_pending = true;
--- a/crates/rockflow-cli/src/control/inputs.rs
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -27,7 +27,7 @@
         let files = beside.file().control.clone().ok_or(ControlError::MissingSection("control"))?;
         check_own_address(&config.name, &dissemination)?;
         let directory = read_directory(&files.directory, &dissemination)?;
-        let marks = read_marks(files.marks.as_deref())?;
+        let marks = read_marks(files.overrides.as_deref())?;
         Ok(ControlInputs { config, dissemination, files, directory, marks })
     }
 
@@ -45,13 +45,13 @@
 
 /// Within a trusted network addresses may be translated on the way.
 fn check_own_address(name: &str, section: &DisseminationSection) -> Result<(), ControlError> {
-    let own = section.control.iter().find(|(control, _)| control == name);
-    let (_, address) = own.ok_or_else(|| ControlError::NotListed { name: name.to_owned() })?;
-    let is_same = section.listen.ip().is_unspecified() || section.listen == *address;
+    let own = section.control.iter().find(|control| control.name == name);
+    let own = own.ok_or_else(|| ControlError::NotListed { name: name.to_owned() })?;
+    let is_same = section.listen.ip().is_unspecified() || section.listen == own.address;
     if is_same || section.trusted_network {
         return Ok(());
     }
-    Err(ControlError::ListenMismatch { listen: section.listen, address: *address, name: name.to_owned() })
+    Err(ControlError::ListenMismatch { listen: section.listen, address: own.address, name: name.to_owned() })
 }
 
 /// Reads the directory, whose addresses must be allowed by the section.
--- a/crates/rockflow-dispatcher/tests/crossings.rs
+++ b/crates/rockflow-dispatcher/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! Pairs of events that cross, in the order that hurts, forced by gates and scripted peers: docs/crossings.md lists them.
+//! DottedSettings of events that cross, in the order that hurts, forced by gates and scripted peers: docs/crossings.md lists them.
 
 mod common;
 
--- a/crates/rockflow-management-service/tests/audit_line.rs
+++ b/crates/rockflow-management-service/tests/audit_line.rs
@@ -10,7 +10,7 @@
 
 fn commit(schema: &Schema, changes: usize) -> Commit {
     let change = |number: usize| Change {
-        path: Path::read(schema, REASON).unwrap(),
+        path: Path::parse(schema, REASON).unwrap(),
         before: number.checked_sub(1).map(|_| Scalar::text("disk \"0\"")),
         after: Some(Scalar::text(format!("disk {number}"))),
     };
--- a/crates/rockflow-management/tests/authorization.rs
+++ b/crates/rockflow-management/tests/authorization.rs
@@ -1,7 +1,7 @@
 //! Each operation on each subtree, tried as each group: one table.
 
 use rockflow_management::{Access, Operation};
-use rockflow_yang::{json, Path, Schema};
+use rockflow_yang::{json, NodeScope, Path, Schema};
 
 const RULES: &str = r#"{"rockflow-router:router": {"rockflow-access:access": {
   "group": [
@@ -50,10 +50,11 @@
 ];
 
 #[test]
-fn the_table_holds() {
+fn permits_exactly_the_rights_of_the_table() {
     let schema = Schema::published();
-    let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
-    let access = Access::of(&schema, &running, Some("root".into())).unwrap();
+    let running =
+        json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), NodeScope::ConfigOnly).unwrap();
+    let access = Access::compile(&schema, &running, Some("root".into())).unwrap();
     let operations = [
         (Operation::Create, 'c'),
         (Operation::Read, 'r'),
@@ -62,7 +63,7 @@
     ];
     for (user, rights, calls) in TABLE {
         for (text, wanted) in PATHS.into_iter().zip(rights) {
-            let path = Path::read(&schema, text).unwrap();
+            let path = Path::parse(&schema, text).unwrap();
             let letter =
                 |(operation, letter)| if access.is_permitted(user, operation, &path) { letter } else { '-' };
             let found: String = operations.map(letter).iter().collect();
@@ -74,10 +75,11 @@
 }
 
 #[test]
-fn what_may_not_be_read_is_not_told() {
+fn readable_omits_what_the_user_may_not_read() {
     let schema = Schema::published();
-    let running = json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), false).unwrap();
-    let access = Access::of(&schema, &running, Some("root".into())).unwrap();
+    let running =
+        json::read(&schema, None, &serde_json::from_str(RULES).unwrap(), NodeScope::ConfigOnly).unwrap();
+    let access = Access::compile(&schema, &running, Some("root".into())).unwrap();
     assert_eq!(access.readable(&schema, "root", &running), running);
     assert!(access.readable(&schema, "wim", &running).is_empty());
 }
--- a/crates/rockflow-protocol/tests/wire_format.rs
+++ b/crates/rockflow-protocol/tests/wire_format.rs
@@ -1,10 +1,10 @@
 //! The literal text of what `codecs.rs` doesn't hold: every status, cache note, header and event as it travels.
 
-use rockflow_protocol::client::{self, ParsedRequest, Response};
+use rockflow_protocol::client::{self, HttpStatus, ParsedRequest, Persistence, Response};
 use rockflow_protocol::discovery::{
     self, EndpointUpdate, Instance, Lifecycle, PurgeEvent, Snapshot, WatchEvent, WatchStream,
 };
-use rockflow_protocol::upstream::{self, CacheNote, FetchRequest, Status};
+use rockflow_protocol::upstream::{self, CacheNote, DecodedResponse, FetchRequest, HealthCheckKind, Status};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -12,13 +12,13 @@
 #[test_case(Response::Succeeded { tag: String::new(), body: Vec::new() }, "200 OK\r\nContent-Length: 0\r\n"; "no tag")]
 #[test_case(Response::NotModified { tag: String::new() }, "304 Not Modified\r\n"; "unchanged without a tag")]
 #[test_case(Response::Rejected { retry_after: None }, "503 Service Unavailable\r\nContent-Length: 0\r\n"; "no pause")]
-#[test_case(Response::Invalid(431, "head too long"), "431 head too long\r\nContent-Length: 0\r\n"; "wrong")]
+#[test_case(Response::Invalid(HttpStatus::new(431, "head too long")), "431 head too long\r\nContent-Length: 0\r\n"; "wrong")]
 fn client_answer_keeps_its_text(answer: Response, head: &str) {
     assert_eq!(
-        String::from_utf8(client::encode_response(&answer, true)).unwrap(),
+        String::from_utf8(client::encode_response(&answer, Persistence::KeepAlive)).unwrap(),
         format!("HTTP/1.1 {head}\r\n")
     );
-    let last = String::from_utf8(client::encode_response(&answer, false)).unwrap();
+    let last = String::from_utf8(client::encode_response(&answer, Persistence::Close)).unwrap();
     assert_eq!(last, format!("HTTP/1.1 {head}Connection: close\r\n\r\n"));
 }
 
@@ -43,7 +43,7 @@
 fn wrong_request_has_its_status_and_reason(head: &str, status: u16, reason: &str) {
     let head = client::decode_request(head.replace("HEADERS", HEADERS).as_bytes()).expect("whole");
     match head.request {
-        ParsedRequest::Invalid(found, why) => assert_eq!((found, why), (status, reason)),
+        ParsedRequest::Invalid(found) => assert_eq!((found.code, found.reason), (status, reason)),
         other => panic!("{other:?}"),
     }
 }
@@ -82,8 +82,8 @@
 #[test]
 fn other_host_lines_keep_their_text() {
     assert_eq!(upstream::encode_cancel("9b"), b"never_mind 9b\r\n");
-    assert_eq!(upstream::encode_health_check("t7", true), b"busy t7\r\n");
-    assert_eq!(upstream::encode_health_check("t7", false), b"there t7\r\n");
+    assert_eq!(upstream::encode_health_check("t7", HealthCheckKind::LoadReport), b"busy t7\r\n");
+    assert_eq!(upstream::encode_health_check("t7", HealthCheckKind::Liveness), b"there t7\r\n");
 }
 
 #[test_case("data", Status::Data)]
@@ -96,7 +96,8 @@
 #[test_case("ill", Status::Unhealthy)]
 fn host_answer_word_is_read(text: &str, status: Status) {
     let line = format!("9b {text} - 0\r\n\r\n");
-    let (length, answer) = upstream::decode_response(line.as_bytes()).unwrap().expect("whole");
+    let DecodedResponse { length, response: answer } =
+        upstream::decode_response(line.as_bytes()).unwrap().expect("whole");
     let expected = upstream::HostResponse {
         id: "9b".to_string(),
         status,
@@ -122,7 +123,8 @@
 #[test_case("backfire", CacheNote::OriginFailed)]
 fn host_response_cache_note_is_read(text: &str, note: CacheNote) {
     let line = format!("9b data note={text} 0\r\n\r\n");
-    let (_, answer) = upstream::decode_response(line.as_bytes()).unwrap().expect("whole");
+    let DecodedResponse { response: answer, .. } =
+        upstream::decode_response(line.as_bytes()).unwrap().expect("whole");
     assert_eq!(answer.cache_note, Some(note));
 }
 
