--- a/crates/rockflow/src/action.rs
+++ b/crates/rockflow/src/action.rs
@@ -6,7 +6,7 @@
 /// How long a cache keeps a copy in favour of others; the lowest is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CachePriority {
-    /// The copy is not kept.
+    /// The copy is not stored.
     NoStore,
     /// Evicted first.
     Low,
@@ -19,7 +19,7 @@
 /// One try to answer a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt {
-    /// The host that is asked.
+    /// The host that it is sent to.
     pub host: HostId,
     /// Where the host fills a miss from. None: it answers from what it holds.
     pub source: Option<HostId>,
@@ -27,7 +27,7 @@
     pub timeout: Option<Duration>,
     /// When it must have been sent, or not at all. None: any time before its timeout.
     pub send_by: Option<Duration>,
-    /// The priority of a copy that the host keeps.
+    /// The priority of a copy that the host stores.
     pub cache_priority: CachePriority,
     /// The maximum age of an acceptable copy. None: the freshness lifetime of the class, or any age without one.
     pub max_age: Option<Duration>,
--- a/crates/rockflow/src/config.rs
+++ b/crates/rockflow/src/config.rs
@@ -127,6 +127,6 @@
     pub max_tracked: usize,
     /// The longest `Retry-After` that a client honours. None: a rejection carries none.
     pub max_retry_after: Option<Duration>,
-    /// Set where the endpoint list must be asked for: how long an old list may be relied on.
+    /// Set where the endpoint list must be requested: how long an old list may be relied on.
     pub endpoint_list_max_age: Option<Duration>,
 }
--- a/crates/rockflow/src/event.rs
+++ b/crates/rockflow/src/event.rs
@@ -11,7 +11,7 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// The object that is asked for.
+    /// The requested object.
     pub object: ObjectId,
     /// The part of the object.
     pub part: u32,
@@ -37,7 +37,7 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The host answered as asked.
+    /// The host answered with the response.
     Succeeded,
     /// The host answered with an error.
     HostError,
--- a/crates/rockflow/src/ids.rs
+++ b/crates/rockflow/src/ids.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub u64);
 
-/// An object that clients ask for.
+/// An object that clients request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObjectId(pub u64);
 
@@ -32,6 +32,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u16);
 
-/// A timer that the decisions asked for.
+/// A timer that the decisions started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u32);
