--- a/crates/rockflow-netconf/src/rpc/mod.rs
+++ b/crates/rockflow-netconf/src/rpc/mod.rs
@@ -19,10 +19,11 @@
 use crate::xml::Element;
 use parameters::{datastore, invalid, missing, seconds};
 use rockflow_management::{
-    CommitOptions, Datastore, ErrorTag, ManagementError, SessionId, Trigger, DEFAULT_CONFIRM_TIMEOUT,
+    CommitOptions, ConfigSource, Datastore, ErrorTag, ManagementError, SessionId, Trigger,
+    DEFAULT_CONFIRM_TIMEOUT,
 };
 use rockflow_management_service::{ManagementService, SessionHandle};
-use rockflow_yang::{DataTree, NodeScope, Path, Pattern, Schema};
+use rockflow_yang::{NodeScope, Path, Pattern, Schema};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -119,16 +120,13 @@
 }
 
 /// The `<source>` of an operation: a datastore, or the configuration that stands in the message.
-fn config_source(
-    schema: &Schema,
-    operation: &Element,
-) -> Result<Result<Datastore, DataTree>, ManagementError> {
+fn config_source(schema: &Schema, operation: &Element) -> Result<ConfigSource, ManagementError> {
     match operation.child("source").and_then(|source| source.child("config")) {
         Some(config) => {
             let tree = codec::read(schema, None, &config.children, &Path::default(), NodeScope::ConfigOnly)?;
-            Ok(Err(tree))
+            Ok(ConfigSource::Inline(tree))
         }
-        None => Ok(Ok(datastore(operation, "source")?)),
+        None => Ok(ConfigSource::Datastore(datastore(operation, "source")?)),
     }
 }
 
