--- a/crates/rockflow-management-service/src/credentials.rs
+++ b/crates/rockflow-management-service/src/credentials.rs
@@ -2,11 +2,11 @@
 //! made from them.
 
 use crate::operator_config::TlsSection;
-use rustls::pki_types::pem::PemObject;
+use rustls::pki_types::pem::{self, PemObject};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
-use rustls::server::WebPkiClientVerifier;
+use rustls::server::{VerifierBuilderError, WebPkiClientVerifier};
 use rustls::{RootCertStore, ServerConfig};
-use std::fmt::Display;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use thiserror::Error;
@@ -46,25 +46,65 @@
 }
 
 /// A credential file that can't be used.
-#[derive(Clone, Debug, PartialEq, Error)]
+#[derive(Debug, Error)]
 pub enum CredentialError {
-    /// The file or what it holds is at fault.
-    #[error("{}: {reason}", path.display())]
-    File {
+    /// It can't be read.
+    #[error("{}: {source}", path.display())]
+    Io {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
-        reason: String,
+        /// Why.
+        source: io::Error,
+    },
+    /// Others than its owner can use it.
+    #[error("{}: mode {mode:o}: others than its owner can {access} it", path.display())]
+    Permissions {
+        /// The file or folder.
+        path: PathBuf,
+        /// Its permission bits.
+        mode: u32,
+        /// What others must not be able to do.
+        access: &'static str,
+    },
+    /// It is larger than allowed.
+    #[error("{}: larger than {MAX_FILE_BYTES} bytes", path.display())]
+    TooLarge {
+        /// The file.
+        path: PathBuf,
+    },
+    /// It is not PEM, or holds nothing of the expected kind.
+    #[error("{}: {source}", path.display())]
+    Pem {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: pem::Error,
+    },
+    /// It holds no certificate.
+    #[error("{}: holds no certificate", path.display())]
+    NoCertificate {
+        /// The file.
+        path: PathBuf,
+    },
+    /// TLS can't use what it holds.
+    #[error("{}: {source}", path.display())]
+    Tls {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: rustls::Error,
+    },
+    /// Clients can't be verified by the authorities that it holds.
+    #[error("{}: {source}", path.display())]
+    Verifier {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: VerifierBuilderError,
     },
     /// The TLS library has no protocol version in common with its provider.
-    #[error("{0}")]
-    Protocol(String),
-}
-
-impl CredentialError {
-    fn file(path: &Path, reason: impl Display) -> CredentialError {
-        CredentialError::File { path: path.to_path_buf(), reason: reason.to_string() }
-    }
+    #[error(transparent)]
+    Protocol(rustls::Error),
 }
 
 /// Checks that others than the owner can't use a file or folder as an attack: read a key, or change what lets
@@ -73,19 +113,19 @@
 /// # Errors
 /// Where its mode allows that, it is too large, or it is not there.
 pub fn check_permissions(path: &Path, secrecy: FileSecrecy) -> Result<(), CredentialError> {
-    let metadata = std::fs::metadata(path).map_err(|error| CredentialError::file(path, error))?;
+    let metadata =
+        std::fs::metadata(path).map_err(|source| CredentialError::Io { path: path.to_path_buf(), source })?;
     #[cfg(unix)]
     {
         use std::os::unix::fs::PermissionsExt;
         let mode = metadata.permissions().mode() & 0o777;
         if mode & secrecy.forbidden_mode() != 0 {
             let access = secrecy.forbidden_access();
-            let reason = format!("mode {mode:o}: others than its owner can {access} it");
-            return Err(CredentialError::file(path, reason));
+            return Err(CredentialError::Permissions { path: path.to_path_buf(), mode, access });
         }
     }
     if metadata.is_file() && metadata.len() > MAX_FILE_BYTES {
-        return Err(CredentialError::file(path, format!("larger than {MAX_FILE_BYTES} bytes")));
+        return Err(CredentialError::TooLarge { path: path.to_path_buf() });
     }
     Ok(())
 }
@@ -96,7 +136,7 @@
 /// Where it does not, or can't be read.
 pub fn read_file(path: &Path, secrecy: FileSecrecy) -> Result<Vec<u8>, CredentialError> {
     check_permissions(path, secrecy)?;
-    std::fs::read(path).map_err(|error| CredentialError::file(path, error))
+    std::fs::read(path).map_err(|source| CredentialError::Io { path: path.to_path_buf(), source })
 }
 
 /// A TLS server that accepts clients with a certificate of the client authority. `alpn`: the protocols that it
@@ -106,23 +146,24 @@
 /// Where one of the section's files can't be used.
 pub fn tls_server_config(section: &TlsSection, alpn: &[&[u8]]) -> Result<Arc<ServerConfig>, CredentialError> {
     let key = read_file(&section.key, FileSecrecy::OwnerOnly)?;
-    let key =
-        PrivateKeyDer::from_pem_slice(&key).map_err(|error| CredentialError::file(&section.key, error))?;
-    let authority_error = |error: &dyn Display| CredentialError::file(&section.client_ca, error);
+    let key = PrivateKeyDer::from_pem_slice(&key)
+        .map_err(|source| CredentialError::Pem { path: section.key.clone(), source })?;
+    let authorities = &section.client_ca;
     let mut roots = RootCertStore::empty();
-    for authority in read_certificates(&section.client_ca)? {
-        roots.add(authority).map_err(|error| authority_error(&error))?;
+    for authority in read_certificates(authorities)? {
+        let added = roots.add(authority);
+        added.map_err(|source| CredentialError::Tls { path: authorities.clone(), source })?;
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone())
         .build()
-        .map_err(|error| authority_error(&error))?;
+        .map_err(|source| CredentialError::Verifier { path: authorities.clone(), source })?;
     let mut config = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .map_err(|error| CredentialError::Protocol(error.to_string()))?
+        .map_err(CredentialError::Protocol)?
         .with_client_cert_verifier(verifier)
         .with_single_cert(read_certificates(&section.certificate)?, key)
-        .map_err(|error| CredentialError::file(&section.certificate, error))?;
+        .map_err(|source| CredentialError::Tls { path: section.certificate.clone(), source })?;
     config.alpn_protocols = alpn.iter().map(|name| name.to_vec()).collect();
     Ok(Arc::new(config))
 }
@@ -152,9 +193,10 @@
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, CredentialError> {
     let bytes = read_file(path, FileSecrecy::Readable)?;
     let certificates: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&bytes).collect();
-    let certificates = certificates.map_err(|error| CredentialError::file(path, error))?;
+    let certificates =
+        certificates.map_err(|source| CredentialError::Pem { path: path.to_path_buf(), source })?;
     if certificates.is_empty() {
-        return Err(CredentialError::file(path, "holds no certificate"));
+        return Err(CredentialError::NoCertificate { path: path.to_path_buf() });
     }
     Ok(certificates)
 }
--- a/crates/rockflow-management/src/access.rs
+++ b/crates/rockflow-management/src/access.rs
@@ -89,7 +89,7 @@
         let target = match (leaf_text(schema, fields, "path"), leaf_text(schema, fields, "rpc")) {
             (Some(path), None) => match Pattern::parse(schema, &path) {
                 Ok(pattern) => Target::Nodes(pattern),
-                Err(reason) => return Err(AccessRuleError::Path { rule, reason: reason.to_string() }),
+                Err(error) => return Err(AccessRuleError::Path { rule, source: Box::new(error) }),
             },
             (None, Some(call)) => Target::Call(call),
             (None, None) => Target::Anything,
--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -2,7 +2,7 @@
 //! appendix A, which servers of other protocols translate.
 
 use crate::session::SessionId;
-use rockflow_yang::{EditError, EditErrorKind, Path};
+use rockflow_yang::{EditError, EditErrorKind, JsonError, Path, PathError};
 use std::fmt;
 use thiserror::Error;
 
@@ -141,12 +141,12 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum AccessRuleError {
     /// The path of a rule can't be read.
-    #[error("rule {rule}: {reason}")]
+    #[error("rule {rule}: {source}")]
     Path {
         /// The rule's number.
         rule: String,
         /// What is wrong with the path.
-        reason: String,
+        source: Box<PathError>,
     },
     /// A rule names both a path and a call.
     #[error("rule {rule}: a path and a call exclude each other")]
@@ -168,13 +168,21 @@
         /// The member of the JSON object.
         key: &'static str,
     },
-    /// A configuration does not fit the model.
-    #[error("{key}: {reason}")]
+    /// A configuration can't be read by the model.
+    #[error("{key}: {source}")]
     Configuration {
         /// The member of the JSON object.
         key: &'static str,
-        /// What does not fit.
-        reason: String,
+        /// What can't be read.
+        source: JsonError,
+    },
+    /// A configuration does not meet the model's constraints.
+    #[error("{key}: {source}")]
+    Constraint {
+        /// The member of the JSON object.
+        key: &'static str,
+        /// What is not met.
+        source: EditError,
     },
     /// The access rules can't be compiled.
     #[error(transparent)]
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -113,11 +113,11 @@
 }
 
 fn read_configuration(schema: &Schema, value: &Value, key: &'static str) -> Result<DataTree, RestoreError> {
-    let error = |reason: String| RestoreError::Configuration { key, reason };
     let tree = value.get(key).unwrap_or(&Value::Null);
-    let fields =
-        json::read(schema, None, tree, NodeScope::ConfigOnly).map_err(|reason| error(reason.to_string()))?;
-    data::check_constraints(schema, &fields, &Path::default()).map_err(|reason| error(reason.to_string()))?;
+    let fields = json::read(schema, None, tree, NodeScope::ConfigOnly)
+        .map_err(|source| RestoreError::Configuration { key, source })?;
+    data::check_constraints(schema, &fields, &Path::default())
+        .map_err(|source| RestoreError::Constraint { key, source })?;
     Ok(fields)
 }
 
