--- a/crates/rockflow-benchmarks/src/cost.rs
+++ b/crates/rockflow-benchmarks/src/cost.rs
@@ -40,7 +40,7 @@
     let Plan { seconds, clients, subscribers, .. } = *plan;
     let program = plan.before.as_ref().filter(|_| kind == "before").unwrap_or(&plan.program);
     let site = Site::start(4, 2, Duration::from_millis(1));
-    site.hosts.values().for_each(|host| host.keep(false));
+    site.hosts.values().for_each(|host| host.stop_recording());
     let dispatcher = Dispatcher::start(program, &site, !matches!(kind, "off" | "before")).await;
     let told = Arc::new(AtomicU64::new(0));
     if kind == "subscribers" {
@@ -72,9 +72,9 @@
     let busy = dispatcher.held();
     let told = (told.load(Ordering::Relaxed) - before) as f64 / begun.elapsed().as_secs_f64();
     // In a thread of its own: the subscribers must go on being read.
-    let tally = tokio::task::spawn_blocking(move || load.stop()).await.expect("a tally");
-    let a_second = tally.answered() as f64 / begun.elapsed().as_secs_f64();
-    Measured { a_second, p99: tally.within(0.99), idle, busy, told }
+    let summary = tokio::task::spawn_blocking(move || load.stop()).await.expect("a summary");
+    let a_second = summary.answered() as f64 / begun.elapsed().as_secs_f64();
+    Measured { a_second, p99: summary.latency_percentile(0.99), idle, busy, told }
 }
 
 pub async fn run(plan: &Plan, rows: &mut Rows) -> bool {
--- a/crates/rockflow-benchmarks/src/drains.rs
+++ b/crates/rockflow-benchmarks/src/drains.rs
@@ -63,14 +63,16 @@
         for number in 0..drains {
             let host = format!("c{}", 1 + number % CACHES);
             let cache = &site.hosts[&host];
-            cache.take();
+            cache.take_attempts();
             let asked = Instant::now();
             over.drain(&schema, &host).await.expect("a drain");
             let replied = Instant::now();
             took.push(replied - asked);
             tokio::time::sleep(SETTLE).await;
-            let late =
-                cache.take().into_iter().filter_map(|attempt| attempt.at.checked_duration_since(replied));
+            let late = cache
+                .take_attempts()
+                .into_iter()
+                .filter_map(|attempt| attempt.received_at.checked_duration_since(replied));
             let late: Vec<Duration> = late.collect();
             attempts += late.len();
             let greatest = late.into_iter().max().unwrap_or_default();
@@ -80,7 +82,7 @@
             over.undrain(&schema, &host).await.expect("an undrain");
             tokio::time::sleep(SETTLE / 2).await;
         }
-        let tally = load.stop();
+        let summary = load.stop();
         last.sort();
         took.sort();
         let at = |all: &[Duration], share: f64| {
@@ -92,12 +94,15 @@
             at(&last, 0.99),
             at(&last, 1.0),
             at(&took, 0.5),
-            tally.answered(),
-            tally.dismissed,
-            tally.lost,
-            tally.doubled
+            summary.answered(),
+            summary.rejected,
+            summary.unanswered,
+            summary.duplicated
         );
-        well &= at(&last, 1.0) < LIMIT && at(&last, 0.99) < AIM && tally.lost == 0 && tally.doubled == 0;
+        well &= at(&last, 1.0) < LIMIT
+            && at(&last, 0.99) < AIM
+            && summary.unanswered == 0
+            && summary.duplicated == 0;
     }
     well
 }
--- a/crates/rockflow-cli/tests/control_ends.rs
+++ b/crates/rockflow-cli/tests/control_ends.rs
@@ -1,7 +1,7 @@
 //! A control process whose machine is gone ends, and says so by its code: whoever starts it can start it again.
 #![cfg(all(feature = "dissemination", target_os = "linux", target_arch = "x86_64"))]
 
-use rockflow_test_servers::Board;
+use rockflow_test_servers::DiscoveryServer;
 use serde_json::{json, Value};
 use std::io;
 use std::net::UdpSocket;
@@ -44,7 +44,7 @@
 fn a_control_process_without_its_machine_ends_with_an_error() {
     let folder = std::env::temp_dir().join(format!("rockflow-ends-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let board = Board::start();
+    let board = DiscoveryServer::start();
     let port = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
     let members = folder.join("members.csv");
     std::fs::write(&members, "version,1\nd1,north,s1,z,127.0.0.1:1\n").unwrap();
--- a/crates/rockflow-cli/tests/dissemination.rs
+++ b/crates/rockflow-cli/tests/dissemination.rs
@@ -1,8 +1,7 @@
 //! Real processes on loopback: a control process and dispatchers, by the operator's file.
 
 use rockflow_process_harness::{free_tcp, free_udp, thread_names, until, Signal, Start};
-use rockflow_test_servers::board::Board;
-use rockflow_test_servers::site::Site;
+use rockflow_test_servers::{DiscoveryServer, Site};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -92,8 +91,8 @@
 struct Fleet {
     folder: Folder,
     site: Site,
-    control_board: Board,
-    _boards: Vec<Board>,
+    control_board: DiscoveryServer,
+    _boards: Vec<DiscoveryServer>,
     control: Process,
     members: Vec<(Process, SocketAddr)>,
 }
@@ -102,15 +101,15 @@
     fn start(count: usize, caches: usize) -> Fleet {
         let folder = Folder::new();
         let site = Site::start(caches, 1, Duration::ZERO);
-        let (control_board, ports) = (Board::start(), free_udp(count + 1).unwrap());
+        let (control_board, ports) = (DiscoveryServer::start(), free_udp(count + 1).unwrap());
         let mut directory = "version,1\n".to_string();
         let mut boards = Vec::new();
         let members = (1..=count).map(|number| {
             let name = format!("d{number}");
             directory += &format!("{name},north,s{},z,{}\n", number % 2, ports[number]);
-            boards.push(Board::start());
+            boards.push(DiscoveryServer::start());
             let front = free_tcp().unwrap();
-            let mut value = site.configuration(EXAMPLE);
+            let mut value = site.configuration_json(EXAMPLE);
             value["name"] = json!(name);
             value["board"] = json!(boards[number - 1].address.to_string());
             value["listen"] = json!(front.to_string());
@@ -124,7 +123,7 @@
         let at = folder.0.display();
         let control = format!("\n[control]\ndirectory = {at}/members.csv\nmarks = {at}/marks\n");
         let operator = folder.write("c0.ini", &(section(ports[0], ports[0]) + &control));
-        let mut value = site.configuration(EXAMPLE);
+        let mut value = site.configuration_json(EXAMPLE);
         value["name"] = json!("c0");
         value["board"] = json!(control_board.address.to_string());
         let config = folder.write("c0.json", &value.to_string());
@@ -170,16 +169,16 @@
     for front in &fronts {
         assert_eq!(ask(*front, "7f"), 200);
     }
-    let before = fleet.site.hosts["c1"].take();
-    assert!(before.len() == 4 && before.iter().all(|came| came.oldest.is_none()), "{before:?}");
-    fleet.control_board.tell(json!({"rev": 2, "flush": {"asset": "7f", "ms": unix_ms()}}));
+    let before = fleet.site.hosts["c1"].take_attempts();
+    assert!(before.len() == 4 && before.iter().all(|came| came.max_age_ms.is_none()), "{before:?}");
+    fleet.control_board.publish(json!({"rev": 2, "flush": {"asset": "7f", "ms": unix_ms()}}));
     fleet.control.says(&["everywhere", "kind=Purges number=1 "]);
     for front in &fronts {
         assert_eq!(ask(*front, "7f"), 200);
         assert_eq!(ask(*front, "8f"), 200);
     }
-    let after = fleet.site.hosts["c1"].take();
-    let bound: Vec<_> = after.iter().filter_map(|came| came.oldest).collect();
+    let after = fleet.site.hosts["c1"].take_attempts();
+    let bound: Vec<_> = after.iter().filter_map(|came| came.max_age_ms).collect();
     assert!(after.len() == 8 && bound.len() == 4, "{after:?}");
     assert!(bound.iter().all(|oldest| *oldest < 6000.0), "{bound:?}");
     fleet.stop();
@@ -196,7 +195,7 @@
         for (_, front) in &fleet.members {
             (0..8).for_each(|n| assert_eq!(ask(*front, &format!("{n:x}f")), 200));
         }
-        (hosts["c1"].take().len(), hosts["c2"].take().len())
+        (hosts["c1"].take_attempts().len(), hosts["c2"].take_attempts().len())
     };
     assert_eq!(ask_all(), (0, 24));
     // Refused by all, and said so; what came with it is in force.
@@ -323,7 +322,7 @@
 #[test]
 fn without_the_section_there_is_no_thread_and_no_descriptor() {
     let folder = Folder::new();
-    let board = Board::start();
+    let board = DiscoveryServer::start();
     let mut value: Value = serde_json::from_str(EXAMPLE).unwrap();
     (value["listen"], value["board"]) = (json!("127.0.0.1:0"), json!(board.address.to_string()));
     let config = folder.write("plain.json", &value.to_string());
--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -239,7 +239,7 @@
     for number in 0..300 {
         rig.rev += 1;
         let flush = json!({"asset": format!("old-{number}"), "ms": now_ms() - 180_000});
-        rig.board.tell(json!({"rev": rig.rev, "flush": flush}));
+        rig.board.publish(json!({"rev": rig.rev, "flush": flush}));
     }
     rig.start_all();
     rig.fleet.control[1].kill();
@@ -342,7 +342,7 @@
     (0..MEMBERS).for_each(|member| assert_eq!(rig.state(member, "c2", "Draining"), 1, "n{member}"));
     let tally = rig.fleet.proxy.tally();
     assert!(tally.lost > 0 && tally.doubled > 0 && tally.late > 0 && tally.over == 0, "{tally:?}");
-    assert!(rig.hosts.iter().all(|host| host.attempts() > 0));
+    assert!(rig.hosts.iter().all(|host| host.attempt_count() > 0));
 }
 
 /// Clocks a minute apart: the board's is behind, or ahead.
--- a/crates/rockflow-cli/tests/rig/mod.rs
+++ b/crates/rockflow-cli/tests/rig/mod.rs
@@ -6,8 +6,8 @@
 use rockflow_dissemination::{Directory, NodeId};
 use rockflow_process_harness::datagrams::{Path, Rule, RuleId, Who};
 use rockflow_process_harness::{until, Fleet, Layout, Place, Signal};
-use rockflow_test_servers::keys::Folder;
-use rockflow_test_servers::{Board, Host};
+use rockflow_test_servers::keys::TemporaryFolder;
+use rockflow_test_servers::{DiscoveryServer, Host};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -57,8 +57,8 @@
 
 pub struct Rig {
     pub fleet: Fleet,
-    pub board: Board,
-    _quiet: Board,
+    pub board: DiscoveryServer,
+    _quiet: DiscoveryServer,
     /// By dispatcher: its first host, which answers.
     pub hosts: Vec<Host>,
     pub rev: u64,
@@ -66,7 +66,7 @@
     pub purged: usize,
     /// How much each dispatcher had logged when all had settled.
     settled: Vec<usize>,
-    _folder: Folder,
+    _folder: TemporaryFolder,
     _alone: Option<MutexGuard<'static, ()>>,
 }
 
@@ -133,9 +133,9 @@
     pub fn lay(lay: Lay) -> Rig {
         let Lay { control, pulse, purge_window, two_regions, beside_others, one_cache } = lay;
         let alone = (!beside_others).then(|| ALONE.lock().unwrap_or_else(PoisonError::into_inner));
-        let folder = Folder::new("faults");
+        let folder = TemporaryFolder::new("faults");
         let hosts: Vec<_> = (0..MEMBERS).map(|at| Host::start(&format!("c1-{at}"), Duration::ZERO)).collect();
-        hosts.iter().for_each(Host::hold_copies);
+        hosts.iter().for_each(Host::enable_cache);
         let known = |(at, host): (usize, &Host)| {
             let own = host.address.to_string();
             let mut known = vec![
@@ -153,7 +153,7 @@
             json!(known)
         };
         let known = hosts.iter().enumerate().map(known).collect();
-        let (board, quiet) = (Board::start(), Board::start());
+        let (board, quiet) = (DiscoveryServer::start(), DiscoveryServer::start());
         let layout = Layout {
             program: env!("CARGO_BIN_EXE_rockflow").into(),
             folder: folder.path().to_path_buf(),
@@ -194,7 +194,7 @@
             self.purged += 1;
             self.rev += 1;
             let flush = json!({"asset": object(self.purged), "ms": clock()});
-            self.board.tell(json!({"rev": self.rev, "flush": flush}));
+            self.board.publish(json!({"rev": self.rev, "flush": flush}));
         }
         self.purged
     }
--- a/crates/rockflow-gnmi/tests/fuzz.rs
+++ b/crates/rockflow-gnmi/tests/fuzz.rs
@@ -4,11 +4,11 @@
 use prost::Message;
 use rockflow_gnmi::paths;
 use rockflow_gnmi::wire;
-use rockflow_test_servers::memory::Counting;
+use rockflow_test_servers::memory::CountingAllocator;
 use rockflow_yang::{data, DataTree, Edit, EditOperation, Schema};
 
 #[global_allocator]
-static COUNTING: Counting = Counting::new();
+static COUNTING: CountingAllocator = CountingAllocator::new();
 
 const BOUND: usize = 4 * 1024 * 1024;
 
@@ -94,7 +94,7 @@
     let (schema, seeds) = (Schema::published(), seeds());
     let mut chance = oorandom::Rand32::new(20_261_202);
     let (mut read, mut changed) = (0usize, 0usize);
-    let base = COUNTING.mark();
+    let base = COUNTING.reset_peak();
     for case in 0..cases {
         let mut bytes = seeds[case % seeds.len()].clone();
         for _ in 0..chance.rand_range(1..4) {
@@ -114,7 +114,7 @@
         read += usize::from(found.0);
         changed += usize::from(found.1);
     }
-    let most = COUNTING.most() - base;
+    let most = COUNTING.peak() - base;
     println!("{cases} inputs: {read} read, {changed} with changes; 0 panics; greatest memory {most} bytes");
     assert!(read > cases / 20 && changed > cases / 50, "too few get anywhere: {read} {changed}");
     assert!(most < BOUND, "{most}");
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -20,7 +20,7 @@
     pub service: Service,
     pub desk: Arc<ManagementService>,
     pub addresses: Addresses,
-    pub folder: keys::Folder,
+    pub folder: keys::TemporaryFolder,
     pub schema: Arc<Schema>,
     pub authority: keys::Authority,
     pub host: russh::keys::PrivateKey,
@@ -30,14 +30,18 @@
 
 /// A manager's key, the same each time.
 pub fn key_of(user: &str) -> russh::keys::PrivateKey {
-    keys::ssh(user.bytes().fold(7, |sum, byte| sum * 31 + u64::from(byte)))
+    keys::ssh_key(user.bytes().fold(7, |sum, byte| sum * 31 + u64::from(byte)))
 }
 
 /// The operator's file of a rig: all fronts, at ports of their own.
-pub fn operator(folder: &keys::Folder, store: bool, more: &str) -> (OperatorConfig, keys::Authority) {
-    let authority = folder.furnish(&USERS.map(|user| (user, key_of(user))));
+pub fn operator(
+    folder: &keys::TemporaryFolder,
+    store: bool,
+    more: &str,
+) -> (OperatorConfig, keys::Authority) {
+    let authority = folder.write_credentials(&USERS.map(|user| (user, key_of(user))));
     let at = |name: &str| folder.file(name).display().to_string();
-    let (ssh, tls) = folder.operator_keys();
+    let (ssh, tls) = folder.operator_settings();
     let store = if store { format!("store = {}\n", at("store")) } else { String::new() };
     let text = format!(
         "[management]\nowner = root\n{store}audit = {}\n[netconf]\nssh = 127.0.0.1:0\n{ssh}tls = 127.0.0.1:0\n\
@@ -57,16 +61,18 @@
 
     pub fn with(caches: usize, parents: usize, delay: Duration, more: &str) -> Rig {
         SET_UP.call_once(Service::set_up);
-        let folder = keys::Folder::new("rig");
+        let folder = keys::TemporaryFolder::new("rig");
         let (file, authority) = operator(&folder, true, more);
         let site = Site::start(caches, parents, delay);
         let clock = Clock::start();
         let agent = Agent::open(clock, &file).unwrap().unwrap();
         let addresses = agent.addresses();
-        let service = Service::start_with_overrides(clock, site.told(EXAMPLE), Some(agent.marks())).unwrap();
+        let service =
+            Service::start_with_overrides(clock, site.dispatcher_config(EXAMPLE), Some(agent.marks()))
+                .unwrap();
         let desk = agent.run(service.handle(), Box::new(|_| {})).unwrap();
         let schema = desk.schema().clone();
-        Rig { site, service, desk, addresses, folder, schema, authority, host: keys::host() }
+        Rig { site, service, desk, addresses, folder, schema, authority, host: keys::host_key() }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -84,7 +90,7 @@
 
     pub fn tls_config(&self, authority: &keys::Authority, user: &str) -> Arc<rustls::ClientConfig> {
         use rustls::pki_types::pem::PemObject;
-        let (certificate, key) = authority.client(user);
+        let (certificate, key) = authority.issue_client(user);
         let mut roots = rustls::RootCertStore::empty();
         let ca = rustls::pki_types::CertificateDer::from_pem_slice(self.authority.certificate.as_bytes());
         roots.add(ca.unwrap()).unwrap();
--- a/crates/rockflow-management-agent/tests/gnmi.rs
+++ b/crates/rockflow-management-agent/tests/gnmi.rs
@@ -6,7 +6,7 @@
 use rockflow_gnmi::wire;
 use rockflow_management_client::gnmi::{self, Client};
 use rockflow_management_client::Trouble;
-use rockflow_test_servers::{keys, Load, Turn};
+use rockflow_test_servers::{keys, Load, LoadPhase};
 use serde_json::json;
 use std::time::Duration;
 use test_case::test_case;
@@ -59,23 +59,23 @@
         assert_eq!(names, ["rockflow-types", "rockflow-router", "rockflow-access", "rockflow-history"]);
         assert_eq!(effective(&rig, &mut root, "c1").await, "ready");
         let load = Load::start(rig.address(), 20, Duration::ZERO, 3);
-        load.served(10, SERVED).await;
+        load.wait_until_served(10, SERVED).await;
         let mark = "/router/marks/mark[host=c1]";
         root.set(&rig.schema, &[], &[], &[(mark, json!({"reason": "disk"}))]).await.unwrap();
         // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
         // a later request.
-        let drained = load.next_turn();
-        load.served(1, SERVED).await;
-        let before = rig.site.hosts["c1"].take();
-        load.served(10, SERVED).await;
-        let tally = load.stop();
-        assert_eq!((tally.lost, tally.doubled), (0, 0));
+        let drained = load.start_phase();
+        load.wait_until_served(1, SERVED).await;
+        let before = rig.site.hosts["c1"].take_attempts();
+        load.wait_until_served(10, SERVED).await;
+        let summary = load.stop();
+        assert_eq!((summary.unanswered, summary.duplicated), (0, 0));
         assert!(before.len() > 10, "{}", before.len());
         assert!(
-            before.iter().all(|attempt| Turn::of(&attempt.id).unwrap() < drained),
+            before.iter().all(|attempt| LoadPhase::from_request_id(&attempt.request_id).unwrap() < drained),
             "{drained:?} {before:?}"
         );
-        assert_eq!(rig.site.hosts["c1"].take().len(), 0);
+        assert_eq!(rig.site.hosts["c1"].take_attempts().len(), 0);
         assert_eq!(effective(&rig, &mut root, "c1").await, "draining");
         root.set(&rig.schema, &[mark], &[], &[]).await.unwrap();
         assert_eq!(effective(&rig, &mut root, "c1").await, "ready");
--- a/crates/rockflow-management-agent/tests/hostile.rs
+++ b/crates/rockflow-management-agent/tests/hostile.rs
@@ -102,7 +102,7 @@
     let (bytes, goes_on) = said(what);
     block_on(async {
         let load = Load::start(rig.address(), 4, Duration::ZERO, 5);
-        load.served(1, SERVED).await;
+        load.wait_until_served(1, SERVED).await;
         let stream = TcpStream::connect(rig.addresses.tls.unwrap()).await.unwrap();
         let connector = tokio_rustls::TlsConnector::from(rig.tls_config(&rig.authority, "root"));
         let name = rustls::pki_types::ServerName::try_from("localhost").unwrap();
@@ -122,10 +122,10 @@
         // Others are served as before: managers, and every client with what it asks from here on.
         let mut root = rig.ssh("root").await;
         assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "ready");
-        load.served(5, SERVED).await;
-        let tally = load.stop();
-        assert!(tally.succeeded > 10, "{tally:?}");
-        assert_eq!((tally.lost, tally.doubled, tally.terminated), (0, 0, 0));
+        load.wait_until_served(5, SERVED).await;
+        let summary = load.stop();
+        assert!(summary.succeeded > 10, "{summary:?}");
+        assert_eq!((summary.unanswered, summary.duplicated, summary.failed), (0, 0, 0));
     });
 }
 
@@ -134,7 +134,7 @@
     let rig = Rig::start(2, 1, MS);
     block_on(async {
         let load = Load::start(rig.address(), 4, Duration::ZERO, 6);
-        load.served(1, SERVED).await;
+        load.wait_until_served(1, SERVED).await;
         let mut open = Vec::new();
         for number in 0..300 {
             let fronts = [rig.addresses.ssh, rig.addresses.tls, rig.addresses.gnmi];
@@ -165,11 +165,11 @@
             }
         }
         // With what is left of them still open.
-        load.served(5, SERVED).await;
+        load.wait_until_served(5, SERVED).await;
         drop(open);
-        let tally = load.stop();
-        assert!(tally.succeeded > 10, "{tally:?}");
-        assert_eq!((tally.lost, tally.doubled, tally.terminated), (0, 0, 0));
+        let summary = load.stop();
+        assert!(summary.succeeded > 10, "{summary:?}");
+        assert_eq!((summary.unanswered, summary.duplicated, summary.failed), (0, 0, 0));
     });
 }
 
--- a/crates/rockflow-management-agent/tests/model.rs
+++ b/crates/rockflow-management-agent/tests/model.rs
@@ -13,7 +13,7 @@
     // A host that started lately, so that it is cold.
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let mut rig = Rig::start(3, 2, Duration::from_millis(1));
-    rig.site.say_started("c3", now.as_millis() as u64);
+    rig.site.announce_started("c3", now.as_millis() as u64);
     block_on(async {
         let mut root = rig.ssh("root").await;
         root.act(&rig.schema, "drain", &[("host", "c1"), ("reason", "x")]).await.unwrap();
--- a/crates/rockflow-management-agent/tests/netconf.rs
+++ b/crates/rockflow-management-agent/tests/netconf.rs
@@ -6,7 +6,7 @@
 use rockflow::Readiness;
 use rockflow_endpoints::AdminOverride;
 use rockflow_management_client::Trouble;
-use rockflow_test_servers::{keys, Load, Turn};
+use rockflow_test_servers::{keys, Load, LoadPhase};
 use serde_json::json;
 use std::time::Duration;
 
@@ -29,22 +29,22 @@
         assert_eq!(state["role"], "cache");
         assert_eq!((&state["listed"], &state["says"]), (&json!("ready"), &json!("board")));
         let load = Load::start(rig.address(), 20, Duration::ZERO, 1);
-        load.served(10, SERVED).await;
+        load.wait_until_served(10, SERVED).await;
         root.act(&rig.schema, "drain", &[("host", "c1"), ("reason", "disk")]).await.unwrap();
         // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
         // a later request.
-        let drained = load.next_turn();
-        load.served(1, SERVED).await;
-        let before = rig.site.hosts["c1"].take();
-        load.served(10, SERVED).await;
+        let drained = load.start_phase();
+        load.wait_until_served(1, SERVED).await;
+        let before = rig.site.hosts["c1"].take_attempts();
+        load.wait_until_served(10, SERVED).await;
         let state = rig.host_state(&mut root, "c1").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("operator")));
         assert_eq!(state["listed"], "ready");
         // The board sends its whole list anew, and tells of the host again: the mark stands.
-        rig.site.say_all();
-        rig.site.say("c1", "active");
+        rig.site.announce_all();
+        rig.site.announce("c1", "active");
         let board = "/rockflow-router:router/state/board/last".to_string();
-        let told = rig.site.rev().to_string();
+        let told = rig.site.revision().to_string();
         let heard = async {
             loop {
                 let found = root.get(&rig.schema, "operational", std::slice::from_ref(&board)).await.unwrap();
@@ -56,22 +56,23 @@
         };
         tokio::time::timeout(Duration::from_secs(5), heard).await.unwrap();
         assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "draining");
-        let tally = load.stop();
-        assert!(tally.succeeded > 200, "{}", tally.succeeded);
-        assert_eq!((tally.lost, tally.doubled), (0, 0));
+        let summary = load.stop();
+        assert!(summary.succeeded > 200, "{}", summary.succeeded);
+        assert_eq!((summary.unanswered, summary.duplicated), (0, 0));
         assert!(before.len() > 10, "{}", before.len());
         assert!(
-            before.iter().all(|attempt| Turn::of(&attempt.id).unwrap() < drained),
+            before.iter().all(|attempt| LoadPhase::from_request_id(&attempt.request_id).unwrap() < drained),
             "{drained:?} {before:?}"
         );
-        assert_eq!(rig.site.hosts["c1"].take().len(), 0);
+        assert_eq!(rig.site.hosts["c1"].take_attempts().len(), 0);
         // A parent drains as a source: no attempt names it any more.
         root.act(&rig.schema, "drain", &[("host", "p1")]).await.unwrap();
-        ["c2", "c3"].into_iter().for_each(|name| drop(rig.site.hosts[name].take()));
+        ["c2", "c3"].into_iter().for_each(|name| drop(rig.site.hosts[name].take_attempts()));
         let load = Load::start(rig.address(), 5, Duration::ZERO, 2);
-        load.served(10, SERVED).await;
+        load.wait_until_served(10, SERVED).await;
         load.stop();
-        let came: Vec<_> = ["c2", "c3"].into_iter().flat_map(|name| rig.site.hosts[name].take()).collect();
+        let came: Vec<_> =
+            ["c2", "c3"].into_iter().flat_map(|name| rig.site.hosts[name].take_attempts()).collect();
         assert!(came.iter().any(|attempt| attempt.source.as_deref() == Some("p2")));
         assert!(!came.iter().any(|attempt| attempt.source.as_deref() == Some("p1")));
         root.act(&rig.schema, "undrain", &[("host", "c1")]).await.unwrap();
@@ -180,7 +181,7 @@
         let tried = rockflow_management_client::netconf::Client::tls(&address, "localhost", config).await;
         assert!(tried.is_err());
         let address = rig.addresses.ssh.unwrap().to_string();
-        let host = keys::ssh(99).public_key().clone();
+        let host = keys::ssh_key(99).public_key().clone();
         let tried =
             rockflow_management_client::netconf::Client::ssh(&address, "root", key_of("root"), host).await;
         assert!(matches!(tried, Err(Trouble::Trust(_))));
--- a/crates/rockflow-netconf/tests/fuzz.rs
+++ b/crates/rockflow-netconf/tests/fuzz.rs
@@ -4,11 +4,11 @@
 
 use rockflow_netconf::framing::{encode, Framing};
 use rockflow_netconf::{codec, filter, xml};
-use rockflow_test_servers::memory::Counting;
+use rockflow_test_servers::memory::CountingAllocator;
 use rockflow_yang::{EditOperation, Path, Schema};
 
 #[global_allocator]
-static COUNTING: Counting = Counting::new();
+static COUNTING: CountingAllocator = CountingAllocator::new();
 
 /// The largest message that the framing takes here, and what all that is made of one may hold beside it.
 const MESSAGE: usize = 64 * 1024;
@@ -75,7 +75,7 @@
     let schema = Schema::published();
     let mut chance = oorandom::Rand32::new(20_261_201);
     let (mut read, mut edited, mut framed) = (0, 0, 0);
-    let base = COUNTING.mark();
+    let base = COUNTING.reset_peak();
     for case in 0..cases {
         let seed = SEEDS[case % SEEDS.len()];
         let mut bytes = match case / SEEDS.len() % 4 {
@@ -119,7 +119,7 @@
             let _ = filter::patterns(&schema, text, &Default::default());
         }
     }
-    let most = COUNTING.most() - base;
+    let most = COUNTING.peak() - base;
     println!("{cases} inputs: {framed} framed, {read} read, {edited} with edits; 0 panics; greatest memory {most} bytes");
     assert!(read > cases / 20 && framed > cases / 20, "too few get anywhere: {framed} {read}");
     assert!(most < BOUND, "{most}");
--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -21,8 +21,8 @@
 use rockflow_dissemination as node;
 use rockflow_process_harness::datagrams::{Path, Rule, RuleId, Who};
 use rockflow_process_harness::{Fleet, Layout, Place, Signal};
-use rockflow_test_servers::keys::Folder;
-use rockflow_test_servers::Board;
+use rockflow_test_servers::keys::TemporaryFolder;
+use rockflow_test_servers::DiscoveryServer;
 use rockflow_transport::dissemination::{AddressScope, FrameCodec, NodeOptions, TransportStatus};
 use schedule::{At, Node, PathFault, Step};
 use serde_json::json;
@@ -186,8 +186,8 @@
     ledger: Arc<Mutex<Ledger>>,
     places: usize,
     is_real: Vec<bool>,
-    board: Board,
-    _quiet: Board,
+    board: DiscoveryServer,
+    _quiet: DiscoveryServer,
     tails: Vec<Tail>,
     /// Of each real dispatcher.
     effects: BTreeMap<usize, Tail>,
@@ -214,7 +214,7 @@
     play_began: Option<Instant>,
     faults_from: Option<Instant>,
     interrupted: Arc<AtomicBool>,
-    _folder: Folder,
+    _folder: TemporaryFolder,
 }
 
 fn lock(ledger: &Arc<Mutex<Ledger>>) -> MutexGuard<'_, Ledger> {
@@ -235,8 +235,8 @@
         for signal in [SIGHUP, SIGINT, SIGTERM] {
             signal_hook::flag::register(signal, interrupted.clone()).map_err(fault("signals"))?;
         }
-        let folder = Folder::new("run");
-        let (board, quiet) = (Board::start(), Board::start());
+        let folder = TemporaryFolder::new("run");
+        let (board, quiet) = (DiscoveryServer::start(), DiscoveryServer::start());
         let count = places.len();
         let bare = (0..BARE).map(|number| Place {
             name: format!("bare-{number}"),
@@ -365,7 +365,7 @@
         self.rev += 1;
         let object = format!("{}-{}", self.options.seed, self.rev);
         lock(&self.ledger).tell(Instant::now(), xxhash_rust::xxh3::xxh3_64(object.as_bytes()));
-        self.board.tell(json!({"rev": self.rev, "flush": {"asset": object, "ms": unix_ms()}}));
+        self.board.publish(json!({"rev": self.rev, "flush": {"asset": object, "ms": unix_ms()}}));
     }
 
     /// A host that was not marked before, at the first control node that is there.
--- a/crates/rockflow-test-servers/src/board.rs
+++ b/crates/rockflow-test-servers/src/discovery.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-pub struct Board {
+pub struct DiscoveryServer {
     pub address: SocketAddr,
     /// All events so far; none: the board is gone for good.
     events: watch::Sender<Option<Vec<Event>>>,
@@ -17,8 +17,8 @@
 /// An event by its number, as it is written on the stream.
 type Event = (u64, Arc<str>);
 
-impl Board {
-    pub fn start() -> Board {
+impl DiscoveryServer {
+    pub fn start() -> DiscoveryServer {
         let listener = Listener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("nonblocking");
         let address = listener.local_addr().expect("an address");
@@ -38,11 +38,11 @@
                 }
             }
         });
-        Board { address, events }
+        DiscoveryServer { address, events }
     }
 
     /// Tells an event, whose `rev` must be the next number.
-    pub fn tell(&self, event: Value) {
+    pub fn publish(&self, event: Value) {
         let rev = event["rev"].as_u64().unwrap_or(0);
         let text: Arc<str> = format!("id: {rev}\ndata: {event}\n\n").into();
         self.events
@@ -50,7 +50,7 @@
     }
 }
 
-impl Drop for Board {
+impl Drop for DiscoveryServer {
     fn drop(&mut self) {
         let _ = self.events.send(None);
     }
--- a/crates/rockflow-test-servers/src/host.rs
+++ b/crates/rockflow-test-servers/src/host.rs
@@ -11,15 +11,15 @@
 
 /// What is kept of one attempt.
 #[derive(Clone, Debug)]
-pub struct Came {
-    pub at: Instant,
+pub struct RecordedAttempt {
+    pub received_at: Instant,
     /// The id under which the client asked.
-    pub id: String,
+    pub request_id: String,
     /// The source that a miss would be filled from.
     pub source: Option<String>,
     pub object: String,
     /// The oldest copy that would do, in milliseconds.
-    pub oldest: Option<f64>,
+    pub max_age_ms: Option<f64>,
 }
 
 /// A copy that a host holds, by its number and the time at which it was filled.
@@ -31,7 +31,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    came: Mutex<Vec<Came>>,
+    came: Mutex<Vec<RecordedAttempt>>,
     /// Only attempts from here on are kept, so that a long run stays small.
     keep: AtomicBool,
     attempts: AtomicU64,
@@ -72,23 +72,23 @@
     }
 
     /// Attempts since the start.
-    pub fn attempts(&self) -> u64 {
+    pub fn attempt_count(&self) -> u64 {
         self.shared.attempts.load(Ordering::Relaxed)
     }
 
     /// Takes what was kept of the attempts so far.
-    pub fn take(&self) -> Vec<Came> {
+    pub fn take_attempts(&self) -> Vec<RecordedAttempt> {
         std::mem::take(&mut *lock(&self.shared.came))
     }
 
     /// From here on it holds a copy of each object that it is asked for, fills it anew where it is older than an attempt
     /// takes, and answers with `copy` and the copy's number.
-    pub fn hold_copies(&self) {
+    pub fn enable_cache(&self) {
         lock(&self.shared.copies).get_or_insert_default();
     }
 
-    pub fn keep(&self, keep: bool) {
-        self.shared.keep.store(keep, Ordering::Relaxed);
+    pub fn stop_recording(&self) {
+        self.shared.keep.store(false, Ordering::Relaxed);
     }
 }
 
@@ -141,7 +141,13 @@
                 if shared.keep.load(Ordering::Relaxed) {
                     let source = field("from=").map(str::to_string);
                     let (id, object) = (id.to_string(), object.to_string());
-                    lock(&shared.came).push(Came { at: Instant::now(), id, source, object, oldest });
+                    lock(&shared.came).push(RecordedAttempt {
+                        received_at: Instant::now(),
+                        request_id: id,
+                        source,
+                        object,
+                        max_age_ms: oldest,
+                    });
                 }
                 let (id, sender) = (id.to_string(), sender.clone());
                 let delay = Duration::from_micros(shared.delay_us.load(Ordering::Relaxed));
--- a/crates/rockflow-test-servers/src/keys.rs
+++ b/crates/rockflow-test-servers/src/keys.rs
@@ -10,15 +10,15 @@
 static NEXT: AtomicU64 = AtomicU64::new(1);
 
 /// A folder for its owner alone, removed when dropped.
-pub struct Folder(PathBuf);
+pub struct TemporaryFolder(PathBuf);
 
-impl Folder {
-    pub fn new(what: &str) -> Folder {
+impl TemporaryFolder {
+    pub fn new(what: &str) -> TemporaryFolder {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("rockflow-{what}-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o700)).expect("its mode");
-        Folder(path)
+        TemporaryFolder(path)
     }
 
     pub fn path(&self) -> &Path {
@@ -38,20 +38,20 @@
 }
 
 /// The host key of a furnished folder.
-pub fn host() -> PrivateKey {
-    ssh(1)
+pub fn host_key() -> PrivateKey {
+    ssh_key(1)
 }
 
-impl Folder {
+impl TemporaryFolder {
     /// Lays out what the management of a dispatcher reads: a host key, the users' public keys, a server's
     /// certificate and key, and the authority that signs clients.
-    pub fn furnish(&self, users: &[(&str, PrivateKey)]) -> Authority {
+    pub fn write_credentials(&self, users: &[(&str, PrivateKey)]) -> Authority {
         let authority = Authority::new("rig");
-        let (certificate, key) = authority.server();
+        let (certificate, key) = authority.issue_server();
         self.write("server.pem", &certificate, 0o600);
         self.write("server.key", &key, 0o600);
         self.write("ca.pem", &authority.certificate, 0o600);
-        self.write("host", &texts(&host()).0, 0o600);
+        self.write("host", &texts(&host_key()).0, 0o600);
         std::fs::create_dir_all(self.file("users")).expect("a folder");
         for (user, key) in users {
             self.write(&format!("users/{user}"), &texts(key).1, 0o600);
@@ -60,7 +60,7 @@
     }
 
     /// The keys of the operator's file for it: those of SSH, and those of TLS.
-    pub fn operator_keys(&self) -> (String, String) {
+    pub fn operator_settings(&self) -> (String, String) {
         let at = |name: &str| self.file(name).display().to_string();
         let ssh = format!("host-key = {}\nauthorized-keys = {}\n", at("host"), at("users"));
         let (certificate, key, ca) = (at("server.pem"), at("server.key"), at("ca.pem"));
@@ -68,14 +68,14 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// A new SSH key, the same for the same seed.
-pub fn ssh(seed: u64) -> PrivateKey {
+pub fn ssh_key(seed: u64) -> PrivateKey {
     let mut bytes = [0; 32];
     let mut chance = oorandom::Rand64::new(u128::from(seed) + 1);
     bytes.chunks_mut(8).for_each(|part| part.copy_from_slice(&chance.rand_u64().to_le_bytes()));
@@ -108,14 +108,14 @@
     }
 
     /// A server at 127.0.0.1 and localhost: certificate and key.
-    pub fn server(&self) -> (String, String) {
+    pub fn issue_server(&self) -> (String, String) {
         let mut params = CertificateParams::new(vec!["localhost".to_string()]).expect("parameters");
         params.subject_alt_names.push(SanType::IpAddress("127.0.0.1".parse().expect("an address")));
         self.sign(params)
     }
 
     /// A client of that name: certificate and key.
-    pub fn client(&self, name: &str) -> (String, String) {
+    pub fn issue_client(&self, name: &str) -> (String, String) {
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.distinguished_name.push(DnType::CommonName, name);
         self.sign(params)
--- a/crates/rockflow-test-servers/src/lib.rs
+++ b/crates/rockflow-test-servers/src/lib.rs
@@ -1,16 +1,16 @@
 //! What a dispatcher talks to, played on loopback at ports of its own: cache hosts, a notice board, clients, and
 //! keys and certificates for managers. All of it runs in threads of its own and stops with its handle.
 
-pub mod board;
+pub mod discovery;
 pub mod host;
 pub mod keys;
 pub mod load;
 pub mod memory;
 pub mod site;
 
-pub use board::Board;
+pub use discovery::DiscoveryServer;
 pub use host::Host;
-pub use load::{Load, Tally, Turn};
+pub use load::{Load, LoadPhase, LoadSummary};
 pub use site::Site;
 
 use std::future::Future;
--- a/crates/rockflow-test-servers/src/load.rs
+++ b/crates/rockflow-test-servers/src/load.rs
@@ -10,48 +10,48 @@
 
 /// What became of the requests.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct LoadSummary {
     pub succeeded: u64,
-    pub dismissed: u64,
-    pub terminated: u64,
+    pub rejected: u64,
+    pub failed: u64,
     /// Asked and never answered whole; answered more than once.
-    pub lost: u64,
-    pub doubled: u64,
+    pub unanswered: u64,
+    pub duplicated: u64,
     /// Of the answered ones, in microseconds.
     pub took: Vec<u32>,
 }
 
-impl Tally {
+impl LoadSummary {
     pub fn answered(&self) -> u64 {
-        self.succeeded + self.dismissed + self.terminated
+        self.succeeded + self.rejected + self.failed
     }
 
     /// The time within which that share of the answers came.
-    pub fn within(&self, share: f64) -> Duration {
+    pub fn latency_percentile(&self, share: f64) -> Duration {
         let mut took = self.took.clone();
         took.sort_unstable();
         let at = ((took.len() as f64 * share).ceil() as usize).clamp(1, took.len().max(1)) - 1;
         Duration::from_micros(took.get(at).copied().unwrap_or(0).into())
     }
 
-    fn add(&mut self, other: Tally) {
+    fn add(&mut self, other: LoadSummary) {
         self.succeeded += other.succeeded;
-        self.dismissed += other.dismissed;
-        self.terminated += other.terminated;
-        self.lost += other.lost;
-        self.doubled += other.doubled;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.unanswered += other.unanswered;
+        self.duplicated += other.duplicated;
         self.took.extend(other.took);
     }
 }
 
 /// A stretch of the load's time: a request is of the one that ran when it was asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Turn(u16);
+pub struct LoadPhase(u16);
 
-impl Turn {
+impl LoadPhase {
     /// The turn of a request, by the id under which a client asks it and a host is asked.
-    pub fn of(id: &str) -> Option<Turn> {
-        u64::from_str_radix(id, 16).ok().map(|id| Turn((id >> TURN_BITS) as u16))
+    pub fn from_request_id(id: &str) -> Option<LoadPhase> {
+        u64::from_str_radix(id, 16).ok().map(|id| LoadPhase((id >> TURN_BITS) as u16))
     }
 }
 
@@ -61,16 +61,16 @@
 /// What has come of the turn that runs, by client.
 #[derive(Clone, Debug, Default)]
 struct Progress {
-    turn: Turn,
+    turn: LoadPhase,
     succeeded: Vec<u64>,
     /// Ended in any other way.
     otherwise: Vec<u64>,
 }
 
 impl Progress {
-    fn next_turn(&mut self) -> Turn {
+    fn next_turn(&mut self) -> LoadPhase {
         let clients = self.succeeded.len();
-        let turn = Turn(self.turn.0.checked_add(1).expect("fewer turns"));
+        let turn = LoadPhase(self.turn.0.checked_add(1).expect("fewer turns"));
         *self = Progress { turn, succeeded: vec![0; clients], otherwise: vec![0; clients] };
         turn
     }
@@ -79,7 +79,7 @@
 pub struct Load {
     stop: watch::Sender<bool>,
     progress: Arc<watch::Sender<Progress>>,
-    total: Arc<Mutex<Tally>>,
+    total: Arc<Mutex<LoadSummary>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -87,7 +87,7 @@
     /// So many clients, each with so long between an answer and its next request.
     pub fn start(address: SocketAddr, clients: usize, pause: Duration, seed: u64) -> Load {
         let (stop, stopped) = watch::channel(false);
-        let total = Arc::new(Mutex::new(Tally::default()));
+        let total = Arc::new(Mutex::new(LoadSummary::default()));
         let sum = total.clone();
         let mut progress = Progress::default();
         (progress.succeeded, progress.otherwise) = (vec![0; clients], vec![0; clients]);
@@ -109,16 +109,16 @@
     }
 
     /// Begins another turn: what a client asks from now on is of this one.
-    pub fn next_turn(&self) -> Turn {
-        let mut begun = Turn::default();
+    pub fn start_phase(&self) -> LoadPhase {
+        let mut begun = LoadPhase::default();
         self.progress.send_modify(|progress| begun = progress.next_turn());
         begun
     }
 
     /// Begins another turn, and waits till each client has so often asked in it and been served. Whatever was open before
     /// is over then, as a client asks one request at a time. Panics past the limit, with what came of each client.
-    pub async fn served(&self, each: u64, limit: Duration) -> Turn {
-        let turn = self.next_turn();
+    pub async fn wait_until_served(&self, each: u64, limit: Duration) -> LoadPhase {
+        let turn = self.start_phase();
         let mut told = self.progress.subscribe();
         let all = told.wait_for(|progress| progress.succeeded.iter().all(|count| *count >= each));
         let all = tokio::time::timeout(limit, all).await.is_ok();
@@ -129,7 +129,7 @@
     }
 
     /// Lets the open requests end, and counts.
-    pub fn stop(mut self) -> Tally {
+    pub fn stop(mut self) -> LoadSummary {
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -145,8 +145,8 @@
     stopped: watch::Receiver<bool>,
     number: usize,
     told: Arc<watch::Sender<Progress>>,
-) -> Tally {
-    let (mut tally, mut chance) = (Tally::default(), oorandom::Rand64::new(u128::from(seed)));
+) -> LoadSummary {
+    let (mut tally, mut chance) = (LoadSummary::default(), oorandom::Rand64::new(u128::from(seed)));
     let mut connection: Option<TcpStream> = None;
     while !*stopped.borrow() {
         let mut stream = match connection.take() {
@@ -184,16 +184,16 @@
             Ok(Ok((status, more, close))) => {
                 match status {
                     200 | 304 => tally.succeeded += 1,
-                    429 | 503 => tally.dismissed += 1,
-                    _ => tally.terminated += 1,
+                    429 | 503 => tally.rejected += 1,
+                    _ => tally.failed += 1,
                 }
-                tally.doubled += u64::from(more);
+                tally.duplicated += u64::from(more);
                 tally.took.push(begun.elapsed().as_micros() as u32);
                 if !close {
                     connection = Some(stream);
                 }
             }
-            _ => tally.lost += 1,
+            _ => tally.unanswered += 1,
         }
         if !pause.is_zero() {
             tokio::time::sleep(pause.mul_f64(0.5 + chance.rand_float())).await;
@@ -203,7 +203,7 @@
     if let Some(mut stream) = connection {
         let mut rest = [0; 64];
         let more = tokio::time::timeout(Duration::from_millis(20), stream.read(&mut rest)).await;
-        tally.doubled += u64::from(matches!(more, Ok(Ok(n)) if n > 0));
+        tally.duplicated += u64::from(matches!(more, Ok(Ok(n)) if n > 0));
     }
     tally
 }
--- a/crates/rockflow-test-servers/src/memory.rs
+++ b/crates/rockflow-test-servers/src/memory.rs
@@ -4,39 +4,39 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// To be named as `#[global_allocator]` by a test.
-pub struct Counting {
+pub struct CountingAllocator {
     held: AtomicUsize,
-    most: AtomicUsize,
+    peak: AtomicUsize,
 }
 
-impl Counting {
-    pub const fn new() -> Counting {
-        Counting { held: AtomicUsize::new(0), most: AtomicUsize::new(0) }
+impl CountingAllocator {
+    pub const fn new() -> CountingAllocator {
+        CountingAllocator { held: AtomicUsize::new(0), peak: AtomicUsize::new(0) }
     }
 
     /// From now on the greatest counts anew; what is held now is the base.
-    pub fn mark(&self) -> usize {
+    pub fn reset_peak(&self) -> usize {
         let held = self.held.load(Ordering::Relaxed);
-        self.most.store(held, Ordering::Relaxed);
+        self.peak.store(held, Ordering::Relaxed);
         held
     }
 
-    pub fn most(&self) -> usize {
-        self.most.load(Ordering::Relaxed)
+    pub fn peak(&self) -> usize {
+        self.peak.load(Ordering::Relaxed)
     }
 }
 
-impl Default for Counting {
-    fn default() -> Counting {
-        Counting::new()
+impl Default for CountingAllocator {
+    fn default() -> CountingAllocator {
+        CountingAllocator::new()
     }
 }
 
 // Safe: every call goes to the system's allocator as it came.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let held = self.held.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
-        self.most.fetch_max(held, Ordering::Relaxed);
+        self.peak.fetch_max(held, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
--- a/crates/rockflow-test-servers/src/site.rs
+++ b/crates/rockflow-test-servers/src/site.rs
@@ -1,6 +1,6 @@
 //! A small site: hosts, a board, and a dispatcher among them.
 
-use crate::board::Board;
+use crate::discovery::DiscoveryServer;
 use crate::host::Host;
 use rockflow_dispatcher::Config;
 use serde_json::{json, Value};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 pub struct Site {
-    pub board: Board,
+    pub discovery: DiscoveryServer,
     pub hosts: BTreeMap<String, Host>,
     roles: BTreeMap<String, &'static str>,
     rev: u64,
@@ -25,7 +25,7 @@
                 roles.insert(name, role);
             }
         }
-        Site { board: Board::start(), hosts, roles, rev: 1 }
+        Site { discovery: DiscoveryServer::start(), hosts, roles, rev: 1 }
     }
 
     fn instance(&self, name: &str, lifecycle: &str) -> Value {
@@ -39,42 +39,42 @@
     }
 
     /// The configuration of a dispatcher at a port of its own, made from an example.
-    pub fn configuration(&self, example: &str) -> Value {
+    pub fn configuration_json(&self, example: &str) -> Value {
         let mut value: Value = serde_json::from_str(example).expect("an example");
-        value["board"] = json!(self.board.address.to_string());
+        value["board"] = json!(self.discovery.address.to_string());
         value["listen"] = json!("127.0.0.1:0");
         let instances: Vec<_> = self.roles.keys().map(|name| self.instance(name, "active")).collect();
         value["known"]["notices"][0]["pool"]["instances"] = json!(instances);
         value
     }
 
-    pub fn told(&self, example: &str) -> Config {
-        Config::parse(&self.configuration(example).to_string()).expect("a configuration")
+    pub fn dispatcher_config(&self, example: &str) -> Config {
+        Config::parse(&self.configuration_json(example).to_string()).expect("a configuration")
     }
 
     /// The board says of a host: active, leaving or left.
-    pub fn say(&mut self, name: &str, lifecycle: &str) {
+    pub fn announce(&mut self, name: &str, lifecycle: &str) {
         self.rev += 1;
         let instances = [self.instance(name, lifecycle)];
-        self.board.tell(json!({"rev": self.rev, "pool": {"instances": instances}}));
+        self.discovery.publish(json!({"rev": self.rev, "pool": {"instances": instances}}));
     }
 
     /// The board says that a host started then, in Unix milliseconds.
-    pub fn say_started(&mut self, name: &str, unix_ms: u64) {
+    pub fn announce_started(&mut self, name: &str, unix_ms: u64) {
         self.rev += 1;
         let mut instance = self.instance(name, "active");
         instance["startedAtMs"] = json!(unix_ms);
-        self.board.tell(json!({"rev": self.rev, "pool": {"instances": [instance]}}));
+        self.discovery.publish(json!({"rev": self.rev, "pool": {"instances": [instance]}}));
     }
 
     /// The board sends the whole list anew.
-    pub fn say_all(&mut self) {
+    pub fn announce_all(&mut self) {
         self.rev += 1;
         let instances: Vec<_> = self.roles.keys().map(|name| self.instance(name, "active")).collect();
-        self.board.tell(json!({"rev": self.rev, "pool": {"reset": true, "instances": instances}}));
+        self.discovery.publish(json!({"rev": self.rev, "pool": {"reset": true, "instances": instances}}));
     }
 
-    pub fn rev(&self) -> u64 {
+    pub fn revision(&self) -> u64 {
         self.rev
     }
 }
