--- a/crates/rockflow-benchmarks/src/process.rs
+++ b/crates/rockflow-benchmarks/src/process.rs
@@ -2,7 +2,7 @@
 
 use rockflow_management_client::{gnmi, netconf};
 use rockflow_process_harness::{free_tcp, Process, Start, Usage};
-use rockflow_test_servers::{keys, Site};
+use rockflow_test_servers::{keys, Site, TemporaryFolder};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -16,20 +16,20 @@
     ssh: SocketAddr,
     gnmi: SocketAddr,
     authority: keys::Authority,
-    _folder: keys::TemporaryFolder,
+    _folder: TemporaryFolder,
 }
 
 impl Dispatcher {
     /// Starts the program for that site; `managed`: with all fronts on.
     pub async fn start(program: &Path, site: &Site, managed: bool) -> Dispatcher {
-        let folder = keys::TemporaryFolder::new("measured");
+        let folder = TemporaryFolder::new("measured");
         let port = || free_tcp().expect("a port");
         let (address, ssh, gnmi) = (port(), port(), port());
         let mut value = site.configuration_json(EXAMPLE);
         value["listen"] = serde_json::json!(address.to_string());
         let config = folder.write("config.json", &value.to_string(), 0o600);
         let authority = folder.write_credentials(&[("root", keys::ssh_key(2))]);
-        let (by_ssh, by_tls) = folder.operator_settings();
+        let keys::OperatorSettings { ssh: by_ssh, tls: by_tls } = folder.operator_settings();
         let operator = format!(
             "[management]\nowner = root\nstore = {}\n[netconf]\nssh = {ssh}\n{by_ssh}[gnmi]\nlisten = {gnmi}\n\
              {by_tls}subscribers = 200\n",
@@ -65,7 +65,7 @@
     pub async fn gnmi(&self) -> gnmi::Client {
         use rustls::pki_types::pem::PemObject;
         use rustls::pki_types::{CertificateDer, PrivateKeyDer};
-        let (certificate, key) = self.authority.issue_client("root");
+        let keys::CertifiedKey { certificate, key } = self.authority.issue_client("root");
         let mut roots = rustls::RootCertStore::empty();
         let ca =
             CertificateDer::from_pem_slice(self.authority.certificate.as_bytes()).expect("a certificate");
--- a/crates/rockflow-cli/tests/rig/mod.rs
+++ b/crates/rockflow-cli/tests/rig/mod.rs
@@ -6,8 +6,7 @@
 use rockflow_dissemination::{Directory, NodeId};
 use rockflow_process_harness::datagrams::{Path, Rule, RuleId, Who};
 use rockflow_process_harness::{until, Fleet, Layout, Place, Signal};
-use rockflow_test_servers::keys::TemporaryFolder;
-use rockflow_test_servers::{DiscoveryServer, Host};
+use rockflow_test_servers::{DiscoveryServer, Host, TemporaryFolder};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::ops::Range;
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use rockflow_management_client::netconf::Client;
 use rockflow_management_client::Trouble;
 use rockflow_management_service::{operator_config, ManagementService, OperatorConfig};
-use rockflow_test_servers::{keys, Site};
+use rockflow_test_servers::{keys, Site, TemporaryFolder};
 use rockflow_yang::{json, DataTree, NodeScope, Schema};
 use std::net::SocketAddr;
 use std::sync::{Arc, Once};
@@ -20,7 +20,7 @@
     pub service: Service,
     pub desk: Arc<ManagementService>,
     pub addresses: Addresses,
-    pub folder: keys::TemporaryFolder,
+    pub folder: TemporaryFolder,
     pub schema: Arc<Schema>,
     pub authority: keys::Authority,
     pub host: russh::keys::PrivateKey,
@@ -34,14 +34,10 @@
 }
 
 /// The operator's file of a rig: all fronts, at ports of their own.
-pub fn operator(
-    folder: &keys::TemporaryFolder,
-    store: bool,
-    more: &str,
-) -> (OperatorConfig, keys::Authority) {
+pub fn operator(folder: &TemporaryFolder, store: bool, more: &str) -> (OperatorConfig, keys::Authority) {
     let authority = folder.write_credentials(&USERS.map(|user| (user, key_of(user))));
     let at = |name: &str| folder.file(name).display().to_string();
-    let (ssh, tls) = folder.operator_settings();
+    let keys::OperatorSettings { ssh, tls } = folder.operator_settings();
     let store = if store { format!("store = {}\n", at("store")) } else { String::new() };
     let text = format!(
         "[management]\nowner = root\n{store}audit = {}\n[netconf]\nssh = 127.0.0.1:0\n{ssh}tls = 127.0.0.1:0\n\
@@ -61,7 +57,7 @@
 
     pub fn with(caches: usize, parents: usize, delay: Duration, more: &str) -> Rig {
         SET_UP.call_once(Service::set_up);
-        let folder = keys::TemporaryFolder::new("rig");
+        let folder = TemporaryFolder::new("rig");
         let (file, authority) = operator(&folder, true, more);
         let site = Site::start(caches, parents, delay);
         let clock = Clock::start();
@@ -90,7 +86,7 @@
 
     pub fn tls_config(&self, authority: &keys::Authority, user: &str) -> Arc<rustls::ClientConfig> {
         use rustls::pki_types::pem::PemObject;
-        let (certificate, key) = authority.issue_client(user);
+        let keys::CertifiedKey { certificate, key } = authority.issue_client(user);
         let mut roots = rustls::RootCertStore::empty();
         let ca = rustls::pki_types::CertificateDer::from_pem_slice(self.authority.certificate.as_bytes());
         roots.add(ca.unwrap()).unwrap();
--- a/crates/rockflow-test-servers/src/keys.rs
+++ b/crates/rockflow-test-servers/src/keys.rs
@@ -1,103 +1,103 @@
-//! Keys and certificates, made new in a folder of their own and gone with it.
+//! SSH keys, and X.509 certificates signed by an authority of the test's own.
 
+use crate::folder::TemporaryFolder;
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, SanType};
+use russh::keys::ssh_key::private::Ed25519Keypair;
 use russh::keys::ssh_key::LineEnding;
 use russh::keys::{Algorithm, PrivateKey};
-use std::os::unix::fs::PermissionsExt;
-use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicU64, Ordering};
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+/// Permission bits of every file that is written here.
+const FILE_MODE: u32 = 0o600;
+/// The seed of [`host_key`].
+const HOST_KEY_SEED: u64 = 1;
 
-/// A folder for its owner alone, removed when dropped.
-pub struct TemporaryFolder(PathBuf);
-
-impl TemporaryFolder {
-    pub fn new(what: &str) -> TemporaryFolder {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("rockflow-{what}-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o700)).expect("its mode");
-        TemporaryFolder(path)
-    }
-
-    pub fn path(&self) -> &Path {
-        &self.0
-    }
-
-    pub fn file(&self, name: &str) -> PathBuf {
-        self.0.join(name)
-    }
+/// The SSH host key that [`TemporaryFolder::write_credentials`] writes.
+pub fn host_key() -> PrivateKey {
+    ssh_key(HOST_KEY_SEED)
+}
 
-    pub fn write(&self, name: &str, text: &str, mode: u32) -> PathBuf {
-        let path = self.file(name);
-        std::fs::write(&path, text).expect("a file");
-        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).expect("its mode");
-        path
+/// An Ed25519 SSH key, the same for the same seed.
+pub fn ssh_key(seed: u64) -> PrivateKey {
+    let mut bytes = [0; 32];
+    let mut rng = oorandom::Rand64::new(u128::from(seed) + 1);
+    for part in bytes.chunks_mut(8) {
+        part.copy_from_slice(&rng.rand_u64().to_le_bytes());
     }
+    let key = PrivateKey::from(Ed25519Keypair::from_seed(&bytes));
+    debug_assert_eq!(key.algorithm(), Algorithm::Ed25519);
+    key
 }
 
-/// The host key of a furnished folder.
-pub fn host_key() -> PrivateKey {
-    ssh_key(1)
+/// The settings of an operator's file that name the files of [`TemporaryFolder::write_credentials`], one on each line.
+pub struct OperatorSettings {
+    /// Those of the SSH server.
+    pub ssh: String,
+    /// Those of the TLS server.
+    pub tls: String,
 }
 
 impl TemporaryFolder {
-    /// Lays out what the management of a dispatcher reads: a host key, the users' public keys, a server's
-    /// certificate and key, and the authority that signs clients.
+    /// Writes what the management of a dispatcher reads: an SSH host key, the users' public keys, a TLS server's
+    /// certificate and key, and the certificate of the authority that signs clients, which is returned.
+    ///
+    /// # Panics
+    /// If a file can't be written.
     pub fn write_credentials(&self, users: &[(&str, PrivateKey)]) -> Authority {
         let authority = Authority::new("rig");
-        let (certificate, key) = authority.issue_server();
-        self.write("server.pem", &certificate, 0o600);
-        self.write("server.key", &key, 0o600);
-        self.write("ca.pem", &authority.certificate, 0o600);
-        self.write("host", &texts(&host_key()).0, 0o600);
+        let server = authority.issue_server();
+        self.write("server.pem", &server.certificate, FILE_MODE);
+        self.write("server.key", &server.key, FILE_MODE);
+        self.write("ca.pem", &authority.certificate, FILE_MODE);
+        self.write("host", &private_key_text(&host_key()), FILE_MODE);
         std::fs::create_dir_all(self.file("users")).expect("a folder");
         for (user, key) in users {
-            self.write(&format!("users/{user}"), &texts(key).1, 0o600);
+            self.write(&format!("users/{user}"), &public_key_text(key), FILE_MODE);
         }
         authority
     }
 
-    /// The keys of the operator's file for it: those of SSH, and those of TLS.
-    pub fn operator_settings(&self) -> (String, String) {
-        let at = |name: &str| self.file(name).display().to_string();
-        let ssh = format!("host-key = {}\nauthorized-keys = {}\n", at("host"), at("users"));
-        let (certificate, key, ca) = (at("server.pem"), at("server.key"), at("ca.pem"));
-        (ssh, format!("certificate = {certificate}\nkey = {key}\nclient-ca = {ca}\n"))
+    /// The settings by which a dispatcher finds those files.
+    pub fn operator_settings(&self) -> OperatorSettings {
+        let path = |name: &str| self.file(name).display().to_string();
+        let (host, users) = (path("host"), path("users"));
+        let (certificate, key, ca) = (path("server.pem"), path("server.key"), path("ca.pem"));
+        OperatorSettings {
+            ssh: format!("host-key = {host}\nauthorized-keys = {users}\n"),
+            tls: format!("certificate = {certificate}\nkey = {key}\nclient-ca = {ca}\n"),
+        }
     }
 }
 
-impl Drop for TemporaryFolder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
+/// The private key in OpenSSH's format.
+fn private_key_text(key: &PrivateKey) -> String {
+    key.to_openssh(LineEnding::LF).expect("a key").to_string()
 }
 
-/// A new SSH key, the same for the same seed.
-pub fn ssh_key(seed: u64) -> PrivateKey {
-    let mut bytes = [0; 32];
-    let mut chance = oorandom::Rand64::new(u128::from(seed) + 1);
-    bytes.chunks_mut(8).for_each(|part| part.copy_from_slice(&chance.rand_u64().to_le_bytes()));
-    let pair = russh::keys::ssh_key::private::Ed25519Keypair::from_seed(&bytes);
-    let key = PrivateKey::from(pair);
-    debug_assert_eq!(key.algorithm(), Algorithm::Ed25519);
-    key
+/// The public key as a line of OpenSSH's `authorized_keys`.
+fn public_key_text(key: &PrivateKey) -> String {
+    key.public_key().to_openssh().expect("a key")
 }
 
-/// The key as OpenSSH writes it, and its public half as a line.
-pub fn texts(key: &PrivateKey) -> (String, String) {
-    let private = key.to_openssh(LineEnding::LF).expect("a key").to_string();
-    (private, key.public_key().to_openssh().expect("a key"))
+/// A certificate with its private key, both in PEM.
+pub struct CertifiedKey {
+    /// The certificate.
+    pub certificate: String,
+    /// The private key.
+    pub key: String,
 }
 
-/// An authority, with which server and clients are signed.
+/// A certificate authority, which signs certificates of servers and clients.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
+    /// Its own certificate, in PEM.
     pub certificate: String,
 }
 
 impl Authority {
+    /// Creates an authority with a new key and the given common name.
+    ///
+    /// # Panics
+    /// If the key or the certificate can't be made.
     pub fn new(name: &str) -> Authority {
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -107,23 +107,29 @@
         Authority { issuer: Issuer::new(params, key), certificate }
     }
 
-    /// A server at 127.0.0.1 and localhost: certificate and key.
-    pub fn issue_server(&self) -> (String, String) {
+    /// Issues a certificate for a server at `localhost` and 127.0.0.1.
+    ///
+    /// # Panics
+    /// If it can't be made.
+    pub fn issue_server(&self) -> CertifiedKey {
         let mut params = CertificateParams::new(vec!["localhost".to_string()]).expect("parameters");
         params.subject_alt_names.push(SanType::IpAddress("127.0.0.1".parse().expect("an address")));
         self.sign(params)
     }
 
-    /// A client of that name: certificate and key.
-    pub fn issue_client(&self, name: &str) -> (String, String) {
+    /// Issues a certificate for a client with the given common name.
+    ///
+    /// # Panics
+    /// If it can't be made.
+    pub fn issue_client(&self, name: &str) -> CertifiedKey {
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.distinguished_name.push(DnType::CommonName, name);
         self.sign(params)
     }
 
-    fn sign(&self, params: CertificateParams) -> (String, String) {
+    fn sign(&self, params: CertificateParams) -> CertifiedKey {
         let key = KeyPair::generate().expect("a key");
         let certificate = params.signed_by(&key, &self.issuer).expect("a certificate");
-        (certificate.pem(), key.serialize_pem())
+        CertifiedKey { certificate: certificate.pem(), key: key.serialize_pem() }
     }
 }
--- a/crates/rockflow-test-servers/src/memory.rs
+++ b/crates/rockflow-test-servers/src/memory.rs
@@ -1,26 +1,28 @@
-//! An allocator that counts what is held, for tests that bound it.
+//! An allocator that counts the bytes in use, for tests that bound them.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// To be named as `#[global_allocator]` by a test.
+/// The system's allocator with a count of the bytes in use, to be a test's `#[global_allocator]`.
 pub struct CountingAllocator {
-    held: AtomicUsize,
+    in_use: AtomicUsize,
     peak: AtomicUsize,
 }
 
 impl CountingAllocator {
+    /// An allocator that has nothing in use.
     pub const fn new() -> CountingAllocator {
-        CountingAllocator { held: AtomicUsize::new(0), peak: AtomicUsize::new(0) }
+        CountingAllocator { in_use: AtomicUsize::new(0), peak: AtomicUsize::new(0) }
     }
 
-    /// From now on the greatest counts anew; what is held now is the base.
+    /// Resets the peak to the bytes in use now, and returns them.
     pub fn reset_peak(&self) -> usize {
-        let held = self.held.load(Ordering::Relaxed);
-        self.peak.store(held, Ordering::Relaxed);
-        held
+        let in_use = self.in_use.load(Ordering::Relaxed);
+        self.peak.store(in_use, Ordering::Relaxed);
+        in_use
     }
 
+    /// The most bytes that were in use at once since the last reset.
     pub fn peak(&self) -> usize {
         self.peak.load(Ordering::Relaxed)
     }
@@ -32,16 +34,16 @@
     }
 }
 
-// Safe: every call goes to the system's allocator as it came.
+// SAFETY: every call is passed on to the system's allocator unchanged.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let held = self.held.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
-        self.peak.fetch_max(held, Ordering::Relaxed);
+        let in_use = self.in_use.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
+        self.peak.fetch_max(in_use, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        self.held.fetch_sub(layout.size(), Ordering::Relaxed);
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        self.in_use.fetch_sub(layout.size(), Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
--- a/crates/rockflow-test-servers/src/site.rs
+++ b/crates/rockflow-test-servers/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site: hosts, a board, and a dispatcher among them.
+//! A small site round a dispatcher: hosts, and the discovery server that announces them.
 
 use crate::discovery::DiscoveryServer;
 use crate::host::Host;
@@ -7,74 +7,95 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The hosts of a site with their discovery server. All stop when it is dropped.
 pub struct Site {
+    /// The server that announces the hosts.
     pub discovery: DiscoveryServer,
+    /// The hosts by name: caches `c1`, `c2`, ..., parents `p1`, `p2`, ..., and the origin `o1`.
     pub hosts: BTreeMap<String, Host>,
     roles: BTreeMap<String, &'static str>,
-    rev: u64,
+    revision: u64,
 }
 
 impl Site {
-    /// So many caches c1, c2 ... and parents p1, p2 ..., and the origin o1, which answer after so long.
+    /// Starts so many caches and parents and one origin, each of which answers after `delay`.
+    ///
+    /// # Panics
+    /// If a server can't be started.
     pub fn start(caches: usize, parents: usize, delay: Duration) -> Site {
-        let (mut hosts, mut roles) = (BTreeMap::new(), BTreeMap::new());
-        for (letter, role, count) in [("c", "cache", caches), ("p", "parent", parents), ("o", "origin", 1)] {
+        let mut hosts = BTreeMap::new();
+        let mut roles = BTreeMap::new();
+        for (prefix, role, count) in [("c", "cache", caches), ("p", "parent", parents), ("o", "origin", 1)] {
             for number in 1..=count {
-                let name = format!("{letter}{number}");
+                let name = format!("{prefix}{number}");
                 hosts.insert(name.clone(), Host::start(&name, delay));
                 roles.insert(name, role);
             }
         }
-        Site { discovery: DiscoveryServer::start(), hosts, roles, rev: 1 }
+        Site { discovery: DiscoveryServer::start(), hosts, roles, revision: 1 }
     }
 
-    fn instance(&self, name: &str, lifecycle: &str) -> Value {
-        let role = self.roles[name];
-        let (zone, kind) = match role {
-            "cache" => ("shop", "box"),
-            role => ("hub", role),
-        };
-        json!({"instanceId": name, "hostPort": self.hosts[name].address.to_string(), "zone": zone,
-            "machineType": kind, "cell": 0, "lifecycle": lifecycle, "weight": 16, "startedAtMs": 0})
-    }
-
-    /// The configuration of a dispatcher at a port of its own, made from an example.
+    /// The JSON configuration of a dispatcher of this site that listens at a free port, made from an example.
+    ///
+    /// # Panics
+    /// If the example is no JSON.
     pub fn configuration_json(&self, example: &str) -> Value {
         let mut value: Value = serde_json::from_str(example).expect("an example");
         value["board"] = json!(self.discovery.address.to_string());
         value["listen"] = json!("127.0.0.1:0");
-        let instances: Vec<_> = self.roles.keys().map(|name| self.instance(name, "active")).collect();
-        value["known"]["notices"][0]["pool"]["instances"] = json!(instances);
+        value["known"]["notices"][0]["pool"]["instances"] = json!(self.all_instances());
         value
     }
 
+    /// The same configuration, parsed.
+    ///
+    /// # Panics
+    /// If the example is no valid configuration.
     pub fn dispatcher_config(&self, example: &str) -> Config {
         Config::parse(&self.configuration_json(example).to_string()).expect("a configuration")
     }
 
-    /// The board says of a host: active, leaving or left.
+    /// Announces a host's lifecycle, in the protocol's words: `active`, `leaving` or `left`.
     pub fn announce(&mut self, name: &str, lifecycle: &str) {
-        self.rev += 1;
         let instances = [self.instance(name, lifecycle)];
-        self.discovery.publish(json!({"rev": self.rev, "pool": {"instances": instances}}));
+        self.publish_pool(json!({"instances": instances}));
     }
 
-    /// The board says that a host started then, in Unix milliseconds.
+    /// Announces that a host started at a time, in Unix milliseconds.
     pub fn announce_started(&mut self, name: &str, unix_ms: u64) {
-        self.rev += 1;
         let mut instance = self.instance(name, "active");
         instance["startedAtMs"] = json!(unix_ms);
-        self.discovery.publish(json!({"rev": self.rev, "pool": {"instances": [instance]}}));
+        self.publish_pool(json!({"instances": [instance]}));
     }
 
-    /// The board sends the whole list anew.
+    /// Announces the whole list of hosts, all active, in place of what was announced before.
     pub fn announce_all(&mut self) {
-        self.rev += 1;
-        let instances: Vec<_> = self.roles.keys().map(|name| self.instance(name, "active")).collect();
-        self.discovery.publish(json!({"rev": self.rev, "pool": {"reset": true, "instances": instances}}));
+        let instances = self.all_instances();
+        self.publish_pool(json!({"reset": true, "instances": instances}));
     }
 
+    /// The revision of the last announcement.
     pub fn revision(&self) -> u64 {
-        self.rev
+        self.revision
+    }
+
+    fn publish_pool(&mut self, pool: Value) {
+        self.revision += 1;
+        self.discovery.publish(json!({"rev": self.revision, "pool": pool}));
+    }
+
+    fn all_instances(&self) -> Vec<Value> {
+        self.roles.keys().map(|name| self.instance(name, "active")).collect()
+    }
+
+    /// A host's entry as the discovery service writes it.
+    fn instance(&self, name: &str, lifecycle: &str) -> Value {
+        let role = self.roles[name];
+        let (zone, machine_type) = match role {
+            "cache" => ("shop", "box"),
+            role => ("hub", role),
+        };
+        json!({"instanceId": name, "hostPort": self.hosts[name].address.to_string(), "zone": zone,
+            "machineType": machine_type, "cell": 0, "lifecycle": lifecycle, "weight": 16, "startedAtMs": 0})
     }
 }
