--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -30,7 +30,7 @@
 /// A member's; none: the operator's file has no such section.
 pub fn plan(file: &OperatorConfig, told: &Config) -> Result<Option<Plan>, String> {
     let Some(part) = &file.dissemination else { return Ok(None) };
-    let binds = told.facts.deployment.purge_window;
+    let binds = told.deployment_settings.deployment.purge_window;
     if binds > part.purge_window {
         return Err(format!(
             "[dissemination] purge-seconds: {} is shorter than the {} s that a purge binds by the settings",
--- a/crates/rockflow-dispatcher/src/config.rs
+++ b/crates/rockflow-dispatcher/src/config.rs
@@ -36,9 +36,9 @@
     /// Endpoints and purges at the start.
     pub snapshot: Snapshot,
     /// What the decisions go by.
-    pub facts: DeploymentSettings,
+    pub deployment_settings: DeploymentSettings,
     /// What only the sockets need.
-    pub wiring: NetworkSettings,
+    pub network_settings: NetworkSettings,
     /// The values that take effect only with a restart.
     pub restart_only: RestartOnlyValues,
 }
@@ -78,7 +78,7 @@
         let root: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let document = Document { root: &root };
         let seed = u64::from_str_radix(document.text("seed")?, 16).map_err(|_| ConfigError::InvalidSeed)?;
-        let pairs = DottedSettings::from_json(document.value("settings")?);
+        let settings = DottedSettings::from_json(document.value("settings")?);
         Ok(Config {
             name: document.text("name")?.to_string(),
             listen: document.address("listen")?,
@@ -90,9 +90,9 @@
             discovery_address: document.address("board")?,
             snapshot: serde_json::from_value(document.value("known")?.clone())
                 .map_err(ConfigError::InvalidSnapshot)?,
-            facts: DeploymentSettings::parse(&pairs)
+            deployment_settings: DeploymentSettings::parse(&settings)
                 .map_err(|error| ConfigError::InvalidSetting(error.into()))?,
-            wiring: NetworkSettings::parse(&pairs)
+            network_settings: NetworkSettings::parse(&settings)
                 .map_err(|error| ConfigError::InvalidSetting(error.into()))?,
             restart_only: document.restart_only()?,
         })
--- a/crates/rockflow-dispatcher/src/discovery/mod.rs
+++ b/crates/rockflow-dispatcher/src/discovery/mod.rs
@@ -86,7 +86,7 @@
             endpoint_list,
             status: SharedDiscoveryStatus::new(address, last_revision),
             rng: oorandom::Rand64::new(u128::from(config.seed)),
-            silence: SilenceDetector::new(clock.now(), config.wiring.drain_timeout),
+            silence: SilenceDetector::new(clock.now(), config.network_settings.drain_timeout),
             requested_gap: None,
             requested_unreadable: None,
         }
--- a/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
@@ -55,13 +55,17 @@
 
 impl EndpointReader {
     /// A reader by these settings.
-    pub fn new(clock: Clock, facts: &DeploymentSettings, wiring: &NetworkSettings) -> Self {
+    pub fn new(
+        clock: Clock,
+        deployment_settings: &DeploymentSettings,
+        network_settings: &NetworkSettings,
+    ) -> Self {
         EndpointReader {
             clock,
-            locations: wiring.location_names.clone(),
-            kinds: wiring.kind_names.clone(),
-            parent_kind: facts.parent_kind,
-            origin_kind: facts.origin_kind,
+            locations: network_settings.location_names.clone(),
+            kinds: network_settings.kind_names.clone(),
+            parent_kind: deployment_settings.parent_kind,
+            origin_kind: deployment_settings.origin_kind,
         }
     }
 
--- a/crates/rockflow-dispatcher/src/service.rs
+++ b/crates/rockflow-dispatcher/src/service.rs
@@ -88,7 +88,7 @@
         overrides: Option<AdminOverrides>,
     ) -> std::io::Result<Service> {
         let startup = Startup::new(clock, &config);
-        let reader = EndpointReader::new(clock, &config.facts, &config.wiring);
+        let reader = EndpointReader::new(clock, &config.deployment_settings, &config.network_settings);
         let InitialState { mut endpoints, purges } = reader.read_snapshot(&config.snapshot.events);
         let mut registry = overrides.map(EndpointRegistry::new);
         if let Some(registry) = &mut registry {
@@ -203,7 +203,7 @@
         let decisions = Mailbox::new();
         let ready = Arc::new(AtomicBool::new(false));
         let buffered_bytes = Arc::new(AtomicUsize::new(0));
-        let deadlines = config.facts.deployment.classes.iter().map(|class| class.deadline);
+        let deadlines = config.deployment_settings.deployment.classes.iter().map(|class| class.deadline);
         let max_deadline = deadlines.max().unwrap_or_default();
         let clients = Arc::new(ClientRegistry::new(RegistryConfig {
             clock,
@@ -214,14 +214,14 @@
             buffered_bytes: buffered_bytes.clone(),
             max_idle: caps.idle_clients,
         }));
-        let wiring = &config.wiring;
+        let network_settings = &config.network_settings;
         let pool = Arc::new(ConnectionPool {
             clock,
             decisions: decisions.clone(),
-            connect_timeout: wiring.connect_timeout,
-            idle_timeout: wiring.idle_timeout,
-            max_concurrent_attempts: wiring.max_streams,
-            max_request_time: max_deadline + wiring.connect_timeout,
+            connect_timeout: network_settings.connect_timeout,
+            idle_timeout: network_settings.idle_timeout,
+            max_concurrent_attempts: network_settings.max_streams,
+            max_request_time: max_deadline + network_settings.connect_timeout,
             max_unsent_bytes: caps.unsent_bytes,
             max_connections: caps.upstream_connections,
             buffered_bytes,
@@ -241,26 +241,26 @@
     fn dependencies(&self, config: &Config) -> Dependencies {
         Dependencies {
             clock: self.clock,
-            deployment: config.facts.deployment.clone(),
-            classes: config.wiring.class_names.clone(),
+            deployment: config.deployment_settings.deployment.clone(),
+            classes: config.network_settings.class_names.clone(),
             seed: config.seed,
-            load_report: config.wiring.load_report_fields.clone(),
+            load_report: config.network_settings.load_report_fields.clone(),
             pool: self.pool.clone(),
             ready: self.ready.clone(),
-            response_slack: config.wiring.answer_slack,
+            response_slack: config.network_settings.answer_slack,
             mailbox: self.decisions.clone(),
         }
     }
 
     fn handle(&self, config: &Config, discovery: Arc<SharedDiscoveryStatus>) -> ServiceHandle {
-        let names = config.wiring.class_names.iter().cloned();
-        let classes = names.zip(config.facts.deployment.classes.iter().cloned()).collect();
+        let names = config.network_settings.class_names.iter().cloned();
+        let classes = names.zip(config.deployment_settings.deployment.classes.iter().cloned()).collect();
         ServiceHandle {
             clock: self.clock,
             name: config.name.clone(),
             caps: self.caps,
             classes,
-            locations: config.wiring.location_names.clone(),
+            locations: config.network_settings.location_names.clone(),
             endpoint_list: self.endpoint_list.clone(),
             clients: self.clients.clone(),
             pool: self.pool.clone(),
--- a/crates/rockflow-dispatcher/src/upstream/connection.rs
+++ b/crates/rockflow-dispatcher/src/upstream/connection.rs
@@ -50,6 +50,14 @@
     Blocked,
 }
 
+/// What is left of a connection that has ended.
+pub(super) struct EndedConnection {
+    /// The attempts that were in flight, which may have been executed.
+    pub in_flight: EndedAttempts,
+    /// The attempts that were not sent.
+    pub unsent: Vec<OutgoingAttempt>,
+}
+
 /// An attempt that was sent.
 struct SentAttempt {
     key: AttemptKey,
@@ -128,21 +136,20 @@
         }
     }
 
-    /// Gives back what is counted for the connection, fails its health checks, and returns the attempts that were in
-    /// flight and those not sent.
-    pub(super) fn finish(self) -> (EndedAttempts, Vec<OutgoingAttempt>) {
+    /// Gives back what is counted for the connection, fails its health checks, and returns its attempts.
+    pub(super) fn finish(self) -> EndedConnection {
         self.pool.buffered_bytes.fetch_sub(self.counted_bytes, Ordering::Relaxed);
         for tag in self.health_checks {
             let outcome = Outcome::ConnectionLost;
             self.pool.decisions.send(DecisionMessage::HealthCheckFailed { tag, outcome });
         }
-        let ended = EndedAttempts {
+        let in_flight = EndedAttempts {
             attempts: self.in_flight.into_values().map(|attempt| attempt.key).collect(),
             alive_if_received_since: None,
             outcome_if_gone: self.outcome,
             outcome_if_alive: Outcome::MalformedResponse,
         };
-        (ended, self.waiting.into())
+        EndedConnection { in_flight, unsent: self.waiting.into() }
     }
 
     /// Reads, takes an attempt from the queue, and writes. Reads first: a host that has closed is not written to, so that
--- a/crates/rockflow-dispatcher/src/upstream/mod.rs
+++ b/crates/rockflow-dispatcher/src/upstream/mod.rs
@@ -8,7 +8,7 @@
 use crate::decision::message::DecisionMessage;
 use crate::host::message::HostMessage;
 use crate::mailbox::{Mailbox, Wake};
-use crate::upstream::connection::ConnectionActor;
+use crate::upstream::connection::{ConnectionActor, EndedConnection};
 use crate::upstream::message::UpstreamMessage;
 use may::io::WaitIo;
 use may::net::TcpStream;
@@ -68,9 +68,9 @@
     match TcpStream::connect_timeout(&address, pool.connect_timeout) {
         Ok(stream) => {
             debug!(endpoint, "connected");
-            let (sent, waiting) = serve(endpoint, stream, pool, shared, queue);
-            ended.push(sent);
-            unsent = waiting;
+            let connection = serve(endpoint, stream, pool, shared, queue);
+            ended.push(connection.in_flight);
+            unsent = connection.unsent;
         }
         Err(error) => {
             info!(endpoint, %error, "connect failed");
@@ -96,14 +96,14 @@
     (error.kind() == ErrorKind::TimedOut).then_some(started)
 }
 
-/// Serves an established connection to its end; returns the attempts that were in flight, and those not sent.
+/// Serves an established connection to its end.
 fn serve(
     endpoint: &str,
     stream: TcpStream,
     pool: &ConnectionPool,
     shared: &UpstreamConnection,
     queue: &AttemptQueue,
-) -> (EndedAttempts, Vec<OutgoingAttempt>) {
+) -> EndedConnection {
     let _ = stream.set_nodelay(true);
     shared.mailbox.wake_by(Wake::Io(stream.waker()));
     shared.established.store(true, Ordering::Relaxed);
--- a/crates/rockflow-dispatcher/tests/common/play.rs
+++ b/crates/rockflow-dispatcher/tests/common/play.rs
@@ -178,7 +178,7 @@
     pub(super) fn start(&mut self, words: &[&str]) {
         let mut config = self.config("board", words);
         if words.contains(&"unknown-class") {
-            config.wiring.class_names.push("unknown".to_string());
+            config.network_settings.class_names.push("unknown".to_string());
         }
         self.comments = words.contains(&"comments");
         SET_UP.call_once(Service::set_up);
