--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -86,7 +86,7 @@
 }
 
 fn check_section(section: &DisseminationSection, config: &Config) -> Result<(), SectionError> {
-    let window = config.facts.deployment.purge_window;
+    let window = config.deployment_settings.deployment.purge_window;
     if window > section.purge_window {
         return Err(SectionError::WindowTooShort { section: section.purge_window, settings: window });
     }
