--- a/crates/rockflow-management-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -13,7 +13,7 @@
 pub struct Agent {
     opened: RestoredState,
     #[cfg(feature = "netconf")]
-    netconf: Option<rockflow_netconf::Bound>,
+    netconf: Option<rockflow_netconf::BoundServer>,
     #[cfg(feature = "gnmi")]
     gnmi: Option<rockflow_gnmi::Bound>,
 }
@@ -42,7 +42,12 @@
             #[cfg(feature = "gnmi")]
             gnmi: file.gnmi.as_ref().map(rockflow_gnmi::Bound::new).transpose()?,
             #[cfg(feature = "netconf")]
-            netconf: file.netconf.as_ref().map(rockflow_netconf::Bound::new).transpose()?,
+            netconf: file
+                .netconf
+                .as_ref()
+                .map(rockflow_netconf::BoundServer::bind)
+                .transpose()
+                .map_err(|error| error.to_string())?,
             opened: RestoredState::open(clock, part)?,
         }))
     }
@@ -51,7 +56,7 @@
     pub fn check(file: &OperatorConfig) -> Result<(), String> {
         #[cfg(feature = "netconf")]
         if let Some(part) = &file.netconf {
-            rockflow_netconf::Bound::check(part)?;
+            rockflow_netconf::BoundServer::check(part).map_err(|error| error.to_string())?;
         }
         #[cfg(feature = "gnmi")]
         if let Some(part) = &file.gnmi {
@@ -70,7 +75,8 @@
         let mut all = Addresses::default();
         #[cfg(feature = "netconf")]
         if let Some(bound) = &self.netconf {
-            (all.ssh, all.tls) = bound.addresses();
+            let bound = bound.addresses();
+            (all.ssh, all.tls) = (bound.ssh, bound.tls);
         }
         #[cfg(feature = "gnmi")]
         {
@@ -98,8 +104,8 @@
             runtime.block_on(async move {
                 #[cfg(feature = "netconf")]
                 if let Some(bound) = netconf {
-                    if let Err(what) = rockflow_netconf::Server::start(bound, served.clone()) {
-                        error!(what, "netconf does not serve");
+                    if let Err(error) = bound.serve(served.clone()) {
+                        error!(%error, "netconf does not serve");
                     }
                 }
                 #[cfg(feature = "gnmi")]
--- a/crates/rockflow-management-agent/tests/interop.rs
+++ b/crates/rockflow-management-agent/tests/interop.rs
@@ -95,8 +95,8 @@
         theirs.push(&ours::encode(message, true));
         assert_eq!(theirs.next_message().unwrap().as_deref(), Some(message.as_bytes()));
         let mut mine = ours::Framing::new(100_000);
-        mine.chunked();
+        mine.switch_to_chunks();
         mine.add(&netconf::framing::encode(netconf::Framing::Chunked, message.as_bytes()));
-        assert_eq!(mine.take().unwrap().as_deref(), Some(message.as_bytes()));
+        assert_eq!(mine.next_message().unwrap().as_deref(), Some(message.as_bytes()));
     }
 }
--- a/crates/rockflow-management-agent/tests/wire_format.rs
+++ b/crates/rockflow-management-agent/tests/wire_format.rs
@@ -43,14 +43,14 @@
         let capability = "<capability>urn:ietf:params:netconf:base:1.1</capability>";
         let hello = format!("<hello xmlns=\"{BASE}\"><capabilities>{capability}</capabilities></hello>");
         session.stream.write_all(&encode(&hello, false)).await.unwrap();
-        session.framing.chunked();
+        session.framing.switch_to_chunks();
         session
     }
 
     async fn next(&mut self) -> String {
         let mut buffer = vec![0; 4096];
         loop {
-            if let Some(message) = self.framing.take().unwrap() {
+            if let Some(message) = self.framing.next_message().unwrap() {
                 return masked(&String::from_utf8(message).unwrap());
             }
             let read = tokio::time::timeout(WAIT, self.stream.read(&mut buffer)).await.expect("in time");
--- a/crates/rockflow-management-client/src/netconf.rs
+++ b/crates/rockflow-management-client/src/netconf.rs
@@ -111,7 +111,7 @@
         client.capabilities = told.iter().map(|one| one.text().to_string()).collect();
         client.session = hello.text_of("session-id").and_then(|word| word.parse().ok()).unwrap_or(0);
         if client.capabilities.iter().any(|one| one == "urn:ietf:params:netconf:base:1.1") {
-            client.framing.chunked();
+            client.framing.switch_to_chunks();
         }
         Ok(client)
     }
@@ -126,9 +126,9 @@
         let mut buffer = vec![0; 16 * 1024];
         loop {
             if let Some(message) =
-                self.framing.take().map_err(|what| Trouble::Unreadable(what.to_string()))?
+                self.framing.next_message().map_err(|what| Trouble::Unreadable(what.to_string()))?
             {
-                return xml::read(&message).map_err(Trouble::Unreadable);
+                return xml::read(&message).map_err(|error| Trouble::Unreadable(error.to_string()));
             }
             match self.stream.read(&mut buffer).await.map_err(connection)? {
                 0 => return Err(connection("ended")),
--- a/crates/rockflow-management-service/src/lib.rs
+++ b/crates/rockflow-management-service/src/lib.rs
@@ -9,7 +9,9 @@
 pub mod state;
 
 pub use authentication::{UnauthenticatedConnection, UnauthenticatedConnections};
-pub use desk::{ManagementEvent, ManagementService, RestoredState, SessionHandle, SetLogLevel};
+pub use desk::{
+    ManagementEvent, ManagementService, RestoredState, SessionHandle, SetLogLevel, ValueSubscription,
+};
 pub use rockflow_operator_config as operator_config;
 pub use rockflow_operator_config::{
     ConfigError, GnmiSection, ManagementSection, NetconfSection, OperatorConfig, TlsSection,
--- a/crates/rockflow-netconf/src/codec.rs
+++ b/crates/rockflow-netconf/src/codec.rs
@@ -1,65 +1,62 @@
-//! Trees of values as XML (RFC 7950), and edits from it (RFC 6241, section 7.2).
+//! Data trees as XML (RFC 7950), and the edits that a `<config>` asks for (RFC 6241, section 7.2).
 
 use crate::ns;
 use crate::xml::{Element, Writer};
 use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::{
-    DataNode, DataTree, Edit, EditOperation, KeyValues, NodeId, NodeKind, NodeScope, Path, Scalar, Schema,
+    DataNode, DataTree, Edit, EditOperation, KeyValues, LeafType, NodeId, NodeKind, NodeScope, Path, Scalar,
+    Schema,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is told beside the values.
+/// Attributes that are written with the values.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Annotations {
-    /// Values that are the default's bear `wd:default` (RFC 6243, report-all-tagged).
+    /// Values that equal their default bear `wd:default` (RFC 6243, report-all-tagged).
     pub tag_defaults: bool,
     /// Where each part comes from (RFC 8526, with-origin).
     pub origin: bool,
 }
 
-/// The values below `parent`, as its content.
+/// Writes the nodes of a tree, which lie below `parent`, as its content.
 pub fn write(
     schema: &Schema,
-    fields: &DataTree,
+    tree: &DataTree,
     parent: Option<NodeId>,
-    notes: Annotations,
+    annotations: Annotations,
     out: &mut Writer,
 ) {
-    for (id, data) in fields {
+    for (id, data) in tree {
         let node = schema.node(*id);
-        let own = parent.is_none_or(|parent| schema.node(parent).module != node.module);
+        let changes_module = parent.is_none_or(|parent| schema.node(parent).module != node.module);
         let mut attributes: Vec<(&str, &str)> = Vec::new();
-        if own {
+        if changes_module {
             attributes.push(("xmlns", &schema.module_of(*id).namespace));
         }
-        if notes.origin && node.config && own {
+        if annotations.origin && node.config && changes_module {
             attributes.extend([("xmlns:or", ns::ORIGIN), ("or:origin", "or:intended")]);
         }
         match data {
             DataNode::Leaf(value) => {
-                if notes.tag_defaults && schema.default_of(*id) == Some(value) {
+                if annotations.tag_defaults && schema.default_of(*id) == Some(value) {
                     attributes.extend([("xmlns:wd", ns::DEFAULT_TAG), ("wd:default", "true")]);
                 }
                 out.leaf(&node.name, &attributes, &value.to_string());
             }
             DataNode::LeafList(values) => {
-                values.iter().for_each(|value| out.leaf(&node.name, &attributes, &value.to_string()))
+                for value in values {
+                    out.leaf(&node.name, &attributes, &value.to_string());
+                }
             }
             DataNode::Container(inner) => {
                 out.open(&node.name, &attributes);
-                write(schema, inner, Some(*id), notes, out);
+                write(schema, inner, Some(*id), annotations, out);
                 out.close(&node.name);
             }
             DataNode::List(entries) => {
-                for (keys, inner) in entries {
+                for (keys, entry) in entries {
                     out.open(&node.name, &attributes);
-                    // Keys come first (RFC 7950, section 7.8.5).
-                    for (key, value) in schema.keys(*id).iter().zip(keys) {
-                        out.leaf(&schema.node(*key).name, &[], &value.to_string());
-                    }
-                    let rest = inner.iter().filter(|(child, _)| !schema.is_key(**child));
-                    let rest = rest.map(|(child, data)| (*child, data.clone())).collect();
-                    write(schema, &rest, Some(*id), notes, out);
+                    write_entry(schema, *id, keys, entry, annotations, out);
                     out.close(&node.name);
                 }
             }
@@ -67,6 +64,23 @@
     }
 }
 
+/// Writes the content of a list entry. Keys come first (RFC 7950, section 7.8.5).
+fn write_entry(
+    schema: &Schema,
+    list: NodeId,
+    keys: &KeyValues,
+    entry: &DataTree,
+    annotations: Annotations,
+    out: &mut Writer,
+) {
+    for (key, value) in schema.keys(list).iter().zip(keys) {
+        out.leaf(&schema.node(*key).name, &[], &value.to_string());
+    }
+    let others = entry.iter().filter(|(child, _)| !schema.is_key(**child));
+    let others = others.map(|(child, data)| (*child, data.clone())).collect();
+    write(schema, &others, Some(list), annotations, out);
+}
+
 /// The node that an element names below `parent`.
 pub fn node_of(
     schema: &Schema,
@@ -85,24 +99,24 @@
     })
 }
 
+/// The value of a leaf's element.
 fn scalar(schema: &Schema, node: NodeId, element: &Element, path: &Path) -> Result<Scalar, ManagementError> {
-    let of = schema.type_of(node);
-    let of =
-        of.ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "holds no value").with_path(path))?;
+    let value_type = schema
+        .type_of(node)
+        .ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "holds no value").with_path(path))?;
     if !element.children.is_empty() {
         return Err(ManagementError::new(ErrorTag::UnknownElement, "a value is wanted")
             .with_path(path)
             .with_element(&element.name));
     }
-    let text =
-        if matches!(of, rockflow_yang::LeafType::Text { .. }) { &element.text } else { element.text() };
-    of.parse(text).map_err(|what| {
-        let message = format!("{}: {what}", element.name);
+    let text = if matches!(value_type, LeafType::Text { .. }) { &element.text } else { element.text() };
+    value_type.parse(text).map_err(|error| {
+        let message = format!("{}: {error}", element.name);
         ManagementError::new(ErrorTag::InvalidValue, message).with_path(path).with_element(&element.name)
     })
 }
 
-/// The keys of an entry, each told once.
+/// The key values of a list entry, each of which must stand once.
 fn keys_of(
     schema: &Schema,
     list: NodeId,
@@ -111,8 +125,8 @@
 ) -> Result<KeyValues, ManagementError> {
     let key = |key: &NodeId| {
         let name = &schema.node(*key).name;
-        let mut told = element.children.iter().filter(|child| child.name == *name);
-        let (Some(child), None) = (told.next(), told.next()) else {
+        let mut found = element.children.iter().filter(|child| child.name == *name);
+        let (Some(child), None) = (found.next(), found.next()) else {
             let message = format!("the key {name} must stand once");
             return Err(ManagementError::new(ErrorTag::MissingElement, message)
                 .with_path(path)
@@ -123,181 +137,193 @@
     schema.keys(list).iter().map(key).collect()
 }
 
-/// Reads content as values, all of one operation. `state`: what can't be written is read too.
+/// Reads elements as the nodes below `parent`, whose path is `parent_path`. State is read too where the scope has it.
 pub fn read(
     schema: &Schema,
     parent: Option<NodeId>,
     elements: &[Element],
-    at: &Path,
+    parent_path: &Path,
     scope: NodeScope,
 ) -> Result<DataTree, ManagementError> {
-    let mut fields = DataTree::new();
+    let mut tree = DataTree::new();
     for element in elements {
         let id = node_of(schema, parent, element)?;
-        let node = schema.node(id);
-        let here = at.child(id, Vec::new());
-        if !scope.includes(node) {
-            return Err(ManagementError::new(ErrorTag::InvalidValue, "is state, which can't be written")
-                .with_path(&here));
+        let path = parent_path.child(id, Vec::new());
+        if !scope.includes(schema.node(id)) {
+            let error = ManagementError::new(ErrorTag::InvalidValue, "is state, which can't be written");
+            return Err(error.with_path(&path));
         }
-        let twice = || {
-            ManagementError::new(ErrorTag::BadElement, "stands twice")
-                .with_path(&here)
-                .with_element(&element.name)
-        };
-        match &node.kind {
+        let is_new = match &schema.node(id).kind {
             NodeKind::Leaf { .. } => {
-                let value = scalar(schema, id, element, &here)?;
-                if fields.insert(id, DataNode::Leaf(value)).is_some() {
-                    return Err(twice());
-                }
+                let value = scalar(schema, id, element, &path)?;
+                tree.insert(id, DataNode::Leaf(value)).is_none()
             }
             NodeKind::LeafList { .. } => {
-                let value = scalar(schema, id, element, &here)?;
-                let values = fields.entry(id).or_insert_with(|| DataNode::LeafList(BTreeSet::new()));
-                let DataNode::LeafList(values) = values else { return Err(twice()) };
-                if !values.insert(value) {
-                    return Err(twice());
+                let value = scalar(schema, id, element, &path)?;
+                match tree.entry(id).or_insert_with(|| DataNode::LeafList(BTreeSet::new())) {
+                    DataNode::LeafList(values) => values.insert(value),
+                    _ => false,
                 }
             }
             NodeKind::List { .. } => {
-                let keys = keys_of(schema, id, element, &here)?;
-                let entry = at.child(id, keys.clone());
-                let inner = read(schema, Some(id), &element.children, &entry, scope)?;
-                let entries = fields.entry(id).or_insert_with(|| DataNode::List(BTreeMap::new()));
-                let DataNode::List(entries) = entries else { return Err(twice()) };
-                if entries.insert(keys, inner).is_some() {
-                    return Err(twice());
+                let keys = keys_of(schema, id, element, &path)?;
+                let entry_path = parent_path.child(id, keys.clone());
+                let entry = read(schema, Some(id), &element.children, &entry_path, scope)?;
+                match tree.entry(id).or_insert_with(|| DataNode::List(BTreeMap::new())) {
+                    DataNode::List(entries) => entries.insert(keys, entry).is_none(),
+                    _ => false,
                 }
             }
             _ => {
-                let inner = read(schema, Some(id), &element.children, &here, scope)?;
-                if fields.insert(id, DataNode::Container(inner)).is_some() {
-                    return Err(twice());
-                }
+                let inner = read(schema, Some(id), &element.children, &path, scope)?;
+                tree.insert(id, DataNode::Container(inner)).is_none()
             }
+        };
+        if !is_new {
+            let error = ManagementError::new(ErrorTag::BadElement, "stands twice");
+            return Err(error.with_path(&path).with_element(&element.name));
         }
     }
-    Ok(fields)
+    Ok(tree)
 }
 
-/// Reads the content of `<config>` as edits, in their order.
+/// Reads the content of `<config>` as edits, in their order. `default`: the operation of elements that name none.
 pub fn edits(
     schema: &Schema,
     config: &Element,
     default: EditOperation,
 ) -> Result<Vec<Edit>, ManagementError> {
-    let mut edits = Vec::new();
-    children(schema, None, config, &Path::default(), default, &mut edits)?;
-    Ok(edits)
+    let mut reader = EditReader { schema, edits: Vec::new() };
+    reader.read_children(None, config, &Path::default(), default)?;
+    Ok(reader.edits)
 }
 
-fn operation(
-    element: &Element,
-    otherwise: EditOperation,
-    path: &Path,
-) -> Result<(EditOperation, bool), ManagementError> {
-    let op = match element.attribute(ns::BASE, "operation") {
-        None => return Ok((otherwise, false)),
-        Some("merge") => EditOperation::Merge,
-        Some("replace") => EditOperation::Replace,
-        Some("create") => EditOperation::Create,
-        Some("delete") => EditOperation::Delete,
-        Some("remove") => EditOperation::Remove,
+/// The `operation` attribute of an element.
+fn own_operation(element: &Element, path: &Path) -> Result<Option<EditOperation>, ManagementError> {
+    match element.attribute(ns::BASE, "operation") {
+        None => Ok(None),
+        Some("merge") => Ok(Some(EditOperation::Merge)),
+        Some("replace") => Ok(Some(EditOperation::Replace)),
+        Some("create") => Ok(Some(EditOperation::Create)),
+        Some("delete") => Ok(Some(EditOperation::Delete)),
+        Some("remove") => Ok(Some(EditOperation::Remove)),
         Some(other) => {
-            let message = format!("{other}: no such operation");
-            return Err(ManagementError::new(ErrorTag::BadAttribute, message)
-                .with_path(path)
-                .with_element(&element.name));
+            let error = ManagementError::new(ErrorTag::BadAttribute, format!("{other}: no such operation"));
+            Err(error.with_path(path).with_element(&element.name))
         }
-    };
-    Ok((op, true))
+    }
 }
 
-fn children(
-    schema: &Schema,
-    parent: Option<NodeId>,
-    element: &Element,
-    at: &Path,
-    op: EditOperation,
-    edits: &mut Vec<Edit>,
-) -> Result<(), ManagementError> {
-    for child in &element.children {
-        one(schema, parent, child, at, op, edits)?;
-    }
-    Ok(())
+struct EditReader<'a> {
+    schema: &'a Schema,
+    edits: Vec<Edit>,
 }
 
-fn one(
-    schema: &Schema,
-    parent: Option<NodeId>,
-    element: &Element,
-    at: &Path,
-    above: EditOperation,
-    edits: &mut Vec<Edit>,
-) -> Result<(), ManagementError> {
-    let id = node_of(schema, parent, element)?;
-    let kind = &schema.node(id).kind;
-    let keys = match kind {
-        NodeKind::List { .. } => keys_of(schema, id, element, &at.child(id, Vec::new()))?,
-        NodeKind::LeafList { .. } => vec![scalar(schema, id, element, &at.child(id, Vec::new()))?],
-        _ => Vec::new(),
-    };
-    let path = at.child(id, keys);
-    let (op, _) = operation(element, above, &path)?;
-    let whole = matches!(op, EditOperation::Replace | EditOperation::Create);
-    let value = match kind {
-        NodeKind::Leaf { .. } if matches!(op, EditOperation::Delete | EditOperation::Remove) => None,
-        NodeKind::Leaf { .. } => Some(DataNode::Leaf(scalar(schema, id, element, &path)?)),
-        NodeKind::LeafList { .. } => None,
-        NodeKind::Container | NodeKind::List { .. } if whole => {
-            plain(&element.children, &path)?;
-            Some(DataNode::Container(read(
-                schema,
-                Some(id),
-                &element.children,
-                &path,
-                NodeScope::ConfigOnly,
-            )?))
-        }
-        NodeKind::Container | NodeKind::List { .. } => None,
-        _ => {
-            return Err(ManagementError::new(ErrorTag::UnknownElement, "no configuration")
-                .with_element(&element.name))
+impl EditReader<'_> {
+    fn read_children(
+        &mut self,
+        parent: Option<NodeId>,
+        element: &Element,
+        path: &Path,
+        op: EditOperation,
+    ) -> Result<(), ManagementError> {
+        for child in &element.children {
+            self.read_element(parent, child, path, op)?;
         }
-    };
-    let leaf = matches!(kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. });
-    match op {
-        // Nothing is asked of a leaf that only shows the way.
-        EditOperation::AssertExists if leaf => {}
-        // A container is there where anything in it is; entries are there by themselves.
-        EditOperation::Merge | EditOperation::AssertExists if matches!(kind, NodeKind::Container) => {
-            children(schema, Some(id), element, &path, op, edits)?;
+        Ok(())
+    }
+
+    /// Reads one element and those in it. `inherited`: the operation of the element around it.
+    fn read_element(
+        &mut self,
+        parent: Option<NodeId>,
+        element: &Element,
+        parent_path: &Path,
+        inherited: EditOperation,
+    ) -> Result<(), ManagementError> {
+        let schema = self.schema;
+        let id = node_of(schema, parent, element)?;
+        let kind = &schema.node(id).kind;
+        let keys = match kind {
+            NodeKind::List { .. } => keys_of(schema, id, element, &parent_path.child(id, Vec::new()))?,
+            NodeKind::LeafList { .. } => {
+                vec![scalar(schema, id, element, &parent_path.child(id, Vec::new()))?]
+            }
+            _ => Vec::new(),
+        };
+        let path = parent_path.child(id, keys);
+        let op = own_operation(element, &path)?.unwrap_or(inherited);
+        let value = self.value_of(id, element, &path, op)?;
+        let is_leaf = matches!(kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. });
+        match op {
+            // A leaf that only shows the way need not exist.
+            EditOperation::AssertExists if is_leaf => Ok(()),
+            // A container exists where anything in it does; entries exist by themselves.
+            EditOperation::Merge | EditOperation::AssertExists if matches!(kind, NodeKind::Container) => {
+                self.read_children(Some(id), element, &path, op)
+            }
+            EditOperation::Merge | EditOperation::AssertExists if !is_leaf => {
+                self.read_entry(id, element, path, op)
+            }
+            _ => {
+                self.edits.push(Edit { path, op, value });
+                Ok(())
+            }
         }
-        EditOperation::Merge | EditOperation::AssertExists if !leaf => {
-            let value = (op == EditOperation::Merge).then(|| DataNode::Container(DataTree::new()));
-            edits.push(Edit { path: path.clone(), op, value });
-            for child in &element.children {
-                let inner = node_of(schema, Some(id), child)?;
-                if !schema.is_key(inner) {
-                    one(schema, Some(id), child, &path, op, edits)?;
-                } else if operation(child, EditOperation::Merge, &path)?.1 {
-                    let message = "a key bears no operation of its own";
-                    return Err(ManagementError::new(ErrorTag::BadAttribute, message)
-                        .with_path(&path)
-                        .with_element(&child.name));
-                }
+    }
+
+    /// The value of the edit for an element: that of a leaf, or all of what is replaced or created as a whole.
+    fn value_of(
+        &self,
+        id: NodeId,
+        element: &Element,
+        path: &Path,
+        op: EditOperation,
+    ) -> Result<Option<DataNode>, ManagementError> {
+        let is_whole = matches!(op, EditOperation::Replace | EditOperation::Create);
+        match &self.schema.node(id).kind {
+            NodeKind::Leaf { .. } if matches!(op, EditOperation::Delete | EditOperation::Remove) => Ok(None),
+            NodeKind::Leaf { .. } => Ok(Some(DataNode::Leaf(scalar(self.schema, id, element, path)?))),
+            NodeKind::LeafList { .. } => Ok(None),
+            NodeKind::Container | NodeKind::List { .. } if is_whole => {
+                check_no_deletes(&element.children, path)?;
+                let inner = read(self.schema, Some(id), &element.children, path, NodeScope::ConfigOnly)?;
+                Ok(Some(DataNode::Container(inner)))
+            }
+            NodeKind::Container | NodeKind::List { .. } => Ok(None),
+            _ => {
+                let error = ManagementError::new(ErrorTag::UnknownElement, "no configuration");
+                Err(error.with_element(&element.name))
             }
         }
-        _ => {
-            edits.push(Edit { path, op, value });
+    }
+
+    /// Reads a list entry that is merged or must exist: an edit of its own, then those of what it holds.
+    fn read_entry(
+        &mut self,
+        list: NodeId,
+        element: &Element,
+        path: Path,
+        op: EditOperation,
+    ) -> Result<(), ManagementError> {
+        let value = (op == EditOperation::Merge).then(|| DataNode::Container(DataTree::new()));
+        self.edits.push(Edit { path: path.clone(), op, value });
+        for child in &element.children {
+            let inner = node_of(self.schema, Some(list), child)?;
+            if !self.schema.is_key(inner) {
+                self.read_element(Some(list), child, &path, op)?;
+            } else if own_operation(child, &path)?.is_some() {
+                let error =
+                    ManagementError::new(ErrorTag::BadAttribute, "a key bears no operation of its own");
+                return Err(error.with_path(&path).with_element(&child.name));
+            }
         }
+        Ok(())
     }
-    Ok(())
 }
 
-/// Guards against an operation within what is replaced or created as a whole, which would have no clear order.
-fn plain(elements: &[Element], path: &Path) -> Result<(), ManagementError> {
+/// Guards against deletions within what is replaced or created as a whole, which would have no clear order.
+fn check_no_deletes(elements: &[Element], path: &Path) -> Result<(), ManagementError> {
     for element in elements {
         if let Some(op) = element.attribute(ns::BASE, "operation") {
             if !matches!(op, "merge" | "replace" | "create") {
@@ -307,7 +333,7 @@
                     .with_element(&element.name));
             }
         }
-        plain(&element.children, path)?;
+        check_no_deletes(&element.children, path)?;
     }
     Ok(())
 }
--- a/crates/rockflow-netconf/src/monitoring.rs
+++ b/crates/rockflow-netconf/src/monitoring.rs
@@ -1,4 +1,4 @@
-//! What the server tells of itself: its capabilities, its modules and the state of RFC 6022.
+//! What the server announces of itself: its hello, its capabilities and the state of RFC 6022.
 
 use crate::ns;
 use crate::xml::Writer;
@@ -11,22 +11,30 @@
 /// Counts since the start, over all sessions.
 #[derive(Debug, Default)]
 pub struct Counts {
+    /// Hellos that were not accepted.
     pub bad_hellos: AtomicU64,
+    /// Sessions begun.
     pub sessions: AtomicU64,
+    /// Sessions that ended otherwise than by the client or an operator.
     pub dropped: AtomicU64,
+    /// Messages received after the hello.
     pub rpcs: AtomicU64,
+    /// Messages that are no valid `<rpc>`.
     pub bad_rpcs: AtomicU64,
+    /// Replies with an error.
     pub errors: AtomicU64,
+    /// Notifications sent.
     pub notifications: AtomicU64,
 }
 
 impl Counts {
+    /// Adds one to a count.
     pub fn add(count: &AtomicU64) {
         count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Capabilities in the order in which they are told.
+/// The capabilities, in the order in which they are announced.
 pub fn capabilities(schema: &Schema, separate_startup: bool) -> Vec<String> {
     let plain = [
         "urn:ietf:params:netconf:base:1.0",
@@ -62,99 +70,124 @@
     all
 }
 
+/// The server's hello.
 pub fn hello(schema: &Schema, separate_startup: bool, session: u32) -> String {
     let mut out = Writer::new();
     out.open("hello", &[("xmlns", ns::BASE)]);
-    out.open("capabilities", &[]);
-    capabilities(schema, separate_startup).iter().for_each(|one| out.leaf("capability", &[], one));
-    out.close("capabilities");
+    write_capabilities(schema, separate_startup, &mut out);
     out.leaf("session-id", &[], &session.to_string());
     out.close("hello");
     out.finish()
 }
 
-/// `<netconf-state>`, of which `wanted` says which parts (RFC 6022, section 2.1).
+/// `<netconf-state>`, with the parts for which `is_wanted` holds (RFC 6022, section 2.1). `started`: when the server
+/// started, since the Unix epoch.
 pub fn netconf_state(
-    desk: &ManagementService,
+    service: &ManagementService,
     counts: &Counts,
     started: Duration,
-    wanted: &dyn Fn(&str) -> bool,
+    is_wanted: &dyn Fn(&str) -> bool,
 ) -> String {
-    let schema = desk.schema();
+    let separate_startup = service.inspect(|datastores| datastores.has_separate_startup());
     let mut out = Writer::new();
     out.open("netconf-state", &[("xmlns", ns::MONITORING)]);
-    let separate = desk.inspect(|all| all.has_separate_startup());
-    if wanted("capabilities") {
-        out.open("capabilities", &[]);
-        capabilities(schema, separate).iter().for_each(|one| out.leaf("capability", &[], one));
-        out.close("capabilities");
+    if is_wanted("capabilities") {
+        write_capabilities(service.schema(), separate_startup, &mut out);
     }
-    if wanted("datastores") {
-        out.open("datastores", &[]);
-        let locks: Vec<_> = desk.inspect(|all| all.locks().collect());
-        for which in [Datastore::Running, Datastore::Candidate, Datastore::Startup] {
-            if which == Datastore::Startup && !separate {
-                continue;
-            }
-            out.open("datastore", &[]);
-            out.leaf("name", &[], which.name());
-            if let Some((_, session, since)) = locks.iter().find(|(locked, ..)| *locked == which) {
-                out.open("locks", &[]);
-                out.open("global-lock", &[]);
-                out.leaf("locked-by-session", &[], &session.0.to_string());
-                out.leaf("locked-time", &[], &timestamp::format(*since));
-                out.close("global-lock");
-                out.close("locks");
-            }
-            out.close("datastore");
-        }
-        out.close("datastores");
+    if is_wanted("datastores") {
+        write_datastores(service, separate_startup, &mut out);
     }
-    if wanted("schemas") {
-        out.open("schemas", &[]);
-        for module in schema.modules() {
-            out.open("schema", &[]);
-            out.leaf("identifier", &[], &module.name);
-            out.leaf("version", &[], &module.revision);
-            out.leaf("format", &[], "yang");
-            out.leaf("namespace", &[], &module.namespace);
-            out.leaf("location", &[], "NETCONF");
-            out.close("schema");
-        }
-        out.close("schemas");
+    if is_wanted("schemas") {
+        write_schemas(service.schema(), &mut out);
     }
-    if wanted("sessions") {
-        out.open("sessions", &[]);
-        let sessions: Vec<_> =
-            desk.inspect(|all| all.sessions().map(|(id, who, since)| (id, who.clone(), since)).collect());
-        for (id, who, since) in sessions.iter().filter(|(_, who, _)| who.protocol != Protocol::Gnmi) {
-            out.open("session", &[]);
-            out.leaf("session-id", &[], &id.0.to_string());
-            out.leaf("transport", &[], who.protocol.name());
-            out.leaf("username", &[], &who.user);
-            out.leaf("source-host", &[], &who.source);
-            out.leaf("login-time", &[], &timestamp::format(*since));
-            out.close("session");
-        }
-        out.close("sessions");
+    if is_wanted("sessions") {
+        write_sessions(service, &mut out);
     }
-    if wanted("statistics") {
-        out.open("statistics", &[]);
-        out.leaf("netconf-start-time", &[], &timestamp::format(started));
-        let all = [
-            ("in-bad-hellos", &counts.bad_hellos),
-            ("in-sessions", &counts.sessions),
-            ("dropped-sessions", &counts.dropped),
-            ("in-rpcs", &counts.rpcs),
-            ("in-bad-rpcs", &counts.bad_rpcs),
-            ("out-rpc-errors", &counts.errors),
-            ("out-notifications", &counts.notifications),
-        ];
-        for (name, count) in all {
-            out.leaf(name, &[], &count.load(Ordering::Relaxed).to_string());
-        }
-        out.close("statistics");
+    if is_wanted("statistics") {
+        write_statistics(counts, started, &mut out);
     }
     out.close("netconf-state");
     out.finish()
 }
+
+fn write_capabilities(schema: &Schema, separate_startup: bool, out: &mut Writer) {
+    out.open("capabilities", &[]);
+    for capability in capabilities(schema, separate_startup) {
+        out.leaf("capability", &[], &capability);
+    }
+    out.close("capabilities");
+}
+
+fn write_datastores(service: &ManagementService, separate_startup: bool, out: &mut Writer) {
+    out.open("datastores", &[]);
+    let locks: Vec<_> = service.inspect(|datastores| datastores.locks().collect());
+    for datastore in [Datastore::Running, Datastore::Candidate, Datastore::Startup] {
+        if datastore == Datastore::Startup && !separate_startup {
+            continue;
+        }
+        out.open("datastore", &[]);
+        out.leaf("name", &[], datastore.name());
+        if let Some((_, session, since)) = locks.iter().find(|(locked, ..)| *locked == datastore) {
+            out.open("locks", &[]);
+            out.open("global-lock", &[]);
+            out.leaf("locked-by-session", &[], &session.0.to_string());
+            out.leaf("locked-time", &[], &timestamp::format(*since));
+            out.close("global-lock");
+            out.close("locks");
+        }
+        out.close("datastore");
+    }
+    out.close("datastores");
+}
+
+fn write_schemas(schema: &Schema, out: &mut Writer) {
+    out.open("schemas", &[]);
+    for module in schema.modules() {
+        out.open("schema", &[]);
+        out.leaf("identifier", &[], &module.name);
+        out.leaf("version", &[], &module.revision);
+        out.leaf("format", &[], "yang");
+        out.leaf("namespace", &[], &module.namespace);
+        out.leaf("location", &[], "NETCONF");
+        out.close("schema");
+    }
+    out.close("schemas");
+}
+
+fn write_sessions(service: &ManagementService, out: &mut Writer) {
+    out.open("sessions", &[]);
+    let sessions: Vec<_> = service.inspect(|datastores| {
+        datastores.sessions().map(|(id, operator, since)| (id, operator.clone(), since)).collect()
+    });
+    for (id, operator, since) in &sessions {
+        if operator.protocol == Protocol::Gnmi {
+            continue;
+        }
+        out.open("session", &[]);
+        out.leaf("session-id", &[], &id.0.to_string());
+        out.leaf("transport", &[], operator.protocol.name());
+        out.leaf("username", &[], &operator.user);
+        out.leaf("source-host", &[], &operator.source);
+        out.leaf("login-time", &[], &timestamp::format(*since));
+        out.close("session");
+    }
+    out.close("sessions");
+}
+
+fn write_statistics(counts: &Counts, started: Duration, out: &mut Writer) {
+    out.open("statistics", &[]);
+    out.leaf("netconf-start-time", &[], &timestamp::format(started));
+    let all = [
+        ("in-bad-hellos", &counts.bad_hellos),
+        ("in-sessions", &counts.sessions),
+        ("dropped-sessions", &counts.dropped),
+        ("in-rpcs", &counts.rpcs),
+        ("in-bad-rpcs", &counts.bad_rpcs),
+        ("out-rpc-errors", &counts.errors),
+        ("out-notifications", &counts.notifications),
+    ];
+    for (name, count) in all {
+        out.leaf(name, &[], &count.load(Ordering::Relaxed).to_string());
+    }
+    out.close("statistics");
+}
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -1,125 +1,122 @@
-//! What followers are sent: events (RFC 5277, with those of RFC 6470 and the model's own) and pushes of values
-//! (RFC 8641).
+//! Notifications: events (RFC 5277, with those of RFC 6470 and of the model) and pushes of values (RFC 8641).
 
 use crate::codec::{self, Annotations};
 use crate::ns;
 use crate::xml::Writer;
-use rockflow_management::{timestamp, Notification, Operator, Update};
+use rockflow_management::{timestamp, ChangedValue, Commit, Notification, Operator, Update};
 use rockflow_management_service::ManagementEvent;
 use rockflow_yang::{data, Change, DataTree, Path, Scalar, Schema};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn envelope(at: Duration, fill: impl FnOnce(&mut Writer)) -> String {
-    let mut out = Writer::new();
-    out.open("notification", &[("xmlns", ns::NOTIFICATION)]);
-    out.leaf("eventTime", &[], &timestamp::format(at));
-    fill(&mut out);
-    out.close("notification");
-    out.finish()
-}
-
-fn common(out: &mut Writer, operator: &Operator, session: u32) {
-    out.leaf("username", &[], &operator.user);
-    out.leaf("session-id", &[], &session.to_string());
-    out.leaf("source-host", &[], &operator.source);
-}
+/// Session id of changes that no session of NETCONF made.
+const NO_SESSION: u32 = 0;
 
-/// An event as it is sent, by its namespace and name; most commits are two.
-pub fn event(schema: &Schema, at: Duration, event: &ManagementEvent) -> Vec<String> {
-    let own = |name: &str| {
-        let id = schema.find(&[name]);
-        id.map(|id| schema.module_of(id).namespace.clone()).unwrap_or_default()
-    };
+/// The notifications of an event; a commit has two. `time` is since the Unix epoch.
+pub fn event(schema: &Schema, time: Duration, event: &ManagementEvent) -> Vec<String> {
     match event {
         ManagementEvent::EndpointChanged { name, now } => {
-            let ns = own("host-changed");
-            vec![envelope(at, |out| {
-                out.open("host-changed", &[("xmlns", &ns)]);
+            vec![model_event(schema, time, "host-changed", |out| {
                 out.leaf("name", &[], name);
                 if let Some(effective) = now {
                     out.leaf("effective", &[], &format!("{:?}", effective.readiness).to_lowercase());
                     out.leaf("says", &[], effective.source.as_str());
                 }
-                out.close("host-changed");
             })]
         }
         ManagementEvent::OverrideExpired { host } => {
-            let ns = own("mark-expired");
-            vec![envelope(at, |out| {
-                out.open("mark-expired", &[("xmlns", &ns)]);
-                out.leaf("host", &[], host);
-                out.close("mark-expired");
-            })]
+            vec![model_event(schema, time, "mark-expired", |out| out.leaf("host", &[], host))]
         }
         ManagementEvent::Notification(Notification::Committed(commit)) => {
-            let ns = own("committed");
-            let standard = envelope(at, |out| {
-                out.open("netconf-config-change", &[("xmlns", ns::NOTIFICATIONS)]);
-                out.open("changed-by", &[]);
-                common(out, &commit.operator, 0);
-                out.close("changed-by");
-                out.leaf("datastore", &[], "running");
-                for change in &commit.changes {
-                    out.open("edit", &[]);
-                    out.leaf("target", &[], &change.path.to_text(schema));
-                    let operation = match (&change.before, &change.after) {
-                        (None, _) => "create",
-                        (_, None) => "delete",
-                        _ => "replace",
-                    };
-                    out.leaf("operation", &[], operation);
-                    out.close("edit");
-                }
-                out.close("netconf-config-change");
-            });
-            let mine = envelope(at, |out| {
-                out.open("committed", &[("xmlns", &ns)]);
-                out.leaf("version", &[], &commit.version.to_string());
-                out.leaf("author", &[], &commit.operator.user);
-                commit.changes.iter().for_each(|change| out.leaf("change", &[], &change.to_text(schema)));
-                out.close("committed");
-            });
-            vec![standard, mine]
+            vec![config_change(schema, time, commit), committed(schema, time, commit)]
         }
         ManagementEvent::Notification(Notification::SessionStarted { session, operator }) => {
-            vec![envelope(at, |out| {
-                out.open("netconf-session-start", &[("xmlns", ns::NOTIFICATIONS)]);
-                common(out, operator, session.0);
-                out.close("netconf-session-start");
-            })]
+            vec![base_event(time, "netconf-session-start", |out| write_operator(out, operator, session.0))]
         }
         ManagementEvent::Notification(Notification::SessionEnded { session, operator, reason }) => {
-            vec![envelope(at, |out| {
-                out.open("netconf-session-end", &[("xmlns", ns::NOTIFICATIONS)]);
-                common(out, operator, session.0);
+            vec![base_event(time, "netconf-session-end", |out| {
+                write_operator(out, operator, session.0);
                 out.leaf("termination-reason", &[], reason);
-                out.close("netconf-session-end");
             })]
         }
         ManagementEvent::Notification(Notification::ConfirmedCommit { event, operator }) => {
-            vec![envelope(at, |out| {
-                out.open("netconf-confirmed-commit", &[("xmlns", ns::NOTIFICATIONS)]);
-                common(out, operator, 0);
+            vec![base_event(time, "netconf-confirmed-commit", |out| {
+                write_operator(out, operator, NO_SESSION);
                 out.leaf("confirm-event", &[], event);
-                out.close("netconf-confirmed-commit");
             })]
         }
     }
 }
 
-/// The tree that values by path make.
-pub fn tree(schema: &Schema, values: BTreeMap<Path, Scalar>) -> DataTree {
-    let changes: Vec<Change> =
-        values.into_iter().map(|(path, value)| Change { path, before: None, after: Some(value) }).collect();
-    let mut fields = DataTree::new();
-    data::apply_changes(schema, &mut fields, &changes);
-    fields
+/// `netconf-config-change` (RFC 6470).
+fn config_change(schema: &Schema, time: Duration, commit: &Commit) -> String {
+    base_event(time, "netconf-config-change", |out| {
+        out.open("changed-by", &[]);
+        write_operator(out, &commit.operator, NO_SESSION);
+        out.close("changed-by");
+        out.leaf("datastore", &[], "running");
+        for change in &commit.changes {
+            let operation = match (&change.before, &change.after) {
+                (None, _) => "create",
+                (_, None) => "delete",
+                _ => "replace",
+            };
+            out.open("edit", &[]);
+            out.leaf("target", &[], &change.path.to_text(schema));
+            out.leaf("operation", &[], operation);
+            out.close("edit");
+        }
+    })
+}
+
+/// The model's own `committed`.
+fn committed(schema: &Schema, time: Duration, commit: &Commit) -> String {
+    model_event(schema, time, "committed", |out| {
+        out.leaf("version", &[], &commit.version.to_string());
+        out.leaf("author", &[], &commit.operator.user);
+        for change in &commit.changes {
+            out.leaf("change", &[], &change.to_text(schema));
+        }
+    })
+}
+
+/// An event of RFC 6470.
+fn base_event(time: Duration, name: &str, write: impl FnOnce(&mut Writer)) -> String {
+    notification(time, |out| {
+        out.open(name, &[("xmlns", ns::NOTIFICATIONS)]);
+        write(out);
+        out.close(name);
+    })
+}
+
+/// An event of the model.
+fn model_event(schema: &Schema, time: Duration, name: &str, write: impl FnOnce(&mut Writer)) -> String {
+    let namespace = schema.find(&[name]).map(|id| schema.module_of(id).namespace.as_str());
+    notification(time, |out| {
+        out.open(name, &[("xmlns", namespace.unwrap_or_default())]);
+        write(out);
+        out.close(name);
+    })
+}
+
+fn notification(time: Duration, write: impl FnOnce(&mut Writer)) -> String {
+    let mut out = Writer::new();
+    out.open("notification", &[("xmlns", ns::NOTIFICATION)]);
+    out.leaf("eventTime", &[], &timestamp::format(time));
+    write(&mut out);
+    out.close("notification");
+    out.finish()
 }
 
-/// `push-update` or `push-change-update`.
-pub fn push(schema: &Schema, at: Duration, id: u64, update: Update) -> String {
-    envelope(at, |out| match update {
+fn write_operator(out: &mut Writer, operator: &Operator, session: u32) {
+    out.leaf("username", &[], &operator.user);
+    out.leaf("session-id", &[], &session.to_string());
+    out.leaf("source-host", &[], &operator.source);
+}
+
+/// `push-update` or `push-change-update`, of the subscription with that id. `time` is since the Unix epoch.
+pub fn push(schema: &Schema, time: Duration, id: u64, update: Update) -> String {
+    notification(time, |out| match update {
         Update::Snapshot(values) => {
             out.open("push-update", &[("xmlns", ns::PUSH)]);
             out.leaf("id", &[], &id.to_string());
@@ -133,21 +130,9 @@
             out.leaf("id", &[], &id.to_string());
             out.open("datastore-changes", &[]);
             out.open("yang-patch", &[]);
-            out.leaf("patch-id", &[], &format!("{id}-{}", at.as_millis()));
-            for (number, (path, changed)) in changes.into_iter().enumerate() {
-                let value = changed.value;
-                out.open("edit", &[]);
-                out.leaf("edit-id", &[], &format!("edit{}", number + 1));
-                out.leaf("operation", &[], if value.is_some() { "replace" } else { "delete" });
-                out.leaf("target", &[], &path.to_text(schema));
-                if let (Some(value), Some(node)) = (value, path.node()) {
-                    out.open("value", &[]);
-                    let name = &schema.node(node).name;
-                    let ns = &schema.module_of(node).namespace;
-                    out.leaf(name, &[("xmlns", ns)], &value.to_string());
-                    out.close("value");
-                }
-                out.close("edit");
+            out.leaf("patch-id", &[], &format!("{id}-{}", time.as_millis()));
+            for (index, (path, changed)) in changes.into_iter().enumerate() {
+                write_edit(schema, index + 1, &path, &changed, out);
             }
             out.close("yang-patch");
             out.close("datastore-changes");
@@ -155,3 +140,26 @@
         }
     })
 }
+
+fn write_edit(schema: &Schema, number: usize, path: &Path, changed: &ChangedValue, out: &mut Writer) {
+    out.open("edit", &[]);
+    out.leaf("edit-id", &[], &format!("edit{number}"));
+    out.leaf("operation", &[], if changed.value.is_some() { "replace" } else { "delete" });
+    out.leaf("target", &[], &path.to_text(schema));
+    if let (Some(value), Some(node)) = (&changed.value, path.node()) {
+        out.open("value", &[]);
+        let namespace = &schema.module_of(node).namespace;
+        out.leaf(&schema.node(node).name, &[("xmlns", namespace)], &value.to_string());
+        out.close("value");
+    }
+    out.close("edit");
+}
+
+/// The tree that values by path make.
+fn tree(schema: &Schema, values: BTreeMap<Path, Scalar>) -> DataTree {
+    let changes: Vec<Change> =
+        values.into_iter().map(|(path, value)| Change { path, before: None, after: Some(value) }).collect();
+    let mut fields = DataTree::new();
+    data::apply_changes(schema, &mut fields, &changes);
+    fields
+}
--- a/crates/rockflow-netconf/src/server.rs
+++ b/crates/rockflow-netconf/src/server.rs
@@ -1,122 +1,173 @@
-//! Listeners, and what they let in: so many peers at once that have not proved who they are, and sessions as the
-//! desk has room for.
+//! The listeners, and what they let in: a bounded number of peers that have not authenticated, and as many sessions as the
+//! management service has room for.
 
+use crate::error::StartError;
 use crate::monitoring::Counts;
 use crate::rpc;
-use crate::session::{self, Bounds};
+use crate::session::{self, SessionLimits};
 use crate::ssh::{self, Ssh};
 use rockflow_management::{Operator, Protocol};
 use rockflow_management_service::{
-    authentication, secrets, ManagementService, NetconfSection, UnauthenticatedConnections,
+    authentication, secrets, ManagementService, NetconfSection, UnauthenticatedConnection,
+    UnauthenticatedConnections,
 };
-use std::net::{SocketAddr, TcpListener as Listener};
+use std::net::{SocketAddr, TcpListener as StdListener};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 use tokio_rustls::TlsAcceptor;
 
-/// Connections over SSH at once that have proved who they are; over TLS each is a session, which the desk caps.
-const MAX_CONNECTIONS: usize = 128;
+/// Authenticated connections over SSH at once; over TLS each is a session, which the management service limits.
+const MAX_SSH_CONNECTIONS: usize = 128;
 
-/// Bound and read, ahead of the thread that serves: what is wrong is known at the start.
-pub struct Bound {
-    part: NetconfSection,
-    ssh: Option<(Listener, Arc<russh::server::Config>)>,
-    tls: Option<(Listener, TlsAcceptor)>,
+/// The listeners, bound ahead of the thread that serves them, so that what is wrong is known at the start.
+pub struct BoundServer {
+    section: NetconfSection,
+    ssh: Option<SshListener>,
+    tls: Option<TlsListener>,
 }
 
-impl Bound {
-    pub fn new(part: &NetconfSection) -> Result<Bound, String> {
-        let listen = |address: SocketAddr| {
-            let fault = |what: std::io::Error| format!("netconf {address}: {what}");
-            let listener = Listener::bind(address).map_err(fault)?;
-            listener.set_nonblocking(true).map_err(fault)?;
-            Ok::<_, String>(listener)
-        };
-        let ssh = match (part.ssh, &part.host_key, &part.authorized_keys) {
+struct SshListener {
+    listener: StdListener,
+    config: Arc<russh::server::Config>,
+    authorized_keys: PathBuf,
+}
+
+struct TlsListener {
+    listener: StdListener,
+    acceptor: TlsAcceptor,
+}
+
+/// Where the server listens.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ListenAddresses {
+    /// For SSH.
+    pub ssh: Option<SocketAddr>,
+    /// For TLS.
+    pub tls: Option<SocketAddr>,
+}
+
+impl BoundServer {
+    /// Reads the keys and binds the listeners that the section names.
+    pub fn bind(section: &NetconfSection) -> Result<BoundServer, StartError> {
+        let ssh = match (section.ssh, &section.host_key, &section.authorized_keys) {
             (Some(address), Some(key), Some(folder)) => {
-                secrets::judge(folder, false)?;
+                secrets::judge(folder, false).map_err(StartError::secrets)?;
                 let config = ssh::config(ssh::host_key(key)?);
-                Some((listen(address)?, config))
+                Some(SshListener { listener: listen(address)?, config, authorized_keys: folder.clone() })
             }
             _ => None,
         };
-        let tls = match &part.tls {
+        let tls = match &section.tls {
             Some(tls) => {
-                let acceptor = TlsAcceptor::from(secrets::server(tls, &[])?);
-                Some((listen(tls.listen)?, acceptor))
+                let config = secrets::server(tls, &[]).map_err(StartError::secrets)?;
+                Some(TlsListener { listener: listen(tls.listen)?, acceptor: TlsAcceptor::from(config) })
             }
             None => None,
         };
-        Ok(Bound { part: part.clone(), ssh, tls })
+        Ok(BoundServer { section: section.clone(), ssh, tls })
     }
 
-    /// Whether the keys and certificates can be used.
-    pub fn check(part: &NetconfSection) -> Result<(), String> {
-        if let (Some(key), Some(folder)) = (&part.host_key, &part.authorized_keys) {
-            secrets::judge(folder, false)?;
+    /// Checks that the keys and certificates can be used, without binding.
+    pub fn check(section: &NetconfSection) -> Result<(), StartError> {
+        if let (Some(key), Some(folder)) = (&section.host_key, &section.authorized_keys) {
+            secrets::judge(folder, false).map_err(StartError::secrets)?;
             ssh::host_key(key)?;
         }
-        part.tls.as_ref().map(|tls| secrets::server(tls, &[])).transpose()?;
+        if let Some(tls) = &section.tls {
+            secrets::server(tls, &[]).map_err(StartError::secrets)?;
+        }
         Ok(())
     }
 
-    /// Where SSH and TLS listen.
-    pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
-        let at = |listener: &Listener| listener.local_addr().ok();
-        (
-            self.ssh.as_ref().and_then(|(listener, _)| at(listener)),
-            self.tls.as_ref().and_then(|(listener, _)| at(listener)),
-        )
+    /// Where the listeners are bound.
+    pub fn addresses(&self) -> ListenAddresses {
+        let address = |listener: &StdListener| listener.local_addr().ok();
+        ListenAddresses {
+            ssh: self.ssh.as_ref().and_then(|ssh| address(&ssh.listener)),
+            tls: self.tls.as_ref().and_then(|tls| address(&tls.listener)),
+        }
     }
-}
 
-pub struct Server;
-
-impl Server {
-    /// Serves as long as the runtime does that this is called in.
-    pub fn start(bound: Bound, service: Arc<ManagementService>) -> Result<(), String> {
-        let Bound { part, ssh, tls } = bound;
-        let bounds = Bounds {
-            message: part.message_kb as usize * 1024,
-            hello: Duration::from_secs(part.handshake_seconds.into()),
+    /// Starts to serve, in the runtime that this is called in, for as long as that runs.
+    pub fn serve(self, service: Arc<ManagementService>) -> Result<(), StartError> {
+        let limits = SessionLimits {
+            max_message_bytes: self.section.message_kb as usize * 1024,
+            hello_timeout: Duration::from_secs(self.section.handshake_seconds.into()),
         };
         let started = service.now();
         let server = Arc::new(rpc::Server { service, counts: Counts::default(), started });
-        // One for each listener, so that a flood at one keeps nobody out of the other.
-        let waiting = || UnauthenticatedConnections::new(part.handshakes as usize);
-        if let (Some((listener, config)), Some(keys)) = (ssh, part.authorized_keys.clone()) {
-            let listener = TcpListener::from_std(listener).map_err(|what| what.to_string())?;
-            let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-            let ssh = Arc::new(Ssh { server: server.clone(), keys, bounds, config, places });
-            tokio::spawn(authentication::accept_connections(
-                listener,
-                waiting(),
-                move |stream, from, unproved| {
-                    tokio::spawn(ssh::serve(ssh.clone(), stream, from, unproved));
-                },
-            ));
+        // One limit for each listener, so that a flood at one keeps nobody out of the other.
+        let unauthenticated = || UnauthenticatedConnections::new(self.section.handshakes as usize);
+        if let Some(ssh) = self.ssh {
+            serve_ssh(ssh, server.clone(), limits, unauthenticated())?;
         }
-        if let Some((listener, acceptor)) = tls {
-            let listener = TcpListener::from_std(listener).map_err(|what| what.to_string())?;
-            tokio::spawn(authentication::accept_connections(
-                listener,
-                waiting(),
-                move |stream, from, unproved| {
-                    let (acceptor, server) = (acceptor.clone(), server.clone());
-                    tokio::spawn(async move {
-                        let shaken =
-                            authentication::tls_handshake(acceptor, stream, from, unproved, bounds.hello)
-                                .await;
-                        let Some((stream, user)) = shaken else { return };
-                        let source = from.ip().to_string();
-                        let who = Operator { user, protocol: Protocol::NetconfTls, source };
-                        session::run(server, who, stream, bounds).await;
-                    });
-                },
-            ));
+        if let Some(tls) = self.tls {
+            serve_tls(tls, server, limits, unauthenticated())?;
         }
         Ok(())
     }
 }
+
+fn listen(address: SocketAddr) -> Result<StdListener, StartError> {
+    let error = |source| StartError::Listen { address, source };
+    let listener = StdListener::bind(address).map_err(error)?;
+    listener.set_nonblocking(true).map_err(error)?;
+    Ok(listener)
+}
+
+fn serve_ssh(
+    ssh: SshListener,
+    server: Arc<rpc::Server>,
+    limits: SessionLimits,
+    unauthenticated: UnauthenticatedConnections,
+) -> Result<(), StartError> {
+    let SshListener { listener, config, authorized_keys } = ssh;
+    let listener = TcpListener::from_std(listener)?;
+    let permits = Arc::new(Semaphore::new(MAX_SSH_CONNECTIONS));
+    let ssh = Arc::new(Ssh { server, authorized_keys, limits, config, permits });
+    tokio::spawn(authentication::accept_connections(
+        listener,
+        unauthenticated,
+        move |stream, from, connection| {
+            tokio::spawn(ssh::serve(ssh.clone(), stream, from, connection));
+        },
+    ));
+    Ok(())
+}
+
+fn serve_tls(
+    tls: TlsListener,
+    server: Arc<rpc::Server>,
+    limits: SessionLimits,
+    unauthenticated: UnauthenticatedConnections,
+) -> Result<(), StartError> {
+    let TlsListener { listener, acceptor } = tls;
+    let listener = TcpListener::from_std(listener)?;
+    tokio::spawn(authentication::accept_connections(
+        listener,
+        unauthenticated,
+        move |stream, from, connection| {
+            let (acceptor, server) = (acceptor.clone(), server.clone());
+            tokio::spawn(serve_tls_connection(acceptor, server, limits, stream, from, connection));
+        },
+    ));
+    Ok(())
+}
+
+async fn serve_tls_connection(
+    acceptor: TlsAcceptor,
+    server: Arc<rpc::Server>,
+    limits: SessionLimits,
+    stream: TcpStream,
+    from: SocketAddr,
+    connection: UnauthenticatedConnection,
+) {
+    let timeout = limits.hello_timeout;
+    let shaken = authentication::tls_handshake(acceptor, stream, from, connection, timeout).await;
+    let Some((stream, user)) = shaken else { return };
+    let operator = Operator { user, protocol: Protocol::NetconfTls, source: from.ip().to_string() };
+    session::run(server, operator, stream, limits).await;
+}
--- a/crates/rockflow-netconf/src/ssh.rs
+++ b/crates/rockflow-netconf/src/ssh.rs
@@ -1,8 +1,9 @@
-//! NETCONF over SSH (RFC 6242): the subsystem `netconf`, for those whose public keys lie in the operator's
-//! folder. Nothing else of SSH is offered.
+//! NETCONF over SSH (RFC 6242): the subsystem `netconf`, for users whose public keys lie in the operator's folder. Nothing
+//! else of SSH is offered.
 
+use crate::error::StartError;
 use crate::rpc::Server;
-use crate::session::{self, Bounds};
+use crate::session::{self, SessionLimits};
 use rockflow_management::{Operator, Protocol};
 use rockflow_management_service::{secrets, UnauthenticatedConnection};
 use russh::keys::ssh_key::{AuthorizedKeys, PublicKey};
@@ -20,36 +21,43 @@
 
 /// Sessions on one connection.
 const MAX_CHANNELS: usize = 8;
-const MAX_TRIES: usize = 6;
+/// Authentication attempts of a connection.
+const MAX_AUTH_ATTEMPTS: usize = 6;
+/// Characters of a user's name.
+const MAX_USER_CHARS: usize = 64;
 
-pub fn host_key(path: &Path) -> Result<PrivateKey, String> {
-    let text = secrets::read(path, true)?;
-    let text = String::from_utf8(text).map_err(|_| format!("{}: not text", path.display()))?;
-    russh::keys::decode_secret_key(&text, None).map_err(|what| format!("{}: {what}", path.display()))
+/// Reads the server's private key.
+pub(crate) fn host_key(path: &Path) -> Result<PrivateKey, StartError> {
+    let text = secrets::read(path, true).map_err(StartError::secrets)?;
+    let text = String::from_utf8(text).map_err(|_| StartError::KeyNotText { path: path.to_path_buf() })?;
+    russh::keys::decode_secret_key(&text, None)
+        .map_err(|source| StartError::Key { path: path.to_path_buf(), source })
 }
 
-/// What the connections share.
-pub struct Ssh {
-    pub server: Arc<Server>,
-    pub keys: PathBuf,
-    pub bounds: Bounds,
-    pub config: Arc<russh::server::Config>,
-    /// One for each connection that has proved who it is.
-    pub places: Arc<Semaphore>,
+/// What the SSH connections share.
+pub(crate) struct Ssh {
+    pub(crate) server: Arc<Server>,
+    /// The folder with a file of authorized keys for each user.
+    pub(crate) authorized_keys: PathBuf,
+    pub(crate) limits: SessionLimits,
+    pub(crate) config: Arc<russh::server::Config>,
+    /// One for each authenticated connection.
+    pub(crate) permits: Arc<Semaphore>,
 }
 
-pub fn config(key: PrivateKey) -> Arc<russh::server::Config> {
+/// The settings of the SSH protocol.
+pub(crate) fn config(key: PrivateKey) -> Arc<russh::server::Config> {
     Arc::new(russh::server::Config {
         keys: vec![key],
         methods: MethodSet::from(&[MethodKind::PublicKey][..]),
         auth_rejection_time: Duration::from_millis(300),
         auth_rejection_time_initial: Some(Duration::ZERO),
-        max_auth_attempts: MAX_TRIES,
-        // Silent sessions are the desk's matter; dead connections are found by these.
+        max_auth_attempts: MAX_AUTH_ATTEMPTS,
+        // The management service ends idle sessions; dead connections are found by these.
         inactivity_timeout: None,
         keepalive_interval: Some(Duration::from_secs(30)),
         keepalive_max: 3,
-        // What one channel may have on its way to us unread.
+        // Bytes of one channel that may be in flight to this server.
         window_size: 64 * 1024,
         maximum_packet_size: 32 * 1024,
         channel_buffer_size: 8,
@@ -58,10 +66,14 @@
     })
 }
 
-/// Whether the key lies in the user's file. A user's name is a file's name, and nothing more of a path.
-pub fn authorized(folder: &Path, user: &str, key: &PublicKey) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'@');
-    if user.is_empty() || user.len() > 64 || user.starts_with('.') || !user.bytes().all(plain) {
+/// Whether the key lies in the user's file. A user's name is a file name, and nothing more of a path.
+fn is_authorized(folder: &Path, user: &str, key: &PublicKey) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'@');
+    if user.is_empty()
+        || user.len() > MAX_USER_CHARS
+        || user.starts_with('.')
+        || !user.bytes().all(is_allowed)
+    {
         return false;
     }
     let path = folder.join(user);
@@ -71,8 +83,8 @@
     let text = match secrets::read(&path, false).map(String::from_utf8) {
         Ok(Ok(text)) => text,
         Ok(Err(_)) => return false,
-        Err(what) => {
-            warn!(what, "keys not used");
+        Err(error) => {
+            warn!(%error, "authorized keys not usable");
             return false;
         }
     };
@@ -81,12 +93,14 @@
         .any(|entry| entry.public_key().key_data() == key.key_data())
 }
 
+/// One connection's side of the SSH protocol.
 struct Peer {
     ssh: Arc<Ssh>,
     from: SocketAddr,
     user: Option<String>,
-    /// Told once the peer has proved who it is.
-    proved: Option<oneshot::Sender<()>>,
+    /// Notified once the peer is authenticated.
+    authenticated: Option<oneshot::Sender<()>>,
+    /// Channels on which no session runs yet.
     channels: BTreeMap<ChannelId, Channel<Msg>>,
     sessions: usize,
 }
@@ -95,17 +109,17 @@
     type Error = russh::Error;
 
     async fn auth_publickey(&mut self, user: &str, key: VerifiedPublicKey<'_>) -> Result<Auth, Self::Error> {
-        if authorized(&self.ssh.keys, user, key.public_key) {
+        if is_authorized(&self.ssh.authorized_keys, user, key.public_key) {
             self.user = Some(user.to_string());
             return Ok(Auth::Accept);
         }
-        info!(user = user.chars().take(64).collect::<String>(), from = %self.from, "key not known");
+        info!(user = user.chars().take(MAX_USER_CHARS).collect::<String>(), from = %self.from, "SSH public key rejected");
         Ok(Auth::reject())
     }
 
     async fn auth_succeeded(&mut self, _: &mut Session) -> Result<(), Self::Error> {
-        if let Some(proved) = self.proved.take() {
-            let _ = proved.send(());
+        if let Some(authenticated) = self.authenticated.take() {
+            let _ = authenticated.send(());
         }
         Ok(())
     }
@@ -137,62 +151,76 @@
         };
         session.channel_success(id)?;
         self.sessions += 1;
-        let who = Operator {
+        let operator = Operator {
             user: user.clone(),
             protocol: Protocol::NetconfSsh,
             source: self.from.ip().to_string(),
         };
-        let (server, bounds) = (self.ssh.server.clone(), self.ssh.bounds);
+        let (server, limits) = (self.ssh.server.clone(), self.ssh.limits);
         tokio::spawn(async move {
-            session::run(server, who, channel.into_stream(), bounds).await;
+            session::run(server, operator, channel.into_stream(), limits).await;
         });
         Ok(())
     }
 }
 
-/// Serves one connection, which is one of those that have not proved who they are until it has.
-pub async fn serve(ssh: Arc<Ssh>, stream: TcpStream, from: SocketAddr, unproved: UnauthenticatedConnection) {
-    let (proved, wait) = oneshot::channel();
+/// Serves one connection, which counts as unauthenticated until it has proved who it is.
+pub(crate) async fn serve(
+    ssh: Arc<Ssh>,
+    stream: TcpStream,
+    from: SocketAddr,
+    unauthenticated: UnauthenticatedConnection,
+) {
+    let (sender, authenticated) = oneshot::channel();
     let peer = Peer {
         ssh: ssh.clone(),
         from,
         user: None,
-        proved: Some(proved),
+        authenticated: Some(sender),
         channels: BTreeMap::new(),
         sessions: 0,
     };
-    let limit = ssh.bounds.hello;
-    let begun = russh::server::run_stream(ssh.config.clone(), stream, peer);
+    let timeout = ssh.limits.hello_timeout;
+    let handshake = russh::server::run_stream(ssh.config.clone(), stream, peer);
     let running = tokio::select! {
-        begun = tokio::time::timeout(limit, begun) => match begun {
+        shaken = tokio::time::timeout(timeout, handshake) => match shaken {
             Ok(Ok(running)) => running,
-            Ok(Err(what)) => return info!(%from, %what, "ssh handshake"),
-            Err(_) => return info!(%from, "ssh handshake not done in time"),
+            Ok(Err(error)) => return info!(%from, %error, "SSH handshake failed"),
+            Err(_) => return info!(%from, "SSH handshake timed out"),
         },
-        () = unproved.evicted() => return info!(%from, "gave way to another handshake"),
-    };
-    let handle = running.handle();
-    let watch = async move {
-        // Guards against connections that shake hands and never prove who they are.
-        let proved = tokio::select! {
-            proved = tokio::time::timeout(limit, wait) => proved.is_ok_and(|told| told.is_ok()),
-            () = unproved.evicted() => false,
-        };
-        drop(unproved);
-        // Kept as long as the connection is: this part ends with it.
-        let place = ssh.places.try_acquire();
-        if !proved || place.is_err() {
-            info!(%from, proved, "ssh peer did not prove who it is in time, or there is no room for it");
-            let _ = handle.disconnect(russh::Disconnect::ByApplication, String::new(), String::new()).await;
-        }
-        std::future::pending::<()>().await
+        () = unauthenticated.evicted() => return info!(%from, "SSH handshake evicted by another connection"),
     };
+    let guard = guard_authentication(&ssh, running.handle(), from, authenticated, unauthenticated);
     tokio::select! {
         ended = running => {
-            if let Err(what) = ended {
-                info!(%from, %what, "ssh connection over");
+            if let Err(error) = ended {
+                info!(%from, %error, "SSH connection ended");
             }
         }
-        () = watch => {}
+        () = guard => {}
+    }
+}
+
+/// Disconnects a peer that doesn't authenticate in time, or for which there is no permit. Holds the permit and never
+/// ends: it is dropped with the connection.
+async fn guard_authentication(
+    ssh: &Ssh,
+    handle: russh::server::Handle,
+    from: SocketAddr,
+    authenticated: oneshot::Receiver<()>,
+    unauthenticated: UnauthenticatedConnection,
+) {
+    let is_authenticated = tokio::select! {
+        result = tokio::time::timeout(ssh.limits.hello_timeout, authenticated) => {
+            result.is_ok_and(|notified| notified.is_ok())
+        }
+        () = unauthenticated.evicted() => false,
+    };
+    drop(unauthenticated);
+    let permit = ssh.permits.try_acquire();
+    if !is_authenticated || permit.is_err() {
+        info!(%from, authenticated = is_authenticated, "SSH peer not authenticated in time, or too many connections");
+        let _ = handle.disconnect(russh::Disconnect::ByApplication, String::new(), String::new()).await;
     }
+    std::future::pending::<()>().await
 }
--- a/crates/rockflow-netconf/tests/fuzz.rs
+++ b/crates/rockflow-netconf/tests/fuzz.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn whatever_comes_is_judged_and_bounded() {
+fn mutated_messages_neither_panic_nor_exceed_memory() {
     let cases = std::env::var("ROCKFLOW_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(20_000);
     let schema = Schema::published();
     let mut chance = oorandom::Rand32::new(20_261_201);
@@ -90,11 +90,11 @@
         }
         let mut framing = Framing::new(MESSAGE);
         if case % 2 == 0 {
-            framing.chunked();
+            framing.switch_to_chunks();
         }
         for part in bytes.chunks(1 + chance.rand_range(0..200) as usize) {
             framing.add(part);
-            while let Ok(Some(_)) = framing.take() {
+            while let Ok(Some(_)) = framing.next_message() {
                 framed += 1;
             }
         }
