--- a/crates/rockflow-management-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -48,7 +48,7 @@
                 .map(rockflow_netconf::BoundServer::bind)
                 .transpose()
                 .map_err(|error| error.to_string())?,
-            opened: RestoredState::open(clock, part)?,
+            opened: RestoredState::open(clock, part).map_err(|error| error.to_string())?,
         }))
     }
 
@@ -67,7 +67,7 @@
 
     /// The marks that hold from the first request on.
     pub fn marks(&self) -> AdminOverrides {
-        self.opened.marks()
+        self.opened.administrative_overrides()
     }
 
     pub fn addresses(&self) -> Addresses {
--- a/crates/rockflow-netconf/src/error.rs
+++ b/crates/rockflow-netconf/src/error.rs
@@ -1,5 +1,6 @@
 //! Why the server does not start.
 
+use rockflow_management_service::credentials::CredentialError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,8 +21,8 @@
     #[error(transparent)]
     Listener(#[from] io::Error),
     /// Keys or certificates that can't be used, with their file.
-    #[error("{0}")]
-    Secrets(Box<dyn std::error::Error + Send + Sync>),
+    #[error(transparent)]
+    Credentials(#[from] CredentialError),
     /// The host key's file holds no text.
     #[error("{}: not text", path.display())]
     KeyNotText {
@@ -37,9 +38,3 @@
         source: russh::keys::Error,
     },
 }
-
-impl StartError {
-    pub(crate) fn secrets(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> StartError {
-        StartError::Secrets(error.into())
-    }
-}
--- a/crates/rockflow-netconf/src/monitoring.rs
+++ b/crates/rockflow-netconf/src/monitoring.rs
@@ -127,11 +127,11 @@
         }
         out.open("datastore", &[]);
         out.leaf("name", &[], datastore.name());
-        if let Some((_, session, since)) = locks.iter().find(|(locked, ..)| *locked == datastore) {
+        if let Some(lock) = locks.iter().find(|lock| lock.datastore == datastore) {
             out.open("locks", &[]);
             out.open("global-lock", &[]);
-            out.leaf("locked-by-session", &[], &session.0.to_string());
-            out.leaf("locked-time", &[], &timestamp::format(*since));
+            out.leaf("locked-by-session", &[], &lock.session.0.to_string());
+            out.leaf("locked-time", &[], &timestamp::format(lock.since));
             out.close("global-lock");
             out.close("locks");
         }
@@ -156,19 +156,18 @@
 
 fn write_sessions(service: &ManagementService, out: &mut Writer) {
     out.open("sessions", &[]);
-    let sessions: Vec<_> = service.inspect(|datastores| {
-        datastores.sessions().map(|(id, operator, since)| (id, operator.clone(), since)).collect()
-    });
-    for (id, operator, since) in &sessions {
+    let sessions: Vec<_> = service.inspect(|datastores| datastores.sessions().collect());
+    for session in &sessions {
+        let operator = &session.operator;
         if operator.protocol == Protocol::Gnmi {
             continue;
         }
         out.open("session", &[]);
-        out.leaf("session-id", &[], &id.0.to_string());
+        out.leaf("session-id", &[], &session.id.0.to_string());
         out.leaf("transport", &[], operator.protocol.name());
         out.leaf("username", &[], &operator.user);
         out.leaf("source-host", &[], &operator.source);
-        out.leaf("login-time", &[], &timestamp::format(*since));
+        out.leaf("login-time", &[], &timestamp::format(session.since));
         out.close("session");
     }
     out.close("sessions");
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -36,13 +36,13 @@
         ManagementEvent::Notification(Notification::SessionEnded { session, operator, reason }) => {
             vec![base_event(time, "netconf-session-end", |out| {
                 write_operator(out, operator, session.0);
-                out.leaf("termination-reason", &[], reason);
+                out.leaf("termination-reason", &[], reason.name());
             })]
         }
         ManagementEvent::Notification(Notification::ConfirmedCommit { event, operator }) => {
             vec![base_event(time, "netconf-confirmed-commit", |out| {
                 write_operator(out, operator, NO_SESSION);
-                out.leaf("confirm-event", &[], event);
+                out.leaf("confirm-event", &[], event.name());
             })]
         }
     }
--- a/crates/rockflow-netconf/src/rpc/partial_lock.rs
+++ b/crates/rockflow-netconf/src/rpc/partial_lock.rs
@@ -22,11 +22,10 @@
         if patterns.is_empty() {
             return Err(missing("select"));
         }
-        let (lock, locked) =
-            session.update(|datastores, _| datastores.partial_lock(session.id, &patterns))?;
+        let grant = session.update(|datastores, _| datastores.partial_lock(session.id, &patterns))?;
         let mut out = Writer::new();
-        out.leaf("lock-id", &[("xmlns", ns::PARTIAL_LOCK)], &lock.to_string());
-        for path in locked {
+        out.leaf("lock-id", &[("xmlns", ns::PARTIAL_LOCK)], &grant.id.to_string());
+        for path in grant.nodes {
             out.leaf("locked-node", &[("xmlns", ns::PARTIAL_LOCK)], &path.to_text(schema));
         }
         Ok(Reply::Content(out.finish()))
--- a/crates/rockflow-netconf/src/server.rs
+++ b/crates/rockflow-netconf/src/server.rs
@@ -7,9 +7,10 @@
 use crate::session::{self, SessionLimits};
 use crate::ssh::{self, Ssh};
 use rockflow_management::{Operator, Protocol};
+use rockflow_management_service::credentials::FileSecrecy;
 use rockflow_management_service::{
-    authentication, secrets, ManagementService, NetconfSection, UnauthenticatedConnection,
-    UnauthenticatedConnections,
+    authentication, credentials, AuthenticatedStream, ManagementService, NetconfSection,
+    UnauthenticatedConnection, UnauthenticatedConnections,
 };
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::path::PathBuf;
@@ -54,7 +55,7 @@
     pub fn bind(section: &NetconfSection) -> Result<BoundServer, StartError> {
         let ssh = match (section.ssh, &section.host_key, &section.authorized_keys) {
             (Some(address), Some(key), Some(folder)) => {
-                secrets::judge(folder, false).map_err(StartError::secrets)?;
+                credentials::check_permissions(folder, FileSecrecy::Readable)?;
                 let config = ssh::config(ssh::host_key(key)?);
                 Some(SshListener { listener: listen(address)?, config, authorized_keys: folder.clone() })
             }
@@ -62,7 +63,7 @@
         };
         let tls = match &section.tls {
             Some(tls) => {
-                let config = secrets::server(tls, &[]).map_err(StartError::secrets)?;
+                let config = credentials::tls_server_config(tls, &[])?;
                 Some(TlsListener { listener: listen(tls.listen)?, acceptor: TlsAcceptor::from(config) })
             }
             None => None,
@@ -73,11 +74,11 @@
     /// Checks that the keys and certificates can be used, without binding.
     pub fn check(section: &NetconfSection) -> Result<(), StartError> {
         if let (Some(key), Some(folder)) = (&section.host_key, &section.authorized_keys) {
-            secrets::judge(folder, false).map_err(StartError::secrets)?;
+            credentials::check_permissions(folder, FileSecrecy::Readable)?;
             ssh::host_key(key)?;
         }
         if let Some(tls) = &section.tls {
-            secrets::server(tls, &[]).map_err(StartError::secrets)?;
+            credentials::tls_server_config(tls, &[])?;
         }
         Ok(())
     }
@@ -167,7 +168,7 @@
 ) {
     let timeout = limits.hello_timeout;
     let shaken = authentication::tls_handshake(acceptor, stream, from, connection, timeout).await;
-    let Some((stream, user)) = shaken else { return };
+    let Some(AuthenticatedStream { stream, user }) = shaken else { return };
     let operator = Operator { user, protocol: Protocol::NetconfTls, source: from.ip().to_string() };
     session::run(server, operator, stream, limits).await;
 }
--- a/crates/rockflow-netconf/src/ssh.rs
+++ b/crates/rockflow-netconf/src/ssh.rs
@@ -5,7 +5,8 @@
 use crate::rpc::Server;
 use crate::session::{self, SessionLimits};
 use rockflow_management::{Operator, Protocol};
-use rockflow_management_service::{secrets, UnauthenticatedConnection};
+use rockflow_management_service::credentials::FileSecrecy;
+use rockflow_management_service::{credentials, UnauthenticatedConnection};
 use russh::keys::ssh_key::{AuthorizedKeys, PublicKey};
 use russh::keys::PrivateKey;
 use russh::server::{Auth, ChannelOpenHandle, Handler, Msg, Session, VerifiedPublicKey};
@@ -28,7 +29,7 @@
 
 /// Reads the server's private key.
 pub(crate) fn host_key(path: &Path) -> Result<PrivateKey, StartError> {
-    let text = secrets::read(path, true).map_err(StartError::secrets)?;
+    let text = credentials::read_file(path, FileSecrecy::OwnerOnly)?;
     let text = String::from_utf8(text).map_err(|_| StartError::KeyNotText { path: path.to_path_buf() })?;
     russh::keys::decode_secret_key(&text, None)
         .map_err(|source| StartError::Key { path: path.to_path_buf(), source })
@@ -80,7 +81,7 @@
     if !path.exists() {
         return false;
     }
-    let text = match secrets::read(&path, false).map(String::from_utf8) {
+    let text = match credentials::read_file(&path, FileSecrecy::Readable).map(String::from_utf8) {
         Ok(Ok(text)) => text,
         Ok(Err(_)) => return false,
         Err(error) => {
--- a/crates/rockflow-operator-config/tests/file.rs
+++ b/crates/rockflow-operator-config/tests/management.rs
@@ -1,10 +1,14 @@
 //! The operator's file: what is taken, and where each fault is said to be.
 
-use rockflow_operator_config::{parse, OperatorConfig};
+use rockflow_operator_config::{parse, ConfigError, Layer, OperatorConfig, RestartFrom};
 use test_case::test_case;
 
-fn one(text: &str) -> Result<OperatorConfig, Vec<rockflow_operator_config::ConfigError>> {
-    parse(&[("a.ini".to_string(), text.to_string())])
+fn layer(file: &str, text: &str) -> Layer {
+    Layer { file: file.to_string(), text: text.to_string() }
+}
+
+fn one(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+    parse(&[layer("a.ini", text)])
 }
 
 const GOOD: &str = "[management]
@@ -19,7 +23,7 @@
 ";
 
 #[test]
-fn an_absent_file_and_an_absent_section_are_parts_that_do_not_exist() {
+fn absent_file_or_section_configures_nothing() {
     assert_eq!(parse(&[]).unwrap(), OperatorConfig::default());
     let file = one(GOOD).unwrap();
     assert!(file.gnmi.is_none());
@@ -29,22 +33,22 @@
 }
 
 #[test]
-fn the_example_reads() {
+fn example_configures_nothing() {
     let file = one(include_str!("../../../deploy/rockflow.ini"));
     assert_eq!(file.unwrap(), OperatorConfig::default());
 }
 
 #[test]
-fn a_later_layer_holds_key_by_key() {
+fn later_layer_overrides_key_by_key() {
     let over = "[netconf]\nmessage-kb = 128\n[management]\nrestart = startup\n";
-    let layers = [("a.ini", GOOD), ("b.ini", over)].map(|(name, text)| (name.to_string(), text.to_string()));
+    let layers = [("a.ini", GOOD), ("b.ini", over)].map(|(name, text)| layer(name, text));
     let file = parse(&layers).unwrap();
     assert_eq!(file.netconf.unwrap().message_kb, 128);
     let management = file.management.unwrap();
-    assert!(management.separate_startup && management.owner == "ana");
+    assert!(management.restart_from == RestartFrom::Startup && management.owner == "ana");
     // A fault is where the layer has it.
     let layers = [("a.ini", GOOD), ("b.ini", "[netconf]\n\nmessage-kb = 3\n")];
-    let faults = parse(&layers.map(|(name, text)| (name.to_string(), text.to_string()))).unwrap_err();
+    let faults = parse(&layers.map(|(name, text)| layer(name, text))).unwrap_err();
     assert!(faults[0].to_string().starts_with("b.ini:3: [netconf] message-kb: \"3\":"), "{}", faults[0]);
 }
 
@@ -62,14 +66,14 @@
 #[test_case("[management]\nowner = ana\n[gnmi]\nlisten = 127.0.0.1:1\nkey = k\ncertificate = c\nclient-ca = a\nsubscribers = many\n", "a.ini:8: [gnmi] subscribers: \"many\" is no whole number"; "no number")]
 #[test_case("[management\nowner = ana\n", "a.ini:"; "no INI")]
 #[test_case("stray = 1\n", "no such section"; "ahead of any section")]
-fn a_fault_names_its_line_section_and_key(text: &str, wanted: &str) {
+fn error_names_its_line_section_and_key(text: &str, wanted: &str) {
     let faults = one(text).unwrap_err();
     let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
     assert!(texts.iter().any(|text| text.contains(wanted)), "{texts:?}");
 }
 
 #[test]
-fn all_faults_come_at_once() {
+fn reports_all_errors_at_once() {
     let text = "[management]\nrestart = never\n[netconf]\nssh = x\nmessage-kb = y\n";
     assert!(one(text).unwrap_err().len() >= 4);
 }
