--- a/crates/rockflow-gnmi/build.rs
+++ b/crates/rockflow-gnmi/build.rs
@@ -1,3 +1,5 @@
+//! Generates the messages from `proto/gnmi.proto`.
+
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo::rerun-if-changed=proto/gnmi.proto");
     let files = protox::compile(["gnmi.proto"], ["proto"])?;
--- a/crates/rockflow-gnmi/src/lib.rs
+++ b/crates/rockflow-gnmi/src/lib.rs
@@ -1,17 +1,23 @@
-//! gNMI (version 0.10 of its specification) at the management desk. This package decodes, asks the desk and
-//! encodes; what is changed, refused or told is decided in `rockflow-management`.
+//! gNMI, in version 0.10 of its specification.
+//!
+//! This package decodes requests, asks the management service and encodes its answers; what is changed, refused or announced
+//! is decided in `rockflow-management`.
 
+pub mod error;
 pub mod paths;
 pub mod server;
 pub mod service;
+mod status;
+mod subscriber;
 
-pub use server::{Bound, Server};
+pub use error::StartError;
+pub use server::BoundServer;
 
-/// The messages, made from `proto/gnmi.proto`.
-#[allow(clippy::all, missing_docs)]
+/// The messages, generated from `proto/gnmi.proto`.
+#[allow(clippy::all, missing_docs, reason = "generated")]
 pub mod wire {
     tonic::include_proto!("gnmi");
 }
 
-/// The version of the specification that is told.
+/// The version of the specification that is announced.
 pub const VERSION: &str = "0.10.0";
--- a/crates/rockflow-gnmi/src/paths.rs
+++ b/crates/rockflow-gnmi/src/paths.rs
@@ -1,4 +1,4 @@
-//! Paths and values of gNMI, to and from those of the model. Strict: what names nothing is a fault.
+//! Paths and values of gNMI, to and from those of the model. Names that the model does not have are errors.
 
 use crate::wire;
 use rockflow_management::{ErrorTag, ManagementError};
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use wire::typed_value::Value as Typed;
 
-/// Paths in one request.
+/// Paths in one request at the most.
 pub const MAX_PATHS: usize = 64;
 /// Instances that one path with open keys may lead to.
 pub const MAX_INSTANCES: usize = 20_000;
@@ -20,7 +20,7 @@
     ManagementError::new(ErrorTag::InvalidValue, what.to_string())
 }
 
-/// A path behind its prefix; keys that are not told, or `*`, are open.
+/// The pattern of a path behind its prefix; keys that are not given, or `*`, are open.
 pub fn pattern(
     schema: &Schema,
     prefix: Option<&wire::Path>,
@@ -39,8 +39,8 @@
                 let what = format!("{}: open steps are not served, open keys are", elem.name);
                 return Err(ManagementError::new(ErrorTag::OperationNotSupported, what));
             }
-            let told = elem.key.iter().map(|(key, value)| (key.as_str(), value.as_str()));
-            let step = PatternStep::parse(schema, steps.last(), &elem.name, told).map_err(invalid)?;
+            let key_values = elem.key.iter().map(|(key, value)| (key.as_str(), value.as_str()));
+            let step = PatternStep::parse(schema, steps.last(), &elem.name, key_values).map_err(invalid)?;
             if !matches!(
                 schema.node(step.node).kind,
                 NodeKind::Container
@@ -56,13 +56,13 @@
     Ok(Pattern(steps))
 }
 
-/// Whether every key on the way is told.
+/// Whether every key is given.
 pub fn is_closed(pattern: &Pattern) -> bool {
     pattern.0.iter().all(|step| step.keys.iter().all(Option::is_some))
 }
 
-/// One instance; the last step may be a whole list.
-pub fn closed(pattern: &Pattern) -> Option<Path> {
+/// The path of one instance; the last step may be a whole list. None: a key before that is open.
+pub fn to_path(pattern: &Pattern) -> Option<Path> {
     let last = pattern.0.len().saturating_sub(1);
     let step = |(place, step): (usize, &PatternStep)| {
         let open = place == last && step.keys.iter().all(Option::is_none);
@@ -72,7 +72,8 @@
     pattern.0.iter().enumerate().map(step).collect::<Option<Vec<_>>>().map(Path)
 }
 
-pub fn path(schema: &Schema, path: &Path) -> wire::Path {
+/// A path of the model in the form of the wire.
+pub fn encode_path(schema: &Schema, path: &Path) -> wire::Path {
     let elem = path.0.iter().map(|step| {
         let keys = schema.keys(step.node).iter().zip(&step.keys);
         wire::PathElem {
@@ -116,7 +117,8 @@
     Ok(found.into_iter().map(|(path, found)| (path.clone(), value(&path, found))).collect())
 }
 
-pub fn encoded(value: &Value, encoding: wire::Encoding) -> wire::TypedValue {
+/// JSON as a value of the wire.
+pub fn encode_json(value: &Value, encoding: wire::Encoding) -> wire::TypedValue {
     let bytes = value.to_string().into_bytes();
     let value =
         if encoding == wire::Encoding::Json { Typed::JsonVal(bytes) } else { Typed::JsonIetfVal(bytes) };
@@ -124,11 +126,11 @@
 }
 
 /// A leaf's value as JSON.
-pub fn leaf(schema: &Schema, node: NodeId, value: &Scalar) -> Value {
+pub fn leaf_json(schema: &Schema, node: NodeId, value: &Scalar) -> Value {
     json::write_scalar(schema.type_of(node), value)
 }
 
-/// The value for a path, as the model has it.
+/// The value that is set at a path, as the model has it.
 pub fn value(
     schema: &Schema,
     path: &Path,
@@ -152,8 +154,8 @@
         NodeKind::List { .. } if !last.keys.is_empty() => {
             let fields =
                 json::read(schema, Some(last.node), &parsed, NodeScope::ConfigOnly).map_err(wrong_json)?;
-            for (key, told) in schema.keys(last.node).iter().zip(&last.keys) {
-                if fields.get(key).and_then(DataNode::scalar).is_some_and(|value| value != told) {
+            for (key, key_value) in schema.keys(last.node).iter().zip(&last.keys) {
+                if fields.get(key).and_then(DataNode::scalar).is_some_and(|value| value != key_value) {
                     return Err(invalid("the keys of the value are others than the path's").with_path(path));
                 }
             }
@@ -186,3 +188,8 @@
         (_, one) => Ok(DataNode::Leaf(read(one)?)),
     }
 }
+
+/// The prefix of messages about a target; none without a name.
+pub fn target_prefix(target: &str) -> Option<wire::Path> {
+    (!target.is_empty()).then(|| wire::Path { target: target.to_string(), ..wire::Path::default() })
+}
--- a/crates/rockflow-gnmi/src/server.rs
+++ b/crates/rockflow-gnmi/src/server.rs
@@ -1,12 +1,13 @@
-//! The listener: TLS with certificates both ways, so many connections, and gRPC over them.
+//! The listener: TLS with certificates both ways, a bounded number of connections, and gRPC over them.
 
+use crate::error::StartError;
 use crate::service::{Peer, Service};
 use crate::wire::g_nmi_server::GNmiServer;
 use rockflow_management_service::{
     authentication, credentials, AuthenticatedStream, GnmiSection, ManagementService,
     UnauthenticatedConnections,
 };
-use std::net::{SocketAddr, TcpListener as Listener};
+use std::net::{SocketAddr, TcpListener as StdListener};
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{Context, Poll};
@@ -20,51 +21,119 @@
 use tonic::transport::server::Connected;
 use tracing::{error, info};
 
-/// Connections at once, and the time that one is given to prove who it is.
+/// The protocol that is negotiated in the handshake.
+const ALPN: &[&[u8]] = &[b"h2"];
+/// Authenticated connections at once.
 const MAX_CONNECTIONS: usize = 128;
-const MAX_UNPROVED: usize = 32;
-const HANDSHAKE: Duration = Duration::from_secs(10);
+/// Connections at once that have not authenticated.
+const MAX_UNAUTHENTICATED: usize = 32;
+/// The time for a handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Calls at once on one connection.
 const MAX_STREAMS: u32 = 64;
-/// What a connection may have on its way to us unread.
-const WINDOW: u32 = 256 * 1024;
-const ALIVE: (Duration, Duration) = (Duration::from_secs(30), Duration::from_secs(20));
+/// Bytes of a connection, and of a stream, that may be in flight to this server.
+const WINDOW_BYTES: u32 = 256 * 1024;
+/// How often a silent connection is probed.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
+/// How long a peer may take to answer a probe.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bound and read, ahead of the thread that serves.
-pub struct Bound {
-    part: GnmiSection,
-    listener: Listener,
+/// The listener, bound ahead of the thread that serves it, so that what is wrong is known at the start.
+pub struct BoundServer {
+    section: GnmiSection,
+    listener: StdListener,
     acceptor: TlsAcceptor,
 }
 
-impl Bound {
-    pub fn check(part: &GnmiSection) -> Result<(), String> {
-        credentials::tls_server_config(&part.tls, &[b"h2"]).map(|_| ()).map_err(|error| error.to_string())
+impl BoundServer {
+    /// Reads the certificates and binds the listener that the section names.
+    pub fn bind(section: &GnmiSection) -> Result<BoundServer, StartError> {
+        let acceptor = TlsAcceptor::from(credentials::tls_server_config(&section.tls, ALPN)?);
+        let address = section.tls.listen;
+        let error = |source| StartError::Listen { address, source };
+        let listener = StdListener::bind(address).map_err(error)?;
+        listener.set_nonblocking(true).map_err(error)?;
+        Ok(BoundServer { section: section.clone(), listener, acceptor })
     }
 
-    pub fn new(part: &GnmiSection) -> Result<Bound, String> {
-        let acceptor = TlsAcceptor::from(
-            credentials::tls_server_config(&part.tls, &[b"h2"]).map_err(|error| error.to_string())?,
-        );
-        let fault = |what: std::io::Error| format!("gnmi {}: {what}", part.tls.listen);
-        let listener = Listener::bind(part.tls.listen).map_err(fault)?;
-        listener.set_nonblocking(true).map_err(fault)?;
-        Ok(Bound { part: part.clone(), listener, acceptor })
+    /// Checks that the certificates can be used, without binding.
+    pub fn check(section: &GnmiSection) -> Result<(), StartError> {
+        credentials::tls_server_config(&section.tls, ALPN)?;
+        Ok(())
     }
 
+    /// Where the listener is bound.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
+
+    /// Starts to serve, in the runtime that this is called in, for as long as that runs.
+    pub fn serve(self, management: Arc<ManagementService>) -> Result<(), StartError> {
+        let BoundServer { section, listener, acceptor } = self;
+        let service = Service {
+            management,
+            subscribers: Arc::new(Semaphore::new(section.subscribers as usize)),
+            min_interval: Duration::from_millis(section.least_interval_ms.into()),
+        };
+        let max_message_bytes = section.message_kb as usize * 1024;
+        let service = GNmiServer::new(service).max_decoding_message_size(max_message_bytes);
+        let connections = accept(TcpListener::from_std(listener)?, acceptor);
+        let server = tonic::transport::Server::builder()
+            .max_concurrent_streams(MAX_STREAMS)
+            .initial_stream_window_size(WINDOW_BYTES)
+            .initial_connection_window_size(WINDOW_BYTES)
+            .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+            .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
+            .add_service(service)
+            .serve_with_incoming(ReceiverStream::new(connections));
+        tokio::spawn(async move {
+            if let Err(error) = server.await {
+                error!(%error, "gNMI server stopped");
+            }
+        });
+        Ok(())
+    }
+}
+
+/// Accepts connections; those that are authenticated come out of the channel.
+fn accept(
+    listener: TcpListener,
+    acceptor: TlsAcceptor,
+) -> mpsc::Receiver<std::io::Result<AuthenticatedConnection>> {
+    let (sender, connections) = mpsc::channel(1);
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    tokio::spawn(authentication::accept_connections(
+        listener,
+        UnauthenticatedConnections::new(MAX_UNAUTHENTICATED),
+        move |stream, from, unauthenticated| {
+            let (acceptor, sender, permits) = (acceptor.clone(), sender.clone(), permits.clone());
+            tokio::spawn(async move {
+                let timeout = HANDSHAKE_TIMEOUT;
+                let shaken =
+                    authentication::tls_handshake(acceptor, stream, from, unauthenticated, timeout).await;
+                let Some(AuthenticatedStream { stream, user }) = shaken else { return };
+                match permits.try_acquire_owned() {
+                    Ok(permit) => {
+                        let peer = Peer { user, from };
+                        let connection = AuthenticatedConnection { stream, peer, _permit: permit };
+                        let _ = sender.send(Ok(connection)).await;
+                    }
+                    Err(_) => info!(%from, user, "too many gNMI connections"),
+                }
+            });
+        },
+    ));
+    connections
 }
 
-/// A connection that has proved who it is.
-pub struct Proved {
+/// A connection whose peer is authenticated.
+struct AuthenticatedConnection {
     stream: TlsStream<TcpStream>,
     peer: Peer,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Connected for Proved {
+impl Connected for AuthenticatedConnection {
     type ConnectInfo = Peer;
 
     fn connect_info(&self) -> Peer {
@@ -72,7 +141,7 @@
     }
 }
 
-impl AsyncRead for Proved {
+impl AsyncRead for AuthenticatedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -82,7 +151,7 @@
     }
 }
 
-impl AsyncWrite for Proved {
+impl AsyncWrite for AuthenticatedConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -99,55 +168,3 @@
         Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
-
-pub struct Server;
-
-impl Server {
-    /// Serves as long as the runtime does that this is called in.
-    pub fn start(bound: Bound, desk: Arc<ManagementService>) -> Result<(), String> {
-        let Bound { part, listener, acceptor } = bound;
-        let listener = TcpListener::from_std(listener).map_err(|what| what.to_string())?;
-        let service = Service {
-            desk,
-            subscribers: Arc::new(Semaphore::new(part.subscribers as usize)),
-            least_interval: Duration::from_millis(part.least_interval_ms.into()),
-        };
-        let most = part.message_kb as usize * 1024;
-        let service = GNmiServer::new(service).max_decoding_message_size(most);
-        let (proved, connections) = mpsc::channel::<std::io::Result<Proved>>(1);
-        let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-        tokio::spawn(authentication::accept_connections(
-            listener,
-            UnauthenticatedConnections::new(MAX_UNPROVED),
-            move |stream, from, unproved| {
-                let (acceptor, proved, places) = (acceptor.clone(), proved.clone(), places.clone());
-                tokio::spawn(async move {
-                    let shaken =
-                        authentication::tls_handshake(acceptor, stream, from, unproved, HANDSHAKE).await;
-                    let Some(AuthenticatedStream { stream, user }) = shaken else { return };
-                    match places.try_acquire_owned() {
-                        Ok(permit) => {
-                            let peer = Peer { user, from };
-                            let _ = proved.send(Ok(Proved { stream, peer, _permit: permit })).await;
-                        }
-                        Err(_) => info!(%from, user, "too many gnmi connections at once"),
-                    }
-                });
-            },
-        ));
-        let server = tonic::transport::Server::builder()
-            .max_concurrent_streams(MAX_STREAMS)
-            .initial_stream_window_size(WINDOW)
-            .initial_connection_window_size(WINDOW)
-            .http2_keepalive_interval(Some(ALIVE.0))
-            .http2_keepalive_timeout(Some(ALIVE.1))
-            .add_service(service)
-            .serve_with_incoming(ReceiverStream::new(connections));
-        tokio::spawn(async move {
-            if let Err(what) = server.await {
-                error!(%what, "gnmi serves no more");
-            }
-        });
-        Ok(())
-    }
-}
--- a/crates/rockflow-gnmi/tests/fuzz.rs
+++ b/crates/rockflow-gnmi/tests/fuzz.rs
@@ -66,7 +66,7 @@
             let Ok(pattern) = paths::pattern(schema, set.prefix.as_ref(), update.path.as_ref()) else {
                 continue;
             };
-            let Some(path) = paths::closed(&pattern) else { continue };
+            let Some(path) = paths::to_path(&pattern) else { continue };
             if let Ok(value) = paths::value(schema, &path, update.val.as_ref()) {
                 let edit = Edit { path, op: EditOperation::Merge, value: Some(value) };
                 changed |= data::apply_edit(schema, &mut fields, &edit).is_ok();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn whatever_comes_is_judged_and_bounded() {
+fn mutated_messages_neither_panic_nor_exceed_memory() {
     let cases = std::env::var("ROCKFLOW_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(20_000);
     let (schema, seeds) = (Schema::published(), seeds());
     let mut chance = oorandom::Rand32::new(20_261_202);
--- a/crates/rockflow-management-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -15,7 +15,7 @@
     #[cfg(feature = "netconf")]
     netconf: Option<rockflow_netconf::BoundServer>,
     #[cfg(feature = "gnmi")]
-    gnmi: Option<rockflow_gnmi::Bound>,
+    gnmi: Option<rockflow_gnmi::BoundServer>,
 }
 
 /// Where the fronts listen; none: not told, or not built in.
@@ -40,7 +40,12 @@
         }
         Ok(Some(Agent {
             #[cfg(feature = "gnmi")]
-            gnmi: file.gnmi.as_ref().map(rockflow_gnmi::Bound::new).transpose()?,
+            gnmi: file
+                .gnmi
+                .as_ref()
+                .map(rockflow_gnmi::BoundServer::bind)
+                .transpose()
+                .map_err(|error| error.to_string())?,
             #[cfg(feature = "netconf")]
             netconf: file
                 .netconf
@@ -60,7 +65,7 @@
         }
         #[cfg(feature = "gnmi")]
         if let Some(part) = &file.gnmi {
-            rockflow_gnmi::Bound::check(part)?;
+            rockflow_gnmi::BoundServer::check(part).map_err(|error| error.to_string())?;
         }
         Ok(())
     }
@@ -80,7 +85,7 @@
         }
         #[cfg(feature = "gnmi")]
         {
-            all.gnmi = self.gnmi.as_ref().and_then(rockflow_gnmi::Bound::address);
+            all.gnmi = self.gnmi.as_ref().and_then(rockflow_gnmi::BoundServer::address);
         }
         all
     }
@@ -110,8 +115,8 @@
                 }
                 #[cfg(feature = "gnmi")]
                 if let Some(bound) = gnmi {
-                    if let Err(what) = rockflow_gnmi::Server::start(bound, served.clone()) {
-                        error!(what, "gnmi does not serve");
+                    if let Err(error) = bound.serve(served.clone()) {
+                        error!(%error, "gnmi does not serve");
                     }
                 }
                 served.run().await;
