--- a/crates/rockflow-benchmarks/src/drains.rs
+++ b/crates/rockflow-benchmarks/src/drains.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Dispatcher;
 use crate::Rows;
-use rockflow_management_client::{gnmi, netconf, Trouble};
+use rockflow_management_client::{gnmi, netconf, ClientError};
 use rockflow_test_servers::{Load, Site};
 use rockflow_yang::Schema;
 use serde_json::json;
@@ -21,7 +21,7 @@
 }
 
 impl Over {
-    async fn drain(&mut self, schema: &Schema, host: &str) -> Result<(), Trouble> {
+    async fn drain(&mut self, schema: &Schema, host: &str) -> Result<(), ClientError> {
         match self {
             Over::Netconf(client) => client.act(schema, "drain", &[("host", host)]).await.map(|_| ()),
             Over::Gnmi(client) => {
@@ -31,7 +31,7 @@
         }
     }
 
-    async fn undrain(&mut self, schema: &Schema, host: &str) -> Result<(), Trouble> {
+    async fn undrain(&mut self, schema: &Schema, host: &str) -> Result<(), ClientError> {
         match self {
             Over::Netconf(client) => client.act(schema, "undrain", &[("host", host)]).await.map(|_| ()),
             Over::Gnmi(client) => {
--- a/crates/rockflow-cli/src/beside/management.rs
+++ b/crates/rockflow-cli/src/beside/management.rs
@@ -12,7 +12,7 @@
 pub struct Opened(Option<Agent>);
 
 pub fn check(file: &OperatorConfig) -> Result<Vec<String>, String> {
-    Agent::check(file)?;
+    Agent::check(file).map_err(|error| error.to_string())?;
     let netconf = file.netconf.iter();
     let netconf =
         netconf.flat_map(|part| part.ssh.into_iter().chain(part.tls.as_ref().map(|tls| tls.listen)));
@@ -21,12 +21,12 @@
 }
 
 pub fn open(clock: Clock, file: &OperatorConfig) -> Result<Opened, String> {
-    Agent::open(clock, file).map(Opened)
+    Agent::open(clock, file).map(Opened).map_err(|error| error.to_string())
 }
 
 impl Opened {
     pub fn marks(&self) -> Option<AdminOverrides> {
-        self.0.as_ref().map(Agent::marks)
+        self.0.as_ref().map(Agent::administrative_overrides)
     }
 
     pub fn run(self, service: &Service, set_level: SetLevel) -> Result<(), String> {
--- a/crates/rockflow-cli/src/manage/mod.rs
+++ b/crates/rockflow-cli/src/manage/mod.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Subcommand, ValueEnum};
 use output::Output;
 use peer::{Peer, Trust};
-use rockflow_management_client::Trouble;
+use rockflow_management_client::ClientError;
 use rockflow_yang::{json, NodeScope, Schema};
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -128,14 +128,14 @@
         Err(trouble) => {
             eprintln!("rockflow: {trouble}");
             ExitCode::from(match &trouble {
-                Trouble::Connection(_) => code::CONNECTION,
-                Trouble::Trust(_) => code::TRUST,
-                Trouble::Refused { tag, app_tag, .. } => match (tag.as_str(), app_tag.as_deref()) {
+                ClientError::Connection(_) => code::CONNECTION,
+                ClientError::Untrusted(_) => code::TRUST,
+                ClientError::Rejected { tag, app_tag, .. } => match (tag.as_str(), app_tag.as_deref()) {
                     ("in-use" | "lock-denied" | "resource-denied", _) | (_, Some("conflict")) => code::BUSY,
                     ("access-denied", _) => code::ACCESS,
                     _ => code::REFUSED,
                 },
-                Trouble::Unreadable(_) => code::OTHER,
+                ClientError::Unreadable(_) => code::OTHER,
             })
         }
     }
@@ -158,7 +158,7 @@
 ];
 const COMMIT_COLUMNS: [&str; 6] = ["version", "time", "author", "protocol", "source", "comment"];
 
-async fn act(line: &Line) -> Result<(), Trouble> {
+async fn act(line: &Line) -> Result<(), ClientError> {
     let schema = Schema::published();
     let mut peer = Peer::connect(line.over, &line.at, &line.trust).await?;
     let output = line.output;
@@ -191,15 +191,15 @@
             } else {
                 std::fs::read_to_string(file)
             };
-            let text = text.map_err(|what| Trouble::Unreadable(format!("{}: {what}", file.display())))?;
+            let text = text.map_err(|what| ClientError::Unreadable(format!("{}: {what}", file.display())))?;
             let value: Value = serde_json::from_str(&text)
-                .map_err(|what| Trouble::Unreadable(format!("{}: {what}", file.display())))?;
+                .map_err(|what| ClientError::Unreadable(format!("{}: {what}", file.display())))?;
             // Judged here already, so that a fault names its key as it was written.
             json::read(&schema, None, &value, NodeScope::ConfigOnly)
-                .map_err(|what| Trouble::Unreadable(format!("{}: {what}", file.display())))?;
+                .map_err(|what| ClientError::Unreadable(format!("{}: {what}", file.display())))?;
             if confirm.is_some() && persist.is_none() {
                 let what = "--confirm needs --persist NAME: the session ends with this command";
-                return Err(Trouble::Unreadable(what.to_string()));
+                return Err(ClientError::Unreadable(what.to_string()));
             }
             let within = confirm.map(Duration::from_secs);
             peer.commit(&schema, &value, within, persist.as_deref()).await?;
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -4,7 +4,7 @@
 use super::Over;
 use clap::Args;
 use rockflow_gnmi::wire;
-use rockflow_management_client::{gnmi, netconf, Trouble};
+use rockflow_management_client::{gnmi, netconf, ClientError};
 use rockflow_netconf::xml::Element;
 use rockflow_yang::{data, json, DataNode, DataTree, NodeScope, Path, Schema};
 use russh::keys::{PrivateKey, PublicKey};
@@ -39,18 +39,19 @@
     server_name: String,
 }
 
-fn file(path: &PathBuf) -> Result<Vec<u8>, Trouble> {
-    std::fs::read(path).map_err(|what| Trouble::Trust(format!("{}: {what}", path.display())))
+fn file(path: &PathBuf) -> Result<Vec<u8>, ClientError> {
+    std::fs::read(path).map_err(|what| ClientError::Untrusted(format!("{}: {what}", path.display())))
 }
 
 impl Trust {
-    fn needed<'a>(&self, path: &'a Option<PathBuf>, flag: &str) -> Result<&'a PathBuf, Trouble> {
-        path.as_ref().ok_or_else(|| Trouble::Trust(format!("{flag} is missing")))
+    fn needed<'a>(&self, path: &'a Option<PathBuf>, flag: &str) -> Result<&'a PathBuf, ClientError> {
+        path.as_ref().ok_or_else(|| ClientError::Untrusted(format!("{flag} is missing")))
     }
 
-    fn ssh(&self) -> Result<(PrivateKey, PublicKey), Trouble> {
+    fn ssh(&self) -> Result<(PrivateKey, PublicKey), ClientError> {
         let text = String::from_utf8_lossy(&file(&self.key)?).to_string();
-        let fault = |path: &PathBuf, what: String| Trouble::Trust(format!("{}: {what}", path.display()));
+        let fault =
+            |path: &PathBuf, what: String| ClientError::Untrusted(format!("{}: {what}", path.display()));
         let key = russh::keys::decode_secret_key(&text, None);
         let key = key.map_err(|what| fault(&self.key, what.to_string()))?;
         let path = self.needed(&self.host_key, "--host-key")?;
@@ -59,11 +60,11 @@
         Ok((key, host))
     }
 
-    fn tls(&self) -> Result<Arc<rustls::ClientConfig>, Trouble> {
+    fn tls(&self) -> Result<Arc<rustls::ClientConfig>, ClientError> {
         let fault = |path: &PathBuf, what: &dyn std::fmt::Display| {
-            Trouble::Trust(format!("{}: {what}", path.display()))
+            ClientError::Untrusted(format!("{}: {what}", path.display()))
         };
-        let chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, Trouble> {
+        let chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, ClientError> {
             let bytes = file(path)?;
             CertificateDer::pem_slice_iter(&bytes)
                 .collect::<Result<_, _>>()
@@ -79,7 +80,8 @@
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let config =
             rustls::ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-        let config = config.map_err(|what| Trouble::Trust(what.to_string()))?.with_root_certificates(roots);
+        let config =
+            config.map_err(|what| ClientError::Untrusted(what.to_string()))?.with_root_certificates(roots);
         let config = config.with_client_auth_cert(chain(certificate)?, key);
         config.map(Arc::new).map_err(|what| fault(certificate, &what))
     }
@@ -95,13 +97,13 @@
     follows: Option<Streaming<wire::SubscribeResponse>>,
 }
 
-fn only_netconf() -> Trouble {
+fn only_netconf() -> ClientError {
     let message = "only over NETCONF".to_string();
-    Trouble::Refused { tag: "operation-not-supported".to_string(), app_tag: None, message }
+    ClientError::Rejected { tag: "operation-not-supported".to_string(), app_tag: None, message }
 }
 
 impl Peer {
-    pub async fn connect(over: Over, at: &str, trust: &Trust) -> Result<Peer, Trouble> {
+    pub async fn connect(over: Over, at: &str, trust: &Trust) -> Result<Peer, ClientError> {
         Ok(match over {
             Over::Ssh => {
                 let (key, host) = trust.ssh()?;
@@ -124,7 +126,7 @@
         schema: &Schema,
         datastore: &str,
         paths: &[String],
-    ) -> Result<Value, Trouble> {
+    ) -> Result<Value, ClientError> {
         match self {
             Peer::Netconf(client) => {
                 let fields = client.get(schema, datastore, paths).await?;
@@ -155,7 +157,7 @@
         schema: &Schema,
         paths: &[String],
         period: Option<Duration>,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), ClientError> {
         match self {
             Peer::Netconf(client) => client.follow(paths, period).await.map(|_| ()),
             Peer::Gnmi(grpc) => {
@@ -166,8 +168,8 @@
     }
 
     /// The next message of what is followed.
-    pub async fn next(&mut self, schema: &Schema) -> Result<Vec<Changed>, Trouble> {
-        let ended = || Trouble::Connection("ended".to_string());
+    pub async fn next(&mut self, schema: &Schema) -> Result<Vec<Changed>, ClientError> {
+        let ended = || ClientError::Connection("ended".to_string());
         match self {
             Peer::Netconf(client) => {
                 let told = client.notification().await?;
@@ -177,7 +179,7 @@
                 let stream = grpc.follows.as_mut().ok_or_else(ended)?;
                 let message = stream.message().await;
                 let message =
-                    message.map_err(|what| Trouble::Connection(what.to_string()))?.ok_or_else(ended)?;
+                    message.map_err(|what| ClientError::Connection(what.to_string()))?.ok_or_else(ended)?;
                 let Some(wire::subscribe_response::Response::Update(note)) = message.response else {
                     continue;
                 };
@@ -196,7 +198,7 @@
         reason: Option<&str>,
         expires_in: Option<u32>,
         force: bool,
-    ) -> Result<Option<u64>, Trouble> {
+    ) -> Result<Option<u64>, ClientError> {
         match self {
             Peer::Netconf(client) => {
                 let span = expires_in.map(|seconds| seconds.to_string());
@@ -227,7 +229,7 @@
         }
     }
 
-    pub async fn undrain(&mut self, schema: &Schema, host: &str) -> Result<Option<u64>, Trouble> {
+    pub async fn undrain(&mut self, schema: &Schema, host: &str) -> Result<Option<u64>, ClientError> {
         match self {
             Peer::Netconf(client) => client.act(schema, "undrain", &[("host", host)]).await.map(Some),
             Peer::Gnmi(grpc) => {
@@ -243,11 +245,11 @@
         value: &Value,
         within: Option<Duration>,
         persist: Option<&str>,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), ClientError> {
         match self {
             Peer::Netconf(client) => {
                 let fields = json::read(schema, None, value, NodeScope::ConfigOnly)
-                    .map_err(|error| Trouble::Unreadable(error.to_string()))?;
+                    .map_err(|error| ClientError::Unreadable(error.to_string()))?;
                 client.edit(schema, &fields).await?;
                 client.commit(within, persist, None).await
             }
@@ -256,18 +258,18 @@
         }
     }
 
-    fn netconf(&mut self) -> Result<&mut netconf::Client, Trouble> {
+    fn netconf(&mut self) -> Result<&mut netconf::Client, ClientError> {
         match self {
             Peer::Netconf(client) => Ok(client),
             Peer::Gnmi(_) => Err(only_netconf()),
         }
     }
 
-    pub async fn confirm(&mut self, persist_id: &str) -> Result<(), Trouble> {
+    pub async fn confirm(&mut self, persist_id: &str) -> Result<(), ClientError> {
         self.netconf()?.commit(None, None, Some(persist_id)).await
     }
 
-    pub async fn cancel(&mut self, persist_id: &str) -> Result<(), Trouble> {
+    pub async fn cancel(&mut self, persist_id: &str) -> Result<(), ClientError> {
         let mut out = rockflow_netconf::xml::Writer::new();
         out.open("cancel-commit", &[]);
         out.leaf("persist-id", &[], persist_id);
@@ -280,7 +282,7 @@
         schema: &Schema,
         version: u64,
         expected: Option<u64>,
-    ) -> Result<u64, Trouble> {
+    ) -> Result<u64, ClientError> {
         let (version, expected) = (version.to_string(), expected.map(|expected| expected.to_string()));
         let mut input = vec![("version", version.as_str())];
         input.extend(expected.as_deref().map(|expected| ("expected", expected)));
--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use rockflow_dispatcher::{Clock, Service};
 use rockflow_management_agent::{Addresses, Agent};
 use rockflow_management_client::netconf::Client;
-use rockflow_management_client::Trouble;
+use rockflow_management_client::ClientError;
 use rockflow_management_service::{operator_config, ManagementService, OperatorConfig};
 use rockflow_test_servers::{keys, Site};
 use rockflow_yang::{json, DataTree, NodeScope, Schema};
@@ -15,10 +15,10 @@
 static SET_UP: Once = Once::new();
 pub const EXAMPLE: &str = include_str!("../../../../deploy/example.json");
 
-pub struct Rig {
+pub struct Setup {
     pub site: Site,
     pub service: Service,
-    pub desk: Arc<ManagementService>,
+    pub management: Arc<ManagementService>,
     pub addresses: Addresses,
     pub folder: keys::Folder,
     pub schema: Arc<Schema>,
@@ -33,7 +33,7 @@
     keys::ssh(user.bytes().fold(7, |sum, byte| sum * 31 + u64::from(byte)))
 }
 
-/// The operator's file of a rig: all fronts, at ports of their own.
+/// The operator's file of a setup: all fronts, at ports of their own.
 pub fn operator(folder: &keys::Folder, store: bool, more: &str) -> (OperatorConfig, keys::Authority) {
     let authority = folder.furnish(&USERS.map(|user| (user, key_of(user))));
     let at = |name: &str| folder.file(name).display().to_string();
@@ -50,12 +50,12 @@
     )
 }
 
-impl Rig {
-    pub fn start(caches: usize, parents: usize, delay: Duration) -> Rig {
-        Rig::with(caches, parents, delay, "")
+impl Setup {
+    pub fn start(caches: usize, parents: usize, delay: Duration) -> Setup {
+        Setup::with(caches, parents, delay, "")
     }
 
-    pub fn with(caches: usize, parents: usize, delay: Duration, more: &str) -> Rig {
+    pub fn with(caches: usize, parents: usize, delay: Duration, more: &str) -> Setup {
         SET_UP.call_once(Service::set_up);
         let folder = keys::Folder::new("rig");
         let (file, authority) = operator(&folder, true, more);
@@ -63,10 +63,12 @@
         let clock = Clock::start();
         let agent = Agent::open(clock, &file).unwrap().unwrap();
         let addresses = agent.addresses();
-        let service = Service::start_with_overrides(clock, site.told(EXAMPLE), Some(agent.marks())).unwrap();
-        let desk = agent.run(service.handle(), Box::new(|_| {})).unwrap();
-        let schema = desk.schema().clone();
-        Rig { site, service, desk, addresses, folder, schema, authority, host: keys::host() }
+        let service =
+            Service::start_with_overrides(clock, site.told(EXAMPLE), Some(agent.administrative_overrides()))
+                .unwrap();
+        let management = agent.run(service.handle(), Box::new(|_| {})).unwrap();
+        let schema = management.schema().clone();
+        Setup { site, service, management, addresses, folder, schema, authority, host: keys::host() }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -77,7 +79,7 @@
         self.try_ssh(user, key_of(user)).await.unwrap()
     }
 
-    pub async fn try_ssh(&self, user: &str, key: russh::keys::PrivateKey) -> Result<Client, Trouble> {
+    pub async fn try_ssh(&self, user: &str, key: russh::keys::PrivateKey) -> Result<Client, ClientError> {
         let address = self.addresses.ssh.unwrap().to_string();
         Client::ssh(&address, user, key, self.host.public_key().clone()).await
     }
--- a/crates/rockflow-management-agent/tests/gnmi.rs
+++ b/crates/rockflow-management-agent/tests/gnmi.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{block_on, Rig};
+use common::{block_on, Setup};
 use rockflow_gnmi::wire;
 use rockflow_management_client::gnmi::{self, Client};
-use rockflow_management_client::Trouble;
+use rockflow_management_client::ClientError;
 use rockflow_test_servers::{keys, Load, Turn};
 use serde_json::json;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 const WAIT: Duration = Duration::from_secs(5);
 const SERVED: Duration = Duration::from_secs(10);
 
-fn refused(ended: Result<impl Sized, Trouble>) -> (String, String) {
+fn refused(ended: Result<impl Sized, ClientError>) -> (String, String) {
     match ended.err().expect("a refusal") {
-        Trouble::Refused { tag, message, .. } => (tag, message),
+        ClientError::Rejected { tag, message, .. } => (tag, message),
         other => panic!("{other}"),
     }
 }
@@ -44,29 +44,29 @@
     }
 }
 
-async fn effective(rig: &Rig, client: &mut Client, host: &str) -> serde_json::Value {
+async fn effective(setup: &Setup, client: &mut Client, host: &str) -> serde_json::Value {
     let path = format!("/router/state/hosts/host[name={host}]/effective");
-    client.get(&rig.schema, &[path]).await.unwrap()[0].1.clone()
+    client.get(&setup.schema, &[path]).await.unwrap()[0].1.clone()
 }
 
 #[test]
-fn a_drain_by_set_takes_hold_under_load() {
-    let rig = Rig::start(3, 1, 2 * MS);
+fn set_drains_host_under_load() {
+    let setup = Setup::start(3, 1, 2 * MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let told = root.capabilities().await.unwrap();
         let names: Vec<_> = told.supported_models.iter().map(|model| model.name.as_str()).collect();
         assert_eq!(names, ["rockflow-types", "rockflow-router", "rockflow-access", "rockflow-history"]);
-        assert_eq!(effective(&rig, &mut root, "c1").await, "ready");
-        let load = Load::start(rig.address(), 20, Duration::ZERO, 3);
+        assert_eq!(effective(&setup, &mut root, "c1").await, "ready");
+        let load = Load::start(setup.address(), 20, Duration::ZERO, 3);
         load.served(10, SERVED).await;
         let mark = "/router/marks/mark[host=c1]";
-        root.set(&rig.schema, &[], &[], &[(mark, json!({"reason": "disk"}))]).await.unwrap();
+        root.set(&setup.schema, &[], &[], &[(mark, json!({"reason": "disk"}))]).await.unwrap();
         // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
         // a later request.
         let drained = load.next_turn();
         load.served(1, SERVED).await;
-        let before = rig.site.hosts["c1"].take();
+        let before = setup.site.hosts["c1"].take();
         load.served(10, SERVED).await;
         let tally = load.stop();
         assert_eq!((tally.lost, tally.doubled), (0, 0));
@@ -75,88 +75,88 @@
             before.iter().all(|attempt| Turn::of(&attempt.id).unwrap() < drained),
             "{drained:?} {before:?}"
         );
-        assert_eq!(rig.site.hosts["c1"].take().len(), 0);
-        assert_eq!(effective(&rig, &mut root, "c1").await, "draining");
-        root.set(&rig.schema, &[mark], &[], &[]).await.unwrap();
-        assert_eq!(effective(&rig, &mut root, "c1").await, "ready");
+        assert_eq!(setup.site.hosts["c1"].take().len(), 0);
+        assert_eq!(effective(&setup, &mut root, "c1").await, "draining");
+        root.set(&setup.schema, &[mark], &[], &[]).await.unwrap();
+        assert_eq!(effective(&setup, &mut root, "c1").await, "ready");
     });
 }
 
 #[test]
-fn a_set_is_one_transaction() {
-    let rig = Rig::start(4, 1, MS);
+fn set_is_one_transaction() {
+    let setup = Setup::start(4, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let marks = "/router/marks";
         let both = json!({"mark": [{"host": "c1"}, {"host": "c2", "state": "gone"}]});
-        root.set(&rig.schema, &[], &[(marks, both)], &[("/router/logging/level", json!("debug"))])
+        root.set(&setup.schema, &[], &[(marks, both)], &[("/router/logging/level", json!("debug"))])
             .await
             .unwrap();
         // One that is wrong takes the others with it.
         let bad = [("/router/marks/mark[host=c3]", json!({})), ("/router/logging/level", json!("loud"))];
-        assert_eq!(refused(root.set(&rig.schema, &[], &[], &bad).await).0, "invalid-value");
-        let found = root.get(&rig.schema, &["/router/marks/mark[host=*]/host".into()]).await.unwrap();
+        assert_eq!(refused(root.set(&setup.schema, &[], &[], &bad).await).0, "invalid-value");
+        let found = root.get(&setup.schema, &["/router/marks/mark[host=*]/host".into()]).await.unwrap();
         assert_eq!(found.len(), 2);
         // Deletes come first, with open keys too; replace leaves nothing of what was.
         let one = [("/router/marks/mark[host=c2]", json!({"reason": "new"}))];
-        root.set(&rig.schema, &["/router/marks/mark[host=*]"], &one, &[]).await.unwrap();
-        let found = root.get(&rig.schema, &["/router/marks".into()]).await.unwrap();
+        root.set(&setup.schema, &["/router/marks/mark[host=*]"], &one, &[]).await.unwrap();
+        let found = root.get(&setup.schema, &["/router/marks".into()]).await.unwrap();
         let mark = &found[0].1["rockflow-router:mark"][0];
         assert_eq!(
             (&mark["host"], &mark["reason"], &mark["author"]),
             (&json!("c2"), &json!("new"), &json!("root"))
         );
         assert!(mark.get("state").is_none());
-        assert_eq!(effective(&rig, &mut root, "c1").await, "ready");
+        assert_eq!(effective(&setup, &mut root, "c1").await, "ready");
         // The last of a location, without force and with it.
         let all = json!({"mark": [{"host": "c1"}, {"host": "c2"}, {"host": "c3"}, {"host": "c4"}]});
-        let (tag, message) = refused(root.set(&rig.schema, &[], &[], &[(marks, all)]).await);
+        let (tag, message) = refused(root.set(&setup.schema, &[], &[], &[(marks, all)]).await);
         assert_eq!(tag, "operation-failed");
         assert!(message.contains("force"), "{message}");
     });
 }
 
 #[test]
-fn a_lock_by_the_other_protocol_stands_in_the_way() {
-    let rig = Rig::start(3, 1, MS);
+fn netconf_lock_blocks_set() {
+    let setup = Setup::start(3, 1, MS);
     block_on(async {
-        let (mut gnmi, mut netconf) = (rig.gnmi("root").await, rig.ssh("root").await);
+        let (mut gnmi, mut netconf) = (setup.gnmi("root").await, setup.ssh("root").await);
         let mark = [("/router/marks/mark[host=c1]", json!({}))];
         netconf.call("<lock><target><running/></target></lock>").await.unwrap();
-        let (tag, message) = refused(gnmi.set(&rig.schema, &[], &[], &mark).await);
+        let (tag, message) = refused(gnmi.set(&setup.schema, &[], &[], &mark).await);
         assert_eq!(tag, "in-use");
         assert!(message.contains(&format!("session {}", netconf.session)), "{message}");
         // It dies, and the lock with it.
         drop(netconf);
-        let set = async { while gnmi.set(&rig.schema, &[], &[], &mark).await.is_err() {} };
+        let set = async { while gnmi.set(&setup.schema, &[], &[], &mark).await.is_err() {} };
         tokio::time::timeout(WAIT, set).await.unwrap();
         // A candidate that was begun before the set, on the same host.
-        let mut netconf = rig.ssh("root").await;
+        let mut netconf = setup.ssh("root").await;
         let path = "<router xmlns=\"urn:rockflow:yang:router\"><marks><mark><host>c1</host><reason>mine</reason></mark></marks></router>";
         netconf.edit_xml(path).await.unwrap();
-        gnmi.set(&rig.schema, &[], &[], &[("/router/marks/mark[host=c1]/reason", json!("theirs"))])
+        gnmi.set(&setup.schema, &[], &[], &[("/router/marks/mark[host=c1]/reason", json!("theirs"))])
             .await
             .unwrap();
         let ended = netconf.commit(None, None, None).await;
         assert!(
-            matches!(&ended, Err(Trouble::Refused { app_tag: Some(tag), .. }) if tag == "conflict"),
+            matches!(&ended, Err(ClientError::Rejected { app_tag: Some(tag), .. }) if tag == "conflict"),
             "{ended:?}"
         );
     });
 }
 
 #[test]
-fn subscriptions_of_every_mode() {
-    let rig = Rig::start(2, 1, MS);
+fn stream_subscriptions_send_changes_and_samples() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let paths = ["/router/state/hosts/host/effective".to_string(), "/router/marks".to_string()];
-        let mut changes = root.clone().follow(&rig.schema, &paths, None).await.unwrap();
+        let mut changes = root.clone().follow(&setup.schema, &paths, None).await.unwrap();
         assert_eq!(until_sync(&mut changes).await.len(), 4);
-        let mut samples = root.clone().follow(&rig.schema, &paths[..1], Some(100 * MS)).await.unwrap();
+        let mut samples = root.clone().follow(&setup.schema, &paths[..1], Some(100 * MS)).await.unwrap();
         assert_eq!(until_sync(&mut samples).await.len(), 4);
         let mark = "/router/marks/mark[host=c1]";
-        root.set(&rig.schema, &[], &[], &[(mark, json!({"reason": "x"}))]).await.unwrap();
+        root.set(&setup.schema, &[], &[], &[(mark, json!({"reason": "x"}))]).await.unwrap();
         let mut told = Vec::new();
         while !told
             .iter()
@@ -170,7 +170,7 @@
                 );
             }
         }
-        root.set(&rig.schema, &[mark], &[], &[]).await.unwrap();
+        root.set(&setup.schema, &[mark], &[], &[]).await.unwrap();
         let mut deleted = Vec::new();
         while !deleted.iter().any(|path: &String| path.ends_with("mark[host=c1]/host")) {
             if let Response::Update(note) = next(&mut changes).await {
@@ -201,13 +201,13 @@
 }
 
 #[test]
-fn once_and_poll() {
+fn once_and_poll_send_present_values() {
     use wire::subscription_list::Mode;
-    let rig = Rig::start(2, 1, MS);
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let one = || wire::Subscription {
-            path: Some(gnmi::path(&rig.schema, "/router/state/hosts/host/effective").unwrap()),
+            path: Some(gnmi::path(&setup.schema, "/router/state/hosts/host/effective").unwrap()),
             ..Default::default()
         };
         let asked = subscribe(Mode::Once, vec![one()]);
@@ -240,10 +240,10 @@
 #[test_case(elems(&["router"; 5000]), "invalid-value"; "thousands of steps")]
 #[test_case(elems(&["a:b:c"]), "invalid-value"; "odd name")]
 #[test_case(wire::Path { origin: "openconfig".into(), ..Default::default() }, "invalid-value"; "origin")]
-fn paths_are_judged_where_they_are_decoded(path: wire::Path, tag: &str) {
-    let rig = Rig::start(2, 1, MS);
+fn rejects_invalid_paths(path: wire::Path, tag: &str) {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let asked = wire::GetRequest {
             path: vec![path.clone()],
             encoding: wire::Encoding::JsonIetf as i32,
@@ -256,10 +256,10 @@
 }
 
 #[test]
-fn what_is_not_served_is_refused_clearly() {
-    let rig = Rig::start(2, 1, MS);
+fn rejects_what_is_not_served() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let update = wire::Update { path: Some(elems(&["router"])), ..Default::default() };
         let asked = wire::SetRequest { union_replace: vec![update.clone()], ..Default::default() };
         assert_eq!(refused(root.raw_set(asked).await).0, "operation-not-supported");
@@ -270,13 +270,13 @@
         let asked = wire::SetRequest { update: vec![update; 5000], ..Default::default() };
         assert_eq!(refused(root.raw_set(asked).await).0, "resource-denied");
         // Who may only read.
-        let mut eve = rig.gnmi("eve").await;
-        assert_eq!(effective(&rig, &mut eve, "c1").await, "ready");
+        let mut eve = setup.gnmi("eve").await;
+        assert_eq!(effective(&setup, &mut eve, "c1").await, "ready");
         let mark = [("/router/marks/mark[host=c1]", json!({}))];
-        assert_eq!(refused(eve.set(&rig.schema, &[], &[], &mark).await).0, "access-denied");
+        assert_eq!(refused(eve.set(&setup.schema, &[], &[], &mark).await).0, "access-denied");
         // A certificate of another authority.
-        let address = rig.addresses.gnmi.unwrap().to_string();
-        let config = rig.tls_config(&keys::Authority::new("other"), "root");
+        let address = setup.addresses.gnmi.unwrap().to_string();
+        let config = setup.tls_config(&keys::Authority::new("other"), "root");
         let mut tried = match Client::connect(&address, "localhost", config).await {
             Ok(client) => client,
             Err(_) => return,
@@ -286,17 +286,17 @@
 }
 
 #[test]
-fn a_subscriber_that_reads_nothing_holds_no_more_than_its_cap() {
-    let rig = Rig::start(2, 1, MS);
+fn slow_subscriber_does_not_hold_up_others() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let paths = ["/router/marks".to_string(), "/router/state".to_string()];
-        let stuck = rig.gnmi("root").await.follow(&rig.schema, &paths, None).await.unwrap();
-        let mut reader = root.clone().follow(&rig.schema, &paths[..1], None).await.unwrap();
+        let stuck = setup.gnmi("root").await.follow(&setup.schema, &paths, None).await.unwrap();
+        let mut reader = root.clone().follow(&setup.schema, &paths[..1], None).await.unwrap();
         until_sync(&mut reader).await;
         for round in 0..200 {
             let mark = [("/router/marks/mark[host=x]/reason", json!(format!("{round} {}", "r".repeat(200))))];
-            root.set(&rig.schema, &[], &[], &mark).await.unwrap();
+            root.set(&setup.schema, &[], &[], &mark).await.unwrap();
         }
         // Others are told of the last all the same, and each waits for nobody.
         loop {
--- a/crates/rockflow-management-agent/tests/hostile.rs
+++ b/crates/rockflow-management-agent/tests/hostile.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{block_on, key_of, Rig};
+use common::{block_on, key_of, Setup};
 use rockflow_gnmi::wire;
-use rockflow_management_client::Trouble;
+use rockflow_management_client::ClientError;
 use rockflow_test_servers::Load;
 use std::time::Duration;
 use test_case::test_case;
@@ -28,7 +28,7 @@
 }
 
 /// What a peer says after its hello, and whether the session may go on after it.
-fn said(what: &str) -> (Vec<u8>, bool) {
+fn message_after_hello(what: &str) -> (Vec<u8>, bool) {
     let get = "<get-config><source><running/></source></get-config>";
     match what {
         "a chunk of 4 GB" => (b"\n#4294967295\n<rpc".to_vec(), false),
@@ -97,14 +97,14 @@
 #[test_case("two operations")]
 #[test_case("no message-id")]
 #[test_case("thousands of paths")]
-fn a_bad_message_costs_its_own_session_and_no_request(what: &str) {
-    let rig = Rig::start(2, 1, MS);
-    let (bytes, goes_on) = said(what);
+fn malformed_message_costs_only_its_session(what: &str) {
+    let setup = Setup::start(2, 1, MS);
+    let (bytes, goes_on) = message_after_hello(what);
     block_on(async {
-        let load = Load::start(rig.address(), 4, Duration::ZERO, 5);
+        let load = Load::start(setup.address(), 4, Duration::ZERO, 5);
         load.served(1, SERVED).await;
-        let stream = TcpStream::connect(rig.addresses.tls.unwrap()).await.unwrap();
-        let connector = tokio_rustls::TlsConnector::from(rig.tls_config(&rig.authority, "root"));
+        let stream = TcpStream::connect(setup.addresses.tls.unwrap()).await.unwrap();
+        let connector = tokio_rustls::TlsConnector::from(setup.tls_config(&setup.authority, "root"));
         let name = rustls::pki_types::ServerName::try_from("localhost").unwrap();
         let mut stream = connector.connect(name, stream).await.unwrap();
         stream.write_all(HELLO.as_bytes()).await.unwrap();
@@ -120,8 +120,8 @@
         assert!(errors >= usize::from(goes_on), "{told}");
         assert_eq!(told.contains("<ok/>"), goes_on, "{told}");
         // Others are served as before: managers, and every client with what it asks from here on.
-        let mut root = rig.ssh("root").await;
-        assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "ready");
+        let mut root = setup.ssh("root").await;
+        assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
         load.served(5, SERVED).await;
         let tally = load.stop();
         assert!(tally.succeeded > 10, "{tally:?}");
@@ -130,14 +130,14 @@
 }
 
 #[test]
-fn handshakes_left_half_open_by_the_hundred_keep_nobody_out() {
-    let rig = Rig::start(2, 1, MS);
+fn half_open_handshakes_keep_nobody_out() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let load = Load::start(rig.address(), 4, Duration::ZERO, 6);
+        let load = Load::start(setup.address(), 4, Duration::ZERO, 6);
         load.served(1, SERVED).await;
         let mut open = Vec::new();
         for number in 0..300 {
-            let fronts = [rig.addresses.ssh, rig.addresses.tls, rig.addresses.gnmi];
+            let fronts = [setup.addresses.ssh, setup.addresses.tls, setup.addresses.gnmi];
             let mut stream = TcpStream::connect(fronts[number % 3].unwrap()).await.unwrap();
             if number % 2 == 0 {
                 let _ = stream.write_all(b"SSH-2.0-nobody\r\n").await;
@@ -148,18 +148,18 @@
         // again; then whoever can prove it comes in, at each front.
         let come_in = async {
             loop {
-                if let Ok(client) = rig.try_ssh("root", key_of("root")).await {
+                if let Ok(client) = setup.try_ssh("root", key_of("root")).await {
                     return client;
                 }
             }
         };
         let mut root = tokio::time::timeout(WAIT, come_in).await.expect("let in");
-        assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "ready");
-        let mut root = rig.tls("root").await;
-        assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "ready");
-        rig.gnmi("root").await.capabilities().await.unwrap();
+        assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
+        let mut root = setup.tls("root").await;
+        assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
+        setup.gnmi("root").await.capabilities().await.unwrap();
         for _ in 0..5 {
-            assert!(matches!(rig.try_ssh("root", key_of("eve")).await, Err(Trouble::Trust(_))));
+            assert!(matches!(setup.try_ssh("root", key_of("eve")).await, Err(ClientError::Untrusted(_))));
             if open.len() > 297 {
                 open.pop();
             }
@@ -174,33 +174,33 @@
 }
 
 #[test]
-fn sessions_have_a_cap_over_all_fronts() {
-    let rig = Rig::start(2, 1, MS);
+fn session_limit_covers_all_protocols() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let most = [("/router/management/most-sessions", serde_json::json!(5))];
-        root.set(&rig.schema, &[], &[], &most).await.unwrap();
+        root.set(&setup.schema, &[], &[], &most).await.unwrap();
         let mut held = Vec::new();
         for _ in 0..5 {
-            held.push(rig.tls("root").await);
+            held.push(setup.tls("root").await);
         }
-        let refused = root.set(&rig.schema, &[], &[], &most).await;
-        assert!(matches!(refused, Err(Trouble::Refused { tag, .. }) if tag == "resource-denied"));
-        assert!(rig.try_ssh("root", key_of("root")).await.is_err());
+        let refused = root.set(&setup.schema, &[], &[], &most).await;
+        assert!(matches!(refused, Err(ClientError::Rejected { tag, .. }) if tag == "resource-denied"));
+        assert!(setup.try_ssh("root", key_of("root")).await.is_err());
         // One that goes makes room.
         held.pop();
-        let again = async { while root.set(&rig.schema, &[], &[], &most).await.is_err() {} };
+        let again = async { while root.set(&setup.schema, &[], &[], &most).await.is_err() {} };
         tokio::time::timeout(WAIT, again).await.unwrap();
     });
 }
 
 #[test]
-fn a_stream_of_requests_without_end_is_ended() {
-    let rig = Rig::start(2, 1, MS);
+fn endless_request_stream_is_ended() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let one = wire::Subscription {
-            path: Some(rockflow_management_client::gnmi::path(&rig.schema, "/router/marks").unwrap()),
+            path: Some(rockflow_management_client::gnmi::path(&setup.schema, "/router/marks").unwrap()),
             ..Default::default()
         };
         let list = wire::SubscriptionList {
@@ -229,6 +229,6 @@
         let mut silent = root.clone();
         let silent = silent.subscribe(tokio_stream::pending());
         assert!(tokio::time::timeout(50 * MS, silent).await.is_err());
-        rig.gnmi("root").await.capabilities().await.unwrap();
+        setup.gnmi("root").await.capabilities().await.unwrap();
     });
 }
--- a/crates/rockflow-management-agent/tests/interop.rs
+++ b/crates/rockflow-management-agent/tests/interop.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use common::{block_on, Rig};
+use common::{block_on, Setup};
 use netconf::error::SshMessages;
 use netconf::{Access, ConfigPolicy, ConnectOptions, NetconfError, NetconfSession, NetconfTransport};
 use std::time::Duration;
@@ -43,9 +43,9 @@
     }
 }
 
-async fn session(rig: &Rig, chunked: bool) -> NetconfSession<Carried> {
-    let stream = TcpStream::connect(rig.addresses.tls.unwrap()).await.unwrap();
-    let connector = tokio_rustls::TlsConnector::from(rig.tls_config(&rig.authority, "root"));
+async fn session(setup: &Setup, chunked: bool) -> NetconfSession<Carried> {
+    let stream = TcpStream::connect(setup.addresses.tls.unwrap()).await.unwrap();
+    let connector = tokio_rustls::TlsConnector::from(setup.tls_config(&setup.authority, "root"));
     let name = rustls::pki_types::ServerName::try_from("localhost").unwrap();
     let stream = connector.connect(name, stream).await.unwrap();
     let mut session = NetconfSession::establish(Carried(stream), chunked).await.unwrap();
@@ -56,10 +56,10 @@
 // This client tells base:1.1 under a name that is not the RFC's, so that both speak 1.0; its framing is tried below.
 #[test_case(true; "that tells 1.1")]
 #[test_case(false; "that tells 1.0")]
-fn another_client_reads_edits_commits_and_hears_errors(chunked: bool) {
-    let rig = Rig::start(3, 1, Duration::from_millis(1));
+fn foreign_client_reads_edits_and_commits(chunked: bool) {
+    let setup = Setup::start(3, 1, Duration::from_millis(1));
     block_on(async {
-        let mut other = session(&rig, chunked).await;
+        let mut other = session(&setup, chunked).await;
         assert!(other.capabilities().iter().any(|one| one.contains("confirmed-commit:1.1")));
         assert!(other.capabilities().iter().any(|one| one.contains("module=rockflow-router")));
         let edit = "<edit-config><target><candidate/></target><config><router xmlns=\"urn:rockflow:yang:router\">\
@@ -82,13 +82,13 @@
         other.rpc("<discard-changes/>").await.unwrap();
         other.close().await.unwrap();
         // Ours sees what theirs did.
-        let mut root = rig.ssh("root").await;
-        assert_eq!(rig.host_state(&mut root, "c1").await["says"], "operator");
+        let mut root = setup.ssh("root").await;
+        assert_eq!(setup.host_state(&mut root, "c1").await["says"], "operator");
     });
 }
 
 #[test]
-fn chunks_are_read_by_another_decoder_and_another_encoder_s_by_ours() {
+fn framing_agrees_with_foreign_implementation() {
     use rockflow_netconf::framing as ours;
     for message in ["<a/>", "<b>]]>]]></b>", "<c>\n#3\n</c>", &"x".repeat(70_000)] {
         let mut theirs = netconf::Decoder::new(netconf::Framing::Chunked);
--- a/crates/rockflow-management-agent/tests/model.rs
+++ b/crates/rockflow-management-agent/tests/model.rs
@@ -3,44 +3,47 @@
 
 mod common;
 
-use common::{block_on, Rig};
+use common::{block_on, Setup};
 use rockflow_yang::{data, NodeKind};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 #[test]
-fn every_state_leaf_of_the_model_is_served_and_has_its_type() {
+fn serves_every_state_leaf_with_its_type() {
     // A host that started lately, so that it is cold.
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    let mut rig = Rig::start(3, 2, Duration::from_millis(1));
-    rig.site.say_started("c3", now.as_millis() as u64);
+    let mut setup = Setup::start(3, 2, Duration::from_millis(1));
+    setup.site.say_started("c3", now.as_millis() as u64);
     block_on(async {
-        let mut root = rig.ssh("root").await;
-        root.act(&rig.schema, "drain", &[("host", "c1"), ("reason", "x")]).await.unwrap();
+        let mut root = setup.ssh("root").await;
+        root.act(&setup.schema, "drain", &[("host", "c1"), ("reason", "x")]).await.unwrap();
         let edit = serde_json::json!({"rockflow-router:router": {"logging": {"level": "debug"}}});
-        root.edit(&rig.schema, &rig.tree(edit)).await.unwrap();
+        root.edit(&setup.schema, &setup.tree(edit)).await.unwrap();
         root.commit(Some(Duration::from_secs(60)), None, None).await.unwrap();
         // The board's comments come each second, and the list with them.
-        let wanted: BTreeSet<String> = rig
+        let wanted: BTreeSet<String> = setup
             .schema
             .nodes()
             .iter()
             .filter(|node| {
                 !node.config && matches!(node.kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. })
             })
-            .map(|node| rig.schema.schema_path(node.id))
+            .map(|node| setup.schema.schema_path(node.id))
             .filter(|path| path.starts_with("/rockflow-router:router/"))
             .collect();
         assert!(wanted.len() > 40, "{}", wanted.len());
         let mut missing = BTreeSet::new();
         for _ in 0..100 {
-            let fields = root.get(&rig.schema, "operational", &[]).await.unwrap();
+            let fields = root.get(&setup.schema, "operational", &[]).await.unwrap();
             let mut served = BTreeSet::new();
             for (path, value) in data::leaves(&fields) {
                 let node = path.node().unwrap();
                 // Read back by the client against the type already; the text is canonical.
-                assert_eq!(rig.schema.type_of(node).unwrap().parse(&value.to_string()).as_ref(), Ok(&value));
-                served.insert(rig.schema.schema_path(node));
+                assert_eq!(
+                    setup.schema.type_of(node).unwrap().parse(&value.to_string()).as_ref(),
+                    Ok(&value)
+                );
+                served.insert(setup.schema.schema_path(node));
             }
             missing = wanted.difference(&served).cloned().collect();
             // A comment is made only where one was told.
--- a/crates/rockflow-management-agent/tests/netconf.rs
+++ b/crates/rockflow-management-agent/tests/netconf.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{block_on, key_of, Rig};
+use common::{block_on, key_of, Setup};
 use rockflow::Readiness;
 use rockflow_endpoints::AdminOverride;
-use rockflow_management_client::Trouble;
+use rockflow_management_client::ClientError;
 use rockflow_test_servers::{keys, Load, Turn};
 use serde_json::json;
 use std::time::Duration;
@@ -13,49 +13,50 @@
 const MS: Duration = Duration::from_millis(1);
 const SERVED: Duration = Duration::from_secs(10);
 
-fn refused(ended: Result<impl Sized, Trouble>) -> (String, Option<String>, String) {
+fn refused(ended: Result<impl Sized, ClientError>) -> (String, Option<String>, String) {
     match ended.err().expect("a refusal") {
-        Trouble::Refused { tag, app_tag, message } => (tag, app_tag, message),
+        ClientError::Rejected { tag, app_tag, message } => (tag, app_tag, message),
         other => panic!("{other}"),
     }
 }
 
 #[test]
-fn state_is_read_and_a_drain_takes_hold() {
-    let mut rig = Rig::start(3, 2, 2 * MS);
+fn drain_moves_requests_and_state_shows_it() {
+    let mut setup = Setup::start(3, 2, 2 * MS);
     block_on(async {
-        let mut root = rig.ssh("root").await;
-        let state = rig.host_state(&mut root, "c1").await;
+        let mut root = setup.ssh("root").await;
+        let state = setup.host_state(&mut root, "c1").await;
         assert_eq!(state["role"], "cache");
         assert_eq!((&state["listed"], &state["says"]), (&json!("ready"), &json!("board")));
-        let load = Load::start(rig.address(), 20, Duration::ZERO, 1);
+        let load = Load::start(setup.address(), 20, Duration::ZERO, 1);
         load.served(10, SERVED).await;
-        root.act(&rig.schema, "drain", &[("host", "c1"), ("reason", "disk")]).await.unwrap();
+        root.act(&setup.schema, "drain", &[("host", "c1"), ("reason", "disk")]).await.unwrap();
         // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
         // a later request.
         let drained = load.next_turn();
         load.served(1, SERVED).await;
-        let before = rig.site.hosts["c1"].take();
+        let before = setup.site.hosts["c1"].take();
         load.served(10, SERVED).await;
-        let state = rig.host_state(&mut root, "c1").await;
+        let state = setup.host_state(&mut root, "c1").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("operator")));
         assert_eq!(state["listed"], "ready");
         // The board sends its whole list anew, and tells of the host again: the mark stands.
-        rig.site.say_all();
-        rig.site.say("c1", "active");
+        setup.site.say_all();
+        setup.site.say("c1", "active");
         let board = "/rockflow-router:router/state/board/last".to_string();
-        let told = rig.site.rev().to_string();
+        let told = setup.site.rev().to_string();
         let heard = async {
             loop {
-                let found = root.get(&rig.schema, "operational", std::slice::from_ref(&board)).await.unwrap();
-                if rig.shown(&found)["rockflow-router:router"]["state"]["board"]["last"] == told.as_str() {
+                let found =
+                    root.get(&setup.schema, "operational", std::slice::from_ref(&board)).await.unwrap();
+                if setup.shown(&found)["rockflow-router:router"]["state"]["board"]["last"] == told.as_str() {
                     return;
                 }
                 tokio::time::sleep(5 * MS).await;
             }
         };
         tokio::time::timeout(Duration::from_secs(5), heard).await.unwrap();
-        assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "draining");
+        assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "draining");
         let tally = load.stop();
         assert!(tally.succeeded > 200, "{}", tally.succeeded);
         assert_eq!((tally.lost, tally.doubled), (0, 0));
@@ -64,45 +65,45 @@
             before.iter().all(|attempt| Turn::of(&attempt.id).unwrap() < drained),
             "{drained:?} {before:?}"
         );
-        assert_eq!(rig.site.hosts["c1"].take().len(), 0);
+        assert_eq!(setup.site.hosts["c1"].take().len(), 0);
         // A parent drains as a source: no attempt names it any more.
-        root.act(&rig.schema, "drain", &[("host", "p1")]).await.unwrap();
-        ["c2", "c3"].into_iter().for_each(|name| drop(rig.site.hosts[name].take()));
-        let load = Load::start(rig.address(), 5, Duration::ZERO, 2);
+        root.act(&setup.schema, "drain", &[("host", "p1")]).await.unwrap();
+        ["c2", "c3"].into_iter().for_each(|name| drop(setup.site.hosts[name].take()));
+        let load = Load::start(setup.address(), 5, Duration::ZERO, 2);
         load.served(10, SERVED).await;
         load.stop();
-        let came: Vec<_> = ["c2", "c3"].into_iter().flat_map(|name| rig.site.hosts[name].take()).collect();
+        let came: Vec<_> = ["c2", "c3"].into_iter().flat_map(|name| setup.site.hosts[name].take()).collect();
         assert!(came.iter().any(|attempt| attempt.source.as_deref() == Some("p2")));
         assert!(!came.iter().any(|attempt| attempt.source.as_deref() == Some("p1")));
-        root.act(&rig.schema, "undrain", &[("host", "c1")]).await.unwrap();
-        assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "ready");
-        // Who said it, and when, is told beside the mark; the audit has a line for each commit.
+        root.act(&setup.schema, "undrain", &[("host", "c1")]).await.unwrap();
+        assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
+        // Who message_after_hello it, and when, is told beside the mark; the audit has a line for each commit.
         let marks =
-            root.get(&rig.schema, "operational", &["/rockflow-router:router/marks".into()]).await.unwrap();
-        let mark = &rig.shown(&marks)["rockflow-router:router"]["marks"]["mark"][0];
+            root.get(&setup.schema, "operational", &["/rockflow-router:router/marks".into()]).await.unwrap();
+        let mark = &setup.shown(&marks)["rockflow-router:router"]["marks"]["mark"][0];
         assert_eq!(
             (&mark["host"], &mark["author"], &mark["version"]),
             (&json!("p1"), &json!("root"), &json!("2"))
         );
-        let audit = std::fs::read_to_string(rig.folder.file("audit")).unwrap();
+        let audit = std::fs::read_to_string(setup.folder.file("audit")).unwrap();
         assert_eq!(audit.lines().count(), 3);
         assert!(audit.lines().next().unwrap().contains("\"protocol\":\"netconf-ssh\""), "{audit}");
     });
 }
 
 #[test]
-fn the_last_of_a_location_is_not_drained_without_force() {
-    let rig = Rig::start(2, 1, MS);
+fn last_host_of_a_location_needs_force() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.tls("root").await;
-        root.act(&rig.schema, "drain", &[("host", "c1")]).await.unwrap();
-        let (tag, app, message) = refused(root.act(&rig.schema, "drain", &[("host", "c2")]).await);
+        let mut root = setup.tls("root").await;
+        root.act(&setup.schema, "drain", &[("host", "c1")]).await.unwrap();
+        let (tag, app, message) = refused(root.act(&setup.schema, "drain", &[("host", "c2")]).await);
         assert_eq!((tag.as_str(), app.as_deref()), ("operation-failed", Some("none-left")));
         assert!(message.contains("c2") && message.contains("force"), "{message}");
-        let (tag, ..) = refused(root.act(&rig.schema, "drain", &[("host", "p1")]).await);
+        let (tag, ..) = refused(root.act(&setup.schema, "drain", &[("host", "p1")]).await);
         assert_eq!(tag, "operation-failed");
-        root.act(&rig.schema, "drain", &[("host", "c2"), ("force", "true")]).await.unwrap();
-        assert_eq!(rig.host_state(&mut root, "c2").await["effective"], "draining");
+        root.act(&setup.schema, "drain", &[("host", "c2"), ("force", "true")]).await.unwrap();
+        assert_eq!(setup.host_state(&mut root, "c2").await["effective"], "draining");
     });
 }
 
@@ -111,37 +112,37 @@
 }
 
 #[test]
-fn two_operators_edit_at_once() {
-    let rig = Rig::start(3, 1, MS);
+fn concurrent_edits_have_one_winner() {
+    let setup = Setup::start(3, 1, MS);
     block_on(async {
-        let mut root = rig.ssh("root").await;
+        let mut root = setup.ssh("root").await;
         let rules = json!({"rockflow-router:router": {"rockflow-access:access": {
             "rule": [{"number": 1, "group": ["all"], "action": "permit"}]}}});
-        root.edit(&rig.schema, &rig.tree(rules)).await.unwrap();
+        root.edit(&setup.schema, &setup.tree(rules)).await.unwrap();
         root.commit(None, None, None).await.unwrap();
-        let (mut ana, mut ben) = (rig.ssh("ana").await, rig.tls("ben").await);
-        ana.edit(&rig.schema, &rig.tree(mark("c1", "disk"))).await.unwrap();
-        ben.edit(&rig.schema, &rig.tree(mark("c1", "fan"))).await.unwrap();
+        let (mut ana, mut ben) = (setup.ssh("ana").await, setup.tls("ben").await);
+        ana.edit(&setup.schema, &setup.tree(mark("c1", "disk"))).await.unwrap();
+        ben.edit(&setup.schema, &setup.tree(mark("c1", "fan"))).await.unwrap();
         // The first commits to be confirmed, and the second waits for it.
         ana.commit(Some(Duration::from_secs(60)), None, None).await.unwrap();
         let (tag, _, message) = refused(ben.commit(None, None, None).await);
         assert_eq!(tag, "in-use");
         assert!(message.contains("ana"), "{message}");
-        assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "draining");
+        assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "draining");
         // Its connection dies before the confirmation: undone, and the second goes on.
         drop(ana);
         let undone = async {
-            while rig.host_state(&mut root, "c1").await["effective"] != "ready" {
+            while setup.host_state(&mut root, "c1").await["effective"] != "ready" {
                 tokio::time::sleep(5 * MS).await;
             }
         };
         tokio::time::timeout(Duration::from_secs(5), undone).await.unwrap();
         ben.commit(None, None, None).await.unwrap();
-        assert_eq!(rig.host_state(&mut root, "c1").await["effective"], "draining");
+        assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "draining");
         // One winner, and the other hears who it was.
-        let mut ana = rig.ssh("ana").await;
-        ana.edit(&rig.schema, &rig.tree(mark("c2", "ana's"))).await.unwrap();
-        ben.edit(&rig.schema, &rig.tree(mark("c2", "ben's"))).await.unwrap();
+        let mut ana = setup.ssh("ana").await;
+        ana.edit(&setup.schema, &setup.tree(mark("c2", "ana's"))).await.unwrap();
+        ben.edit(&setup.schema, &setup.tree(mark("c2", "ben's"))).await.unwrap();
         ben.commit(None, None, None).await.unwrap();
         let (tag, app, message) = refused(ana.commit(None, None, None).await);
         assert_eq!((tag.as_str(), app.as_deref()), ("operation-failed", Some("conflict")));
@@ -161,37 +162,37 @@
 }
 
 #[test]
-fn who_may_not_is_refused_and_who_is_not_known_stays_out() {
-    let rig = Rig::start(2, 1, MS);
+fn rejects_unauthorized_and_unknown_users() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut eve = rig.ssh("eve").await;
-        let (tag, ..) = refused(eve.act(&rig.schema, "drain", &[("host", "c1")]).await);
+        let mut eve = setup.ssh("eve").await;
+        let (tag, ..) = refused(eve.act(&setup.schema, "drain", &[("host", "c1")]).await);
         assert_eq!(tag, "access-denied");
-        let (tag, ..) = refused(eve.edit(&rig.schema, &rig.tree(mark("c1", "x"))).await);
+        let (tag, ..) = refused(eve.edit(&setup.schema, &setup.tree(mark("c1", "x"))).await);
         assert_eq!(tag, "access-denied");
-        assert_eq!(rig.host_state(&mut eve, "c1").await["effective"], "ready");
+        assert_eq!(setup.host_state(&mut eve, "c1").await["effective"], "ready");
         // Another's key, no file, a path for a name, a certificate of another authority, another host key.
-        assert!(matches!(rig.try_ssh("root", key_of("eve")).await, Err(Trouble::Trust(_))));
-        assert!(matches!(rig.try_ssh("nobody", key_of("eve")).await, Err(Trouble::Trust(_))));
-        assert!(matches!(rig.try_ssh("../users/eve", key_of("eve")).await, Err(Trouble::Trust(_))));
+        assert!(matches!(setup.try_ssh("root", key_of("eve")).await, Err(ClientError::Untrusted(_))));
+        assert!(matches!(setup.try_ssh("nobody", key_of("eve")).await, Err(ClientError::Untrusted(_))));
+        assert!(matches!(setup.try_ssh("../users/eve", key_of("eve")).await, Err(ClientError::Untrusted(_))));
         let other = keys::Authority::new("other");
-        let address = rig.addresses.tls.unwrap().to_string();
-        let config = rig.tls_config(&other, "root");
+        let address = setup.addresses.tls.unwrap().to_string();
+        let config = setup.tls_config(&other, "root");
         let tried = rockflow_management_client::netconf::Client::tls(&address, "localhost", config).await;
         assert!(tried.is_err());
-        let address = rig.addresses.ssh.unwrap().to_string();
+        let address = setup.addresses.ssh.unwrap().to_string();
         let host = keys::ssh(99).public_key().clone();
         let tried =
             rockflow_management_client::netconf::Client::ssh(&address, "root", key_of("root"), host).await;
-        assert!(matches!(tried, Err(Trouble::Trust(_))));
+        assert!(matches!(tried, Err(ClientError::Untrusted(_))));
     });
 }
 
 #[test]
-fn schemas_filters_defaults_and_monitoring_are_served() {
-    let rig = Rig::start(2, 1, MS);
+fn serves_schemas_filters_defaults_and_monitoring() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.ssh("root").await;
+        let mut root = setup.ssh("root").await;
         for (name, text) in rockflow_yang::PUBLISHED_MODULES {
             let call = format!(
                 "<get-schema xmlns=\"{}\"><identifier>{name}</identifier></get-schema>",
@@ -199,7 +200,7 @@
             );
             assert_eq!(root.call(&call).await.unwrap().text_of("data"), Some(text.trim()));
         }
-        root.act(&rig.schema, "drain", &[("host", "c1"), ("reason", "a < b & \"c\"")]).await.unwrap();
+        root.act(&setup.schema, "drain", &[("host", "c1"), ("reason", "a < b & \"c\"")]).await.unwrap();
         let ns = "xmlns=\"urn:rockflow:yang:router\"";
         let get = |filter: &str| {
             format!("<get-config><source><running/></source><filter>{filter}</filter></get-config>")
@@ -237,17 +238,17 @@
 }
 
 #[test]
-fn events_and_changes_are_told_to_followers() {
-    let rig = Rig::start(2, 1, MS);
+fn subscribers_receive_events_and_changes() {
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
         let (mut root, mut watch, mut push) =
-            (rig.ssh("root").await, rig.tls("ana").await, rig.ssh("ben").await);
+            (setup.ssh("root").await, setup.tls("ana").await, setup.ssh("ben").await);
         watch.events().await.unwrap();
         let path = "/rockflow-router:router/state/hosts/host/effective".to_string();
         push.follow(&[path], None).await.unwrap();
         let first = push.notification().await.unwrap();
         assert_eq!(first.children[1].name, "push-update");
-        root.act(&rig.schema, "drain", &[("host", "c1")]).await.unwrap();
+        root.act(&setup.schema, "drain", &[("host", "c1")]).await.unwrap();
         let wait = Duration::from_secs(5);
         let changed = tokio::time::timeout(wait, push.notification()).await.unwrap().unwrap();
         let edit =
@@ -268,37 +269,37 @@
 
 /// Control's marks stand beside the operators': each is shown, and neither takes the other's place.
 #[test]
-fn the_fleets_marks_and_operators_do_not_undo_each_other() {
-    let rig = Rig::start(3, 1, Duration::ZERO);
+fn control_and_operator_overrides_stand_side_by_side() {
+    let setup = Setup::start(3, 1, Duration::ZERO);
     let fleet = |names: &[&str]| {
         let mark = AdminOverride { readiness: Readiness::Draining, expires_at: None, force: false };
         let marks = names.iter().map(|name| (name.to_string(), mark)).collect();
         let (done, wait) = std::sync::mpsc::channel();
-        assert!(rig
+        assert!(setup
             .service
             .handle()
             .set_control_overrides(marks, move |refused| done.send(refused).unwrap()));
         wait.recv_timeout(Duration::from_secs(5)).unwrap()
     };
     block_on(async {
-        let mut root = rig.ssh("root").await;
+        let mut root = setup.ssh("root").await;
         assert!(fleet(&["c1"]).is_empty());
-        let state = rig.host_state(&mut root, "c1").await;
+        let state = setup.host_state(&mut root, "c1").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("fleet")));
         assert!(state.get("marked").is_none(), "{state}");
-        root.act(&rig.schema, "drain", &[("host", "c2")]).await.unwrap();
-        let state = rig.host_state(&mut root, "c1").await;
+        root.act(&setup.schema, "drain", &[("host", "c2")]).await.unwrap();
+        let state = setup.host_state(&mut root, "c1").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("fleet")));
         // The last that both have left is not an operator's to drain, and not control's.
-        let (tag, ..) = refused(root.act(&rig.schema, "drain", &[("host", "c3")]).await);
+        let (tag, ..) = refused(root.act(&setup.schema, "drain", &[("host", "c3")]).await);
         assert_eq!(tag, "operation-failed");
         assert_eq!(fleet(&["c1", "c3"]).keys().collect::<Vec<_>>(), ["c3"]);
         assert!(fleet(&[]).is_empty());
-        let state = rig.host_state(&mut root, "c2").await;
+        let state = setup.host_state(&mut root, "c2").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("operator")));
-        // The desk's picture of the hosts is a moment old at the most.
+        // The management's picture of the hosts is a moment old at the most.
         let ready = async {
-            while rig.host_state(&mut root, "c1").await["effective"] != json!("ready") {
+            while setup.host_state(&mut root, "c1").await["effective"] != json!("ready") {
                 tokio::time::sleep(5 * MS).await;
             }
         };
--- a/crates/rockflow-management-agent/tests/wire_format.rs
+++ b/crates/rockflow-management-agent/tests/wire_format.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use common::{block_on, Rig};
+use common::{block_on, Setup};
 use prost::Message;
 use regex_lite::Regex;
 use rockflow_gnmi::wire;
-use rockflow_management_client::{gnmi, Trouble};
+use rockflow_management_client::{gnmi, ClientError};
 use rockflow_netconf::framing::{encode, Framing};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -33,9 +33,9 @@
 }
 
 impl RawSession {
-    async fn begin(rig: &Rig) -> RawSession {
-        let stream = TcpStream::connect(rig.addresses.tls.unwrap()).await.unwrap();
-        let connector = tokio_rustls::TlsConnector::from(rig.tls_config(&rig.authority, "root"));
+    async fn begin(setup: &Setup) -> RawSession {
+        let stream = TcpStream::connect(setup.addresses.tls.unwrap()).await.unwrap();
+        let connector = tokio_rustls::TlsConnector::from(setup.tls_config(&setup.authority, "root"));
         let name = rustls::pki_types::ServerName::try_from("localhost").unwrap();
         let stream = connector.connect(name, stream).await.unwrap();
         let mut session = RawSession { stream, framing: Framing::new(1 << 20), hello: String::new() };
@@ -79,9 +79,9 @@
 
 #[test]
 fn netconf_messages_keep_their_text() {
-    let rig = Rig::start(2, 1, MS);
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut session = RawSession::begin(&rig).await;
+        let mut session = RawSession::begin(&setup).await;
         assert_eq!(session.hello, HELLO);
         let ns = "xmlns=\"urn:rockflow:yang:router\"";
         let drain = format!("<drain {ns}><host>c1</host><reason>a &lt; b</reason></drain>");
@@ -114,13 +114,13 @@
 
 #[test]
 fn netconf_notification_keeps_its_text() {
-    let rig = Rig::start(2, 1, MS);
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut session = RawSession::begin(&rig).await;
+        let mut session = RawSession::begin(&setup).await;
         let events = "<create-subscription xmlns=\"urn:ietf:params:xml:ns:netconf:notification:1.0\"/>";
         assert!(session.call(events).await.contains("<ok/>"));
-        let mut root = rig.ssh("root").await;
-        root.act(&rig.schema, "drain", &[("host", "c1")]).await.unwrap();
+        let mut root = setup.ssh("root").await;
+        root.act(&setup.schema, "drain", &[("host", "c1")]).await.unwrap();
         loop {
             let event = session.next().await;
             if event.contains("<committed") {
@@ -147,11 +147,11 @@
 
 #[test]
 fn gnmi_messages_keep_their_bytes() {
-    let rig = Rig::start(2, 1, MS);
+    let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let mut root = rig.gnmi("root").await;
+        let mut root = setup.gnmi("root").await;
         let mark = "/router/marks/mark[host=c1]";
-        let path = |text: &str| gnmi::path(&rig.schema, text).unwrap();
+        let path = |text: &str| gnmi::path(&setup.schema, text).unwrap();
         let value = |json: &str| {
             let value = wire::typed_value::Value::JsonIetfVal(json.as_bytes().to_vec());
             Some(wire::TypedValue { value: Some(value) })
@@ -178,11 +178,11 @@
         assert_eq!(bytes(&read), GET_RESPONSE);
         let set = wire::SetRequest { update: vec![update(mark, r#"{"state":"odd"}"#)], ..Default::default() };
         match root.raw_set(set).await.unwrap_err() {
-            Trouble::Refused { tag, message, .. } => assert_eq!((&*tag, &*message), SET_ERROR),
+            ClientError::Rejected { tag, message, .. } => assert_eq!((&*tag, &*message), SET_ERROR),
             other => panic!("{other}"),
         }
         let paths = ["/router/marks/mark[host=c1]/reason".to_string()];
-        let mut changes = root.clone().follow(&rig.schema, &paths, None).await.unwrap();
+        let mut changes = root.clone().follow(&setup.schema, &paths, None).await.unwrap();
         let next = |message: wire::SubscribeResponse| match message.response.unwrap() {
             Response::Update(mut note) => {
                 note.timestamp = 0;
--- a/crates/rockflow-management-client/src/gnmi.rs
+++ b/crates/rockflow-management-client/src/gnmi.rs
@@ -1,6 +1,6 @@
 //! The gNMI client, over TLS with certificates both ways.
 
-use crate::Trouble;
+use crate::ClientError;
 use hyper_util::rt::TokioIo;
 use rockflow_gnmi::wire;
 use rockflow_gnmi::wire::g_nmi_client::GNmiClient;
@@ -12,15 +12,18 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status, Streaming};
 
-const MOST: usize = 64 * 1024 * 1024;
-const WAIT: Duration = Duration::from_secs(30);
+/// Bytes of a message at the most.
+const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
+/// How long a connection is waited for.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// A connection to a server.
 #[derive(Clone)]
 pub struct Client {
     inner: GNmiClient<Channel>,
 }
 
-fn trouble(status: Status) -> Trouble {
+fn rejected(status: Status) -> ClientError {
     let tag = match status.code() {
         Code::PermissionDenied => "access-denied",
         Code::Aborted => "in-use",
@@ -30,15 +33,15 @@
         Code::Unimplemented => "operation-not-supported",
         Code::InvalidArgument => "invalid-value",
         Code::FailedPrecondition => "operation-failed",
-        _ => return Trouble::Connection(status.to_string()),
+        _ => return ClientError::Connection(status.to_string()),
     };
     let message = status.message().to_string();
-    Trouble::Refused { tag: tag.to_string(), app_tag: None, message }
+    ClientError::Rejected { tag: tag.to_string(), app_tag: None, message }
 }
 
 /// A path as text, such as `/router/marks/mark[host=c1]`, in the form of the wire.
-pub fn path(schema: &Schema, text: &str) -> Result<wire::Path, Trouble> {
-    let pattern = Pattern::parse(schema, text).map_err(|error| Trouble::Unreadable(error.to_string()))?;
+pub fn path(schema: &Schema, text: &str) -> Result<wire::Path, ClientError> {
+    let pattern = Pattern::parse(schema, text).map_err(|error| ClientError::Unreadable(error.to_string()))?;
     let elem = pattern.0.iter().map(|step| {
         let names = schema.keys(step.node).iter().map(|key| schema.node(*key).name.clone());
         let told = names.zip(&step.keys).filter_map(|(name, key)| Some((name, key.as_ref()?.to_string())));
@@ -80,19 +83,21 @@
 }
 
 impl Client {
-    /// `name` is the server's, as its certificate has it; `config` holds the client's certificate.
+    /// Connects to a server. `name` is the one in its certificate; `config` holds the client's certificate.
     pub async fn connect(
         address: &str,
         name: &str,
         config: Arc<rustls::ClientConfig>,
-    ) -> Result<Client, Trouble> {
+    ) -> Result<Client, ClientError> {
         let mut config = (*config).clone();
         config.alpn_protocols = vec![b"h2".to_vec()];
         let connector = tokio_rustls::TlsConnector::from(Arc::new(config));
         let (address, name) = (address.to_string(), name.to_string());
         // The scheme only names the authority: what carries the bytes is TLS, below.
         let endpoint = Endpoint::from_shared(format!("http://{name}"));
-        let endpoint = endpoint.map_err(|what| Trouble::Connection(what.to_string()))?.connect_timeout(WAIT);
+        let endpoint = endpoint
+            .map_err(|what| ClientError::Connection(what.to_string()))?
+            .connect_timeout(CONNECT_TIMEOUT);
         let connect = tower::service_fn(move |_| {
             let (connector, address, name) = (connector.clone(), address.clone(), name.clone());
             async move {
@@ -103,39 +108,44 @@
             }
         });
         let channel = endpoint.connect_with_connector(connect).await;
-        let channel = channel.map_err(|what| Trouble::Connection(format!("{what:?}")))?;
-        Ok(Client { inner: GNmiClient::new(channel).max_decoding_message_size(MOST) })
+        let channel = channel.map_err(|what| ClientError::Connection(format!("{what:?}")))?;
+        Ok(Client { inner: GNmiClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES) })
     }
 
-    pub async fn capabilities(&mut self) -> Result<wire::CapabilityResponse, Trouble> {
+    /// What the server announces.
+    pub async fn capabilities(&mut self) -> Result<wire::CapabilityResponse, ClientError> {
         let told = self.inner.capabilities(wire::CapabilityRequest::default()).await;
-        told.map(tonic::Response::into_inner).map_err(trouble)
+        told.map(tonic::Response::into_inner).map_err(rejected)
     }
 
     /// Reads what the paths name: the path and value of each instance.
-    pub async fn get(&mut self, schema: &Schema, paths: &[String]) -> Result<Vec<(String, Value)>, Trouble> {
+    pub async fn get(
+        &mut self,
+        schema: &Schema,
+        paths: &[String],
+    ) -> Result<Vec<(String, Value)>, ClientError> {
         let paths = paths.iter().map(|text| path(schema, text)).collect::<Result<_, _>>()?;
         let asked = wire::GetRequest {
             path: paths,
             encoding: wire::Encoding::JsonIetf as i32,
             ..wire::GetRequest::default()
         };
-        let told = self.inner.get(asked).await.map_err(trouble)?.into_inner();
+        let told = self.inner.get(asked).await.map_err(rejected)?.into_inner();
         let updates = told.notification.iter().flat_map(|note| &note.update);
         Ok(updates.map(|update| (update.path.as_ref().map(text).unwrap_or_default(), json(update))).collect())
     }
 
-    /// One transaction.
+    /// Deletes, replaces and merges in one transaction.
     pub async fn set(
         &mut self,
         schema: &Schema,
         delete: &[&str],
         replace: &[(&str, Value)],
         updates: &[(&str, Value)],
-    ) -> Result<wire::SetResponse, Trouble> {
+    ) -> Result<wire::SetResponse, ClientError> {
         let all = |pairs: &[(&str, Value)]| {
             let made = pairs.iter().map(|(text, value)| Ok(update(path(schema, text)?, value)));
-            made.collect::<Result<Vec<_>, Trouble>>()
+            made.collect::<Result<Vec<_>, ClientError>>()
         };
         let asked = wire::SetRequest {
             delete: delete.iter().map(|text| path(schema, text)).collect::<Result<_, _>>()?,
@@ -143,33 +153,34 @@
             update: all(updates)?,
             ..wire::SetRequest::default()
         };
-        self.inner.set(asked).await.map(tonic::Response::into_inner).map_err(trouble)
+        self.inner.set(asked).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// What the wire itself carries, for those who make their own messages.
-    pub async fn raw_set(&mut self, asked: wire::SetRequest) -> Result<wire::SetResponse, Trouble> {
-        self.inner.set(asked).await.map(tonic::Response::into_inner).map_err(trouble)
+    /// Sends a Set that the caller made.
+    pub async fn raw_set(&mut self, asked: wire::SetRequest) -> Result<wire::SetResponse, ClientError> {
+        self.inner.set(asked).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    pub async fn raw_get(&mut self, asked: wire::GetRequest) -> Result<wire::GetResponse, Trouble> {
-        self.inner.get(asked).await.map(tonic::Response::into_inner).map_err(trouble)
+    /// Sends a Get that the caller made.
+    pub async fn raw_get(&mut self, asked: wire::GetRequest) -> Result<wire::GetResponse, ClientError> {
+        self.inner.get(asked).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// Subscribes by messages of the caller's own.
+    /// Subscribes with messages that the caller made.
     pub async fn subscribe(
         &mut self,
         requests: impl tokio_stream::Stream<Item = wire::SubscribeRequest> + Send + 'static,
-    ) -> Result<Streaming<wire::SubscribeResponse>, Trouble> {
-        self.inner.subscribe(requests).await.map(tonic::Response::into_inner).map_err(trouble)
+    ) -> Result<Streaming<wire::SubscribeResponse>, ClientError> {
+        self.inner.subscribe(requests).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// Follows what the paths name: its changes, or all of it at intervals.
+    /// Subscribes to what the paths name: its changes, or all of it at intervals.
     pub async fn follow(
         &mut self,
         schema: &Schema,
         paths: &[String],
         period: Option<Duration>,
-    ) -> Result<Streaming<wire::SubscribeResponse>, Trouble> {
+    ) -> Result<Streaming<wire::SubscribeResponse>, ClientError> {
         let mode =
             if period.is_some() { wire::SubscriptionMode::Sample } else { wire::SubscriptionMode::OnChange };
         let one = |text: &String| {
@@ -181,7 +192,7 @@
             })
         };
         let list = wire::SubscriptionList {
-            subscription: paths.iter().map(one).collect::<Result<_, Trouble>>()?,
+            subscription: paths.iter().map(one).collect::<Result<_, ClientError>>()?,
             encoding: wire::Encoding::JsonIetf as i32,
             ..wire::SubscriptionList::default()
         };
