--- a/crates/rockflow-transport/src/cluster/frame.rs
+++ b/crates/rockflow-transport/src/cluster/frame.rs
@@ -1,14 +1,14 @@
 //! The datagrams of a cluster: a head with version, cluster and sender, messages in the order in which they were sent, and
 //! a checksum over all. What others send is validated here, strictly and once.
 
-use crate::datagram::Head;
+use crate::datagram::Header;
 use rockflow_cluster::replica::MAX_TRANSFERRED_RECORDS;
 use rockflow_cluster::{
     Answer, ClusterConfig, Identity, Message, Record, RejectionReason, RequestProgress, StateTransfer, Step,
 };
 use serde::{Deserialize, Serialize};
 
-pub use crate::datagram::{Fault, MAX_BYTES, MAX_MESSAGES, PACKED};
+pub use crate::datagram::{DatagramError, MAX_DATAGRAM_BYTES, MAX_MESSAGES, MAX_PACKED_BYTES};
 
 /// The version of these datagrams.
 pub const VERSION: u8 = 1;
@@ -40,21 +40,21 @@
 ///
 /// # Errors
 /// If it is not whole, not of this version or cluster, or holds anything that is out of its bounds.
-pub fn decode(config: &ClusterConfig, bytes: &[u8]) -> Result<Frame, Fault> {
+pub fn decode(config: &ClusterConfig, bytes: &[u8]) -> Result<Frame, DatagramError> {
     let inner = head(config).open(bytes)?;
-    let (frame, rest) = postcard::take_from_bytes::<Frame>(inner).map_err(|_| Fault::Unreadable)?;
+    let (frame, rest) = postcard::take_from_bytes::<Frame>(inner).map_err(|_| DatagramError::Unreadable)?;
     if !rest.is_empty() {
-        return Err(Fault::Unreadable);
+        return Err(DatagramError::Unreadable);
     }
     let validator = Validator { config };
     let is_valid = validator.is_member(&frame.from)
         && frame.messages.len() <= MAX_MESSAGES
         && frame.messages.iter().all(|message| validator.accepts(message));
-    is_valid.then_some(frame).ok_or(Fault::OutOfRange)
+    is_valid.then_some(frame).ok_or(DatagramError::OutOfRange)
 }
 
-fn head(config: &ClusterConfig) -> Head {
-    Head { mark: MAGIC, version: VERSION, fleet: config.digest() }
+fn head(config: &ClusterConfig) -> Header {
+    Header { magic: MAGIC, version: VERSION, fleet: config.digest() }
 }
 
 /// Checks that a message names members that exist, and holds no more than it may.
--- a/crates/rockflow-transport/src/cluster/thread.rs
+++ b/crates/rockflow-transport/src/cluster/thread.rs
@@ -2,7 +2,7 @@
 //! nothing.
 
 use super::frame;
-use crate::datagram::Fault;
+use crate::datagram::DatagramError;
 use crate::wire::{self, Carried, Traffic, Wire};
 use rockflow_cluster::node::{HeldCounts, Permission};
 use rockflow_cluster::{
@@ -246,7 +246,7 @@
                 }
             }
             // Its own, sent back, or that of another process under the same name: ignored.
-            Ok(_) => self.wire.fault(Fault::OutOfRange, from),
+            Ok(_) => self.wire.fault(DatagramError::OutOfRange, from),
             Err(fault) => self.wire.fault(fault, from),
         }
     }
--- a/crates/rockflow-transport/src/lib.rs
+++ b/crates/rockflow-transport/src/lib.rs
@@ -13,5 +13,5 @@
 #[cfg(feature = "dissemination")]
 pub mod dissemination;
 
-pub use datagram::{Fault, MAX_BYTES};
+pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 pub use wire::Traffic;
--- a/crates/rockflow-transport/tests/frames.rs
+++ b/crates/rockflow-transport/tests/frames.rs
@@ -4,7 +4,7 @@
 mod spoiled;
 
 use rockflow_cluster::*;
-use rockflow_transport::cluster::frame::{decode, encode, Fault, MAX_BYTES, VERSION};
+use rockflow_transport::cluster::frame::{decode, encode, DatagramError, MAX_DATAGRAM_BYTES, VERSION};
 use std::time::Duration;
 
 fn config() -> ClusterConfig {
@@ -54,7 +54,7 @@
         read.inspect(|frame| assert_eq!(frame.from, identity(1))).flat_map(|frame| frame.messages).collect();
     assert_eq!((read, left_out), (messages, 0));
     // One that fits number datagram costs itself alone.
-    let large = Message::Swim(vec![0; MAX_BYTES]);
+    let large = Message::Swim(vec![0; MAX_DATAGRAM_BYTES]);
     let (frames, left_out) = encode(&config(), identity(1), &[write(1), large, write(2)]);
     assert_eq!((frames.len(), left_out), (1, 1));
 }
@@ -64,10 +64,10 @@
     let bytes = sealed(&[write(1)]);
     let mut other = bytes.clone();
     other[2] = VERSION + 1;
-    assert_eq!(decode(&config(), &other), Err(Fault::Version(VERSION + 1)));
+    assert_eq!(decode(&config(), &other), Err(DatagramError::Version(VERSION + 1)));
     let more = ClusterConfig { members: ["a", "b", "c", "d"].map(str::to_string).to_vec(), ..config() };
-    assert_eq!(decode(&more, &bytes), Err(Fault::OtherFleet));
-    assert_eq!(decode(&ClusterConfig { replicas: 1, ..config() }, &bytes), Err(Fault::OtherFleet));
+    assert_eq!(decode(&more, &bytes), Err(DatagramError::OtherFleet));
+    assert_eq!(decode(&ClusterConfig { replicas: 1, ..config() }, &bytes), Err(DatagramError::OtherFleet));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     nobody[7] = 3;
     assert_eq!(
         decode(&config(), &spoiled::resealed(nobody)),
-        Err(Fault::OutOfRange),
+        Err(DatagramError::OutOfRange),
         "a member that there is not"
     );
 }
@@ -90,7 +90,7 @@
     let within = sealed(&[write(1024)]);
     assert!(decode(&config(), &within).is_ok());
     let over = sealed(&[write(1025)]);
-    assert_eq!(decode(&config(), &over), Err(Fault::OutOfRange));
+    assert_eq!(decode(&config(), &over), Err(DatagramError::OutOfRange));
     let transfer = |records: usize, part: u16| {
         let record = Record {
             descriptor: None,
@@ -112,8 +112,8 @@
         })])
     };
     assert!(decode(&config(), &transfer(4, 1)).is_ok());
-    assert_eq!(decode(&config(), &transfer(5, 1)), Err(Fault::OutOfRange));
-    assert_eq!(decode(&config(), &transfer(1, 2)), Err(Fault::OutOfRange));
+    assert_eq!(decode(&config(), &transfer(5, 1)), Err(DatagramError::OutOfRange));
+    assert_eq!(decode(&config(), &transfer(1, 2)), Err(DatagramError::OutOfRange));
 }
 
 #[test]
