--- a/crates/rockflow-transport/src/cluster/thread.rs
+++ b/crates/rockflow-transport/src/cluster/thread.rs
@@ -3,7 +3,7 @@
 
 use super::frame;
 use crate::datagram::DatagramError;
-use crate::wire::{self, Carried, Traffic, Wire};
+use crate::socket::{self, DatagramSocket, SocketDriver, Traffic};
 use rockflow_cluster::node::{HeldCounts, Permission};
 use rockflow_cluster::{
     Answer, ClusterConfig, ClusterNode, Counts, EffectKind, Identity, Incarnation, MemberId,
@@ -111,11 +111,11 @@
     /// If the address can't be bound or the thread can't be started.
     pub fn start(plan: Plan, on_output: impl FnMut(Output) + Send + 'static) -> io::Result<NodeHandle> {
         let (commands, mut queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
-        let listens_at = wire::spawn("fleet", plan.listen, move |socket| {
+        let listens_at = socket::spawn("fleet", plan.listen, move |socket| {
             Box::pin(async move {
-                let mut carrier = Carrier::new(plan, Wire::new(socket), Box::new(on_output));
+                let mut carrier = Carrier::new(plan, DatagramSocket::new(socket), Box::new(on_output));
                 carrier.join();
-                wire::run(&mut carrier, &mut queue).await;
+                socket::run(&mut carrier, &mut queue).await;
             })
         })?;
         Ok(NodeHandle { commands, listens_at })
@@ -131,16 +131,16 @@
 struct Carrier {
     plan: Plan,
     node: ClusterNode,
-    wire: Wire,
+    socket: DatagramSocket,
     on_output: Box<dyn FnMut(Output) + Send>,
 }
 
 impl Carrier {
-    fn new(plan: Plan, wire: Wire, on_output: Box<dyn FnMut(Output) + Send>) -> Carrier {
+    fn new(plan: Plan, socket: DatagramSocket, on_output: Box<dyn FnMut(Output) + Send>) -> Carrier {
         let identity = Identity { member: plan.member, incarnation: plan.incarnation };
         let config = plan.config.clone();
         let node = ClusterNode::new(config, identity, plan.seed, plan.is_new_cluster, Duration::ZERO);
-        Carrier { plan, node, wire, on_output }
+        Carrier { plan, node, socket, on_output }
     }
 
     fn join(&mut self) {
@@ -150,7 +150,7 @@
             members = self.plan.config.members.len(),
             "joining the cluster"
         );
-        let outputs = self.node.join(self.wire.now());
+        let outputs = self.node.join(self.socket.now());
         self.apply(outputs);
     }
 
@@ -161,7 +161,7 @@
             counts: self.node.counts(),
             held: self.node.held(),
             is_synchronized: self.node.is_synchronized(),
-            traffic: self.wire.traffic.clone(),
+            traffic: self.socket.traffic.clone(),
         }
     }
 
@@ -178,7 +178,7 @@
         for (to, messages) in messages {
             let Some(address) = self.plan.addresses.get(usize::from(to.0)) else { continue };
             let packed = frame::encode(&self.plan.config, self.node.identity(), &messages);
-            self.wire.send_packed(*address, packed);
+            self.socket.send_packed(*address, packed);
         }
     }
 
@@ -191,7 +191,7 @@
         );
         self.plan.incarnation = Incarnation(later.0 + 1);
         let identity = Identity { member: self.plan.member, incarnation: self.plan.incarnation };
-        let now = self.wire.now();
+        let now = self.socket.now();
         self.node = ClusterNode::new(self.plan.config.clone(), identity, self.plan.seed, false, now);
         let outputs = self.node.join(now);
         self.apply(outputs);
@@ -221,11 +221,11 @@
     }
 }
 
-impl Carried for Carrier {
-    type Word = Command;
+impl SocketDriver for Carrier {
+    type Command = Command;
 
-    fn wire(&mut self) -> &mut Wire {
-        &mut self.wire
+    fn socket(&mut self) -> &mut DatagramSocket {
+        &mut self.socket
     }
 
     fn next_due(&self) -> Option<Duration> {
@@ -233,26 +233,26 @@
     }
 
     fn tick(&mut self) {
-        let outputs = self.node.tick(self.wire.now());
+        let outputs = self.node.tick(self.socket.now());
         self.apply(outputs);
     }
 
-    fn datagram(&mut self, bytes: &[u8], from: SocketAddr) {
+    fn on_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         match frame::decode(&self.plan.config, bytes) {
             Ok(frame) if frame.from.member != self.plan.member => {
                 for message in frame.messages {
-                    let outputs = self.node.on_message(self.wire.now(), frame.from, message);
+                    let outputs = self.node.on_message(self.socket.now(), frame.from, message);
                     self.apply(outputs);
                 }
             }
             // Its own, sent back, or that of another process under the same name: ignored.
-            Ok(_) => self.wire.fault(DatagramError::OutOfRange, from),
-            Err(fault) => self.wire.fault(fault, from),
+            Ok(_) => self.socket.reject(DatagramError::OutOfRange, from),
+            Err(error) => self.socket.reject(error, from),
         }
     }
 
-    fn word(&mut self, command: Command) {
-        let now = self.wire.now();
+    fn on_command(&mut self, command: Command) {
+        let now = self.socket.now();
         let outputs = match command {
             Command::RequestArrived { request, descriptor, left } => {
                 self.node.on_request(now, request, descriptor, now + left)
--- a/crates/rockflow-transport/src/dissemination/service.rs
+++ b/crates/rockflow-transport/src/dissemination/service.rs
@@ -2,7 +2,7 @@
 
 use crate::datagram::DatagramError;
 use crate::dissemination::frame::FrameCodec;
-use crate::wire::{self, Carried, Traffic, Wire};
+use crate::socket::{self, DatagramSocket, SocketDriver, Traffic};
 use rockflow_dissemination::{
     ApplyToken, Counters, Directory, EntryId, Identity, Message, Node, NodeConfig, NodeStatus, Output,
     Publication, Publisher, Purge, RejectionReason,
@@ -110,8 +110,8 @@
     ) -> io::Result<Handle> {
         let (commands, mailbox) = mpsc::channel(MAX_WAITING_COMMANDS);
         let weak = WeakHandle(commands.downgrade());
-        let listens_at = wire::spawn("dissemination", options.listen, move |socket| {
-            Box::pin(run(options, Wire::new(socket), weak, mailbox, on_output))
+        let listens_at = socket::spawn("dissemination", options.listen, move |socket| {
+            Box::pin(run(options, DatagramSocket::new(socket), weak, mailbox, on_output))
         })?;
         Ok(Handle { commands, listens_at })
     }
@@ -131,7 +131,7 @@
         let socket = tokio::net::UdpSocket::from_std(socket)?;
         let (commands, mailbox) = mpsc::channel(MAX_WAITING_COMMANDS);
         let weak = WeakHandle(commands.downgrade());
-        let node = async move { run(options, Wire::new(socket), weak, mailbox, on_output).await };
+        let node = async move { run(options, DatagramSocket::new(socket), weak, mailbox, on_output).await };
         Ok((Handle { commands, listens_at }, node))
     }
 
@@ -155,15 +155,15 @@
 
 async fn run(
     options: NodeOptions,
-    wire: Wire,
+    socket: DatagramSocket,
     weak: WeakHandle,
     mut mailbox: mpsc::Receiver<Command>,
     mut on_output: impl FnMut(&WeakHandle, Output) + Send + 'static,
 ) {
     let on_output = Box::new(move |output| on_output(&weak, output));
-    let mut service = Service::new(options, wire, on_output);
+    let mut service = Service::new(options, socket, on_output);
     service.start();
-    wire::run(&mut service, &mut mailbox).await;
+    socket::run(&mut service, &mut mailbox).await;
 }
 
 /// The board's purges at a control node.
@@ -181,30 +181,34 @@
     node: Node,
     /// At a control node only.
     feed: Option<BoardFeed>,
-    wire: Wire,
+    socket: DatagramSocket,
     on_output: Box<dyn FnMut(Output) + Send>,
     is_stopped: bool,
 }
 
 impl Service {
-    fn new(options: NodeOptions, wire: Wire, on_output: Box<dyn FnMut(Output) + Send>) -> Service {
+    fn new(
+        options: NodeOptions,
+        socket: DatagramSocket,
+        on_output: Box<dyn FnMut(Output) + Send>,
+    ) -> Service {
         let NodeOptions { codec, config, directory, seed, .. } = options;
         let interval = config.heartbeat_interval;
         let has_peers = config.control.len() > 1;
         let settling = if has_peers { interval * SETTLING_HEARTBEATS } else { Duration::ZERO };
         let feed = config.control_id.map(|_| BoardFeed {
             publisher: Publisher::new(config.purge_window).settling(settling),
-            due: wire.now(),
+            due: socket.now(),
             interval,
         });
         let identity = config.identity;
-        let node = Node::new(config, directory, seed, wire.now());
-        Service { codec, identity, node, feed, wire, on_output, is_stopped: false }
+        let node = Node::new(config, directory, seed, socket.now());
+        Service { codec, identity, node, feed, socket, on_output, is_stopped: false }
     }
 
     fn start(&mut self) {
         info!(node = self.identity.node.0, incarnation = self.identity.incarnation.0, "dissemination");
-        let outputs = self.node.start(self.wire.now());
+        let outputs = self.node.start(self.socket.now());
         self.execute(outputs);
     }
 
@@ -227,14 +231,14 @@
         }
         for (to, messages) in messages {
             let packed = self.codec.encode(self.identity, &messages);
-            self.wire.send_packed(to, packed);
+            self.socket.send_packed(to, packed);
         }
     }
 
     /// What another control node has published need not be published here.
     fn note_published(&mut self, output: &Output) {
         let (Some(feed), Output::Purge { purges, .. }) = (&mut self.feed, output) else { return };
-        let now = self.wire.now();
+        let now = self.socket.now();
         for (purge, age) in purges {
             feed.publisher.on_published(now, *purge, *age);
         }
@@ -263,35 +267,35 @@
         TransportStatus {
             node: self.node.status(now),
             counters: *self.node.counters(),
-            traffic: self.wire.traffic.clone(),
+            traffic: self.socket.traffic.clone(),
         }
     }
 }
 
-impl Carried for Service {
-    type Word = Command;
+impl SocketDriver for Service {
+    type Command = Command;
 
-    fn wire(&mut self) -> &mut Wire {
-        &mut self.wire
+    fn socket(&mut self) -> &mut DatagramSocket {
+        &mut self.socket
     }
 
-    fn datagram(&mut self, bytes: &[u8], from: SocketAddr) {
+    fn on_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         match self.codec.decode(bytes) {
             Ok(frame) if frame.from.node != self.identity.node => {
                 // Together, so that what results from one datagram leaves in one datagram to each receiver.
                 let mut outputs = Vec::new();
                 for message in frame.messages {
-                    outputs.extend(self.node.on_message(self.wire.now(), frame.from, from, message));
+                    outputs.extend(self.node.on_message(self.socket.now(), frame.from, from, message));
                 }
                 self.execute(outputs);
             }
-            Ok(_) => self.wire.fault(DatagramError::OwnName, from),
-            Err(error) => self.wire.fault(error, from),
+            Ok(_) => self.socket.reject(DatagramError::OwnName, from),
+            Err(error) => self.socket.reject(error, from),
         }
     }
 
-    fn word(&mut self, command: Command) {
-        let now = self.wire.now();
+    fn on_command(&mut self, command: Command) {
+        let now = self.socket.now();
         let outputs = match command {
             Command::ConfirmApplied(token) => self.node.confirm_applied(now, token),
             Command::Reject { id, reason } => self.node.reject(now, id, reason),
@@ -325,7 +329,7 @@
     }
 
     fn tick(&mut self) {
-        let now = self.wire.now();
+        let now = self.socket.now();
         if self.node.next_due() <= now {
             let outputs = self.node.tick(now);
             self.execute(outputs);
@@ -333,7 +337,7 @@
         self.publish_due(now);
     }
 
-    fn is_over(&self) -> bool {
+    fn has_ended(&self) -> bool {
         self.is_stopped
     }
 }
--- a/crates/rockflow-transport/src/lib.rs
+++ b/crates/rockflow-transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! Transport between dispatchers: datagrams with no outside protocol. `datagram` has what all of them share, `wire` what
+//! Transport between dispatchers: datagrams with no outside protocol. `datagram` has what all of them share, `socket` what
 //! every thread with a socket does alike. `cluster` and `dissemination` say what their datagrams hold, validate what
 //! arrives, and run the thread in which their state machine lives.
 //!
@@ -6,7 +6,7 @@
 //! and passes their other outputs to the dispatcher by a callback that must not wait.
 
 pub mod datagram;
-pub mod wire;
+pub mod socket;
 
 #[cfg(feature = "cluster")]
 pub mod cluster;
@@ -14,4 +14,4 @@
 pub mod dissemination;
 
 pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
-pub use wire::Traffic;
+pub use socket::Traffic;
