--- a/crates/rockflow-transport/tests/dissemination_wire_format.rs
+++ b/crates/rockflow-transport/tests/dissemination_wire_format.rs
@@ -63,11 +63,11 @@
     }
 }
 
-fn unknown() -> Message {
+fn not_listed() -> Message {
     Message::NotListed { directory_version: 4712 }
 }
 
-fn ack() -> Message {
+fn acknowledgement() -> Message {
     let has = vec![
         (stream(StreamKind::Purges), SequenceNumber(301)),
         (stream(StreamKind::Configuration), SequenceNumber(8)),
@@ -75,7 +75,7 @@
     Message::Acknowledgement { received: has, reports: vec![report()] }
 }
 
-fn pulse() -> Message {
+fn heartbeat() -> Message {
     let tips = vec![
         StreamTip { stream: stream(StreamKind::Purges), first: SequenceNumber(2), last: SequenceNumber(301) },
         StreamTip {
@@ -109,7 +109,7 @@
     Message::Batch { stream: stream(StreamKind::Configuration), first: SequenceNumber(6), entries }
 }
 
-fn ask() -> Message {
+fn repair_request() -> Message {
     let ranges = vec![(SequenceNumber(10), SequenceNumber(12)), (SequenceNumber(300), SequenceNumber(301))];
     Message::RepairRequest { stream: stream(StreamKind::Purges), ranges }
 }
@@ -131,7 +131,7 @@
     Message::SettingsPart { digest: 0xdead_cafe, part: 2, parts: 130, settings }
 }
 
-fn rows() -> Message {
+fn region_reports() -> Message {
     let clock = HybridTimestamp { unix_ms: 1_700_000_000_999, control: 2 };
     Message::RegionReports {
         directory_version: 4711,
@@ -140,11 +140,11 @@
     }
 }
 
-fn outlived() -> Message {
+fn superseded() -> Message {
     Message::SupersededIncarnation { control: ControlId(2), incarnation: Incarnation(1_700_000_000_124) }
 }
 
-fn fresh() -> Message {
+fn probe_reply() -> Message {
     Message::ProbeReply { staleness_ms: 251 }
 }
 
@@ -170,29 +170,29 @@
 
 #[test_case(join(), "00e724"; "join")]
 #[test_case(placement(), "01e724effdb6f70f0305d80402baf4fedbe5bfa4aa79007f000001cc3ad6d1f0fdfe8ea39a280100000000000000000000000000000001cd3a"; "near")]
-#[test_case(unknown(), "02e824"; "unknown")]
-#[test_case(ack(), "03020100fbd095ffbc31ad020101fbd095ffbc31080103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109"; "ack")]
+#[test_case(not_listed(), "02e824"; "unknown")]
+#[test_case(acknowledgement(), "03020100fbd095ffbc31ad020101fbd095ffbc31080103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109"; "ack")]
 #[test_case(Message::Leave, "04"; "leave")]
 #[test_case(Message::Full, "05"; "full")]
-#[test_case(pulse(), "06fa01e724effdb6f70f020100fbd095ffbc3102ad020101fbd095ffbc31010801fe95b7f50d"; "pulse")]
+#[test_case(heartbeat(), "06fa01e724effdb6f70f020100fbd095ffbc3102ad020101fbd095ffbc31010801fe95b7f50d"; "pulse")]
 #[test_case(batch_of_purges(), "070100fbd095ffbc31ab0203dc0b00000807060504030201dc0b00014ddc0b0002"; "batch of purges")]
 #[test_case(batch_of_settings(), "070101fbd095ffbc31060328010263310095d695ffbc3101c8d395ffbc310228010263320195d695ffbc3101c8d395ffbc310228010263330295d695ffbc3101c8d395ffbc3102"; "batch of settings")]
-#[test_case(ask(), "080100fbd095ffbc31020a0cac02ad02"; "ask")]
+#[test_case(repair_request(), "080100fbd095ffbc31020a0cac02ad02"; "ask")]
 #[test_case(snapshot(), "090100fbd095ffbc31fa0101a846"; "snapshot")]
 #[test_case(want_settings(), "0a8201"; "want settings")]
 #[test_case(settings(), "0bfe95b7f50d028201020101fbd095ffbc31070263310195d695ffbc3101c8d395ffbc31020101fbd095ffbc31080263320295d695ffbc3101c8d395ffbc3102"; "settings")]
-#[test_case(rows(), "0ce724e7d795ffbc31020103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109ee05"; "rows")]
-#[test_case(outlived(), "0d02fcd095ffbc31"; "outlived")]
+#[test_case(region_reports(), "0ce724e7d795ffbc31020103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109ee05"; "rows")]
+#[test_case(superseded(), "0d02fcd095ffbc31"; "outlived")]
 #[test_case(Message::Probe, "0e"; "probe")]
-#[test_case(fresh(), "0ffb01"; "fresh")]
-fn each_message_has_its_literal_bytes(message: Message, literal: &str) {
+#[test_case(probe_reply(), "0ffb01"; "fresh")]
+fn message_has_its_literal_bytes(message: Message, literal: &str) {
     assert_eq!(hex(&postcard::to_stdvec(&message).unwrap()), literal);
     assert_eq!(postcard::from_bytes::<Message>(&bytes(literal)).unwrap(), message);
 }
 
 #[test_case(vec![Message::Leave], "726402471e5ea0f1d0b1a1b3b59fc98c0181d095ffbc3101047bebc52b"; "one message")]
-#[test_case(vec![fresh(), join(), batch_of_purges()], "726402471e5ea0f1d0b1a1b3b59fc98c0181d095ffbc31030ffb0100e724070100fbd095ffbc31ab0203dc0b00000807060504030201dc0b00014ddc0b0002b02492af"; "several messages")]
-fn a_frame_has_its_literal_bytes(messages: Vec<Message>, literal: &str) {
+#[test_case(vec![probe_reply(), join(), batch_of_purges()], "726402471e5ea0f1d0b1a1b3b59fc98c0181d095ffbc31030ffb0100e724070100fbd095ffbc31ab0203dc0b00000807060504030201dc0b00014ddc0b0002b02492af"; "several messages")]
+fn frame_has_its_literal_bytes(messages: Vec<Message>, literal: &str) {
     let frame = frame(messages);
     assert_eq!(codec().encode(frame.from, &frame.messages), (vec![bytes(literal)], 0));
     assert_eq!(codec().decode(&bytes(literal)), Ok(frame));
