--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -1,7 +1,8 @@
 //! Dissemination beside a dispatcher: what its node receives goes to the decisions, and their confirmations go back.
 
-mod unjudged;
+mod pending_settings;
 
+use pending_settings::PendingSettings;
 use rockflow::{GroupId, ObjectId, Readiness};
 use rockflow_dispatcher::{Config, Purge, ServiceHandle};
 use rockflow_dissemination as node;
@@ -13,7 +14,6 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tracing::{debug, enabled, info, warn, Level};
-use unjudged::Unjudged;
 
 /// Whether the program is built with dissemination.
 pub const BUILT: bool = true;
@@ -75,9 +75,9 @@
 
 /// Starts the node of a dispatcher.
 pub fn serve(options: NodeOptions, service: ServiceHandle) -> Result<RunningNode, String> {
-    let unjudged: Arc<Mutex<Unjudged>> = Arc::default();
+    let pending: Arc<Mutex<PendingSettings>> = Arc::default();
     let on_output = move |node: &WeakHandle, output| {
-        let applier = Applier { service: &service, node, unjudged: &unjudged };
+        let applier = Applier { service: &service, node, pending: &pending };
         applier.on_output(output);
     };
     let handle = Handle::start(options, on_output).map_err(|error| format!("dissemination: {error}"))?;
@@ -121,7 +121,7 @@
 struct Applier<'a> {
     service: &'a ServiceHandle,
     node: &'a WeakHandle,
-    unjudged: &'a Arc<Mutex<Unjudged>>,
+    pending: &'a Arc<Mutex<PendingSettings>>,
 }
 
 impl Applier<'_> {
@@ -168,7 +168,7 @@
         token: ApplyToken,
     ) {
         let hosts: Vec<String> = changed.iter().map(|(_, host)| host.clone()).collect();
-        let without_room = lock(self.unjudged).give(token, changed);
+        let without_room = lock(self.pending).add(token, changed);
         for (id, host) in without_room {
             reject(self.node, id, &host, RejectionReason::Full);
         }
@@ -178,10 +178,10 @@
         });
         let overrides: AdminOverrides = overrides.collect();
         info!(marks = overrides.len(), changed = hosts.len(), "the fleet's marks");
-        let (node, unjudged) = (self.node.clone(), self.unjudged.clone());
+        let (node, pending) = (self.node.clone(), self.pending.clone());
         let on_applied = move |rejected: BTreeMap<String, RejectedOverride>| {
             debug!(hosts = %hosts.join(","), "marks in effect");
-            let judged = lock(&unjudged).judged(token, &rejected);
+            let judged = lock(&pending).take_judged(token, &rejected);
             for (id, host, why) in judged {
                 reject(&node, id, &host, rejection_reason(why));
             }
@@ -229,8 +229,8 @@
 }
 
 /// The lock is held for one call of [`Unjudged`] at a time.
-fn lock(unjudged: &Mutex<Unjudged>) -> MutexGuard<'_, Unjudged> {
-    unjudged.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(pending: &Mutex<PendingSettings>) -> MutexGuard<'_, PendingSettings> {
+    pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// `None`: the endpoint list applies.
--- a/crates/rockflow-cli/src/beside/dissemination/unjudged.rs
+++ b/crates/rockflow-cli/src/beside/dissemination/pending_settings.rs
@@ -6,20 +6,20 @@
 
 /// Settings that may wait: four times as many as overrides are held. A further one is rejected, and the node gives it again
 /// with the next change.
-pub const MAX_UNJUDGED: usize = 16_384;
+pub const MAX_PENDING_SETTINGS: usize = 16_384;
 
 /// Owns the waiting settings by the token under which they were given, so that those of a token whose judgement is lost
 /// are judged with the next.
 #[derive(Debug, Default)]
-pub struct Unjudged {
+pub struct PendingSettings {
     waiting: BTreeMap<ApplyToken, Vec<(EntryId, String)>>,
     count: usize,
 }
 
-impl Unjudged {
+impl PendingSettings {
     /// Adds the settings that have changed under this token. Returns those for which there is no room.
-    pub fn give(&mut self, token: ApplyToken, mut changed: Vec<(EntryId, String)>) -> Vec<(EntryId, String)> {
-        let without_room = changed.split_off(changed.len().min(MAX_UNJUDGED - self.count));
+    pub fn add(&mut self, token: ApplyToken, mut changed: Vec<(EntryId, String)>) -> Vec<(EntryId, String)> {
+        let without_room = changed.split_off(changed.len().min(MAX_PENDING_SETTINGS - self.count));
         self.count += changed.len();
         if !changed.is_empty() {
             self.waiting.entry(token).or_default().extend(changed);
@@ -28,7 +28,7 @@
     }
 
     /// The list goes by all that was given up to this token, except these hosts. Returns the settings that are rejected.
-    pub fn judged(
+    pub fn take_judged(
         &mut self,
         token: ApplyToken,
         rejected: &BTreeMap<String, RejectedOverride>,
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -3,15 +3,15 @@
 
 mod error;
 mod inputs;
-mod marks;
+mod overrides;
 mod report;
 
 use crate::beside::dissemination::{node_options, RunningNode};
 use crate::Source;
 pub use error::ControlError;
 pub use inputs::ControlInputs;
-use inputs::{read_directory, read_marks};
-use marks::PublishedMarks;
+use inputs::{read_directory, read_overrides};
+use overrides::PublishedOverrides;
 use report::{log_output, log_summary};
 use rockflow::{GroupId, ObjectId};
 use rockflow_dispatcher::{Clock, ObservedPurge, Purge, PurgeFollower};
@@ -46,17 +46,17 @@
     let control = Control {
         node: RunningNode(handle.clone()),
         inputs,
-        published: PublishedMarks::default(),
-        marks_are_pending: true,
+        published: PublishedOverrides::default(),
+        overrides_are_pending: true,
         has_lost_purges: Arc::default(),
-        has_trouble: Arc::default(),
+        has_lagging_members: Arc::default(),
     };
     let has_lost_purges = control.has_lost_purges.clone();
     let window = control.inputs.dissemination.purge_window;
     let follower = PurgeFollower::start(clock, &control.inputs.config, window, move |observed| {
         forward_purge(&handle, &has_lost_purges, &observed);
     });
-    let follower = follower.map_err(ControlError::Board)?;
+    let follower = follower.map_err(ControlError::NoticeBoard)?;
     control.run(source, signals, &follower)
 }
 
@@ -64,13 +64,13 @@
 struct Control {
     node: RunningNode,
     inputs: ControlInputs,
-    published: PublishedMarks,
+    published: PublishedOverrides,
     /// Overrides were read that are not published yet.
-    marks_are_pending: bool,
+    overrides_are_pending: bool,
     /// Purges of the board were dropped: a purge of everything is to stand for them.
     has_lost_purges: Arc<AtomicBool>,
     /// Whether the last summary named a member.
-    has_trouble: Arc<AtomicBool>,
+    has_lagging_members: Arc<AtomicBool>,
 }
 
 impl Control {
@@ -94,11 +94,11 @@
                 return Err(ControlError::NodeEnded);
             }
             self.replace_lost_purges();
-            self.publish_marks();
+            self.publish_overrides();
             if summarized_at.elapsed() >= SUMMARY_INTERVAL {
                 summarized_at = Instant::now();
-                let has_trouble = self.has_trouble.clone();
-                let reply = Box::new(move |status| log_summary(&status, &has_trouble));
+                let has_lagging_members = self.has_lagging_members.clone();
+                let reply = Box::new(move |status| log_summary(&status, &has_lagging_members));
                 self.node.0.send(Command::Status(reply));
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -119,7 +119,7 @@
         self.reload_configuration(source, follower);
         self.check_operator_file(source);
         self.reload_directory();
-        self.reload_marks();
+        self.reload_overrides();
     }
 
     fn reload_configuration(&mut self, source: &Source, follower: &PurgeFollower) {
@@ -166,23 +166,23 @@
         }
     }
 
-    fn reload_marks(&mut self) {
-        match read_marks(self.inputs.files.overrides.as_deref()) {
-            Ok(marks) => {
-                self.inputs.marks = marks;
-                self.marks_are_pending = true;
+    fn reload_overrides(&mut self) {
+        match read_overrides(self.inputs.files.overrides.as_deref()) {
+            Ok(overrides) => {
+                self.inputs.overrides = overrides;
+                self.overrides_are_pending = true;
             }
             Err(error) => error!(%error, "marks rejected; the previous ones stay in effect"),
         }
     }
 
     /// Publishes the overrides that differ from the published ones. If the mailbox is full, the next poll repeats it.
-    fn publish_marks(&mut self) {
-        if !self.marks_are_pending {
+    fn publish_overrides(&mut self) {
+        if !self.overrides_are_pending {
             return;
         }
         let handle = &self.node.0;
-        let is_sent = self.published.publish(&self.inputs.marks, |changes| {
+        let is_sent = self.published.publish(&self.inputs.overrides, |changes| {
             for (host, desired) in &changes {
                 info!(host, wanted = ?desired, "published");
             }
@@ -194,7 +194,7 @@
         if !is_sent {
             error!("mailbox full; the marks are published later");
         }
-        self.marks_are_pending = !is_sent;
+        self.overrides_are_pending = !is_sent;
     }
 }
 
--- a/crates/rockflow-cli/src/control/error.rs
+++ b/crates/rockflow-cli/src/control/error.rs
@@ -34,13 +34,13 @@
     OutsideLoopback { path: PathBuf, name: String, address: SocketAddr },
     /// The operators' overrides are not valid; each line says why.
     #[error("{0}")]
-    Marks(String),
+    Overrides(String),
     /// The node can't be started.
     #[error("dissemination: {0}")]
     Start(#[source] io::Error),
     /// The notice board can't be followed.
     #[error("board: {0}")]
-    Board(#[source] io::Error),
+    NoticeBoard(#[source] io::Error),
     /// The node's thread has ended by itself.
     #[error("dissemination: its thread has ended")]
     NodeEnded,
--- a/crates/rockflow-cli/src/control/inputs.rs
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -1,6 +1,6 @@
 //! What a control process reads: its configuration, the directory of members, and the operators' overrides.
 
-use super::marks::Marks;
+use super::overrides::HostOverrides;
 use super::ControlError;
 use crate::Source;
 use rockflow_dispatcher::Config;
@@ -14,7 +14,7 @@
     pub(super) dissemination: DisseminationSection,
     pub(super) files: ControlSection,
     pub(super) directory: Directory,
-    pub(super) marks: Marks,
+    pub(super) overrides: HostOverrides,
 }
 
 impl ControlInputs {
@@ -27,8 +27,8 @@
         let files = beside.file().control.clone().ok_or(ControlError::MissingSection("control"))?;
         check_own_address(&config.name, &dissemination)?;
         let directory = read_directory(&files.directory, &dissemination)?;
-        let marks = read_marks(files.overrides.as_deref())?;
-        Ok(ControlInputs { config, dissemination, files, directory, marks })
+        let overrides = read_overrides(files.overrides.as_deref())?;
+        Ok(ControlInputs { config, dissemination, files, directory, overrides })
     }
 
     /// A summary for the operator, line by line.
@@ -38,7 +38,7 @@
         vec![
             format!("{name}: ready to control at {listen}"),
             format!("directory {version}: {members} members"),
-            format!("marks: {}", self.marks.len()),
+            format!("marks: {}", self.overrides.len()),
         ]
     }
 }
@@ -70,11 +70,11 @@
 }
 
 /// Reads the operators' overrides; none without a file.
-pub(super) fn read_marks(path: Option<&Path>) -> Result<Marks, ControlError> {
-    let Some(path) = path else { return Ok(Marks::new()) };
+pub(super) fn read_overrides(path: Option<&Path>) -> Result<HostOverrides, ControlError> {
+    let Some(path) = path else { return Ok(HostOverrides::new()) };
     parse_overrides(&path.display().to_string(), &read_file(path)?).map_err(|errors| {
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
-        ControlError::Marks(lines.join("\n"))
+        ControlError::Overrides(lines.join("\n"))
     })
 }
 
--- a/crates/rockflow-cli/src/control/marks.rs
+++ b/crates/rockflow-cli/src/control/overrides.rs
@@ -5,17 +5,17 @@
 use std::collections::BTreeMap;
 
 /// The operators' overrides, by host.
-pub type Marks = BTreeMap<String, AdministrativeState>;
+pub type HostOverrides = BTreeMap<String, AdministrativeState>;
 
 /// The overrides that apply by what was published.
 #[derive(Debug, Default)]
-pub struct PublishedMarks(Marks);
+pub struct PublishedOverrides(HostOverrides);
 
-impl PublishedMarks {
+impl PublishedOverrides {
     /// The desired states of the hosts whose override differs from the published one.
-    pub fn changes(&self, wanted: &Marks) -> Vec<(String, DesiredState)> {
-        let changed = wanted.iter().filter(|(host, mark)| self.0.get(*host) != Some(mark));
-        let changed = changed.map(|(host, mark)| (host.clone(), desired_state(*mark)));
+    pub fn changes(&self, wanted: &HostOverrides) -> Vec<(String, DesiredState)> {
+        let changed = wanted.iter().filter(|(host, state)| self.0.get(*host) != Some(state));
+        let changed = changed.map(|(host, state)| (host.clone(), desired_state(*state)));
         let withdrawn = self.0.keys().filter(|host| !wanted.contains_key(*host));
         let withdrawn = withdrawn.map(|host| (host.clone(), DesiredState::Listed));
         changed.chain(withdrawn).collect()
@@ -24,7 +24,7 @@
     /// Publishes the changes by `send`. Returns false where `send` does: they are to be published later.
     pub fn publish(
         &mut self,
-        wanted: &Marks,
+        wanted: &HostOverrides,
         send: impl FnOnce(Vec<(String, DesiredState)>) -> bool,
     ) -> bool {
         let changes = self.changes(wanted);
@@ -36,8 +36,8 @@
     }
 }
 
-fn desired_state(mark: AdministrativeState) -> DesiredState {
-    match mark {
+fn desired_state(state: AdministrativeState) -> DesiredState {
+    match state {
         AdministrativeState::Draining => DesiredState::Draining,
         AdministrativeState::Gone => DesiredState::Gone,
     }
--- a/crates/rockflow-cli/src/control/report.rs
+++ b/crates/rockflow-cli/src/control/report.rs
@@ -25,14 +25,14 @@
 
 /// Logs one line while a member is missing, lags, or rejects a setting, and one line when none does any more.
 /// `has_trouble` is whether the previous summary named a member.
-pub(super) fn log_summary(status: &TransportStatus, has_trouble: &AtomicBool) {
+pub(super) fn log_summary(status: &TransportStatus, has_lagging_members: &AtomicBool) {
     let Some(control) = &status.node.control else { return };
     let is_well = control.present >= control.expected_members
         && control.lagging.is_empty()
         && control.rejected.is_empty();
-    let had_trouble = has_trouble.swap(!is_well, Ordering::Relaxed);
+    let had_lagging_members = has_lagging_members.swap(!is_well, Ordering::Relaxed);
     if is_well {
-        if had_trouble {
+        if had_lagging_members {
             info!(told = control.expected_members, "all members are there and go by what was published");
         }
         return;
