--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/beside/dissemination.rs
@@ -228,7 +228,7 @@
     node.send(Command::Reject { id, reason });
 }
 
-/// The lock is held for one call of [`Unjudged`] at a time.
+/// The lock is held for one call of [`PendingSettings`] at a time.
 fn lock(pending: &Mutex<PendingSettings>) -> MutexGuard<'_, PendingSettings> {
     pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/rockflow-cli/src/beside/dissemination/pending_settings.rs
+++ b/crates/rockflow-cli/src/beside/dissemination/pending_settings.rs
@@ -27,7 +27,7 @@
         without_room
     }
 
-    /// The list goes by all that was given up to this token, except these hosts. Returns the settings that are rejected.
+    /// The list has applied all that was given up to this token, except these hosts. Returns the settings that are rejected.
     pub fn take_judged(
         &mut self,
         token: ApplyToken,
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -67,7 +67,7 @@
     published: PublishedOverrides,
     /// Overrides were read that are not published yet.
     overrides_are_pending: bool,
-    /// Purges of the board were dropped: a purge of everything is to stand for them.
+    /// Purges of the board were dropped: a purge of everything is to replace them.
     has_lost_purges: Arc<AtomicBool>,
     /// Whether the last summary named a member.
     has_lagging_members: Arc<AtomicBool>,
--- a/crates/rockflow-dissemination/src/apply_queue.rs
+++ b/crates/rockflow-dissemination/src/apply_queue.rs
@@ -138,8 +138,8 @@
                 self.pending_settings.clear();
                 self.touched.extend(streams.of_kind(StreamKind::Configuration));
             }
-            let unjudged = changed.iter().map(|(id, _)| *id).collect();
-            self.pending_settings.issue(token, unjudged);
+            let awaiting_result = changed.iter().map(|(id, _)| *id).collect();
+            self.pending_settings.issue(token, awaiting_result);
         }
         Some(Output::Configure { settings: table.desired_states(), changed, token })
     }
--- a/crates/rockflow-dissemination/src/apply_tokens.rs
+++ b/crates/rockflow-dissemination/src/apply_tokens.rs
@@ -7,7 +7,7 @@
 /// whole table of settings.
 pub const MAX_PENDING_TOKENS: usize = 4096;
 
-/// Names what the caller is to confirm once its decisions go by it. Later tokens are greater.
+/// Names what the caller is to confirm once its decisions have applied it. Later tokens are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ApplyToken(pub u64);
 
@@ -15,7 +15,7 @@
 struct PendingToken {
     is_confirmed: bool,
     /// Settings to be judged. A token all of whose settings are rejected counts as confirmed.
-    unjudged: BTreeSet<EntryId>,
+    awaiting_result: BTreeSet<EntryId>,
     /// How far streams are applied once this token and all before it are confirmed.
     covers: BTreeMap<StreamId, SequenceNumber>,
 }
@@ -41,8 +41,8 @@
     }
 
     /// Adds a token, with the settings that are to be judged under it.
-    pub fn issue(&mut self, token: ApplyToken, unjudged: BTreeSet<EntryId>) {
-        let pending = PendingToken { is_confirmed: false, unjudged, covers: BTreeMap::new() };
+    pub fn issue(&mut self, token: ApplyToken, awaiting_result: BTreeSet<EntryId>) {
+        let pending = PendingToken { is_confirmed: false, awaiting_result, covers: BTreeMap::new() };
         self.pending.insert(token, pending);
     }
 
@@ -73,7 +73,7 @@
     /// The caller has rejected a setting.
     pub fn on_rejected(&mut self, id: EntryId) {
         for pending in self.pending.values_mut() {
-            if pending.unjudged.remove(&id) && pending.unjudged.is_empty() {
+            if pending.awaiting_result.remove(&id) && pending.awaiting_result.is_empty() {
                 pending.is_confirmed = true;
             }
         }
--- a/crates/rockflow-dissemination/src/clock.rs
+++ b/crates/rockflow-dissemination/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time by which a node goes, and how it notices that its process did not run for a while.
+//! The time of a node, and how it notices that its process did not run for a while.
 
 use std::time::Duration;
 
--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -70,7 +70,7 @@
         region.map_or(0, |region| region.listing_hash)
     }
 
-    /// Whether a report goes by the current listing of its region.
+    /// Whether a report uses the current listing of its region.
     pub fn is_current_listing(&self, report: &SubtreeReport) -> bool {
         let regions = self.directory.as_ref().map_or(&[][..], |directory| directory.regions());
         let region = regions.get(usize::from(report.region));
--- a/crates/rockflow-dissemination/src/join.rs
+++ b/crates/rockflow-dissemination/src/join.rs
@@ -15,7 +15,7 @@
 /// Answers from an earlier directory than the current place's that are ignored before one is accepted.
 const MAX_STALE_ANSWERS: u32 = 3;
 
-/// The listing by which the parent goes.
+/// The listing that the parent uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Listing {
     /// Version of the directory.
@@ -114,7 +114,7 @@
         self.due = now + (self.heartbeat_interval * heartbeats).mul_f64(0.75 + random / 2.0);
     }
 
-    /// The parent goes by this listing, whatever its version: children placed by an earlier directory would ask
+    /// The parent uses this listing, whatever its version: children placed by an earlier directory would ask
     /// without end otherwise. Returns whether the member's place has changed by it, and it is to ask soon.
     pub fn on_parent_listing(&mut self, now: Duration, listing: Listing) -> bool {
         self.parent_listing = listing;
--- a/crates/rockflow-dissemination/src/node/anti_entropy.rs
+++ b/crates/rockflow-dissemination/src/node/anti_entropy.rs
@@ -14,7 +14,7 @@
 const MAX_REPAIR_MESSAGES: usize = 16;
 /// A superseded configuration stream is retired after it was quiet for this long.
 const CONFIGURATION_RETIRE_HEARTBEATS: u32 = 120;
-/// A gap open for this part of the purge window is given up at the word of one node that its log begins later.
+/// A gap open for this part of the purge window is given up as soon as one node reports that its log begins later.
 const LONG_GAP_DIVISOR: u32 = 4;
 /// A gap open for this part of the purge window is abandoned.
 const ABANDON_GAP_DIVISOR: u32 = 2;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A node's log begins at `next`. A purge of everything, or the table of settings, stands for what is missing
+    /// A node's log begins at `next`. A purge of everything, or the table of settings, replaces what is missing
     /// before it.
     pub(super) fn on_snapshot(
         &mut self,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Abandons gaps of purges that nobody has closed: a purge of everything stands for them.
+    /// Abandons gaps of purges that nobody has closed: a purge of everything replaces them.
     pub(super) fn abandon_gaps(&mut self, now: Duration) {
         let wait = self.config.purge_window / ABANDON_GAP_DIVISOR;
         let mut has_lost = false;
--- a/crates/rockflow-dissemination/src/node/control.rs
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -54,7 +54,7 @@
         others.map(|peer| peer.address).collect()
     }
 
-    /// Where the sender is a control node, it is alive; if a later incarnation of it is known here, it is told so.
+    /// Where the sender is a control node, it is alive; if a later incarnation of it is known here, it is notified.
     pub(super) fn on_control_message(&mut self, now: Duration, sender: Sender) {
         let Some(index) = self.control_index(sender.identity.node) else { return };
         if let Some(control) = &mut self.control {
--- a/crates/rockflow-dissemination/src/node/ingest.rs
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -34,7 +34,7 @@
         matches!(admission, StreamAdmission::Held | StreamAdmission::New)
     }
 
-    /// A stream is dropped. A purge of everything stands for what is missing of it, or may be: that is where nobody
+    /// A stream is dropped. A purge of everything replaces what is missing of it, or may be: that is where nobody
     /// has advertised how far it reaches since this node is in contact with control.
     pub(super) fn cover_dropped_stream(&mut self, now: Duration, dropped: &Stream) {
         let end_is_known = dropped.last_advertised >= self.contact.since();
--- a/crates/rockflow-dissemination/src/node/join.rs
+++ b/crates/rockflow-dissemination/src/node/join.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Another parent is followed: it is told at once, and the previous one too.
+    /// Another parent is followed: it is notified at once, and the previous one too.
     pub(super) fn on_parent_changed(&mut self, now: Duration, previous: Option<ParentCandidate>) {
         self.counters.parent_changes += 1;
         self.table_sync.clear_mismatches();
--- a/crates/rockflow-dissemination/src/node/mod.rs
+++ b/crates/rockflow-dissemination/src/node/mod.rs
@@ -171,11 +171,11 @@
         self.clock.next_tick
     }
 
-    /// The caller goes by what it was given under this token: all purges, and the settings that it did not reject.
+    /// The caller has applied what it was given under this token: all purges, and the settings that it did not reject.
     pub fn confirm_applied(&mut self, now: Duration, token: ApplyToken) -> Vec<Output> {
         let now = self.advance_clock(now);
         if self.apply_queue.confirm(token) {
-            self.quarantined.clear_judged(token);
+            self.quarantined.clear_retried(token);
         }
         self.flush(now, None)
     }
--- a/crates/rockflow-dissemination/src/node/publishing.rs
+++ b/crates/rockflow-dissemination/src/node/publishing.rs
@@ -12,8 +12,8 @@
 use crate::timestamp::Timestamp;
 use std::time::Duration;
 
-/// Purges that wait to be sent. When full, a purge of everything stands for further ones, until there is room. Settings
-/// wait as long as their log holds them; after that the table of settings stands for them.
+/// Purges that wait to be sent. When full, a purge of everything replaces further ones, until there is room. Settings
+/// wait as long as their log holds them; after that the table of settings replaces them.
 pub const MAX_UNSENT_PUBLICATIONS: u64 = 16_383;
 /// Batches of one kind that are sent with one heartbeat.
 const MAX_PUBLISH_BATCHES: usize = 16;
@@ -31,7 +31,7 @@
 
 impl Node {
     /// Numbers what is to be published, each entry in its stream, in the order given. It is sent with the next
-    /// heartbeat. Returns the ids of the entries, or of those that stand for them; a member publishes nothing.
+    /// heartbeat. Returns the ids of the entries, or of those that replace them; a member publishes nothing.
     pub fn publish(&mut self, now: Duration, publications: Vec<Publication>) -> (Vec<EntryId>, Vec<Output>) {
         let now = self.advance_clock(now);
         let mut ids = Vec::new();
--- a/crates/rockflow-dissemination/src/node/settings_exchange.rs
+++ b/crates/rockflow-dissemination/src/node/settings_exchange.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A whole table is here: streams continue after the entries that it stands for.
+    /// A whole table is here: streams continue after the entries that it replaces.
     fn on_table_fetched(&mut self, now: Duration, fetched: FetchedTable) {
         for (id, next) in fetched.skips {
             if let Some(stream) = self.streams.get_mut(id) {
--- a/crates/rockflow-dissemination/src/output.rs
+++ b/crates/rockflow-dissemination/src/output.rs
@@ -41,7 +41,7 @@
     /// Apply purges, then call [`Node::confirm_applied`](crate::Node::confirm_applied). At a control node these are the
     /// purges that others published, and nothing has to be confirmed.
     Purge {
-        /// Each with its age. A purge of everything also stands for purges that were lost.
+        /// Each with its age. A purge of everything also replaces purges that were lost.
         purges: Vec<(Purge, Duration)>,
         /// What to confirm.
         token: ApplyToken,
--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -5,14 +5,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Purges received from the board and not seen published. When full, a purge of everything stands for all of them.
+/// Purges received from the board and not seen published. When full, a purge of everything replaces all of them.
 pub const MAX_PENDING_PURGES: usize = 16_384;
 /// Notices of one purge that wait; the latest of them cover those before.
 pub const MAX_NOTICES_PER_PURGE: usize = 8;
 /// Purges seen published within the window. When full, all are forgotten: some may be published twice, which is
 /// harmless.
 pub const MAX_PUBLISHED_PURGES: usize = 16_384;
-/// The clocks of control nodes, by which the age of a purge is told, may differ by this part of the window.
+/// The clocks of control nodes, from which the age of a purge is computed, may differ by this part of the window.
 const CLOCK_SKEW_DIVISOR: i128 = 4;
 /// A purge that no active control node has published within this part of the window is overdue.
 const OVERDUE_DIVISOR: i128 = 2;
--- a/crates/rockflow-dissemination/src/quarantine.rs
+++ b/crates/rockflow-dissemination/src/quarantine.rs
@@ -53,7 +53,7 @@
     }
 
     /// The caller has judged all that it was given up to this token: what it did not reject again is applied.
-    pub fn clear_judged(&mut self, token: ApplyToken) {
+    pub fn clear_retried(&mut self, token: ApplyToken) {
         self.settings.retain(|_, quarantined| quarantined.retried_under.is_none_or(|given| given > token));
     }
 
--- a/crates/rockflow-dissemination/src/stream/mod.rs
+++ b/crates/rockflow-dissemination/src/stream/mod.rs
@@ -20,7 +20,7 @@
 pub const MAX_CONFIGURATION_LOG_ENTRIES: usize = 1024;
 /// Numbers in a gap that is repaired entry by entry; for a wider one a snapshot is requested.
 pub(crate) const MAX_REPAIRABLE_GAP: u64 = 4096;
-/// Entries remembered whose numbers are in the log with another content. When full, a purge of everything stands for a
+/// Entries remembered whose numbers are in the log with another content. When full, a purge of everything replaces a
 /// further one.
 const MAX_CONFLICTING_ENTRIES: usize = 64;
 
--- a/crates/rockflow-dissemination/src/subscription.rs
+++ b/crates/rockflow-dissemination/src/subscription.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubscriptionChange {
     Stay,
-    /// Another parent is followed from now on; the previous one is to be told.
+    /// Another parent is followed from now on; the previous one is to be notified.
     Switched {
         previous: ParentCandidate,
     },
@@ -81,11 +81,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatSource {
     Parent,
-    /// The first candidate is back and is followed from now on; the previous parent is to be told.
+    /// The first candidate is back and is followed from now on; the previous parent is to be notified.
     Preferred {
         previous: ParentCandidate,
     },
-    /// A node that is not followed; it is to be told.
+    /// A node that is not followed; it is to be notified.
     Other,
 }
 
--- a/crates/rockflow-transport/src/dissemination/service.rs
+++ b/crates/rockflow-transport/src/dissemination/service.rs
@@ -42,7 +42,7 @@
 
 /// What the owner of a node asks of it.
 pub enum Command {
-    /// The decisions go by what was given under this token.
+    /// The decisions have applied what was given under this token.
     ConfirmApplied(ApplyToken),
     /// A setting can't be applied.
     Reject {
@@ -64,7 +64,7 @@
     Publish {
         /// What to publish.
         publications: Vec<Publication>,
-        /// Receives the ids of the entries, or of those that stand for them.
+        /// Receives the ids of the entries, or of those that replace them.
         reply: Reply<Vec<EntryId>>,
     },
     /// At control: replace the directory.
