--- a/crates/rockflow-management-client/src/gnmi.rs
+++ b/crates/rockflow-management-client/src/gnmi.rs
@@ -44,8 +44,9 @@
     let pattern = Pattern::parse(schema, text).map_err(|error| ClientError::Unreadable(error.to_string()))?;
     let elem = pattern.0.iter().map(|step| {
         let names = schema.keys(step.node).iter().map(|key| schema.node(*key).name.clone());
-        let told = names.zip(&step.keys).filter_map(|(name, key)| Some((name, key.as_ref()?.to_string())));
-        wire::PathElem { name: schema.qualified_name(step.node), key: told.collect() }
+        let key_values =
+            names.zip(&step.keys).filter_map(|(name, key)| Some((name, key.as_ref()?.to_string())));
+        wire::PathElem { name: schema.qualified_name(step.node), key: key_values.collect() }
     });
     Ok(wire::Path { elem: elem.collect(), ..wire::Path::default() })
 }
@@ -114,8 +115,8 @@
 
     /// What the server announces.
     pub async fn capabilities(&mut self) -> Result<wire::CapabilityResponse, ClientError> {
-        let told = self.inner.capabilities(wire::CapabilityRequest::default()).await;
-        told.map(tonic::Response::into_inner).map_err(rejected)
+        let response = self.inner.capabilities(wire::CapabilityRequest::default()).await;
+        response.map(tonic::Response::into_inner).map_err(rejected)
     }
 
     /// Reads what the paths name: the path and value of each instance.
@@ -125,13 +126,13 @@
         paths: &[String],
     ) -> Result<Vec<(String, Value)>, ClientError> {
         let paths = paths.iter().map(|text| path(schema, text)).collect::<Result<_, _>>()?;
-        let asked = wire::GetRequest {
+        let request = wire::GetRequest {
             path: paths,
             encoding: wire::Encoding::JsonIetf as i32,
             ..wire::GetRequest::default()
         };
-        let told = self.inner.get(asked).await.map_err(rejected)?.into_inner();
-        let updates = told.notification.iter().flat_map(|note| &note.update);
+        let response = self.inner.get(request).await.map_err(rejected)?.into_inner();
+        let updates = response.notification.iter().flat_map(|note| &note.update);
         Ok(updates.map(|update| (update.path.as_ref().map(text).unwrap_or_default(), json(update))).collect())
     }
 
@@ -147,23 +148,23 @@
             let made = pairs.iter().map(|(text, value)| Ok(update(path(schema, text)?, value)));
             made.collect::<Result<Vec<_>, ClientError>>()
         };
-        let asked = wire::SetRequest {
+        let request = wire::SetRequest {
             delete: delete.iter().map(|text| path(schema, text)).collect::<Result<_, _>>()?,
             replace: all(replace)?,
             update: all(updates)?,
             ..wire::SetRequest::default()
         };
-        self.inner.set(asked).await.map(tonic::Response::into_inner).map_err(rejected)
+        self.inner.set(request).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
     /// Sends a Set that the caller made.
-    pub async fn raw_set(&mut self, asked: wire::SetRequest) -> Result<wire::SetResponse, ClientError> {
-        self.inner.set(asked).await.map(tonic::Response::into_inner).map_err(rejected)
+    pub async fn raw_set(&mut self, request: wire::SetRequest) -> Result<wire::SetResponse, ClientError> {
+        self.inner.set(request).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
     /// Sends a Get that the caller made.
-    pub async fn raw_get(&mut self, asked: wire::GetRequest) -> Result<wire::GetResponse, ClientError> {
-        self.inner.get(asked).await.map(tonic::Response::into_inner).map_err(rejected)
+    pub async fn raw_get(&mut self, request: wire::GetRequest) -> Result<wire::GetResponse, ClientError> {
+        self.inner.get(request).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
     /// Subscribes with messages that the caller made.
--- a/crates/rockflow-management-client/src/netconf.rs
+++ b/crates/rockflow-management-client/src/netconf.rs
@@ -117,8 +117,8 @@
         out.close("hello");
         client.send(&out.finish()).await?;
         let hello = client.message().await?;
-        let told = hello.child("capabilities").map(|all| all.children.as_slice()).unwrap_or_default();
-        client.capabilities = told.iter().map(|one| one.text().to_string()).collect();
+        let announced = hello.child("capabilities").map(|all| all.children.as_slice()).unwrap_or_default();
+        client.capabilities = announced.iter().map(|one| one.text().to_string()).collect();
         client.session = hello.text_of("session-id").and_then(|word| word.parse().ok()).unwrap_or(0);
         if client.capabilities.iter().any(|one| one == "urn:ietf:params:netconf:base:1.1") {
             client.framing.switch_to_chunks();
@@ -167,7 +167,9 @@
             }
         });
         let reply = reply.await.map_err(|_| connection("no answer in time"))??;
-        if reply.name != "rpc-reply" || reply.attribute("", "message-id").is_some_and(|told| told != id) {
+        if reply.name != "rpc-reply"
+            || reply.attribute("", "message-id").is_some_and(|answered| answered != id)
+        {
             return Err(ClientError::Unreadable(format!("{} is no reply to this", reply.name)));
         }
         match reply.children.iter().find(|child| child.name == "rpc-error") {
@@ -223,7 +225,7 @@
             .collect();
         let read =
             codec::read(schema, None, &known, &Path::default(), rockflow_yang::NodeScope::ConfigAndState);
-        read.map_err(|fault| ClientError::Unreadable(fault.to_string()))
+        read.map_err(|error| ClientError::Unreadable(error.to_string()))
     }
 
     /// Merges a tree into the candidate.
--- a/crates/rockflow-netconf/src/framing.rs
+++ b/crates/rockflow-netconf/src/framing.rs
@@ -104,62 +104,100 @@
     }
 
     fn next_chunked(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
-        if self.is_first_chunk {
-            // What leads to the first chunk's own line feed, and no more than such a line.
-            let lead = self.received.iter().take(2).take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-            let spare = match self.received.get(lead) {
-                Some(b'#') => lead.saturating_sub(1),
-                Some(_) => 0,
-                None => return Ok(None),
-            };
-            self.received.drain(..spare);
-            self.is_first_chunk = false;
+        if self.is_first_chunk && !self.skip_line_feed() {
+            return Ok(None);
         }
-        let (mut used, mut whole) = (0, false);
-        while !whole {
+        let mut used = 0;
+        let mut is_complete = false;
+        while !is_complete {
             if self.chunk_remaining > 0 {
-                let part = self.chunk_remaining.min(self.received.len() - used);
-                if part == 0 {
+                let count = self.chunk_remaining.min(self.received.len() - used);
+                if count == 0 {
                     break;
                 }
-                self.message.extend_from_slice(&self.received[used..used + part]);
-                (used, self.chunk_remaining) = (used + part, self.chunk_remaining - part);
+                self.message.extend_from_slice(&self.received[used..used + count]);
+                used += count;
+                self.chunk_remaining -= count;
                 continue;
             }
-            let rest = &self.received[used..];
-            let head = &rest[..rest.len().min(MAX_HEADER)];
-            if !b"\n#".starts_with(&head[..head.len().min(2)]) {
-                return Err(FramingError::NotAChunk);
-            }
-            let Some(end) = head.iter().skip(2).position(|byte| *byte == b'\n').map(|at| at + 2) else {
-                if head.len() >= MAX_HEADER {
-                    return Err(FramingError::NotAChunk);
-                }
-                break;
-            };
-            match &head[2..end] {
-                b"#" if self.has_chunk => whole = true,
-                [first @ b'1'..=b'9', digits @ ..] if digits.iter().all(u8::is_ascii_digit) => {
-                    let digits = [std::slice::from_ref(first), digits].concat();
-                    let size = String::from_utf8_lossy(&digits).parse::<usize>();
-                    let size = size.map_err(|_| FramingError::NotAChunk)?;
-                    // Guards against a chunk that says to be huge: nothing is reserved for what has not come.
-                    if size > self.max_message_bytes.saturating_sub(self.message.len()) {
-                        return Err(FramingError::TooLarge(self.max_message_bytes));
-                    }
-                    (self.chunk_remaining, self.has_chunk) = (size, true);
-                }
-                _ => return Err(FramingError::NotAChunk),
+            let Some(header) = ChunkHeader::parse(&self.received[used..])? else { break };
+            used += header.length;
+            match header.kind {
+                HeaderKind::End if self.has_chunk => is_complete = true,
+                HeaderKind::End => return Err(FramingError::NotAChunk),
+                HeaderKind::Chunk { size } => self.begin_chunk(size)?,
             }
-            used += end + 1;
         }
         self.received.drain(..used);
-        if !whole {
+        if !is_complete {
             return Ok(None);
         }
         self.has_chunk = false;
         Ok(Some(std::mem::take(&mut self.message)))
     }
+
+    /// Skips the line feed that a client may send between its hello and the first chunk. False: it can't be told yet
+    /// whether there is one.
+    fn skip_line_feed(&mut self) -> bool {
+        let lead = self.received.iter().take(2).take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        let skipped = match self.received.get(lead) {
+            // The last line feed is the chunk header's own.
+            Some(b'#') => lead.saturating_sub(1),
+            Some(_) => 0,
+            None => return false,
+        };
+        self.received.drain(..skipped);
+        self.is_first_chunk = false;
+        true
+    }
+
+    /// Guards against a chunk that claims to be huge: nothing is reserved for what was not received.
+    fn begin_chunk(&mut self, size: usize) -> Result<(), FramingError> {
+        if size > self.max_message_bytes.saturating_sub(self.message.len()) {
+            return Err(FramingError::TooLarge(self.max_message_bytes));
+        }
+        self.chunk_remaining = size;
+        self.has_chunk = true;
+        Ok(())
+    }
+}
+
+/// A line such as `\n#12\n`, which a chunk begins with, or `\n##\n`, which ends a message.
+struct ChunkHeader {
+    kind: HeaderKind,
+    /// Bytes of the header itself.
+    length: usize,
+}
+
+enum HeaderKind {
+    /// A chunk of so many bytes follows.
+    Chunk { size: usize },
+    /// The message ends.
+    End,
+}
+
+impl ChunkHeader {
+    /// Parses the header that the bytes begin with. None: it is not complete yet.
+    fn parse(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
+        let bytes = &bytes[..bytes.len().min(MAX_HEADER)];
+        if !b"\n#".starts_with(&bytes[..bytes.len().min(2)]) {
+            return Err(FramingError::NotAChunk);
+        }
+        let Some(end) = bytes.iter().skip(2).position(|byte| *byte == b'\n').map(|at| at + 2) else {
+            let may_be_completed = bytes.len() < MAX_HEADER;
+            return if may_be_completed { Ok(None) } else { Err(FramingError::NotAChunk) };
+        };
+        let length = end + 1;
+        match &bytes[2..end] {
+            b"#" => Ok(Some(ChunkHeader { kind: HeaderKind::End, length })),
+            digits @ [b'1'..=b'9', rest @ ..] if rest.iter().all(u8::is_ascii_digit) => {
+                let size = String::from_utf8_lossy(digits).parse();
+                let size = size.map_err(|_| FramingError::NotAChunk)?;
+                Ok(Some(ChunkHeader { kind: HeaderKind::Chunk { size }, length }))
+            }
+            _ => Err(FramingError::NotAChunk),
+        }
+    }
 }
 
 /// A message as it is sent.
