--- a/crates/rockflow-dispatcher/tests/common/steps.rs
+++ b/crates/rockflow-dispatcher/tests/common/steps.rs
@@ -73,8 +73,10 @@
                 self.reloads = Some(reloads);
                 *self.held.0.lock().unwrap() = words.contains(&"held");
                 let held = self.held.clone();
+                let (progress, has_begun) = channel();
                 self.stopping = Some(std::thread::spawn(move || {
                     service.stop_with(|service| loop {
+                        let _ = progress.send(());
                         config.try_iter().for_each(|config| service.reload(&config));
                         let (held, released) = &*held;
                         let held = held.lock().unwrap();
@@ -85,6 +87,8 @@
                     });
                     service
                 }));
+                // The decisions have been told of the shutdown: what is sent from here on comes after it.
+                has_begun.recv().expect("the shutdown begins");
             }
             ("release", _) => {
                 assert_eq!(self.handle.as_ref().expect("stopping").phase(), Phase::Draining);
