--- a/crates/rockflow-test-servers/src/keys.rs
+++ b/crates/rockflow-test-servers/src/keys.rs
@@ -68,13 +68,19 @@
     }
 }
 
-/// The private key in OpenSSH's format.
-fn private_key_text(key: &PrivateKey) -> String {
+/// A private key in OpenSSH's format.
+///
+/// # Panics
+/// If the key can't be encoded.
+pub fn private_key_text(key: &PrivateKey) -> String {
     key.to_openssh(LineEnding::LF).expect("a key").to_string()
 }
 
-/// The public key as a line of OpenSSH's `authorized_keys`.
-fn public_key_text(key: &PrivateKey) -> String {
+/// A key's public half, as a line of OpenSSH's `authorized_keys`.
+///
+/// # Panics
+/// If the key can't be encoded.
+pub fn public_key_text(key: &PrivateKey) -> String {
     key.public_key().to_openssh().expect("a key")
 }
 
