--- a/crates/rockflow-cli/tests/manage_output.rs
+++ b/crates/rockflow-cli/tests/manage_output.rs
@@ -2,7 +2,7 @@
 #![cfg(feature = "management")]
 
 use rockflow_process_harness::{free_tcp, until, Process, Start};
-use rockflow_test_servers::keys::{self, Folder};
+use rockflow_test_servers::keys::{self, TemporaryFolder};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -19,7 +19,7 @@
     netconf: SocketAddr,
     user_key: PathBuf,
     host_key: PathBuf,
-    folder: Folder,
+    folder: TemporaryFolder,
 }
 
 struct Printed {
@@ -30,13 +30,13 @@
 
 impl ManagedDispatcher {
     fn start() -> ManagedDispatcher {
-        let folder = Folder::new("manage-output");
-        let user = keys::ssh(USER_KEY_SEED);
-        folder.furnish(&[("root", user.clone())]);
+        let folder = TemporaryFolder::new("manage-output");
+        let user = keys::ssh_key(USER_KEY_SEED);
+        folder.write_credentials(&[("root", user.clone())]);
         let user_key = folder.write("user", &keys::texts(&user).0, 0o600);
-        let host_key = folder.write("host.pub", &keys::texts(&keys::host()).1, 0o600);
+        let host_key = folder.write("host.pub", &keys::texts(&keys::host_key()).1, 0o600);
         let netconf = free_tcp().unwrap();
-        let (ssh, _) = folder.operator_keys();
+        let (ssh, _) = folder.operator_settings();
         let operator = format!("[management]\nowner = root\n[netconf]\nssh = {netconf}\n{ssh}");
         let operator = folder.write("rockflow.ini", &operator, 0o600);
         let process = Start::of(env!("CARGO_BIN_EXE_rockflow"))
--- a/crates/rockflow-management-agent/tests/model.rs
+++ b/crates/rockflow-management-agent/tests/model.rs
@@ -13,7 +13,7 @@
     // A host that started lately, so that it is cold.
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let mut setup = Setup::start(3, 2, Duration::from_millis(1));
-    setup.site.say_started("c3", now.as_millis() as u64);
+    setup.site.announce_started("c3", now.as_millis() as u64);
     block_on(async {
         let mut root = setup.ssh("root").await;
         root.act(&setup.schema, "drain", &[("host", "c1"), ("reason", "x")]).await.unwrap();
