--- a/crates/rockflow-cli/tests/control_ends.rs
+++ b/crates/rockflow-cli/tests/control_ends.rs
@@ -65,7 +65,7 @@
     // Safe: nothing is called there but the system.
     unsafe { command.pre_exec(no_wait_ends) };
     let mut process = command.spawn().unwrap();
-    let ended = rockflow_process_harness::until(PATIENCE, || process.try_wait().unwrap().is_some());
+    let ended = rockflow_process_harness::wait_until(PATIENCE, || process.try_wait().unwrap().is_some());
     if !ended {
         process.kill().unwrap();
     }
--- a/crates/rockflow-cli/tests/dissemination.rs
+++ b/crates/rockflow-cli/tests/dissemination.rs
@@ -1,6 +1,6 @@
 //! Real processes on loopback: a control process and dispatchers, by the operator's file.
 
-use rockflow_process_harness::{free_tcp, free_udp, thread_names, until, Signal, Start};
+use rockflow_process_harness::{free_tcp, free_udp, thread_names, wait_until, Signal, Start};
 use rockflow_test_servers::{DiscoveryServer, Site};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -55,7 +55,7 @@
     /// Waits till the log holds a line with all of these words.
     fn says(&self, words: &[&str]) {
         let holds = |line: &str| words.iter().all(|word| line.contains(word));
-        assert!(until(PATIENCE, || self.0.log().lines().any(holds)), "{words:?} in {}", self.0.log());
+        assert!(wait_until(PATIENCE, || self.0.log().lines().any(holds)), "{words:?} in {}", self.0.log());
     }
 
     fn signal(&self, signal: Signal) {
--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -5,8 +5,8 @@
 
 use rig::*;
 use rockflow_dissemination::{Directory, Identity, Incarnation, NodeId, Output, Peer};
-use rockflow_process_harness::datagrams::{Path, Rule, Who};
-use rockflow_process_harness::until;
+use rockflow_process_harness::datagrams::{MemberSet, PathConditions, Rule};
+use rockflow_process_harness::wait_until;
 use rockflow_transport::dissemination::{AddressScope, Command, FrameCodec, Handle, NodeOptions};
 use serde_json::json;
 use std::time::Duration;
@@ -42,7 +42,7 @@
         [last - 100, last - 80, last - 60, last].into_iter().for_each(|number| rig.in_effect(member, number));
     }
     rig.fleet.start_member(head).unwrap();
-    assert!(until(PATIENCE, || rig.fleet.members[head].ready()));
+    assert!(wait_until(PATIENCE, || rig.fleet.members[head].is_ready()));
     rig.everywhere(0..2);
     // What it missed and what is new: its host's copies are those from before the burst.
     rig.in_effect(head, last);
@@ -68,7 +68,7 @@
     for member in rig.others(head) {
         [last - 119, last - 80, last - 45, last].into_iter().for_each(|number| rig.in_effect(member, number));
     }
-    assert!(until(PATIENCE, || rig.fleet.members[head].ready()), "{}", rig.logs());
+    assert!(wait_until(PATIENCE, || rig.fleet.members[head].is_ready()), "{}", rig.logs());
     rig.in_effect(head, last);
     rig.everywhere(0..2);
     rig.purge_heeded_by_all(1);
@@ -161,7 +161,7 @@
 fn of_two_control_nodes_that_disagree_the_more_careful_holds() {
     let mut rig = Rig::start();
     // Neither hears of the other's, also not by the members.
-    let ids = [rig.cut(Who::One(0), Who::One(1)), rig.cut(Who::One(1), Who::One(0))];
+    let ids = [rig.cut(MemberSet::One(0), MemberSet::One(1)), rig.cut(MemberSet::One(1), MemberSet::One(0))];
     rig.mark_at(0, &[("c2", "draining")]);
     rig.mark_at(1, &[("c2", "gone")]);
     for member in 0..MEMBERS {
@@ -183,7 +183,7 @@
     // Its earlier life, by a clock that was an hour ahead: played here, at its place behind the proxy.
     let peer = |place: usize| Peer {
         node: NodeId::of(&rig.fleet.control[place].name),
-        address: rig.fleet.control_at(place),
+        address: rig.fleet.control_address(place),
     };
     let ahead = now_ms() + 3_600_000;
     let text = std::fs::read_to_string(rig.fleet.layout().folder.join("control-0.directory.csv")).unwrap();
@@ -199,7 +199,7 @@
             heartbeat_interval: PULSE,
         },
         directory: Some(Directory::parse(&text).unwrap()),
-        listen: rig.fleet.control[0].behind,
+        listen: rig.fleet.control[0].socket_address,
         seed: 1,
     };
     let (sender, said) = std::sync::mpsc::channel();
@@ -219,7 +219,7 @@
     let all = std::iter::from_fn(|| said.recv_timeout(PATIENCE).ok()).any(|number| number.0 == 3);
     assert!(all, "{}", rig.logs());
     assert!(earlier.send(Command::Stop));
-    assert!(until(PATIENCE, || earlier.has_ended()));
+    assert!(wait_until(PATIENCE, || earlier.has_ended()));
     // The real one, by a clock that is right: lower than its earlier life's.
     rig.fleet.start_control(0).unwrap();
     rig.fill(0..MEMBERS, 30);
@@ -228,7 +228,7 @@
         [number - 29, number].into_iter().for_each(|number| rig.in_effect(member, number));
     }
     let outlived = || rig.fleet.control[0].log().contains("begun again above it");
-    assert!(until(PATIENCE, outlived), "{}", rig.logs());
+    assert!(wait_until(PATIENCE, outlived), "{}", rig.logs());
     rig.mark(&[("c2", "draining")]);
     (0..MEMBERS).for_each(|member| assert_eq!(rig.state(member, "c2", "Draining"), 1));
 }
@@ -285,7 +285,7 @@
 fn a_version_that_names_a_host_already_gone_is_in_force_and_without_effect() {
     let rig = Rig::start();
     rig.mark(&[("left-long-ago", "draining")]);
-    assert!(until(PATIENCE, || rig.said(0, "Configuration") >= 1), "{}", rig.logs());
+    assert!(wait_until(PATIENCE, || rig.said(0, "Configuration") >= 1), "{}", rig.logs());
     rig.mark(&[("left-long-ago", "draining"), ("c2", "draining")]);
     (0..MEMBERS).for_each(|member| assert_eq!(rig.state(member, "c2", "Draining"), 1));
     assert!((0..MEMBERS).all(|member| effective(
@@ -304,14 +304,14 @@
     for member in 0..MEMBERS {
         if one.contains(&member) {
             let refused = || rig.fleet.members[member].log().contains("kept apart");
-            assert!(until(PATIENCE, refused), "n{member}: {}", rig.logs());
+            assert!(wait_until(PATIENCE, refused), "n{member}: {}", rig.logs());
         } else {
             assert_eq!(rig.state(member, "c1", "Gone"), 1, "n{member}");
         }
     }
     // Control says who refuses, and why.
     let said = || rig.fleet.control.iter().any(|control| control.log().contains("LastOne at 2"));
-    assert!(until(PATIENCE, said), "{}", rig.logs());
+    assert!(wait_until(PATIENCE, said), "{}", rig.logs());
     assert!(one.iter().all(|member| effective(&rig.fleet.members[*member].log(), "c1", "Gone") == 0));
     // What follows goes on.
     rig.purge_heeded_by_all(1);
@@ -322,14 +322,14 @@
 #[test]
 fn lost_doubled_and_late_by_a_second_all_is_in_effect_and_once() {
     let mut rig = Rig::with(Lay { pulse: Duration::from_millis(500), ..Lay::default() });
-    let path = Path {
+    let path = PathConditions {
         lost: 0.05,
         doubled: 0.05,
         late: Duration::from_millis(100),
         jitter: Duration::from_millis(900),
-        ..Path::default()
+        ..PathConditions::default()
     };
-    rig.fleet.proxy.add(Rule { from: Who::All, to: Who::All, path });
+    rig.fleet.proxy.add(Rule { from: MemberSet::All, to: MemberSet::All, path });
     rig.mark(&[("c2", "draining")]);
     rig.fill(0..MEMBERS, 40);
     let number = rig.purge(40);
--- a/crates/rockflow-cli/tests/dissemination_minutes.rs
+++ b/crates/rockflow-cli/tests/dissemination_minutes.rs
@@ -4,8 +4,8 @@
 mod rig;
 
 use rig::*;
-use rockflow_process_harness::datagrams::Who;
-use rockflow_process_harness::{until, Signal};
+use rockflow_process_harness::datagrams::MemberSet;
+use rockflow_process_harness::{wait_until, Signal};
 use std::time::{Duration, Instant};
 
 const MINUTE: Duration = Duration::from_secs(60);
@@ -92,8 +92,8 @@
     let mut rig = start(Lay { two_regions: true, ..Lay::default() });
     // Each has a control node on its side.
     let side = |rig: &Rig, number: usize| {
-        let members = site(number).map(|member| rig.fleet.carried(member));
-        Who::these(2 + MEMBERS, members.chain([number]))
+        let members = site(number).map(|member| rig.fleet.proxy_index(member));
+        MemberSet::only(2 + MEMBERS, members.chain([number]))
     };
     let (here, there) = (side(&rig, 0), side(&rig, 1));
     let ids = [rig.cut(here.clone(), there.clone()), rig.cut(there, here)];
@@ -124,5 +124,5 @@
     }
     rig.everywhere(0..2);
     let settings = || (0..2).all(|place| rig.said(place, "Configuration") >= 2);
-    assert!(until(PATIENCE, settings), "{}", rig.logs());
+    assert!(wait_until(PATIENCE, settings), "{}", rig.logs());
 }
--- a/crates/rockflow-cli/tests/manage_output.rs
+++ b/crates/rockflow-cli/tests/manage_output.rs
@@ -1,7 +1,7 @@
 //! What `rockflow manage` prints and how it exits, held by literal text against a running dispatcher.
 #![cfg(feature = "management")]
 
-use rockflow_process_harness::{free_tcp, until, Process, Start};
+use rockflow_process_harness::{free_tcp, wait_until, Process, Start};
 use rockflow_test_servers::{keys, TemporaryFolder};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
@@ -45,7 +45,7 @@
             .env("ROCKFLOW_OPERATOR", operator)
             .start()
             .unwrap();
-        assert!(until(START_TIMEOUT, || TcpStream::connect(netconf).is_ok()));
+        assert!(wait_until(START_TIMEOUT, || TcpStream::connect(netconf).is_ok()));
         ManagedDispatcher { _process: process, netconf, user_key, host_key, folder }
     }
 
--- a/crates/rockflow-cli/tests/rig/mod.rs
+++ b/crates/rockflow-cli/tests/rig/mod.rs
@@ -4,8 +4,8 @@
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use rockflow_dissemination::{Directory, NodeId};
-use rockflow_process_harness::datagrams::{Path, Rule, RuleId, Who};
-use rockflow_process_harness::{until, Fleet, Layout, Place, Signal};
+use rockflow_process_harness::datagrams::{MemberSet, PathConditions, Rule, RuleId};
+use rockflow_process_harness::{wait_until, Fleet, Layout, Place, Signal};
 use rockflow_test_servers::{DiscoveryServer, Host, TemporaryFolder};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -124,7 +124,7 @@
     /// Till all of them serve.
     pub fn start_members(&mut self) {
         (0..MEMBERS).for_each(|place| self.fleet.start_member(place).unwrap());
-        let ready = until(PATIENCE, || self.fleet.members.iter().all(|member| member.ready()));
+        let ready = wait_until(PATIENCE, || self.fleet.members.iter().all(|member| member.is_ready()));
         assert!(ready, "{}", self.logs());
     }
 
@@ -168,7 +168,7 @@
             // What is in effect is a line of the log.
             log_level: "debug",
         };
-        let fleet = Fleet::lay(layout).unwrap();
+        let fleet = Fleet::prepare(layout).unwrap();
         Rig {
             fleet,
             board,
@@ -234,7 +234,7 @@
     /// that is busy may be answered for with an error before.
     pub fn copy(&self, member: usize, number: usize, copy: usize) {
         let (wanted, mut last) = (format!("copy {copy}"), Err(String::new()));
-        let served = until(PATIENCE, || {
+        let served = wait_until(PATIENCE, || {
             last = self.served(member, number);
             last.as_ref() == Ok(&wanted)
         });
@@ -244,7 +244,7 @@
     /// Till these control nodes have said that the newest purge is in force everywhere: each line counts once for the
     /// stream it names, and numbers of a stream that is said stand for those before.
     pub fn everywhere(&self, control: impl IntoIterator<Item = usize> + Clone) {
-        let said = until(PATIENCE, || {
+        let said = wait_until(PATIENCE, || {
             control.clone().into_iter().all(|place| self.said(place, "Purges") >= self.purged as u64)
         });
         assert!(said, "{} purges; {}", self.purged, self.logs());
@@ -275,8 +275,12 @@
     }
 
     /// Nothing goes from these places in the proxy to those.
-    pub fn cut(&self, from: Who, to: Who) -> RuleId {
-        self.fleet.proxy.add(Rule { from, to, path: Path { cut: true, ..Path::default() } })
+    pub fn cut(&self, from: MemberSet, to: MemberSet) -> RuleId {
+        self.fleet.proxy.add(Rule {
+            from,
+            to,
+            path: PathConditions { cut: true, ..PathConditions::default() },
+        })
     }
 
     /// The head of all: whom most stand behind.
@@ -293,22 +297,22 @@
     }
 
     pub fn in_proxy(&self, members: impl IntoIterator<Item = usize>) -> Vec<usize> {
-        members.into_iter().map(|member| self.fleet.carried(member)).collect()
+        members.into_iter().map(|member| self.fleet.proxy_index(member)).collect()
     }
 
-    pub fn who(&self, members: impl IntoIterator<Item = usize>) -> Who {
-        Who::these(self.fleet.control.len() + MEMBERS, self.in_proxy(members))
+    pub fn who(&self, members: impl IntoIterator<Item = usize>) -> MemberSet {
+        MemberSet::only(self.fleet.control.len() + MEMBERS, self.in_proxy(members))
     }
 
     /// All but these, control nodes too.
-    pub fn rest(&self, members: impl IntoIterator<Item = usize>) -> Who {
-        Who::but(self.fleet.control.len() + MEMBERS, self.in_proxy(members))
+    pub fn rest(&self, members: impl IntoIterator<Item = usize>) -> MemberSet {
+        MemberSet::all_except(self.fleet.control.len() + MEMBERS, self.in_proxy(members))
     }
 
     /// Till a dispatcher's log has said that a host is in this state; how often it says so.
     pub fn state(&self, member: usize, host: &str, state: &str) -> usize {
         let says = || effective(&self.fleet.members[member].log(), host, state);
-        assert!(until(PATIENCE, || says() > 0), "n{member} {host} {state}: {}", self.logs());
+        assert!(wait_until(PATIENCE, || says() > 0), "n{member} {host} {state}: {}", self.logs());
         says()
     }
 
@@ -318,7 +322,7 @@
     }
 
     pub fn mark_at(&self, control: usize, marks: &[(&str, &str)]) {
-        self.fleet.mark_at(control, marks).unwrap();
+        self.fleet.write_overrides_at(control, marks).unwrap();
         self.fleet.control[control].signal(Signal::SIGHUP).unwrap();
     }
 
--- a/crates/rockflow-process-harness/src/fleet.rs
+++ b/crates/rockflow-process-harness/src/fleet.rs
@@ -45,7 +45,7 @@
 pub struct Member {
     pub name: String,
     /// Where its datagrams come in and go out, behind the proxy.
-    pub behind: SocketAddr,
+    pub socket_address: SocketAddr,
     /// Where clients reach a dispatcher.
     pub address: SocketAddr,
     pub process: Option<Process>,
@@ -83,12 +83,12 @@
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    pub fn log_at(&self) -> &Path {
+    pub fn log_path(&self) -> &Path {
         &self.log
     }
 
     /// Whether it answers that it is ready.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.get("/_health", &[]).is_some_and(|answer| answer.starts_with("HTTP/1.1 200 "))
     }
 
@@ -129,7 +129,7 @@
 impl Fleet {
     /// Chooses ports, starts the proxy and writes the files; no process yet. In the proxy control nodes come first, then
     /// the members.
-    pub fn lay(layout: Layout) -> io::Result<Fleet> {
+    pub fn prepare(layout: Layout) -> io::Result<Fleet> {
         let behind = free_udp(layout.control + layout.members.len())?;
         let proxy = Proxy::start(&behind, layout.seed)?;
         let (at_control, at_members) = behind.split_at(layout.control);
@@ -145,8 +145,8 @@
         for (place, member) in fleet.members.iter().enumerate() {
             fleet.write(member, "", fleet.layout.hosts.get(place))?;
         }
-        fleet.mark(&[])?;
-        fleet.list(1, |_| true)?;
+        fleet.write_overrides(&[])?;
+        fleet.write_directory(1, |_| true)?;
         Ok(fleet)
     }
 
@@ -155,17 +155,17 @@
     }
 
     /// The place of a dispatcher in the proxy.
-    pub fn carried(&self, member: usize) -> usize {
+    pub fn proxy_index(&self, member: usize) -> usize {
         self.layout.control + member
     }
 
     /// Where others reach a control node, or a dispatcher.
-    pub fn control_at(&self, place: usize) -> SocketAddr {
+    pub fn control_address(&self, place: usize) -> SocketAddr {
         self.proxy.front(place)
     }
 
-    pub fn member_at(&self, place: usize) -> SocketAddr {
-        self.proxy.front(self.carried(place))
+    pub fn member_address(&self, place: usize) -> SocketAddr {
+        self.proxy.front(self.proxy_index(place))
     }
 
     fn write(&self, member: &Member, more: &str, hosts: Option<&Value>) -> io::Result<()> {
@@ -180,13 +180,14 @@
         }
         std::fs::write(&member.config, value.to_string())?;
         let named = self.control.iter().enumerate();
-        let named: Vec<_> =
-            named.map(|(place, control)| format!("{}@{}", control.name, self.control_at(place))).collect();
+        let named: Vec<_> = named
+            .map(|(place, control)| format!("{}@{}", control.name, self.control_address(place)))
+            .collect();
         // Behind the proxy a control node is known by another address than that at which it listens.
         let text = format!(
             "[dissemination]\nfleet = processes\nlisten = {}\ncontrol = {}\npurge-seconds = {}\n\
              bytes-per-second = {}\npulse-ms = {}\ntrusted-network = yes\n{more}",
-            member.behind,
+            member.socket_address,
             named.join(","),
             layout.purge_window.as_secs_f64(),
             layout.bytes_per_second,
@@ -209,22 +210,22 @@
     }
 
     /// Writes the directory for all control nodes: those members that are told.
-    pub fn list(&self, version: u64, told: impl Fn(usize) -> bool) -> io::Result<()> {
+    pub fn write_directory(&self, version: u64, told: impl Fn(usize) -> bool) -> io::Result<()> {
         let mut text = format!("version,{version}\n");
         for (at, place) in self.layout.members.iter().enumerate().filter(|(at, _)| told(*at)) {
             let Place { name, region, site, zone } = place;
-            text += &format!("{name},{region},{site},{zone},{}\n", self.member_at(at));
+            text += &format!("{name},{region},{site},{zone},{}\n", self.member_address(at));
         }
         self.control.iter().try_for_each(|control| std::fs::write(self.directory_of(&control.name), &text))
     }
 
     /// Writes the marks on hosts for all control nodes; they read them at SIGHUP.
-    pub fn mark(&self, marks: &[(&str, &str)]) -> io::Result<()> {
-        (0..self.control.len()).try_for_each(|control| self.mark_at(control, marks))
+    pub fn write_overrides(&self, marks: &[(&str, &str)]) -> io::Result<()> {
+        (0..self.control.len()).try_for_each(|control| self.write_overrides_at(control, marks))
     }
 
     /// The same for one of them.
-    pub fn mark_at(&self, control: usize, marks: &[(&str, &str)]) -> io::Result<()> {
+    pub fn write_overrides_at(&self, control: usize, marks: &[(&str, &str)]) -> io::Result<()> {
         let text: String = marks.iter().map(|(host, wanted)| format!("{host} = {wanted}\n")).collect();
         std::fs::write(self.marks_of(&self.control[control].name), text)
     }
@@ -238,7 +239,7 @@
     }
 
     /// Without the operator's file: no section, nothing of dissemination.
-    pub fn start_member_bare(&mut self, place: usize) -> io::Result<()> {
+    pub fn start_member_without_dissemination(&mut self, place: usize) -> io::Result<()> {
         self.members[place].start(&self.layout.program, false)
     }
 }
@@ -247,7 +248,7 @@
     let file = |kind: &str| layout.folder.join(format!("{name}.{kind}"));
     Ok(Member {
         name: name.to_string(),
-        behind,
+        socket_address: behind,
         address: free_tcp()?,
         process: None,
         config: file("json"),
--- a/crates/rockflow-process-harness/src/lib.rs
+++ b/crates/rockflow-process-harness/src/lib.rs
@@ -10,5 +10,5 @@
 pub use datagrams::Proxy;
 pub use fleet::{Fleet, Layout, Member, Place};
 pub use ports::{free_tcp, free_udp};
-pub use process::{processor_of_threads, thread_names, Process, Signal, Start, Usage};
-pub use wait::until;
+pub use process::{cpu_time_of_threads, thread_names, Process, Signal, Start, Usage};
+pub use wait::wait_until;
--- a/crates/rockflow-process-harness/src/process.rs
+++ b/crates/rockflow-process-harness/src/process.rs
@@ -53,7 +53,7 @@
     }
 
     /// Takes lines, and its output is read as lines.
-    pub fn talks(mut self) -> Start {
+    pub fn with_pipes(mut self) -> Start {
         self.talks = true;
         self
     }
@@ -87,7 +87,7 @@
     pub threads: u64,
     pub descriptors: usize,
     /// In user and system mode, of all its threads, also those that are gone.
-    pub processor: Duration,
+    pub cpu_time: Duration,
 }
 
 impl Usage {
@@ -104,13 +104,13 @@
             max_rss_kb: number("VmHWM:")?,
             threads: number("Threads:")?,
             descriptors: std::fs::read_dir(format!("{folder}/fd")).map_or(0, Iterator::count),
-            processor: processor(&format!("{folder}/stat"))?,
+            cpu_time: cpu_time(&format!("{folder}/stat"))?,
         })
     }
 }
 
 /// Processor time by a file `stat` of the kernel's.
-fn processor(path: &str) -> Option<Duration> {
+fn cpu_time(path: &str) -> Option<Duration> {
     let stat = std::fs::read_to_string(path).ok()?;
     // The name, in brackets, may hold anything; what follows it is the third field.
     let (_, fields) = stat.rsplit_once(')')?;
@@ -120,12 +120,12 @@
 }
 
 /// Processor time of the threads of that name of a process that are there now; none: there are none.
-pub fn processor_of_threads(id: u32, name: &str) -> Option<Duration> {
+pub fn cpu_time_of_threads(id: u32, name: &str) -> Option<Duration> {
     let threads = std::fs::read_dir(format!("/proc/{id}/task")).ok()?.filter_map(Result::ok);
     let times = threads.filter_map(|thread| {
         let folder = thread.path();
         let named = std::fs::read_to_string(folder.join("comm")).ok()?;
-        processor(folder.join("stat").to_str()?).filter(|_| named.trim_end() == name)
+        cpu_time(folder.join("stat").to_str()?).filter(|_| named.trim_end() == name)
     });
     times.reduce(|sum, time| sum + time)
 }
@@ -151,7 +151,7 @@
     }
 
     /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         if self.ended.is_none() {
             self.ended = self.child.try_wait().ok().flatten();
         }
@@ -169,7 +169,7 @@
 
     /// Ends it at once, and takes note of its end.
     pub fn kill(&mut self) {
-        if self.ended().is_none() {
+        if self.exit_status().is_none() {
             let _ = self.child.kill();
             self.ended = self.child.wait().ok();
         }
@@ -188,33 +188,33 @@
     }
 
     /// Waits so long for its end.
-    pub fn wait_within(&mut self, patience: Duration) -> Option<ExitStatus> {
-        crate::until(patience, || self.ended().is_some());
+    pub fn wait_timeout(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        crate::wait_until(timeout, || self.exit_status().is_some());
         self.ended
     }
 
     /// Says a line to one that talks.
-    pub fn tell(&mut self, line: &str) -> io::Result<()> {
+    pub fn write_line(&mut self, line: &str) -> io::Result<()> {
         let input = self.input.as_mut().ok_or_else(|| io::Error::other("nothing is told to this process"))?;
         writeln!(input, "{line}")
     }
 
     /// The next line of one that talks.
-    pub fn line_within(&self, patience: Duration) -> Result<String, RecvTimeoutError> {
-        self.lines.as_ref().ok_or(RecvTimeoutError::Disconnected)?.recv_timeout(patience)
+    pub fn read_line_timeout(&self, timeout: Duration) -> Result<String, RecvTimeoutError> {
+        self.lines.as_ref().ok_or(RecvTimeoutError::Disconnected)?.recv_timeout(timeout)
     }
 
     /// The next line, if it is there already.
-    pub fn line_now(&self) -> Result<String, TryRecvError> {
+    pub fn try_read_line(&self) -> Result<String, TryRecvError> {
         self.lines.as_ref().ok_or(TryRecvError::Disconnected)?.try_recv()
     }
 
     /// What it, and earlier lives with the same file, have logged.
     pub fn log(&self) -> String {
-        self.log_at().and_then(|path| std::fs::read_to_string(path).ok()).unwrap_or_default()
+        self.log_path().and_then(|path| std::fs::read_to_string(path).ok()).unwrap_or_default()
     }
 
-    pub fn log_at(&self) -> Option<&Path> {
+    pub fn log_path(&self) -> Option<&Path> {
         self.log.as_deref()
     }
 
--- a/crates/rockflow-process-harness/src/wait.rs
+++ b/crates/rockflow-process-harness/src/wait.rs
@@ -1,19 +1,19 @@
-//! Waiting for a condition, never for a time.
+//! Waiting for a condition instead of a fixed time.
 
 use std::time::{Duration, Instant};
 
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Looks again and again; false: it was not so within that time.
-pub fn until(patience: Duration, mut there: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + patience;
+/// Polls a condition till it holds. Returns whether it held within `timeout`.
+pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    let end = Instant::now() + timeout;
     loop {
-        if there() {
+        if condition() {
             return true;
         }
         if Instant::now() >= end {
             return false;
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/rockflow-process-harness/tests/datagrams.rs
+++ b/crates/rockflow-process-harness/tests/datagrams.rs
@@ -1,7 +1,7 @@
 //! The proxy between plain sockets: who answers whom, and what a rule does to a path.
 
-use rockflow_process_harness::datagrams::{Path, Proxy, Rule, Who};
-use rockflow_process_harness::until;
+use rockflow_process_harness::datagrams::{MemberSet, PathConditions, Proxy, Rule};
+use rockflow_process_harness::wait_until;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
@@ -22,8 +22,8 @@
     (String::from_utf8(buffer[..length].to_vec()).unwrap(), from)
 }
 
-fn all(path: Path) -> Rule {
-    Rule { from: Who::All, to: Who::All, path }
+fn all(path: PathConditions) -> Rule {
+    Rule { from: MemberSet::All, to: MemberSet::All, path }
 }
 
 #[test]
@@ -34,7 +34,7 @@
     assert_eq!((text.as_str(), from), ("asked", proxy.front(0)));
     sockets[1].send_to(b"answered", from).unwrap();
     assert_eq!(next(&sockets[0]), ("answered".to_string(), proxy.front(1)));
-    let (asked, answered) = (proxy.carried(0), proxy.carried(1));
+    let (asked, answered) = (proxy.traffic(0), proxy.traffic(1));
     assert_eq!((asked.bytes_out, asked.bytes_in), (5, 8));
     assert_eq!((answered.bytes_out, answered.bytes_in), (8, 5));
 }
@@ -42,12 +42,12 @@
 #[test]
 fn a_path_is_cut_one_way_and_mended() {
     let (sockets, proxy) = members(3);
-    let cut = Path { cut: true, ..Path::default() };
-    let id = proxy.add(Rule { from: Who::One(0), to: Who::these(3, [1, 2]), path: cut });
+    let cut = PathConditions { cut: true, ..PathConditions::default() };
+    let id = proxy.add(Rule { from: MemberSet::One(0), to: MemberSet::only(3, [1, 2]), path: cut });
     sockets[0].send_to(b"cut", proxy.front(1)).unwrap();
     sockets[1].send_to(b"back", proxy.front(0)).unwrap();
     assert_eq!(next(&sockets[0]).0, "back");
-    assert!(until(PATIENCE, || proxy.tally().cut == 1));
+    assert!(wait_until(PATIENCE, || proxy.tally().cut == 1));
     proxy.remove(id);
     sockets[0].send_to(b"mended", proxy.front(1)).unwrap();
     assert_eq!(next(&sockets[1]).0, "mended");
@@ -57,12 +57,12 @@
 fn losses_and_doubles_come_at_their_share() {
     const SENT: u64 = 2000;
     let (sockets, proxy) = members(2);
-    proxy.add(all(Path { lost: 0.2, doubled: 0.1, ..Path::default() }));
+    proxy.add(all(PathConditions { lost: 0.2, doubled: 0.1, ..PathConditions::default() }));
     for sent in 1..=SENT {
         sockets[0].send_to(b"x", proxy.front(1)).unwrap();
         // A few at a time: no buffer of a socket is ever full.
         if sent % 50 == 0 {
-            assert!(until(PATIENCE, || {
+            assert!(wait_until(PATIENCE, || {
                 let tally = proxy.tally();
                 tally.carried + tally.lost == sent + tally.doubled
             }));
@@ -77,7 +77,7 @@
 fn what_is_late_comes_late_and_out_of_order() {
     let (sockets, proxy) = members(2);
     let late = Duration::from_millis(50);
-    proxy.add(all(Path { late, jitter: Duration::from_millis(50), ..Path::default() }));
+    proxy.add(all(PathConditions { late, jitter: Duration::from_millis(50), ..PathConditions::default() }));
     let begun = Instant::now();
     for n in 0..20 {
         sockets[0].send_to(format!("{n:02}").as_bytes(), proxy.front(1)).unwrap();
@@ -96,7 +96,7 @@
     let (sockets, proxy) = members(2);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     stranger.send_to(b"x", proxy.front(1)).unwrap();
-    assert!(until(PATIENCE, || proxy.tally().foreign == 1));
+    assert!(wait_until(PATIENCE, || proxy.tally().foreign == 1));
     sockets[0].send_to(b"known", proxy.front(1)).unwrap();
     assert_eq!(next(&sockets[1]).0, "known");
 }
--- a/crates/rockflow-process-harness/tests/processes.rs
+++ b/crates/rockflow-process-harness/tests/processes.rs
@@ -1,7 +1,7 @@
 //! A process through its life: lines, a log over two lives, signals, what the kernel tells, and its end with the handle.
 
 use rockflow_process_harness::{
-    free_tcp, free_udp, processor_of_threads, thread_names, until, Signal, Start, Usage,
+    cpu_time_of_threads, free_tcp, free_udp, thread_names, wait_until, Signal, Start, Usage,
 };
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -17,10 +17,10 @@
 
 #[test]
 fn it_takes_lines_and_gives_lines() {
-    let mut cat = Start::of("cat").talks().start().unwrap();
-    cat.tell("a line").unwrap();
-    assert_eq!(cat.line_within(PATIENCE).unwrap(), "a line");
-    assert!(cat.line_now().is_err());
+    let mut cat = Start::of("cat").with_pipes().start().unwrap();
+    cat.write_line("a line").unwrap();
+    assert_eq!(cat.read_line_timeout(PATIENCE).unwrap(), "a line");
+    assert!(cat.try_read_line().is_err());
 }
 
 #[test]
@@ -29,7 +29,7 @@
     let life = |word: &str| {
         let start = Start::of("sh").args(["-c", &format!("echo {word} >&2; exit 3")]).log(&path);
         let mut process = start.start().unwrap();
-        assert_eq!(process.wait_within(PATIENCE).unwrap().code(), Some(3));
+        assert_eq!(process.wait_timeout(PATIENCE).unwrap().code(), Some(3));
         assert_eq!(process.usage(), None);
         process.log()
     };
@@ -39,12 +39,12 @@
 
 #[test]
 fn it_is_stopped_woken_and_ended_by_its_id() {
-    let mut cat = Start::of("cat").talks().start().unwrap();
+    let mut cat = Start::of("cat").with_pipes().start().unwrap();
     let id = cat.id();
     cat.signal(Signal::SIGSTOP).unwrap();
-    assert!(until(PATIENCE, || state(id) == Some('T')));
+    assert!(wait_until(PATIENCE, || state(id) == Some('T')));
     cat.signal(Signal::SIGCONT).unwrap();
-    assert!(until(PATIENCE, || state(id) != Some('T')));
+    assert!(wait_until(PATIENCE, || state(id) != Some('T')));
     cat.signal(Signal::SIGTERM).unwrap();
     assert_eq!(cat.wait().unwrap().signal(), Some(Signal::SIGTERM as i32));
     assert!(cat.signal(Signal::SIGTERM).is_err());
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_stopped_one_is_gone_with_its_handle() {
-    let cat = Start::of("cat").talks().start().unwrap();
+    let cat = Start::of("cat").with_pipes().start().unwrap();
     let id = cat.id();
     cat.signal(Signal::SIGSTOP).unwrap();
     drop(cat);
@@ -62,14 +62,14 @@
 #[test]
 fn the_kernel_tells_what_it_uses() {
     let busy = Start::of("sh").args(["-c", "while :; do :; done"]).start().unwrap();
-    assert!(until(PATIENCE, || busy
+    assert!(wait_until(PATIENCE, || busy
         .usage()
-        .is_some_and(|usage| usage.processor >= Duration::from_millis(50))));
+        .is_some_and(|usage| usage.cpu_time >= Duration::from_millis(50))));
     let usage = busy.usage().unwrap();
     assert!(usage.rss_kb > 0 && usage.max_rss_kb >= usage.rss_kb && usage.threads == 1, "{usage:?}");
     assert!(usage.descriptors >= 3, "{usage:?}");
-    assert!(processor_of_threads(busy.id(), "sh").unwrap() >= usage.processor);
-    assert_eq!(processor_of_threads(busy.id(), "other"), None);
+    assert!(cpu_time_of_threads(busy.id(), "sh").unwrap() >= usage.cpu_time);
+    assert_eq!(cpu_time_of_threads(busy.id(), "other"), None);
     assert_eq!(thread_names(busy.id()), ["sh"]);
 }
 
--- a/crates/rockflow-scale/src/run/figures.rs
+++ b/crates/rockflow-scale/src/run/figures.rs
@@ -4,8 +4,8 @@
 use super::minutes::Greatest;
 use super::Found;
 use crate::rows::{short, Found as Figure, How, Row, Size};
-use rockflow_process_harness::datagrams::Carried;
-use rockflow_process_harness::{processor_of_threads, Fleet, Usage};
+use rockflow_process_harness::datagrams::TrafficCounts;
+use rockflow_process_harness::{cpu_time_of_threads, Fleet, Usage};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
     at: Option<Instant>,
-    carried: Vec<Carried>,
+    carried: Vec<TrafficCounts>,
     /// Of a process: its id and what the kernel tells, and the processor time of its machine's thread.
     used: BTreeMap<usize, (u32, Usage, Duration)>,
     /// Of the thread of all hollow ones.
@@ -29,14 +29,14 @@
         let all = fleet.control.iter().chain(&fleet.members).enumerate();
         let used = all.filter_map(|(place, member)| {
             let process = member.process.as_ref()?;
-            let own = processor_of_threads(process.id(), THREAD).unwrap_or_default();
+            let own = cpu_time_of_threads(process.id(), THREAD).unwrap_or_default();
             Some((place, (process.id(), process.usage()?, own)))
         });
         Sample {
             at: Some(Instant::now()),
             used: used.collect(),
-            carried: (0..control + fleet.members.len()).map(|place| fleet.proxy.carried(place)).collect(),
-            hollow: processor_of_threads(std::process::id(), hollow).unwrap_or_default(),
+            carried: (0..control + fleet.members.len()).map(|place| fleet.proxy.traffic(place)).collect(),
+            hollow: cpu_time_of_threads(std::process::id(), hollow).unwrap_or_default(),
         }
     }
 
@@ -54,7 +54,7 @@
         (seconds > 0.0 && hollow > 0).then(|| spent / seconds / hollow as f64)
     }
 
-    fn carried(&self, place: usize) -> Carried {
+    fn carried(&self, place: usize) -> TrafficCounts {
         self.carried.get(place).copied().unwrap_or_default()
     }
 }
@@ -92,7 +92,7 @@
             out: (after.bytes_out - before.bytes_out) as f64 / seconds,
             back: (after.bytes_in - before.bytes_in) as f64 / seconds,
             core: same
-                .map(|(from, to)| (to.1.processor.saturating_sub(from.1.processor)).as_secs_f64() / seconds),
+                .map(|(from, to)| (to.1.cpu_time.saturating_sub(from.1.cpu_time)).as_secs_f64() / seconds),
             thread: same.map(|(from, to)| to.2.saturating_sub(from.2).as_secs_f64() / seconds),
         }
     }
--- a/crates/rockflow-scale/src/run/minutes.rs
+++ b/crates/rockflow-scale/src/run/minutes.rs
@@ -1,6 +1,6 @@
 //! Bytes over sliding minutes: the allowance holds on the mean of a minute, whichever.
 
-use rockflow_process_harness::datagrams::Carried;
+use rockflow_process_harness::datagrams::TrafficCounts;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 /// What was counted from a second to the next, over the last minute.
 #[derive(Debug, Default)]
 pub struct Minutes {
-    samples: VecDeque<(Instant, Vec<Carried>)>,
+    samples: VecDeque<(Instant, Vec<TrafficCounts>)>,
     began: Option<Instant>,
     /// By place in the proxy: while nothing was at fault, and over all.
     pub ordinary: Vec<Greatest>,
@@ -34,7 +34,7 @@
     pub fn take(
         &mut self,
         now: Instant,
-        carried: Vec<Carried>,
+        carried: Vec<TrafficCounts>,
         ordinary: bool,
         children: impl Fn(usize) -> usize,
     ) {
--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -19,7 +19,7 @@
 use ledger::{Cause, Ledger};
 use minutes::{Greatest, Minutes};
 use rockflow_dissemination as node;
-use rockflow_process_harness::datagrams::{Path, Rule, RuleId, Who};
+use rockflow_process_harness::datagrams::{MemberSet, PathConditions, Rule, RuleId};
 use rockflow_process_harness::{Fleet, Layout, Place, Signal};
 use rockflow_test_servers::{DiscoveryServer, TemporaryFolder};
 use rockflow_transport::dissemination::{AddressScope, FrameCodec, NodeOptions, TransportStatus};
@@ -260,9 +260,9 @@
             // What is in force at a dispatcher is a line of its log.
             log_level: "debug",
         };
-        let fleet = Fleet::lay(layout).map_err(fault("the fleet's files and ports"))?;
-        fleet.list(2, |member| member < count).map_err(fault("the directory"))?;
-        let tail = |process: &rockflow_process_harness::Member| Tail::new(process.log_at().to_path_buf());
+        let fleet = Fleet::prepare(layout).map_err(fault("the fleet's files and ports"))?;
+        fleet.write_directory(2, |member| member < count).map_err(fault("the directory"))?;
+        let tail = |process: &rockflow_process_harness::Member| Tail::new(process.log_path().to_path_buf());
         let tails = fleet.control.iter().map(tail).collect();
         let real: Vec<_> = (0..count).filter(|member| is_real[*member]).collect();
         let effects = real.iter().map(|member| (*member, tail(&fleet.members[*member]))).collect();
@@ -318,7 +318,9 @@
             self.start(Node::Control(place))?;
         }
         for number in 0..BARE {
-            self.fleet.start_member_bare(self.places + number).map_err(fault("a process"))?;
+            self.fleet
+                .start_member_without_dissemination(self.places + number)
+                .map_err(fault("a process"))?;
         }
         let real: Vec<_> = (0..self.places).filter(|member| self.is_real[*member]).collect();
         for some in real.chunks(AT_ONCE) {
@@ -326,8 +328,8 @@
                 self.start(Node::Member(*member))?;
             }
             let over = || self.interrupted.load(Ordering::Relaxed);
-            let ready = || over() || some.iter().all(|member| self.fleet.members[*member].ready());
-            let ready = rockflow_process_harness::until(SETTLES, ready);
+            let ready = || over() || some.iter().all(|member| self.fleet.members[*member].is_ready());
+            let ready = rockflow_process_harness::wait_until(SETTLES, ready);
             self.ensure(true, "")?;
             if !ready {
                 return Err(Fault(format!("not ready: {}", self.fleet.members[some[0]].log())));
@@ -374,7 +376,7 @@
         let marks = self.marks.entry(place).or_default();
         marks.push(format!("host-{number}"));
         let all: Vec<_> = marks.iter().map(|host| (host.as_str(), "draining")).collect();
-        self.fleet.mark_at(place, &all).map_err(fault("marks"))?;
+        self.fleet.write_overrides_at(place, &all).map_err(fault("marks"))?;
         lock(&self.ledger).change(Instant::now(), &format!("host-{number}"));
         self.fleet.control[place].signal(Signal::SIGHUP).map_err(fault("SIGHUP"))
     }
@@ -404,7 +406,7 @@
         let control = self.fleet.control.iter().enumerate();
         let peer = |(place, control): (usize, &rockflow_process_harness::Member)| node::Peer {
             node: node::NodeId::of(&control.name),
-            address: self.fleet.control_at(place),
+            address: self.fleet.control_address(place),
         };
         NodeOptions {
             codec: FrameCodec::new("processes", layout.control, AddressScope::LoopbackOnly),
@@ -421,7 +423,7 @@
                 heartbeat_interval: layout.pulse,
             },
             directory: None,
-            listen: own.behind,
+            listen: own.socket_address,
             seed: self.options.seed ^ member as u64,
         }
     }
@@ -444,9 +446,13 @@
         match step {
             Step::Path { id, from, to, fault } => {
                 let path = match fault {
-                    PathFault::Cut => Path { cut: true, ..Path::default() },
-                    PathFault::Lossy { lost, doubled } => Path { lost, doubled, ..Path::default() },
-                    PathFault::Late { late, jitter } => Path { late, jitter, ..Path::default() },
+                    PathFault::Cut => PathConditions { cut: true, ..PathConditions::default() },
+                    PathFault::Lossy { lost, doubled } => {
+                        PathConditions { lost, doubled, ..PathConditions::default() }
+                    }
+                    PathFault::Late { late, jitter } => {
+                        PathConditions { late, jitter, ..PathConditions::default() }
+                    }
                 };
                 let rule = Rule { from: self.who(&from), to: self.who(&to), path };
                 let (cause, members) = self.concerned(fault, &from, &to);
@@ -514,13 +520,13 @@
         (cause, few.iter().copied().filter(|member| *member < self.places).collect())
     }
 
-    fn who(&self, members: &[usize]) -> Who {
+    fn who(&self, members: &[usize]) -> MemberSet {
         let control = self.fleet.control.len();
         let place = |member: &usize| match member.checked_sub(self.places) {
             Some(control) => control,
             None => control + member,
         };
-        Who::these(control + self.places, members.iter().map(place))
+        MemberSet::only(control + self.places, members.iter().map(place))
     }
 
     fn signal(&mut self, node: Node, signal: Signal) -> Result<(), Fault> {
@@ -617,7 +623,7 @@
         let of = |place: usize| {
             place.checked_sub(control).and_then(|member| followers.get(&member)).copied().unwrap_or_default()
         };
-        let carried = self.fleet.proxy.carried_by_all();
+        let carried = self.fleet.proxy.traffic_of_all();
         self.minutes.take(Instant::now(), carried, self.ordinary.is_none(), of);
     }
 
@@ -696,7 +702,7 @@
     fn children(&self) -> Vec<usize> {
         let listed = |at: usize| {
             let Place { name, region, site, zone } = self.fleet.layout().members[at].clone();
-            node::DirectoryMember { name, region, site, zone, address: self.fleet.member_at(at) }
+            node::DirectoryMember { name, region, site, zone, address: self.fleet.member_address(at) }
         };
         let mut children = vec![0; self.places];
         let Ok(directory) = node::Directory::of(1, (0..self.places).map(listed).collect()) else {
--- a/crates/rockflow-scale/src/virtual_fleet/mod.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/mod.rs
@@ -209,7 +209,7 @@
     loop {
         while playing.len() < at_a_time {
             let Some((moment, seed)) = waiting.next() else { break };
-            let mut start = Start::of(&program).args(arguments(options, *moment, *seed)).talks();
+            let mut start = Start::of(&program).args(arguments(options, *moment, *seed)).with_pipes();
             if let Some(rows) = &options.rows {
                 start = start.arg("--rows").arg(rows);
             }
@@ -228,13 +228,13 @@
         std::thread::sleep(LOOK);
         let mut still = Vec::new();
         for (mut process, name, mut said) in playing {
-            let ended = process.ended();
-            said.extend(std::iter::from_fn(|| process.line_now().ok()));
+            let ended = process.exit_status();
+            said.extend(std::iter::from_fn(|| process.try_read_line().ok()));
             match ended {
                 None => still.push((process, name, said)),
                 Some(status) => {
                     // Its last lines may still be on their way.
-                    said.extend(std::iter::from_fn(|| process.line_within(LAST_LINES).ok()));
+                    said.extend(std::iter::from_fn(|| process.read_line_timeout(LAST_LINES).ok()));
                     println!("{}", said.join("\n"));
                     failed.extend((!status.success()).then(|| format!("{name}: {status}")));
                 }
--- a/crates/rockflow-scale/tests/processes.rs
+++ b/crates/rockflow-scale/tests/processes.rs
@@ -2,7 +2,7 @@
 //! control's log.
 
 use rockflow_dissemination::Purge;
-use rockflow_process_harness::datagrams::Carried;
+use rockflow_process_harness::datagrams::TrafficCounts;
 use rockflow_process_harness::Place;
 use rockflow_scale::run::ledger::{Cause, Ledger, Waited};
 use rockflow_scale::run::minutes::Minutes;
@@ -200,8 +200,12 @@
     let mut bytes = 0;
     // 100 bytes a second, and from 90 to 120 s five times as many.
     for second in 0..=240 {
-        let carried =
-            Carried { bytes_out: bytes, frames_out: bytes / 100, bytes_in: 7 * second, ..Carried::default() };
+        let carried = TrafficCounts {
+            bytes_out: bytes,
+            frames_out: bytes / 100,
+            bytes_in: 7 * second,
+            ..TrafficCounts::default()
+        };
         minutes.take(at(1000 * second), vec![carried], second <= 100, |_| second as usize);
         bytes += if (90..120).contains(&second) { 500 } else { 100 };
     }
@@ -213,7 +217,7 @@
     // What lasts less than a minute has none.
     let mut short = Minutes::default();
     (0..60).for_each(|second| {
-        let carried = Carried { bytes_out: 1000 * second, ..Carried::default() };
+        let carried = TrafficCounts { bytes_out: 1000 * second, ..TrafficCounts::default() };
         short.take(at(1000 * second), vec![carried], true, |_| 0);
     });
     assert_eq!(short.whole[0].out, 0.0);
--- a/crates/rockflow-transport/tests/processes.rs
+++ b/crates/rockflow-transport/tests/processes.rs
@@ -103,7 +103,7 @@
 
 impl Member {
     fn send_line(&mut self, line: &str) {
-        self.process.tell(line).unwrap();
+        self.process.write_line(line).unwrap();
     }
 
     /// A client's request arrives.
@@ -128,7 +128,7 @@
             return self.seen.remove(at);
         }
         loop {
-            match self.process.line_within(end.saturating_duration_since(Instant::now())) {
+            match self.process.read_line_timeout(end.saturating_duration_since(Instant::now())) {
                 Ok(line) if line.starts_with(begins) => return line,
                 Ok(line) => self.seen.push(line),
                 Err(what) => panic!("no {begins:?}: {what}; came: {:?}", self.seen),
@@ -139,7 +139,7 @@
     /// Whether a line that begins so has arrived by now.
     fn has(&mut self, begins: &str) -> bool {
         loop {
-            match self.process.line_now() {
+            match self.process.try_read_line() {
                 Ok(line) => self.seen.push(line),
                 Err(_) => return self.seen.iter().any(|line| line.starts_with(begins)),
             }
@@ -159,7 +159,7 @@
                 return;
             }
             assert!(Instant::now() < end, "{:?}", self.seen);
-            match self.process.line_within(Duration::from_millis(50)) {
+            match self.process.read_line_timeout(Duration::from_millis(50)) {
                 Ok(line) => self.seen.push(line),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(what) => panic!("{what}"),
@@ -193,7 +193,7 @@
         let process = Start::of(std::env::current_exe().unwrap())
             .args(["--exact", "member", "--nocapture"])
             .env("MEMBER", format!("{at} {incarnation} {first} {}", addresses.join(" ")))
-            .talks()
+            .with_pipes()
             .start()
             .unwrap();
         self.members.insert(at, Member { process, seen: Vec::new() });
