--- a/crates/rockflow-cli/tests/rig/mod.rs
+++ b/crates/rockflow-cli/tests/rig/mod.rs
@@ -158,10 +158,10 @@
             folder: folder.path().to_path_buf(),
             control,
             members: places(two_regions),
-            control_board: board.address,
-            board: quiet.address,
+            control_discovery: board.address,
+            discovery: quiet.address,
             hosts: known,
-            pulse,
+            heartbeat_interval: pulse,
             purge_window,
             bytes_per_second: 65_536,
             seed: 34,
@@ -213,7 +213,7 @@
     /// What a dispatcher's client is served of an object.
     pub fn served(&self, member: usize, number: usize) -> Result<String, String> {
         let call = CALLS.fetch_add(1, Ordering::Relaxed);
-        self.fleet.members[member].serve(&object(number), call)
+        self.fleet.members[member].serve(&object(number), call).map_err(|error| error.to_string())
     }
 
     /// Fills copies of the next so many objects at these dispatchers' hosts, so that they are older than a purge.
--- a/crates/rockflow-process-harness/src/lib.rs
+++ b/crates/rockflow-process-harness/src/lib.rs
@@ -1,14 +1,17 @@
-//! The one way in which tests and measurements start, fault, measure and stop processes, and fault the datagrams between
-//! them. Loopback only; what was started is stopped when its handle is dropped, by its id.
+//! Starts, faults, measures and stops processes for tests and benchmarks, and faults the datagrams between them.
+//!
+//! Everything is on loopback. A process that was started here is killed when its handle is dropped.
 
 pub mod datagrams;
 mod fleet;
 mod ports;
 mod process;
+mod usage;
 mod wait;
 
 pub use datagrams::Proxy;
-pub use fleet::{Fleet, Layout, Member, Place};
+pub use fleet::{Fleet, Layout, Member, Place, ServeError};
 pub use ports::{free_tcp, free_udp};
-pub use process::{cpu_time_of_threads, thread_names, Process, Signal, Start, Usage};
+pub use process::{Process, Signal, Start};
+pub use usage::{cpu_time_of_threads, thread_names, Usage};
 pub use wait::wait_until;
--- a/crates/rockflow-process-harness/tests/datagrams.rs
+++ b/crates/rockflow-process-harness/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! The proxy between plain sockets: who answers whom, and what a rule does to a path.
+//! The datagram proxy between plain sockets.
 
 use rockflow_process_harness::datagrams::{MemberSet, PathConditions, Proxy, Rule};
 use rockflow_process_harness::wait_until;
@@ -15,7 +15,7 @@
     (sockets, proxy)
 }
 
-/// Reads what one member sent another, and says from where it came.
+/// Receives a datagram, and returns its text and source.
 fn next(socket: &UdpSocket) -> (String, std::net::SocketAddr) {
     let mut buffer = [0; 100];
     let (length, from) = socket.recv_from(&mut buffer).expect("a datagram in time");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_answer_to_where_a_datagram_came_from_passes_through_the_proxy_too() {
+fn carries_answer_to_source_of_datagram() {
     let (sockets, proxy) = members(2);
     sockets[0].send_to(b"asked", proxy.front(1)).unwrap();
     let (text, from) = next(&sockets[1]);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_path_is_cut_one_way_and_mended() {
+fn cuts_path_in_one_direction_until_rule_is_removed() {
     let (sockets, proxy) = members(3);
     let cut = PathConditions { cut: true, ..PathConditions::default() };
     let id = proxy.add(Rule { from: MemberSet::One(0), to: MemberSet::only(3, [1, 2]), path: cut });
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn losses_and_doubles_come_at_their_share() {
+fn loses_and_doubles_configured_shares() {
     const SENT: u64 = 2000;
     let (sockets, proxy) = members(2);
     proxy.add(all(PathConditions { lost: 0.2, doubled: 0.1, ..PathConditions::default() }));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_is_late_comes_late_and_out_of_order() {
+fn delays_and_reorders_datagrams() {
     let (sockets, proxy) = members(2);
     let late = Duration::from_millis(50);
     proxy.add(all(PathConditions { late, jitter: Duration::from_millis(50), ..PathConditions::default() }));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_stranger_is_left_alone() {
+fn drops_and_counts_datagram_of_foreign_sender() {
     let (sockets, proxy) = members(2);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     stranger.send_to(b"x", proxy.front(1)).unwrap();
--- a/crates/rockflow-process-harness/tests/processes.rs
+++ b/crates/rockflow-process-harness/tests/processes.rs
@@ -1,4 +1,4 @@
-//! A process through its life: lines, a log over two lives, signals, what the kernel tells, and its end with the handle.
+//! Processes: lines, logs, signals, resource usage and free ports.
 
 use rockflow_process_harness::{
     cpu_time_of_threads, free_tcp, free_udp, thread_names, wait_until, Signal, Start, Usage,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn it_takes_lines_and_gives_lines() {
+fn writes_and_reads_lines() {
     let mut cat = Start::of("cat").with_pipes().start().unwrap();
     cat.write_line("a line").unwrap();
     assert_eq!(cat.read_line_timeout(PATIENCE).unwrap(), "a line");
@@ -24,21 +24,21 @@
 }
 
 #[test]
-fn a_log_holds_what_both_lives_said() {
+fn appends_to_log_of_earlier_process() {
     let path = std::env::temp_dir().join(format!("rockflow-processes-log-{}", std::process::id()));
-    let life = |word: &str| {
+    let run = |word: &str| {
         let start = Start::of("sh").args(["-c", &format!("echo {word} >&2; exit 3")]).log(&path);
         let mut process = start.start().unwrap();
         assert_eq!(process.wait_timeout(PATIENCE).unwrap().code(), Some(3));
         assert_eq!(process.usage(), None);
         process.log()
     };
-    assert_eq!((life("first"), life("second")), ("first\n".to_string(), "first\nsecond\n".to_string()));
+    assert_eq!((run("first"), run("second")), ("first\n".to_string(), "first\nsecond\n".to_string()));
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn it_is_stopped_woken_and_ended_by_its_id() {
+fn signals_stop_resume_and_end_process() {
     let mut cat = Start::of("cat").with_pipes().start().unwrap();
     let id = cat.id();
     cat.signal(Signal::SIGSTOP).unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_stopped_one_is_gone_with_its_handle() {
+fn dropping_handle_kills_stopped_process() {
     let cat = Start::of("cat").with_pipes().start().unwrap();
     let id = cat.id();
     cat.signal(Signal::SIGSTOP).unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_kernel_tells_what_it_uses() {
+fn reports_resource_usage() {
     let busy = Start::of("sh").args(["-c", "while :; do :; done"]).start().unwrap();
     assert!(wait_until(PATIENCE, || busy
         .usage()
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn ports_differ() {
+fn never_chooses_port_twice() {
     let ports = free_udp(100).unwrap();
     assert_eq!(ports.iter().collect::<BTreeSet<_>>().len(), 100);
     // Also those that are chosen one after another, each free again by the next.
