--- a/crates/rockflow-cluster-simulation/src/summary.rs
+++ b/crates/rockflow-cluster-simulation/src/summary.rs
@@ -15,15 +15,16 @@
     /// Schedules that were played.
     pub schedules: u64,
     /// Requests that clients sent.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Requests that were answered.
     pub answered: u64,
     /// Clients that asked again under their id after their dispatcher was killed.
     #[serde(rename = "came_again")]
-    pub asked_again: u64,
+    pub retried: u64,
     /// Those of them that were answered.
     #[serde(rename = "served_again")]
-    pub answered_again: u64,
+    pub retries_answered: u64,
     /// Takeovers that were begun.
     #[serde(rename = "claims")]
     pub takeovers: u64,
@@ -40,11 +41,11 @@
     pub fn add(&mut self, seed: u64, world: &World) {
         let observed = &world.observations;
         self.schedules += 1;
-        self.asked += observed.asked.len() as u64;
+        self.requests += observed.first_sent.len() as u64;
         self.answered += observed.answers.len() as u64;
-        self.asked_again += observed.asked_again.len() as u64;
-        let answered_again = observed.asked_again.iter().filter(|id| observed.answers.contains_key(id));
-        self.answered_again += answered_again.count() as u64;
+        self.retried += observed.retried.len() as u64;
+        let retries_answered = observed.retried.iter().filter(|id| observed.answers.contains_key(id));
+        self.retries_answered += retries_answered.count() as u64;
         for counts in world.counts() {
             self.takeovers += counts.takeovers;
             self.run_again += counts.run_again;
@@ -58,10 +59,10 @@
     /// Adds what other schedules of the same row came to.
     pub fn merge(&mut self, other: Summary) {
         self.schedules += other.schedules;
-        self.asked += other.asked;
+        self.requests += other.requests;
         self.answered += other.answered;
-        self.asked_again += other.asked_again;
-        self.answered_again += other.answered_again;
+        self.retried += other.retried;
+        self.retries_answered += other.retries_answered;
         self.takeovers += other.takeovers;
         self.run_again += other.run_again;
         self.frames += other.frames;
--- a/crates/rockflow-cluster-simulation/src/world.rs
+++ b/crates/rockflow-cluster-simulation/src/world.rs
@@ -34,7 +34,7 @@
 enum SimulatedEvent {
     Frame { to: usize, from: Identity, message: Message },
     Tick(usize),
-    Ask { at: usize, request: RequestId, is_retry: bool },
+    SendRequest { at: usize, request: RequestId, is_retry: bool },
     HostAnswers { at: usize, incarnation: Incarnation, request: RequestId },
     Kill(usize),
     Start(usize),
@@ -49,7 +49,7 @@
         match self {
             SimulatedEvent::Frame { to, .. } => Some(*to),
             SimulatedEvent::Tick(at)
-            | SimulatedEvent::Ask { at, .. }
+            | SimulatedEvent::SendRequest { at, .. }
             | SimulatedEvent::HostAnswers { at, .. } => Some(*at),
             _ => None,
         }
@@ -76,11 +76,11 @@
     /// By request: the answers that clients got, and when.
     pub answers: BTreeMap<RequestId, Vec<(Duration, Answer)>>,
     /// When each request was first sent.
-    pub asked: BTreeMap<RequestId, Duration>,
+    pub first_sent: BTreeMap<RequestId, Duration>,
     /// Requests whose client lost its dispatcher.
     pub lost_clients: BTreeSet<RequestId>,
     /// Requests that were sent again after their dispatcher was killed.
-    pub asked_again: BTreeSet<RequestId>,
+    pub retried: BTreeSet<RequestId>,
     /// Frames that were sent.
     pub frames: u64,
 }
@@ -205,13 +205,16 @@
             self.kinds.insert(request, kind_of(n));
             let when = self.busy_time();
             let at = self.any_member();
-            self.schedule(when, SimulatedEvent::Ask { at, request, is_retry: false });
+            self.schedule(when, SimulatedEvent::SendRequest { at, request, is_retry: false });
             // Some ids are sent to two dispatchers at once, or again a little later.
             if n % 5 == 0 {
                 let other = self.any_member();
                 let later = self.within(Duration::from_millis(300));
                 let later = if n % 10 == 0 { Duration::ZERO } else { later };
-                self.schedule(when + later, SimulatedEvent::Ask { at: other, request, is_retry: false });
+                self.schedule(
+                    when + later,
+                    SimulatedEvent::SendRequest { at: other, request, is_retry: false },
+                );
             }
         }
     }
@@ -307,7 +310,9 @@
                 let outputs = process.node.tick(now);
                 self.apply_outputs(now, at, outputs);
             }
-            SimulatedEvent::Ask { at, request, is_retry } => self.ask(now, at, request, is_retry),
+            SimulatedEvent::SendRequest { at, request, is_retry } => {
+                self.send_request(now, at, request, is_retry)
+            }
             SimulatedEvent::HostAnswers { at, incarnation, request } => {
                 self.on_host_answer(now, at, incarnation, request);
             }
@@ -391,16 +396,16 @@
         self.schedule(now + duration, SimulatedEvent::HostAnswers { at, incarnation, request });
     }
 
-    fn ask(&mut self, now: Duration, at: usize, request: RequestId, is_retry: bool) {
-        self.trace(now, at, "is asked", &(request, is_retry));
+    fn send_request(&mut self, now: Duration, at: usize, request: RequestId, is_retry: bool) {
+        self.trace(now, at, "receives a request", &(request, is_retry));
         let kind = self.kinds[&request];
         let Some(process) = &mut self.processes[at] else { return };
         if !process.clients.insert(request) {
             return;
         }
-        self.observations.asked.entry(request).or_insert(now);
+        self.observations.first_sent.entry(request).or_insert(now);
         if is_retry {
-            self.observations.asked_again.insert(request);
+            self.observations.retried.insert(request);
         }
         let descriptor = RequestDescriptor { kind, class: 0, object: 1, part: 0, group: 0, size: 0 };
         let mut outputs = process.node.on_request(now, request, descriptor, now + CLIENT_PATIENCE);
@@ -444,7 +449,7 @@
             for request in process.clients {
                 let elsewhere = (at + 1 + self.below((members - 1).max(1))) % members;
                 let wait = self.within(MAX_RETRY_WAIT);
-                let retry = SimulatedEvent::Ask { at: elsewhere, request, is_retry: true };
+                let retry = SimulatedEvent::SendRequest { at: elsewhere, request, is_retry: true };
                 self.schedule(now + wait, retry);
             }
         }
--- a/crates/rockflow-cluster-simulation/tests/schedules.rs
+++ b/crates/rockflow-cluster-simulation/tests/schedules.rs
@@ -11,7 +11,7 @@
         world.verdict().unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
         let observed = &world.observations;
         let unanswered: Vec<_> =
-            observed.asked.keys().filter(|request| !observed.answers.contains_key(*request)).collect();
+            observed.first_sent.keys().filter(|request| !observed.answers.contains_key(*request)).collect();
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}");
         assert!(observed.runs.values().all(|runs| runs.len() <= 2), "seed {seed}");
     }
@@ -31,7 +31,7 @@
 ) {
     let summary = Row { members, replicas, requests: 40, faults: ROUGH }.play(0, schedules, 2);
     assert!(summary.violations.is_empty(), "{:?}", summary.violations);
-    assert!(summary.answered * 100 >= summary.asked * answered_percent, "{summary:?}");
+    assert!(summary.answered * 100 >= summary.requests * answered_percent, "{summary:?}");
 }
 
 #[test]
@@ -40,10 +40,10 @@
         members: 5,
         replicas: 3,
         schedules: 2,
-        asked: 40,
+        requests: 40,
         answered: 39,
-        asked_again: 4,
-        answered_again: 3,
+        retried: 4,
+        retries_answered: 3,
         takeovers: 6,
         run_again: 1,
         frames: 700,
--- a/crates/rockflow-cluster/src/membership/mod.rs
+++ b/crates/rockflow-cluster/src/membership/mod.rs
@@ -50,7 +50,7 @@
     /// Members that are configured.
     pub configured: usize,
     /// Other members from which something was received lately.
-    pub recently_heard: usize,
+    pub recent_contacts: usize,
     /// Nothing was received from anybody lately, or fewer than a majority of the configured members are present.
     pub possibly_partitioned: bool,
     /// 0: well. The greater, the slower this process is, or the fewer of its probes are answered.
@@ -161,14 +161,14 @@
         let recent = period * (SILENT_PERIODS + configured as u32);
         let others = || self.config.ids().filter(|id| *id != self.identity.member);
         let silences = || others().filter_map(|id| self.silence(id, now));
-        let recently_heard = silences().filter(|silence| *silence < recent).count();
+        let recent_contacts = silences().filter(|silence| *silence < recent).count();
         let is_silent =
             configured > 1 && silences().min().is_none_or(|silence| silence > period * SILENT_PERIODS);
         MembershipStatus {
             view: self.view,
             present: self.present.len(),
             configured,
-            recently_heard,
+            recent_contacts,
             possibly_partitioned: is_silent || self.present.len() < configured / 2 + 1,
             local_health: self.local_health,
         }
--- a/crates/rockflow-protocol/tests/wire_format.rs
+++ b/crates/rockflow-protocol/tests/wire_format.rs
@@ -94,7 +94,7 @@
 #[test_case("moot", Status::NotExecuted)]
 #[test_case("well", Status::Healthy)]
 #[test_case("ill", Status::Unhealthy)]
-fn host_answer_word_is_read(text: &str, status: Status) {
+fn host_response_status_is_read(text: &str, status: Status) {
     let line = format!("9b {text} - 0\r\n\r\n");
     let DecodedResponse { length, response: answer } =
         upstream::decode_response(line.as_bytes()).unwrap().expect("whole");
