--- a/crates/rockflow-cli/tests/manage_output.rs
+++ b/crates/rockflow-cli/tests/manage_output.rs
@@ -1,8 +1,8 @@
 //! What `rockflow manage` prints and how it exits, held by literal text against a running dispatcher.
 #![cfg(feature = "management")]
 
-use rockflow_process_harness::{free_tcp, until, Process, Start};
-use rockflow_test_servers::keys::{self, TemporaryFolder};
+use rockflow_process_harness::{free_tcp, wait_until, Process, Start};
+use rockflow_test_servers::{keys, TemporaryFolder};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -33,10 +33,10 @@
         let folder = TemporaryFolder::new("manage-output");
         let user = keys::ssh_key(USER_KEY_SEED);
         folder.write_credentials(&[("root", user.clone())]);
-        let user_key = folder.write("user", &keys::texts(&user).0, 0o600);
-        let host_key = folder.write("host.pub", &keys::texts(&keys::host_key()).1, 0o600);
+        let user_key = folder.write("user", &keys::private_key_text(&user), 0o600);
+        let host_key = folder.write("host.pub", &keys::public_key_text(&keys::host_key()), 0o600);
         let netconf = free_tcp().unwrap();
-        let (ssh, _) = folder.operator_settings();
+        let ssh = folder.operator_settings().ssh;
         let operator = format!("[management]\nowner = root\n[netconf]\nssh = {netconf}\n{ssh}");
         let operator = folder.write("rockflow.ini", &operator, 0o600);
         let process = Start::of(env!("CARGO_BIN_EXE_rockflow"))
@@ -45,7 +45,7 @@
             .env("ROCKFLOW_OPERATOR", operator)
             .start()
             .unwrap();
-        assert!(until(START_TIMEOUT, || TcpStream::connect(netconf).is_ok()));
+        assert!(wait_until(START_TIMEOUT, || TcpStream::connect(netconf).is_ok()));
         ManagedDispatcher { _process: process, netconf, user_key, host_key, folder }
     }
 
