--- a/crates/rockflow-scale/src/page/reckon.rs
+++ b/crates/rockflow-scale/src/page/reckon.rs
@@ -33,7 +33,7 @@
 /// A figure that no row holds: read from the code, or an assumption.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct GivenEntry {
+struct AssumptionEntry {
     name: String,
     value: String,
     how: How,
@@ -45,7 +45,7 @@
 #[serde(deny_unknown_fields)]
 struct NeedEntry {
     role: Role,
-    moment: Moment,
+    moment: Scenario,
     #[serde(default)]
     design: Design,
     quantity: Quantity,
@@ -84,14 +84,14 @@
     allowed: Option<String>,
     /// At this moment only; all of them where it is left out.
     #[serde(default)]
-    moment: Option<Moment>,
+    moment: Option<Scenario>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileOf {
     slope: Vec<SlopeEntry>,
-    given: Vec<GivenEntry>,
+    given: Vec<AssumptionEntry>,
     need: Vec<NeedEntry>,
     #[serde(default)]
     runs: Option<RunsEntry>,
@@ -106,7 +106,7 @@
         impl $name {
             pub const ALL: &'static [$name] = &[$($name::$variant),+];
 
-            pub fn word(self) -> &'static str {
+            pub fn as_str(self) -> &'static str {
                 match self { $($name::$variant => $word),+ }
             }
         }
@@ -127,7 +127,7 @@
 
 words! {
     /// When.
-    Moment {
+    Scenario {
         Ordinary = "an ordinary minute",
         Restart = "a rolling restart",
         Zone = "a zone lost and back",
@@ -135,14 +135,14 @@
     }
 }
 
-impl Moment {
+impl Scenario {
     /// As series of rows name it (`rockflow-scale virtual --moment`).
-    pub fn series_word(self) -> &'static str {
+    pub fn series_suffix(self) -> &'static str {
         match self {
-            Moment::Ordinary => "ordinary",
-            Moment::Restart => "restart",
-            Moment::Zone => "zone",
-            Moment::Regions => "regions",
+            Scenario::Ordinary => "ordinary",
+            Scenario::Restart => "restart",
+            Scenario::Zone => "zone",
+            Scenario::Regions => "regions",
         }
     }
 }
@@ -206,7 +206,7 @@
 
 /// A figure that no row holds.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct Assumption {
     pub name: String,
     pub value: f64,
     pub how: How,
@@ -217,7 +217,7 @@
 #[derive(Clone, Debug)]
 pub struct Need {
     pub role: Role,
-    pub moment: Moment,
+    pub moment: Scenario,
     pub design: Design,
     pub quantity: Quantity,
     /// None: what it rests on is not measured yet, or nothing carries it.
@@ -252,7 +252,7 @@
 /// The runs of one moment.
 #[derive(Clone, Debug)]
 pub struct Runs {
-    pub moment: Moment,
+    pub moment: Scenario,
     pub size: f64,
     pub x: String,
     pub how: How,
@@ -266,7 +266,7 @@
 
 impl Runs {
     /// All rows of one moment; none: there are none.
-    fn of(moment: Moment, rows: &[&Row]) -> Option<Runs> {
+    fn of(moment: Scenario, rows: &[&Row]) -> Option<Runs> {
         let first = rows.first()?;
         let seeds: BTreeSet<_> = rows.iter().map(|row| row.seed).collect();
         let (mut figures, mut reduced) = (Vec::<RunFigure>::new(), BTreeMap::<_, BTreeSet<_>>::new());
@@ -312,12 +312,12 @@
             1 => "1 seed".to_string(),
             count => format!("worst of {count} seeds"),
         };
-        let reduced = self.reduced_words().map(|words| format!("; **reduced**: {words}"));
+        let reduced = self.reduced_summary().map(|words| format!("; **reduced**: {words}"));
         format!("run at its own size, {seeds}{}", reduced.unwrap_or_default())
     }
 
     /// What was reduced; none: nothing.
-    pub fn reduced_words(&self) -> Option<String> {
+    pub fn reduced_summary(&self) -> Option<String> {
         let of = |(words, count): (&String, &usize)| match *count < self.seeds.len() {
             true => format!("{words} ({count} of {} seeds)", self.seeds.len()),
             false => words.clone(),
@@ -331,7 +331,7 @@
 #[derive(Clone, Debug)]
 pub struct Reckoned {
     pub slopes: Vec<Slope>,
-    pub given: Vec<Given>,
+    pub given: Vec<Assumption>,
     pub needs: Vec<Need>,
     /// Moments that were not played at the size that counts are left out.
     pub runs: Vec<Runs>,
@@ -412,7 +412,7 @@
             let value = names.value(&entry.value).map_err(at)?;
             let value = value.ok_or_else(|| at("rests on what is not measured".to_string()))?;
             names.add(&entry.name, value, entry.how, None).map_err(at)?;
-            given.push(Given { name: entry.name, value, how: entry.how, from: entry.from });
+            given.push(Assumption { name: entry.name, value, how: entry.how, from: entry.from });
         }
         let curves = curves(rows);
         for entry in file.slope {
@@ -455,8 +455,8 @@
             });
         }
         for entry in file.need {
-            let (role, moment) = (entry.role.word(), entry.moment.word());
-            let at = |what: String| Fault(format!("{role}, {moment}, {}: {what}", entry.quantity.word()));
+            let (role, moment) = (entry.role.as_str(), entry.moment.as_str());
+            let at = |what: String| Fault(format!("{role}, {moment}, {}: {what}", entry.quantity.as_str()));
             if entry.needed.is_none() != (entry.mechanism == NONE && entry.quantity == Quantity::Change) {
                 let only = "only a change at all that no mechanism carries goes without what is needed";
                 return Err(at(only.to_string()));
@@ -493,8 +493,8 @@
             for (name, formula) in &entry.parameters {
                 chosen.insert(name.clone(), known(formula)?);
             }
-            for moment in Moment::ALL {
-                let series = format!("{}-{}", entry.series, moment.series_word());
+            for moment in Scenario::ALL {
+                let series = format!("{}-{}", entry.series, moment.series_suffix());
                 let counts =
                     |row: &&Row| row.series == series && row.x.value == size && row.parameters == chosen;
                 runs.extend(Runs::of(*moment, &rows.iter().filter(counts).collect::<Vec<_>>()));
@@ -502,12 +502,12 @@
             for need in &entry.need {
                 let value = need.allowed.as_deref().map(known).transpose()?;
                 allowed.extend(value.map(|value| (need.figure.clone(), value)));
-                for moment in Moment::ALL {
+                for moment in Scenario::ALL {
                     if need.moment.is_some_and(|only| only != *moment) {
                         continue;
                     }
                     let played = runs.iter().find(|runs| runs.moment == *moment);
-                    let missing = || at(format!("no figure \"{}\" at {}", need.figure, moment.word()));
+                    let missing = || at(format!("no figure \"{}\" at {}", need.figure, moment.as_str()));
                     let figure =
                         played.map(|runs| runs.figure(&need.figure).ok_or_else(missing)).transpose()?;
                     let needed = figure.map(|figure| figure.worst);
--- a/crates/rockflow-scale/src/page/tables.rs
+++ b/crates/rockflow-scale/src/page/tables.rs
@@ -1,6 +1,6 @@
 //! The tables, as text of the page. What depends on the machine stands in them as a ratio only.
 
-use super::reckon::{Design, Moment, Need, Quantity, Reckoned, Role, Runs, Slope};
+use super::reckon::{Design, Need, Quantity, Reckoned, Role, Runs, Scenario, Slope};
 use crate::rows::{short, Row};
 use crate::target::Target;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
         ("given".to_string(), given(reckoned)),
     ]);
     for role in Role::ALL {
-        tables.insert(role.word().to_string(), of_role(*role, reckoned));
+        tables.insert(role.as_str().to_string(), of_role(*role, reckoned));
     }
     tables
 }
@@ -52,10 +52,10 @@
         let numbers: Vec<_> =
             need.commands.iter().map(|command| commands[command.as_str()].to_string()).collect();
         vec![
-            need.role.word().to_string(),
-            need.moment.word().to_string(),
-            need.design.word().to_string(),
-            need.quantity.word().to_string(),
+            need.role.as_str().to_string(),
+            need.moment.as_str().to_string(),
+            need.design.as_str().to_string(),
+            need.quantity.as_str().to_string(),
             needed(need),
             need.allowed.map(short).unwrap_or_default(),
             match (need.ratio(), &need.formula) {
@@ -133,17 +133,17 @@
     let needs: Vec<_> = reckoned.needs.iter().filter(|need| need.role == role).collect();
     let named = |quantity: &&Quantity| needs.iter().any(|need| need.quantity == **quantity);
     let columns: Vec<_> = Quantity::ALL.iter().filter(named).collect();
-    let words = columns.iter().map(|quantity| quantity.word());
+    let words = columns.iter().map(|quantity| quantity.as_str());
     let head: Vec<_> = ["moment", "design"].into_iter().chain(words).chain(["mechanism"]).collect();
     let mut lines = Vec::new();
-    for moment in Moment::ALL {
+    for moment in Scenario::ALL {
         for design in Design::ALL {
             let of = |need: &&&Need| need.moment == *moment && need.design == *design;
             let here: Vec<_> = needs.iter().filter(of).collect();
             if here.is_empty() {
                 continue;
             }
-            let mut line = vec![moment.word().to_string(), design.word().to_string()];
+            let mut line = vec![moment.as_str().to_string(), design.as_str().to_string()];
             for quantity in &columns {
                 let found = here.iter().find(|need| need.quantity == **quantity);
                 line.push(found.map_or("-".to_string(), |need| with_how(need)));
@@ -173,7 +173,7 @@
                     false => format!("{fit} {}", slope.unit),
                 };
                 let by = format!("{}, {from} to {to} ({} sizes)", slope.x, fit.sizes);
-                (by, shown, fit.form.word().to_string(), format!("{:.1}%", 100.0 * fit.left))
+                (by, shown, fit.form.as_str().to_string(), format!("{:.1}%", 100.0 * fit.left))
             }
         };
         let taken = format!("{value} at {}", short(slope.at));
@@ -199,10 +199,10 @@
         let numbers: Vec<_> =
             runs.commands.iter().map(|command| commands[command.as_str()].to_string()).collect();
         vec![
-            runs.moment.word().to_string(),
+            runs.moment.as_str().to_string(),
             format!("{} {}, run at its own size", short(runs.size), runs.x),
             runs.seeds.iter().map(u64::to_string).collect::<Vec<_>>().join(", "),
-            runs.reduced_words().unwrap_or("-".to_string()),
+            runs.reduced_summary().unwrap_or("-".to_string()),
             numbers.join(", "),
         ]
     };
@@ -231,7 +231,7 @@
         let cells = reckoned.runs.iter().map(|runs| cell(runs, name));
         [format!("{name}, {unit}")].into_iter().chain(cells).collect()
     };
-    let moments = reckoned.runs.iter().map(|runs| runs.moment.word());
+    let moments = reckoned.runs.iter().map(|runs| runs.moment.as_str());
     let head: Vec<_> = ["figure"].into_iter().chain(moments).collect();
     table(&head, names.into_iter().map(row))
 }
@@ -246,7 +246,7 @@
 }
 
 fn given(reckoned: &Reckoned) -> String {
-    let row = |given: &super::reckon::Given| {
+    let row = |given: &super::reckon::Assumption| {
         vec![given.name.clone(), short(given.value), given.how.to_string(), given.from.clone()]
     };
     table(&["name", "value", "how", "from"], reckoned.given.iter().map(row))
--- a/crates/rockflow-scale/src/rows.rs
+++ b/crates/rockflow-scale/src/rows.rs
@@ -8,9 +8,9 @@
 use std::path::Path;
 
 /// Sizes under which nothing is fitted: a slope is never drawn from fewer.
-pub const LEAST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 /// A straight line is taken while no point is further off it than this share of the largest value.
-pub const STRAIGHT: f64 = 0.05;
+pub const MAX_LINEAR_RESIDUAL: f64 = 0.05;
 
 /// How a figure was come by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -171,14 +171,14 @@
 }
 
 /// Sizes under which a bend is not looked for: three numbers are fitted then.
-const LEAST_TO_BEND: usize = 6;
+const MIN_SIZES_TO_BEND: usize = 6;
 
 impl Form {
     const OTHERS: [Form; 4] = [Form::Root, Form::Log2, Form::Reciprocal, Form::Square];
 
     /// The forms tried beside a straight line.
     fn others(sizes: &[f64]) -> Vec<Form> {
-        let inner = sizes.get(2..sizes.len() - 1).filter(|_| sizes.len() >= LEAST_TO_BEND);
+        let inner = sizes.get(2..sizes.len() - 1).filter(|_| sizes.len() >= MIN_SIZES_TO_BEND);
         let bends = inner.unwrap_or_default().iter().map(|size| Form::UpTo(*size as u32));
         Form::OTHERS.into_iter().chain(bends).collect()
     }
@@ -195,7 +195,7 @@
     }
 
     /// How it grows, in a word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Form::Linear => "linear",
             Form::Root => "as the root",
@@ -243,9 +243,9 @@
         let mut sizes: Vec<_> = points.iter().map(|(x, _)| *x).collect();
         sizes.sort_by(f64::total_cmp);
         sizes.dedup();
-        if sizes.len() < LEAST_SIZES {
+        if sizes.len() < MIN_SIZES {
             return Err(Fault(format!(
-                "no slope is fitted to {} sizes: {LEAST_SIZES} or more are needed",
+                "no slope is fitted to {} sizes: {MIN_SIZES} or more are needed",
                 sizes.len()
             )));
         }
@@ -255,7 +255,7 @@
             ));
         }
         let straight = Fit::with(Form::Linear, points, &sizes);
-        if straight.left <= STRAIGHT {
+        if straight.left <= MAX_LINEAR_RESIDUAL {
             return Ok(straight);
         }
         let others = Form::others(&sizes).into_iter().map(|form| Fit::with(form, points, &sizes));
--- a/crates/rockflow-scale/src/run/figures.rs
+++ b/crates/rockflow-scale/src/run/figures.rs
@@ -1,6 +1,6 @@
 //! What a run found, as a table and as rows.
 
-use super::ledger::{Told, Waited, CAUSES};
+use super::ledger::{Announcement, Waited, CAUSES};
 use super::minutes::Greatest;
 use super::Found;
 use crate::rows::{short, Found as Figure, How, Row, Size};
@@ -140,7 +140,12 @@
 }
 
 /// When it was in force at the last that nothing held up, by the members themselves, and at those that something did.
-fn in_force(add: &mut impl FnMut(&str, Option<f64>, &'static str), what: &str, when: &str, told: &[&Told]) {
+fn in_force(
+    add: &mut impl FnMut(&str, Option<f64>, &'static str),
+    what: &str,
+    when: &str,
+    told: &[&Announcement],
+) {
     let seconds = |waits: &mut dyn Iterator<Item = Waited>| -> Vec<f64> {
         waits.filter(|waited| waited.count > 0).map(|waited| waited.worst.as_secs_f64()).collect()
     };
@@ -171,7 +176,7 @@
     let parts = ["median", "99th", "worst"];
     let ordinary = |read: &Instant| *read < found.faults_from;
     // The purge that the fleet settles by, while members still start, is none of the run's.
-    let within = |told: &&Told| told.at >= found.began;
+    let within = |told: &&Announcement| told.at >= found.began;
     for (what, purges) in [("purge", true), ("change", false)] {
         let said = found.said.iter().filter(|said| said.purges == purges && said.by == said.control);
         let said = said.filter(|said| said.read.checked_sub(said.after).is_some_and(|at| at >= found.began));
--- a/crates/rockflow-scale/src/run/hollow.rs
+++ b/crates/rockflow-scale/src/run/hollow.rs
@@ -75,7 +75,7 @@
     }
 
     /// Those that run and do not stand still, as they are now.
-    pub fn survey(&self) -> Result<BTreeMap<usize, TransportStatus>, Fault> {
+    pub fn transport_status(&self) -> Result<BTreeMap<usize, TransportStatus>, Fault> {
         let (reply, tallies) = sync_channel(1);
         self.order(Order::NodeStatus(reply));
         tallies.recv_timeout(PATIENCE).map_err(|_| Fault("the hollow dispatchers do not answer".to_string()))
@@ -155,7 +155,7 @@
                 }
             }
             Order::NodeStatus(reply) => {
-                let _ = reply.send(survey(&running).await);
+                let _ = reply.send(transport_status(&running).await);
             }
         }
     }
@@ -168,30 +168,30 @@
     ledger.lock().unwrap_or_else(PoisonError::into_inner).begin(Instant::now(), member);
     let ledger = ledger.clone();
     let (link, node) = Handle::shared(plan, move |words, out| {
-        let ticket = match out {
-            Output::Purge { purges, token: ticket } => {
+        let token = match out {
+            Output::Purge { purges, token } => {
                 let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
                 let now = Instant::now();
                 purges.into_iter().for_each(|(purge, age)| ledger.purge(now, member, purge, age));
-                ticket
+                token
             }
-            Output::Configure { settings, token: ticket, .. } => {
+            Output::Configure { settings, token, .. } => {
                 let mut ledger = ledger.lock().unwrap_or_else(PoisonError::into_inner);
                 ledger.configure(Instant::now(), member, settings.keys());
-                ticket
+                token
             }
             Output::Send { .. } | Output::ReplicatedToAll { .. } | Output::IncarnationSuperseded { .. } => {
                 return
             }
         };
-        words.send(Command::ConfirmApplied(ticket));
+        words.send(Command::ConfirmApplied(token));
     })?;
     let pause = Arc::new(Pause::default());
     let task = tokio::task::spawn_local(Pausable { inner: Box::pin(node), pause: pause.clone() });
     Ok(Running { link, task, pause })
 }
 
-async fn survey(running: &BTreeMap<usize, Running>) -> BTreeMap<usize, TransportStatus> {
+async fn transport_status(running: &BTreeMap<usize, Running>) -> BTreeMap<usize, TransportStatus> {
     let mut tallies = BTreeMap::new();
     for (member, node) in running {
         if node.pause.stopped.load(Ordering::Relaxed) {
--- a/crates/rockflow-scale/src/run/ledger.rs
+++ b/crates/rockflow-scale/src/run/ledger.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
+struct Disturbance {
     cause: Cause,
     from: Instant,
     /// None: it lasts.
@@ -38,7 +38,7 @@
 
 /// A life of a dispatcher.
 #[derive(Clone, Debug)]
-struct Life {
+struct MemberIncarnation {
     born: Instant,
     over: bool,
     /// One bit a purge: it came; it came, or a floor covers it.
@@ -84,7 +84,7 @@
 }
 
 impl Waited {
-    fn hear(&mut self, member: usize, wait: Duration) {
+    fn record(&mut self, member: usize, wait: Duration) {
         self.count += 1;
         if wait >= self.worst {
             (self.worst, self.member) = (wait, member);
@@ -95,7 +95,7 @@
 /// One purge or change: when it was told, and how long the lives that were there by then waited till it was in force, as
 /// an entry or by a floor.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct Announcement {
     pub at: Instant,
     /// At hollow ones by the entry itself.
     pub count: usize,
@@ -108,9 +108,9 @@
     pub by_cause: [Waited; CAUSES.len()],
 }
 
-impl Told {
-    fn new(at: Instant) -> Told {
-        Told {
+impl Announcement {
+    fn new(at: Instant) -> Announcement {
+        Announcement {
             at,
             count: 0,
             worst: Duration::ZERO,
@@ -126,24 +126,27 @@
         waits.max_by_key(|waited| waited.worst)
     }
 
-    fn in_force(&mut self, member: usize, real: bool, at: Instant, troubles: &[Trouble]) {
-        let met = |trouble: &&Trouble| trouble.from < at && trouble.till.is_none_or(|till| till > self.at);
-        let met: Vec<_> = troubles.iter().filter(met).collect();
-        let held_up = met.iter().any(|trouble| trouble.cause.holds_up());
+    fn in_force(&mut self, member: usize, real: bool, at: Instant, disturbances: &[Disturbance]) {
+        let met = |disturbance: &&Disturbance| {
+            disturbance.from < at && disturbance.till.is_none_or(|till| till > self.at)
+        };
+        let met: Vec<_> = disturbances.iter().filter(met).collect();
+        let held_up = met.iter().any(|disturbance| disturbance.cause.holds_up());
         for (cause, waited) in CAUSES.into_iter().zip(&mut self.by_cause) {
-            let of = met.iter().filter(|trouble| trouble.cause == cause);
-            let Some(last) = of.map(|trouble| trouble.till.map_or(at, |till| till.min(at))).max() else {
+            let of = met.iter().filter(|disturbance| disturbance.cause == cause);
+            let Some(last) = of.map(|disturbance| disturbance.till.map_or(at, |till| till.min(at))).max()
+            else {
                 continue;
             };
             if held_up && !cause.holds_up() {
                 continue;
             }
             let from = if cause.holds_up() { last } else { self.at };
-            waited.hear(member, at.saturating_duration_since(from));
+            waited.record(member, at.saturating_duration_since(from));
         }
         if !held_up {
             let waited = if real { &mut self.real } else { &mut self.hollow };
-            waited.hear(member, at.saturating_duration_since(self.at));
+            waited.record(member, at.saturating_duration_since(self.at));
         }
     }
 }
@@ -160,14 +163,14 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     numbers: HashMap<[u8; 8], usize>,
-    pub purges: Vec<Told>,
-    pub changes: Vec<Told>,
+    pub purges: Vec<Announcement>,
+    pub changes: Vec<Announcement>,
     hosts: HashMap<String, usize>,
-    lives: BTreeMap<usize, Life>,
+    incarnations: BTreeMap<usize, MemberIncarnation>,
     /// Those that are processes; the others are hollow.
     real: BTreeSet<usize>,
     /// Of each member whatever life of it that is.
-    troubles: BTreeMap<usize, Vec<Trouble>>,
+    disturbances: BTreeMap<usize, Vec<Disturbance>>,
     /// Floors and repeats of lives that are over.
     pub floors_before: u64,
     pub again_before: u64,
@@ -181,17 +184,17 @@
 
     pub fn tell(&mut self, at: Instant, object: u64) {
         self.numbers.insert(object.to_le_bytes(), self.purges.len());
-        self.purges.push(Told::new(at));
+        self.purges.push(Announcement::new(at));
     }
 
     pub fn change(&mut self, at: Instant, host: &str) {
         self.hosts.insert(host.to_string(), self.changes.len());
-        self.changes.push(Told::new(at));
+        self.changes.push(Announcement::new(at));
     }
 
     /// A life begins with nothing.
     pub fn begin(&mut self, at: Instant, member: usize) {
-        let life = Life {
+        let incarnation = MemberIncarnation {
             born: at,
             over: false,
             has: Bits::default(),
@@ -202,7 +205,7 @@
             again: 0,
             changed: BTreeSet::new(),
         };
-        if let Some(before) = self.lives.insert(member, life) {
+        if let Some(before) = self.incarnations.insert(member, incarnation) {
             self.floors_before += before.floors;
             self.again_before += before.again;
         }
@@ -210,100 +213,108 @@
 
     /// Its life is over.
     pub fn end(&mut self, member: usize) {
-        if let Some(life) = self.lives.get_mut(&member) {
-            life.over = true;
+        if let Some(incarnation) = self.incarnations.get_mut(&member) {
+            incarnation.over = true;
         }
     }
 
     /// From then on.
     pub fn troubled(&mut self, at: Instant, member: usize, cause: Cause) {
-        let trouble = Trouble { cause, from: at, till: None };
-        self.troubles.entry(member).or_default().push(trouble);
+        let disturbance = Disturbance { cause, from: at, till: None };
+        self.disturbances.entry(member).or_default().push(disturbance);
     }
 
     /// The oldest trouble of that kind that lasts is over.
     pub fn untroubled(&mut self, at: Instant, member: usize, cause: Cause) {
-        let lasts = |trouble: &&mut Trouble| trouble.cause == cause && trouble.till.is_none();
-        let mut troubles = self.troubles.get_mut(&member).into_iter().flatten();
-        if let Some(trouble) = troubles.find(lasts) {
-            trouble.till = Some(at);
+        let lasts = |disturbance: &&mut Disturbance| disturbance.cause == cause && disturbance.till.is_none();
+        let mut disturbances = self.disturbances.get_mut(&member).into_iter().flatten();
+        if let Some(disturbance) = disturbances.find(lasts) {
+            disturbance.till = Some(at);
         }
     }
 
     /// In effect at a member since then.
     pub fn purge(&mut self, at: Instant, member: usize, purge: Purge, age: Duration) {
         let real = self.real.contains(&member);
-        let troubles = self.troubles.get(&member).map_or(&[][..], Vec::as_slice);
-        let Some(life) = self.lives.get_mut(&member).filter(|life| at >= life.born) else { return };
+        let disturbances = self.disturbances.get(&member).map_or(&[][..], Vec::as_slice);
+        let Some(incarnation) =
+            self.incarnations.get_mut(&member).filter(|incarnation| at >= incarnation.born)
+        else {
+            return;
+        };
         let object = match purge {
             Purge::Object(object) => object,
             Purge::Everything | Purge::Group(_) => {
-                life.floors += 1;
-                life.floor = life.floor.max(at.checked_sub(age));
+                incarnation.floors += 1;
+                incarnation.floor = incarnation.floor.max(at.checked_sub(age));
                 while self
                     .purges
-                    .get(life.low)
-                    .is_some_and(|told| life.floor.is_some_and(|floor| told.at <= floor))
+                    .get(incarnation.low)
+                    .is_some_and(|told| incarnation.floor.is_some_and(|floor| told.at <= floor))
                 {
-                    if life.in_force.add(life.low) {
-                        self.purges[life.low].in_force(member, real, at, troubles);
+                    if incarnation.in_force.add(incarnation.low) {
+                        self.purges[incarnation.low].in_force(member, real, at, disturbances);
                     }
-                    life.low += 1;
+                    incarnation.low += 1;
                 }
                 return;
             }
         };
         let Some(number) = self.numbers.get(&object).copied() else { return };
         let told = &mut self.purges[number];
-        if !life.has.add(number) {
-            life.again += 1;
+        if !incarnation.has.add(number) {
+            incarnation.again += 1;
             return;
         }
         // A life that began later has it with all that it learns at its beginning.
-        if life.born >= told.at {
+        if incarnation.born >= told.at {
             return;
         }
         if !real {
             told.count += 1;
             told.worst = told.worst.max(at.saturating_duration_since(told.at));
         }
-        if life.in_force.add(number) {
-            told.in_force(member, real, at, troubles);
+        if incarnation.in_force.add(number) {
+            told.in_force(member, real, at, disturbances);
         }
-        while life.in_force.has(life.low) {
-            life.low += 1;
+        while incarnation.in_force.has(incarnation.low) {
+            incarnation.low += 1;
         }
     }
 
     /// All these are in effect at a member since then.
     pub fn configure<'a>(&mut self, at: Instant, member: usize, hosts: impl IntoIterator<Item = &'a String>) {
         let real = self.real.contains(&member);
-        let troubles = self.troubles.get(&member).map_or(&[][..], Vec::as_slice);
-        let Some(life) = self.lives.get_mut(&member).filter(|life| at >= life.born) else { return };
+        let disturbances = self.disturbances.get(&member).map_or(&[][..], Vec::as_slice);
+        let Some(incarnation) =
+            self.incarnations.get_mut(&member).filter(|incarnation| at >= incarnation.born)
+        else {
+            return;
+        };
         for number in hosts.into_iter().filter_map(|host| self.hosts.get(host)) {
             let told = &mut self.changes[*number];
-            if !life.changed.insert(*number) || life.born >= told.at {
+            if !incarnation.changed.insert(*number) || incarnation.born >= told.at {
                 continue;
             }
             if !real {
                 told.count += 1;
                 told.worst = told.worst.max(at.saturating_duration_since(told.at));
             }
-            told.in_force(member, real, at, troubles);
+            told.in_force(member, real, at, disturbances);
         }
     }
 
     /// Of each present life that began before then: what was told after its beginning and before then.
     pub fn judge(&self, before: Instant) -> BTreeMap<usize, Judged> {
-        let judge = |life: &Life| {
-            let mut judged = Judged { again: life.again, ..Judged::default() };
+        let judge = |incarnation: &MemberIncarnation| {
+            let mut judged = Judged { again: incarnation.again, ..Judged::default() };
             let within = self.purges.iter().enumerate();
-            let within = within.filter(|(_, told)| told.at > life.born && told.at < before);
+            let within = within.filter(|(_, told)| told.at > incarnation.born && told.at < before);
             for (number, told) in within {
-                if life.has.has(number) {
+                if incarnation.has.has(number) {
                     continue;
                 }
-                if life.floor.is_some_and(|floor| told.at <= floor) {
+                if incarnation.floor.is_some_and(|floor| told.at <= floor) {
                     judged.by_floor += 1;
                 } else {
                     judged.passed_over += 1;
@@ -311,15 +322,15 @@
             }
             judged
         };
-        let lives = self.lives.iter().filter(|(_, life)| !life.over);
-        lives.map(|(member, life)| (*member, judge(life))).collect()
+        let incarnations = self.incarnations.iter().filter(|(_, incarnation)| !incarnation.over);
+        incarnations.map(|(member, incarnation)| (*member, judge(incarnation))).collect()
     }
 
     pub fn floors(&self) -> u64 {
-        self.floors_before + self.lives.values().map(|life| life.floors).sum::<u64>()
+        self.floors_before + self.incarnations.values().map(|incarnation| incarnation.floors).sum::<u64>()
     }
 
     pub fn again(&self) -> u64 {
-        self.again_before + self.lives.values().map(|life| life.again).sum::<u64>()
+        self.again_before + self.incarnations.values().map(|incarnation| incarnation.again).sum::<u64>()
     }
 }
--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -32,14 +32,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use watch::{Effect, Said, Tail};
+use watch::{ConvergenceReport, Effect, Tail};
 
 /// Processes of one run, this one too, and what all of them may hold.
 const MAX_PROCESSES: usize = 300;
 const MAX_KB: u64 = 12 * 1024 * 1024;
 /// Dispatchers beside the fleet, without the section.
 const BARE: usize = 3;
-const PULSE: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// The fleet's processes are started so many at a time.
 const AT_ONCE: usize = 10;
 /// The longest till the whole fleet has the first purge in force, and till what was missed has been caught up.
@@ -137,9 +137,9 @@
     pub bare: Vec<Member>,
     pub processes: usize,
     pub held_kb: u64,
-    pub said: Vec<Said>,
-    pub purges: Vec<ledger::Told>,
-    pub changes: Vec<ledger::Told>,
+    pub said: Vec<ConvergenceReport>,
+    pub purges: Vec<ledger::Announcement>,
+    pub changes: Vec<ledger::Announcement>,
     pub hollow: usize,
     pub hollow_kb: u64,
     /// Of a core each: in the ordinary span, and over all.
@@ -199,7 +199,7 @@
     asleep: BTreeMap<usize, TransportStatus>,
     /// When the present life of a control node began.
     control_born: BTreeMap<usize, Instant>,
-    said: Vec<Said>,
+    said: Vec<ConvergenceReport>,
     rev: u64,
     marks: BTreeMap<usize, Vec<String>>,
     paths: BTreeMap<usize, (RuleId, Option<Cause>, Vec<usize>)>,
@@ -254,7 +254,7 @@
             control_board: board.address,
             board: quiet.address,
             hosts: Vec::new(),
-            pulse: PULSE,
+            pulse: HEARTBEAT_INTERVAL,
             purge_window: Duration::from_secs_f64(figure("purge_done_seconds")),
             bytes_per_second: (figure("kb_per_second") * 1024.0) as u32,
             seed: options.seed,
@@ -482,7 +482,7 @@
                 if let Node::Member(member) = node {
                     // What it has in force, of which control may say no more while it stands still.
                     if !self.is_real[member] {
-                        self.asleep.extend(self.hollow.survey()?.remove_entry(&member));
+                        self.asleep.extend(self.hollow.transport_status()?.remove_entry(&member));
                     }
                     lock(&self.ledger).troubled(Instant::now(), member, Cause::Stopped);
                 }
@@ -548,7 +548,8 @@
     fn look(&mut self) -> Result<(), Fault> {
         self.ensure(true, "")?;
         for (by, tail) in self.tails.iter_mut().enumerate() {
-            self.said.extend(tail.read().lines().filter_map(|line| watch::said(by, line)));
+            self.said
+                .extend(tail.read().lines().filter_map(|line| watch::parse_convergence_report(by, line)));
         }
         Ok(())
     }
@@ -575,7 +576,7 @@
         let mut tops: BTreeMap<(usize, bool), u64> = BTreeMap::new();
         // Its own stream alone, and of its present life, as a control node that begins anew counts from 1 again: the life
         // is not said in the line.
-        let present = |said: &&Said| {
+        let present = |said: &&ConvergenceReport| {
             let born = self.control_born.get(&said.control);
             said.by == said.control
                 && born.is_some_and(|born| said.read > *born)
@@ -585,7 +586,7 @@
             let top = tops.entry((said.control, said.purges)).or_default();
             *top = (*top).max(said.number);
         }
-        let tallies = self.hollow.survey()?;
+        let tallies = self.hollow.transport_status()?;
         self.followers = tallies.iter().map(|(member, tally)| (*member, tally.node.children)).collect();
         for (member, tally) in tallies.iter().chain(&self.asleep) {
             if self.born.get(member).is_none_or(|born| born.elapsed() < GRACE) {
@@ -731,7 +732,7 @@
         let not_caught_up: Vec<_> = behind
             .map(|(member, judged)| format!("{}: {}", self.fleet.members[*member].name, judged.passed_over))
             .collect();
-        let tallies = self.hollow.survey()?;
+        let tallies = self.hollow.transport_status()?;
         let of = |purges: bool| {
             let streams = tallies.values().flat_map(|tally| tally.node.streams.iter());
             let streams =
--- a/crates/rockflow-scale/src/run/schedule.rs
+++ b/crates/rockflow-scale/src/run/schedule.rs
@@ -73,7 +73,7 @@
 /// within the run, and no node has two at once.
 pub fn plan(seed: u64, length: Duration, members: &[Place], control: usize) -> Vec<At> {
     let mut plan = Plan {
-        chance: oorandom::Rand64::new(u128::from(seed) ^ 0x5c4e_d01e),
+        rng: oorandom::Rand64::new(u128::from(seed) ^ 0x5c4e_d01e),
         steps: Vec::new(),
         busy: BTreeMap::new(),
         paths: 0,
@@ -153,7 +153,7 @@
 }
 
 struct Plan {
-    chance: oorandom::Rand64,
+    rng: oorandom::Rand64,
     steps: Vec<At>,
     /// Till when a node has a fault.
     busy: BTreeMap<Node, f64>,
@@ -164,11 +164,11 @@
 
 impl Plan {
     fn below(&mut self, most: usize) -> usize {
-        self.chance.rand_range(0..most.max(1) as u64) as usize
+        self.rng.rand_range(0..most.max(1) as u64) as usize
     }
 
     fn between(&mut self, least: f64, most: f64) -> f64 {
-        least + self.chance.rand_float() * (most - least)
+        least + self.rng.rand_float() * (most - least)
     }
 
     fn one(&mut self, groups: &[Vec<usize>]) -> Vec<usize> {
--- a/crates/rockflow-scale/src/run/watch.rs
+++ b/crates/rockflow-scale/src/run/watch.rs
@@ -10,7 +10,7 @@
 
 /// An entry that control says is in force everywhere.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct ConvergenceReport {
     /// Which control node says so, and whose stream it is.
     pub by: usize,
     pub control: usize,
@@ -90,13 +90,13 @@
 }
 
 /// A line `everywhere` of control's log.
-pub fn said(by: usize, line: &str) -> Option<Said> {
+pub fn parse_convergence_report(by: usize, line: &str) -> Option<ConvergenceReport> {
     if !line.contains(" everywhere ") && !line.ends_with(" everywhere") {
         return None;
     }
     let fields = fields(line);
     let number = |name: &str| fields.get(name)?.parse::<u64>().ok();
-    Some(Said {
+    Some(ConvergenceReport {
         by,
         control: number("control")? as usize,
         purges: *fields.get("kind")? == "Purges",
--- a/crates/rockflow-scale/src/slopes/decisions.rs
+++ b/crates/rockflow-scale/src/slopes/decisions.rs
@@ -28,14 +28,14 @@
 const GAP: Duration = Duration::from_micros(818);
 
 /// A dispatcher that is asked and answered.
-struct Asked {
+struct RequestDriver {
     dispatcher: Dispatcher,
     now: Duration,
     next: u64,
 }
 
-impl Asked {
-    fn new(hosts: usize) -> Asked {
+impl RequestDriver {
+    fn new(hosts: usize) -> RequestDriver {
         let told = DeploymentConfig {
             max_tracked: 1_000_000,
             ..rockflow_routing_simulation::deployment_config(0, 1)
@@ -44,11 +44,11 @@
         let now = Duration::from_secs(100);
         dispatcher
             .handle(now, Event::EndpointsListed { scope: ListScope::Full, entries: listings(hosts, WIDE) });
-        Asked { dispatcher, now, next: 0 }
+        RequestDriver { dispatcher, now, next: 0 }
     }
 
     /// One request, for one of so many objects; what is sent for it comes back.
-    fn ask(&mut self, objects: u64) -> Option<(RequestId, Attempt)> {
+    fn send_request(&mut self, objects: u64) -> Option<(RequestId, Attempt)> {
         self.next += 1;
         self.now += GAP;
         let id = RequestId(self.next);
@@ -90,8 +90,8 @@
     }
 
     /// A request decided and answered.
-    fn whole(&mut self, objects: u64) {
-        if let Some(sent) = self.ask(objects) {
+    fn run_request(&mut self, objects: u64) {
+        if let Some(sent) = self.send_request(objects) {
             self.answer(sent);
         }
     }
@@ -100,8 +100,8 @@
 fn by_hosts(bench: &mut Bench) {
     for hosts in HOSTS {
         let x = ("hosts", hosts as f64);
-        let mut asked = Asked::new(hosts);
-        bench.found(x, ("time a request", nanoseconds(|| asked.whole(1000)), "ns"), &[]);
+        let mut asked = RequestDriver::new(hosts);
+        bench.found(x, ("time a request", nanoseconds(|| asked.run_request(1000)), "ns"), &[]);
     }
 }
 
@@ -109,14 +109,14 @@
     for open in OPEN {
         let x = ("open requests", open as f64);
         let made = |_| {
-            let mut asked = Asked::new(OF_A_ZONE);
+            let mut asked = RequestDriver::new(OF_A_ZONE);
             for _ in 0..open {
-                asked.ask(1000);
+                asked.send_request(1000);
             }
             asked
         };
         let mut asked = made(0);
-        bench.found(x, ("time a request", nanoseconds(|| asked.whole(1000)), "ns"), &[]);
+        bench.found(x, ("time a request", nanoseconds(|| asked.run_request(1000)), "ns"), &[]);
         bench.found(x, ("heap", bytes_of(COPIES, made), "B"), &[]);
     }
 }
@@ -125,12 +125,12 @@
     for seen in SEEN {
         let x = ("objects seen", seen as f64);
         let made = |_| {
-            let mut asked = Asked::new(OF_A_ZONE);
-            (0..seen).for_each(|_| asked.whole(seen as u64));
+            let mut asked = RequestDriver::new(OF_A_ZONE);
+            (0..seen).for_each(|_| asked.run_request(seen as u64));
             asked
         };
         let mut asked = made(0);
-        bench.found(x, ("time a request", nanoseconds(|| asked.whole(seen as u64)), "ns"), &[]);
+        bench.found(x, ("time a request", nanoseconds(|| asked.run_request(seen as u64)), "ns"), &[]);
         bench.found(x, ("heap", bytes_of(2, made), "B"), &[]);
     }
 }
@@ -138,11 +138,11 @@
 fn by_purges(bench: &mut Bench) {
     for purges in PURGES {
         let x = ("purges in force", purges as f64);
-        let mut asked = Asked::new(OF_A_ZONE);
+        let mut asked = RequestDriver::new(OF_A_ZONE);
         for n in 0..purges as u64 {
             let object = Some(ObjectId(n.wrapping_mul(0x9E37_79B9_7F4A_7C15)));
             asked.dispatcher.handle(asked.now, Event::Purged { object, group: None, age: Duration::ZERO });
         }
-        bench.found(x, ("time a request", nanoseconds(|| asked.whole(1000)), "ns"), &[]);
+        bench.found(x, ("time a request", nanoseconds(|| asked.run_request(1000)), "ns"), &[]);
     }
 }
--- a/crates/rockflow-scale/src/slopes/measure.rs
+++ b/crates/rockflow-scale/src/slopes/measure.rs
@@ -5,7 +5,7 @@
 
 /// Batches of which the least counts, and the least time that one of them lasts.
 const BATCHES: usize = 9;
-const LEAST_BATCH: Duration = Duration::from_millis(10);
+const MIN_BATCH: Duration = Duration::from_millis(10);
 
 /// The processor time of this thread: what others take of the machine is not in it.
 pub fn processor() -> Duration {
@@ -19,7 +19,7 @@
 /// Nanoseconds of processor time that one call takes: the least of several batches, as all that disturbs adds to it.
 pub fn nanoseconds<T>(mut call: impl FnMut() -> T) -> f64 {
     let mut calls = 1u32;
-    while batch(calls, &mut call) < LEAST_BATCH && calls < 1 << 24 {
+    while batch(calls, &mut call) < MIN_BATCH && calls < 1 << 24 {
         calls *= 2;
     }
     let times = (0..BATCHES).map(|_| batch(calls, &mut call).as_secs_f64() * 1e9 / f64::from(calls));
--- a/crates/rockflow-scale/src/slopes/membership.rs
+++ b/crates/rockflow-scale/src/slopes/membership.rs
@@ -88,7 +88,7 @@
     frames: u64,
     bytes: u64,
     /// Frames that a machine was given, and the time that machines took in all.
-    heard: u64,
+    frames_received: u64,
     spent: Duration,
 }
 
@@ -217,7 +217,7 @@
                         outputs.extend(node.on_message(due.at, from, message));
                     }
                     self.status_report.spent += processor() - start;
-                    self.status_report.heard += 1;
+                    self.status_report.frames_received += 1;
                     self.carry(to, outputs);
                 }
                 What::Tick(at) => {
@@ -348,7 +348,7 @@
     world.idle = status_report.bytes as f64 / f64::from(COUNTED);
     point.found("idle: frames out", status_report.frames as f64 / seconds / each, "1/s");
     point.found("idle: bytes out", status_report.bytes as f64 / seconds / each, "B/s");
-    point.found("idle: time a frame", spent / status_report.heard as f64, "ns");
+    point.found("idle: time a frame", spent / status_report.frames_received as f64, "ns");
     point.found("idle: time a second", spent / seconds / each, "ns/s");
     Ok(())
 }
--- a/crates/rockflow-scale/src/virtual_fleet/against.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/against.rs
@@ -2,8 +2,8 @@
 //! signal for each process.
 
 use super::layout::Layout;
-use super::moments::{Came, Times};
-use super::world::Play;
+use super::moments::{ScenarioResult, Times};
+use super::world::FleetConfig;
 use serde::Serialize;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -76,12 +76,12 @@
 }
 
 /// The same fleet and load, as it is without the mechanism.
-pub fn board(play: &Play) -> std::io::Result<Against> {
+pub fn board(play: &FleetConfig) -> std::io::Result<Against> {
     let text = worded(10_000_000);
     let purge_bytes = text.len() + TCP_IP;
     let write = write_seconds(&text)?;
-    let mut chance = oorandom::Rand64::new(u128::from(play.seed));
-    let layout = Layout::new(play.shape, 0, &mut chance);
+    let mut rng = oorandom::Rand64::new(u128::from(play.seed));
+    let layout = Layout::new(play.shape, 0, &mut rng);
     let board = layout.control(0);
     let members = play.shape.members;
     let mut times = Vec::new();
@@ -91,7 +91,7 @@
             let way = layout.delay(board, member);
             let mut took = way + Duration::from_secs_f64(write * (member + 1) as f64);
             let mut again = RETRANSMIT + way * 2;
-            while chance.rand_float() < play.faults.lost {
+            while rng.rand_float() < play.faults.lost {
                 took += again;
                 again *= 2;
             }
@@ -118,7 +118,7 @@
 }
 
 /// Both beside each other.
-pub fn table(came: &Came, against: &Against, control: usize) -> String {
+pub fn table(came: &ScenarioResult, against: &Against, control: usize) -> String {
     let mut lines = vec![format!("{:<52}{:>14}{:>14}{:>10}", "", "board, file", "mechanism", "ratio")];
     let mut line = |what: &str, one: f64, other: f64| {
         let ratio = if other > 0.0 { one / other } else { 0.0 };
--- a/crates/rockflow-scale/src/virtual_fleet/checker.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/checker.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Faults that are kept with their words; the others are counted only.
-const KEPT: usize = 40;
+const MAX_DESCRIBED_VIOLATIONS: usize = 40;
 
 /// From hearing of a stream to having what binds of it: an ask, lost once, and its answer.
 const TO_ASK: Duration = Duration::from_millis(1500);
@@ -61,14 +61,14 @@
     /// Its publisher ended before anybody had it: it is not owed to anybody, until somebody has it all the same.
     pub lost: bool,
     /// By a clock that is wrong the board's word of it was taken for older than it is by so much, at most.
-    pub told_older: Duration,
+    pub overstated_age: Duration,
     /// A life that published it ended before it was known to be everywhere: its stream goes, and nobody may know.
     pub unknowable: bool,
 }
 
 /// A life of a member as the checker saw it.
 #[derive(Clone, Debug, Default)]
-struct Life {
+struct MemberIncarnation {
     alive: bool,
     stopped: bool,
     begun: Duration,
@@ -93,7 +93,7 @@
 
 /// What is broken, in the order of its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Broken {
+pub enum Violation {
     /// Given to a life of a member more often than it was published.
     Twice,
     /// Not in force at a member, nor covered by a floor, though it had the time for it.
@@ -127,11 +127,11 @@
     /// Something went wrong in this course, beyond what frames are lost on an ordinary day: floors may come of it.
     pub disturbed_at_all: bool,
     members: usize,
-    lives: Vec<Life>,
+    incarnations: Vec<MemberIncarnation>,
     /// What a member had in any life.
     ever: Vec<Bits>,
     /// Members by the directory.
-    told: Vec<bool>,
+    listed: Vec<bool>,
     pub entries: Vec<Published>,
     purges: HashMap<Purge, usize>,
     /// Published purges of everything.
@@ -152,7 +152,7 @@
     /// Which side of a cut a member is on, and when the two met again.
     sides: Vec<Option<u8>>,
     met: Duration,
-    pub broken: BTreeMap<Broken, usize>,
+    pub broken: BTreeMap<Violation, usize>,
     pub words: Vec<String>,
     /// Floors given in all.
     pub floors: usize,
@@ -177,9 +177,9 @@
             window,
             change_window,
             members,
-            lives: vec![Life::default(); members],
+            incarnations: vec![MemberIncarnation::default(); members],
             ever: vec![Bits::default(); members],
-            told: vec![true; members],
+            listed: vec![true; members],
             sides: vec![None; members],
             ..Checker::default()
         }
@@ -189,90 +189,106 @@
         self.broken.values().sum()
     }
 
-    pub fn breaks(&mut self, what: Broken, words: impl FnOnce() -> String) {
+    pub fn record_violation(&mut self, what: Violation, words: impl FnOnce() -> String) {
         let count = self.broken.entry(what).or_default();
         *count += 1;
-        if *count <= 5 && self.words.len() < KEPT {
+        if *count <= 5 && self.words.len() < MAX_DESCRIBED_VIOLATIONS {
             self.words.push(format!("{what:?}: {}", words()));
         }
     }
 
     /// Whether the directory names it.
-    pub fn tell(&mut self, member: usize, told: bool) {
-        if std::mem::replace(&mut self.told[member], told) == told {
+    pub fn set_listed(&mut self, member: usize, listed: bool) {
+        if std::mem::replace(&mut self.listed[member], listed) == listed {
             return;
         }
         let ever = &self.ever[member];
         for entry in
             self.entries.iter_mut().enumerate().filter(|(at, _)| ever.has(*at)).map(|(_, entry)| entry)
         {
-            entry.ever = if told { entry.ever + 1 } else { entry.ever - 1 };
+            entry.ever = if listed { entry.ever + 1 } else { entry.ever - 1 };
         }
     }
 
     /// A control node goes by a directory that names these.
-    pub fn reads(&mut self, control: usize, told: Vec<bool>) {
-        self.reads.insert(control, told);
-        self.reads.retain(|_, read| *read != self.told);
+    pub fn on_directory_read(&mut self, control: usize, listed: Vec<bool>) {
+        self.reads.insert(control, listed);
+        self.reads.retain(|_, read| *read != self.listed);
     }
 
-    pub fn is_told(&self, member: usize) -> bool {
-        self.told[member]
+    pub fn is_listed(&self, member: usize) -> bool {
+        self.listed[member]
     }
 
     /// A member keeps a setting apart: it is not in force there, and control is told so.
-    pub fn refused(&mut self, member: usize, id: (StreamId, SequenceNumber)) {
+    pub fn on_rejected_setting(&mut self, member: usize, id: (StreamId, SequenceNumber)) {
         if let Some(entry) = self.by_number.get(&id).copied() {
             self.found(entry);
             self.refusals.insert((member, entry));
-            if self.lives[member].have.add(entry) && self.ever[member].add(entry) && self.told[member] {
+            if self.incarnations[member].have.add(entry)
+                && self.ever[member].add(entry)
+                && self.listed[member]
+            {
                 self.entries[entry].ever += 1;
             }
         }
     }
 
-    pub fn begins(&mut self, now: Duration, member: usize) {
+    pub fn on_start(&mut self, now: Duration, member: usize) {
         let owed = self.settings.len();
         // What cuts it off does so whichever of its lives that is.
-        let clear_from = self.lives[member].clear_from.max(now);
-        let life = Life { alive: true, begun: now, clear_from, owed, whole: owed == 0, ..Life::default() };
-        self.lives[member] = life;
+        let clear_from = self.incarnations[member].clear_from.max(now);
+        let incarnation = MemberIncarnation {
+            alive: true,
+            begun: now,
+            clear_from,
+            owed,
+            whole: owed == 0,
+            ..MemberIncarnation::default()
+        };
+        self.incarnations[member] = incarnation;
     }
 
     /// Somebody told it of streams.
-    pub fn hears(&mut self, now: Duration, member: usize) {
-        self.lives[member].contact.get_or_insert(now);
+    pub fn on_contact(&mut self, now: Duration, member: usize) {
+        self.incarnations[member].contact.get_or_insert(now);
     }
 
-    pub fn ends(&mut self, member: usize) {
-        self.lives[member].alive = false;
+    pub fn on_exit(&mut self, member: usize) {
+        self.incarnations[member].alive = false;
     }
 
-    pub fn stops(&mut self, member: usize, stopped: bool) {
-        self.lives[member].stopped = stopped;
+    pub fn set_stopped(&mut self, member: usize, stopped: bool) {
+        self.incarnations[member].stopped = stopped;
     }
 
     /// One takes the other's place, and all that goes wrong there.
-    pub fn replaces(&mut self, member: usize, before: usize) {
-        self.tell(before, false);
-        self.tell(member, true);
-        self.lives[member].clear_from = self.lives[before].clear_from;
+    pub fn on_replacement(&mut self, member: usize, before: usize) {
+        self.set_listed(before, false);
+        self.set_listed(member, true);
+        self.incarnations[member].clear_from = self.incarnations[before].clear_from;
         self.sides[member] = self.sides[before];
     }
 
     /// Something keeps it from hearing until then.
-    pub fn disturbed(&mut self, member: usize, until: Duration) {
-        let clear = &mut self.lives[member].clear_from;
+    pub fn record_disturbance(&mut self, member: usize, until: Duration) {
+        let clear = &mut self.incarnations[member].clear_from;
         *clear = until.max(*clear);
     }
 
     /// Members on two sides that can't hear each other until then.
-    pub fn parts(&mut self, sides: Vec<Option<u8>>, until: Duration) {
+    pub fn on_partition(&mut self, sides: Vec<Option<u8>>, until: Duration) {
         (self.sides, self.met) = (sides, until);
     }
 
     /// Something is said by the board or an operator. Gives its index, under which a purge may name its object.
-    pub fn says(&mut self, now: Duration, what: What, side: Option<u8>, moment: usize) -> usize {
+    pub fn record_publication(
+        &mut self,
+        now: Duration,
+        what: What,
+        side: Option<u8>,
+        moment: usize,
+    ) -> usize {
         let at = self.entries.len();
         match &what {
             What::Purge(purge) => {
@@ -298,7 +314,7 @@
             known: None,
             held_until: Duration::ZERO,
             lost: false,
-            told_older: Duration::ZERO,
+            overstated_age: Duration::ZERO,
             unknowable: false,
         });
         at
@@ -329,8 +345,8 @@
 
     /// It was on its way when its publisher was parted from the other side.
     pub fn sided(&mut self, entry: usize, side: Option<u8>) {
-        let told = self.told.iter().filter(|told| **told).count();
-        if self.entries[entry].ever < told {
+        let listed = self.listed.iter().filter(|listed| **listed).count();
+        if self.entries[entry].ever < listed {
             self.entries[entry].side = side;
         }
     }
@@ -364,8 +380,8 @@
     }
 
     /// A control node takes the board's word of it for older than it is.
-    pub fn told_older(&mut self, entry: usize, by: Duration) {
-        let older = &mut self.entries[entry].told_older;
+    pub fn overstated_age(&mut self, entry: usize, by: Duration) {
+        let older = &mut self.entries[entry].overstated_age;
         *older = by.max(*older);
     }
 
@@ -387,7 +403,8 @@
         };
         match same {
             Some(same) => self.numbered(same, stream, number),
-            None => self.breaks(Broken::Unknown, || format!("{entry:?} sent as {stream:?} {number:?}")),
+            None => self
+                .record_violation(Violation::Unknown, || format!("{entry:?} sent as {stream:?} {number:?}")),
         }
     }
 
@@ -403,10 +420,10 @@
     }
 
     /// From when a member could hear of an entry.
-    fn could_hear(&self, member: usize, entry: &Published, now: Duration) -> Duration {
-        let life = &self.lives[member];
+    fn reachable_since(&self, member: usize, entry: &Published, now: Duration) -> Duration {
+        let incarnation = &self.incarnations[member];
         // While something is in its way it may hear late, of that and of what was before.
-        let mut from = entry.at.max(life.clear_from.min(now)).max(entry.held_until.min(now));
+        let mut from = entry.at.max(incarnation.clear_from.min(now)).max(entry.held_until.min(now));
         let other = entry.side.is_some() && self.sides[member].is_some() && entry.side != self.sides[member];
         if other && entry.at < self.met {
             // Until they meet it can't be heard; a floor may still cover it.
@@ -416,27 +433,27 @@
     }
 
     fn in_force(&mut self, now: Duration, member: usize, entry: usize) {
-        let from = self.could_hear(member, &self.entries[entry], now);
-        if !self.lives[member].have.add(entry) {
+        let from = self.reachable_since(member, &self.entries[entry], now);
+        if !self.incarnations[member].have.add(entry) {
             return;
         }
         let held = &mut self.entries[entry];
-        if self.ever[member].add(entry) && self.told[member] {
+        if self.ever[member].add(entry) && self.listed[member] {
             held.ever += 1;
         }
         // A life that begins takes what came before it as one.
         let waited = now.saturating_sub(from);
-        if held.at >= self.lives[member].begun {
+        if held.at >= self.incarnations[member].begun {
             held.worst = held.worst.max(waited);
         }
         let (at, said) = (held.at, held.at.max(held.held_until.min(now)));
         let change = matches!(held.what, What::Setting { .. });
-        let in_time = match change && from == said && at >= self.lives[member].begun {
+        let in_time = match change && from == said && at >= self.incarnations[member].begun {
             true => self.change_window,
             false => self.window,
         };
         if waited > in_time && !self.bound_nobody(member, entry, now) {
-            self.breaks(Broken::Late, || {
+            self.record_violation(Violation::Late, || {
                 format!("entry {entry} of {at:?} in force at member {member} at {now:?}, {waited:?} after {from:?}")
             });
         }
@@ -444,11 +461,11 @@
 
     /// One entry was given to a life of a member, by its own name: how often by now.
     fn given(&mut self, member: usize, entry: usize) -> usize {
-        let life = &mut self.lives[member];
-        if life.given.add(entry) {
+        let incarnation = &mut self.incarnations[member];
+        if incarnation.given.add(entry) {
             return 1;
         }
-        let times = life.again.entry(entry).or_insert(1);
+        let times = incarnation.again.entry(entry).or_insert(1);
         *times += 1;
         *times
     }
@@ -463,19 +480,19 @@
                 continue;
             }
             let Some(entry) = self.entry_of(purge) else {
-                self.breaks(Broken::Unknown, || format!("{purge:?} at member {member}"));
+                self.record_violation(Violation::Unknown, || format!("{purge:?} at member {member}"));
                 continue;
             };
             let (at, numbers) = (self.entries[entry].at, self.entries[entry].numbers);
-            if until + self.entries[entry].told_older < at {
-                self.breaks(Broken::Laxer, || {
+            if until + self.entries[entry].overstated_age < at {
+                self.record_violation(Violation::Laxer, || {
                     format!("entry {entry} by {:?} at member {member}", at - until)
                 });
             }
             self.stricter = self.stricter.max(until.saturating_sub(at));
             let times = self.given(member, entry);
             if times > numbers.max(1) {
-                self.breaks(Broken::Twice, || {
+                self.record_violation(Violation::Twice, || {
                     format!("entry {entry} of {at:?} {times} times at member {member}, numbers {numbers}, at {now:?}")
                 });
             }
@@ -486,24 +503,26 @@
 
     /// A floor costs every cached object: where nothing went wrong only a published purge of everything is one.
     fn calls_for_floor(&mut self, now: Duration, member: usize, until: Duration) {
-        let given = &mut self.lives[member].given;
+        let given = &mut self.incarnations[member].given;
         let published = self.everything.iter().any(|at| self.entries[*at].at <= until && given.add(*at));
         if !published && !self.disturbed_at_all {
-            self.breaks(Broken::NeedlessFloor, || format!("of {until:?} at member {member}, at {now:?}"));
+            self.record_violation(Violation::NeedlessFloor, || {
+                format!("of {until:?} at member {member}, at {now:?}")
+            });
         }
     }
 
     fn floor(&mut self, now: Duration, member: usize, until: Duration) {
         self.floors += 1;
-        let life = &mut self.lives[member];
-        if life.floor.is_some_and(|held| held >= until) {
+        let incarnation = &mut self.incarnations[member];
+        if incarnation.floor.is_some_and(|held| held >= until) {
             return;
         }
-        life.floor = Some(until);
+        incarnation.floor = Some(until);
         let last = self.entries.partition_point(|entry| entry.at <= until);
-        let mut at = life.low;
+        let mut at = incarnation.low;
         while at < last {
-            if matches!(self.entries[at].what, What::Purge(_)) && !self.lives[member].have.has(at) {
+            if matches!(self.entries[at].what, What::Purge(_)) && !self.incarnations[member].have.has(at) {
                 if self.entries[at].what != What::Purge(Purge::Everything) {
                     self.covered += 1;
                 }
@@ -515,11 +534,12 @@
     }
 
     fn lower(&mut self, member: usize) {
-        let life = &mut self.lives[member];
-        while life.low < self.entries.len()
-            && (life.have.has(life.low) || !matches!(self.entries[life.low].what, What::Purge(_)))
+        let incarnation = &mut self.incarnations[member];
+        while incarnation.low < self.entries.len()
+            && (incarnation.have.has(incarnation.low)
+                || !matches!(self.entries[incarnation.low].what, What::Purge(_)))
         {
-            life.low += 1;
+            incarnation.low += 1;
         }
     }
 
@@ -531,26 +551,32 @@
         settings: BTreeMap<String, DesiredState>,
         changed: &[((StreamId, SequenceNumber), String)],
     ) {
-        let before = std::mem::replace(&mut self.lives[member].table, settings);
+        let before = std::mem::replace(&mut self.incarnations[member].table, settings);
         for (id, host) in changed {
             let Some(entry) = self.by_number.get(id).copied() else {
-                self.breaks(Broken::Unknown, || format!("setting {id:?} of {host} at member {member}"));
+                self.record_violation(Violation::Unknown, || {
+                    format!("setting {id:?} of {host} at member {member}")
+                });
                 continue;
             };
             if !matches!(&self.entries[entry].what, What::Setting { host: other, .. } if other == host) {
-                self.breaks(Broken::WrongSetting, || format!("{id:?} for {host} at member {member}"));
+                self.record_violation(Violation::WrongSetting, || {
+                    format!("{id:?} for {host} at member {member}")
+                });
             }
             self.found(entry);
             // One that was kept apart may be judged again, and taken.
             self.refusals.remove(&(member, entry));
             if self.given(member, entry) > self.entries[entry].numbers {
-                self.breaks(Broken::Twice, || format!("setting {id:?} of {host} at member {member}"));
+                self.record_violation(Violation::Twice, || {
+                    format!("setting {id:?} of {host} at member {member}")
+                });
             }
             self.in_force(now, member, entry);
         }
         // What a later version of the same host stands for, or a whole table brought.
         let mut hosts: BTreeSet<&String> = changed.iter().map(|(_, host)| host).collect();
-        let held = &self.lives[member].table;
+        let held = &self.incarnations[member].table;
         hosts.extend(
             held.iter().filter(|(host, wanted)| before.get(*host) != Some(*wanted)).map(|(host, _)| host),
         );
@@ -558,32 +584,34 @@
         let of = hosts.into_iter().filter_map(|host| self.settings_of.get(host)).flatten().copied();
         let open = |at: &usize| {
             let lost = self.entries[*at].lost;
-            !lost && !self.lives[member].have.has(*at) && self.covered_setting(member, *at)
+            !lost && !self.incarnations[member].have.has(*at) && self.covered_setting(member, *at)
         };
         let open: Vec<_> = of.filter(open).collect();
         open.into_iter().for_each(|at| self.in_force(now, member, at));
-        let life = &self.lives[member];
-        if !life.whole
-            && self.settings[..life.owed].iter().all(|at| self.entries[*at].lost || self.has(member, *at))
+        let incarnation = &self.incarnations[member];
+        if !incarnation.whole
+            && self.settings[..incarnation.owed]
+                .iter()
+                .all(|at| self.entries[*at].lost || self.has(member, *at))
         {
-            let took = now - self.lives[member].begun;
+            let took = now - self.incarnations[member].begun;
             self.caught_up.push(took);
-            self.lives[member].whole = true;
+            self.incarnations[member].whole = true;
         }
     }
 
     /// Whether a member goes by the last version of the host that a setting is about.
     fn covered_setting(&self, member: usize, entry: usize) -> bool {
         let What::Setting { host, .. } = &self.entries[entry].what else { return false };
-        let held = self.lives[member].table.get(host).copied().unwrap_or(DesiredState::Listed);
+        let held = self.incarnations[member].table.get(host).copied().unwrap_or(DesiredState::Listed);
         self.expected.get(host).is_some_and(|(_, wanted)| *wanted == held)
     }
 
     fn has(&self, member: usize, entry: usize) -> bool {
-        let life = &self.lives[member];
-        life.have.has(entry)
+        let incarnation = &self.incarnations[member];
+        incarnation.have.has(entry)
             || match &self.entries[entry].what {
-                What::Purge(_) => life.floor.is_some_and(|floor| floor >= self.entries[entry].at),
+                What::Purge(_) => incarnation.floor.is_some_and(|floor| floor >= self.entries[entry].at),
                 What::Setting { .. } => self.covered_setting(member, entry),
             }
     }
@@ -594,10 +622,12 @@
         if matches!(held.what, What::Setting { .. }) {
             return false;
         }
-        let (life, from) = (&self.lives[member], self.could_hear(member, held, now));
-        if held.at < life.begun {
+        let (incarnation, from) = (&self.incarnations[member], self.reachable_since(member, held, now));
+        if held.at < incarnation.begun {
             // A life that begins owes what bound somebody when it first heard of a stream, less the time to ask for it.
-            return life.contact.is_none_or(|heard| heard.max(from) + TO_ASK >= held.at + self.window);
+            return incarnation
+                .contact
+                .is_none_or(|first_contact| first_contact.max(from) + TO_ASK >= held.at + self.window);
         }
         from + TO_ASK >= held.at + self.window
     }
@@ -610,7 +640,7 @@
         let from = self.said.get(&said).copied().unwrap_or_default();
         for number in from.0 + 1..=number.0 {
             let Some(entry) = self.by_number.get(&(stream, SequenceNumber(number))).copied() else {
-                self.breaks(Broken::Unknown, || {
+                self.record_violation(Violation::Unknown, || {
                     format!("{stream:?} {number} everywhere, by control {control}")
                 });
                 continue;
@@ -619,23 +649,23 @@
             if held.known.is_none() {
                 self.entries[entry].known = Some(now);
             }
-            let told = self.told.iter().filter(|told| **told).count();
-            if read.is_none() && self.entries[entry].ever >= told {
+            let listed = self.listed.iter().filter(|listed| **listed).count();
+            if read.is_none() && self.entries[entry].ever >= listed {
                 continue;
             }
             for member in 0..self.members {
                 // A life that began later takes the stream up where something still binds.
                 let at = self.entries[entry].at;
-                let before = at < self.lives[member].begun && at + self.window <= now;
+                let before = at < self.incarnations[member].begun && at + self.window <= now;
                 let purge = matches!(self.entries[entry].what, What::Purge(_));
-                let excused = !read.as_ref().unwrap_or(&self.told)[member]
+                let excused = !read.as_ref().unwrap_or(&self.listed)[member]
                     || self.ever[member].has(entry)
                     || (purge && before)
-                    || (self.lives[member].alive
+                    || (self.incarnations[member].alive
                         && (self.has(member, entry) || self.bound_nobody(member, entry, now)));
                 if !excused {
-                    let alive = self.lives[member].alive;
-                    self.breaks(Broken::EverywhereTooEarly, || {
+                    let alive = self.incarnations[member].alive;
+                    self.record_violation(Violation::EverywhereTooEarly, || {
                         format!("control {control} of {stream:?} {number} at {now:?}: member {member} (alive: {alive}) has it not")
                     });
                 }
@@ -649,18 +679,18 @@
     pub fn ends_quiet(&mut self, now: Duration, everywhere: bool) {
         let settled = now.saturating_sub(self.window);
         for member in 0..self.members {
-            if !self.told[member] {
+            if !self.listed[member] {
                 continue;
             }
-            let Life { alive, stopped, clear_from, .. } = self.lives[member];
+            let MemberIncarnation { alive, stopped, clear_from, .. } = self.incarnations[member];
             if !alive || stopped || clear_from + self.window > now {
-                self.breaks(Broken::NotJudged, || {
+                self.record_violation(Violation::NotJudged, || {
                     format!("member {member}, alive: {alive}, stopped: {stopped}, clear from {clear_from:?}")
                 });
                 continue;
             }
             self.lower(member);
-            let purges = (self.lives[member].low..self.entries.len())
+            let purges = (self.incarnations[member].low..self.entries.len())
                 .filter(|at| matches!(self.entries[*at].what, What::Purge(_)));
             let due: Vec<_> = purges.chain(self.settings.iter().copied()).collect();
             for entry in due {
@@ -672,16 +702,20 @@
                     self.expired += 1;
                     continue;
                 }
-                let (what, from) =
-                    (self.entries[entry].what.clone(), self.could_hear(member, &self.entries[entry], now));
-                self.breaks(Broken::PassedOver, || {
+                let (what, from) = (
+                    self.entries[entry].what.clone(),
+                    self.reachable_since(member, &self.entries[entry], now),
+                );
+                self.record_violation(Violation::PassedOver, || {
                     format!("entry {entry} {what:?} of {at:?} at member {member}, which could hear it from {from:?}")
                 });
             }
-            let table: Vec<_> = self.lives[member].table.clone().into_iter().collect();
+            let table: Vec<_> = self.incarnations[member].table.clone().into_iter().collect();
             for (host, held) in table {
                 if self.expected.get(&host).is_none_or(|(at, wanted)| *wanted != held && *at <= settled) {
-                    self.breaks(Broken::WrongSetting, || format!("{host} {held:?} at member {member}"));
+                    self.record_violation(Violation::WrongSetting, || {
+                        format!("{host} {held:?} at member {member}")
+                    });
                 }
             }
         }
@@ -698,19 +732,21 @@
                 .collect();
             for entry in open {
                 let at = self.entries[entry].at;
-                self.breaks(Broken::EverywhereNotSaid, || format!("entry {entry} of {at:?}"));
+                self.record_violation(Violation::EverywhereNotSaid, || format!("entry {entry} of {at:?}"));
             }
         }
     }
 
     /// Whether a member goes by what was published last of a host.
     pub fn wanted(&self, member: usize, host: &str) -> DesiredState {
-        self.lives[member].table.get(host).copied().unwrap_or(DesiredState::Listed)
+        self.incarnations[member].table.get(host).copied().unwrap_or(DesiredState::Listed)
     }
 
     /// Members that have an entry in force now.
     pub fn holders(&self, entry: usize) -> usize {
-        (0..self.members).filter(|member| self.lives[*member].alive && self.has(*member, entry)).count()
+        (0..self.members)
+            .filter(|member| self.incarnations[*member].alive && self.has(*member, entry))
+            .count()
     }
 
     /// How long each entry of a kind and moment took to all, sorted.
--- a/crates/rockflow-scale/src/virtual_fleet/figures.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/figures.rs
@@ -1,6 +1,6 @@
 //! The rows of a moment that was played: a series a moment, all figures at the one size.
 
-use super::moments::{Came, MeanWorst, Moment, Times};
+use super::moments::{MeanWorst, Scenario, ScenarioResult, Times};
 use crate::rows::{Found, How, Row, Size};
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 pub const SERIES: &str = "dissemination";
 
 /// Under which name the rows of a moment stand.
-pub fn series(moment: Moment) -> String {
-    format!("{SERIES}-{}", moment.word())
+pub fn series(moment: Scenario) -> String {
+    format!("{SERIES}-{}", moment.as_str())
 }
 
 /// All figures of a moment as rows. What else was chosen stands in `parameters`, what gives them again in `command`.
-pub fn rows(came: &Came, parameters: &BTreeMap<String, f64>, command: &str) -> Vec<Row> {
+pub fn rows(came: &ScenarioResult, parameters: &BTreeMap<String, f64>, command: &str) -> Vec<Row> {
     let row = |(name, value, unit): (String, f64, &str)| Row {
         series: series(came.moment),
         x: Size { name: "members".to_string(), value: came.members as f64 },
@@ -27,7 +27,7 @@
     figures(came).into_iter().map(row).collect()
 }
 
-fn figures(came: &Came) -> Vec<(String, f64, &'static str)> {
+fn figures(came: &ScenarioResult) -> Vec<(String, f64, &'static str)> {
     let times = |name: &str, times: &Times| {
         let each = [("median", times.median), ("99th", times.p99), ("worst", times.worst)];
         each.map(|(which, value)| (format!("{name}, {which}"), value, "s"))
--- a/crates/rockflow-scale/src/virtual_fleet/layout.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/layout.rs
@@ -60,18 +60,17 @@
     pub shape: Shape,
     pub places: Vec<Place>,
     /// Members and spare places.
-    pub seats: usize,
+    pub member_slots: usize,
 }
 
 impl Layout {
-    pub fn new(shape: Shape, spare: usize, chance: &mut oorandom::Rand64) -> Layout {
+    pub fn new(shape: Shape, spare: usize, rng: &mut oorandom::Rand64) -> Layout {
         let zone_of = |site: usize| site % shape.zones;
         let region_of = |zone: usize| zone % shape.regions;
         let place = |site: usize| Place { site, zone: zone_of(site), region: region_of(zone_of(site)) };
         // Sites of one to four times the least size, by the seed.
-        let weights: Vec<f64> = (0..shape.sites)
-            .map(|_| if shape.even { 1.0 } else { 1.0 + 3.0 * chance.rand_float() })
-            .collect();
+        let weights: Vec<f64> =
+            (0..shape.sites).map(|_| if shape.even { 1.0 } else { 1.0 + 3.0 * rng.rand_float() }).collect();
         let all: f64 = weights.iter().sum();
         let mut reached = 0.0;
         let mut places = Vec::new();
@@ -88,12 +87,12 @@
             places.push(place(places.len() % shape.sites));
         }
         (0..spare).for_each(|at| places.push(places[at % shape.members]));
-        let seats = places.len();
+        let member_slots = places.len();
         for control in 0..shape.control {
             let region = control * shape.regions / shape.control.max(1) % shape.regions;
             places.push(Place { region, zone: shape.zones + control, site: shape.sites + control });
         }
-        Layout { shape, places, seats }
+        Layout { shape, places, member_slots }
     }
 
     pub fn nodes(&self) -> usize {
@@ -101,20 +100,20 @@
     }
 
     pub fn is_control(&self, at: usize) -> bool {
-        at >= self.seats
+        at >= self.member_slots
     }
 
     /// The index of a control node.
     pub fn control(&self, place: usize) -> usize {
-        self.seats + place
+        self.member_slots + place
     }
 
     pub fn control_id(&self, at: usize) -> Option<ControlId> {
-        at.checked_sub(self.seats).map(|place| ControlId(place as u8))
+        at.checked_sub(self.member_slots).map(|place| ControlId(place as u8))
     }
 
     pub fn name(&self, at: usize) -> String {
-        match at.checked_sub(self.seats) {
+        match at.checked_sub(self.member_slots) {
             Some(place) => format!("control-{place}"),
             None => format!("m{at:05}"),
         }
--- a/crates/rockflow-scale/src/virtual_fleet/mod.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/mod.rs
@@ -14,7 +14,7 @@
 use crate::target::Target;
 use crate::Fault;
 use clap::{Args, ValueEnum};
-use moments::{Came, MeanWorst, Moment, Times};
+use moments::{MeanWorst, Scenario, ScenarioResult, Times};
 use rockflow_process_harness::{Process, Start};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use world::Play;
+use world::FleetConfig;
 
 /// The target that is meant where none is named.
 const TARGET: &str = "docs/capacity/target.toml";
@@ -86,13 +86,13 @@
 }
 
 impl Which {
-    fn is(self, moment: Moment) -> bool {
+    fn is(self, moment: Scenario) -> bool {
         match self {
             Which::All => true,
-            Which::Ordinary => moment == Moment::Ordinary,
-            Which::Restart => moment == Moment::Restart,
-            Which::Zone => moment == Moment::Zone,
-            Which::Regions => moment == Moment::Regions,
+            Which::Ordinary => moment == Scenario::Ordinary,
+            Which::Restart => moment == Scenario::Restart,
+            Which::Zone => moment == Scenario::Zone,
+            Which::Regions => moment == Scenario::Regions,
         }
     }
 }
@@ -124,12 +124,12 @@
         println!("seed {seed}");
         return slopes(&target, seed, path);
     }
-    let wanted = |moment: &Moment| options.moment.iter().any(|which| which.is(*moment));
-    let chosen: Vec<_> = Moment::ALL.into_iter().filter(wanted).collect();
+    let wanted = |moment: &Scenario| options.moment.iter().any(|which| which.is(*moment));
+    let chosen: Vec<_> = Scenario::ALL.into_iter().filter(wanted).collect();
     let courses: Vec<_> =
         seeds.iter().flat_map(|seed| chosen.iter().map(|moment| (*moment, *seed))).collect();
     if let Some(at_a_time) = options.at_a_time {
-        return beside_each_other(options, &courses, at_a_time as usize);
+        return run_in_parallel(options, &courses, at_a_time as usize);
     }
     let (mut all, mut broken) = (Vec::new(), Vec::new());
     for (moment, seed) in courses {
@@ -137,7 +137,7 @@
         let play = told(&target, options, seed);
         let parameters = parameters(&play);
         let clock = Instant::now();
-        let came = moments::moment(&target, play, moment, options.minutes);
+        let came = moments::run_scenario(&target, play, moment, options.minutes);
         println!("{}", table(&came, &target));
         println!("  played in {:.0} s", clock.elapsed().as_secs_f64());
         if let Some(path) = &options.rows {
@@ -166,14 +166,14 @@
 }
 
 /// What was chosen of a course beside its moment and seed, as its rows name it.
-fn parameters(play: &Play) -> BTreeMap<String, f64> {
+fn parameters(play: &FleetConfig) -> BTreeMap<String, f64> {
     let even = play.shape.even.then(|| ("even".to_string(), 1.0));
     [("purges a second".to_string(), play.purges_per_second)].into_iter().chain(even).collect()
 }
 
 /// The words after the program's name that play one moment on one seed.
-fn arguments(options: &Options, moment: Moment, seed: u64) -> Vec<String> {
-    let mut words: Vec<String> = ["virtual", "--seed", &seed.to_string(), "--moment", moment.word()]
+fn arguments(options: &Options, moment: Scenario, seed: u64) -> Vec<String> {
+    let mut words: Vec<String> = ["virtual", "--seed", &seed.to_string(), "--moment", moment.as_str()]
         .map(str::to_string)
         .into_iter()
         .collect();
@@ -190,14 +190,14 @@
 }
 
 /// What gives the rows of a moment again, wherever the file stands now.
-fn command(options: &Options, moment: Moment, seed: u64, rows: &Path) -> String {
+fn command(options: &Options, moment: Scenario, seed: u64, rows: &Path) -> String {
     let name = rows.file_name().unwrap_or_default().to_string_lossy();
     format!("rockflow-scale {} --rows {ROWS}/{name}", arguments(options, moment, seed).join(" "))
 }
 
 /// Plays courses in processes of their own, so many at a time, and prints what each said once it has ended. They are
 /// ended with this one.
-fn beside_each_other(options: &Options, courses: &[(Moment, u64)], at_a_time: usize) -> Result<(), Fault> {
+fn run_in_parallel(options: &Options, courses: &[(Scenario, u64)], at_a_time: usize) -> Result<(), Fault> {
     let fault = |what: std::io::Error| Fault(format!("a process that plays: {what}"));
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
@@ -215,7 +215,7 @@
             }
             playing.push((
                 start.start().map_err(fault)?,
-                format!("{} on seed {seed}", moment.word()),
+                format!("{} on seed {seed}", moment.as_str()),
                 Vec::new(),
             ));
         }
@@ -248,7 +248,7 @@
     }
 }
 
-fn told(target: &Target, options: &Options, seed: u64) -> Play {
+fn told(target: &Target, options: &Options, seed: u64) -> FleetConfig {
     let mut play = moments::play(target, seed);
     if let Some(members) = options.members {
         let (near, far) = (play.shape.near, play.shape.far);
@@ -260,7 +260,7 @@
 }
 
 /// Figures of a moment, each with its share of what is allowed.
-fn table(came: &Came, target: &Target) -> String {
+fn table(came: &ScenarioResult, target: &Target) -> String {
     let allowed = |name: &str| target.get(name).unwrap_or(f64::NAN);
     let mut lines = vec![format!(
         "{:?}: {} members, {} s, {} published, seed {}{}",
@@ -333,14 +333,14 @@
     let whole = moments::play(target, seed);
     let sized = |members: usize| {
         let (near, far) = (whole.shape.near, whole.shape.far);
-        Play { shape: layout::Shape { near, far, ..layout::Shape::of(members) }, ..whole.clone() }
+        FleetConfig { shape: layout::Shape { near, far, ..layout::Shape::of(members) }, ..whole.clone() }
     };
-    let mut plays: Vec<(&str, &str, f64, Play)> = Vec::new();
+    let mut plays: Vec<(&str, &str, f64, FleetConfig)> = Vec::new();
     for members in MEMBERS {
         plays.push(("dissemination-members", "members", members as f64, sized(members)));
     }
     for purges in PURGES {
-        let play = Play { purges_per_second: purges, ..sized(ONE_SIZE) };
+        let play = FleetConfig { purges_per_second: purges, ..sized(ONE_SIZE) };
         plays.push(("dissemination-purges", "purges a second", purges, play));
     }
     for regions in REGIONS {
@@ -359,7 +359,7 @@
             }
             _ => BTreeMap::from([("members".to_string(), play.shape.members as f64)]),
         };
-        let came = moments::moment(target, play, Moment::Ordinary, 1);
+        let came = moments::run_scenario(target, play, Scenario::Ordinary, 1);
         broken += came.broken();
         println!("{series}, {name} {value}");
         println!("{}", table(&came, target));
@@ -406,7 +406,7 @@
 
 /// A short course of a small fleet, for a look at what it costs to play.
 pub fn small(members: usize, seed: u64, span: Duration) -> world::World {
-    let mut world = world::World::new(Play::new(members, seed));
+    let mut world = world::World::new(FleetConfig::new(members, seed));
     world.busy(span);
     world.play_to(span);
     world
--- a/crates/rockflow-scale/src/virtual_fleet/moments.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/moments.rs
@@ -1,9 +1,9 @@
 //! The four moments that are asked about, each played by a fleet of its own, and what came of each.
 
-use super::checker::Broken;
+use super::checker::Violation;
 use super::layout::Shape;
-use super::traffic::{Spread, Way};
-use super::world::{Faults, Play, World};
+use super::traffic::{Spread, TrafficDirection};
+use super::world::{Faults, FleetConfig, World};
 use crate::slopes::measure::heap;
 use crate::target::Target;
 use clap::ValueEnum;
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Moment {
+pub enum Scenario {
     /// An ordinary minute
     Ordinary,
     /// The worst minute of an ordinary day: all of its restarts and replacements in one wave
@@ -35,16 +35,16 @@
     Regions,
 }
 
-impl Moment {
-    pub const ALL: [Moment; 4] = [Moment::Ordinary, Moment::Restart, Moment::Zone, Moment::Regions];
+impl Scenario {
+    pub const ALL: [Scenario; 4] = [Scenario::Ordinary, Scenario::Restart, Scenario::Zone, Scenario::Regions];
 
     /// As the command line and the series of rows name it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Moment::Ordinary => "ordinary",
-            Moment::Restart => "restart",
-            Moment::Zone => "zone",
-            Moment::Regions => "regions",
+            Scenario::Ordinary => "ordinary",
+            Scenario::Restart => "restart",
+            Scenario::Zone => "zone",
+            Scenario::Regions => "regions",
         }
     }
 }
@@ -82,8 +82,8 @@
 
 /// What a moment came to. Bytes are a second, with all heads.
 #[derive(Clone, Debug, Serialize)]
-pub struct Came {
-    pub moment: Moment,
+pub struct ScenarioResult {
+    pub moment: Scenario,
     pub seed: u64,
     pub members: usize,
     /// Seconds of virtual time over which figures are taken.
@@ -130,7 +130,7 @@
     pub words: Vec<String>,
 }
 
-impl Came {
+impl ScenarioResult {
     pub fn broken(&self) -> usize {
         self.violations.values().sum()
     }
@@ -155,17 +155,17 @@
 }
 
 /// A fleet under the target's load, with frames lost as on any day.
-pub fn play(target: &Target, seed: u64) -> Play {
+pub fn play(target: &Target, seed: u64) -> FleetConfig {
     let shape = shape(target);
-    Play {
+    FleetConfig {
         shape,
         hosts: target.cache_hosts(),
         purges_per_second: target.get("purges_per_second").unwrap_or_default(),
         window: Duration::from_secs_f64(target.get("purge_done_seconds").unwrap_or(8.7)),
         change_window: Duration::from_secs_f64(target.get("change_in_force_seconds").unwrap_or(4.0)),
         bytes_per_second: (target.get("kb_per_second").unwrap_or(6.0) * 1024.0) as u32,
-        faults: Faults { lost: LOST, doubled: LOST / 10.0, late: LOST / 10.0 },
-        ..Play::new(shape.members, seed)
+        faults: Faults { lost: LOST, duplicated: LOST / 10.0, late: LOST / 10.0 },
+        ..FleetConfig::new(shape.members, seed)
     }
 }
 
@@ -176,14 +176,16 @@
 }
 
 /// Plays one moment.
-pub fn moment(target: &Target, play: Play, moment: Moment, minutes: u64) -> Came {
+pub fn run_scenario(target: &Target, play: FleetConfig, moment: Scenario, minutes: u64) -> ScenarioResult {
     let restarts = replaced(target, play.shape.members);
-    let play = Play { spare: if moment == Moment::Restart { restarts.div_ceil(2) } else { 0 }, ..play };
+    let play =
+        FleetConfig { spare: if moment == Scenario::Restart { restarts.div_ceil(2) } else { 0 }, ..play };
     let play = match moment {
         // As many changes as the day brings; in the other moments more, so that there is something to count.
-        Moment::Regions => {
-            Play { changes_per_second: target.get("changes_per_day").unwrap_or_default() / 86_400.0, ..play }
-        }
+        Scenario::Regions => FleetConfig {
+            changes_per_second: target.get("changes_per_day").unwrap_or_default() / 86_400.0,
+            ..play
+        },
         _ => play,
     };
     let mut world = World::new(play);
@@ -193,18 +195,18 @@
     let spent = world.spent.clone();
     let mut reduced = None;
     let until = match moment {
-        Moment::Ordinary => {
+        Scenario::Ordinary => {
             let until = from + Duration::from_secs(minutes * MINUTE);
             world.busy(until);
             until
         }
-        Moment::Restart => {
+        Scenario::Restart => {
             let until = from + Duration::from_secs(MINUTE.max(minutes * MINUTE));
             world.busy(until + Duration::from_secs(10));
             wave(&mut world, restarts, Duration::from_secs(MINUTE));
             until + Duration::from_secs(10)
         }
-        Moment::Zone => {
+        Scenario::Zone => {
             let until = from + Duration::from_secs(MINUTE * 2 + 30);
             world.busy(until);
             world.play_for(Duration::from_secs(10));
@@ -215,7 +217,7 @@
             }
             until
         }
-        Moment::Regions => {
+        Scenario::Regions => {
             let told = target.get("region_apart_seconds").unwrap_or(3600.0);
             let apart = Duration::from_secs_f64(told.min(minutes.max(1) as f64 * 60.0));
             if apart.as_secs_f64() < told {
@@ -245,7 +247,7 @@
     let now = world.now;
     world.checker.ends_quiet(now, true);
     let (memory, control_memory) = (held(&mut world, &members, seconds), held(&mut world, &control, seconds));
-    let after = if moment == Moment::Regions { 2 } else { 1 };
+    let after = if moment == Scenario::Regions { 2 } else { 1 };
     let (known, unknown) = world.checker.known(Some(after), true);
     let traffic = &world.traffic;
     let rate = |nodes: &[usize], way| traffic.rate(nodes, seconds.0, seconds.1, way).into();
@@ -253,7 +255,7 @@
     let second = |way| traffic.worst_second(&members, seconds.0, seconds.1, way).into();
     let mut begun = world.checker.caught_up.clone();
     begun.sort();
-    Came {
+    ScenarioResult {
         moment,
         seed: world.play.seed,
         members: members.len(),
@@ -261,20 +263,20 @@
         reduced,
         purges: Times::of(&world.checker.times(Some(after), true)),
         changes: Times::of(&world.checker.times(Some(after), false)),
-        apart: (moment == Moment::Regions).then(|| Times::of(&world.checker.times(Some(1), true))),
+        apart: (moment == Scenario::Regions).then(|| Times::of(&world.checker.times(Some(1), true))),
         purges_known: Times::of(&known),
         purges_unknown: unknown,
         changes_known: Times::of(&world.checker.known(Some(after), false).0),
         begun: Times::of(&begun),
-        bytes_in: rate(&members, Way::In),
-        bytes_out: rate(&members, Way::Out),
-        minute_in: sliding(Way::In),
-        minute_out: sliding(Way::Out),
-        second_in: second(Way::In),
-        second_out: second(Way::Out),
+        bytes_in: rate(&members, TrafficDirection::In),
+        bytes_out: rate(&members, TrafficDirection::Out),
+        minute_in: sliding(TrafficDirection::In),
+        minute_out: sliding(TrafficDirection::Out),
+        second_in: second(TrafficDirection::In),
+        second_out: second(TrafficDirection::Out),
         frames: traffic.frames(&members, seconds.0, seconds.1).into(),
-        control_bytes_in: rate(&control, Way::In),
-        control_bytes_out: rate(&control, Way::Out),
+        control_bytes_in: rate(&control, TrafficDirection::In),
+        control_bytes_out: rate(&control, TrafficDirection::Out),
         core,
         control_core,
         memory,
@@ -321,7 +323,7 @@
 /// the allocator takes as long as its free lists are.)
 fn held(world: &mut World, nodes: &[usize], seconds: (u64, u64)) -> MeanWorst {
     let busy = |at: &usize| {
-        let out = world.traffic.rate(&[*at], seconds.0, seconds.1, Way::Out).worst;
+        let out = world.traffic.rate(&[*at], seconds.0, seconds.1, TrafficDirection::Out).worst;
         std::cmp::Reverse(out as u64)
     };
     let mut order = nodes.to_vec();
@@ -341,7 +343,7 @@
 }
 
 /// Words for what is broken, most grave first.
-pub fn gravest(came: &Came) -> Option<String> {
-    let order = [Broken::Twice, Broken::PassedOver, Broken::Laxer, Broken::EverywhereTooEarly];
+pub fn gravest(came: &ScenarioResult) -> Option<String> {
+    let order = [Violation::Twice, Violation::PassedOver, Violation::Laxer, Violation::EverywhereTooEarly];
     order.iter().map(|what| format!("{what:?}")).find(|what| came.violations.contains_key(what))
 }
--- a/crates/rockflow-scale/src/virtual_fleet/traffic.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/traffic.rs
@@ -13,16 +13,16 @@
 
 /// A way to look at traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum TrafficDirection {
     In,
     Out,
 }
 
 impl Second {
-    pub fn bytes(&self, way: Way) -> f64 {
+    pub fn bytes(&self, way: TrafficDirection) -> f64 {
         f64::from(match way {
-            Way::In => self.bytes_in,
-            Way::Out => self.bytes_out,
+            TrafficDirection::In => self.bytes_in,
+            TrafficDirection::Out => self.bytes_out,
         })
     }
 
@@ -78,7 +78,7 @@
         second.frames_out = second.frames_out.saturating_add(1);
     }
 
-    pub fn heard(&mut self, now: Duration, at: usize, bytes: usize) {
+    pub fn record_received(&mut self, now: Duration, at: usize, bytes: usize) {
         let second = self.second(now, at);
         second.bytes_in = second.bytes_in.saturating_add(bytes as u32);
         second.frames_in = second.frames_in.saturating_add(1);
@@ -91,7 +91,7 @@
     }
 
     /// Bytes a second over a span, by node.
-    pub fn rate(&self, nodes: &[usize], from: u64, to: u64, way: Way) -> Spread {
+    pub fn rate(&self, nodes: &[usize], from: u64, to: u64, way: TrafficDirection) -> Spread {
         let seconds = to.saturating_sub(from).max(1) as f64;
         Spread::of(nodes.iter().map(|at| {
             let bytes: f64 = self.span(*at, from, to).map(|second| second.bytes(way)).sum();
@@ -109,7 +109,7 @@
     }
 
     /// The greatest mean over a sliding window, by node.
-    pub fn sliding(&self, nodes: &[usize], from: u64, to: u64, window: u64, way: Way) -> Spread {
+    pub fn sliding(&self, nodes: &[usize], from: u64, to: u64, window: u64, way: TrafficDirection) -> Spread {
         Spread::of(nodes.iter().map(|at| {
             let bytes: Vec<_> = self.span(*at, from, to).map(|second| second.bytes(way)).collect();
             let window = (window as usize).min(bytes.len()).max(1);
@@ -124,7 +124,7 @@
     }
 
     /// The greatest second, by node.
-    pub fn worst_second(&self, nodes: &[usize], from: u64, to: u64, way: Way) -> Spread {
+    pub fn worst_second(&self, nodes: &[usize], from: u64, to: u64, way: TrafficDirection) -> Spread {
         Spread::of(
             nodes.iter().map(|at| {
                 (*at, self.span(*at, from, to).map(|second| second.bytes(way)).fold(0.0, f64::max))
--- a/crates/rockflow-scale/src/virtual_fleet/world.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/world.rs
@@ -1,6 +1,6 @@
 //! A whole fleet in virtual time: its nodes, what is on its way, and what goes wrong. One seed gives one course.
 
-use super::checker::{Broken, Checker, What};
+use super::checker::{Checker, Violation, What};
 use super::layout::{Layout, Shape};
 use super::traffic::Traffic;
 use crate::slopes::measure::processor;
@@ -16,26 +16,26 @@
 const SOCKET_BUFFER: usize = 212_992;
 const BUFFER_OVERHEAD: usize = 768;
 /// A frame that is late is so up to this.
-const LATE: Duration = Duration::from_secs(1);
+const MAX_EXTRA_DELAY: Duration = Duration::from_secs(1);
 /// The board is heard at a control node within this.
-const BOARD: Duration = Duration::from_millis(50);
+const BOARD_DELAY: Duration = Duration::from_millis(50);
 /// Shares of frames that are lost, doubled or late on an ordinary day, at most.
-const ORDINARY: f64 = 0.001;
+const ORDINARY_FAULT_SHARE: f64 = 0.001;
 /// Control nodes read a new directory within this.
-const DIRECTORY: Duration = Duration::from_secs(1);
+const DIRECTORY_READ_DELAY: Duration = Duration::from_secs(1);
 /// Between two looks at the tables of all.
-const LOOK: Duration = Duration::from_secs(5);
+const TABLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Shares of frames.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
     pub lost: f64,
-    pub doubled: f64,
+    pub duplicated: f64,
     pub late: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct FleetConfig {
     pub shape: Shape,
     pub seed: u64,
     pub purges_per_second: f64,
@@ -48,7 +48,7 @@
     /// A change of the configuration is in force everywhere within this.
     pub change_window: Duration,
     pub bytes_per_second: u32,
-    pub pulse: Duration,
+    pub heartbeat_interval: Duration,
     /// A dispatcher goes by what it is given within this.
     pub decide: Duration,
     /// Places for members that replace others.
@@ -57,10 +57,10 @@
     pub start_within: Duration,
 }
 
-impl Play {
+impl FleetConfig {
     /// The target's rates for a fleet of so many members.
-    pub fn new(members: usize, seed: u64) -> Play {
-        Play {
+    pub fn new(members: usize, seed: u64) -> FleetConfig {
+        FleetConfig {
             shape: Shape::of(members),
             seed,
             purges_per_second: 49.0,
@@ -71,7 +71,7 @@
             window: Duration::from_secs_f64(8.7),
             change_window: Duration::from_secs(4),
             bytes_per_second: 6 * 1024,
-            pulse: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(500),
             decide: Duration::from_millis(5),
             spare: 0,
             start_within: Duration::from_secs(5),
@@ -80,12 +80,12 @@
 }
 
 /// What a dispatcher was given, on its way into its decisions.
-enum Facts {
+enum ReceivedState {
     Purges(Vec<(Purge, Duration)>),
     Settings { settings: BTreeMap<String, DesiredState>, changed: Vec<((StreamId, SequenceNumber), String)> },
 }
 
-enum Happens {
+enum FleetEvent {
     Frame {
         to: usize,
         from: usize,
@@ -101,8 +101,8 @@
         at: usize,
         epoch: u32,
         given: Duration,
-        ticket: ApplyToken,
-        facts: Facts,
+        token: ApplyToken,
+        state: ReceivedState,
     },
     /// The board's word of a purge reaches a control node.
     Board {
@@ -129,7 +129,7 @@
     /// Grows with each start; what was meant for an earlier life is dropped.
     epoch: u32,
     stopped: bool,
-    held: VecDeque<Happens>,
+    held: VecDeque<FleetEvent>,
     held_bytes: usize,
     next_tick: Option<Duration>,
     /// When it has decided on all that it was given.
@@ -137,11 +137,11 @@
     /// Its clock is wrong by this, in milliseconds.
     clock: i64,
     /// The board's clock is behind this one by so many milliseconds; below nothing: ahead.
-    board_behind: i64,
+    board_clock_lag_ms: i64,
     publisher: Option<Publisher>,
     directory: Directory,
     /// It has gone on under a later life without being started again.
-    anew: bool,
+    has_new_incarnation: bool,
 }
 
 struct Cut {
@@ -154,7 +154,7 @@
 pub type Refuses = Box<dyn Fn(usize, &str, DesiredState) -> Option<RejectionReason>>;
 
 pub struct World {
-    pub play: Play,
+    pub play: FleetConfig,
     pub layout: Layout,
     pub now: Duration,
     pub checker: Checker,
@@ -166,7 +166,7 @@
     /// By its own words: the last that it sent an acknowledgement to.
     pub follows: Vec<Option<usize>>,
     pub refuses: Option<Refuses>,
-    pub outlived: usize,
+    pub superseded_incarnations: usize,
     /// Frames dropped: on their way, at a cut, at a socket that was full, and at nobody.
     pub lost: [u64; 4],
     /// The most that one member held, by table.
@@ -174,9 +174,9 @@
     processes: Vec<Process>,
     cuts: Vec<Cut>,
     sides: Vec<Option<u8>>,
-    chance: oorandom::Rand64,
+    rng: oorandom::Rand64,
     due: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    events: Vec<Option<Happens>>,
+    events: Vec<Option<FleetEvent>>,
     free: Vec<usize>,
     sequence: u64,
     next_host: usize,
@@ -185,15 +185,15 @@
     /// Purges and changes go on until then.
     busy_until: Duration,
     loads: [bool; 2],
-    by_control: Vec<(usize, usize)>,
+    published_by: Vec<(usize, usize)>,
 }
 
 impl World {
-    pub fn new(play: Play) -> World {
-        let mut chance = oorandom::Rand64::new(u128::from(play.seed));
-        let layout = Layout::new(play.shape, play.spare, &mut chance);
-        let mut checker = Checker::new(layout.seats, play.window, play.change_window);
-        (play.shape.members..layout.seats).for_each(|at| checker.tell(at, false));
+    pub fn new(play: FleetConfig) -> World {
+        let mut rng = oorandom::Rand64::new(u128::from(play.seed));
+        let layout = Layout::new(play.shape, play.spare, &mut rng);
+        let mut checker = Checker::new(layout.member_slots, play.window, play.change_window);
+        (play.shape.members..layout.member_slots).for_each(|at| checker.set_listed(at, false));
         let directory = directory(&layout, 1, &(0..play.shape.members).collect::<Vec<_>>());
         let process = |at: usize| Process {
             node: None,
@@ -205,10 +205,10 @@
             next_tick: None,
             decides: Duration::ZERO,
             clock: 0,
-            board_behind: 0,
+            board_clock_lag_ms: 0,
             publisher: None,
             directory: directory.clone(),
-            anew: false,
+            has_new_incarnation: false,
         };
         let nodes = layout.nodes();
         let mut world = World {
@@ -220,13 +220,13 @@
             spent: vec![Duration::ZERO; nodes],
             follows: vec![None; nodes],
             refuses: None,
-            outlived: 0,
+            superseded_incarnations: 0,
             lost: [0; 4],
             most: BTreeMap::new(),
             processes: (0..nodes).map(process).collect(),
             cuts: Vec::new(),
             sides: vec![None; nodes],
-            chance,
+            rng,
             due: BinaryHeap::new(),
             events: Vec::new(),
             free: Vec::new(),
@@ -236,29 +236,29 @@
             replaced: 0,
             busy_until: Duration::ZERO,
             loads: [false; 2],
-            by_control: Vec::new(),
+            published_by: Vec::new(),
             play,
             layout,
         };
         (0..world.layout.shape.control).for_each(|place| world.start(world.layout.control(place)));
         for at in 0..world.play.shape.members {
             let after = world.within(world.play.start_within);
-            world.happens_at(after, Happens::Start(at));
+            world.schedule(after, FleetEvent::Start(at));
         }
-        world.happens_at(LOOK, Happens::Look);
+        world.schedule(TABLE_CHECK_INTERVAL, FleetEvent::Look);
         world
     }
 
     /// Above 0, at most `span`.
     pub fn within(&mut self, span: Duration) -> Duration {
-        span.mul_f64(self.chance.rand_float())
+        span.mul_f64(self.rng.rand_float())
     }
 
     pub fn below(&mut self, count: usize) -> usize {
-        self.chance.rand_range(0..count.max(1) as u64) as usize
+        self.rng.rand_range(0..count.max(1) as u64) as usize
     }
 
-    fn happens_at(&mut self, at: Duration, what: Happens) {
+    fn schedule(&mut self, at: Duration, what: FleetEvent) {
         self.sequence += 1;
         let slot = match self.free.pop() {
             Some(slot) => {
@@ -278,11 +278,11 @@
         self.busy_until = until;
         if self.play.purges_per_second > 0.0 && !self.loads[0] {
             self.loads[0] = true;
-            self.happens_at(self.now, Happens::Purge);
+            self.schedule(self.now, FleetEvent::Purge);
         }
         if self.play.changes_per_second > 0.0 && !self.loads[1] {
             self.loads[1] = true;
-            self.happens_at(self.now, Happens::Change);
+            self.schedule(self.now, FleetEvent::Change);
         }
     }
 
@@ -295,7 +295,7 @@
             self.free.push(slot);
             self.now = at;
             if let Some(what) = self.events[slot].take() {
-                self.happens(what);
+                self.handle_event(what);
             }
         }
         self.now = until;
@@ -326,11 +326,11 @@
 
     /// A new life that knows nothing.
     pub fn start(&mut self, at: usize) {
-        if self.alive(at) || (self.member(at) && !self.checker.is_told(at)) {
+        if self.alive(at) || (self.member(at) && !self.checker.is_listed(at)) {
             return;
         }
         let now = self.now;
-        let seed = self.chance.rand_u64();
+        let seed = self.rng.rand_u64();
         let unix = EPOCH_MS as i64 + now.as_millis() as i64 + self.processes[at].clock;
         let identity =
             Identity { node: self.layout.peer(at).node, incarnation: Incarnation(unix.max(1) as u64) };
@@ -350,26 +350,26 @@
             seeds,
             purge_window: self.play.window,
             bytes_per_second: self.play.bytes_per_second,
-            heartbeat_interval: self.play.pulse,
+            heartbeat_interval: self.play.heartbeat_interval,
         };
         let control = config.control_id;
         let process = &mut self.processes[at];
         process.identity = identity;
         process.epoch += 1;
-        process.anew = false;
+        process.has_new_incarnation = false;
         process.stopped = false;
         process.next_tick = None;
         process.publisher = control.map(|_| Publisher::new(config.purge_window));
         let directory = control.is_some().then(|| process.directory.clone());
         let clock = processor();
         let mut node = Node::new(config, directory, seed, now);
-        let outs = node.start(now);
+        let outputs = node.start(now);
         self.spent[at] += processor() - clock;
         process.node = Some(node);
         if self.member(at) {
-            self.checker.begins(now, at);
+            self.checker.on_start(now, at);
         }
-        self.carry(at, outs);
+        self.carry(at, outputs);
     }
 
     /// As SIGKILL: what it held is gone.
@@ -378,7 +378,7 @@
         let process = &mut self.processes[at];
         // The file of the members is read again by its next life.
         let unread = process.held.iter().rev().find_map(|held| match held {
-            Happens::Directory { directory, .. } => Some(directory.clone()),
+            FleetEvent::Directory { directory, .. } => Some(directory.clone()),
             _ => None,
         });
         if let Some(directory) = unread {
@@ -391,10 +391,10 @@
         process.stopped = false;
         self.follows[at] = None;
         if self.member(at) {
-            self.checker.ends(at);
+            self.checker.on_exit(at);
         } else {
             self.publisher_ends(at);
-            for (control, entry) in self.settings_on_their_way() {
+            for (control, entry) in self.recent_settings() {
                 if control == at {
                     self.checker.doubt(entry);
                 }
@@ -403,23 +403,23 @@
     }
 
     /// Settings that were published just now, and by whom.
-    fn settings_on_their_way(&self) -> Vec<(usize, usize)> {
-        let since = self.now.saturating_sub(self.play.pulse * 3);
-        let lately = self.by_control.iter().rev();
+    fn recent_settings(&self) -> Vec<(usize, usize)> {
+        let since = self.now.saturating_sub(self.play.heartbeat_interval * 3);
+        let lately = self.published_by.iter().rev();
         // Of settings alone these stand in the order of their time: a purge may be published long after it was said.
         let lately = lately.filter(|(_, entry)| self.checker.is_setting(*entry));
         lately.take_while(|(_, entry)| self.checker.entries[*entry].at >= since).copied().collect()
     }
 
     fn publisher_ends(&mut self, at: usize) {
-        let mine = self.by_control.iter().filter(|(control, _)| *control == at);
+        let mine = self.published_by.iter().filter(|(control, _)| *control == at);
         mine.for_each(|(_, entry)| self.checker.publisher_ended(*entry));
     }
 
     /// Killed now, begun again with nothing after so long.
     pub fn restart(&mut self, at: usize, after: Duration) {
         self.kill(at);
-        self.happens_at(self.now + after, Happens::Start(at));
+        self.schedule(self.now + after, FleetEvent::Start(at));
     }
 
     /// As SIGSTOP until then: what comes meanwhile waits in its socket, as far as that holds it.
@@ -428,15 +428,15 @@
             self.checker.disturbed_at_all = true;
             self.processes[at].stopped = true;
             if self.member(at) {
-                self.checker.stops(at, true);
-                self.checker.disturbed(at, until);
+                self.checker.set_stopped(at, true);
+                self.checker.record_disturbance(at, until);
             }
-            for (control, entry) in self.settings_on_their_way() {
+            for (control, entry) in self.recent_settings() {
                 if control == at {
                     self.checker.held_up(entry, until);
                 }
             }
-            self.happens_at(until, Happens::Wake(at));
+            self.schedule(until, FleetEvent::Wake(at));
         }
     }
 
@@ -448,7 +448,7 @@
     /// The board's clock and that of a control node are apart by so many milliseconds: what the board says seems older there
     /// by so much, but never older than a board takes to tell of it.
     pub fn set_board_clock(&mut self, at: usize, behind_ms: i64) {
-        self.processes[at].board_behind = behind_ms;
+        self.processes[at].board_clock_lag_ms = behind_ms;
     }
 
     /// Nothing goes from some to others until then.
@@ -467,7 +467,7 @@
     pub fn disturb(&mut self, picked: &[usize], until: Duration) {
         for at in picked {
             if self.member(*at) {
-                self.checker.disturbed(*at, until);
+                self.checker.record_disturbance(*at, until);
             }
         }
     }
@@ -479,8 +479,8 @@
         let other: Vec<_> = (0..self.layout.nodes()).filter(|at| sides[*at] == Some(1)).collect();
         self.cut(one, &other, until);
         self.cut(&other, one, until);
-        self.checker.parts(sides[..self.layout.seats].to_vec(), until);
-        for (control, entry) in self.settings_on_their_way() {
+        self.checker.on_partition(sides[..self.layout.member_slots].to_vec(), until);
+        for (control, entry) in self.recent_settings() {
             self.checker.sided(entry, sides[control]);
         }
         self.sides = sides;
@@ -490,42 +490,42 @@
     pub fn replace(&mut self, members: &[usize]) {
         for at in members {
             let spare = self.play.shape.members + self.replaced;
-            if spare >= self.layout.seats {
+            if spare >= self.layout.member_slots {
                 return;
             }
             self.replaced += 1;
             self.layout.places[spare] = self.layout.places[*at];
             self.kill(*at);
-            self.checker.replaces(spare, *at);
+            self.checker.on_replacement(spare, *at);
             self.sides[spare] = self.sides[*at];
             for cut in &mut self.cuts {
                 (cut.from[spare], cut.to[spare]) = (cut.from[*at], cut.to[*at]);
             }
             let after = Duration::from_secs(1) + self.within(Duration::from_secs(4));
-            self.happens_at(self.now + after, Happens::Start(spare));
+            self.schedule(self.now + after, FleetEvent::Start(spare));
         }
-        let told: Vec<_> = (0..self.layout.seats).filter(|at| self.checker.is_told(*at)).collect();
+        let told: Vec<_> = (0..self.layout.member_slots).filter(|at| self.checker.is_listed(*at)).collect();
         self.directory = directory(&self.layout, self.directory.version + 1, &told);
         for place in 0..self.layout.shape.control {
             let at = self.layout.control(place);
-            self.reads(at);
-            let (after, directory) = (self.within(DIRECTORY), self.directory.clone());
-            self.happens_at(self.now + after, Happens::Directory { at, directory });
+            self.on_directory_read(at);
+            let (after, directory) = (self.within(DIRECTORY_READ_DELAY), self.directory.clone());
+            self.schedule(self.now + after, FleetEvent::Directory { at, directory });
         }
     }
 
     /// The checker is told by which directory a control node goes.
-    fn reads(&mut self, at: usize) {
+    fn on_directory_read(&mut self, at: usize) {
         let directory = &self.processes[at].directory;
         let named = |member: usize| directory.region_of(self.layout.peer(member).node).is_some();
-        let told = (0..self.layout.seats).map(named).collect();
-        self.checker.reads(at, told);
+        let told = (0..self.layout.member_slots).map(named).collect();
+        self.checker.on_directory_read(at, told);
     }
 
     /// One control node reads another directory.
     pub fn directory_at(&mut self, at: usize, directory: Directory) {
         self.processes[at].directory = directory.clone();
-        self.reads(at);
+        self.on_directory_read(at);
         let now = self.now;
         self.does(at, |node| node.set_directory(now, directory));
     }
@@ -539,12 +539,12 @@
     /// The board says a purge, to all control nodes of a side.
     pub fn purge(&mut self, purge: Purge, side: Option<u8>) -> usize {
         let (now, moment) = (self.now, self.moment);
-        let entry = self.checker.says(now, What::Purge(purge), side, moment);
+        let entry = self.checker.record_publication(now, What::Purge(purge), side, moment);
         for place in 0..self.layout.shape.control {
             let at = self.layout.control(place);
             if side.is_none() || self.sides[at] == side {
-                let after = self.within(BOARD);
-                self.happens_at(now + after, Happens::Board { at, purge, said: now });
+                let after = self.within(BOARD_DELAY);
+                self.schedule(now + after, FleetEvent::Board { at, purge, said: now });
             }
         }
         entry
@@ -566,11 +566,11 @@
         let now = self.now;
         let what = What::Setting { host: host.to_string(), wanted };
         let (side, moment) = (self.sides[at].filter(|_| self.parted()), self.moment);
-        let entry = self.checker.says(now, what, side, moment);
+        let entry = self.checker.record_publication(now, what, side, moment);
         let publication = Publication::Setting { host: host.to_string(), desired: wanted };
         let ids = self.publish(at, vec![publication]);
         ids.into_iter().for_each(|(stream, number)| self.checker.numbered(entry, stream, number));
-        self.by_control.push((at, entry));
+        self.published_by.push((at, entry));
         Some(entry)
     }
 
@@ -582,9 +582,9 @@
         let now = self.now;
         let mut ids = Vec::new();
         self.does(at, |node| {
-            let (given, outs) = node.publish(now, what);
+            let (given, outputs) = node.publish(now, what);
             ids = given;
-            outs
+            outputs
         });
         ids
     }
@@ -595,15 +595,15 @@
     fn does(&mut self, at: usize, call: impl FnOnce(&mut Node) -> Vec<Output>) {
         let Some(node) = &mut self.processes[at].node else { return };
         let clock = processor();
-        let outs = call(node);
+        let outputs = call(node);
         self.spent[at] += processor() - clock;
-        self.carry(at, outs);
+        self.carry(at, outputs);
     }
 
-    fn carry(&mut self, at: usize, outs: Vec<Output>) {
+    fn carry(&mut self, at: usize, outputs: Vec<Output>) {
         let now = self.now;
         let mut sends: Vec<(SocketAddr, Vec<Message>)> = Vec::new();
-        for out in outs {
+        for out in outputs {
             self.sent_anew(at, &out);
             match out {
                 Output::Send { to, message } => match sends.iter_mut().find(|(other, _)| *other == to) {
@@ -615,17 +615,17 @@
                         purges.into_iter().for_each(|(purge, age)| publisher.on_published(now, purge, age));
                     }
                 }
-                Output::Purge { purges, token: ticket } => self.decide(at, ticket, Facts::Purges(purges)),
-                Output::Configure { settings, changed, token: ticket } => {
-                    self.decide(at, ticket, Facts::Settings { settings, changed });
+                Output::Purge { purges, token } => self.decide(at, token, ReceivedState::Purges(purges)),
+                Output::Configure { settings, changed, token } => {
+                    self.decide(at, token, ReceivedState::Settings { settings, changed });
                 }
                 Output::ReplicatedToAll { stream, number, .. } => {
                     self.checker.everywhere(now, stream, number, at);
                 }
                 Output::IncarnationSuperseded { incarnation } => {
-                    self.outlived += 1;
+                    self.superseded_incarnations += 1;
                     self.processes[at].identity.incarnation = incarnation;
-                    self.processes[at].anew = true;
+                    self.processes[at].has_new_incarnation = true;
                     self.publisher_ends(at);
                 }
             }
@@ -639,7 +639,7 @@
         if process.next_tick.is_none_or(|held| next < held) {
             process.next_tick = Some(next);
             let epoch = process.epoch;
-            self.happens_at(next, Happens::Tick { at, epoch });
+            self.schedule(next, FleetEvent::Tick { at, epoch });
         }
     }
 
@@ -649,7 +649,7 @@
         let process = &self.processes[at];
         let own = Some(stream.control) == self.layout.control_id(at)
             && stream.incarnation == process.identity.incarnation;
-        if !process.anew || !own {
+        if !process.has_new_incarnation || !own {
             return;
         }
         for (number, aged) in (first.0..).map(SequenceNumber).zip(entries) {
@@ -657,12 +657,12 @@
         }
     }
 
-    fn decide(&mut self, at: usize, ticket: ApplyToken, facts: Facts) {
+    fn decide(&mut self, at: usize, token: ApplyToken, state: ReceivedState) {
         let (given, epoch) = (self.now, self.processes[at].epoch);
         // In the order given, as a dispatcher takes its events.
         let due = (given + self.within(self.play.decide)).max(self.processes[at].decides);
         self.processes[at].decides = due;
-        self.happens_at(due, Happens::Decided { at, epoch, given, ticket, facts });
+        self.schedule(due, FleetEvent::Decided { at, epoch, given, token, state });
     }
 
     /// Packs messages to one peer as the link does, and puts the frames on their way.
@@ -691,48 +691,49 @@
             }
         }
         let faults = self.faults;
-        if [faults.lost, faults.doubled, faults.late].into_iter().any(|share| share > ORDINARY) {
+        if [faults.lost, faults.duplicated, faults.late].into_iter().any(|share| share > ORDINARY_FAULT_SHARE)
+        {
             self.checker.disturbed_at_all = true;
         }
-        if faults.lost > 0.0 && self.chance.rand_float() < faults.lost {
+        if faults.lost > 0.0 && self.rng.rand_float() < faults.lost {
             self.lost[0] += 1;
             return;
         }
         let way = self.layout.delay(from, to);
-        if faults.doubled > 0.0 && self.chance.rand_float() < faults.doubled {
+        if faults.duplicated > 0.0 && self.rng.rand_float() < faults.duplicated {
             let after = way + self.within(way + Duration::from_millis(1));
             let messages = messages.clone();
-            self.happens_at(now + after, Happens::Frame { to, from, identity, bytes, messages });
+            self.schedule(now + after, FleetEvent::Frame { to, from, identity, bytes, messages });
         }
         let mut after = way + self.within(way.mul_f64(0.1) + Duration::from_micros(50));
-        if faults.late > 0.0 && self.chance.rand_float() < faults.late {
-            after += self.within(LATE);
+        if faults.late > 0.0 && self.rng.rand_float() < faults.late {
+            after += self.within(MAX_EXTRA_DELAY);
         }
-        self.happens_at(now + after, Happens::Frame { to, from, identity, bytes, messages });
+        self.schedule(now + after, FleetEvent::Frame { to, from, identity, bytes, messages });
     }
 
-    fn happens(&mut self, what: Happens) {
+    fn handle_event(&mut self, what: FleetEvent) {
         let now = self.now;
         match what {
-            Happens::Frame { to, from, identity, bytes, messages } => {
+            FleetEvent::Frame { to, from, identity, bytes, messages } => {
                 let process = &mut self.processes[to];
                 if process.node.is_none() {
                     self.lost[3] += 1;
                     return;
                 }
-                self.traffic.heard(now, to, bytes);
+                self.traffic.record_received(now, to, bytes);
                 if process.stopped {
                     if process.held_bytes + bytes + BUFFER_OVERHEAD > SOCKET_BUFFER {
                         self.lost[2] += 1;
                         return;
                     }
                     process.held_bytes += bytes + BUFFER_OVERHEAD;
-                    process.held.push_back(Happens::Frame { to, from, identity, bytes, messages });
+                    process.held.push_back(FleetEvent::Frame { to, from, identity, bytes, messages });
                     return;
                 }
                 self.hear(to, from, identity, messages);
             }
-            Happens::Tick { at, epoch } => {
+            FleetEvent::Tick { at, epoch } => {
                 let process = &mut self.processes[at];
                 if process.epoch != epoch || process.next_tick.is_none_or(|due| due > now) {
                     return;
@@ -743,34 +744,34 @@
                 }
                 self.tick(at);
             }
-            Happens::Decided { at, epoch, given, ticket, facts } => {
+            FleetEvent::Decided { at, epoch, given, token, state } => {
                 let process = &mut self.processes[at];
                 if process.epoch != epoch || process.node.is_none() {
                     return;
                 }
                 if process.stopped {
-                    process.held.push_back(Happens::Decided { at, epoch, given, ticket, facts });
+                    process.held.push_back(FleetEvent::Decided { at, epoch, given, token, state });
                     return;
                 }
-                self.decided(at, given, ticket, facts);
+                self.decided(at, given, token, state);
             }
-            Happens::Board { at, purge, said } => {
+            FleetEvent::Board { at, purge, said } => {
                 let process = &mut self.processes[at];
                 if process.stopped {
-                    process.held.push_back(Happens::Board { at, purge, said });
+                    process.held.push_back(FleetEvent::Board { at, purge, said });
                     return;
                 }
                 self.board(at, purge, said);
             }
-            Happens::Directory { at, directory } => {
+            FleetEvent::Directory { at, directory } => {
                 let process = &mut self.processes[at];
                 if process.stopped {
-                    process.held.push_back(Happens::Directory { at, directory });
+                    process.held.push_back(FleetEvent::Directory { at, directory });
                 } else if directory.version > process.directory.version {
                     self.directory_at(at, directory);
                 }
             }
-            Happens::Purge => {
+            FleetEvent::Purge => {
                 if now >= self.busy_until {
                     self.loads[0] = false;
                     return;
@@ -778,24 +779,24 @@
                 let side = if self.parted() { Some(self.below(2) as u8) } else { None };
                 self.purge_next(side);
                 let mean = 1.0 / self.play.purges_per_second;
-                let after = Duration::from_secs_f64(mean * (0.5 + self.chance.rand_float()));
-                self.happens_at(now + after, Happens::Purge);
+                let after = Duration::from_secs_f64(mean * (0.5 + self.rng.rand_float()));
+                self.schedule(now + after, FleetEvent::Purge);
             }
-            Happens::Change => {
+            FleetEvent::Change => {
                 if now >= self.busy_until {
                     self.loads[1] = false;
                     return;
                 }
                 self.next_change();
                 let mean = 1.0 / self.play.changes_per_second;
-                let after = Duration::from_secs_f64(mean * (0.5 + self.chance.rand_float()));
-                self.happens_at(now + after, Happens::Change);
+                let after = Duration::from_secs_f64(mean * (0.5 + self.rng.rand_float()));
+                self.schedule(now + after, FleetEvent::Change);
             }
-            Happens::Start(at) => self.start(at),
-            Happens::Wake(at) => self.wake(at),
-            Happens::Look => {
+            FleetEvent::Start(at) => self.start(at),
+            FleetEvent::Wake(at) => self.wake(at),
+            FleetEvent::Look => {
                 self.look();
-                self.happens_at(now + LOOK, Happens::Look);
+                self.schedule(now + TABLE_CHECK_INTERVAL, FleetEvent::Look);
             }
         }
     }
@@ -825,7 +826,7 @@
 
     fn hear(&mut self, to: usize, from: usize, identity: Identity, messages: Vec<Message>) {
         let (now, address) = (self.now, Layout::address(from));
-        let mut outs = Vec::new();
+        let mut outputs = Vec::new();
         for message in messages {
             let Some(node) = &mut self.processes[to].node else { return };
             let tells = match &message {
@@ -834,13 +835,13 @@
                 _ => false,
             };
             if tells && !self.layout.is_control(to) {
-                self.checker.hears(now, to);
+                self.checker.on_contact(now, to);
             }
             let clock = processor();
-            outs.extend(node.on_message(now, identity, address, message));
+            outputs.extend(node.on_message(now, identity, address, message));
             self.spent[to] += processor() - clock;
         }
-        self.carry(to, outs);
+        self.carry(to, outputs);
     }
 
     fn tick(&mut self, at: usize) {
@@ -849,28 +850,28 @@
         self.publish_waiting(at);
     }
 
-    fn decided(&mut self, at: usize, given: Duration, ticket: ApplyToken, facts: Facts) {
+    fn decided(&mut self, at: usize, given: Duration, token: ApplyToken, state: ReceivedState) {
         let now = self.now;
         if self.member(at) {
-            match facts {
-                Facts::Purges(purges) => self.checker.purged(now, given, at, &purges),
-                Facts::Settings { mut settings, mut changed } => {
-                    let refused = self.refused(at, &settings, &changed);
+            match state {
+                ReceivedState::Purges(purges) => self.checker.purged(now, given, at, &purges),
+                ReceivedState::Settings { mut settings, mut changed } => {
+                    let refused = self.on_rejected_setting(at, &settings, &changed);
                     for (id, host, why) in refused {
                         settings.remove(&host);
                         changed.retain(|(other, _)| *other != id);
-                        self.checker.refused(at, id);
+                        self.checker.on_rejected_setting(at, id);
                         self.does(at, |node| node.reject(now, id, why));
                     }
                     self.checker.configured(now, at, settings, &changed);
                 }
             }
         }
-        self.does(at, |node| node.confirm_applied(now, ticket));
+        self.does(at, |node| node.confirm_applied(now, token));
     }
 
     #[allow(clippy::type_complexity)]
-    fn refused(
+    fn on_rejected_setting(
         &self,
         at: usize,
         settings: &BTreeMap<String, DesiredState>,
@@ -887,12 +888,12 @@
     fn board(&mut self, at: usize, purge: Purge, said: Duration) {
         let (now, ago) = (self.now, self.now.saturating_sub(said));
         let process = &mut self.processes[at];
-        let wrong = Duration::from_millis(process.board_behind.unsigned_abs());
-        let seems = if process.board_behind < 0 { ago.saturating_sub(wrong) } else { ago + wrong };
+        let wrong = Duration::from_millis(process.board_clock_lag_ms.unsigned_abs());
+        let seems = if process.board_clock_lag_ms < 0 { ago.saturating_sub(wrong) } else { ago + wrong };
         let age = seems.min(BACKLOG_AGE_UNCERTAINTY).min(self.play.window);
         if let (Some(publisher), Some(entry)) = (&mut process.publisher, self.checker.entry_of(&purge)) {
             publisher.on_purge_notice(now, purge, age);
-            self.checker.told_older(entry, age.saturating_sub(ago));
+            self.checker.overstated_age(entry, age.saturating_sub(ago));
             self.publish_waiting(at);
         }
     }
@@ -917,7 +918,7 @@
         for (entry, (stream, number)) in entries.into_iter().zip(ids) {
             if let Some(entry) = entry {
                 self.checker.numbered(entry, stream, number);
-                self.by_control.push((at, entry));
+                self.published_by.push((at, entry));
             }
         }
     }
@@ -932,7 +933,7 @@
         process.next_tick = None;
         let held = std::mem::take(&mut process.held);
         if self.member(at) {
-            self.checker.stops(at, false);
+            self.checker.set_stopped(at, false);
         }
         // Its timers or its socket first: not its to choose.
         let timers_first = self.below(2) == 0;
@@ -940,7 +941,7 @@
             self.tick(at);
         }
         for what in held {
-            self.happens(what);
+            self.handle_event(what);
         }
         if !timers_first {
             self.tick(at);
@@ -951,9 +952,9 @@
     fn look(&mut self) {
         for at in 0..self.processes.len() {
             let Some(node) = &self.processes[at].node else { continue };
-            let survey = node.status(self.now);
+            let status = node.status(self.now);
             let held = |kind| {
-                let of = survey.streams.iter().filter(move |stream| stream.stream.kind == kind);
+                let of = status.streams.iter().filter(move |stream| stream.stream.kind == kind);
                 of.map(|stream| stream.entries).max().unwrap_or_default()
             };
             let children = match self.layout.is_control(at) {
@@ -961,18 +962,20 @@
                 false => MAX_CHILDREN,
             };
             let tables = [
-                ("children", survey.children, children),
-                ("streams", survey.streams.len(), MAX_STREAMS),
+                ("children", status.children, children),
+                ("streams", status.streams.len(), MAX_STREAMS),
                 ("purges of a log", held(StreamKind::Purges), MAX_PURGE_LOG_ENTRIES),
                 ("settings of a log", held(StreamKind::Configuration), MAX_CONFIGURATION_LOG_ENTRIES),
-                ("hosts with a setting", survey.setting_count, MAX_HOSTS),
-                ("tickets", survey.unconfirmed, 2 * MAX_PENDING_TOKENS),
+                ("hosts with a setting", status.setting_count, MAX_HOSTS),
+                ("tickets", status.unconfirmed, 2 * MAX_PENDING_TOKENS),
             ];
             for (table, held, cap) in tables {
                 let most = self.most.entry(table).or_default();
                 *most = held.max(*most);
                 if held > cap {
-                    self.checker.breaks(Broken::PastCap, || format!("{held} of {cap} {table} at node {at}"));
+                    self.checker.record_violation(Violation::PastCap, || {
+                        format!("{held} of {cap} {table} at node {at}")
+                    });
                 }
             }
         }
--- a/crates/rockflow-scale/tests/hard_cases.rs
+++ b/crates/rockflow-scale/tests/hard_cases.rs
@@ -4,8 +4,8 @@
 use rockflow_dissemination::{DesiredState, Purge, RejectionReason};
 use rockflow_scale::virtual_fleet::layout::Shape;
 use rockflow_scale::virtual_fleet::moments::Times;
-use rockflow_scale::virtual_fleet::traffic::Way;
-use rockflow_scale::virtual_fleet::world::{Faults, Play, World};
+use rockflow_scale::virtual_fleet::traffic::TrafficDirection;
+use rockflow_scale::virtual_fleet::world::{Faults, FleetConfig, World};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -23,12 +23,12 @@
     Shape { regions: 4, zones: 8, sites: 12, ..Shape::of(members) }
 }
 
-fn play(members: usize, seed: u64) -> Play {
-    Play { shape: shape(members), changes_per_second: 1.0, ..Play::new(members, seed) }
+fn play(members: usize, seed: u64) -> FleetConfig {
+    FleetConfig { shape: shape(members), changes_per_second: 1.0, ..FleetConfig::new(members, seed) }
 }
 
 /// Started and settled.
-fn settled(play: Play) -> World {
+fn settled(play: FleetConfig) -> World {
     let mut world = World::new(play);
     world.play_to(seconds(20));
     world
@@ -93,7 +93,7 @@
 #[test_case(Head::Site, Falls::StoppedAMinute, 5)]
 #[test_case(Head::Site, Falls::Restarted, 6)]
 fn who_passes_on_falls_in_a_burst(head: Head, falls: Falls, seed: u64) {
-    let mut world = settled(Play { purges_per_second: 100.0, ..play(120, seed) });
+    let mut world = settled(FleetConfig { purges_per_second: 100.0, ..play(120, seed) });
     world.busy(world.now + seconds(100));
     world.play_for(seconds(5));
     let at = match head {
@@ -173,7 +173,7 @@
 #[test_case(16)]
 fn the_site_above_others_hears_nothing_and_speaks_on(seed: u64) {
     let shape = Shape { regions: 2, zones: 4, sites: 12, ..Shape::of(120) };
-    let mut world = settled(Play { shape, ..play(120, seed) });
+    let mut world = settled(FleetConfig { shape, ..play(120, seed) });
     world.busy(world.now + seconds(90));
     world.play_for(seconds(5));
     let site = world.layout.places[region_head(&world, 1)].site;
@@ -201,7 +201,7 @@
 #[test_case(19)]
 fn a_chain_of_stale_and_silent_candidates(seed: u64) {
     let shape = Shape { regions: 2, zones: 4, sites: 12, ..Shape::of(120) };
-    let mut world = settled(Play { shape, ..play(120, seed) });
+    let mut world = settled(FleetConfig { shape, ..play(120, seed) });
     world.busy(world.now + seconds(60));
     world.play_for(seconds(5));
     let deep = |world: &World, member: usize| {
@@ -248,7 +248,8 @@
 #[test]
 fn two_halves_apart_for_an_hour_meet_again() {
     let shape = Shape { regions: 2, zones: 4, sites: 6, ..Shape::of(40) };
-    let mut world = settled(Play { shape, changes_per_second: 5300.0 / 86_400.0, seeds: 1, ..play(40, 21) });
+    let mut world =
+        settled(FleetConfig { shape, changes_per_second: 5300.0 / 86_400.0, seeds: 1, ..play(40, 21) });
     let one = world.layout.pick(|_, place| place.region == 0);
     let meet = world.now + seconds(3600);
     world.part(&one, meet);
@@ -258,7 +259,7 @@
     world.play_for(seconds(120));
     let members: Vec<_> = (0..40).collect();
     let (from, to) = (meet.as_secs() - 60, meet.as_secs() + 120);
-    for way in [Way::In, Way::Out] {
+    for way in [TrafficDirection::In, TrafficDirection::Out] {
         let minute = world.traffic.sliding(&members, from, to, 60, way);
         let second = world.traffic.worst_second(&members, from, to, way);
         println!(
@@ -280,7 +281,7 @@
 #[test_case(2000, 25)]
 fn a_publisher_restarts_just_before_two_halves_meet(before_ms: u64, seed: u64) {
     let shape = Shape { regions: 2, zones: 4, sites: 6, ..Shape::of(40) };
-    let mut world = settled(Play { shape, ..play(40, seed) });
+    let mut world = settled(FleetConfig { shape, ..play(40, seed) });
     let publisher = world.layout.control(0);
     let side = world.layout.places[publisher].region;
     let one = world.layout.pick(|_, place| place.region == side);
@@ -338,15 +339,15 @@
 
 #[test]
 fn all_1800_start_at_once() {
-    let mut world = World::new(Play {
+    let mut world = World::new(FleetConfig {
         start_within: Duration::from_millis(100),
         purges_per_second: 10.0,
-        ..Play::new(1800, 33)
+        ..FleetConfig::new(1800, 33)
     });
     world.busy(seconds(20));
     world.play_to(seconds(30));
     let members: Vec<_> = (0..1800).collect();
-    let minute = world.traffic.sliding(&members, 0, 60, 60, Way::In);
+    let minute = world.traffic.sliding(&members, 0, 60, 60, TrafficDirection::In);
     assert!(minute.worst <= ALLOWED, "{minute:?}");
     assert!(members.iter().all(|at| world.follows[*at].is_some()), "one follows nobody");
     world.play_for(seconds(20));
@@ -385,7 +386,7 @@
 
 #[test]
 fn control_nodes_that_did_not_know_of_each_other_disagree() {
-    let mut world = settled(Play { purges_per_second: 5.0, changes_per_second: 0.0, ..play(60, 44) });
+    let mut world = settled(FleetConfig { purges_per_second: 5.0, changes_per_second: 0.0, ..play(60, 44) });
     let one = world.layout.pick(|_, place| place.region < 2);
     let meet = world.now + seconds(30);
     world.part(&one, meet);
@@ -422,7 +423,7 @@
 
 #[test]
 fn control_nodes_hold_different_directories() {
-    let mut world = settled(Play { spare: 4, ..play(60, 45) });
+    let mut world = settled(FleetConfig { spare: 4, ..play(60, 45) });
     world.busy(world.now + seconds(60));
     world.play_for(seconds(5));
     let old = world.directory().clone();
@@ -446,7 +447,7 @@
 #[test]
 fn all_of_control_is_gone_for_minutes() {
     let mut world =
-        settled(Play { seeds: 2, purges_per_second: 10.0, changes_per_second: 0.0, ..play(60, 46) });
+        settled(FleetConfig { seeds: 2, purges_per_second: 10.0, changes_per_second: 0.0, ..play(60, 46) });
     world.change(2, "cache-0007", DesiredState::Draining);
     world.play_for(seconds(10));
     for place in 0..6 {
@@ -482,7 +483,7 @@
     world.set_clock(5, -3_600_000);
     world.restart(5, seconds(1));
     world.play_for(seconds(60));
-    assert!(world.outlived > 0, "nobody told it of its later life");
+    assert!(world.superseded_incarnations > 0, "nobody told it of its later life");
     judge(&mut world);
 }
 
@@ -521,7 +522,7 @@
     purges_per_second: f64,
     seed: u64,
 ) {
-    let mut world = settled(Play { purges_per_second, ..play(60, seed) });
+    let mut world = settled(FleetConfig { purges_per_second, ..play(60, seed) });
     for place in places {
         let at = world.layout.control(*place);
         world.set_board_clock(at, behind_ms);
@@ -536,7 +537,7 @@
 
 #[test]
 fn a_version_that_some_members_refuse() {
-    let mut world = settled(Play { changes_per_second: 0.0, ..play(60, 53) });
+    let mut world = settled(FleetConfig { changes_per_second: 0.0, ..play(60, 53) });
     world.refuses = Some(Box::new(|member, host, wanted| {
         (member % 10 == 3 && host == "cache-0001" && wanted != DesiredState::Listed)
             .then_some(RejectionReason::LastOne)
@@ -560,9 +561,9 @@
 }
 
 #[test_case(Faults { lost: 0.05, ..Faults::default() }, 54)]
-#[test_case(Faults { doubled: 0.3, ..Faults::default() }, 55)]
+#[test_case(Faults { duplicated: 0.3, ..Faults::default() }, 55)]
 #[test_case(Faults { late: 0.1, ..Faults::default() }, 56)]
-#[test_case(Faults { lost: 0.05, doubled: 0.05, late: 0.05 }, 57)]
+#[test_case(Faults { lost: 0.05, duplicated: 0.05, late: 0.05 }, 57)]
 fn frames_lost_doubled_and_late(faults: Faults, seed: u64) {
     let mut world = settled(play(120, seed));
     world.faults = faults;
@@ -579,7 +580,7 @@
 #[test_case(49.0, 0, 71)]
 #[test_case(490.0, 20, 72)]
 fn an_undisturbed_fleet_takes_no_floor(purges_per_second: f64, begun_before: u64, seed: u64) {
-    let mut world = World::new(Play { purges_per_second, ..play(120, seed) });
+    let mut world = World::new(FleetConfig { purges_per_second, ..play(120, seed) });
     world.play_to(seconds(begun_before));
     world.busy(world.now + seconds(10));
     world.play_for(seconds(20));
@@ -590,7 +591,7 @@
 
 #[test]
 fn a_burst_of_490_purges_a_second() {
-    let mut world = settled(Play { purges_per_second: 490.0, ..play(120, 61) });
+    let mut world = settled(FleetConfig { purges_per_second: 490.0, ..play(120, 61) });
     world.faults = Faults { lost: 0.01, ..Faults::default() };
     world.busy(world.now + seconds(10));
     world.play_for(seconds(40));
--- a/crates/rockflow-scale/tests/page.rs
+++ b/crates/rockflow-scale/tests/page.rs
@@ -165,13 +165,13 @@
     };
     let tables = page::tables(&options).expect("tables");
     for role in page::reckon::Role::ALL {
-        let table = &tables[role.word()];
-        for moment in page::reckon::Moment::ALL {
+        let table = &tables[role.as_str()];
+        for moment in page::reckon::Scenario::ALL {
             assert!(
-                table.contains(&format!("| {} |", moment.word())),
+                table.contains(&format!("| {} |", moment.as_str())),
                 "{} at {}",
-                role.word(),
-                moment.word()
+                role.as_str(),
+                moment.as_str()
             );
         }
     }
@@ -212,14 +212,14 @@
     Reckoned::parse(&text, &target(), &rows)
 }
 
-fn needs_of(reckoned: &Reckoned, moment: page::reckon::Moment) -> Vec<&page::reckon::Need> {
+fn needs_of(reckoned: &Reckoned, moment: page::reckon::Scenario) -> Vec<&page::reckon::Need> {
     let design = page::reckon::Design::Dissemination;
     reckoned.needs.iter().filter(|need| need.moment == moment && need.design == design).collect()
 }
 
 #[test]
 fn each_moment_of_runs_is_a_need_by_the_worst_of_its_seeds() {
-    use page::reckon::Moment;
+    use page::reckon::Scenario;
     let mut other = run("restart", 4, "out", 9e9);
     other.x.value = 900.0;
     let mut even = run("restart", 5, "out", 9e9);
@@ -232,19 +232,19 @@
     let more = restarts.into_iter().chain([other, even, reduced, missed]).collect();
     let reckoned = with_runs(more).expect("reckoned");
 
-    let [restart] = needs_of(&reckoned, Moment::Restart)[..] else { panic!("one need") };
+    let [restart] = needs_of(&reckoned, Scenario::Restart)[..] else { panic!("one need") };
     assert_eq!((restart.needed, restart.ratio()), (Some(6600.0), Some(1.1)));
     assert_eq!(restart.runs.as_deref(), Some("run at its own size, worst of 3 seeds"));
     let command = "rockflow-scale virtual --seeds 1,2,3 --moment restart --minutes 2".to_string();
     assert_eq!(restart.commands.iter().collect::<Vec<_>>(), [&command]);
 
-    let [out, missed] = needs_of(&reckoned, Moment::Regions)[..] else { panic!("two needs") };
+    let [out, missed] = needs_of(&reckoned, Scenario::Regions)[..] else { panic!("two needs") };
     assert_eq!((out.needed, missed.needed), (Some(10.0), Some(5.0)));
     let words = "run at its own size, 1 seed; **reduced**: apart for 60 s of 3600 s";
     assert_eq!(missed.runs.as_deref(), Some(words));
 
     // A moment that was not played stands there as not measured.
-    let [zone] = needs_of(&reckoned, Moment::Zone)[..] else { panic!("one need") };
+    let [zone] = needs_of(&reckoned, Scenario::Zone)[..] else { panic!("one need") };
     assert_eq!((zone.needed, zone.ratio(), zone.formula.is_some()), (None, None, true));
 
     let tables = page::tables::all(&target(), &[], &reckoned);
@@ -275,7 +275,7 @@
         let rows: Vec<_> =
             rows(&[30.0, 60.0, 90.0, 120.0]).into_iter().chain([run("ordinary", 1, "out", of_run)]).collect();
         let reckoned = Reckoned::parse(&text, &target(), &rows).expect("reckoned");
-        let [one] = needs_of(&reckoned, page::reckon::Moment::Ordinary)[..] else { panic!("one need") };
+        let [one] = needs_of(&reckoned, page::reckon::Scenario::Ordinary)[..] else { panic!("one need") };
         assert!((one.needed.expect("a value") - stands).abs() < 1e-6);
         assert_eq!(one.runs.is_some(), of_run > 3600.0);
     }
--- a/crates/rockflow-scale/tests/processes.rs
+++ b/crates/rockflow-scale/tests/processes.rs
@@ -242,9 +242,9 @@
 #[test]
 fn a_line_of_control_says_what_is_everywhere() {
     let line = "2026-01-01T00:00:00Z  INFO rockflow::control: everywhere control=2 kind=Purges number=17 seconds=1.25";
-    let said = watch::said(4, line).unwrap();
+    let said = watch::parse_convergence_report(4, line).unwrap();
     assert_eq!((said.by, said.control, said.purges, said.number), (4, 2, true, 17));
     assert_eq!(said.after, Duration::from_millis(1250));
     let other = "2026-01-01T00:00:00Z  WARN rockflow::control: not in force everywhere told=7 present=6";
-    assert_eq!(watch::said(4, other), None);
+    assert_eq!(watch::parse_convergence_report(4, other), None);
 }
--- a/crates/rockflow-scale/tests/virtual_checker.rs
+++ b/crates/rockflow-scale/tests/virtual_checker.rs
@@ -3,9 +3,9 @@
 use rockflow_dissemination::{
     ControlId, DesiredState, Entry, Incarnation, Purge, SequenceNumber, StreamId, StreamKind,
 };
-use rockflow_scale::virtual_fleet::checker::{Broken, Checker, What};
+use rockflow_scale::virtual_fleet::checker::{Checker, Violation, What};
 use rockflow_scale::virtual_fleet::layout::{Layout, Shape};
-use rockflow_scale::virtual_fleet::traffic::{Traffic, Way};
+use rockflow_scale::virtual_fleet::traffic::{Traffic, TrafficDirection};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
 /// Three members that live, and one purge of an object, number 1, at one second.
 fn checker() -> (Checker, usize) {
     let mut checker = Checker::new(3, WINDOW, CHANGE);
-    (0..3).for_each(|member| checker.begins(ms(0), member));
-    let entry = checker.says(ms(1000), What::Purge(Purge::object(7)), None, 0);
+    (0..3).for_each(|member| checker.on_start(ms(0), member));
+    let entry = checker.record_publication(ms(1000), What::Purge(Purge::object(7)), None, 0);
     checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(1));
     (checker, entry)
 }
@@ -33,7 +33,7 @@
     checker.purged(at, at, member, &[(Purge::object(7), at - ms(1000))]);
 }
 
-fn only(checker: &Checker, what: Broken) {
+fn only(checker: &Checker, what: Violation) {
     assert_eq!(checker.broken.keys().copied().collect::<Vec<_>>(), [what], "{checker}");
 }
 
@@ -55,7 +55,7 @@
     let (mut checker, _) = checker();
     gives(&mut checker, ms(1200), 1);
     gives(&mut checker, ms(1300), 1);
-    only(&checker, Broken::Twice);
+    only(&checker, Violation::Twice);
 }
 
 #[test]
@@ -70,15 +70,15 @@
     gives(&mut checker, ms(1300), 1);
     assert_eq!(checker.violations(), 0, "{checker}");
     gives(&mut checker, ms(1400), 1);
-    only(&checker, Broken::Twice);
+    only(&checker, Violation::Twice);
 }
 
 #[test]
 fn a_new_life_may_hear_it_again() {
     let (mut checker, _) = checker();
     gives(&mut checker, ms(1200), 1);
-    checker.ends(1);
-    checker.begins(ms(2000), 1);
+    checker.on_exit(1);
+    checker.on_start(ms(2000), 1);
     gives(&mut checker, ms(2500), 1);
     assert_eq!(checker.violations(), 0, "{checker}");
 }
@@ -89,7 +89,7 @@
     gives(&mut checker, ms(1200), 0);
     gives(&mut checker, ms(1200), 1);
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::PassedOver);
+    only(&checker, Violation::PassedOver);
 }
 
 #[test]
@@ -106,17 +106,17 @@
     checker.purged(ms(3000), ms(3000), 2, &[(Purge::Everything, ms(2001))]);
     assert_eq!((checker.floors, checker.covered), (1, 0));
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::PassedOver);
-    assert_eq!(checker.broken[&Broken::PassedOver], 3);
+    only(&checker, Violation::PassedOver);
+    assert_eq!(checker.broken[&Violation::PassedOver], 3);
 }
 
 #[test]
 fn a_purge_too_late_at_a_member_that_nothing_held_up() {
     let (mut checker, _) = checker();
     gives(&mut checker, ms(9800), 1);
-    only(&checker, Broken::Late);
+    only(&checker, Violation::Late);
     let (mut checker, _) = self::checker();
-    checker.disturbed(1, ms(9000));
+    checker.record_disturbance(1, ms(9000));
     gives(&mut checker, ms(9800), 1);
     assert_eq!(checker.violations(), 0, "{checker}");
 }
@@ -125,21 +125,21 @@
 fn a_purge_said_to_be_older_than_it_is() {
     let (mut checker, _) = checker();
     checker.purged(ms(1200), ms(1200), 1, &[(Purge::object(7), ms(201))]);
-    only(&checker, Broken::Laxer);
+    only(&checker, Violation::Laxer);
     // By as much as the board's word seemed older than it was, and no more.
     let (mut checker, entry) = self::checker();
-    checker.told_older(entry, ms(100));
+    checker.overstated_age(entry, ms(100));
     checker.purged(ms(1200), ms(1200), 1, &[(Purge::object(7), ms(300))]);
     assert_eq!(checker.violations(), 0, "{checker}");
     checker.purged(ms(1200), ms(1200), 2, &[(Purge::object(7), ms(301))]);
-    only(&checker, Broken::Laxer);
+    only(&checker, Violation::Laxer);
 }
 
 #[test]
 fn a_purge_that_nobody_said() {
     let (mut checker, _) = checker();
     checker.purged(ms(1200), ms(1200), 1, &[(Purge::object(8), ms(1))]);
-    only(&checker, Broken::Unknown);
+    only(&checker, Violation::Unknown);
 }
 
 #[test]
@@ -149,16 +149,16 @@
         gives(&mut checker, ms(1200), 0);
         gives(&mut checker, ms(1200), 1);
         if dead {
-            checker.ends(2);
+            checker.on_exit(2);
         }
         checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 0);
-        only(&checker, Broken::EverywhereTooEarly);
+        only(&checker, Violation::EverywhereTooEarly);
     }
     // One that the directory does not name is not asked.
     let (mut checker, _) = checker();
     gives(&mut checker, ms(1200), 0);
     gives(&mut checker, ms(1200), 1);
-    checker.tell(2, false);
+    checker.set_listed(2, false);
     checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 0);
     assert_eq!(checker.violations(), 0, "{checker}");
 }
@@ -166,24 +166,24 @@
 #[test]
 fn everywhere_said_while_one_that_took_anothers_place_has_it_not() {
     let mut checker = Checker::new(4, WINDOW, CHANGE);
-    checker.tell(3, false);
-    (0..3).for_each(|member| checker.begins(ms(0), member));
-    let entry = checker.says(ms(1000), What::Purge(Purge::object(7)), None, 0);
+    checker.set_listed(3, false);
+    (0..3).for_each(|member| checker.on_start(ms(0), member));
+    let entry = checker.record_publication(ms(1000), What::Purge(Purge::object(7)), None, 0);
     checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(1));
     (0..3).for_each(|member| gives(&mut checker, ms(1200), member));
-    checker.ends(0);
-    checker.replaces(3, 0);
-    checker.begins(ms(1300), 3);
-    checker.hears(ms(1400), 3);
+    checker.on_exit(0);
+    checker.on_replacement(3, 0);
+    checker.on_start(ms(1300), 3);
+    checker.on_contact(ms(1400), 3);
     checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 0);
-    only(&checker, Broken::EverywhereTooEarly);
+    only(&checker, Violation::EverywhereTooEarly);
 }
 
 #[test]
 fn what_an_outlived_life_published_may_come_once_more_and_nothing_else() {
     let later = StreamId { incarnation: Incarnation(2), ..stream(StreamKind::Purges) };
     let (mut checker, _) = checker();
-    let other = checker.says(ms(1000), What::Purge(Purge::object(8)), None, 0);
+    let other = checker.record_publication(ms(1000), What::Purge(Purge::object(8)), None, 0);
     checker.numbered(
         other,
         StreamId { control: ControlId(1), ..stream(StreamKind::Purges) },
@@ -194,36 +194,36 @@
     gives(&mut checker, ms(1300), 1);
     assert_eq!(checker.violations(), 0, "{checker}");
     gives(&mut checker, ms(1400), 1);
-    only(&checker, Broken::Twice);
+    only(&checker, Violation::Twice);
     checker.broken.clear();
     (0..2).for_each(|_| checker.purged(ms(1500), ms(1500), 1, &[(Purge::object(8), ms(500))]));
-    only(&checker, Broken::Twice);
+    only(&checker, Violation::Twice);
     // Under its number there it is not everywhere before all have it.
     checker.broken.clear();
     checker.everywhere(ms(1500), later, SequenceNumber(1), 0);
-    only(&checker, Broken::EverywhereTooEarly);
+    only(&checker, Violation::EverywhereTooEarly);
     checker.broken.clear();
     checker.sent_anew(later, SequenceNumber(2), &Entry::Purge(Purge::object(9)));
-    only(&checker, Broken::Unknown);
+    only(&checker, Violation::Unknown);
 }
 
 #[test]
 fn everywhere_is_held_against_the_directory_that_the_control_node_has_read() {
     let mut checker = Checker::new(4, WINDOW, CHANGE);
-    checker.tell(3, false);
-    (0..3).for_each(|member| checker.begins(ms(0), member));
-    let entry = checker.says(ms(1000), What::Purge(Purge::object(7)), None, 0);
+    checker.set_listed(3, false);
+    (0..3).for_each(|member| checker.on_start(ms(0), member));
+    let entry = checker.record_publication(ms(1000), What::Purge(Purge::object(7)), None, 0);
     checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(1));
     gives(&mut checker, ms(1200), 0);
     gives(&mut checker, ms(1200), 1);
-    checker.ends(0);
-    checker.replaces(3, 0);
+    checker.on_exit(0);
+    checker.on_replacement(3, 0);
     // By the directory before, which one control node still goes by, the third is missing; by the last the fourth too.
-    checker.reads(9, vec![true, true, true, false]);
+    checker.on_directory_read(9, vec![true, true, true, false]);
     checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 9);
-    assert_eq!(checker.broken[&Broken::EverywhereTooEarly], 1, "{checker}");
+    assert_eq!(checker.broken[&Violation::EverywhereTooEarly], 1, "{checker}");
     checker.everywhere(ms(1500), stream(StreamKind::Purges), SequenceNumber(1), 8);
-    assert_eq!(checker.broken[&Broken::EverywhereTooEarly], 3, "{checker}");
+    assert_eq!(checker.broken[&Violation::EverywhereTooEarly], 3, "{checker}");
 }
 
 #[test]
@@ -235,7 +235,7 @@
         SequenceNumber(1),
         0,
     );
-    only(&checker, Broken::Unknown);
+    only(&checker, Violation::Unknown);
 }
 
 #[test]
@@ -243,46 +243,46 @@
     let (mut checker, _) = checker();
     (0..3).for_each(|member| gives(&mut checker, ms(1200), member));
     checker.ends_quiet(ms(60_000), true);
-    only(&checker, Broken::EverywhereNotSaid);
+    only(&checker, Violation::EverywhereNotSaid);
 }
 
 #[test]
 fn settings_twice_missing_and_wrong() {
     let say = |checker: &mut Checker| {
         let what = What::Setting { host: "a".to_string(), wanted: DesiredState::Gone };
-        let entry = checker.says(ms(1000), what, None, 0);
+        let entry = checker.record_publication(ms(1000), what, None, 0);
         checker.numbered(entry, stream(StreamKind::Configuration), SequenceNumber(1));
     };
     let table = |wanted| BTreeMap::from([("a".to_string(), wanted)]);
     let id = ((stream(StreamKind::Configuration), SequenceNumber(1)), "a".to_string());
     let mut checker = Checker::new(1, WINDOW, CHANGE);
-    checker.begins(ms(0), 0);
+    checker.on_start(ms(0), 0);
     say(&mut checker);
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::PassedOver);
+    only(&checker, Violation::PassedOver);
     let mut checker = Checker::new(1, WINDOW, CHANGE);
-    checker.begins(ms(0), 0);
+    checker.on_start(ms(0), 0);
     say(&mut checker);
     checker.configured(ms(1100), 0, table(DesiredState::Gone), std::slice::from_ref(&id));
     assert_eq!((checker.violations(), checker.times(None, false)), (0, vec![ms(100)]));
     checker.configured(ms(1200), 0, table(DesiredState::Gone), std::slice::from_ref(&id));
-    only(&checker, Broken::Twice);
+    only(&checker, Violation::Twice);
     checker.broken.clear();
     checker.configured(ms(1300), 0, table(DesiredState::Draining), &[]);
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::WrongSetting);
+    only(&checker, Violation::WrongSetting);
 }
 
 /// Members that live, and a setting of a host, number 1, at one second.
 fn with_setting(members: usize) -> (Checker, usize) {
     let mut checker = Checker::new(members, WINDOW, CHANGE);
-    (0..members).for_each(|member| checker.begins(ms(0), member));
+    (0..members).for_each(|member| checker.on_start(ms(0), member));
     let entry = set(&mut checker, 1, ms(1000), DesiredState::Gone);
     (checker, entry)
 }
 
 fn set(checker: &mut Checker, number: u64, at: Duration, wanted: DesiredState) -> usize {
-    let entry = checker.says(at, What::Setting { host: "a".to_string(), wanted }, None, 0);
+    let entry = checker.record_publication(at, What::Setting { host: "a".to_string(), wanted }, None, 0);
     checker.numbered(entry, stream(StreamKind::Configuration), SequenceNumber(number));
     entry
 }
@@ -298,21 +298,21 @@
     goes_by(&mut checker, ms(5000), 0, 1, DesiredState::Gone);
     assert_eq!(checker.violations(), 0, "{checker}");
     goes_by(&mut checker, ms(5001), 1, 1, DesiredState::Gone);
-    only(&checker, Broken::Late);
+    only(&checker, Violation::Late);
     // Held up at its publisher, and no more after that.
     let (mut checker, entry) = with_setting(3);
     checker.held_up(entry, ms(3000));
     goes_by(&mut checker, ms(7000), 0, 1, DesiredState::Gone);
     assert_eq!(checker.violations(), 0, "{checker}");
     goes_by(&mut checker, ms(7001), 1, 1, DesiredState::Gone);
-    only(&checker, Broken::Late);
+    only(&checker, Violation::Late);
     // Who was held up itself catches up within the window.
     let (mut checker, _) = with_setting(3);
-    (0..2).for_each(|member| checker.disturbed(member, ms(3000)));
+    (0..2).for_each(|member| checker.record_disturbance(member, ms(3000)));
     goes_by(&mut checker, ms(11_700), 0, 1, DesiredState::Gone);
     assert_eq!(checker.violations(), 0, "{checker}");
     goes_by(&mut checker, ms(11_701), 1, 1, DesiredState::Gone);
-    only(&checker, Broken::Late);
+    only(&checker, Violation::Late);
 }
 
 #[test]
@@ -323,8 +323,8 @@
     assert_eq!(checker.violations(), 0, "{checker}");
     goes_by(&mut checker, ms(1200), 1, 1, DesiredState::Gone);
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::PassedOver);
-    assert_eq!(checker.broken[&Broken::PassedOver], 2);
+    only(&checker, Violation::PassedOver);
+    assert_eq!(checker.broken[&Violation::PassedOver], 2);
     // One that goes by what nobody said, or by what was before.
     let (mut checker, _) = with_setting(3);
     let later = set(&mut checker, 2, ms(2000), DesiredState::Listed);
@@ -334,11 +334,11 @@
     assert_eq!(checker.violations(), 0, "{checker}");
     checker.configured(ms(3000), 2, BTreeMap::from([("a".to_string(), DesiredState::Draining)]), &[]);
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::WrongSetting);
+    only(&checker, Violation::WrongSetting);
     checker.broken.clear();
     goes_by(&mut checker, ms(3100), 2, 2, DesiredState::Listed);
     checker.ends_quiet(ms(60_000), false);
-    assert_eq!(checker.broken[&Broken::WrongSetting], 2, "{checker}");
+    assert_eq!(checker.broken[&Violation::WrongSetting], 2, "{checker}");
 }
 
 #[test]
@@ -349,21 +349,21 @@
         checker
     };
     let mut checker = well();
-    checker.ends(2);
+    checker.on_exit(2);
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::NotJudged);
+    only(&checker, Violation::NotJudged);
     let mut checker = well();
-    checker.stops(2, true);
+    checker.set_stopped(2, true);
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::NotJudged);
+    only(&checker, Violation::NotJudged);
     let mut checker = well();
-    checker.disturbed(2, ms(55_000));
+    checker.record_disturbance(2, ms(55_000));
     checker.ends_quiet(ms(60_000), false);
-    only(&checker, Broken::NotJudged);
+    only(&checker, Violation::NotJudged);
     // One that the directory does not name any more.
     let mut checker = well();
-    checker.ends(2);
-    checker.tell(2, false);
+    checker.on_exit(2);
+    checker.set_listed(2, false);
     checker.ends_quiet(ms(60_000), false);
     assert_eq!(checker.violations(), 0, "{checker}");
 }
@@ -372,35 +372,35 @@
 fn a_floor_that_nothing_called_for() {
     let (mut checker, _) = checker();
     checker.purged(ms(3000), ms(3000), 2, &[(Purge::Everything, ms(0))]);
-    only(&checker, Broken::NeedlessFloor);
+    only(&checker, Violation::NeedlessFloor);
     // One that was published, once.
     let (mut checker, _) = self::checker();
-    let entry = checker.says(ms(2000), What::Purge(Purge::Everything), None, 0);
+    let entry = checker.record_publication(ms(2000), What::Purge(Purge::Everything), None, 0);
     checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(2));
     checker.purged(ms(3000), ms(3000), 2, &[(Purge::Everything, ms(1000))]);
     assert_eq!(checker.violations(), 0, "{checker}");
     checker.purged(ms(3100), ms(3100), 2, &[(Purge::Everything, ms(1100))]);
-    only(&checker, Broken::NeedlessFloor);
+    only(&checker, Violation::NeedlessFloor);
 }
 
 #[test]
 fn late_counts_from_when_what_held_a_member_up_is_over() {
     let (mut checker, _) = checker();
-    checker.disturbed(1, ms(3000));
+    checker.record_disturbance(1, ms(3000));
     gives(&mut checker, ms(11_800), 1);
-    only(&checker, Broken::Late);
+    only(&checker, Violation::Late);
     // Long before the entry was said.
     let (mut checker, _) = self::checker();
-    checker.disturbed(1, ms(500));
+    checker.record_disturbance(1, ms(500));
     gives(&mut checker, ms(9800), 1);
-    only(&checker, Broken::Late);
+    only(&checker, Violation::Late);
     // On the other side, and long met.
     let (mut checker, _) = self::checker();
-    checker.parts(vec![Some(0), Some(1), Some(1)], ms(4000));
-    let entry = checker.says(ms(2000), What::Purge(Purge::object(8)), Some(0), 0);
+    checker.on_partition(vec![Some(0), Some(1), Some(1)], ms(4000));
+    let entry = checker.record_publication(ms(2000), What::Purge(Purge::object(8)), Some(0), 0);
     checker.numbered(entry, stream(StreamKind::Purges), SequenceNumber(2));
     checker.purged(ms(12_800), ms(12_800), 1, &[(Purge::object(8), ms(10_800))]);
-    only(&checker, Broken::Late);
+    only(&checker, Violation::Late);
 }
 
 #[test]
@@ -411,7 +411,7 @@
     checker.purged(ms(1300), ms(1300), 1, &[(Purge::Everything, ms(0))]);
     assert_eq!(checker.violations(), 0, "{checker}");
     gives(&mut checker, ms(1400), 1);
-    only(&checker, Broken::Twice);
+    only(&checker, Violation::Twice);
     // Before the first time: given once, all the same, and no more.
     let (mut checker, _) = self::checker();
     checker.disturbed_at_all = true;
@@ -419,7 +419,7 @@
     gives(&mut checker, ms(1400), 1);
     assert_eq!(checker.violations(), 0, "{checker}");
     gives(&mut checker, ms(1500), 1);
-    only(&checker, Broken::Twice);
+    only(&checker, Violation::Twice);
 }
 
 #[test]
@@ -427,10 +427,10 @@
     for (until, owes) in [(ms(5400), true), (ms(8100), true), (ms(8200), false)] {
         let (mut checker, _) = checker();
         (0..2).for_each(|member| gives(&mut checker, ms(1200), member));
-        checker.disturbed(2, until);
+        checker.record_disturbance(2, until);
         checker.ends_quiet(ms(60_000), false);
         match owes {
-            true => only(&checker, Broken::PassedOver),
+            true => only(&checker, Violation::PassedOver),
             false => assert_eq!((checker.violations(), checker.expired), (0, 1), "{checker}"),
         }
     }
@@ -441,20 +441,24 @@
     let mut traffic = Traffic::new(2);
     for second in 0..120u64 {
         traffic.sent(Duration::from_secs(second), 0, 100);
-        traffic.heard(Duration::from_secs(second), 1, if (30..60).contains(&second) { 300 } else { 100 });
+        traffic.record_received(
+            Duration::from_secs(second),
+            1,
+            if (30..60).contains(&second) { 300 } else { 100 },
+        );
     }
-    assert_eq!(traffic.rate(&[0, 1], 0, 120, Way::Out).mean, 50.0);
-    assert_eq!(traffic.rate(&[1], 0, 120, Way::In).worst, 150.0);
-    assert_eq!(traffic.sliding(&[0, 1], 0, 120, 60, Way::In).worst, 200.0);
-    assert_eq!(traffic.worst_second(&[0, 1], 0, 120, Way::In).worst, 300.0);
+    assert_eq!(traffic.rate(&[0, 1], 0, 120, TrafficDirection::Out).mean, 50.0);
+    assert_eq!(traffic.rate(&[1], 0, 120, TrafficDirection::In).worst, 150.0);
+    assert_eq!(traffic.sliding(&[0, 1], 0, 120, 60, TrafficDirection::In).worst, 200.0);
+    assert_eq!(traffic.worst_second(&[0, 1], 0, 120, TrafficDirection::In).worst, 300.0);
 }
 
 #[test]
 fn a_layout_spreads_all_and_knows_its_addresses() {
     let shape = Shape { sites: 140, zones: 104, regions: 29, ..Shape::of(1800) };
-    let mut chance = oorandom::Rand64::new(1);
-    let layout = Layout::new(shape, 0, &mut chance);
-    assert_eq!((layout.seats, layout.nodes()), (1800, 1806));
+    let mut rng = oorandom::Rand64::new(1);
+    let layout = Layout::new(shape, 0, &mut rng);
+    assert_eq!((layout.member_slots, layout.nodes()), (1800, 1806));
     let count =
         |key: &dyn Fn(usize) -> usize| (0..1800).map(key).collect::<std::collections::BTreeSet<_>>().len();
     assert_eq!(count(&|at| layout.places[at].site), 140);
--- a/crates/rockflow-scale/tests/virtual_schedules.rs
+++ b/crates/rockflow-scale/tests/virtual_schedules.rs
@@ -3,7 +3,7 @@
 //! held up has the told window, though several faults in a row add up. `ROCKFLOW_SEEDS=FROM..TO` plays others.
 
 use rockflow_scale::virtual_fleet::layout::Shape;
-use rockflow_scale::virtual_fleet::world::{Faults, Play, World};
+use rockflow_scale::virtual_fleet::world::{Faults, FleetConfig, World};
 use std::time::Duration;
 
 const MEMBERS: usize = 60;
@@ -84,14 +84,20 @@
         9 => world.replace(&[member]),
         _ => {
             let share = [0.0, 0.01, 0.05][world.below(3)];
-            world.faults = Faults { lost: share, doubled: share, late: share };
+            world.faults = Faults { lost: share, duplicated: share, late: share };
         }
     }
 }
 
 fn schedule(seed: u64) -> World {
     let shape = Shape { regions: 4, zones: 6, sites: 9, ..Shape::of(MEMBERS) };
-    let play = Play { shape, spare: 40, seeds: 1, changes_per_second: 1.0, ..Play::new(MEMBERS, seed) };
+    let play = FleetConfig {
+        shape,
+        spare: 40,
+        seeds: 1,
+        changes_per_second: 1.0,
+        ..FleetConfig::new(MEMBERS, seed)
+    };
     let mut world = World::new(play);
     world.play_to(seconds(15));
     world.busy(seconds(120));
