--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/beside.rs
@@ -1,85 +1,107 @@
-//! What runs beside the requests, by the operator's file: management, and dissemination. A program that is built without
-//! one of them refuses a file with its sections, so that nobody takes it for heeded.
+//! The optional parts that run beside a dispatcher by the operator's file: management, and dissemination. A program that
+//! is built without one of them refuses a file with its sections, so that nobody takes them for applied.
 
 #[cfg_attr(not(feature = "dissemination"), path = "beside/no_dissemination.rs")]
 pub mod dissemination;
+mod error;
 #[cfg_attr(not(feature = "management"), path = "beside/no_management.rs")]
 mod management;
 
 use dissemination::RunningNode;
+pub use error::ExtensionsError;
 use rockflow_dispatcher::{Clock, Config, Service};
-use rockflow_operator_config::{self as file, OperatorConfig};
-use std::path::PathBuf;
+use rockflow_operator_config::{self as operator_config, Layer, OperatorConfig};
+use std::path::{Path, PathBuf};
 
-/// Sets the log's level while running; none: as the program was started.
+/// Sets the log's level by name while the program runs; `None`: the level of the command line.
 pub type SetLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
+/// The optional parts that run beside a dispatcher, as the operator's file configures them.
 #[derive(PartialEq)]
-pub struct Beside(OperatorConfig);
+pub struct Extensions(OperatorConfig);
 
-impl Beside {
-    /// Every fault of the operator's file comes on a line of its own.
-    pub fn read(paths: &[PathBuf]) -> Result<Beside, String> {
-        let layer = |path: &PathBuf| {
-            let text = std::fs::read_to_string(path).map_err(|what| format!("{}: {what}", path.display()))?;
-            Ok(file::Layer { file: path.display().to_string(), text })
-        };
-        let layers = paths.iter().map(layer).collect::<Result<Vec<_>, String>>()?;
-        let read = file::parse(&layers).map_err(|faults| {
-            let faults: Vec<_> = faults.iter().map(ToString::to_string).collect();
-            faults.join("\n")
-        })?;
-        let names: Vec<_> = paths.iter().map(|path| path.display().to_string()).collect();
-        let unbuilt = |what: &str, feature: &str| {
-            let build = format!("cargo build --release --features {feature}");
-            Err(format!("{}: this program is built without {what} ({build})", names.join(", ")))
-        };
-        if !management::BUILT && (read.management.is_some() || read.netconf.is_some() || read.gnmi.is_some())
-        {
-            return unbuilt("management", "management");
+impl Extensions {
+    /// Reads the operator's file from its layers; a later one overrides an earlier one key by key.
+    ///
+    /// # Errors
+    /// A file can't be read, is not valid, or has sections of a part that is not built in.
+    pub fn read(paths: &[PathBuf]) -> Result<Extensions, ExtensionsError> {
+        let layers = paths.iter().map(|path| read_layer(path)).collect::<Result<Vec<_>, _>>()?;
+        let config = operator_config::parse(&layers).map_err(ExtensionsError::Invalid)?;
+        if let Some(part) = missing_part(&config) {
+            let files: Vec<String> = paths.iter().map(|path| path.display().to_string()).collect();
+            return Err(ExtensionsError::NotBuilt { files: files.join(", "), part });
         }
-        if !dissemination::BUILT && read.dissemination.is_some() {
-            return unbuilt("dissemination", "dissemination");
-        }
-        Ok(Beside(read))
+        Ok(Extensions(config))
     }
 
+    /// The operator's file.
     #[cfg(feature = "dissemination")]
     pub fn file(&self) -> &OperatorConfig {
         &self.0
     }
 
-    /// Whether all that it names can be used with this configuration; what would listen, and where.
-    pub fn check(&self, told: &Config) -> Result<Vec<String>, String> {
-        let mut lines = management::check(&self.0)?;
-        lines.extend(dissemination::check(&self.0, told)?);
-        Ok(lines)
+    /// Whether all that the operator's file names can be used with this configuration; a line for each listener.
+    ///
+    /// # Errors
+    /// A part could not start.
+    pub fn check(&self, config: &Config) -> Result<Vec<String>, ExtensionsError> {
+        let mut listeners = management::check(&self.0)?;
+        let dissemination = dissemination::check(&self.0, config).map_err(dissemination_error)?;
+        listeners.extend(dissemination);
+        Ok(listeners)
     }
 
-    /// Starts the service, and what runs beside it.
+    /// Starts the dispatcher, and the parts beside it.
+    ///
+    /// # Errors
+    /// The dispatcher or a part can't start.
     pub fn start(
         &self,
         clock: Clock,
-        told: Config,
+        config: Config,
         set_level: SetLevel,
-    ) -> Result<(Service, Option<RunningNode>), String> {
-        let plan = dissemination::plan(&self.0, &told)?;
-        let opened = management::open(clock, &self.0)?;
+    ) -> Result<(Service, Option<RunningNode>), ExtensionsError> {
+        let plan = dissemination::plan(&self.0, &config).map_err(dissemination_error)?;
+        let agent = management::open(clock, &self.0)?;
         Service::set_up();
-        // Whoever can mark needs a list that marks are merged into.
-        let marks = opened.marks().or_else(|| plan.is_some().then(Default::default));
+        // A part that can override endpoints needs a list into which overrides are merged.
+        let overrides = agent.overrides().or_else(|| plan.is_some().then(Default::default));
         let service =
-            Service::start_with_overrides(clock, told, marks).map_err(|what| format!("start: {what}"))?;
-        opened.run(&service, set_level)?;
-        let carried = plan.map(|plan| dissemination::serve(plan, service.handle())).transpose()?;
-        Ok((service, carried))
+            Service::start_with_overrides(clock, config, overrides).map_err(ExtensionsError::Start)?;
+        agent.run(&service, set_level)?;
+        let node = plan.map(|plan| dissemination::serve(plan, service.handle()));
+        let node = node.transpose().map_err(dissemination_error)?;
+        Ok((service, node))
     }
 }
 
-/// Where the operator's file is.
+/// The paths of the operator's file.
 #[derive(clap::Args)]
 pub struct Files {
     /// The operator's own file, as INI; given again, a later one holds over an earlier one key by key
     #[arg(long, env = "ROCKFLOW_OPERATOR", value_delimiter = ':')]
     pub operator: Vec<PathBuf>,
 }
+
+fn read_layer(path: &Path) -> Result<Layer, ExtensionsError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ExtensionsError::Read { path: path.to_path_buf(), source })?;
+    Ok(Layer { file: path.display().to_string(), text })
+}
+
+/// The first part that has a section and is not built in.
+fn missing_part(config: &OperatorConfig) -> Option<&'static str> {
+    let uses_management = config.management.is_some() || config.netconf.is_some() || config.gnmi.is_some();
+    if uses_management && !management::BUILT {
+        return Some("management");
+    }
+    if config.dissemination.is_some() && !dissemination::BUILT {
+        return Some("dissemination");
+    }
+    None
+}
+
+fn dissemination_error(error: impl ToString) -> ExtensionsError {
+    ExtensionsError::Dissemination(error.to_string())
+}
--- a/crates/rockflow-cli/src/beside/management.rs
+++ b/crates/rockflow-cli/src/beside/management.rs
@@ -1,36 +1,58 @@
-//! Management beside a dispatcher.
+//! Management beside a dispatcher: NETCONF and gNMI.
 
-use super::SetLevel;
+use super::{ExtensionsError, SetLevel};
 use rockflow_dispatcher::{Clock, Service};
 use rockflow_endpoints::AdminOverrides;
 use rockflow_management_agent::Agent;
-use rockflow_operator_config::OperatorConfig;
+use rockflow_operator_config::{NetconfSection, OperatorConfig};
 
+/// Whether the program is built with management.
 pub const BUILT: bool = true;
 
-/// None: the operator's file names no front.
-pub struct Opened(Option<Agent>);
+/// An agent that is bound to its addresses and serves nobody yet; `None`: the operator's file has no such section.
+pub struct OpenedAgent(Option<Agent>);
 
-pub fn check(file: &OperatorConfig) -> Result<Vec<String>, String> {
-    Agent::check(file)?;
-    let netconf = file.netconf.iter();
-    let netconf =
-        netconf.flat_map(|part| part.ssh.into_iter().chain(part.tls.as_ref().map(|tls| tls.listen)));
-    let gnmi = file.gnmi.iter().map(|part| format!("gnmi: at {}", part.tls.listen));
-    Ok(netconf.map(|at| format!("netconf: at {at}")).chain(gnmi).collect())
+/// Whether management can run by the operator's file; a line for each listener.
+///
+/// # Errors
+/// A key or certificate can't be used.
+pub fn check(file: &OperatorConfig) -> Result<Vec<String>, ExtensionsError> {
+    Agent::check(file).map_err(management_error)?;
+    let mut listeners = file.netconf.as_ref().map(netconf_listeners).unwrap_or_default();
+    listeners.extend(file.gnmi.as_ref().map(|section| format!("gnmi: at {}", section.tls.listen)));
+    Ok(listeners)
 }
 
-pub fn open(clock: Clock, file: &OperatorConfig) -> Result<Opened, String> {
-    Agent::open(clock, file).map(Opened)
+/// Binds the agent to its addresses, and opens its store.
+///
+/// # Errors
+/// An address, key, certificate or the store can't be used.
+pub fn open(clock: Clock, file: &OperatorConfig) -> Result<OpenedAgent, ExtensionsError> {
+    Agent::open(clock, file).map(OpenedAgent).map_err(management_error)
 }
 
-impl Opened {
-    pub fn marks(&self) -> Option<AdminOverrides> {
+impl OpenedAgent {
+    /// The overrides that apply from the first request on.
+    pub fn overrides(&self) -> Option<AdminOverrides> {
         self.0.as_ref().map(Agent::marks)
     }
 
-    pub fn run(self, service: &Service, set_level: SetLevel) -> Result<(), String> {
+    /// Starts to serve.
+    ///
+    /// # Errors
+    /// The thread can't be started.
+    pub fn run(self, service: &Service, set_level: SetLevel) -> Result<(), ExtensionsError> {
         let Some(agent) = self.0 else { return Ok(()) };
-        agent.run(service.handle(), set_level).map(|_| ()).map_err(|what| format!("management: {what}"))
+        agent.run(service.handle(), set_level).map_err(ExtensionsError::RunManagement)?;
+        Ok(())
     }
 }
+
+fn netconf_listeners(section: &NetconfSection) -> Vec<String> {
+    let addresses = section.ssh.into_iter().chain(section.tls.as_ref().map(|tls| tls.listen));
+    addresses.map(|address| format!("netconf: at {address}")).collect()
+}
+
+fn management_error(error: impl ToString) -> ExtensionsError {
+    ExtensionsError::Management(error.to_string())
+}
--- a/crates/rockflow-cli/src/beside/no_management.rs
+++ b/crates/rockflow-cli/src/beside/no_management.rs
@@ -1,28 +1,34 @@
 //! In place of management where the program is built without it.
 
-use super::SetLevel;
+use super::{ExtensionsError, SetLevel};
 use rockflow_dispatcher::{Clock, Service};
 use rockflow_endpoints::AdminOverrides;
 use rockflow_operator_config::OperatorConfig;
 
+/// Whether the program is built with management.
 pub const BUILT: bool = false;
 
-pub struct Opened;
+/// No agent.
+pub struct OpenedAgent;
 
-pub fn check(_: &OperatorConfig) -> Result<Vec<String>, String> {
+/// The listeners of management: none.
+pub fn check(_: &OperatorConfig) -> Result<Vec<String>, ExtensionsError> {
     Ok(Vec::new())
 }
 
-pub fn open(_: Clock, _: &OperatorConfig) -> Result<Opened, String> {
-    Ok(Opened)
+/// Opens nothing.
+pub fn open(_: Clock, _: &OperatorConfig) -> Result<OpenedAgent, ExtensionsError> {
+    Ok(OpenedAgent)
 }
 
-impl Opened {
-    pub fn marks(&self) -> Option<AdminOverrides> {
+impl OpenedAgent {
+    /// The overrides of management: none.
+    pub fn overrides(&self) -> Option<AdminOverrides> {
         None
     }
 
-    pub fn run(self, _: &Service, _: SetLevel) -> Result<(), String> {
+    /// Serves nothing.
+    pub fn run(self, _: &Service, _: SetLevel) -> Result<(), ExtensionsError> {
         Ok(())
     }
 }
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -130,7 +130,9 @@
                 self.inputs.config.discovery_address = config.discovery_address;
             }
             Ok(_) => {}
-            Err(error) => error!(error, "configuration rejected; the previous one stays in effect"),
+            Err(error) => {
+                error!(error = error.to_string(), "configuration rejected; the previous one stays in effect")
+            }
         }
     }
 
@@ -143,7 +145,10 @@
                     warn!("operator's file changed; restart to apply it");
                 }
             }
-            Err(error) => error!(error, "operator's file rejected; the previous one stays in effect"),
+            Err(error) => error!(
+                error = error.to_string(),
+                "operator's file rejected; the previous one stays in effect"
+            ),
         }
     }
 
--- a/crates/rockflow-cli/src/control/error.rs
+++ b/crates/rockflow-cli/src/control/error.rs
@@ -45,9 +45,3 @@
     #[error("dissemination: its thread has ended")]
     NodeEnded,
 }
-
-impl From<ControlError> for String {
-    fn from(error: ControlError) -> String {
-        error.to_string()
-    }
-}
--- a/crates/rockflow-cli/src/control/inputs.rs
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -20,8 +20,8 @@
 impl ControlInputs {
     /// Reads and checks all of them.
     pub fn read(source: &Source) -> Result<ControlInputs, ControlError> {
-        let config = source.read().map_err(ControlError::Configuration)?;
-        let beside = source.beside().map_err(ControlError::Configuration)?;
+        let config = source.read().map_err(|error| ControlError::Configuration(error.to_string()))?;
+        let beside = source.beside().map_err(|error| ControlError::Configuration(error.to_string()))?;
         let dissemination = beside.file().dissemination.clone();
         let dissemination = dissemination.ok_or(ControlError::MissingSection("dissemination"))?;
         let files = beside.file().control.clone().ok_or(ControlError::MissingSection("control"))?;
--- /dev/null
+++ b/crates/rockflow-cli/src/error.rs
@@ -0,0 +1,50 @@
+//! Why a subcommand other than `manage` fails.
+
+use crate::beside::ExtensionsError;
+#[cfg(feature = "dissemination")]
+use crate::control::ControlError;
+use rockflow_dispatcher::ConfigError;
+use std::io;
+use std::path::PathBuf;
+
+/// Why a subcommand other than `manage` fails. The program prints it and exits with 1.
+#[derive(Debug, thiserror::Error)]
+pub enum ProgramError {
+    /// The configuration or the operator's file can't be used.
+    #[error(transparent)]
+    Source(#[from] SourceError),
+    /// Signals can't be received.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The dispatcher, or a part that runs beside it, can't start.
+    #[error(transparent)]
+    Extensions(#[from] ExtensionsError),
+    /// A control process can't start, or has ended.
+    #[cfg(feature = "dissemination")]
+    #[error(transparent)]
+    Control(#[from] ControlError),
+}
+
+/// Why the files that a process is configured by can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum SourceError {
+    /// The configuration can't be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The configuration's path.
+        path: PathBuf,
+        /// Why it can't be read.
+        source: io::Error,
+    },
+    /// The configuration is not valid.
+    #[error("{}: {source}", path.display())]
+    Config {
+        /// The configuration's path.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: ConfigError,
+    },
+    /// The operator's file is not valid, or names a part that is not built in.
+    #[error(transparent)]
+    Extensions(#[from] ExtensionsError),
+}
--- a/crates/rockflow-cli/src/log.rs
+++ b/crates/rockflow-cli/src/log.rs
@@ -1,63 +1,91 @@
-//! Bounds the log: so many lines a second at most, whatever peers send, and a line that counts the rest.
+//! The program's log on standard error: written from a thread of its own, and limited to a number of lines a second
+//! whatever peers send.
+
+#[cfg(test)]
+mod tests;
 
 use std::io::Write;
-use std::sync::{Mutex, PoisonError};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
+use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
+use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::fmt::writer::{MakeWriter, OptionalWriter};
+use tracing_subscriber::layer::SubscriberExt;
+use tracing_subscriber::util::SubscriberInitExt;
+use tracing_subscriber::{fmt, registry, reload, Registry};
+
+/// Lines that wait for the reader of the log; further ones are dropped.
+const MAX_BUFFERED_LINES: usize = 4096;
+/// Lines written in one interval. Enough to name every host of a large endpoint list at once.
+const MAX_LINES_PER_INTERVAL: usize = 500;
+/// Length of the interval over which lines are counted.
+const INTERVAL: Duration = Duration::from_secs(1);
+
+/// Sets the level of the running log.
+pub type LevelHandle = reload::Handle<LevelFilter, Registry>;
 
-/// Enough for every host of a large list to be named at once.
-pub const MAX_LINES: usize = 500;
-const SPAN: Duration = Duration::from_secs(1);
+/// Starts the log. Lines are written by another thread, so that no coroutine waits for the reader of the log.
+///
+/// The log ends when the guard is dropped.
+///
+/// # Panics
+/// A global subscriber is set already.
+pub fn init(level: tracing::Level) -> (WorkerGuard, LevelHandle) {
+    let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LINES);
+    let (writer, guard) = builder.finish(std::io::stderr());
+    let writer = RateLimited::new(writer, MAX_LINES_PER_INTERVAL);
+    let (filter, level_handle) = reload::Layer::new(LevelFilter::from_level(level));
+    registry().with(filter).with(fmt::layer().with_writer(writer).with_ansi(false)).init();
+    (guard, level_handle)
+}
+
+/// Passes on a limited number of lines in each interval, and counts the others.
+///
+/// The first line of the next interval is preceded by one with the number of lines that were left out.
+struct RateLimited<M> {
+    inner: M,
+    max_lines: usize,
+    count: Mutex<LineCount>,
+}
 
-struct Count {
-    since: Instant,
+/// The lines of the current interval.
+struct LineCount {
+    started_at: Instant,
     lines: usize,
 }
 
-pub struct Bounded<M> {
-    log: M,
-    most: usize,
-    count: Mutex<Count>,
+impl LineCount {
+    fn new() -> LineCount {
+        LineCount { started_at: Instant::now(), lines: 0 }
+    }
 }
 
-impl<M> Bounded<M> {
-    pub fn new(log: M, most: usize) -> Self {
-        Bounded { log, most, count: Mutex::new(Count { since: Instant::now(), lines: 0 }) }
+impl<M> RateLimited<M> {
+    fn new(inner: M, max_lines: usize) -> Self {
+        RateLimited { inner, max_lines, count: Mutex::new(LineCount::new()) }
+    }
+
+    fn lock_count(&self) -> MutexGuard<'_, LineCount> {
+        self.count.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl<'a, M: MakeWriter<'a>> MakeWriter<'a> for Bounded<M> {
+impl<'a, M: MakeWriter<'a>> MakeWriter<'a> for RateLimited<M> {
     type Writer = OptionalWriter<M::Writer>;
 
     fn make_writer(&'a self) -> Self::Writer {
-        let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
-        if count.since.elapsed() >= SPAN {
-            let left_out = count.lines.saturating_sub(self.most);
-            if left_out > 0 {
-                let _ = writeln!(self.log.make_writer(), "log: {left_out} lines left out in a second");
+        let mut count = self.lock_count();
+        if count.started_at.elapsed() >= INTERVAL {
+            let omitted = count.lines.saturating_sub(self.max_lines);
+            if omitted > 0 {
+                let _ = writeln!(self.inner.make_writer(), "log: {omitted} lines left out in a second");
             }
-            *count = Count { since: Instant::now(), lines: 0 };
+            *count = LineCount::new();
         }
         count.lines += 1;
-        if count.lines > self.most {
+        if count.lines > self.max_lines {
             return OptionalWriter::none();
         }
-        OptionalWriter::some(self.log.make_writer())
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_flood_of_lines_is_cut_and_counted() {
-        let bounded = Bounded::new(Mutex::new(Vec::new()), 3);
-        (0..100).for_each(|line| writeln!(bounded.make_writer(), "line {line}").unwrap());
-        assert_eq!(*bounded.log.lock().unwrap(), b"line 0\nline 1\nline 2\n");
-        bounded.count.lock().unwrap().since -= SPAN;
-        writeln!(bounded.make_writer(), "next").unwrap();
-        let text = String::from_utf8(bounded.log.lock().unwrap().clone()).unwrap();
-        assert!(text.ends_with("line 2\nlog: 97 lines left out in a second\nnext\n"), "{text}");
+        OptionalWriter::some(self.inner.make_writer())
     }
 }
--- a/crates/rockflow-cli/src/manage/mod.rs
+++ b/crates/rockflow-cli/src/manage/mod.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Args)]
-pub struct Line {
+pub struct ManageArguments {
     /// How the dispatcher is asked
     #[arg(long, env = "ROCKFLOW_OVER", default_value = "ssh")]
     over: Over,
@@ -114,7 +114,7 @@
     },
 }
 
-pub fn run(line: &Line) -> ExitCode {
+pub fn run(arguments: &ManageArguments) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
@@ -123,7 +123,7 @@
             return ExitCode::from(code::OTHER);
         }
     };
-    match runtime.block_on(act(line)) {
+    match runtime.block_on(execute(arguments)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(trouble) => {
             eprintln!("rockflow: {trouble}");
@@ -158,11 +158,11 @@
 ];
 const COMMIT_COLUMNS: [&str; 6] = ["version", "time", "author", "protocol", "source", "comment"];
 
-async fn act(line: &Line) -> Result<(), Trouble> {
+async fn execute(arguments: &ManageArguments) -> Result<(), Trouble> {
     let schema = Schema::published();
-    let mut peer = Peer::connect(line.over, &line.at, &line.trust).await?;
-    let output = line.output;
-    match &line.command {
+    let mut peer = Peer::connect(arguments.over, &arguments.at, &arguments.trust).await?;
+    let output = arguments.output;
+    match &arguments.command {
         Command::Hosts => {
             let found = peer.get(&schema, "operational", &[HOSTS.to_string()]).await?;
             output.list(&within(&found, &["router", "state", "hosts", "host"]), &HOST_COLUMNS);
--- a/crates/rockflow-cli/src/no_beside.rs
+++ b/crates/rockflow-cli/src/no_beside.rs
@@ -1,40 +1,59 @@
-//! In place of all that runs beside the requests where the program is built with none of it: an operator's file is refused,
-//! so that nobody takes it for heeded.
+//! In place of the optional parts where the program is built with none of them: an operator's file is refused, so that
+//! nobody takes its sections for applied.
 
 use rockflow_dispatcher::{Clock, Config, Service};
+use std::io;
 use std::path::PathBuf;
 
-/// Sets the log's level while running; none: as the program was started.
+/// Sets the log's level by name while the program runs; `None`: the level of the command line.
 pub type SetLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
+/// Why the operator's file can't be used, or the dispatcher can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum ExtensionsError {
+    /// An operator's file is given.
+    #[error(
+        "{}: this program is built without management and dissemination (cargo build --release --features \
+         management,dissemination)",
+        .0.display()
+    )]
+    NotBuilt(PathBuf),
+    /// The dispatcher can't start.
+    #[error("start: {0}")]
+    Start(#[source] io::Error),
+}
+
+/// The optional parts that run beside a dispatcher: none.
 #[derive(PartialEq)]
-pub struct Beside;
+pub struct Extensions;
 
-impl Beside {
-    pub fn read(paths: &[PathBuf]) -> Result<Beside, String> {
+impl Extensions {
+    /// # Errors
+    /// Any file is given.
+    pub fn read(paths: &[PathBuf]) -> Result<Extensions, ExtensionsError> {
         match paths.first() {
-            None => Ok(Beside),
-            Some(path) => Err(format!(
-                "{}: this program is built without management and dissemination (cargo build --release --features \
-                 management,dissemination)",
-                path.display()
-            )),
+            None => Ok(Extensions),
+            Some(path) => Err(ExtensionsError::NotBuilt(path.clone())),
         }
     }
 
-    pub fn check(&self, _: &Config) -> Result<Vec<String>, String> {
+    /// What would listen beside the dispatcher: nothing.
+    pub fn check(&self, _: &Config) -> Result<Vec<String>, ExtensionsError> {
         Ok(Vec::new())
     }
 
-    pub fn start(&self, clock: Clock, told: Config, _: SetLevel) -> Result<(Service, ()), String> {
+    /// Starts the dispatcher.
+    ///
+    /// # Errors
+    /// It can't start.
+    pub fn start(&self, clock: Clock, config: Config, _: SetLevel) -> Result<(Service, ()), ExtensionsError> {
         Service::set_up();
-        let service =
-            Service::start_with_overrides(clock, told, None).map_err(|what| format!("start: {what}"))?;
+        let service = Service::start_with_overrides(clock, config, None).map_err(ExtensionsError::Start)?;
         Ok((service, ()))
     }
 }
 
-/// Where the operator's file is.
+/// The paths of the operator's file.
 #[derive(clap::Args)]
 pub struct Files {
     /// The operator's own file, as INI; given again, a later one holds over an earlier one key by key
--- a/crates/rockflow-cli/tests/manage_output.rs
+++ b/crates/rockflow-cli/tests/manage_output.rs
@@ -85,17 +85,13 @@
     }
 }
 
-/// A commit's time as it is printed.
-fn mask_times(text: &str) -> String {
-    let mask = |word: &str| {
-        let is_time = word.starts_with("20") && word.contains('T');
-        if is_time {
-            "TIME".to_string()
-        } else {
-            word.to_string()
-        }
-    };
-    text.split(' ').map(mask).collect::<Vec<_>>().join(" ")
+/// Replaces the times of a printed history, whose fractions of a second differ in length, and the width of their column.
+fn mask_times(table: &str) -> String {
+    let is_time = |word: &&str| word.starts_with("20") && word.contains('T');
+    let times: Vec<&str> = table.split(' ').filter(is_time).collect();
+    let width = times.iter().map(|time| time.len()).max().unwrap_or(0);
+    let masked = table.replace(&format!("{:<width$}", "time"), "time");
+    times.iter().fold(masked, |masked, time| masked.replace(&format!("{time:<width$}"), "TIME"))
 }
 
 #[test]
