--- a/crates/rockflow-dissemination/src/apply_queue.rs
+++ b/crates/rockflow-dissemination/src/apply_queue.rs
@@ -34,6 +34,7 @@
 }
 
 impl ApplyQueue {
+    /// An empty queue.
     pub fn new(confirmation: Confirmation) -> ApplyQueue {
         ApplyQueue {
             confirmation,
@@ -46,6 +47,7 @@
         }
     }
 
+    /// Queues a purge that was issued then.
     pub fn push_purge(&mut self, purge: Purge, timestamp: Timestamp) {
         self.purges.push((purge, timestamp));
     }
@@ -59,6 +61,7 @@
         }
     }
 
+    /// Queues a new version of the setting of a host.
     pub fn push_setting(&mut self, id: EntryId, host: String) {
         self.settings.push((id, host));
     }
@@ -68,14 +71,17 @@
         self.touched.insert(stream);
     }
 
+    /// The streams of what is queued.
     pub fn touched(&self) -> impl Iterator<Item = StreamId> + '_ {
         self.touched.iter().copied()
     }
 
+    /// Purges that wait to be handed over.
     pub fn pending_purges(&self) -> usize {
         self.pending_purges.len()
     }
 
+    /// Settings that wait to be handed over.
     pub fn pending_settings(&self) -> usize {
         self.pending_settings.len()
     }
@@ -86,6 +92,7 @@
         self.pending_settings.confirm_up_to(token)
     }
 
+    /// Takes note that the caller rejected an entry.
     pub fn on_rejected(&mut self, id: EntryId) {
         self.pending_settings.on_rejected(id);
     }
--- a/crates/rockflow-dissemination/src/apply_tokens.rs
+++ b/crates/rockflow-dissemination/src/apply_tokens.rs
@@ -28,14 +28,17 @@
 }
 
 impl PendingTokens {
+    /// Tokens that are not confirmed yet.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
+    /// Whether no further token may be issued.
     pub fn is_full(&self) -> bool {
         self.pending.len() >= MAX_PENDING_TOKENS
     }
 
+    /// Forgets every token.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
@@ -53,6 +56,7 @@
         true
     }
 
+    /// The caller has applied what it was given under this token.
     pub fn confirm(&mut self, token: ApplyToken) {
         if let Some(pending) = self.pending.get_mut(&token) {
             pending.is_confirmed = true;
--- a/crates/rockflow-dissemination/src/children.rs
+++ b/crates/rockflow-dissemination/src/children.rs
@@ -52,22 +52,27 @@
         Children { children: BTreeMap::new(), max_children, ttl }
     }
 
+    /// The number of children.
     pub fn len(&self) -> usize {
         self.children.len()
     }
 
+    /// All children.
     pub fn iter(&self) -> impl Iterator<Item = &Child> {
         self.children.values()
     }
 
+    /// The addresses of all children.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.children.values().map(|child| child.address).collect()
     }
 
+    /// The last report of each child that sent one.
     pub fn reports(&self) -> impl Iterator<Item = &SubtreeReport> {
         self.children.values().flat_map(|child| &child.reports)
     }
 
+    /// Records the acknowledgement of a child.
     pub fn on_acknowledgement(
         &mut self,
         now: Duration,
--- a/crates/rockflow-dissemination/src/clock.rs
+++ b/crates/rockflow-dissemination/src/clock.rs
@@ -18,6 +18,7 @@
 }
 
 impl NodeClock {
+    /// A clock that starts now.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> NodeClock {
         NodeClock { heartbeat_interval, started: now, now, next_tick: now, unreliable_until: now }
     }
@@ -35,6 +36,7 @@
         Advance { now, pause: Some(late) }
     }
 
+    /// Whether the process did not run for a while just before.
     pub fn is_unreliable(&self, now: Duration) -> bool {
         now < self.unreliable_until
     }
--- a/crates/rockflow-dissemination/src/contact.rs
+++ b/crates/rockflow-dissemination/src/contact.rs
@@ -19,10 +19,12 @@
 }
 
 impl Contact {
+    /// No contact yet.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> Contact {
         Contact { heartbeat_interval, newest: None, since: now, last_fresh: None }
     }
 
+    /// When the connection to control was last known to be fresh.
     pub fn since(&self) -> Duration {
         self.since
     }
--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -35,6 +35,7 @@
 }
 
 impl Control {
+    /// The state of a control node that has just started.
     pub fn new(id: ControlId, directory: Option<Directory>, config: &NodeConfig, now: Duration) -> Control {
         let started_unix_ms = config.identity.incarnation.0.min(MAX_TRUSTED_CLOCK_UNIX_MS);
         Control {
@@ -55,6 +56,7 @@
         StreamId { control: self.id, kind, incarnation: self.publications.incarnation }
     }
 
+    /// Whether this node publishes the stream.
     pub fn is_own(&self, id: StreamId) -> bool {
         id.control == self.id && id.incarnation == self.publications.incarnation
     }
@@ -82,6 +84,7 @@
         HybridTimestamp { unix_ms: self.clock.latest_unix_ms, control: self.id.0 }
     }
 
+    /// Takes note of the Unix time in milliseconds of another clock.
     pub fn observe_clock(&mut self, unix_ms: u64) {
         self.clock.observe(unix_ms);
     }
@@ -171,10 +174,12 @@
         }
     }
 
+    /// The last number of its stream of that kind that was sent.
     pub fn last_sent(&self, kind: StreamKind) -> SequenceNumber {
         self.last_sent.get(&kind).copied().unwrap_or_default()
     }
 
+    /// Records the last number of its stream of that kind that was sent.
     pub fn set_last_sent(&mut self, kind: StreamKind, number: SequenceNumber) {
         self.last_sent.insert(kind, number);
     }
--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -76,6 +76,7 @@
         self.reports.clear();
     }
 
+    /// The number of reports that are held.
     pub fn report_count(&self) -> usize {
         self.reports.len()
     }
--- a/crates/rockflow-dissemination/src/forward_queue.rs
+++ b/crates/rockflow-dissemination/src/forward_queue.rs
@@ -24,10 +24,12 @@
 }
 
 impl ForwardQueue {
+    /// Queues a new entry for the children.
     pub fn push_new(&mut self, stream: StreamId, number: SequenceNumber) {
         self.new.entry(stream).or_default().insert(number);
     }
 
+    /// Queues an entry that contradicts one they hold.
     pub fn push_conflicting(
         &mut self,
         stream: StreamId,
--- a/crates/rockflow-dissemination/src/join.rs
+++ b/crates/rockflow-dissemination/src/join.rs
@@ -45,6 +45,7 @@
 }
 
 impl JoinState {
+    /// A member without a place.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> JoinState {
         JoinState {
             heartbeat_interval,
@@ -68,18 +69,22 @@
         self.attempts as usize
     }
 
+    /// The version of the directory that the place is from.
     pub fn directory_version(&self) -> u64 {
         self.directory_version
     }
 
+    /// The place in the tree; none: not listed, or not known yet.
     pub fn place(&self) -> Option<&Placement> {
         self.place.as_ref()
     }
 
+    /// Sets the place in the tree.
     pub fn set_place(&mut self, place: Option<Placement>) {
         self.place = place;
     }
 
+    /// What the parent says of whether this member is listed.
     pub fn parent_listing(&self) -> Listing {
         self.parent_listing
     }
--- a/crates/rockflow-dissemination/src/quarantine.rs
+++ b/crates/rockflow-dissemination/src/quarantine.rs
@@ -24,6 +24,7 @@
 }
 
 impl QuarantinedSettings {
+    /// Settings that are rejected here.
     pub fn len(&self) -> usize {
         self.settings.len()
     }
@@ -57,6 +58,7 @@
         self.settings.retain(|_, quarantined| quarantined.retried_under.is_none_or(|given| given > token));
     }
 
+    /// Every rejected setting, and why.
     pub fn iter(&self) -> impl Iterator<Item = (EntryId, RejectionReason)> + '_ {
         self.settings.iter().map(|(id, quarantined)| (*id, quarantined.reason))
     }
--- a/crates/rockflow-dissemination/src/rate_limits.rs
+++ b/crates/rockflow-dissemination/src/rate_limits.rs
@@ -23,6 +23,7 @@
 }
 
 impl RateLimits {
+    /// Limits with their whole burst available.
     pub fn new(config: &NodeConfig, now: Duration) -> RateLimits {
         let multiplier = if config.control_id.is_some() { CONTROL_RATE_MULTIPLIER } else { 1 };
         let bytes_per_second = u64::from(config.bytes_per_second) * multiplier;
--- a/crates/rockflow-dissemination/src/schedule.rs
+++ b/crates/rockflow-dissemination/src/schedule.rs
@@ -16,6 +16,7 @@
 }
 
 impl AckSchedule {
+    /// The first one is due after an interval.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> AckSchedule {
         AckSchedule { heartbeat_interval, sent_at: now, requested: false }
     }
@@ -25,11 +26,13 @@
         self.requested = true;
     }
 
+    /// Sets the time of the next one.
     pub fn on_sent(&mut self, now: Duration) {
         self.sent_at = now;
         self.requested = false;
     }
 
+    /// When the next one is due.
     pub fn due(&self) -> Duration {
         match self.requested {
             true => self.sent_at + self.heartbeat_interval,
@@ -47,10 +50,12 @@
 }
 
 impl HeartbeatSchedule {
+    /// The first one is due after an interval.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> HeartbeatSchedule {
         HeartbeatSchedule { heartbeat_interval, sent_at: now, sent: 0 }
     }
 
+    /// Sets the time of the next one.
     pub fn on_sent(&mut self, now: Duration) {
         self.sent_at = now;
         self.sent += 1;
--- a/crates/rockflow-dissemination/src/stream/mod.rs
+++ b/crates/rockflow-dissemination/src/stream/mod.rs
@@ -136,6 +136,7 @@
         self.log.len()
     }
 
+    /// The entry of a number, if it is held.
     pub fn get(&self, number: SequenceNumber) -> Option<&LogEntry> {
         self.log.get(&number.0)
     }
--- a/crates/rockflow-dissemination/src/streams.rs
+++ b/crates/rockflow-dissemination/src/streams.rs
@@ -38,18 +38,22 @@
         Streams { control_count: control_count.min(MAX_CONTROL), ..Streams::default() }
     }
 
+    /// The stream of that id.
     pub fn get(&self, id: StreamId) -> Option<&Stream> {
         self.streams.get(&id)
     }
 
+    /// The stream of that id, to change it.
     pub fn get_mut(&mut self, id: StreamId) -> Option<&mut Stream> {
         self.streams.get_mut(&id)
     }
 
+    /// All streams.
     pub fn iter(&self) -> impl Iterator<Item = &Stream> {
         self.streams.values()
     }
 
+    /// All streams, to change them.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Stream> {
         self.streams.values_mut()
     }
@@ -59,6 +63,7 @@
         self.streams.keys().copied().filter(move |id| id.kind == kind)
     }
 
+    /// The number of streams.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
--- a/crates/rockflow-dissemination/src/subscription.rs
+++ b/crates/rockflow-dissemination/src/subscription.rs
@@ -128,6 +128,7 @@
 }
 
 impl ParentSubscription {
+    /// A member without a parent.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> ParentSubscription {
         ParentSubscription {
             heartbeat_interval,
@@ -149,10 +150,12 @@
         }
     }
 
+    /// The parent that is followed.
     pub fn parent(&self) -> Option<ParentCandidate> {
         self.candidates.get(self.parent_index).copied()
     }
 
+    /// The parents that may be followed, the preferred one first.
     pub fn candidates(&self) -> &[ParentCandidate] {
         &self.candidates
     }
--- a/crates/rockflow-dissemination/src/table_sync.rs
+++ b/crates/rockflow-dissemination/src/table_sync.rs
@@ -96,6 +96,7 @@
 }
 
 impl TableSync {
+    /// Nothing to fetch.
     pub fn new(heartbeat_interval: Duration) -> TableSync {
         TableSync { heartbeat_interval, mismatches: BTreeMap::new(), skips: BTreeMap::new(), fetch: None }
     }
@@ -201,6 +202,7 @@
         Some((fetch.address, Message::SettingsRequest { part: fetch.next_part() }))
     }
 
+    /// When the next request is due.
     pub fn next_due(&self) -> Option<Duration> {
         self.fetch.as_ref().map(|fetch| fetch.due)
     }
--- a/crates/rockflow-dissemination/src/token_bucket.rs
+++ b/crates/rockflow-dissemination/src/token_bucket.rs
@@ -35,6 +35,7 @@
         self.level > self.capacity / 2
     }
 
+    /// Takes bytes from the bucket, also below zero.
     pub fn consume(&mut self, bytes: usize) {
         let tokens = u64::try_from(bytes).unwrap_or(u64::MAX).saturating_mul(MICROS_PER_SECOND);
         self.level = self.level.saturating_sub(i64::try_from(tokens).unwrap_or(i64::MAX));
--- a/crates/rockflow-transport/src/dissemination/validate.rs
+++ b/crates/rockflow-transport/src/dissemination/validate.rs
@@ -20,6 +20,7 @@
 }
 
 impl Limits {
+    /// Whether a message may be accepted from its sender.
     pub fn check(&self, message: &Message) -> Check {
         match message {
             Message::Join { .. } | Message::NotListed { .. } | Message::Leave | Message::Full => Ok(()),
