--- a/crates/rockflow-dissemination/src/contact.rs
+++ b/crates/rockflow-dissemination/src/contact.rs
@@ -24,7 +24,7 @@
         Contact { heartbeat_interval, newest: None, since: now, last_fresh: None }
     }
 
-    /// When the connection to control was last known to be fresh.
+    /// Since when fresh heartbeats arrive without a break.
     pub fn since(&self) -> Duration {
         self.since
     }
