--- a/crates/rockflow-dissemination/src/contact.rs
+++ b/crates/rockflow-dissemination/src/contact.rs
@@ -19,10 +19,12 @@
 }
 
 impl Contact {
+    /// No contact yet.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> Contact {
         Contact { heartbeat_interval, newest: None, since: now, last_fresh: None }
     }
 
+    /// Since when fresh heartbeats arrive without a break.
     pub fn since(&self) -> Duration {
         self.since
     }
