--- a/crates/rockflow-cli/src/manage/output.rs
+++ b/crates/rockflow-cli/src/manage/output.rs
@@ -1,19 +1,27 @@
-//! What is printed: tables for people, JSON for scripts.
+//! Printed results: tables for people, JSON for scripts.
 
 use clap::ValueEnum;
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use rockflow_yang::Schema;
+use rockflow_yang::{data, json as yang_json, NodeScope, Schema};
 use serde_json::{json, Value};
+use std::io::Write;
 
+// No doc comments on the variants: they would become help texts.
+/// The form in which results are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Output {
     Table,
     Json,
 }
 
-/// A change of one value; none: it is gone.
-pub type Changed = (String, Option<Value>);
+/// A change of one value.
+pub struct Change {
+    /// The value's path.
+    pub path: String,
+    /// The new value; `None`: it was deleted.
+    pub value: Option<Value>,
+}
 
 fn plain(value: &Value) -> String {
     match value {
@@ -29,16 +37,15 @@
     table
 }
 
-/// Guards against a reader that has gone, such as `head`: that ends the output, and is no fault.
+/// Prints a line. A reader that has closed the pipe, such as `head`, ends the program without an error.
 fn print(text: &str) {
-    use std::io::Write;
     if writeln!(std::io::stdout(), "{text}").is_err() {
         std::process::exit(0);
     }
 }
 
 impl Output {
-    /// Entries of one list, by the columns that are wanted.
+    /// The entries of one list, with these columns in a table.
     pub fn list(self, entries: &Value, columns: &[&str]) {
         if self == Output::Json {
             return print(&entries.to_string());
@@ -57,9 +64,9 @@
             return print(&found.to_string());
         }
         let mut table = table(&["path", "value"]);
-        match rockflow_yang::json::read(schema, None, found, rockflow_yang::NodeScope::ConfigAndState) {
+        match yang_json::read(schema, None, found, NodeScope::ConfigAndState) {
             Ok(fields) => {
-                for (path, value) in rockflow_yang::data::leaves(&fields) {
+                for (path, value) in data::leaves(&fields) {
                     table.add_row([path.to_text(schema), value.to_string()]);
                 }
             }
@@ -73,8 +80,9 @@
         print(&table.to_string());
     }
 
-    pub fn changes(self, changes: &[Changed]) {
-        for (path, value) in changes {
+    /// A line for each changed value.
+    pub fn changes(self, changes: &[Change]) {
+        for Change { path, value } in changes {
             match self {
                 Output::Json => print(&json!({"path": path, "value": value}).to_string()),
                 Output::Table => print(&format!("{path}  {}", value.as_ref().map_or("(gone)".into(), plain))),
@@ -82,6 +90,7 @@
         }
     }
 
+    /// That a command succeeded, with its commit if it made one.
     pub fn done(self, version: impl Into<Option<u64>>) {
         let version = version.into();
         match (self, version) {
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -1,98 +1,28 @@
-//! A dispatcher asked by whichever protocol was wanted.
+//! A connection to a dispatcher, over NETCONF or gNMI.
 
-use super::output::Changed;
-use super::Over;
-use clap::Args;
+use super::arguments::Transport;
+use super::credentials::{Credentials, SshKeys};
+use super::output::Change;
 use rockflow_gnmi::wire;
 use rockflow_management_client::{gnmi, netconf, Trouble};
 use rockflow_netconf::xml::Element;
 use rockflow_yang::{data, json, DataNode, DataTree, NodeScope, Path, Schema};
-use russh::keys::{PrivateKey, PublicKey};
-use rustls::pki_types::pem::PemObject;
-use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use serde_json::{json, Value};
-use std::path::PathBuf;
-use std::sync::Arc;
 use std::time::Duration;
 use tonic::Streaming;
 
-/// Whom we are, and whom we take for the dispatcher.
-#[derive(Args)]
-pub struct Trust {
-    /// SSH: the user's name
-    #[arg(long, env = "ROCKFLOW_USER", default_value = "root")]
-    user: String,
-    /// The private key: OpenSSH's form for SSH, PEM for TLS and gNMI
-    #[arg(long, env = "ROCKFLOW_KEY", value_name = "FILE")]
-    key: PathBuf,
-    /// SSH: the dispatcher's public host key
-    #[arg(long, env = "ROCKFLOW_HOST_KEY", value_name = "FILE")]
-    host_key: Option<PathBuf>,
-    /// TLS and gNMI: the user's certificate
-    #[arg(long, env = "ROCKFLOW_CERTIFICATE", value_name = "FILE")]
-    certificate: Option<PathBuf>,
-    /// TLS and gNMI: the authority that signed the dispatcher's certificate
-    #[arg(long, env = "ROCKFLOW_CA", value_name = "FILE")]
-    ca: Option<PathBuf>,
-    /// TLS and gNMI: the dispatcher's name in its certificate
-    #[arg(long, env = "ROCKFLOW_SERVER_NAME", default_value = "localhost")]
-    server_name: String,
-}
-
-fn file(path: &PathBuf) -> Result<Vec<u8>, Trouble> {
-    std::fs::read(path).map_err(|what| Trouble::Trust(format!("{}: {what}", path.display())))
-}
-
-impl Trust {
-    fn needed<'a>(&self, path: &'a Option<PathBuf>, flag: &str) -> Result<&'a PathBuf, Trouble> {
-        path.as_ref().ok_or_else(|| Trouble::Trust(format!("{flag} is missing")))
-    }
-
-    fn ssh(&self) -> Result<(PrivateKey, PublicKey), Trouble> {
-        let text = String::from_utf8_lossy(&file(&self.key)?).to_string();
-        let fault = |path: &PathBuf, what: String| Trouble::Trust(format!("{}: {what}", path.display()));
-        let key = russh::keys::decode_secret_key(&text, None);
-        let key = key.map_err(|what| fault(&self.key, what.to_string()))?;
-        let path = self.needed(&self.host_key, "--host-key")?;
-        let text = String::from_utf8_lossy(&file(path)?).to_string();
-        let host = PublicKey::from_openssh(text.trim()).map_err(|what| fault(path, what.to_string()))?;
-        Ok((key, host))
-    }
-
-    fn tls(&self) -> Result<Arc<rustls::ClientConfig>, Trouble> {
-        let fault = |path: &PathBuf, what: &dyn std::fmt::Display| {
-            Trouble::Trust(format!("{}: {what}", path.display()))
-        };
-        let chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, Trouble> {
-            let bytes = file(path)?;
-            CertificateDer::pem_slice_iter(&bytes)
-                .collect::<Result<_, _>>()
-                .map_err(|what| fault(path, &what))
-        };
-        let mut roots = rustls::RootCertStore::empty();
-        let ca = self.needed(&self.ca, "--ca")?;
-        for authority in chain(ca)? {
-            roots.add(authority).map_err(|what| fault(ca, &what))?;
-        }
-        let certificate = self.needed(&self.certificate, "--certificate")?;
-        let key = PrivateKeyDer::from_pem_slice(&file(&self.key)?).map_err(|what| fault(&self.key, &what))?;
-        let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let config =
-            rustls::ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-        let config = config.map_err(|what| Trouble::Trust(what.to_string()))?.with_root_certificates(roots);
-        let config = config.with_client_auth_cert(chain(certificate)?, key);
-        config.map(Arc::new).map_err(|what| fault(certificate, &what))
-    }
-}
-
+/// A connection to a dispatcher.
 pub enum Peer {
+    /// Over NETCONF.
     Netconf(Box<netconf::Client>),
-    Gnmi(Box<Grpc>),
+    /// Over gNMI.
+    Gnmi(Box<GnmiPeer>),
 }
 
-pub struct Grpc {
+/// A gNMI client, and its subscription if it has one.
+pub struct GnmiPeer {
     client: gnmi::Client,
-    follows: Option<Streaming<wire::SubscribeResponse>>,
+    subscription: Option<Streaming<wire::SubscribeResponse>>,
 }
 
 fn only_netconf() -> Trouble {
@@ -101,21 +31,28 @@
 }
 
 impl Peer {
-    pub async fn connect(over: Over, at: &str, trust: &Trust) -> Result<Peer, Trouble> {
-        Ok(match over {
-            Over::Ssh => {
-                let (key, host) = trust.ssh()?;
-                Peer::Netconf(Box::new(netconf::Client::ssh(at, &trust.user, key, host).await?))
+    /// Connects and signs in.
+    pub async fn connect(
+        transport: Transport,
+        address: &str,
+        credentials: &Credentials,
+    ) -> Result<Peer, Trouble> {
+        let server_name = &credentials.server_name;
+        match transport {
+            Transport::Ssh => {
+                let SshKeys { user, host } = credentials.ssh_keys()?;
+                let client = netconf::Client::ssh(address, &credentials.user, user, host).await?;
+                Ok(Peer::Netconf(Box::new(client)))
             }
-            Over::Tls => {
-                let client = netconf::Client::tls(at, &trust.server_name, trust.tls()?).await?;
-                Peer::Netconf(Box::new(client))
+            Transport::Tls => {
+                let client = netconf::Client::tls(address, server_name, credentials.tls_config()?).await?;
+                Ok(Peer::Netconf(Box::new(client)))
             }
-            Over::Gnmi => {
-                let client = gnmi::Client::connect(at, &trust.server_name, trust.tls()?).await?;
-                Peer::Gnmi(Box::new(Grpc { client, follows: None }))
+            Transport::Gnmi => {
+                let client = gnmi::Client::connect(address, server_name, credentials.tls_config()?).await?;
+                Ok(Peer::Gnmi(Box::new(GnmiPeer { client, subscription: None })))
             }
-        })
+        }
     }
 
     /// As one JSON tree over NETCONF; over gNMI by path, unless one path names all of it.
@@ -130,16 +67,16 @@
                 let fields = client.get(schema, datastore, paths).await?;
                 Ok(json::write(schema, &fields))
             }
-            Peer::Gnmi(grpc) => {
+            Peer::Gnmi(peer) => {
                 if datastore != "operational" {
                     return Err(only_netconf());
                 }
-                let found = grpc.client.get(schema, paths).await?;
+                let found = peer.client.get(schema, paths).await?;
                 let mut fields = DataTree::new();
                 for (text, value) in &found {
-                    match put(schema, text, value) {
-                        Ok(part) => data::merge(&mut fields, &part),
-                        Err(_) => {
+                    match tree_at(schema, text, value) {
+                        Some(part) => data::merge(&mut fields, &part),
+                        None => {
                             let all = found.iter().map(|(path, value)| (path.clone(), value.clone()));
                             return Ok(Value::Object(all.collect()));
                         }
@@ -150,6 +87,7 @@
         }
     }
 
+    /// Subscribes to changes of the paths, or to all their values at a period.
     pub async fn follow(
         &mut self,
         schema: &Schema,
@@ -158,37 +96,41 @@
     ) -> Result<(), Trouble> {
         match self {
             Peer::Netconf(client) => client.follow(paths, period).await.map(|_| ()),
-            Peer::Gnmi(grpc) => {
-                grpc.follows = Some(grpc.client.follow(schema, paths, period).await?);
+            Peer::Gnmi(peer) => {
+                peer.subscription = Some(peer.client.follow(schema, paths, period).await?);
                 Ok(())
             }
         }
     }
 
     /// The next message of what is followed.
-    pub async fn next(&mut self, schema: &Schema) -> Result<Vec<Changed>, Trouble> {
+    pub async fn next(&mut self, schema: &Schema) -> Result<Vec<Change>, Trouble> {
         let ended = || Trouble::Connection("ended".to_string());
         match self {
             Peer::Netconf(client) => {
-                let told = client.notification().await?;
-                Ok(pushed(schema, &told))
+                let notification = client.notification().await?;
+                Ok(notified_changes(schema, &notification))
             }
-            Peer::Gnmi(grpc) => loop {
-                let stream = grpc.follows.as_mut().ok_or_else(ended)?;
+            Peer::Gnmi(peer) => loop {
+                let stream = peer.subscription.as_mut().ok_or_else(ended)?;
                 let message = stream.message().await;
                 let message =
-                    message.map_err(|what| Trouble::Connection(what.to_string()))?.ok_or_else(ended)?;
+                    message.map_err(|error| Trouble::Connection(error.to_string()))?.ok_or_else(ended)?;
                 let Some(wire::subscribe_response::Response::Update(note)) = message.response else {
                     continue;
                 };
                 let path = |path: &Option<wire::Path>| path.as_ref().map(gnmi::text).unwrap_or_default();
-                let updates = note.update.iter().map(|one| (path(&one.path), Some(gnmi::json(one))));
-                let gone = note.delete.iter().map(|path| (gnmi::text(path), None));
-                return Ok(updates.chain(gone).collect());
+                let updates = note
+                    .update
+                    .iter()
+                    .map(|update| Change { path: path(&update.path), value: Some(gnmi::json(update)) });
+                let deletions = note.delete.iter().map(|path| Change { path: gnmi::text(path), value: None });
+                return Ok(updates.chain(deletions).collect());
             },
         }
     }
 
+    /// Sets the override that drains a host; its commit over NETCONF.
     pub async fn drain(
         &mut self,
         schema: &Schema,
@@ -208,7 +150,7 @@
                 }
                 client.act(schema, "drain", &input).await.map(Some)
             }
-            Peer::Gnmi(grpc) => {
+            Peer::Gnmi(peer) => {
                 let mut mark = json!({"state": "draining"});
                 if let Some(reason) = reason {
                     mark["reason"] = json!(reason);
@@ -222,21 +164,23 @@
                     mark["force"] = json!(true);
                 }
                 let path = format!("/router/marks/mark[host='{host}']");
-                grpc.client.set(schema, &[], &[(&path, mark)], &[]).await.map(|_| None)
+                peer.client.set(schema, &[], &[(&path, mark)], &[]).await.map(|_| None)
             }
         }
     }
 
+    /// Removes the override of a host; its commit over NETCONF.
     pub async fn undrain(&mut self, schema: &Schema, host: &str) -> Result<Option<u64>, Trouble> {
         match self {
             Peer::Netconf(client) => client.act(schema, "undrain", &[("host", host)]).await.map(Some),
-            Peer::Gnmi(grpc) => {
+            Peer::Gnmi(peer) => {
                 let path = format!("/router/marks/mark[host='{host}']");
-                grpc.client.set(schema, &[&path], &[], &[]).await.map(|_| None)
+                peer.client.set(schema, &[&path], &[], &[]).await.map(|_| None)
             }
         }
     }
 
+    /// Merges a configuration and commits it, to be confirmed within a time if there is one.
     pub async fn commit(
         &mut self,
         schema: &Schema,
@@ -252,7 +196,7 @@
                 client.commit(within, persist, None).await
             }
             Peer::Gnmi(_) if within.is_some() => Err(only_netconf()),
-            Peer::Gnmi(grpc) => grpc.client.set(schema, &[], &[], &[("/", value.clone())]).await.map(|_| ()),
+            Peer::Gnmi(peer) => peer.client.set(schema, &[], &[], &[("/", value.clone())]).await.map(|_| ()),
         }
     }
 
@@ -263,10 +207,12 @@
         }
     }
 
+    /// Confirms a commit by its persistent id.
     pub async fn confirm(&mut self, persist_id: &str) -> Result<(), Trouble> {
         self.netconf()?.commit(None, None, Some(persist_id)).await
     }
 
+    /// Cancels a confirmed commit by its persistent id.
     pub async fn cancel(&mut self, persist_id: &str) -> Result<(), Trouble> {
         let mut out = rockflow_netconf::xml::Writer::new();
         out.open("cancel-commit", &[]);
@@ -275,6 +221,7 @@
         self.netconf()?.call(&out.finish()).await.map(|_| ())
     }
 
+    /// Brings back the configuration of a commit, as a new one.
     pub async fn rollback(
         &mut self,
         schema: &Schema,
@@ -288,28 +235,29 @@
     }
 }
 
-/// A value at its path, as a tree.
-fn put(schema: &Schema, text: &str, value: &Value) -> Result<DataTree, String> {
+/// A value at its path, as a tree; `None`: the path or the value does not fit the schema.
+fn tree_at(schema: &Schema, text: &str, value: &Value) -> Option<DataTree> {
+    let scope = NodeScope::ConfigAndState;
     // Keys come without quotes here.
-    let path = Path::parse(schema, text).map_err(|error| error.to_string())?;
-    let read = |parent| {
-        json::read(schema, parent, value, NodeScope::ConfigAndState).map_err(|error| error.to_string())
+    let path = Path::parse(schema, text).ok()?;
+    let Some(last) = path.0.last() else {
+        return json::read(schema, None, value, scope).ok();
     };
-    let Some(last) = path.0.last() else { return read(None) };
     let data = if last.keys.is_empty() {
-        json::read_data(schema, last.node, value, NodeScope::ConfigAndState)
-            .map_err(|error| error.to_string())?
+        json::read_data(schema, last.node, value, scope).ok()?
     } else {
-        DataNode::Container(read(Some(last.node))?)
+        DataNode::Container(json::read(schema, Some(last.node), value, scope).ok()?)
     };
     let mut fields = DataTree::new();
     data::insert_at(schema, &mut fields, &path, data);
-    Ok(fields)
+    Some(fields)
 }
 
-/// What a push tells: all values, or those that changed.
-fn pushed(schema: &Schema, told: &Element) -> Vec<Changed> {
-    if let Some(update) = told.child("push-update").and_then(|update| update.child("datastore-contents")) {
+/// The values of a push notification: all of them, or those that changed.
+fn notified_changes(schema: &Schema, notification: &Element) -> Vec<Change> {
+    if let Some(update) =
+        notification.child("push-update").and_then(|update| update.child("datastore-contents"))
+    {
         let read = rockflow_netconf::codec::read(
             schema,
             None,
@@ -322,18 +270,19 @@
             .into_iter()
             .map(|(path, value)| {
                 let of = path.node().and_then(|node| schema.type_of(node));
-                (path.to_text(schema), Some(json::write_scalar(of, &value)))
+                Change { path: path.to_text(schema), value: Some(json::write_scalar(of, &value)) }
             })
             .collect();
     }
-    let changes = told.child("push-change-update").and_then(|update| update.child("datastore-changes"));
+    let changes =
+        notification.child("push-change-update").and_then(|update| update.child("datastore-changes"));
     let patch = changes.and_then(|changes| changes.child("yang-patch"));
     let edits = patch.into_iter().flat_map(|patch| &patch.children).filter(|child| child.name == "edit");
     edits
         .map(|edit| {
             let value = edit.child("value").and_then(|value| value.children.first());
-            let target = edit.text_of("target").unwrap_or_default().to_string();
-            (target, value.map(|value| Value::String(value.text().to_string())))
+            let path = edit.text_of("target").unwrap_or_default().to_string();
+            Change { path, value: value.map(|value| Value::String(value.text().to_string())) }
         })
         .collect()
 }
