--- a/crates/rockflow-scale/src/lib.rs
+++ b/crates/rockflow-scale/src/lib.rs
@@ -1,5 +1,5 @@
-//! Slopes of the program's costs at several sizes, and the page that holds them against a target. A subcommand is a
-//! module here and a variant in the program.
+//! Measures how the program's costs grow with the size of a fleet, and generates the capacity page from the measurements.
+//! Each subcommand has a module.
 
 pub mod page;
 pub mod rows;
--- a/crates/rockflow-scale/src/main.rs
+++ b/crates/rockflow-scale/src/main.rs
@@ -1,4 +1,4 @@
-//! What a fleet of a told size costs, each part by one command.
+//! The capacity of a fleet of a given size: one subcommand for each kind of measurement.
 
 use clap::{Parser, Subcommand};
 use rockflow_scale::{page, run, slopes, virtual_fleet};
--- a/crates/rockflow-scale/src/page/mod.rs
+++ b/crates/rockflow-scale/src/page/mod.rs
@@ -1,4 +1,5 @@
-//! The capacity page: its tables are made from rows, reckoned rows and a target, and stand in it between markers.
+//! The capacity page (`page`): generates its tables from measured rows, formulas and a target, and writes them between
+//! the markers of the page or checks the page against them.
 
 pub mod reckon;
 pub mod tables;
--- a/crates/rockflow-scale/src/page/reckon.rs
+++ b/crates/rockflow-scale/src/page/reckon.rs
@@ -1,4 +1,4 @@
-//! What each role needs at each moment, reckoned by formulas over slopes and target that stand in a file.
+//! Requirements of each role in each scenario, computed by formulas from fitted slopes, assumptions and the target.
 
 use crate::rows::{curves, Curve, Fit, How, Row};
 use crate::target::Target;
@@ -100,12 +100,15 @@
 macro_rules! words {
     ($(#[$about:meta])* $name:ident { $($(#[$on:meta])* $variant:ident = $word:literal),+ $(,)? }) => {
         $(#[$about])*
+        /// One of a closed set of values, named in the file as in the page.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
         pub enum $name { $($(#[$on])* #[serde(rename = $word)] $variant),+ }
 
         impl $name {
+            /// All values in the order of the page's tables.
             pub const ALL: &'static [$name] = &[$($name::$variant),+];
 
+            /// The name in the file and in the page.
             pub fn as_str(self) -> &'static str {
                 match self { $($name::$variant => $word),+ }
             }
@@ -190,42 +193,61 @@
 /// A curve with what was fitted to it, and where it is taken.
 #[derive(Clone, Debug)]
 pub struct Slope {
+    /// Name by which formulas refer to the slope.
     pub name: String,
+    /// The measured curve to which the slope is fitted.
     pub curve: Curve,
+    /// Name of the independent variable.
     pub x: String,
+    /// Unit of the value.
     pub unit: String,
     /// None: a run at just this size.
     pub fit: Option<Fit>,
     /// The last value measured over the first.
     pub grown: f64,
+    /// Size at which the fit is evaluated.
     pub at: f64,
+    /// Value of the fit at that size.
     pub value: f64,
+    /// Origin of the underlying rows.
     pub how: How,
+    /// Command that reproduces the underlying rows.
     pub command: String,
 }
 
 /// A figure that no row holds.
 #[derive(Clone, Debug)]
 pub struct Assumption {
+    /// Name by which formulas refer to the assumption.
     pub name: String,
+    /// The assumed value.
     pub value: f64,
+    /// Origin of the value.
     pub how: How,
+    /// Source of the value.
     pub from: String,
 }
 
 /// What a role needs.
 #[derive(Clone, Debug)]
 pub struct Need {
+    /// Role that has the requirement.
     pub role: Role,
+    /// Scenario in which it arises.
     pub moment: Scenario,
+    /// Design for which it is computed.
     pub design: Design,
+    /// Resource that is required.
     pub quantity: Quantity,
     /// None: what it rests on is not measured yet, or nothing carries it.
     pub needed: Option<f64>,
     /// None: nothing carries it.
     pub formula: Option<String>,
+    /// Allowed amount; `None` if the target sets no limit.
     pub allowed: Option<f64>,
+    /// Mechanism behind the requirement.
     pub mechanism: String,
+    /// Origin of the value.
     pub how: How,
     /// Of a figure of runs at their own size: how many seeds, and what was reduced.
     pub runs: Option<String>,
@@ -243,7 +265,9 @@
 /// A figure of the runs of one moment at their own size.
 #[derive(Clone, Debug)]
 pub struct RunFigure {
+    /// Name of the figure.
     pub name: String,
+    /// Unit of the figure.
     pub unit: String,
     /// The largest over the seeds: all of them are such that more is worse.
     pub worst: f64,
@@ -252,15 +276,21 @@
 /// The runs of one moment.
 #[derive(Clone, Debug)]
 pub struct Runs {
+    /// Scenario that was run.
     pub moment: Scenario,
+    /// Size of the run.
     pub size: f64,
+    /// Name of the size that was varied.
     pub x: String,
+    /// Origin of the rows.
     pub how: How,
+    /// Seeds of the runs.
     pub seeds: BTreeSet<u64>,
     /// What was done at a smaller size or shorter than told, and on how many seeds.
     pub reduced: BTreeMap<String, usize>,
     /// One for all seeds, where they differ in the seed only.
     pub commands: BTreeSet<String>,
+    /// The figures of the runs.
     pub figures: Vec<RunFigure>,
 }
 
@@ -302,6 +332,7 @@
         })
     }
 
+    /// Returns the figure with this name, if the runs have one.
     pub fn figure(&self, name: &str) -> Option<&RunFigure> {
         self.figures.iter().find(|figure| figure.name == name)
     }
@@ -330,8 +361,11 @@
 /// All that is reckoned.
 #[derive(Clone, Debug)]
 pub struct Reckoned {
+    /// Fitted slopes.
     pub slopes: Vec<Slope>,
+    /// Assumptions.
     pub given: Vec<Assumption>,
+    /// Requirements by role, scenario, design and quantity.
     pub needs: Vec<Need>,
     /// Moments that were not played at the size that counts are left out.
     pub runs: Vec<Runs>,
--- a/crates/rockflow-scale/src/page/tables.rs
+++ b/crates/rockflow-scale/src/page/tables.rs
@@ -1,4 +1,4 @@
-//! The tables, as text of the page. What depends on the machine stands in them as a ratio only.
+//! The tables of the capacity page as Markdown. Values that depend on the machine appear as ratios only.
 
 use super::reckon::{Design, Need, Quantity, Reckoned, Role, Runs, Scenario, Slope};
 use crate::rows::{short, Row};
--- a/crates/rockflow-scale/src/rows.rs
+++ b/crates/rockflow-scale/src/rows.rs
@@ -1,4 +1,4 @@
-//! Measured rows as JSON lines, and what is fitted to them.
+//! Measured rows as JSON lines, and least-squares fits to them.
 
 use crate::Fault;
 use serde::{Deserialize, Serialize};
@@ -37,15 +37,20 @@
 /// What was varied: its name and its size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Size {
+    /// Name of the size.
     pub name: String,
+    /// Value of the size.
     pub value: f64,
 }
 
 /// What was found; none: it was not played to its end within its budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Found {
+    /// Name of the figure.
     pub name: String,
+    /// The figure; `None` if the measurement exceeded its time budget.
     pub value: Option<f64>,
+    /// Unit of the figure.
     pub unit: String,
 }
 
@@ -53,15 +58,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
+    /// Name of the series.
     pub series: String,
+    /// The size.
     pub x: Size,
+    /// The figure.
     pub y: Found,
+    /// Seed of the measurement.
     pub seed: u64,
     /// All else that was chosen, by name.
     #[serde(default)]
     pub parameters: BTreeMap<String, f64>,
     /// What gives this row again.
     pub command: String,
+    /// Origin of the figure.
     pub how: How,
     /// What a reader of the figure should know, as what was not played.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -71,7 +81,9 @@
 /// Rows that belong to one curve: the series, the figure, and what else was chosen.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Curve {
+    /// Name of the series.
     pub series: String,
+    /// Name of the figure.
     pub figure: String,
     /// By name, each number as it is written.
     pub parameters: BTreeMap<String, String>,
@@ -85,6 +97,7 @@
 }
 
 impl Row {
+    /// The curve to which the row belongs.
     pub fn curve(&self) -> Curve {
         let parameters = self.parameters.iter().map(|(name, value)| (name.clone(), value.to_string()));
         let (series, figure) = (self.series.clone(), self.y.name.clone());
@@ -160,11 +173,15 @@
 /// What a figure grows with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
+    /// Proportional to the size.
     Linear,
+    /// Proportional to the square root of the size.
     Root,
+    /// Proportional to the binary logarithm of the size.
     Log2,
     /// It nears a bound: a constant less one over the size.
     Reciprocal,
+    /// Proportional to the square of the size.
     Square,
     /// Linear up to one of the sizes, and no more from there on.
     UpTo(u32),
@@ -221,14 +238,19 @@
 /// A least-squares fit, y = constant + slope * form(x).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
+    /// Function of the size.
     pub form: Form,
+    /// Intercept.
     pub constant: f64,
+    /// Factor of the function.
     pub slope: f64,
     /// The largest residual, as a share of the largest value.
     pub left: f64,
+    /// Number of distinct sizes.
     pub sizes: usize,
     /// The smallest and the largest size.
     pub from: f64,
+    /// The largest size.
     pub to: f64,
 }
 
--- a/crates/rockflow-scale/src/run/figures.rs
+++ b/crates/rockflow-scale/src/run/figures.rs
@@ -1,4 +1,4 @@
-//! What a run found, as a table and as rows.
+//! Results of a run as a table and as rows.
 
 use super::ledger::{Announcement, Waited, CAUSES};
 use super::minutes::Greatest;
@@ -24,6 +24,7 @@
 }
 
 impl Sample {
+    /// Samples the processes of the fleet.
     pub fn take(fleet: &Fleet, hollow: &str) -> Sample {
         let control = fleet.control.len();
         let all = fleet.control.iter().chain(&fleet.members).enumerate();
@@ -40,6 +41,7 @@
         }
     }
 
+    /// Seconds since an earlier sample.
     pub fn seconds_since(&self, before: &Sample) -> f64 {
         match (self.at, before.at) {
             (Some(at), Some(before)) => at.saturating_duration_since(before).as_secs_f64(),
@@ -62,20 +64,28 @@
 /// A member over a run, a second, in bytes and shares of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Member {
+    /// Whether it is a process; otherwise it is hollow.
     pub real: bool,
     /// Members whose first parent it is.
     pub children: usize,
     /// While nothing was at fault.
     pub ordinary: Rate,
+    /// Mean of the whole run.
     pub whole: Rate,
+    /// Resident memory, in KiB.
     pub rss_kb: Option<u64>,
+    /// Number of threads.
     pub threads: Option<u64>,
+    /// Number of open file descriptors.
     pub descriptors: Option<usize>,
 }
 
+/// Bytes a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
+    /// Sent.
     pub out: f64,
+    /// Received.
     pub back: f64,
     /// None: no process of its own, or another one at the end.
     pub core: Option<f64>,
@@ -99,6 +109,7 @@
 }
 
 impl Member {
+    /// Computes a member's figures from three samples.
     pub fn of(place: usize, real: bool, began: &Sample, ordinary: &Sample, end: &Sample) -> Member {
         let used = end.used.get(&place).map(|(_, usage, _)| *usage);
         Member {
@@ -322,6 +333,7 @@
     lines
 }
 
+/// Prints the result of a run.
 pub fn print(found: &Found) {
     println!();
     for Line { name, value, unit } in lines(found) {
@@ -367,6 +379,7 @@
     }
 }
 
+/// Converts the result of a run to rows.
 pub fn rows(found: &Found) -> Vec<Row> {
     let members = found.members.len() as f64;
     let parameters: BTreeMap<_, _> = [
--- a/crates/rockflow-scale/src/run/hollow.rs
+++ b/crates/rockflow-scale/src/run/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow dispatchers: the machine of dissemination on a socket of its own each, without clients and decisions. All share
-//! one thread and one event loop.
+//! Hollow dispatchers: the dissemination node with a socket of its own, without clients or routing decisions. All share one
+//! thread and one event loop.
 
 use super::ledger::Ledger;
 use crate::Fault;
@@ -42,6 +42,7 @@
 }
 
 impl Hollow {
+    /// Starts the thread of the hollow dispatchers.
     pub fn start(ledger: Arc<Mutex<Ledger>>) -> Result<Hollow, Fault> {
         let (orders, taken) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build();
@@ -58,18 +59,22 @@
         }
     }
 
+    /// Starts a hollow dispatcher.
     pub fn begin(&self, member: usize, plan: NodeOptions) {
         self.order(Order::Start { member, plan: Box::new(plan) });
     }
 
+    /// Ends a hollow dispatcher at once.
     pub fn kill(&self, member: usize) {
         self.order(Order::Kill(member));
     }
 
+    /// Shuts a hollow dispatcher down.
     pub fn end(&self, member: usize) {
         self.order(Order::End(member));
     }
 
+    /// Suspends or resumes a hollow dispatcher.
     pub fn stop(&self, member: usize, stopped: bool) {
         self.order(Order::Stop(member, stopped));
     }
--- a/crates/rockflow-scale/src/run/layout.rs
+++ b/crates/rockflow-scale/src/run/layout.rs
@@ -1,4 +1,4 @@
-//! Where each member of a run stands: regions, sites and zones as many as the target has for so many dispatchers.
+//! Locations of the members of a run: regions, sites and zones in proportion to the target.
 
 use crate::target::Target;
 use rockflow_process_harness::Place;
--- a/crates/rockflow-scale/src/run/ledger.rs
+++ b/crates/rockflow-scale/src/run/ledger.rs
@@ -1,5 +1,4 @@
-//! What was told and when, what each dispatcher has put in effect since when, and what held it up meanwhile, for whoever
-//! judges a run.
+//! Published entries, when each dispatcher applied them, and the faults that affected it meanwhile.
 
 use rockflow_dissemination::Purge;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -18,6 +17,7 @@
     Late,
 }
 
+/// All causes in the order of their columns.
 pub const CAUSES: [Cause; 4] = [Cause::Stopped, Cause::CutOff, Cause::Lossy, Cause::Late];
 
 impl Cause {
@@ -78,8 +78,11 @@
 /// The longest of so many waits, and whose it was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Waited {
+    /// Number of waits.
     pub count: usize,
+    /// Longest wait.
     pub worst: Duration,
+    /// Member with the longest wait.
     pub member: usize,
 }
 
@@ -96,12 +99,15 @@
 /// an entry or by a floor.
 #[derive(Clone, Copy, Debug)]
 pub struct Announcement {
+    /// When it was published.
     pub at: Instant,
     /// At hollow ones by the entry itself.
     pub count: usize,
+    /// Longest wait of a hollow dispatcher.
     pub worst: Duration,
     /// At those that nothing held up meanwhile: real ones, and hollow ones.
     pub real: Waited,
+    /// Waits of unaffected hollow dispatchers.
     pub hollow: Waited,
     /// In the order of `CAUSES`, at those that it concerned meanwhile: of what holds up, from its end; of what does not,
     /// where nothing else held them up.
@@ -156,14 +162,19 @@
 pub struct Judged {
     /// Told within its life, and neither in effect nor covered by a floor.
     pub passed_over: u64,
+    /// Covered by a minimum accepted timestamp.
     pub by_floor: u64,
+    /// Applied more than once.
     pub again: u64,
 }
 
+/// Record of published entries and of when each dispatcher applied them.
 #[derive(Debug, Default)]
 pub struct Ledger {
     numbers: HashMap<[u8; 8], usize>,
+    /// Published purges.
     pub purges: Vec<Announcement>,
+    /// Published changes.
     pub changes: Vec<Announcement>,
     hosts: HashMap<String, usize>,
     incarnations: BTreeMap<usize, MemberIncarnation>,
@@ -182,11 +193,13 @@
         Ledger { real: real.into_iter().collect(), ..Ledger::default() }
     }
 
+    /// Records the publication of a purge.
     pub fn tell(&mut self, at: Instant, object: u64) {
         self.numbers.insert(object.to_le_bytes(), self.purges.len());
         self.purges.push(Announcement::new(at));
     }
 
+    /// Records the publication of a change.
     pub fn change(&mut self, at: Instant, host: &str) {
         self.hosts.insert(host.to_string(), self.changes.len());
         self.changes.push(Announcement::new(at));
@@ -326,10 +339,12 @@
         incarnations.map(|(member, incarnation)| (*member, judge(incarnation))).collect()
     }
 
+    /// Minimum accepted timestamps received in all.
     pub fn floors(&self) -> u64 {
         self.floors_before + self.incarnations.values().map(|incarnation| incarnation.floors).sum::<u64>()
     }
 
+    /// Purges applied more than once by an incarnation, in all.
     pub fn again(&self) -> u64 {
         self.again_before + self.incarnations.values().map(|incarnation| incarnation.again).sum::<u64>()
     }
--- a/crates/rockflow-scale/src/run/minutes.rs
+++ b/crates/rockflow-scale/src/run/minutes.rs
@@ -1,15 +1,18 @@
-//! Bytes over sliding minutes: the allowance holds on the mean of a minute, whichever.
+//! Bytes over sliding minutes, as the bandwidth limit applies to the mean of any minute.
 
 use rockflow_process_harness::datagrams::Carried;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
+/// Length of the sliding window.
 pub const MINUTE: Duration = Duration::from_secs(60);
 
 /// The greatest minute of a member, in bytes a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Greatest {
+    /// Bytes a second sent.
     pub out: f64,
+    /// Bytes a second received.
     pub back: f64,
     /// When the minute with the most bytes out was over, since the first sample.
     pub at: Duration,
@@ -26,6 +29,7 @@
     began: Option<Instant>,
     /// By place in the proxy: while nothing was at fault, and over all.
     pub ordinary: Vec<Greatest>,
+    /// Largest minutes of the whole run, by member.
     pub whole: Vec<Greatest>,
 }
 
--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -1,6 +1,6 @@
-//! Hollow dispatchers beside real processes on loopback: dispatchers, control nodes, a notice board, and faults between
-//! them by a seed. Real and hollow ones are members of one fleet behind one proxy, which counts the bytes of both, and
-//! their figures are held against each other.
+//! Hollow dispatchers beside real processes on the loopback interface (`run`): dispatchers, control nodes, a discovery
+//! service and a seeded schedule of faults. All are members of one fleet behind one counting proxy, so that figures of
+//! hollow and real members can be compared.
 
 pub mod figures;
 pub mod hollow;
@@ -94,6 +94,7 @@
     text.parse().ok().filter(within).ok_or_else(|| "from 0.25 to 120 minutes".to_string())
 }
 
+/// Runs the fleet, prints the result and writes its rows.
 pub fn run(options: &Options) -> Result<(), Fault> {
     let target = Target::read(&options.target)?;
     let (hollow, real, control) = (options.hollow.into(), options.real.into(), usize::from(options.control));
@@ -129,39 +130,67 @@
 
 /// All that came of a run, for its figures.
 pub struct Found {
+    /// Options of the run.
     pub options: Options,
+    /// Command that reproduces the run.
     pub command: String,
+    /// Purges published a second.
     pub rate: f64,
+    /// Dispatchers, real and hollow.
     pub members: Vec<Member>,
+    /// Control nodes.
     pub control: Vec<Member>,
+    /// Processes without dissemination, for comparison.
     pub bare: Vec<Member>,
+    /// Number of processes.
     pub processes: usize,
+    /// Resident memory of control nodes, dispatchers and this process, in KiB.
     pub held_kb: u64,
+    /// Convergence reports of the control nodes.
     pub said: Vec<ConvergenceReport>,
+    /// Published purges.
     pub purges: Vec<ledger::Announcement>,
+    /// Published changes.
     pub changes: Vec<ledger::Announcement>,
+    /// Number of hollow dispatchers.
     pub hollow: usize,
+    /// Resident memory of this process, which runs the hollow dispatchers, in KiB.
     pub hollow_kb: u64,
     /// Of a core each: in the ordinary span, and over all.
     pub hollow_core: (Option<f64>, Option<f64>),
+    /// Minimum accepted timestamps received.
     pub floors: u64,
+    /// Purges applied more than once by an incarnation.
     pub again: u64,
+    /// Sequence numbers of purges in excess of the purges published.
     pub published_twice: u64,
+    /// Entries neither applied nor covered.
     pub passed_over: u64,
+    /// Entries covered by a minimum accepted timestamp.
     pub by_floor: u64,
+    /// Convergence reports of entries that a member had not applied.
     pub too_early: u64,
+    /// Convergence reports checked.
     pub checked: u64,
+    /// Members that had not caught up at the end, with their number of missing entries.
     pub not_caught_up: Vec<String>,
+    /// Number of faults by kind.
     pub faults: BTreeMap<&'static str, usize>,
     /// By place in the proxy, control nodes first.
     pub names: Vec<String>,
+    /// Largest minutes outside the faults, by member.
     pub greatest_ordinary: Vec<Greatest>,
+    /// Largest minutes of the whole run, by member.
     pub greatest: Vec<Greatest>,
     /// Within so long a purge and a change are to be in force everywhere, and so many bytes a member may send a second.
     pub purge_window: Duration,
+    /// A change is applied by unaffected members within this time.
     pub change_window: Duration,
+    /// Bandwidth limit of a member, in bytes a second.
     pub bytes_per_second: f64,
+    /// Datagrams and bytes carried by the proxy.
     pub carried: rockflow_process_harness::datagrams::Tally,
+    /// When the measured part began.
     pub began: Instant,
     /// Till then nothing was at fault.
     pub faults_from: Instant,
--- a/crates/rockflow-scale/src/run/schedule.rs
+++ b/crates/rockflow-scale/src/run/schedule.rs
@@ -1,4 +1,4 @@
-//! Which fault begins and ends when, all by the seed.
+//! The schedule of faults, determined by the seed.
 
 use rockflow_process_harness::Place;
 use std::collections::BTreeMap;
@@ -14,42 +14,66 @@
 const WAVE: f64 = 0.1;
 const WAVE_SECONDS: f64 = 20.0;
 
+/// One step of a fault schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Datagrams from these members to those are lost, late or cut till the step of the same number that mends it.
     Path {
+        /// Identifies the path until it is mended.
         id: usize,
+        /// Members whose frames are affected.
         from: Vec<usize>,
+        /// Members to which the frames are sent.
         to: Vec<usize>,
+        /// What happens to the frames.
         fault: PathFault,
     },
     Mend {
+        /// Path whose fault ends.
         id: usize,
     },
+    /// Kills the process.
     Kill(Node),
+    /// Suspends the process.
     Stop(Node),
+    /// Resumes the process.
     Wake(Node),
+    /// Starts the process again.
     Start(Node),
     /// A planned stop; the start follows.
     End(Node),
 }
 
+/// Fault of a network path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PathFault {
+    /// No frame arrives.
     Cut,
-    Lossy { lost: f64, doubled: f64 },
-    Late { late: Duration, jitter: Duration },
+    Lossy {
+        lost: f64,
+        doubled: f64,
+    },
+    Late {
+        late: Duration,
+        jitter: Duration,
+    },
 }
 
+/// A process of the run, by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
+    /// A control node.
     Control(usize),
+    /// A dispatcher.
     Member(usize),
 }
 
+/// A step and when it is taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct At {
+    /// Time since the start of the schedule.
     pub at: Duration,
+    /// The step.
     pub step: Step,
 }
 
--- a/crates/rockflow-scale/src/run/watch.rs
+++ b/crates/rockflow-scale/src/run/watch.rs
@@ -1,4 +1,4 @@
-//! What processes say in their logs, read as they grow.
+//! Incremental reading and parsing of process logs.
 
 use rockflow_dissemination::Purge;
 use std::collections::BTreeMap;
@@ -13,10 +13,15 @@
 pub struct ConvergenceReport {
     /// Which control node says so, and whose stream it is.
     pub by: usize,
+    /// Control node whose stream it is.
     pub control: usize,
+    /// Whether it is the stream of purges; otherwise that of settings.
     pub purges: bool,
+    /// Sequence number in the stream.
     pub number: u64,
+    /// From publication to convergence, as logged.
     pub after: Duration,
+    /// When the line was read.
     pub read: Instant,
 }
 
@@ -28,6 +33,7 @@
 }
 
 impl Tail {
+    /// Starts at the beginning of the file, which need not exist yet.
     pub fn new(path: PathBuf) -> Tail {
         Tail { path, at: 0, rest: String::new() }
     }
--- a/crates/rockflow-scale/src/slopes/cold.rs
+++ b/crates/rockflow-scale/src/slopes/cold.rs
@@ -1,4 +1,4 @@
-//! A cold host before fleets of several sizes: how far below what it bears it stays.
+//! A host that is warming up before fleets of several sizes: the unused part of its capacity.
 
 use super::measure::processor;
 use super::{Bench, Listed};
@@ -8,6 +8,7 @@
 };
 use std::time::Duration;
 
+/// Series about hosts that are warming up.
 pub const SERIES: &[Listed] =
     &[("cold", "calls to spare at a cold host before a fleet, over what it bears with chance", cold)];
 
--- a/crates/rockflow-scale/src/slopes/decisions.rs
+++ b/crates/rockflow-scale/src/slopes/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions: time a request and memory, by what a dispatcher knows and has open.
+//! Routing decisions: time a request and memory, by the state that a dispatcher holds.
 
 use super::list::{listings, SIZES as HOSTS};
 use super::measure::{bytes_of, nanoseconds};
@@ -9,6 +9,7 @@
 };
 use std::time::Duration;
 
+/// Series about routing decisions.
 pub const SERIES: &[Listed] = &[
     ("decisions-hosts", "a request decided, by the hosts of the dispatcher's location", by_hosts),
     ("decisions-open", "a request decided, by the requests that are open", by_open),
--- a/crates/rockflow-scale/src/slopes/list.rs
+++ b/crates/rockflow-scale/src/slopes/list.rs
@@ -1,4 +1,4 @@
-//! The list of hosts: what a whole one and one change of it take to be read, merged and told to the decisions.
+//! The endpoint list: the cost of parsing, merging and applying a full list and a single change.
 
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
@@ -9,9 +9,11 @@
 use rockflow_protocol::discovery::WatchEvent;
 use std::time::Duration;
 
+/// Series about the endpoint list.
 pub const SERIES: &[Listed] =
     &[("list", "a whole list of hosts and one change: worded, read, merged, told to the decisions", list)];
 
+/// Numbers of hosts.
 pub const SIZES: [usize; 6] = [50, 100, 200, 300, 400, 450];
 /// Rolls and dispatchers that are held at once to weigh one.
 const COPIES: usize = 16;
--- a/crates/rockflow-scale/src/slopes/measure.rs
+++ b/crates/rockflow-scale/src/slopes/measure.rs
@@ -1,4 +1,4 @@
-//! How time and memory are taken.
+//! Measurement of processor time and heap memory.
 
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/rockflow-scale/src/slopes/membership.rs
+++ b/crates/rockflow-scale/src/slopes/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there: frames, bytes, time and memory of the members' machines, played in virtual time.
+//! Cluster membership: frames, bytes, time and memory of the state machines, in virtual time.
 
 use super::measure::{heap, nanoseconds, processor};
 use super::{Bench, Listed, Point};
@@ -11,6 +11,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
+/// Series about cluster membership.
 pub const SERIES: &[Listed] = &[
     (
         "membership",
--- a/crates/rockflow-scale/src/slopes/mod.rs
+++ b/crates/rockflow-scale/src/slopes/mod.rs
@@ -1,4 +1,5 @@
-//! How the program's costs grow: each series over several sizes, on the program's own code, bounded in time.
+//! Growth of the program's costs (`slopes`): each series measures the program's own code at several sizes within a time
+//! budget.
 
 pub mod cold;
 pub mod decisions;
@@ -45,8 +46,11 @@
 
 /// A series: its name, what it measures, and how.
 pub struct Series {
+    /// Name of the series.
     pub name: &'static str,
+    /// Description of the series.
     pub what: &'static str,
+    /// Measures the series.
     pub play: fn(&mut Bench),
 }
 
@@ -64,6 +68,7 @@
 
 /// Where a series puts its rows.
 pub struct Bench {
+    /// Seed of the measurements.
     pub seed: u64,
     /// What one size may take.
     pub budget: Duration,
@@ -75,6 +80,7 @@
 pub type Named = (&'static str, f64);
 
 impl Bench {
+    /// Creates a collector of the rows of one series.
     pub fn new(seed: u64, budget: Duration, series: &'static str) -> Bench {
         Bench { seed, budget, series, rows: Vec::new() }
     }
--- a/crates/rockflow-scale/src/slopes/plot.rs
+++ b/crates/rockflow-scale/src/slopes/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of each series: its points, and what is fitted to them.
+//! A plot of each series: its points and the fit.
 
 use crate::rows::{curves, Curve, Fit, Row};
 use crate::Fault;
--- a/crates/rockflow-scale/src/slopes/purges.rs
+++ b/crates/rockflow-scale/src/slopes/purges.rs
@@ -1,4 +1,4 @@
-//! Purges: what one takes on its way and in the decisions.
+//! Purges: their cost on the wire and in routing decisions.
 
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
@@ -7,6 +7,7 @@
 use rockflow_protocol::discovery::{WatchEvent, WatchStream};
 use std::time::Duration;
 
+/// Series about purges.
 pub const SERIES: &[Listed] = &[
     ("purge-worded", "a purge as the board words it, alone in a packet or several in one", worded),
     ("purges-in-force", "a purge told to the decisions, by the purges that are in force", in_force),
--- a/crates/rockflow-scale/src/slopes/records.rs
+++ b/crates/rockflow-scale/src/slopes/records.rs
@@ -1,4 +1,4 @@
-//! Records of requests that a replica holds for others.
+//! Log records of requests that a replica stores for other members.
 
 use super::measure::{bytes_of, nanoseconds};
 use super::{Bench, Listed};
@@ -10,6 +10,7 @@
 use rockflow_transport::cluster::frame;
 use std::time::Duration;
 
+/// Series about replicated log records.
 pub const SERIES: &[Listed] =
     &[("records", "a record written at its keeper, by the records that it holds", records)];
 
--- a/crates/rockflow-scale/src/target.rs
+++ b/crates/rockflow-scale/src/target.rs
@@ -1,4 +1,4 @@
-//! The size to carry and what is allowed for it, read strictly from a file: an operator puts in their own.
+//! The target: the size of the fleet and the allowed costs, parsed strictly from a TOML file.
 
 use crate::Fault;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rockflow-scale/src/virtual_fleet/against.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/against.rs
@@ -1,5 +1,5 @@
-//! The mechanism against what there is without it: every dispatcher calls the board, and configuration is a file and a
-//! signal for each process.
+//! Costs without the mechanism, for comparison: every dispatcher polls the discovery service, and configuration is a file
+//! and a signal for each process.
 
 use super::layout::Layout;
 use super::moments::{ScenarioResult, Times};
@@ -21,6 +21,7 @@
 const AT_A_TIME: usize = 16;
 const ROUND_TRIPS: u32 = 8;
 
+/// Costs of distribution without the mechanism.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Against {
     /// A purge as the board words it, in bytes with its packet's heads, and its acknowledgement.
@@ -29,12 +30,17 @@
     pub write_seconds: f64,
     /// A second, at the board's machine.
     pub board_bytes_out: f64,
+    /// Share of a core that the discovery service uses.
     pub board_core: f64,
+    /// Bytes a second received by a member.
     pub member_bytes_in: f64,
+    /// Bytes a second sent by a member.
     pub member_bytes_out: f64,
+    /// From publication of a purge to its application by the last member.
     pub purges: Times,
     /// Reckoned: bytes of one change at the operator's machine, and how long until all have the file.
     pub file_bytes: f64,
+    /// Seconds until a configuration change is applied by all members.
     pub file_seconds: f64,
 }
 
--- a/crates/rockflow-scale/src/virtual_fleet/checker.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/checker.rs
@@ -1,5 +1,5 @@
-//! What may never happen, and when what was in force, by one who sees all of the fleet at once. It goes by what was
-//! published and by what dispatchers were given, never by the machine's own tables.
+//! Invariants of a simulated fleet and convergence times, from a global view. The checker uses only what was published and
+//! what dispatchers received, never the tables of the nodes.
 
 use rockflow_dissemination::{DesiredState, Entry, Purge, SequenceNumber, StreamId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -33,20 +33,27 @@
     }
 }
 
+/// Content of a published entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
+    /// A purge.
     Purge(Purge),
-    Setting { host: String, wanted: DesiredState },
+    Setting {
+        host: String,
+        wanted: DesiredState,
+    },
 }
 
 /// What was published, once by its content.
 #[derive(Clone, Debug)]
 pub struct Published {
+    /// Content of the entry.
     pub what: What,
     /// When the board or the operator said it.
     pub at: Duration,
     /// Which side of a cut said it; none: both.
     pub side: Option<u8>,
+    /// Phase of the simulation in which it was published.
     pub moment: usize,
     /// Under how many numbers it went out. Several: two control nodes both thought it theirs.
     pub numbers: usize,
@@ -118,8 +125,10 @@
     NotJudged,
 }
 
+/// Independent record of what was published and applied, checked against the fleet's invariants.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
+    /// A purge is applied by all reachable members within this time.
     pub window: Duration,
     /// A change of the configuration is in force within this at members that nothing held up. Who comes back, or begins
     /// later, takes it with all the others, within the window.
@@ -132,6 +141,7 @@
     ever: Vec<Bits>,
     /// Members by the directory.
     listed: Vec<bool>,
+    /// Published entries in the order of publication.
     pub entries: Vec<Published>,
     purges: HashMap<Purge, usize>,
     /// Published purges of everything.
@@ -152,7 +162,9 @@
     /// Which side of a cut a member is on, and when the two met again.
     sides: Vec<Option<u8>>,
     met: Duration,
+    /// Number of violations by kind.
     pub broken: BTreeMap<Violation, usize>,
+    /// Descriptions of the first violations.
     pub words: Vec<String>,
     /// Floors given in all.
     pub floors: usize,
@@ -172,6 +184,7 @@
 }
 
 impl Checker {
+    /// Creates a checker of this number of members, all listed in the directory.
     pub fn new(members: usize, window: Duration, change_window: Duration) -> Checker {
         Checker {
             window,
@@ -185,10 +198,12 @@
         }
     }
 
+    /// Total number of violations.
     pub fn violations(&self) -> usize {
         self.broken.values().sum()
     }
 
+    /// Counts a violation and describes it while few are described.
     pub fn record_violation(&mut self, what: Violation, words: impl FnOnce() -> String) {
         let count = self.broken.entry(what).or_default();
         *count += 1;
@@ -216,6 +231,7 @@
         self.reads.retain(|_, read| *read != self.listed);
     }
 
+    /// Whether the current directory lists the member.
     pub fn is_listed(&self, member: usize) -> bool {
         self.listed[member]
     }
@@ -234,6 +250,7 @@
         }
     }
 
+    /// Records the start of a new incarnation of a member.
     pub fn on_start(&mut self, now: Duration, member: usize) {
         let owed = self.settings.len();
         // What cuts it off does so whichever of its lives that is.
@@ -254,10 +271,12 @@
         self.incarnations[member].contact.get_or_insert(now);
     }
 
+    /// Records the end of a member's incarnation.
     pub fn on_exit(&mut self, member: usize) {
         self.incarnations[member].alive = false;
     }
 
+    /// Records that a member is suspended or resumed.
     pub fn set_stopped(&mut self, member: usize, stopped: bool) {
         self.incarnations[member].stopped = stopped;
     }
@@ -326,6 +345,7 @@
         self.expected.insert(host.to_string(), (at, wanted));
     }
 
+    /// Whether the entry is a setting.
     pub fn is_setting(&self, entry: usize) -> bool {
         matches!(self.entries[entry].what, What::Setting { .. })
     }
@@ -415,6 +435,7 @@
         of.into_iter().find(same)
     }
 
+    /// Index of a published purge.
     pub fn entry_of(&self, purge: &Purge) -> Option<usize> {
         self.purges.get(purge).copied()
     }
--- a/crates/rockflow-scale/src/virtual_fleet/figures.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/figures.rs
@@ -1,4 +1,4 @@
-//! The rows of a moment that was played: a series a moment, all figures at the one size.
+//! Rows of a scenario: one series a scenario, all figures at one size.
 
 use super::moments::{MeanWorst, Scenario, ScenarioResult, Times};
 use crate::rows::{Found, How, Row, Size};
--- a/crates/rockflow-scale/src/virtual_fleet/layout.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/layout.rs
@@ -1,4 +1,4 @@
-//! Who stands where in a virtual fleet, how far two of them are from each other, and under which address each is reached.
+//! Locations, delays and addresses of the nodes of a simulated fleet.
 
 use rockflow_dissemination::{ControlId, NodeId, Peer};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,15 +15,21 @@
 /// How many of each there are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shape {
+    /// Number of members.
     pub members: usize,
+    /// Number of sites.
     pub sites: usize,
+    /// Number of zones.
     pub zones: usize,
+    /// Number of regions.
     pub regions: usize,
+    /// Number of control nodes.
     pub control: usize,
     /// Members are spread over the sites evenly, not by the seed.
     pub even: bool,
     /// One way within a region, and between the two regions that are furthest apart.
     pub near: Duration,
+    /// One-way delay between the two regions that are furthest apart.
     pub far: Duration,
 }
 
@@ -49,21 +55,27 @@
 /// Where a node stands. Control nodes have a site of their own each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
+    /// Index of the region.
     pub region: usize,
+    /// Index of the zone.
     pub zone: usize,
+    /// Index of the site.
     pub site: usize,
 }
 
 /// All nodes by their index: members first, then spare places for those that replace others, then control nodes.
 #[derive(Clone, Debug)]
 pub struct Layout {
+    /// Counts from which the layout was built.
     pub shape: Shape,
+    /// Location of each node, by its index.
     pub places: Vec<Place>,
     /// Members and spare places.
     pub member_slots: usize,
 }
 
 impl Layout {
+    /// Distributes members, `spare` replacement slots and control nodes over the sites.
     pub fn new(shape: Shape, spare: usize, rng: &mut oorandom::Rand64) -> Layout {
         let zone_of = |site: usize| site % shape.zones;
         let region_of = |zone: usize| zone % shape.regions;
@@ -95,10 +107,12 @@
         Layout { shape, places, member_slots }
     }
 
+    /// Number of nodes of all kinds.
     pub fn nodes(&self) -> usize {
         self.places.len()
     }
 
+    /// Whether the node at this index is a control node.
     pub fn is_control(&self, at: usize) -> bool {
         at >= self.member_slots
     }
@@ -108,10 +122,12 @@
         self.member_slots + place
     }
 
+    /// Control id of the node at this index, if it is a control node.
     pub fn control_id(&self, at: usize) -> Option<ControlId> {
         at.checked_sub(self.member_slots).map(|place| ControlId(place as u8))
     }
 
+    /// Name of the node at this index, as in the directory.
     pub fn name(&self, at: usize) -> String {
         match at.checked_sub(self.member_slots) {
             Some(place) => format!("control-{place}"),
@@ -119,6 +135,7 @@
         }
     }
 
+    /// Address of the node at this index.
     pub fn address(at: usize) -> SocketAddr {
         let [_, high, middle, low] = (at as u32).to_be_bytes();
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, high, middle, low)), PORT)
@@ -132,10 +149,12 @@
         (ten == 10 && at < self.nodes() && address.port() == PORT).then_some(at)
     }
 
+    /// Id and address of the node at this index.
     pub fn peer(&self, at: usize) -> Peer {
         Peer { node: NodeId::of(&self.name(at)), address: Layout::address(at) }
     }
 
+    /// Ids and addresses of all control nodes.
     pub fn control_peers(&self) -> Vec<Peer> {
         (0..self.shape.control).map(|place| self.peer(self.control(place))).collect()
     }
@@ -168,10 +187,12 @@
         self.pick(|at, place| !self.is_control(at) && place.region == region)
     }
 
+    /// Indices of the members of a zone.
     pub fn zone(&self, zone: usize) -> Vec<usize> {
         self.pick(|at, place| !self.is_control(at) && place.zone == zone)
     }
 
+    /// Indices of the members of a site.
     pub fn site(&self, site: usize) -> Vec<usize> {
         self.pick(|at, place| !self.is_control(at) && place.site == site)
     }
--- a/crates/rockflow-scale/src/virtual_fleet/mod.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The whole fleet in virtual time on one seed: when what was published is in force everywhere, what it costs each
-//! member, and whether anything that may never happen did.
+//! A whole fleet in virtual time (`virtual`): convergence times, costs of each member and violations of invariants, all
+//! reproducible from a seed. `world` simulates the fleet, `checker` verifies it, `moments` runs the scenarios.
 
 pub mod against;
 pub mod checker;
--- a/crates/rockflow-scale/src/virtual_fleet/moments.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/moments.rs
@@ -1,4 +1,4 @@
-//! The four moments that are asked about, each played by a fleet of its own, and what came of each.
+//! The scenarios of the capacity page, each run on a fleet of its own, and their results.
 
 use super::checker::Violation;
 use super::layout::Shape;
@@ -22,6 +22,7 @@
 /// Frames lost on an ordinary day.
 const LOST: f64 = 0.001;
 
+/// A scenario of the capacity page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Scenario {
@@ -36,6 +37,7 @@
 }
 
 impl Scenario {
+    /// All scenarios in the order of the page.
     pub const ALL: [Scenario; 4] = [Scenario::Ordinary, Scenario::Restart, Scenario::Zone, Scenario::Regions];
 
     /// As the command line and the series of rows name it.
@@ -52,13 +54,18 @@
 /// Figures of times, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Times {
+    /// Number of samples.
     pub count: usize,
+    /// Median, in seconds.
     pub median: f64,
+    /// 99th percentile, in seconds.
     pub p99: f64,
+    /// Maximum, in seconds.
     pub worst: f64,
 }
 
 impl Times {
+    /// Aggregates durations that are sorted in ascending order.
     pub fn of(sorted: &[Duration]) -> Times {
         let at = |share: f64| {
             let place = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
@@ -68,9 +75,12 @@
     }
 }
 
+/// Mean and maximum over nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MeanWorst {
+    /// Mean over the nodes.
     pub mean: f64,
+    /// Largest value of a node.
     pub worst: f64,
 }
 
@@ -83,8 +93,11 @@
 /// What a moment came to. Bytes are a second, with all heads.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScenarioResult {
+    /// Scenario that was run.
     pub moment: Scenario,
+    /// Seed of the run.
     pub seed: u64,
+    /// Number of members.
     pub members: usize,
     /// Seconds of virtual time over which figures are taken.
     pub seconds: u64,
@@ -92,45 +105,64 @@
     pub reduced: Option<String>,
     /// From being said to being in force at the last member that could hear it.
     pub purges: Times,
+    /// From publication of a change to its application by the last member that could receive it.
     pub changes: Times,
     /// Purges of the time apart, from being said on the own side, and from the meeting on the other.
     pub apart: Option<Times>,
     /// From being said to control's knowing it; and how many it never knew of.
     pub purges_known: Times,
+    /// Purges whose convergence control never reported.
     pub purges_unknown: usize,
+    /// From publication of a change to control's report of convergence.
     pub changes_known: Times,
     /// From a start with nothing to going by all settings.
     pub begun: Times,
+    /// Bytes a second received by members.
     pub bytes_in: MeanWorst,
+    /// Bytes a second sent by members.
     pub bytes_out: MeanWorst,
     /// The greatest mean over a sliding minute.
     pub minute_in: MeanWorst,
+    /// Largest mean over a sliding minute of bytes a second sent.
     pub minute_out: MeanWorst,
+    /// Largest second of bytes received.
     pub second_in: MeanWorst,
+    /// Largest second of bytes sent.
     pub second_out: MeanWorst,
+    /// Frames a second, sent and received.
     pub frames: MeanWorst,
+    /// Bytes a second received by control nodes.
     pub control_bytes_in: MeanWorst,
+    /// Bytes a second sent by control nodes.
     pub control_bytes_out: MeanWorst,
     /// Of a core, in the machine alone.
     pub core: MeanWorst,
+    /// Share of a core used by control nodes.
     pub control_core: MeanWorst,
     /// Held at the end.
     pub memory: MeanWorst,
+    /// Heap bytes of control nodes at the end.
     pub control_memory: MeanWorst,
     /// Entries that a floor stood for at a member, floors given, and entries past their time at members that came back.
     pub covered: usize,
+    /// Minimum accepted timestamps applied at members.
     pub floors: usize,
+    /// Entries that had expired before a returning member applied them.
     pub expired: usize,
     /// Frames lost on their way, at cuts, at full sockets, and sent to nobody.
     pub lost: [u64; 4],
+    /// Entries published in all.
     pub published: usize,
     /// The most that one node held, by table.
     pub most: BTreeMap<&'static str, usize>,
+    /// Violations by kind.
     pub violations: BTreeMap<String, usize>,
+    /// Descriptions of the first violations.
     pub words: Vec<String>,
 }
 
 impl ScenarioResult {
+    /// Total number of violations.
     pub fn broken(&self) -> usize {
         self.violations.values().sum()
     }
--- a/crates/rockflow-scale/src/virtual_fleet/traffic.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/traffic.rs
@@ -5,20 +5,27 @@
 /// What one node sent and heard in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Second {
+    /// Bytes sent.
     pub bytes_out: u32,
+    /// Bytes received.
     pub bytes_in: u32,
+    /// Frames sent.
     pub frames_out: u16,
+    /// Frames received.
     pub frames_in: u16,
 }
 
 /// A way to look at traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficDirection {
+    /// Received.
     In,
+    /// Sent.
     Out,
 }
 
 impl Second {
+    /// Bytes in one direction.
     pub fn bytes(&self, way: TrafficDirection) -> f64 {
         f64::from(match way {
             TrafficDirection::In => self.bytes_in,
@@ -26,11 +33,13 @@
         })
     }
 
+    /// Frames in both directions.
     pub fn frames(&self) -> f64 {
         f64::from(self.frames_in) + f64::from(self.frames_out)
     }
 }
 
+/// Traffic of each node by second of virtual time.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     nodes: Vec<Vec<Second>>,
@@ -39,12 +48,16 @@
 /// A mean over all nodes, and the worst of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spread {
+    /// Mean over the nodes.
     pub mean: f64,
+    /// Largest value of a node.
     pub worst: f64,
+    /// Index of the node with the largest value.
     pub worst_node: usize,
 }
 
 impl Spread {
+    /// Aggregates values by node index.
     pub fn of(values: impl Iterator<Item = (usize, f64)>) -> Spread {
         let (mut sum, mut count, mut spread) = (0.0, 0.0, Spread::default());
         for (node, value) in values {
@@ -60,6 +73,7 @@
 }
 
 impl Traffic {
+    /// Creates an empty record for this number of nodes.
     pub fn new(nodes: usize) -> Traffic {
         Traffic { nodes: vec![Vec::new(); nodes] }
     }
@@ -72,12 +86,14 @@
         &mut seconds[now]
     }
 
+    /// Records a frame sent by a node.
     pub fn sent(&mut self, now: Duration, at: usize, bytes: usize) {
         let second = self.second(now, at);
         second.bytes_out = second.bytes_out.saturating_add(bytes as u32);
         second.frames_out = second.frames_out.saturating_add(1);
     }
 
+    /// Records a frame received by a node.
     pub fn record_received(&mut self, now: Duration, at: usize, bytes: usize) {
         let second = self.second(now, at);
         second.bytes_in = second.bytes_in.saturating_add(bytes as u32);
--- a/crates/rockflow-scale/src/virtual_fleet/wire.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/wire.rs
@@ -1,4 +1,4 @@
-//! Sizes of frames as the link packs them.
+//! Sizes of frames as the transport packs them.
 
 use rockflow_dissemination::{Identity, Message};
 use rockflow_transport::datagram::{MAX_MESSAGES, MAX_PACKED_BYTES};
--- a/crates/rockflow-scale/src/virtual_fleet/world.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/world.rs
@@ -1,4 +1,4 @@
-//! A whole fleet in virtual time: its nodes, what is on its way, and what goes wrong. One seed gives one course.
+//! A discrete-event simulation of a fleet: nodes, frames in transit and faults. A run is determined by its seed.
 
 use super::checker::{Checker, Violation, What};
 use super::layout::{Layout, Shape};
@@ -29,25 +29,38 @@
 /// Shares of frames.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
+    /// Share of frames that are lost.
     pub lost: f64,
+    /// Share of frames that are delivered twice.
     pub duplicated: f64,
+    /// Share of frames that are delayed.
     pub late: f64,
 }
 
+/// Configuration of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
+    /// Number of members, sites, zones, regions and control nodes.
     pub shape: Shape,
+    /// Seed of all random draws.
     pub seed: u64,
+    /// Purges published a second.
     pub purges_per_second: f64,
+    /// Configuration changes published a second.
     pub changes_per_second: f64,
+    /// Hosts whose settings are changed.
     pub hosts: usize,
     /// Neighbours that a member is told for when no control node answers.
     pub seeds: usize,
+    /// Frame faults from the start of the simulation.
     pub faults: Faults,
+    /// A purge is applied by all reachable members within this time.
     pub window: Duration,
     /// A change of the configuration is in force everywhere within this.
     pub change_window: Duration,
+    /// Bandwidth limit of a member, in bytes a second.
     pub bytes_per_second: u32,
+    /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
     /// A dispatcher goes by what it is given within this.
     pub decide: Duration,
@@ -153,19 +166,29 @@
 /// Why a member refuses a setting, if it does: by its index, the host and what is wanted.
 pub type Refuses = Box<dyn Fn(usize, &str, DesiredState) -> Option<RejectionReason>>;
 
+/// A simulated fleet: nodes, frames in transit and faults, ordered by virtual time.
 pub struct World {
+    /// Configuration of the fleet.
     pub play: FleetConfig,
+    /// Location of each node.
     pub layout: Layout,
+    /// Current virtual time.
     pub now: Duration,
+    /// Independent checker of the fleet's invariants.
     pub checker: Checker,
+    /// Bytes and frames by node and second.
     pub traffic: Traffic,
+    /// Index of the current phase, recorded with each published entry.
     pub moment: usize,
+    /// Current frame faults.
     pub faults: Faults,
     /// Processor time in the machine, by node.
     pub spent: Vec<Duration>,
     /// By its own words: the last that it sent an acknowledgement to.
     pub follows: Vec<Option<usize>>,
+    /// Decides which settings members reject; `None` accepts all.
     pub refuses: Option<Refuses>,
+    /// Incarnations that continued as a later one without a restart.
     pub superseded_incarnations: usize,
     /// Frames dropped: on their way, at a cut, at a socket that was full, and at nobody.
     pub lost: [u64; 4],
@@ -189,6 +212,7 @@
 }
 
 impl World {
+    /// Creates a fleet whose control nodes run and whose members are scheduled to start.
     pub fn new(play: FleetConfig) -> World {
         let mut rng = oorandom::Rand64::new(u128::from(play.seed));
         let layout = Layout::new(play.shape, play.spare, &mut rng);
@@ -254,6 +278,7 @@
         span.mul_f64(self.rng.rand_float())
     }
 
+    /// Draws an index below `count`; 0 if `count` is 0.
     pub fn below(&mut self, count: usize) -> usize {
         self.rng.rand_range(0..count.max(1) as u64) as usize
     }
@@ -286,6 +311,7 @@
         }
     }
 
+    /// Advances virtual time to `until`, handling all events that are due.
     pub fn play_to(&mut self, until: Duration) {
         while let Some(Reverse((at, _, slot))) = self.due.peek().copied() {
             if at > until {
@@ -301,14 +327,17 @@
         self.now = until;
     }
 
+    /// Advances virtual time by `span`.
     pub fn play_for(&mut self, span: Duration) {
         self.play_to(self.now + span);
     }
 
+    /// Whether the node at this index has a running process.
     pub fn alive(&self, at: usize) -> bool {
         self.processes[at].node.is_some()
     }
 
+    /// The node at this index, if it is running.
     pub fn node(&self, at: usize) -> Option<&Node> {
         self.processes[at].node.as_ref()
     }
@@ -530,6 +559,7 @@
         self.does(at, |node| node.set_directory(now, directory));
     }
 
+    /// The directory that was published last.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
@@ -574,6 +604,7 @@
         Some(entry)
     }
 
+    /// Whether a partition of the fleet into sides is in force.
     pub fn parted(&self) -> bool {
         self.cuts.iter().any(|cut| cut.until > self.now) && self.sides.iter().any(|side| side.is_some())
     }
