--- a/crates/rockflow-cli/tests/operator.rs
+++ b/crates/rockflow-cli/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file at the command line: `check` names each fault, and a program without management takes none.
+//! The operator's file at the command line: `check` reports each error, and a program without management rejects it.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -17,20 +17,20 @@
 
 #[test]
 #[cfg(feature = "management")]
-fn check_names_every_fault_with_file_line_and_key() {
+fn check_reports_every_error_with_file_line_and_key() {
     let (output, path) = check("[management]\nowner = root\n\n[netconf]\nssh = here\n[gnmi]\nlisten = x\n");
-    let told = String::from_utf8(output.stderr).unwrap();
+    let errors = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success());
     let line = format!("{}:5: [netconf] ssh: \"here\" is no address with a port", path.display());
-    assert!(told.contains(&line), "{told}");
-    assert!(told.lines().count() >= 3, "{told}");
+    assert!(errors.contains(&line), "{errors}");
+    assert!(errors.lines().count() >= 3, "{errors}");
     let (output, _) = check("[management]\nowner = root\n");
     assert!(output.status.success(), "{output:?}");
 }
 
 #[test]
 #[cfg(not(feature = "management"))]
-fn a_program_without_management_refuses_the_file() {
+fn rejects_management_section_without_management() {
     let (output, _) = check("[management]\nowner = root\n");
     assert!(!output.status.success());
     assert!(String::from_utf8(output.stderr).unwrap().contains("built without management"));
--- a/crates/rockflow-cli/tests/restarts.rs
+++ b/crates/rockflow-cli/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! The program at its planned end and at its start: nothing that it has answered is lost with it, and it is ready in time.
+//! Graceful shutdown and start of the program: no response is lost at its end, and it is ready in time.
 
 use rockflow_process_harness::{free_tcp, Process, Signal, Start};
 use serde_json::{json, Value};
@@ -7,34 +7,34 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn example() -> Value {
     serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap()
 }
 
-/// A program with this configuration, and where it listens.
-struct Running {
+/// A running program, and the address at which it listens.
+struct RunningProgram {
     process: Process,
-    at: SocketAddr,
+    address: SocketAddr,
     path: PathBuf,
 }
 
-impl Running {
-    fn start(name: &str, mut told: Value) -> Running {
-        let at = free_tcp().unwrap();
-        told["listen"] = json!(at.to_string());
+impl RunningProgram {
+    fn start(name: &str, mut config: Value) -> RunningProgram {
+        let address = free_tcp().unwrap();
+        config["listen"] = json!(address.to_string());
         // Nobody listens there.
-        told["board"] = json!(free_tcp().unwrap().to_string());
+        config["board"] = json!(free_tcp().unwrap().to_string());
         let path = std::env::temp_dir().join(format!("rockflow-{name}-{}.json", std::process::id()));
-        std::fs::write(&path, told.to_string()).unwrap();
+        std::fs::write(&path, config.to_string()).unwrap();
         let serve = Start::of(env!("CARGO_BIN_EXE_rockflow")).args(["serve", "--log", "error"]);
         let process = serve.env("GW_CONFIG", &path).start().unwrap();
-        Running { process, at, path }
+        RunningProgram { process, address, path }
     }
 
-    fn ready(&self) -> bool {
-        let Ok(mut client) = TcpStream::connect(self.at) else { return false };
+    fn is_ready(&self) -> bool {
+        let Ok(mut client) = TcpStream::connect(self.address) else { return false };
         client.write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
         let mut answer = String::new();
         client.read_to_string(&mut answer).is_ok() && answer.starts_with("HTTP/1.1 200 ")
@@ -45,58 +45,58 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
         self.process.kill();
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
-fn until(what: &str, mut there: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !there() {
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn stream(stream: TcpStream) -> BufReader<TcpStream> {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+fn buffered(stream: TcpStream) -> BufReader<TcpStream> {
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     BufReader::new(stream)
 }
 
-/// A program with one cache, a request that is open, and the host's end of the connection on which it is out.
-fn with_an_open_request(name: &str) -> (Running, TcpStream, BufReader<TcpStream>) {
+/// A program with one cache, the client of an open request, and the host's end of the connection of its attempt.
+fn start_with_open_request(name: &str) -> (RunningProgram, TcpStream, BufReader<TcpStream>) {
     let host = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut told = example();
-    told["known"]["notices"][0]["pool"]["instances"][0]["hostPort"] =
+    let mut config = example();
+    config["known"]["notices"][0]["pool"]["instances"][0]["hostPort"] =
         json!(host.local_addr().unwrap().to_string());
-    let running = Running::start(name, told);
-    until("ready", || running.ready());
-    let mut client = TcpStream::connect(running.at).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    let running = RunningProgram::start(name, config);
+    wait_until("ready", || running.is_ready());
+    let mut client = TcpStream::connect(running.address).unwrap();
+    client.set_read_timeout(Some(TIMEOUT)).unwrap();
     let ask = "GET /invoke/pages/7f HTTP/1.1\r\nX-Call-Id: 00000000000000a1\r\nX-Group: 1\r\n";
     client.write_all(format!("{ask}X-Patience-Ms: 4000\r\n\r\n").as_bytes()).unwrap();
-    let mut attempt = stream(host.accept().unwrap().0);
+    let mut attempt = buffered(host.accept().unwrap().0);
     let mut line = String::new();
     attempt.read_line(&mut line).unwrap();
     assert!(line.starts_with("want 00000000000000a1 "), "{line}");
     (running, client, attempt)
 }
 
-fn answer(attempt: &mut BufReader<TcpStream>, body: &[u8]) {
+fn respond(attempt: &mut BufReader<TcpStream>, body: &[u8]) {
     let head = format!("00000000000000a1 data ver=t1 {}\r\n", body.len());
     attempt.get_mut().write_all(&[head.as_bytes(), body, b"\r\n"].concat()).unwrap();
 }
 
 /// The client reads only when the program has ended, and has sent more behind its request.
 #[test]
-fn the_last_answer_is_not_lost_with_the_program() {
-    let (mut running, mut client, mut attempt) = with_an_open_request("last-answer");
+fn delivers_last_response_before_exit() {
+    let (mut running, mut client, mut attempt) = start_with_open_request("last-answer");
     client.write_all(&[b'x'; 100_000]).unwrap();
     running.signal(Signal::SIGTERM);
     let body = vec![b'y'; 200_000];
-    answer(&mut attempt, &body);
+    respond(&mut attempt, &body);
     assert!(running.process.wait().unwrap().success());
     let mut got = Vec::new();
     client.read_to_end(&mut got).expect("the whole answer");
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn a_second_sigterm_changes_nothing() {
-    let (mut running, mut client, mut attempt) = with_an_open_request("second-term");
+fn ignores_second_sigterm() {
+    let (mut running, mut client, mut attempt) = start_with_open_request("second-term");
     running.signal(Signal::SIGTERM);
     running.signal(Signal::SIGTERM);
     std::thread::sleep(Duration::from_millis(50));
     running.signal(Signal::SIGTERM);
     running.signal(Signal::SIGINT);
-    answer(&mut attempt, b"served");
+    respond(&mut attempt, b"served");
     let mut got = Vec::new();
     client.read_to_end(&mut got).unwrap();
     drop(client);
@@ -119,9 +119,9 @@
     assert!(running.process.wait().unwrap().success());
 }
 
-/// The whole of a long history is known at the start, and discovery is down.
+/// The snapshot holds the whole of a long history, and discovery is down.
 #[test]
-fn nine_in_ten_restarted_at_once_are_ready_in_time() {
+fn nine_in_ten_dispatchers_restarted_at_once_are_ready_in_time() {
     let instance = |n: usize, lifecycle: &str| {
         json!({"instanceId": format!("s-{n:08x}"), "hostPort": format!("127.0.0.1:{}", 20_000 + n % 20_000),
             "zone": "shop", "machineType": "box", "cell": 0, "lifecycle": lifecycle, "weight": 8, "startedAtMs": 0})
@@ -136,14 +136,15 @@
             _ => json!({"rev": rev, "pool": {"instances": [instance(rev, "leaving")]}}),
         });
     }
-    let mut told = example();
-    told["known"] = json!({"rev": 2999, "notices": notices});
-    let begun = Instant::now();
-    let fleet: Vec<_> = (0..10).map(|n| Running::start(&format!("ready-{n}"), told.clone())).collect();
+    let mut config = example();
+    config["known"] = json!({"rev": 2999, "notices": notices});
+    let started_at = Instant::now();
+    let fleet: Vec<_> =
+        (0..10).map(|n| RunningProgram::start(&format!("ready-{n}"), config.clone())).collect();
     let mut ready = vec![None; fleet.len()];
-    while ready.iter().any(Option::is_none) && begun.elapsed() < Duration::from_secs(30) {
+    while ready.iter().any(Option::is_none) && started_at.elapsed() < Duration::from_secs(30) {
         for (running, at) in fleet.iter().zip(&mut ready).filter(|(_, at)| at.is_none()) {
-            *at = running.ready().then(|| begun.elapsed());
+            *at = running.is_ready().then(|| started_at.elapsed());
         }
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/rockflow-cli/tests/signals.rs
+++ b/crates/rockflow-cli/tests/signals.rs
@@ -1,4 +1,4 @@
-//! The program under signals: SIGHUP has the configuration read again, SIGTERM ends it with 0.
+//! The program under signals: SIGHUP reloads the configuration, SIGTERM ends it with exit code 0.
 
 use rockflow_process_harness::{Process, Signal, Start};
 use serde_json::{json, Value};
@@ -7,23 +7,23 @@
 use std::path::Path;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Writes a configuration with a board of its own.
+/// Writes a configuration with a discovery service of its own, and returns that.
 fn configure(path: &Path) -> TcpListener {
     let mut value: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
-    let board = TcpListener::bind("127.0.0.1:0").unwrap();
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     value["listen"] = json!("127.0.0.1:0");
-    value["board"] = json!(board.local_addr().unwrap().to_string());
+    value["board"] = json!(discovery.local_addr().unwrap().to_string());
     std::fs::write(path, value.to_string()).unwrap();
-    board
+    discovery
 }
 
-/// The call that a board gets, and the connection that it keeps.
-fn called(board: &TcpListener) -> BufReader<TcpStream> {
-    socket2::SockRef::from(board).set_read_timeout(Some(PATIENCE)).unwrap();
-    let (stream, _) = board.accept().expect("a call in time");
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+/// Accepts a dispatcher's subscription at a discovery service, and returns its connection.
+fn accept_subscription(discovery: &TcpListener) -> BufReader<TcpStream> {
+    socket2::SockRef::from(discovery).set_read_timeout(Some(TIMEOUT)).unwrap();
+    let (stream, _) = discovery.accept().expect("a subscription in time");
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut reader = BufReader::new(stream);
     let head: Vec<_> =
         reader.by_ref().lines().map(Result::unwrap).take_while(|line| !line.is_empty()).collect();
@@ -36,36 +36,36 @@
 }
 
 #[test]
-fn a_configuration_is_read_again_and_a_wrong_one_is_not_taken() {
+fn reloads_configuration_and_rejects_invalid_one() {
     let path = std::env::temp_dir().join(format!("rockflow-signals-{}.json", std::process::id()));
-    let first = configure(&path);
+    let first_discovery = configure(&path);
     let mut child = serve(&path);
-    let kept = called(&first);
+    let connections = accept_subscription(&first_discovery);
     std::fs::write(&path, "{\"board\":").unwrap();
     child.signal(Signal::SIGHUP).unwrap();
-    let second = configure(&path);
+    let second_discovery = configure(&path);
     child.signal(Signal::SIGHUP).unwrap();
-    let _kept = (kept, called(&second));
+    let _connections = (connections, accept_subscription(&second_discovery));
     child.signal(Signal::SIGTERM).unwrap();
     child.signal(Signal::SIGHUP).unwrap();
     assert!(child.wait().unwrap().success());
     std::fs::remove_file(&path).unwrap();
 }
 
-/// SIGHUP that moves the board while a tenth of the fleet is being stopped: it reaches those too, each asks the new
-/// board from its last number, and each stop ends with 0.
+/// SIGHUP moves the discovery service while a tenth of the fleet shuts down: it reaches those too, each subscribes at the
+/// new address from its last revision, and each exits with 0.
 #[test]
-fn a_board_that_moves_during_a_planned_stop_is_followed_by_all() {
+fn follows_moved_discovery_service_during_graceful_shutdown() {
     let path = std::env::temp_dir().join(format!("rockflow-moved-{}.json", std::process::id()));
-    let first = configure(&path);
+    let first_discovery = configure(&path);
     let mut fleet: Vec<_> = (0..10).map(|_| serve(&path)).collect();
-    let kept: Vec<_> = fleet.iter().map(|_| called(&first)).collect();
-    let second = configure(&path);
+    let connections: Vec<_> = fleet.iter().map(|_| accept_subscription(&first_discovery)).collect();
+    let second_discovery = configure(&path);
     fleet[0].signal(Signal::SIGTERM).unwrap();
     fleet.iter().for_each(|child| child.signal(Signal::SIGHUP).unwrap());
-    let moved: Vec<_> = fleet.iter().map(|_| called(&second)).collect();
+    let moved: Vec<_> = fleet.iter().map(|_| accept_subscription(&second_discovery)).collect();
     fleet[1..].iter().for_each(|child| child.signal(Signal::SIGTERM).unwrap());
     assert!(fleet.iter_mut().all(|child| child.wait().unwrap().success()));
-    drop((kept, moved));
+    drop((connections, moved));
     std::fs::remove_file(&path).unwrap();
 }
