--- a/crates/rockflow-scale/src/run/mod.rs
+++ b/crates/rockflow-scale/src/run/mod.rs
@@ -6,6 +6,7 @@
 pub mod hollow;
 pub mod layout;
 pub mod ledger;
+mod lines;
 pub mod minutes;
 pub mod schedule;
 pub mod watch;
--- a/crates/rockflow-scale/src/virtual_fleet/world/events.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/world/events.rs
@@ -150,34 +150,9 @@
         let now = self.now;
         match what {
             FleetEvent::Frame { to, from, identity, bytes, messages } => {
-                let process = &mut self.processes[to];
-                if process.node.is_none() {
-                    self.lost[3] += 1;
-                    return;
-                }
-                self.traffic.record_received(now, to, bytes);
-                if process.stopped {
-                    if process.held_bytes + bytes + BUFFER_OVERHEAD > SOCKET_BUFFER {
-                        self.lost[2] += 1;
-                        return;
-                    }
-                    process.held_bytes += bytes + BUFFER_OVERHEAD;
-                    process.held.push_back(FleetEvent::Frame { to, from, identity, bytes, messages });
-                    return;
-                }
-                self.hear(to, from, identity, messages);
-            }
-            FleetEvent::Tick { at, epoch } => {
-                let process = &mut self.processes[at];
-                if process.epoch != epoch || process.next_tick.is_none_or(|due| due > now) {
-                    return;
-                }
-                process.next_tick = None;
-                if process.stopped {
-                    return;
-                }
-                self.tick(at);
+                self.on_frame(to, from, identity, bytes, messages)
             }
+            FleetEvent::Tick { at, epoch } => self.on_timer(at, epoch),
             FleetEvent::Decided { at, epoch, given, token, state } => {
                 let process = &mut self.processes[at];
                 if process.epoch != epoch || process.node.is_none() {
@@ -205,27 +180,8 @@
                     self.directory_at(at, directory);
                 }
             }
-            FleetEvent::Purge => {
-                if now >= self.busy_until {
-                    self.loads[0] = false;
-                    return;
-                }
-                let side = if self.parted() { Some(self.below(2) as u8) } else { None };
-                self.purge_next(side);
-                let mean = 1.0 / self.play.purges_per_second;
-                let after = Duration::from_secs_f64(mean * (0.5 + self.rng.rand_float()));
-                self.schedule(now + after, FleetEvent::Purge);
-            }
-            FleetEvent::Change => {
-                if now >= self.busy_until {
-                    self.loads[1] = false;
-                    return;
-                }
-                self.next_change();
-                let mean = 1.0 / self.play.changes_per_second;
-                let after = Duration::from_secs_f64(mean * (0.5 + self.rng.rand_float()));
-                self.schedule(now + after, FleetEvent::Change);
-            }
+            FleetEvent::Purge => self.on_purge_due(),
+            FleetEvent::Change => self.on_change_due(),
             FleetEvent::Start(at) => self.start(at),
             FleetEvent::Wake(at) => self.wake(at),
             FleetEvent::Look => {
@@ -235,6 +191,68 @@
         }
     }
 
+    /// Delivers a frame, or buffers it as the socket of a suspended process does.
+    fn on_frame(&mut self, to: usize, from: usize, identity: Identity, bytes: usize, messages: Vec<Message>) {
+        let now = self.now;
+        let process = &mut self.processes[to];
+        if process.node.is_none() {
+            self.lost[3] += 1;
+            return;
+        }
+        self.traffic.record_received(now, to, bytes);
+        if process.stopped {
+            if process.held_bytes + bytes + BUFFER_OVERHEAD > SOCKET_BUFFER {
+                self.lost[2] += 1;
+                return;
+            }
+            process.held_bytes += bytes + BUFFER_OVERHEAD;
+            process.held.push_back(FleetEvent::Frame { to, from, identity, bytes, messages });
+            return;
+        }
+        self.hear(to, from, identity, messages);
+    }
+
+    /// Runs the timers of a node unless the timer belongs to an earlier process.
+    fn on_timer(&mut self, at: usize, epoch: u32) {
+        let now = self.now;
+        let process = &mut self.processes[at];
+        if process.epoch != epoch || process.next_tick.is_none_or(|due| due > now) {
+            return;
+        }
+        process.next_tick = None;
+        if process.stopped {
+            return;
+        }
+        self.tick(at);
+    }
+
+    /// Publishes a purge and schedules the next one.
+    fn on_purge_due(&mut self) {
+        let now = self.now;
+        if now >= self.busy_until {
+            self.loads[0] = false;
+            return;
+        }
+        let side = if self.parted() { Some(self.below(2) as u8) } else { None };
+        self.purge_next(side);
+        let mean = 1.0 / self.play.purges_per_second;
+        let after = Duration::from_secs_f64(mean * (0.5 + self.rng.rand_float()));
+        self.schedule(now + after, FleetEvent::Purge);
+    }
+
+    /// Publishes a configuration change and schedules the next one.
+    fn on_change_due(&mut self) {
+        let now = self.now;
+        if now >= self.busy_until {
+            self.loads[1] = false;
+            return;
+        }
+        self.next_change();
+        let mean = 1.0 / self.play.changes_per_second;
+        let after = Duration::from_secs_f64(mean * (0.5 + self.rng.rand_float()));
+        self.schedule(now + after, FleetEvent::Change);
+    }
+
     pub(super) fn hear(&mut self, to: usize, from: usize, identity: Identity, messages: Vec<Message>) {
         let (now, address) = (self.now, Layout::address(from));
         let mut outputs = Vec::new();
