--- a/crates/rockflow-scale/src/virtual_fleet/checker/convergence.rs
+++ b/crates/rockflow-scale/src/virtual_fleet/checker/convergence.rs
@@ -55,61 +55,71 @@
             if !self.listed[member] {
                 continue;
             }
-            let MemberIncarnation { alive, stopped, clear_from, .. } = self.incarnations[member];
-            if !alive || stopped || clear_from + self.window > now {
-                self.record_violation(Violation::NotJudged, || {
-                    format!("member {member}, alive: {alive}, stopped: {stopped}, clear from {clear_from:?}")
-                });
+            self.judge_member(now, settled, member);
+        }
+        if everywhere {
+            self.judge_reports(settled);
+        }
+    }
+
+    /// Checks that a member runs and has applied everything published until `settled`.
+    fn judge_member(&mut self, now: Duration, settled: Duration, member: usize) {
+        let MemberIncarnation { alive, stopped, clear_from, .. } = self.incarnations[member];
+        if !alive || stopped || clear_from + self.window > now {
+            self.record_violation(Violation::NotJudged, || {
+                format!("member {member}, alive: {alive}, stopped: {stopped}, clear from {clear_from:?}")
+            });
+            return;
+        }
+        self.lower(member);
+        let purges = (self.incarnations[member].low..self.entries.len())
+            .filter(|at| matches!(self.entries[*at].what, What::Purge(_)));
+        let due: Vec<_> = purges.chain(self.settings.iter().copied()).collect();
+        for entry in due {
+            let (at, lost) = (self.entries[entry].at, self.entries[entry].lost);
+            if at > settled || lost || self.has(member, entry) {
                 continue;
             }
-            self.lower(member);
-            let purges = (self.incarnations[member].low..self.entries.len())
-                .filter(|at| matches!(self.entries[*at].what, What::Purge(_)));
-            let due: Vec<_> = purges.chain(self.settings.iter().copied()).collect();
-            for entry in due {
-                let (at, lost) = (self.entries[entry].at, self.entries[entry].lost);
-                if at > settled || lost || self.has(member, entry) {
-                    continue;
-                }
-                if self.bound_nobody(member, entry, now) {
-                    self.expired += 1;
-                    continue;
-                }
-                let (what, from) = (
-                    self.entries[entry].what.clone(),
-                    self.reachable_since(member, &self.entries[entry], now),
-                );
-                self.record_violation(Violation::PassedOver, || {
-                    format!("entry {entry} {what:?} of {at:?} at member {member}, which could hear it from {from:?}")
-                });
-            }
-            let table: Vec<_> = self.incarnations[member].table.clone().into_iter().collect();
-            for (host, held) in table {
-                if self.expected.get(&host).is_none_or(|(at, wanted)| *wanted != held && *at <= settled) {
-                    self.record_violation(Violation::WrongSetting, || {
-                        format!("{host} {held:?} at member {member}")
-                    });
-                }
+            if self.bound_nobody(member, entry, now) {
+                self.expired += 1;
+                continue;
             }
+            let (what, from) =
+                (self.entries[entry].what.clone(), self.reachable_since(member, &self.entries[entry], now));
+            self.record_violation(Violation::PassedOver, || {
+                format!(
+                    "entry {entry} {what:?} of {at:?} at member {member}, which could hear it from {from:?}"
+                )
+            });
         }
-        if everywhere {
-            let open: Vec<_> = (0..self.entries.len())
-                .filter(|at| {
-                    let entry = &self.entries[*at];
-                    entry.known.is_none()
-                        && !entry.lost
-                        && !entry.unknowable
-                        && entry.at <= settled
-                        && entry.numbers > 0
-                })
-                .collect();
-            for entry in open {
-                let at = self.entries[entry].at;
-                self.record_violation(Violation::EverywhereNotSaid, || format!("entry {entry} of {at:?}"));
+        let table: Vec<_> = self.incarnations[member].table.clone().into_iter().collect();
+        for (host, held) in table {
+            if self.expected.get(&host).is_none_or(|(at, wanted)| *wanted != held && *at <= settled) {
+                self.record_violation(Violation::WrongSetting, || {
+                    format!("{host} {held:?} at member {member}")
+                });
             }
         }
     }
 
+    /// Checks that control has reported the convergence of everything published until `settled`.
+    fn judge_reports(&mut self, settled: Duration) {
+        let open: Vec<_> = (0..self.entries.len())
+            .filter(|at| {
+                let entry = &self.entries[*at];
+                entry.known.is_none()
+                    && !entry.lost
+                    && !entry.unknowable
+                    && entry.at <= settled
+                    && entry.numbers > 0
+            })
+            .collect();
+        for entry in open {
+            let at = self.entries[entry].at;
+            self.record_violation(Violation::EverywhereNotSaid, || format!("entry {entry} of {at:?}"));
+        }
+    }
+
     /// Whether a member goes by what was published last of a host.
     pub fn wanted(&self, member: usize, host: &str) -> DesiredState {
         self.incarnations[member].table.get(host).copied().unwrap_or(DesiredState::Listed)
