--- a/crates/rockflow-dispatcher/src/client/connection.rs
+++ b/crates/rockflow-dispatcher/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: its requests, its responses, and when it ends.
+//! The state machine of one client connection: reads requests, writes responses, and decides when to close.
 
 use crate::client::end_reason::EndReason;
 use crate::client::message::ClientMessage;
@@ -19,64 +19,73 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// A client closes a connection that is idle for 4 s; one that has sent no complete request for twice that is gone.
+/// Time without a complete request after which the connection is closed. Clients close a connection that is idle for
+/// 4 s, so twice that means that the client has vanished.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// The time for a request to arrive completely: from the connection for the first, else from its first byte.
+/// Time limit for a complete request head to arrive. It runs from the accept for the first request of a connection, and
+/// from the first byte of the head for later ones.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time, and the bytes, that a client is left to read its last response and close.
+/// Time that a client has to read its last response and close the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Limit on the bytes that are discarded after a request or after the last response.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Rounds after which a client that always has more to send lets others have their turn.
+/// Consecutive rounds with progress before the coroutine yields, so that a client that always sends more does not
+/// starve other connections.
 const ROUNDS_PER_TURN: u64 = 16;
-/// One head, and the start of the next.
+/// Holds one complete head and the start of a pipelined one.
 const RECEIVE_BUFFER_BYTES: usize = 2 * client::MAX_HEAD_BYTES;
-/// Bytes that are discarded with one read.
+/// Size of the buffer for one read of bytes that are discarded.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
-/// What came of an attempt to read.
+/// The result of one read from the socket.
 enum ReadOutcome {
-    /// Nothing is there, or nothing is to be read now.
+    /// No bytes are available, or the connection does not read at the moment.
     Nothing,
+    /// The connection may have more to read: bytes arrived, or the call was interrupted.
     Progress,
+    /// The client shut down its sending side.
     EndOfStream,
+    /// The read returned an error, or the client sent more than the limit on discarded bytes.
     Failed,
 }
 
-/// The request that is open on the connection.
+/// The request on this connection that has no response yet.
 struct OpenRequest {
     id: RequestId,
-    /// Whether the client keeps the connection after it.
+    /// Whether the client asked to keep the connection open after the response.
     persistence: Persistence,
 }
 
-/// Owns the state of one connection; only its [`ClientSlot`] is seen by others.
+/// Owns the state of one connection. Other actors see only its [`ClientSlot`].
 pub(super) struct ClientConnection<'a> {
     registry: &'a ClientRegistry,
     stream: TcpStream,
     slot: Arc<ClientSlot>,
     buffer: Buffer,
     open: Option<OpenRequest>,
-    /// The connection ends once the requests that have arrived completely have their responses: what else arrives is
-    /// discarded.
+    /// Whether new bytes are discarded. Complete requests in the buffer still get their responses, then the connection
+    /// closes.
     ending: bool,
-    /// Bytes that were discarded behind an open request, or since the last response was written.
+    /// Number of bytes discarded while a request was open, or since the last response was written.
     discarded_bytes: usize,
-    /// No further request is expected: our side is shut as soon as nothing that has arrived needs a response.
+    /// Whether the connection expired while idle: it closes unless a complete request is already in the buffer.
     shutting: bool,
-    /// When the request that is arriving began; none: nothing of one is here.
+    /// Start of the head timeout: when the connection was accepted, the first byte of a head arrived, or the previous
+    /// response was written if a pipelined head follows. `None` if no head is expected or arriving.
     head_started: Option<Duration>,
-    /// That request began before the response to the one before it had been written.
+    /// Whether the buffered bytes are pipelined: they began to arrive before the previous response was written.
     is_pipelined: bool,
-    /// Asked to yield its place.
+    /// Whether the registry has asked this connection to close if it is idle.
     yielding: bool,
-    /// Counted in `ClientRegistry::open_requests`.
+    /// Whether this connection's request is counted in `ClientRegistry::open_requests`.
     is_counted: bool,
     response: OutgoingResponse,
-    /// The connection ends with the response that is being written, or after the last one.
+    /// Whether the connection closes after the current response, or now if none is being written.
     is_last: bool,
-    /// Our side is shut: the client is left to read its last response and close.
+    /// Whether the sending side is shut down and the connection waits for the client to close.
     lingering: bool,
-    /// When the connection last made progress: it was accepted, a request arrived, a response was given or written.
+    /// When the connection was accepted, received a complete request, got a response to write, or wrote a part of one,
+    /// whichever was last.
     last_progress: Duration,
 }
 
@@ -107,7 +116,7 @@
         }
     }
 
-    /// Serves the connection until it ends.
+    /// Serves requests until the connection ends, and returns why it ended.
     pub(super) fn serve(&mut self) -> EndReason {
         let mut round: u64 = 0;
         loop {
@@ -123,23 +132,23 @@
         }
     }
 
-    /// Closes the mailbox and returns the request that is left without a response. From here on nothing is sent for this
-    /// client.
+    /// Closes the mailbox and returns the request that has no response yet. Afterwards no attempt is sent for this
+    /// client, because send permits check whether its mailbox is closed.
     pub(super) fn close(&mut self) -> Option<RequestId> {
         self.slot.mailbox.close();
         self.open.take().map(|open| open.id)
     }
 
-    /// Gives back what is counted for this connection.
+    /// Removes the response body and the open request of this connection from the registry's counters.
     pub(super) fn release(&mut self) {
         self.set_body(Vec::new());
         self.settle();
     }
 
-    /// Reads, takes messages, writes, and starts the next request. Returns whether anything happened.
+    /// Reads, handles messages, writes, and starts the next request. Returns whether any of these made progress.
     fn serve_round(&mut self) -> Result<bool, EndReason> {
-        // All that has arrived is read before a response is given or a request is started: so what lies behind a request
-        // counts as a whole, however it arrived, and no request starts for a client that is gone.
+        // Reads all available bytes before a response or a request starts. Pipelined bytes are then classified the
+        // same way however the network split them, and no request starts for a client that has disconnected.
         match self.read() {
             ReadOutcome::EndOfStream => return Err(EndReason::EndOfStream),
             ReadOutcome::Failed => return Err(EndReason::ReadFailed),
@@ -181,8 +190,8 @@
         Ok(())
     }
 
-    /// Whether the connection holds its place for nothing: the client vanished, sends its request too slowly, or does not
-    /// read.
+    /// Whether the connection occupies its slot without use: the client vanished, sends its request too slowly, or
+    /// does not read its response.
     fn is_expired(&self) -> bool {
         let now = self.registry.clock.now();
         let stalled = now.saturating_sub(self.last_progress);
@@ -200,7 +209,7 @@
         self.is_closing() || stalled > IDLE_TIMEOUT || is_head_late
     }
 
-    /// No request is open, and the last response is written.
+    /// Whether no request is open and the last response is completely written.
     fn is_idle(&self) -> bool {
         self.open.is_none() && self.response.is_complete()
     }
@@ -209,8 +218,8 @@
         self.registry.closing.load(Ordering::Relaxed)
     }
 
-    /// With nothing owed and nothing more to read: starts the next request, or shuts our side if it is time to. Returns
-    /// whether anything happened.
+    /// Starts the next buffered request, or closes the connection if it has expired. Call it only when no response is
+    /// pending and nothing more can be read. Returns whether it did either.
     fn start_next(&mut self) -> bool {
         let has_partial_head = !self.buffer.filled().is_empty();
         if self.read_head() {
@@ -219,7 +228,8 @@
         if !std::mem::take(&mut self.shutting) {
             return false;
         }
-        // What began behind a request and never became one is not responded to: nothing follows a response.
+        // Incomplete pipelined bytes get no error response: the client could take it for a second response to its
+        // previous request.
         if !has_partial_head || self.is_pipelined {
             self.end_silently();
         } else if self.is_closing() {
@@ -231,13 +241,14 @@
         true
     }
 
-    /// What arrives from here on crossed our end of the connection: it is read and not served.
+    /// Closes the connection without a further response. Later bytes are discarded: the client sent them before it
+    /// saw the connection close.
     fn end_silently(&mut self) {
         self.is_last = true;
         self.last_progress = self.registry.clock.now();
     }
 
-    /// Takes a request head from the buffer; false: none is complete.
+    /// Handles the next request head in the buffer. Returns false if no head is complete.
     fn read_head(&mut self) -> bool {
         if self.buffer.filled().is_empty() {
             return false;
@@ -262,11 +273,11 @@
                 debug!(status = status.code, reason = status.reason, "invalid request");
                 self.respond(Response::Invalid(status), Persistence::Close);
             }
-            // Guards against work that nobody is left to complete: what arrives after the shutdown's time is rejected.
+            // Requests that arrive after the drain are rejected, because the process may exit before they complete.
             ParsedRequest::Fetch(_) if self.is_closing() => {
                 self.respond(Response::Rejected { retry_after: None }, persistence);
             }
-            // Guards against a pipelining client that keeps its place while no further connection can be accepted.
+            // Keeps a pipelining client from holding its connection while no further connection can be accepted.
             ParsedRequest::Fetch(_) if self.ending && self.registry.ends_connections() => {
                 self.respond(Response::Rejected { retry_after: None }, persistence);
             }
@@ -290,7 +301,7 @@
         self.registry.decisions.send(DecisionMessage::RequestReceived { id, request, client, arrived });
     }
 
-    /// Responds to the open request; false: it is another.
+    /// Responds to the open request. Returns false and drops the response if it belongs to another request.
     fn complete(&mut self, request: RequestId, response: Response) -> bool {
         let Some(open) = self.open.take_if(|open| open.id == request) else { return false };
         self.respond(response, open.persistence);
@@ -308,8 +319,8 @@
         self.last_progress = self.registry.clock.now();
     }
 
-    /// Whether the connection outlives a response. A connection that is to end still answers the requests that have arrived
-    /// completely behind this one; what can't become a request ends it.
+    /// Whether the connection stays open after the current response. A connection that is about to close first
+    /// answers the complete requests pipelined after this one. Pipelined bytes that cannot become a request close it.
     fn persistence_of_response(&mut self, requested: Persistence) -> Persistence {
         self.ending |= self.registry.ends_connections();
         match self.pipelined_bytes() {
@@ -323,14 +334,14 @@
         client::classify_pipelined(self.buffer.filled())
     }
 
-    /// Replaces the body, and counts the bytes that are held.
+    /// Replaces the response body and adjusts the shared count of buffered bytes.
     fn set_body(&mut self, body: Vec<u8>) {
         self.registry.buffered_bytes.fetch_add(body.len(), Ordering::Relaxed);
         self.registry.buffered_bytes.fetch_sub(self.response.body.len(), Ordering::Relaxed);
         self.response.body = body;
     }
 
-    /// Writes what the client takes; returns whether anything was written.
+    /// Writes as much of the response as the socket accepts. Returns whether any byte was written.
     fn write(&mut self) -> std::io::Result<bool> {
         let mut wrote = false;
         while !self.response.is_complete() {
@@ -360,26 +371,26 @@
         self.response = OutgoingResponse::default();
         let pipelined = self.pipelined_bytes();
         self.is_pipelined = pipelined != PipelinedBytes::Nothing;
-        // Guards against a second response to a client that sent one request: what it sent behind it was none. Its end of
-        // the connection can be shut only now if it came while the response was being written.
+        // Closes the connection if unusable bytes follow the request: an error response to them would be a second
+        // response to one request. Bytes that arrived while the response was being written are seen only here.
         self.is_last |= pipelined == PipelinedBytes::Unusable;
-        // A request that arrived behind the one that is completed now begins only here.
+        // The head timeout of a pipelined request starts once the previous response is written.
         self.head_started = (!self.buffer.filled().is_empty()).then_some(self.last_progress);
-        // One that lingers owes nothing and is the first to yield.
+        // A connection that is closing has no response pending, so it is the first to be evicted.
         let idle_since = if self.is_last { Duration::ZERO } else { self.last_progress };
         self.slot.set_idle_since(idle_since);
     }
 
-    /// No response is owed on this connection any more.
+    /// Removes this connection's request from the count of open requests, if it is counted.
     fn settle(&mut self) {
         if std::mem::take(&mut self.is_counted) {
             self.registry.open_requests.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
-    /// Reads even while a request is open: only so it shows that a client has disconnected.
+    /// Reads from the socket, even while a request is open: otherwise a disconnect would go unnoticed.
     fn read(&mut self) -> ReadOutcome {
-        // Guards against a client that disconnects unseen behind more than the buffer holds: what follows is discarded.
+        // With a full buffer, reading must go on to notice a disconnect, so further bytes are discarded.
         if self.open.is_some() && self.buffer.spare().is_none() {
             self.ending = true;
         }
@@ -397,8 +408,8 @@
         read_outcome(outcome)
     }
 
-    /// Reads what is not taken any more. Guards against a client that sends without end: behind an open request its
-    /// connection ends, after the last response nothing more is read.
+    /// Reads and discards bytes, up to a limit for clients that send without end. Beyond the limit, the read fails
+    /// and ends the connection, unless it lingers: then it reads no more and waits for the client or the timeout.
     fn discard(&mut self) -> ReadOutcome {
         if self.discarded_bytes > MAX_DISCARDED_BYTES {
             return if self.lingering { ReadOutcome::Nothing } else { ReadOutcome::Failed };
@@ -408,8 +419,9 @@
         read_outcome(outcome)
     }
 
-    /// Guards against a response that is lost to the reset of a connection closed with bytes unread: our side is shut, and
-    /// what still arrives is discarded until the client closes too. Returns whether our side was shut just now.
+    /// Starts a lingering close: shuts down the sending side, and then bytes are discarded until the client closes
+    /// too. Closing a socket with unread bytes would reset the connection, and the client could lose its last
+    /// response. Returns whether this call shut down the sending side.
     fn linger(&mut self) -> bool {
         if std::mem::replace(&mut self.lingering, true) {
             return false;
@@ -421,7 +433,7 @@
     }
 }
 
-/// What came of a read from the socket.
+/// Classifies the result of a non-blocking read.
 fn read_outcome(result: std::io::Result<usize>) -> ReadOutcome {
     match result {
         Ok(0) => ReadOutcome::EndOfStream,
--- a/crates/rockflow-dispatcher/src/client/message.rs
+++ b/crates/rockflow-dispatcher/src/client/message.rs
@@ -1,14 +1,14 @@
-//! Messages to a client's connection.
+//! Messages to the actor of a client connection.
 
 use rockflow::RequestId;
 use rockflow_protocol::client::Response;
 
-/// A message to a client's connection.
+/// A message to the actor of a client connection.
 pub enum ClientMessage {
-    /// The response to a request.
+    /// Write the response to the request. It is ignored if that request is no longer open.
     Respond(RequestId, Response),
-    /// Check whether the connection is still of use.
+    /// Check the timeouts of the connection and close it if one has passed.
     Inspect,
-    /// Another connection needs the place of this one: close, unless a request has arrived by now.
+    /// Close if the connection is idle: its slot is needed for another one.
     Yield,
 }
--- a/crates/rockflow-dispatcher/src/client/mod.rs
+++ b/crates/rockflow-dispatcher/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The actor of a client's connection: one request at a time, exactly one response to each.
+//! The actor of a client connection. It handles one request at a time and sends exactly one response to each.
 
 mod connection;
 mod end_reason;
@@ -19,7 +19,7 @@
 pub(crate) use registry::RegistryConfig;
 pub use registry::{ClientRegistry, ClientSlot};
 
-/// Serves a connection to its end.
+/// Serves a client connection until it ends. Blocks the calling coroutine.
 pub fn run(stream: TcpStream, registry: &ClientRegistry) {
     let _ = stream.set_nodelay(true);
     let now = registry.clock.now();
--- a/crates/rockflow-dispatcher/src/client/outgoing.rs
+++ b/crates/rockflow-dispatcher/src/client/outgoing.rs
@@ -1,10 +1,11 @@
-//! The response that a client connection is writing.
+//! The encoded response of a client connection and how much of it is written.
 
-/// The response that is being written.
+/// The response that is being written; empty if there is none.
 #[derive(Default)]
 pub(super) struct OutgoingResponse {
     pub head: Vec<u8>,
     pub body: Vec<u8>,
+    /// Bytes of head and body together that are written.
     pub written: usize,
 }
 
@@ -13,6 +14,7 @@
         self.written >= self.head.len() + self.body.len()
     }
 
+    /// The next contiguous bytes to write: the rest of the head, or else the rest of the body.
     pub(super) fn unwritten(&self) -> &[u8] {
         let head = self.head.len();
         if self.written < head {
--- a/crates/rockflow-dispatcher/src/client/registry.rs
+++ b/crates/rockflow-dispatcher/src/client/registry.rs
@@ -1,4 +1,4 @@
-//! What all client connections share.
+//! The state shared by all client connections: limits, counters and a slot for each connection.
 
 use crate::client::message::ClientMessage;
 use crate::clock::Clock;
@@ -9,14 +9,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// `ClientSlot::idle_since` of a connection that has a request open or is about to yield.
+/// `ClientSlot::idle_since` of a connection that has a request open or was asked to close.
 const BUSY: u64 = u64::MAX;
 
-/// What others see of a client's connection. Its connection owns `idle_since`, but for the registry, which marks one that
-/// is asked to yield.
+/// The part of a client connection that other actors can see. The connection maintains `idle_since`; the registry
+/// sets it only when it asks the connection to close.
 pub struct ClientSlot {
     pub(super) mailbox: Arc<Mailbox<ClientMessage>>,
-    /// Since when no response is owed on it, in microseconds of the clock, or `BUSY`.
+    /// When the connection last became idle, in microseconds of the clock, or `BUSY`.
     idle_since: AtomicU64,
 }
 
@@ -40,32 +40,33 @@
 
 /// Shared by the listener, all client connections, and the service that starts and stops them.
 pub struct ClientRegistry {
-    /// The clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// Where requests are sent.
+    /// The mailbox of the decision actor, which receives all requests.
     pub decisions: Arc<Mailbox<DecisionMessage>>,
-    /// Messages that may wait for the decisions; with more, requests are rejected.
+    /// Number of messages in the decision actor's mailbox at which new requests are rejected.
     pub max_queued_requests: usize,
-    /// Requests can be decided.
+    /// Whether any host is listed, so that requests can be routed. Health checks fail until then.
     pub ready: Arc<AtomicBool>,
-    /// Connections are closed as soon as no request is open on them.
+    /// Whether the process shuts down: new requests are rejected, and connections close once no request is open on
+    /// them.
     pub closing: AtomicBool,
-    /// No further connection can be accepted: connections end with their responses.
+    /// Whether the cap on connections is reached: connections then close after their responses to make room.
     pub crowded: AtomicBool,
-    /// The longest that a request, and so the writing of a response, may take.
+    /// The longest deadline of any request class. It also limits how long a response may go without write progress.
     pub max_deadline: Duration,
-    /// Bytes of responses that are held.
+    /// Bytes of response bodies in memory, shared with the connections to hosts.
     pub buffered_bytes: Arc<AtomicUsize>,
-    /// Connections that may stay while they are idle.
+    /// Number of connections above which each new one evicts an idle one.
     pub max_idle: usize,
-    /// Requests whose response has not been written completely.
+    /// Number of requests whose response is not completely written.
     pub open_requests: AtomicUsize,
     slots: Mutex<BTreeMap<u64, Arc<ClientSlot>>>,
     next_client: AtomicU64,
     next_request: AtomicU64,
 }
 
-/// What a registry starts with.
+/// The initial values of a [`ClientRegistry`]; its fields of the same names explain them.
 pub(crate) struct RegistryConfig {
     pub clock: Clock,
     pub decisions: Arc<Mailbox<DecisionMessage>>,
@@ -100,14 +101,14 @@
         self.slots().len()
     }
 
-    /// Has every connection check whether it is still of use.
+    /// Asks every connection to check its timeouts.
     pub fn inspect(&self) {
         for slot in self.slots().values() {
             slot.mailbox.send(ClientMessage::Inspect);
         }
     }
 
-    /// Whether connections close after the response that is being written.
+    /// Whether connections close after their current response.
     pub(super) fn ends_connections(&self) -> bool {
         self.closing.load(Ordering::Relaxed) || self.crowded.load(Ordering::Relaxed)
     }
@@ -116,8 +117,8 @@
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Adds a connection and returns its number. Guards against connections that hold their place for nothing while
-    /// others arrive: past the cap on idle ones, the one that has been idle longest yields.
+    /// Adds a connection and returns its number. Above `max_idle` connections, the one that has been idle longest is
+    /// asked to close, so that idle connections do not block new ones.
     pub(super) fn insert(&self, slot: Arc<ClientSlot>) -> u64 {
         let number = self.next_client.fetch_add(1, Ordering::Relaxed);
         self.slots().insert(number, slot);
@@ -141,7 +142,7 @@
         }
     }
 
-    /// No coroutine gives way while it holds this lock.
+    /// Locks the slots. Callers must not block or yield their coroutine while they hold the lock.
     fn slots(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<ClientSlot>>> {
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
