--- a/crates/rockflow-dispatcher/src/decision/attempts.rs
+++ b/crates/rockflow-dispatcher/src/decision/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent to their hosts, cancelled, withdrawn before they are sent, and ended.
+//! The life cycle of attempts: sending, cancelling, withdrawing unsent ones, and reporting how each ended.
 
 use crate::attempt::{AttemptKey, CancelReason, OutgoingAttempt};
 use crate::decision::deadlines::Deadline;
@@ -15,14 +15,17 @@
 
 /// The time limits of an attempt.
 struct AttemptLimits {
+    /// How long the attempt may take from now.
     timeout: Duration,
+    /// The time after which the attempt may no longer be sent, on the clock of the process.
     send_by: Duration,
 }
 
-/// How an attempt ended.
+/// How an attempt ended and what its host reported.
 struct AttemptResult {
     outcome: Outcome,
     cache_status: CacheStatus,
+    /// How long the host waited for its fill; zero if it reported none.
     fill_wait: Duration,
 }
 
@@ -33,6 +36,8 @@
 }
 
 impl DecisionActor {
+    /// Hands an attempt to the actor of its host and sets its deadlines. It ends at once as not sent if the host or its
+    /// source is no longer listed.
     pub(super) fn send_attempt(&mut self, id: RequestId, attempt: Attempt) {
         let now = self.dependencies.clock.now();
         let mailbox = self.host_mailbox(attempt.host);
@@ -56,7 +61,7 @@
         if limits.send_by < now + limits.timeout {
             self.deadlines.push(limits.send_by, Deadline::SendBy(key));
         }
-        // Guards against a fill that is left out, which would be another attempt than the one decided.
+        // Without its source, the host would answer from its cache only, which is not what was decided.
         let lacks_source = attempt.source.is_some() && source.is_none();
         match mailbox.filter(|_| !lacks_source) {
             Some(mailbox) => {
@@ -67,7 +72,7 @@
         }
     }
 
-    /// Cancels an attempt: its host is told, and its outcome is known at once.
+    /// Cancels an attempt that has not ended: notifies its host and reports the outcome without waiting for the host.
     pub(super) fn cancel_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
         let Some(attempt) = self.requests.in_flight(key) else { return };
         attempt.permit.withdraw();
@@ -76,7 +81,8 @@
         self.end_without_response(key, outcome);
     }
 
-    /// Takes back attempts that have not been sent, so that they are decided anew by what is known now.
+    /// Withdraws the matching attempts that have not been sent, so that the decision logic can route their requests
+    /// again with its current state.
     pub(super) fn withdraw_unsent(
         &mut self,
         matches: impl Fn(AttemptKey, &OpenRequest, &AttemptState) -> bool,
@@ -97,6 +103,7 @@
         }
     }
 
+    /// Handles the response of a host; one to an attempt that has ended is ignored.
     pub(super) fn on_response(&mut self, key: AttemptKey, response: HostResponse) {
         if self.requests.in_flight(key).is_none() {
             return;
@@ -124,10 +131,12 @@
         self.end_attempt(key, result);
     }
 
+    /// Ends an attempt for which no response was received.
     pub(super) fn end_without_response(&mut self, key: AttemptKey, outcome: Outcome) {
         self.end_attempt(key, AttemptResult::without_response(outcome));
     }
 
+    /// Reports the end of an attempt to the decision logic; does nothing if it has already ended.
     fn end_attempt(&mut self, key: AttemptKey, result: AttemptResult) {
         let now = self.dependencies.clock.now();
         let Some(open) = self.requests.get_mut(key.request) else { return };
@@ -149,6 +158,7 @@
     }
 }
 
+/// The limits of an attempt that starts now; both end at the deadline of the request at the latest.
 fn attempt_limits(attempt: &Attempt, deadline: Duration, now: Duration) -> AttemptLimits {
     let time_left = deadline.saturating_sub(now);
     let timeout = attempt.timeout.map_or(time_left, |limit| limit.min(time_left));
@@ -156,6 +166,7 @@
     AttemptLimits { timeout, send_by }
 }
 
+/// Encodes the request line of an attempt. The options that concern fills are set only if it has a source.
 fn encode_attempt(
     open: &OpenRequest,
     attempt: &Attempt,
--- a/crates/rockflow-dispatcher/src/decision/deadlines.rs
+++ b/crates/rockflow-dispatcher/src/decision/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of the decisions' actor.
+//! The deadline queue of the decision actor.
 
 use crate::attempt::AttemptKey;
 use rockflow::{RequestId, TimerId};
@@ -6,22 +6,23 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// What happens at a deadline. Deadlines of the same time are due in the order of these variants.
+/// What happens at a deadline. Deadlines at the same time run in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Deadline {
-    /// The time limit of an attempt passes.
+    /// An attempt times out.
     AttemptTimeout(AttemptKey),
-    /// An attempt that has not been sent may not be sent any more.
+    /// An attempt that is still unsent is withdrawn.
     SendBy(AttemptKey),
-    /// The decisions are late with the response to a request.
+    /// A request that still has no response fails: the decision logic missed its deadline.
     Response(RequestId),
-    /// A timer of the decisions fires.
+    /// A timer set by the decision logic fires.
     Timer(TimerId),
-    /// The time limit of a health check passes.
+    /// A health check times out; the value is its tag.
     HealthCheck(u64),
 }
 
-/// Deadlines in the order of their time. None is removed before it is due: what it is for may have ended by then.
+/// A priority queue of deadlines. They are not removed early: when one is due, its attempt, request or health check may
+/// already have ended.
 #[derive(Default)]
 pub(super) struct DeadlineQueue {
     heap: BinaryHeap<Reverse<(Duration, Deadline)>>,
@@ -32,12 +33,12 @@
         self.heap.push(Reverse((at, deadline)));
     }
 
-    /// When the next one is due.
+    /// When the next deadline is due. `None` if there is none.
     pub(super) fn next_at(&self) -> Option<Duration> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next one that is due by `time`.
+    /// Removes and returns the next deadline that is due by `time`.
     pub(super) fn pop_due(&mut self, time: Duration) -> Option<Deadline> {
         if self.next_at()? > time {
             return None;
--- a/crates/rockflow-dispatcher/src/decision/endpoints.rs
+++ b/crates/rockflow-dispatcher/src/decision/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the decisions go by it, and the actors of its hosts.
+//! The endpoint list that the decision logic currently uses, and the actors of the listed hosts.
 
 use crate::decision::DecisionActor;
 use crate::endpoint::Endpoint;
@@ -10,16 +10,17 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// A listed host.
+/// A listed host and its actor.
 pub(super) struct HostState {
     pub endpoint: Endpoint,
-    /// The mailbox of its actor; none: nothing was sent to it yet.
+    /// The mailbox of the host's actor. `None` until the first message to the host starts the actor.
     pub mailbox: Option<Arc<Mailbox<HostMessage>>>,
 }
 
 impl DecisionActor {
+    /// Updates the listed hosts, and withdraws unsent attempts that use a host to which nothing new may be sent.
     pub(super) fn apply_endpoints(&mut self, scope: ListScope, entries: Vec<Endpoint>) {
-        // Hosts to which nothing new may be sent, neither as host nor as source.
+        // Hosts that unsent attempts may no longer use, neither as host nor as source.
         let mut unavailable = BTreeSet::new();
         if scope != ListScope::Changes {
             unavailable = self.retire_unlisted(&entries);
@@ -42,18 +43,19 @@
         }
     }
 
-    /// The entries of all listed hosts.
+    /// The entries of all listed hosts, in the order of their ids.
     pub(super) fn listed_entries(&self) -> Vec<EndpointEntry> {
         self.hosts.values().map(|host| host.endpoint.entry.clone()).collect()
     }
 
+    /// Closes the idle connections to a host, if it is listed and has an actor.
     pub(super) fn close_idle_connections(&self, id: HostId) {
         if let Some(mailbox) = self.hosts.get(&id).and_then(|host| host.mailbox.as_ref()) {
             mailbox.send(HostMessage::CloseIdle);
         }
     }
 
-    /// The mailbox of a listed host, whose actor starts with its first message.
+    /// The mailbox of a host's actor, which is started if necessary. `None` if the host is not listed.
     pub(super) fn host_mailbox(&mut self, id: HostId) -> Option<Arc<Mailbox<HostMessage>>> {
         let host = self.hosts.get_mut(&id)?;
         if host.mailbox.is_none() {
@@ -70,7 +72,7 @@
         host.mailbox.clone()
     }
 
-    /// Retires the hosts that a whole list does not name, and returns them.
+    /// Retires the hosts that a full list does not contain, and returns their ids.
     fn retire_unlisted(&mut self, entries: &[Endpoint]) -> BTreeSet<HostId> {
         let is_listed = |id: &HostId| entries.iter().any(|endpoint| endpoint.entry.host == *id);
         let unlisted: BTreeSet<_> = self.hosts.keys().copied().filter(|id| !is_listed(id)).collect();
@@ -80,7 +82,8 @@
         unlisted
     }
 
-    /// Applies one entry; returns whether nothing new may be sent to what the host was before.
+    /// Applies one entry. Returns whether unsent attempts must be withdrawn from the host: it drains, is gone, or has
+    /// a new address.
     fn apply_endpoint(&mut self, endpoint: &Endpoint) -> bool {
         let id = endpoint.entry.host;
         let is_gone = endpoint.entry.readiness == Readiness::Gone;
@@ -95,6 +98,7 @@
         has_moved || endpoint.entry.readiness != Readiness::Ready
     }
 
+    /// Removes a host. Its actor lets attempts in flight finish and sends nothing new.
     fn retire_host(&mut self, id: HostId) {
         if let Some(mailbox) = self.hosts.remove(&id).and_then(|host| host.mailbox) {
             mailbox.send(HostMessage::Retire);
--- a/crates/rockflow-dispatcher/src/decision/health_checks.rs
+++ b/crates/rockflow-dispatcher/src/decision/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: sent when the decisions want one, and ended by a response, a failure or their time limit.
+//! Health checks: sent on request of the decision logic, and ended by a response, a failure or a timeout.
 
 use crate::decision::deadlines::Deadline;
 use crate::decision::DecisionActor;
@@ -8,12 +8,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// A health check that has not ended.
 struct HealthCheck {
     host: HostId,
     started: Duration,
 }
 
-/// Owns the health checks that are in flight.
+/// Owns the health checks in flight, keyed by tag.
 #[derive(Default)]
 pub(super) struct HealthChecks {
     in_flight: BTreeMap<u64, HealthCheck>,
@@ -21,6 +22,7 @@
 }
 
 impl HealthChecks {
+    /// Registers a health check and returns its tag.
     fn start(&mut self, host: HostId, now: Duration) -> u64 {
         let tag = self.next_tag;
         self.next_tag += 1;
@@ -30,6 +32,7 @@
 }
 
 impl DecisionActor {
+    /// Sends a health check to a host. It fails at once if the host is not listed, and times out like a connect.
     pub(super) fn check_health(&mut self, host: HostId) {
         let now = self.dependencies.clock.now();
         let tag = self.health_checks.start(host, now);
@@ -43,6 +46,7 @@
         }
     }
 
+    /// Handles the response to a health check.
     pub(super) fn on_health_check_answered(&mut self, tag: u64, response: &HostResponse) {
         let is_healthy = response.status == Status::Healthy;
         let outcome = if is_healthy { Outcome::Succeeded } else { Outcome::HostError };
@@ -50,13 +54,15 @@
         self.end_health_check(tag, outcome, report);
     }
 
+    /// Reports the end of a health check to the decision logic; does nothing if it has already ended.
     pub(super) fn end_health_check(&mut self, tag: u64, outcome: Outcome, load_report: Vec<f32>) {
         let Some(HealthCheck { host, started }) = self.health_checks.in_flight.remove(&tag) else { return };
         let duration = self.dependencies.clock.now().saturating_sub(started);
         self.events.push_back(Event::HealthChecked { host, outcome, duration, load_report });
     }
 
-    /// The values of the load report in the configured order, 0 for one that is missing; empty without a report.
+    /// The values of the load report in the configured order, with 0 for a missing value. Empty if the response has no
+    /// load report.
     fn load_report(&self, response: &HostResponse) -> Vec<f32> {
         if response.load.is_empty() {
             return Vec::new();
--- a/crates/rockflow-dispatcher/src/decision/message.rs
+++ b/crates/rockflow-dispatcher/src/decision/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the decisions' actor.
+//! Messages to the decision actor.
 
 use crate::attempt::AttemptKey;
 use crate::backpressure::{CoalescingSlot, CompletionCallback};
@@ -13,77 +13,78 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A message to the decisions' actor.
+/// A message to the decision actor.
 pub enum DecisionMessage {
     /// A client sent a request.
     RequestReceived {
-        /// Its id.
+        /// The id of the request within this process.
         id: RequestId,
-        /// The request.
+        /// The parsed request.
         request: Box<ClientRequest>,
-        /// Where the response goes.
+        /// The mailbox of the client connection, which receives the response.
         client: Arc<Mailbox<ClientMessage>>,
-        /// When it arrived.
+        /// When the request was received completely, on the clock of the process.
         arrived: Duration,
     },
-    /// The client of a request disconnected.
+    /// The client of the request disconnected before its response.
     ClientDisconnected(RequestId),
-    /// The program ends; what has no response by then would be lost.
+    /// A graceful shutdown has started; open requests are answered before the process exits.
     ShutdownStarted {
-        /// When.
+        /// When the last open request must have its response.
         deadline: Duration,
     },
     /// A host responded to an attempt.
     ResponseReceived {
-        /// The attempt.
+        /// The attempt that was answered.
         key: AttemptKey,
-        /// The response.
+        /// The decoded response.
         response: HostResponse,
     },
     /// An attempt ended without a response.
     AttemptFailed {
-        /// The attempt.
+        /// The attempt that ended.
         key: AttemptKey,
-        /// How.
+        /// The reason, such as a lost connection.
         outcome: Outcome,
     },
     /// A host responded to a health check.
     HealthCheckAnswered {
-        /// The health check.
+        /// The tag under which the health check was sent.
         tag: u64,
-        /// The response.
+        /// The decoded response.
         response: HostResponse,
     },
     /// A health check ended without a response.
     HealthCheckFailed {
-        /// The health check.
+        /// The tag under which the health check was sent.
         tag: u64,
-        /// How.
+        /// The reason, such as a lost connection.
         outcome: Outcome,
     },
     /// The endpoint list changed.
     EndpointsChanged {
-        /// Whether the entries are changes or replace the list.
+        /// Whether the entries change the list or replace it.
         scope: ListScope,
-        /// The entries.
+        /// The changed entries, or all of them.
         entries: Vec<Endpoint>,
-        /// Called once the decisions go by them.
+        /// Called once the decision logic uses the new list.
         done: Option<CompletionCallback<()>>,
     },
-    /// Purges were made.
+    /// Purges arrived from discovery or from a caller of the service.
     PurgesReceived {
-        /// The purges.
+        /// The purges, each with its own timestamp.
         purges: Vec<Purge>,
-        /// Called once the decisions go by them.
+        /// Called once the decision logic has applied the purges.
         done: Option<CompletionCallback<()>>,
     },
-    /// More purges were made than may wait: one of everything, made at the time in the slot, replaces them.
+    /// More purges arrived than may wait. A purge of everything with the timestamp in the slot replaces the excess
+    /// ones.
     PurgeEverything(Arc<CoalescingSlot<Duration, ()>>),
-    /// Complete a status report that the endpoint list has begun.
+    /// Complete a status report that the endpoint list actor has started to fill in.
     ReportStatus {
-        /// The report.
+        /// The report, without the fields that the decision actor knows.
         report: Box<StatusReport>,
-        /// Called with the report.
+        /// Called with the completed report.
         reply: CompletionCallback<Box<StatusReport>>,
     },
 }
--- a/crates/rockflow-dispatcher/src/decision/mod.rs
+++ b/crates/rockflow-dispatcher/src/decision/mod.rs
@@ -1,5 +1,5 @@
-//! The actor of the decisions. It orders events, runs timers and the attempts' time limits, and carries out actions. It
-//! decides nothing itself.
+//! The decision actor. It runs the decision logic of the crate `rockflow`: it feeds it events in order, carries out the
+//! actions that it returns, and enforces timers and timeouts. It makes no routing decision itself.
 
 mod attempts;
 mod deadlines;
@@ -37,29 +37,30 @@
 use std::time::Duration;
 use tracing::{debug, info};
 
-/// What the actor is given.
+/// The configuration and the shared objects that the decision actor needs.
 pub struct Dependencies {
-    /// The clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// The configuration of the decisions.
+    /// The configuration of the decision logic.
     pub deployment: DeploymentConfig,
-    /// Names of the request classes, by index.
+    /// Names of the request classes on the wire, indexed by `ClassId`.
     pub classes: Vec<String>,
-    /// Seed of the decisions' random draws.
+    /// Seed of the random numbers of the decision logic.
     pub seed: u64,
-    /// Names of the values of a load report; empty where health checks bring none.
+    /// Names of the values in a load report, in the order in which the decision logic expects them. Empty if health
+    /// checks don't ask for one.
     pub load_report: Vec<String>,
-    /// What the connections to hosts share.
+    /// The state shared by the connections to hosts.
     pub pool: Arc<ConnectionPool>,
-    /// Set once an endpoint is listed: from then on requests can be decided.
+    /// Set to true once any endpoint is listed, so that requests can be routed.
     pub ready: Arc<AtomicBool>,
-    /// How late after a request's deadline its response still counts.
+    /// How long after the deadline of a request its response is still useful to the client.
     pub response_slack: Duration,
-    /// The mailbox of the actor.
+    /// The mailbox of this actor.
     pub mailbox: Arc<Mailbox<DecisionMessage>>,
 }
 
-/// The only owner of the decisions, and of all that is open because of them.
+/// Owns the decision logic together with the open requests, hosts, health checks, purges and deadlines that it acts on.
 pub struct DecisionActor {
     dependencies: Dependencies,
     dispatcher: Dispatcher,
@@ -68,18 +69,19 @@
     health_checks: HealthChecks,
     purges: PurgeLog,
     deadlines: DeadlineQueue,
-    /// Events that the decisions have not handled yet.
+    /// Events that the decision logic has not handled yet.
     events: VecDeque<Event>,
-    /// Called once these events are handled; one at most, as no message is taken before that.
+    /// Called once all pending events are handled. One callback suffices, because no further message is taken before.
     on_decided: Option<CompletionCallback<()>>,
-    /// When the program ends, once a shutdown has begun.
+    /// When the last open request must have its response. `None` until a shutdown starts.
     shutdown_deadline: Option<Duration>,
-    /// Requests that the decisions did not respond to in time.
+    /// Number of requests that failed because the decision logic missed their deadlines.
     overdue: u64,
 }
 
 impl DecisionActor {
-    /// Starts with the endpoints and purges that are known, so that the first request is decided by them.
+    /// Creates the actor with the endpoints and purges that are known at the start, so that they apply to the first
+    /// request.
     pub fn new(dependencies: Dependencies, endpoints: Vec<Endpoint>, purges: Vec<Purge>) -> Self {
         let mut actor = DecisionActor {
             dispatcher: Dispatcher::new(dependencies.deployment.clone(), dependencies.seed),
@@ -102,7 +104,7 @@
         actor
     }
 
-    /// Runs for ever.
+    /// Runs without end. If the decision logic panics, open requests fail and it restarts.
     pub fn run(&mut self) {
         self.dependencies.mailbox.wake_by(Wake::Park(coroutine::current()));
         loop {
@@ -118,11 +120,12 @@
         }
     }
 
-    /// Takes the next message, or returns how long there is nothing to do; none: until a message arrives.
+    /// Handles pending events, due deadlines and at most one message. Returns how long the actor may wait before the
+    /// next step, or `None` if only a message can give it work.
     fn step(&mut self) -> Option<Duration> {
         self.decide();
-        // Guards against a delay of our own that makes responses late which are here already: they go first, as long as
-        // what is due is not late for it.
+        // A delay of this actor must not turn responses that are already in its mailbox into timeouts. While messages
+        // wait, deadlines are therefore postponed by the response grace at most.
         let has_messages = !self.dependencies.mailbox.is_empty();
         let patience = if has_messages { self.response_grace() } else { Duration::ZERO };
         self.run_due_deadlines(self.dependencies.clock.now().saturating_sub(patience));
@@ -133,7 +136,7 @@
         self.deadlines.next_at().map(|at| at.saturating_sub(self.dependencies.clock.now()))
     }
 
-    /// Lets the decisions handle all events, and notifies whoever waits for that.
+    /// Feeds all pending events to the decision logic, carries out its actions, and then calls the waiting callback.
     fn decide(&mut self) {
         while let Some(event) = self.events.pop_front() {
             for action in self.dispatcher.handle(self.dependencies.clock.now(), event) {
@@ -145,8 +148,8 @@
         }
     }
 
-    /// Lets the decisions handle what has changed, then calls `done`: also where they panic over it, once they have
-    /// restarted and go by it.
+    /// Handles the pending events, then calls `done`. If the decision logic panics, `done` is called once it has
+    /// restarted with the change applied.
     fn decide_then(&mut self, done: Option<CompletionCallback<()>>) {
         self.on_decided = done;
         debug!(events = self.events.len(), "applying changes to the decisions");
@@ -185,6 +188,7 @@
         }
     }
 
+    /// Fills in the fields of a status report that this actor knows.
     fn complete_report(&self, mut report: Box<StatusReport>) -> Box<StatusReport> {
         report.host_statuses = self.dispatcher.host_statuses();
         report.outcomes = self.requests.outcomes().to_vec();
@@ -194,6 +198,7 @@
         report
     }
 
+    /// Carries out an action of the decision logic.
     fn apply_action(&mut self, action: Action) {
         match action {
             Action::SendAttempt { request, attempt } => self.send_attempt(request, attempt),
@@ -210,7 +215,7 @@
             Action::Log(text) => info!(text, "decisions"),
             Action::CheckHealth { host } => self.check_health(host),
             Action::CloseIdleConnections { host } => self.close_idle_connections(host),
-            // Discovery is watched all the time: what it has listed is the response.
+            // Discovery is always being followed, so the current list is the answer.
             Action::Subscribe { .. } | Action::RequestEndpointList => {
                 let entries = self.listed_entries();
                 self.events.push_back(Event::EndpointsListed { scope: ListScope::Full, entries });
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Handles what is due by `time`.
+    /// Handles all deadlines that are due by `time`.
     fn run_due_deadlines(&mut self, time: Duration) {
         while let Some(deadline) = self.deadlines.pop_due(time) {
             match deadline {
--- a/crates/rockflow-dispatcher/src/decision/open_request.rs
+++ b/crates/rockflow-dispatcher/src/decision/open_request.rs
@@ -1,4 +1,4 @@
-//! The requests that are open, and their attempts.
+//! The table of open requests and their attempts.
 
 use crate::attempt::{AttemptKey, CancelReason};
 use crate::client::message::ClientMessage;
@@ -12,18 +12,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt of an open request.
+/// An attempt of an open request, kept until the request is removed.
 pub(super) struct AttemptState {
     pub host: HostId,
+    /// The host that a miss is filled from. `None` if the attempt allows no fill.
     pub source: Option<HostId>,
-    /// Where its host is reached, also once that is no longer listed.
+    /// The mailbox of the host's actor, which is usable even after the host is delisted. `None` if the host was not
+    /// listed.
     pub mailbox: Option<Arc<Mailbox<HostMessage>>>,
     pub started: Duration,
+    /// Whether the attempt has not ended; it need not have been sent yet.
     pub is_in_flight: bool,
+    /// Shared with the connection that sends the attempt; withdrawing it prevents the send.
     pub permit: Arc<SendPermit>,
 }
 
 impl AttemptState {
+    /// Asks the host's actor to cancel the attempt.
     pub(super) fn send_cancel(&self, key: AttemptKey, reason: CancelReason) {
         if let Some(mailbox) = &self.mailbox {
             mailbox.send(HostMessage::Cancel { key, reason });
@@ -31,14 +36,17 @@
     }
 }
 
-/// A request from its arrival until its response is sent and its last attempt has ended.
+/// A request, kept from its arrival until it has its response and all its attempts have ended.
 pub(super) struct OpenRequest {
-    /// Index of the class.
+    /// Index of the request class.
     pub class: usize,
     pub request: Box<ClientRequest>,
     pub client: Arc<Mailbox<ClientMessage>>,
+    /// When the response is due, on the clock of the process.
     pub deadline: Duration,
+    /// Whether the response was handed to the client connection, or the client has disconnected.
     pub is_responded: bool,
+    /// All attempts so far, indexed by `AttemptNumber`.
     pub attempts: Vec<AttemptState>,
 }
 
@@ -60,17 +68,18 @@
         })
     }
 
+    /// Whether the request needs no response and has no attempt in flight.
     fn is_finished(&self) -> bool {
         self.is_responded && self.attempts.iter().all(|attempt| !attempt.is_in_flight)
     }
 }
 
-/// Owns the open requests, and counts how requests end.
+/// Owns the open requests and counts their outcomes.
 pub(super) struct RequestTable {
     open: BTreeMap<RequestId, OpenRequest>,
-    /// The client's ids of the requests without a response.
+    /// The client-assigned ids of the requests that have no response yet.
     call_ids: BTreeSet<String>,
-    /// By index of the class.
+    /// Outcome counts, indexed by request class.
     outcomes: Vec<OutcomeCounts>,
 }
 
@@ -107,13 +116,13 @@
         self.open.iter_mut().map(|(id, open)| (*id, open))
     }
 
-    /// An attempt that has not ended.
+    /// The attempt with this key. `None` if it is unknown or has ended.
     pub(super) fn in_flight(&self, key: AttemptKey) -> Option<&AttemptState> {
         let attempt = self.open.get(&key.request)?.attempts.get(usize::from(key.attempt.0))?;
         Some(attempt).filter(|attempt| attempt.is_in_flight)
     }
 
-    /// Reserves the client's id of a request; false: another request has it.
+    /// Reserves a client-assigned request id. Returns false if another request without a response uses it.
     pub(super) fn reserve_call_id(&mut self, call_id: &str) -> bool {
         self.call_ids.insert(call_id.to_string())
     }
@@ -127,7 +136,7 @@
         self.outcomes[class].disconnected += 1;
     }
 
-    /// Marks a request whose client disconnected; false: it is not open.
+    /// Records that the client of a request disconnected. Returns false if the request is not open.
     pub(super) fn disconnect(&mut self, id: RequestId) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         if !std::mem::replace(&mut open.is_responded, true) {
@@ -137,7 +146,7 @@
         true
     }
 
-    /// Sends the one response to a request; another that would follow it is dropped.
+    /// Sends the response to a request. Does nothing if the request already has one or is not open.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(open) = self.open.get_mut(&id).filter(|open| !open.is_responded) else { return };
         open.is_responded = true;
@@ -152,14 +161,14 @@
         self.remove_finished(id);
     }
 
-    /// Removes a request that has its response and no attempt in flight.
+    /// Removes a request if it has its response and no attempt in flight.
     pub(super) fn remove_finished(&mut self, id: RequestId) {
         if self.open.get(&id).is_some_and(OpenRequest::is_finished) {
             self.open.remove(&id);
         }
     }
 
-    /// Ends all requests: withdraws their attempts, and responds that they failed.
+    /// Ends all requests: withdraws or cancels their attempts, and responds to each open one that it failed.
     pub(super) fn fail_all(&mut self) {
         self.call_ids.clear();
         for (id, open) in std::mem::take(&mut self.open) {
--- a/crates/rockflow-dispatcher/src/decision/purges.rs
+++ b/crates/rockflow-dispatcher/src/decision/purges.rs
@@ -1,4 +1,4 @@
-//! Purges: passed to the decisions, and held for decisions that have to restart.
+//! Purges: passed to the decision logic, and kept so that they can be applied again if it restarts after a panic.
 
 use crate::backpressure::{CompletionCallback, MAX_PURGES};
 use crate::clock::Clock;
@@ -7,13 +7,13 @@
 use rockflow::Event;
 use std::time::Duration;
 
-/// Held purges below which it is not checked which have expired.
+/// Number of kept purges below which expired ones are not removed.
 const MIN_PRUNE_SIZE: usize = 64;
 
 /// Owns the purges that may still be in effect.
 pub(super) struct PurgeLog {
     purges: Vec<Purge>,
-    /// With so many it is checked which have expired.
+    /// Number of purges at which the expired ones are removed.
     prune_at: usize,
 }
 
@@ -22,10 +22,12 @@
         PurgeLog { purges: Vec::new(), prune_at: MIN_PRUNE_SIZE }
     }
 
+    /// Removes and returns all purges.
     pub(super) fn take(&mut self) -> Vec<Purge> {
         std::mem::take(&mut self.purges)
     }
 
+    /// Adds purges, and from time to time removes those older than `window`.
     fn extend(&mut self, purges: Vec<Purge>, clock: Clock, window: Duration) {
         self.purges.extend(purges);
         if self.purges.len() >= self.prune_at {
@@ -34,8 +36,8 @@
         }
     }
 
-    /// Forgets purges that have expired. Guards against those without end: one of everything, as young as the youngest,
-    /// replaces all past the cap, which is never laxer.
+    /// Removes expired purges. If more than [`MAX_PURGES`] remain, one purge of everything with the most recent
+    /// timestamp replaces them all, which bounds memory and purges no less than they did.
     fn prune(&mut self, clock: Clock, window: Duration) {
         self.purges.retain(|purge| purge.purged_at.age(clock) <= window);
         if self.purges.len() <= MAX_PURGES {
@@ -48,11 +50,14 @@
 }
 
 impl DecisionActor {
+    /// Applies purges, and calls `done` once the decision logic has handled them.
     pub(super) fn on_purges(&mut self, purges: Vec<Purge>, done: Option<CompletionCallback<()>>) {
         self.apply_purges(purges);
         self.decide_then(done);
     }
 
+    /// Queues purges for the decision logic, withdraws the unsent attempts that they cover, and keeps them for a
+    /// restart.
     pub(super) fn apply_purges(&mut self, purges: Vec<Purge>) {
         let clock = self.dependencies.clock;
         self.events.extend(purges.iter().map(|purge| Event::Purged {
@@ -60,7 +65,7 @@
             group: purge.group,
             age: purge.purged_at.age(clock),
         }));
-        // What has not been sent was decided without these purges.
+        // Unsent attempts were decided without these purges.
         self.withdraw_unsent(|_, open, _| {
             let (object, group) = (open.object(), open.group());
             purges.iter().any(|purge| purge.covers(object, group))
--- a/crates/rockflow-dispatcher/src/decision/recovery.rs
+++ b/crates/rockflow-dispatcher/src/decision/recovery.rs
@@ -1,13 +1,13 @@
-//! Recovery from a panic of the decisions.
+//! Recovery from a panic of the decision logic.
 
 use crate::decision::DecisionActor;
 use rockflow::{Dispatcher, Event, ListScope};
 use tracing::error;
 
 impl DecisionActor {
-    /// Guards against a panic of the decisions that leaves requests without a response: each fails, and the decisions
-    /// restart with the endpoint list as it stands and the purges that are in effect. Whoever waits for these is notified
-    /// then.
+    /// Replaces the decision logic after a panic. All open requests fail, because the new instance does not know
+    /// them. It starts with the current endpoint list and the purges in effect; callers that wait for a change of
+    /// either are notified once it has handled them.
     pub(super) fn restart_decisions(&mut self) {
         let requests = self.requests.len();
         error!(requests, "decisions panicked: open requests fail and the decisions restart");
--- a/crates/rockflow-dispatcher/src/decision/requests.rs
+++ b/crates/rockflow-dispatcher/src/decision/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: from their arrival to their one response.
+//! The life cycle of requests, from arrival to response.
 
 use crate::client::message::ClientMessage;
 use crate::decision::deadlines::Deadline;
@@ -16,6 +16,8 @@
 const DUPLICATE_CALL_ID: HttpStatus = HttpStatus::new(409, "id in use");
 
 impl DecisionActor {
+    /// Opens a request and passes it to the decision logic. Requests of an unknown class and those whose
+    /// client-assigned id is in use are answered with an error status.
     pub(super) fn on_request(
         &mut self,
         id: RequestId,
@@ -27,11 +29,11 @@
         let Some(class) = class else {
             return client.send(ClientMessage::Respond(id, Response::Invalid(UNKNOWN_CLASS)));
         };
-        // Guards against work for a client that disconnected while its request waited here.
+        // The client may have disconnected while its request waited in the mailbox.
         if client.is_closed() {
             return self.requests.count_disconnected(class);
         }
-        // Guards against two requests under one id, whose responses could not be told apart on their way.
+        // Hosts answer under the client-assigned id, so responses to two open requests with one id could be confused.
         if !self.requests.reserve_call_id(&request.call_id) {
             return client.send(ClientMessage::Respond(id, Response::Invalid(DUPLICATE_CALL_ID)));
         }
@@ -52,18 +54,19 @@
         self.requests.insert(id, open);
     }
 
+    /// Passes a client's disconnect to the decision logic and withdraws its unsent attempts.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if !self.requests.disconnect(id) {
             return;
         }
         self.events.push_back(Event::ClientDisconnected(id));
-        // Also where no attempt may be cancelled: what has not been sent need not be.
+        // Unsent attempts are withdrawn even where sent ones may not be cancelled.
         self.withdraw_unsent(|key, _, _| key.request == id);
         self.requests.remove_finished(id);
     }
 
-    /// Guards against a request to which the decisions don't respond in time, or before the program's end: they are told
-    /// that its client disconnected.
+    /// Fails a request that the decision logic has not answered in time or before the process exits. The decision
+    /// logic then handles it as if its client had disconnected.
     pub(super) fn on_response_overdue(&mut self, id: RequestId) {
         if self.requests.get(id).is_none_or(|open| open.is_responded) {
             return;
@@ -78,12 +81,12 @@
         self.events.push_back(Event::ClientDisconnected(id));
     }
 
-    /// How long after its deadline a request is left to the decisions: half the time for which its response still counts.
+    /// How long after its deadline the decision logic may still answer a request: half of `response_slack`.
     pub(super) fn response_grace(&self) -> Duration {
         self.dependencies.response_slack / 2
     }
 
-    /// No request takes longer than its class may, whatever its header says, nor past the program's end.
+    /// The deadline of a request: the earliest of its own time limit, the limit of its class and the shutdown deadline.
     fn deadline_of(&self, class: usize, time_limit: Duration, arrived: Duration) -> Duration {
         let class_limit = self.dependencies.deployment.classes.get(class).map(|class| class.deadline);
         let time_limit = class_limit.map_or(time_limit, |limit| time_limit.min(limit));
--- a/crates/rockflow-dispatcher/src/decision/shutdown.rs
+++ b/crates/rockflow-dispatcher/src/decision/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: open requests end by the program's end.
+//! Graceful shutdown: open requests get their responses before the process exits.
 
 use crate::decision::deadlines::Deadline;
 use crate::decision::DecisionActor;
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 impl DecisionActor {
-    /// Requests that may last longer end at the shutdown's deadline: their attempts end by then, and the decisions respond
-    /// to them as if their own time were up.
+    /// Shortens later deadlines of open requests to the shutdown deadline. Attempts in flight time out by then, and the
+    /// decision logic answers the requests as if their own deadlines had passed.
     pub(super) fn on_shutdown(&mut self, deadline: Duration) {
         self.shutdown_deadline = Some(deadline);
         let response_due = deadline + self.response_grace();
