--- a/crates/rockflow-dispatcher/src/send_permit.rs
+++ b/crates/rockflow-dispatcher/src/send_permit.rs
@@ -1,4 +1,4 @@
-//! The permit to send an attempt: from its decision to its first byte it is either sent or withdrawn, never both.
+//! The permit to send an attempt. An attempt is either sent or withdrawn, never both.
 
 use crate::client::message::ClientMessage;
 use crate::mailbox::Mailbox;
@@ -10,20 +10,21 @@
 const SENT: u8 = 1;
 const WITHDRAWN: u8 = 2;
 
-/// Guards against an attempt that is sent on a decision that no longer holds: while it waited for a connection, its host
-/// began to drain, its object was purged, its client disconnected or its time passed. The decision is checked again
-/// where the first byte is sent.
+/// A revocable permit to send an attempt. While an attempt waits for a connection, its host may start to drain, its
+/// object may be purged, its client may disconnect or its time may run out. The permit is therefore checked right
+/// before the first byte is sent.
 ///
-/// Shared by the decisions, which withdraw it, and the connection that sends the attempt.
+/// It is shared by the decision actor, which withdraws it, and the connection that sends the attempt.
 pub struct SendPermit {
     state: AtomicU8,
-    /// The first byte is sent before this, or never.
+    /// The first byte must be sent before this time, on the clock of the process.
     send_by: Duration,
+    /// The mailbox of the client connection; it is closed when the client has disconnected.
     client: Arc<Mailbox<ClientMessage>>,
 }
 
 impl SendPermit {
-    /// A permit that expires at `send_by`, and with the connection of the client.
+    /// Creates a permit that is valid until `send_by` or the end of the client connection, whichever is first.
     pub fn new(send_by: Duration, client: Arc<Mailbox<ClientMessage>>) -> Arc<SendPermit> {
         Arc::new(SendPermit { state: AtomicU8::new(WAITING), send_by, client })
     }
@@ -33,17 +34,17 @@
         self.state.load(Ordering::Relaxed) == WAITING && now < self.send_by && !self.client.is_closed()
     }
 
-    /// Uses the permit for the first byte; false: the attempt may not be sent.
+    /// Marks the attempt as sent. Returns false if it must not be sent.
     pub fn start_sending(&self, now: Duration) -> bool {
         self.is_valid(now) && self.transition(WAITING, SENT)
     }
 
-    /// No byte was sent after all.
+    /// Reverts [`start_sending`](Self::start_sending): no byte was written, so that the attempt may still be withdrawn.
     pub fn undo_sending(&self) {
         self.transition(SENT, WAITING);
     }
 
-    /// Withdraws the permit; false: the first byte was sent already.
+    /// Withdraws the permit. Returns false if the first byte was already sent.
     pub fn withdraw(&self) -> bool {
         self.transition(WAITING, WITHDRAWN) || self.state.load(Ordering::Relaxed) == WITHDRAWN
     }
@@ -53,6 +54,7 @@
         self.state.load(Ordering::Relaxed) == SENT
     }
 
+    /// Changes the state atomically. Returns false if it was not `from`.
     fn transition(&self, from: u8, to: u8) -> bool {
         self.state.compare_exchange(from, to, Ordering::Relaxed, Ordering::Relaxed).is_ok()
     }
