--- a/crates/rockflow-dispatcher/src/backpressure.rs
+++ b/crates/rockflow-dispatcher/src/backpressure.rs
@@ -1,33 +1,34 @@
-//! Bounds on what callers of other threads leave waiting for an actor, and what replaces that which exceeds them. What
-//! replaces a purge is never laxer than the purge.
+//! Bounds on the messages that callers on other threads queue for an actor. Excess messages are replaced by a single
+//! one; what replaces purges always covers at least as much as they did.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Purges that may wait; a purge of everything replaces those beyond. The decisions look at all they hold with each, so
-/// that more would delay requests.
+/// Maximum number of queued purges; one purge of everything replaces the excess. The decision logic scans all its
+/// purges with each new one, so a larger number would delay requests.
 pub const MAX_PURGES: usize = 4096;
-/// Callers that may wait for one value. With one more, the earliest is not notified.
+/// Maximum number of callers that wait for one value. An additional caller displaces the one that has waited longest,
+/// which is then never notified.
 pub const MAX_CALLERS: usize = 4096;
 
-/// Called once, in the actor that has done what was requested; it must not wait.
+/// Called once by the actor that has completed the operation, on its coroutine; it must not block.
 pub type CompletionCallback<T> = Box<dyn FnOnce(T) + Send>;
 
-/// Counts the purges that wait.
+/// Counts the queued purges against [`MAX_PURGES`].
 #[derive(Default)]
 pub struct PurgeQuota {
     waiting: AtomicUsize,
 }
 
-/// A part of the quota, which is released when this is dropped.
+/// A reserved part of a [`PurgeQuota`], released on drop.
 pub struct PurgeReservation {
     quota: Arc<PurgeQuota>,
     count: usize,
 }
 
 impl PurgeQuota {
-    /// Reserves room for `count` purges; none: there is not enough left.
+    /// Reserves quota for `count` purges. Returns `None` if not enough is left.
     pub fn reserve(self: &Arc<Self>, count: usize) -> Option<PurgeReservation> {
         let reservation = PurgeReservation { quota: self.clone(), count };
         let before = self.waiting.fetch_add(count, Ordering::Relaxed);
@@ -41,21 +42,23 @@
     }
 }
 
-/// What became of a value that was put into a [`CoalescingSlot`].
+/// The result of [`CoalescingSlot::put`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PutOutcome {
-    /// The slot was empty, so that its reader must be notified.
+    /// Whether the slot was empty, so that the caller must notify its reader.
     pub was_empty: bool,
-    /// A caller that waited longest gave way and will not be notified.
+    /// Whether the earliest waiting caller was displaced and will never be notified.
     pub dropped_caller: bool,
 }
 
+/// The value in a slot, and the callbacks of the callers to notify about it.
 struct Waiting<T, R> {
     value: T,
     callers: VecDeque<CompletionCallback<R>>,
 }
 
-/// Holds one value in place of all that were put before it, and the callers that wait for it to be processed.
+/// Holds at most one value: those put before the reader takes it are merged into one. All their callers are notified
+/// once the merged value is processed.
 pub struct CoalescingSlot<T, R> {
     waiting: Mutex<Option<Waiting<T, R>>>,
 }
@@ -67,7 +70,7 @@
 }
 
 impl<T, R: Clone> CoalescingSlot<T, R> {
-    /// Puts the value that `join` makes from the one that waits, if any.
+    /// Puts a value. `join` computes it from the value in the slot, which is `None` if the slot is empty.
     pub fn put(&self, join: impl FnOnce(Option<T>) -> T, done: CompletionCallback<R>) -> PutOutcome {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         let (before, mut callers) = match waiting.take() {
@@ -84,7 +87,7 @@
         outcome
     }
 
-    /// Takes the value, and a function that notifies all callers that wait for it.
+    /// Takes the value, and a function that notifies all callers that wait for it. Returns `None` if the slot is empty.
     pub fn take(&self) -> Option<(T, impl FnOnce(R) + use<T, R>)> {
         let waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).take();
         waiting.map(|Waiting { value, callers }| {
--- a/crates/rockflow-dispatcher/src/caps.rs
+++ b/crates/rockflow-dispatcher/src/caps.rs
@@ -1,36 +1,38 @@
-//! Caps on what is held, derived from the configured limits.
+//! Caps on connections, memory and queues, derived from the configured limits.
 
 use crate::config::Limits;
 
-/// Descriptors besides connections: standard streams, epoll and wake-ups, listener, discovery, signals.
+/// File descriptors needed for other purposes than connections: standard streams, epoll and its wake-ups, the listener,
+/// discovery and signals.
 const OTHER_DESCRIPTORS: usize = 32;
-/// Requests that may wait for the decisions, as a multiple of the client connections.
+/// Cap on the messages in the decision actor's mailbox, per client connection.
 const QUEUED_REQUESTS_PER_CLIENT: usize = 8;
 
-/// Caps on connections, memory and queues.
+/// Caps on what one dispatcher may hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Caps {
-    /// Client connections that stay open while they have no request open.
+    /// Number of client connections above which each new one evicts an idle one.
     pub idle_clients: usize,
-    /// Client connections altogether.
+    /// Number of client connections.
     pub clients: usize,
-    /// Connections to all hosts together.
+    /// Number of connections to all hosts together.
     pub upstream_connections: usize,
-    /// Bytes of responses that are held at once, on their way from hosts to clients.
+    /// Bytes of responses that may be in memory on their way from hosts to clients.
     pub buffered_bytes: usize,
-    /// Bytes that may wait to be written on one connection to a host.
+    /// Bytes that may be queued for writing on one connection to a host.
     pub unsent_bytes: usize,
-    /// Messages that wait for the decisions before new requests are rejected.
+    /// Number of messages in the decision actor's mailbox at which new requests are rejected.
     pub queued_requests: usize,
 }
 
 impl Caps {
-    /// Derives the caps from the limits.
+    /// Computes the caps from the configured limits.
     pub fn of(limits: &Limits) -> Self {
         let memory = limits.memory_mb * 1024 * 1024;
         let descriptors = limits.sockets.saturating_sub(OTHER_DESCRIPTORS);
-        // Usual clients hold a third of the descriptors at most; the margin is for connections that are closing. Memory
-        // is counted by what is held, not by what every connection could hold.
+        // In normal operation clients use at most a third of the descriptors; they get half, as a margin for
+        // connections that are closing. The memory caps limit the bytes actually in use, not what every connection
+        // could use at most.
         let clients = (descriptors / 2).max(2);
         let upstream_connections = descriptors.saturating_sub(clients).max(1);
         Caps {
--- a/crates/rockflow-dispatcher/src/phase.rs
+++ b/crates/rockflow-dispatcher/src/phase.rs
@@ -1,21 +1,22 @@
-//! Where a dispatcher is between its start and its exit.
+//! The phases of the dispatcher process.
 
-/// A phase of the program.
+/// A phase of the process between start and exit; phases only move forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Actors are started; requests can't be decided yet.
+    /// Actors are being started; requests are not served yet.
     Starting,
     /// Requests are served.
     Serving,
-    /// A shutdown has begun; requests that still arrive are served.
+    /// A graceful shutdown has started; new requests are still served.
     Draining,
-    /// No more requests are accepted; open ones are responded to.
+    /// New requests are rejected; open ones are completed.
     Closing,
     /// The shutdown is complete.
     Stopped,
 }
 
 impl Phase {
+    /// All phases, in their order.
     pub(crate) const ALL: [Phase; 5] =
         [Phase::Starting, Phase::Serving, Phase::Draining, Phase::Closing, Phase::Stopped];
 }
--- a/crates/rockflow-dispatcher/src/status.rs
+++ b/crates/rockflow-dispatcher/src/status.rs
@@ -1,50 +1,51 @@
-//! What a dispatcher reports of itself.
+//! The status report of a dispatcher.
 
 use crate::endpoint::Endpoint;
 use rockflow::HostStatus;
 use rockflow_endpoints::AdminOverrides;
 
-/// How requests of one class have ended since the start.
+/// Counts of the ended requests of one class since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Responded with the object, or that the client's copy is current.
+    /// Answered with the object, or with the status that the client's copy is unchanged.
     pub succeeded: u64,
     /// Rejected to shed load.
     pub rejected: u64,
-    /// Failed.
+    /// Answered with a failure, or not answered in time by the decision logic.
     pub failed: u64,
-    /// The client disconnected before its response.
+    /// Ended by a disconnect of the client before its response.
     pub disconnected: u64,
 }
 
-/// The state of the dispatcher at one time.
+/// A snapshot of the state of a dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct StatusReport {
-    /// The endpoints as discovery lists them, without overrides.
+    /// The endpoints as discovery lists them, before administrative overrides.
     pub discovered: Vec<Endpoint>,
-    /// The applied overrides of operators.
+    /// The overrides set by operators that are in effect.
     pub operator_overrides: AdminOverrides,
-    /// The applied overrides of control.
+    /// The overrides set by the control nodes that are in effect.
     pub control_overrides: AdminOverrides,
-    /// What the decisions know of each host.
+    /// What the decision logic knows about each listed host.
     pub host_statuses: Vec<HostStatus>,
-    /// How requests ended, by index of the class.
+    /// Counts of the ended requests, indexed by request class.
     pub outcomes: Vec<OutcomeCounts>,
-    /// Requests that are open.
+    /// Number of open requests, including answered ones with an attempt in flight.
     pub open_requests: usize,
-    /// Messages that wait for the decisions.
+    /// Number of messages in the decision actor's mailbox.
     pub queued_messages: usize,
-    /// Requests that the decisions did not respond to in time; 0 unless something is wrong.
+    /// Number of requests that failed because the decision logic missed their deadlines. Anything but 0 indicates a
+    /// fault.
     pub overdue: u64,
 }
 
-/// How much of a capped resource is in use.
+/// The usage of one capped resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FillLevel {
-    /// Name of the resource.
+    /// Name of the resource in the management model.
     pub name: &'static str,
-    /// Its cap.
+    /// The limit, in the unit of the resource: connections, bytes or messages.
     pub cap: usize,
-    /// How much is in use.
+    /// The amount in use, in the same unit as the cap.
     pub fill: usize,
 }
