--- a/crates/rockflow-dispatcher/tests/backpressure.rs
+++ b/crates/rockflow-dispatcher/tests/backpressure.rs
@@ -1,4 +1,5 @@
-//! What waits for an actor is bounded, and what exceeds the bound is covered by something stricter.
+//! The number of purges and callers that wait for an actor is bounded, and the excess is handled without losing an
+//! effect.
 
 use rockflow_dispatcher::backpressure::{CoalescingSlot, PurgeQuota, PutOutcome, MAX_CALLERS, MAX_PURGES};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -30,7 +31,7 @@
     assert_eq!(slot.put(largest(3), done()), PutOutcome { was_empty: false, dropped_caller: false });
     let (value, notify) = slot.take().expect("a value");
     assert_eq!(value, 7);
-    // What is put from now on is for the next to take.
+    // A value that is put after `take` belongs to the next `take`.
     assert_eq!(slot.put(largest(1), done()), PutOutcome { was_empty: true, dropped_caller: false });
     notify(10);
     assert_eq!(notified.load(Ordering::Relaxed), 20);
@@ -38,7 +39,7 @@
     assert!(slot.take().is_none());
 }
 
-/// The latest are notified, the earliest are not.
+/// Past the cap, the callers that waited longest are dropped and all others are notified.
 #[test]
 fn slot_drops_earliest_caller_past_its_cap() {
     const BEYOND: usize = 100;
@@ -47,7 +48,6 @@
         let notified = notified.clone();
         slot.put(|_| n, Box::new(move |()| notified.lock().unwrap().push(n))).dropped_caller
     });
-    // Whether a caller gave way.
     assert_eq!(all.filter(|dropped| *dropped).count(), BEYOND);
     let (value, notify) = slot.take().expect("a value");
     assert_eq!(value, MAX_CALLERS + BEYOND - 1);
--- a/crates/rockflow-dispatcher/tests/panics.rs
+++ b/crates/rockflow-dispatcher/tests/panics.rs
@@ -1,4 +1,5 @@
-//! Callers that wait for the decisions are notified also where these panic over it, and then only once they go by it.
+//! Callers that wait for a change are notified even if the decision logic panics over it, and only once the restarted
+//! decision logic has applied the change.
 
 mod common;
 
@@ -8,12 +9,13 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// How many times more a panic is forced as changes are applied to the decisions.
+/// How many more panics to force when changes are applied to the decision logic.
 static PANICS: AtomicUsize = AtomicUsize::new(0);
 
-/// Reads the log, and panics over a line of the decisions' actor.
+/// Panics inside the decision actor when it logs that changes are being applied.
 struct PanickingSubscriber;
 
+/// The formatted fields of a log event.
 #[derive(Default)]
 struct Text(String);
 
