--- a/crates/rockflow-dispatcher/src/client/connection.rs
+++ b/crates/rockflow-dispatcher/src/client/connection.rs
@@ -31,7 +31,7 @@
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Consecutive rounds with progress before the coroutine yields, so that a client that always sends more does not
 /// starve other connections.
-const ROUNDS_PER_TURN: u64 = 16;
+const ROUNDS_BEFORE_YIELD: u64 = 16;
 /// Holds one complete head and the start of a pipelined one.
 const RECEIVE_BUFFER_BYTES: usize = 2 * client::MAX_HEAD_BYTES;
 /// Size of the buffer for one read of bytes that are discarded.
@@ -62,31 +62,31 @@
     stream: TcpStream,
     slot: Arc<ClientSlot>,
     buffer: Buffer,
-    open: Option<OpenRequest>,
+    open_request: Option<OpenRequest>,
     /// Whether new bytes are discarded. Complete requests in the buffer still get their responses, then the connection
     /// closes.
-    ending: bool,
+    discards_input: bool,
     /// Number of bytes discarded while a request was open, or since the last response was written.
     discarded_bytes: usize,
     /// Whether the connection expired while idle: it closes unless a complete request is already in the buffer.
-    shutting: bool,
+    close_pending: bool,
     /// Start of the head timeout: when the connection was accepted, the first byte of a head arrived, or the previous
     /// response was written if a pipelined head follows. `None` if no head is expected or arriving.
-    head_started: Option<Duration>,
+    head_started_at: Option<Duration>,
     /// Whether the buffered bytes are pipelined: they began to arrive before the previous response was written.
     is_pipelined: bool,
     /// Whether the registry has asked this connection to close if it is idle.
-    yielding: bool,
+    eviction_pending: bool,
     /// Whether this connection's request is counted in `ClientRegistry::open_requests`.
-    is_counted: bool,
+    is_counted_as_open: bool,
     response: OutgoingResponse,
     /// Whether the connection closes after the current response, or now if none is being written.
-    is_last: bool,
+    closes_after_response: bool,
     /// Whether the sending side is shut down and the connection waits for the client to close.
-    lingering: bool,
+    is_lingering: bool,
     /// When the connection was accepted, received a complete request, got a response to write, or wrote a part of one,
     /// whichever was last.
-    last_progress: Duration,
+    last_progress_at: Duration,
 }
 
 impl<'a> ClientConnection<'a> {
@@ -101,18 +101,18 @@
             stream,
             slot,
             buffer: Buffer::new(RECEIVE_BUFFER_BYTES),
-            open: None,
-            ending: false,
+            open_request: None,
+            discards_input: false,
             discarded_bytes: 0,
-            shutting: false,
-            head_started: Some(now),
+            close_pending: false,
+            head_started_at: Some(now),
             is_pipelined: false,
-            yielding: false,
-            is_counted: false,
+            eviction_pending: false,
+            is_counted_as_open: false,
             response: OutgoingResponse::default(),
-            is_last: false,
-            lingering: false,
-            last_progress: now,
+            closes_after_response: false,
+            is_lingering: false,
+            last_progress_at: now,
         }
     }
 
@@ -126,7 +126,7 @@
                 Ok(false) => {
                     self.stream.wait_io();
                 }
-                Ok(true) if round.is_multiple_of(ROUNDS_PER_TURN) => may::coroutine::yield_now(),
+                Ok(true) if round.is_multiple_of(ROUNDS_BEFORE_YIELD) => may::coroutine::yield_now(),
                 Ok(true) => {}
             }
         }
@@ -136,13 +136,13 @@
     /// client, because send permits check whether its mailbox is closed.
     pub(super) fn close(&mut self) -> Option<RequestId> {
         self.slot.mailbox.close();
-        self.open.take().map(|open| open.id)
+        self.open_request.take().map(|request| request.id)
     }
 
     /// Removes the response body and the open request of this connection from the registry's counters.
-    pub(super) fn release(&mut self) {
+    pub(super) fn release_counters(&mut self) {
         self.set_body(Vec::new());
-        self.settle();
+        self.uncount_open_request();
     }
 
     /// Reads, handles messages, writes, and starts the next request. Returns whether any of these made progress.
@@ -155,25 +155,29 @@
             ReadOutcome::Progress => return Ok(true),
             ReadOutcome::Nothing => {}
         }
-        let mut progress = self.take_messages()?;
+        let mut progress = self.handle_messages()?;
         let wrote = self.write().map_err(|_| EndReason::WriteFailed)?;
-        progress |= if self.is_last && self.response.is_complete() { self.linger() } else { wrote };
-        if !progress && self.is_idle() && !self.is_last {
+        progress |= if self.closes_after_response && self.response.is_complete() {
+            self.start_lingering()
+        } else {
+            wrote
+        };
+        if !progress && self.is_idle() && !self.closes_after_response {
             progress = self.start_next();
         }
-        if !progress && std::mem::take(&mut self.yielding) && self.is_idle() {
-            return Err(EndReason::Yielded);
+        if !progress && std::mem::take(&mut self.eviction_pending) && self.is_idle() {
+            return Err(EndReason::Evicted);
         }
         Ok(progress)
     }
 
-    fn take_messages(&mut self) -> Result<bool, EndReason> {
+    fn handle_messages(&mut self) -> Result<bool, EndReason> {
         let mut progress = false;
         while let Some(message) = self.slot.mailbox.take() {
             match message {
-                ClientMessage::Respond(request, response) => progress |= self.complete(request, response),
+                ClientMessage::Respond(request, response) => progress |= self.respond_to(request, response),
                 ClientMessage::Inspect => self.inspect()?,
-                ClientMessage::Yield => self.yielding = true,
+                ClientMessage::Evict => self.eviction_pending = true,
             }
         }
         Ok(progress)
@@ -183,10 +187,10 @@
         if !self.is_expired() {
             return Ok(());
         }
-        if !self.is_idle() || self.is_last {
+        if !self.is_idle() || self.closes_after_response {
             return Err(EndReason::Expired);
         }
-        self.shutting = true;
+        self.close_pending = true;
         Ok(())
     }
 
@@ -194,24 +198,24 @@
     /// does not read its response.
     fn is_expired(&self) -> bool {
         let now = self.registry.clock.now();
-        let stalled = now.saturating_sub(self.last_progress);
-        if self.open.is_some() {
-            return stalled > 2 * self.registry.max_deadline;
+        let since_progress = now.saturating_sub(self.last_progress_at);
+        if self.open_request.is_some() {
+            return since_progress > 2 * self.registry.max_deadline;
         }
         if !self.response.is_complete() {
-            return stalled > self.registry.max_deadline;
+            return since_progress > self.registry.max_deadline;
         }
-        if self.lingering {
-            return stalled > LINGER_TIMEOUT;
+        if self.is_lingering {
+            return since_progress > LINGER_TIMEOUT;
         }
         let is_head_late =
-            self.head_started.is_some_and(|started| now.saturating_sub(started) > HEAD_TIMEOUT);
-        self.is_closing() || stalled > IDLE_TIMEOUT || is_head_late
+            self.head_started_at.is_some_and(|started| now.saturating_sub(started) > HEAD_TIMEOUT);
+        self.is_closing() || since_progress > IDLE_TIMEOUT || is_head_late
     }
 
     /// Whether no request is open and the last response is completely written.
     fn is_idle(&self) -> bool {
-        self.open.is_none() && self.response.is_complete()
+        self.open_request.is_none() && self.response.is_complete()
     }
 
     fn is_closing(&self) -> bool {
@@ -225,13 +229,13 @@
         if self.read_head() {
             return true;
         }
-        if !std::mem::take(&mut self.shutting) {
+        if !std::mem::take(&mut self.close_pending) {
             return false;
         }
         // Incomplete pipelined bytes get no error response: the client could take it for a second response to its
         // previous request.
         if !has_partial_head || self.is_pipelined {
-            self.end_silently();
+            self.close_without_response();
         } else if self.is_closing() {
             self.respond(Response::Rejected { retry_after: None }, Persistence::Close);
         } else {
@@ -243,9 +247,9 @@
 
     /// Closes the connection without a further response. Later bytes are discarded: the client sent them before it
     /// saw the connection close.
-    fn end_silently(&mut self) {
-        self.is_last = true;
-        self.last_progress = self.registry.clock.now();
+    fn close_without_response(&mut self) {
+        self.closes_after_response = true;
+        self.last_progress_at = self.registry.clock.now();
     }
 
     /// Handles the next request head in the buffer. Returns false if no head is complete.
@@ -254,12 +258,12 @@
             return false;
         }
         if self.is_pipelined && self.pipelined_bytes() == PipelinedBytes::Unusable {
-            self.end_silently();
+            self.close_without_response();
             return true;
         }
         let Some(head) = client::decode_request(self.buffer.filled()) else { return false };
         self.buffer.consume(head.length);
-        self.head_started = None;
+        self.head_started_at = None;
         self.is_pipelined = false;
         let persistence = head.persistence;
         match head.request {
@@ -278,54 +282,54 @@
                 self.respond(Response::Rejected { retry_after: None }, persistence);
             }
             // Keeps a pipelining client from holding its connection while no further connection can be accepted.
-            ParsedRequest::Fetch(_) if self.ending && self.registry.ends_connections() => {
+            ParsedRequest::Fetch(_) if self.discards_input && self.registry.ends_connections() => {
                 self.respond(Response::Rejected { retry_after: None }, persistence);
             }
             ParsedRequest::Fetch(_) if self.registry.decisions.len() >= self.registry.max_queued_requests => {
                 self.respond(Response::Rejected { retry_after: None }, persistence);
             }
-            ParsedRequest::Fetch(request) => self.open_request(request, persistence),
+            ParsedRequest::Fetch(request) => self.start_request(request, persistence),
         }
         true
     }
 
-    fn open_request(&mut self, request: Box<ClientRequest>, persistence: Persistence) {
+    fn start_request(&mut self, request: Box<ClientRequest>, persistence: Persistence) {
         let id = RequestId(self.registry.next_request_id());
-        self.open = Some(OpenRequest { id, persistence });
+        self.open_request = Some(OpenRequest { id, persistence });
         self.registry.open_requests.fetch_add(1, Ordering::Relaxed);
-        self.is_counted = true;
+        self.is_counted_as_open = true;
         let arrived = self.registry.clock.now();
-        self.last_progress = arrived;
+        self.last_progress_at = arrived;
         self.slot.set_busy();
         let client = self.slot.mailbox.clone();
         self.registry.decisions.send(DecisionMessage::RequestReceived { id, request, client, arrived });
     }
 
     /// Responds to the open request. Returns false and drops the response if it belongs to another request.
-    fn complete(&mut self, request: RequestId, response: Response) -> bool {
-        let Some(open) = self.open.take_if(|open| open.id == request) else { return false };
+    fn respond_to(&mut self, request: RequestId, response: Response) -> bool {
+        let Some(open) = self.open_request.take_if(|open| open.id == request) else { return false };
         self.respond(response, open.persistence);
         true
     }
 
     fn respond(&mut self, response: Response, requested: Persistence) {
-        self.shutting = false;
+        self.close_pending = false;
         let persistence = self.persistence_of_response(requested);
         self.response.head = client::encode_response(&response, persistence);
         let body = if let Response::Succeeded { body, .. } = response { body } else { Vec::new() };
         self.set_body(body);
         self.response.written = 0;
-        self.is_last = persistence == Persistence::Close;
-        self.last_progress = self.registry.clock.now();
+        self.closes_after_response = persistence == Persistence::Close;
+        self.last_progress_at = self.registry.clock.now();
     }
 
     /// Whether the connection stays open after the current response. A connection that is about to close first
     /// answers the complete requests pipelined after this one. Pipelined bytes that cannot become a request close it.
     fn persistence_of_response(&mut self, requested: Persistence) -> Persistence {
-        self.ending |= self.registry.ends_connections();
+        self.discards_input |= self.registry.ends_connections();
         match self.pipelined_bytes() {
             PipelinedBytes::Request => requested,
-            PipelinedBytes::Nothing | PipelinedBytes::PartialRequest if !self.ending => requested,
+            PipelinedBytes::Nothing | PipelinedBytes::PartialRequest if !self.discards_input => requested,
             _ => Persistence::Close,
         }
     }
@@ -349,7 +353,7 @@
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(length) => {
                     self.response.written += length;
-                    self.last_progress = self.registry.clock.now();
+                    self.last_progress_at = self.registry.clock.now();
                     wrote = true;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(wrote),
@@ -360,8 +364,8 @@
         if wrote {
             self.on_response_written();
         }
-        if self.open.is_none() {
-            self.settle();
+        if self.open_request.is_none() {
+            self.uncount_open_request();
         }
         Ok(wrote)
     }
@@ -373,17 +377,17 @@
         self.is_pipelined = pipelined != PipelinedBytes::Nothing;
         // Closes the connection if unusable bytes follow the request: an error response to them would be a second
         // response to one request. Bytes that arrived while the response was being written are seen only here.
-        self.is_last |= pipelined == PipelinedBytes::Unusable;
+        self.closes_after_response |= pipelined == PipelinedBytes::Unusable;
         // The head timeout of a pipelined request starts once the previous response is written.
-        self.head_started = (!self.buffer.filled().is_empty()).then_some(self.last_progress);
+        self.head_started_at = (!self.buffer.filled().is_empty()).then_some(self.last_progress_at);
         // A connection that is closing has no response pending, so it is the first to be evicted.
-        let idle_since = if self.is_last { Duration::ZERO } else { self.last_progress };
+        let idle_since = if self.closes_after_response { Duration::ZERO } else { self.last_progress_at };
         self.slot.set_idle_since(idle_since);
     }
 
     /// Removes this connection's request from the count of open requests, if it is counted.
-    fn settle(&mut self) {
-        if std::mem::take(&mut self.is_counted) {
+    fn uncount_open_request(&mut self) {
+        if std::mem::take(&mut self.is_counted_as_open) {
             self.registry.open_requests.fetch_sub(1, Ordering::Relaxed);
         }
     }
@@ -391,18 +395,18 @@
     /// Reads from the socket, even while a request is open: otherwise a disconnect would go unnoticed.
     fn read(&mut self) -> ReadOutcome {
         // With a full buffer, reading must go on to notice a disconnect, so further bytes are discarded.
-        if self.open.is_some() && self.buffer.spare().is_none() {
-            self.ending = true;
+        if self.open_request.is_some() && self.buffer.spare().is_none() {
+            self.discards_input = true;
         }
-        if self.ending || self.lingering {
+        if self.discards_input || self.is_lingering {
             return self.discard();
         }
         let Some(spare) = self.buffer.spare() else { return ReadOutcome::Nothing };
         let outcome = self.stream.inner().read(spare);
         if let Ok(length) = outcome {
             self.buffer.commit(length);
-            if self.open.is_none() && self.head_started.is_none() {
-                self.head_started = Some(self.registry.clock.now());
+            if self.open_request.is_none() && self.head_started_at.is_none() {
+                self.head_started_at = Some(self.registry.clock.now());
             }
         }
         read_outcome(outcome)
@@ -412,7 +416,7 @@
     /// and ends the connection, unless it lingers: then it reads no more and waits for the client or the timeout.
     fn discard(&mut self) -> ReadOutcome {
         if self.discarded_bytes > MAX_DISCARDED_BYTES {
-            return if self.lingering { ReadOutcome::Nothing } else { ReadOutcome::Failed };
+            return if self.is_lingering { ReadOutcome::Nothing } else { ReadOutcome::Failed };
         }
         let outcome = self.stream.inner().read(&mut [0; DISCARD_BUFFER_BYTES]);
         self.discarded_bytes += outcome.as_ref().map_or(0, |length| *length);
@@ -422,8 +426,8 @@
     /// Starts a lingering close: shuts down the sending side, and then bytes are discarded until the client closes
     /// too. Closing a socket with unread bytes would reset the connection, and the client could lose its last
     /// response. Returns whether this call shut down the sending side.
-    fn linger(&mut self) -> bool {
-        if std::mem::replace(&mut self.lingering, true) {
+    fn start_lingering(&mut self) -> bool {
+        if std::mem::replace(&mut self.is_lingering, true) {
             return false;
         }
         self.discarded_bytes = self.buffer.filled().len();
--- a/crates/rockflow-dispatcher/src/client/end_reason.rs
+++ b/crates/rockflow-dispatcher/src/client/end_reason.rs
@@ -11,7 +11,7 @@
     /// A read failed, or the client sent too many bytes while a request was open.
     ReadFailed,
     /// The connection was idle, and a newer one needed its slot.
-    Yielded,
+    Evicted,
     /// The actor of the connection panicked.
     Panicked,
 }
@@ -24,7 +24,7 @@
             EndReason::WriteFailed => "write failed",
             EndReason::EndOfStream => "end of stream",
             EndReason::ReadFailed => "read failed",
-            EndReason::Yielded => "yielded",
+            EndReason::Evicted => "yielded",
             EndReason::Panicked => "panicked",
         }
     }
--- a/crates/rockflow-dispatcher/src/client/message.rs
+++ b/crates/rockflow-dispatcher/src/client/message.rs
@@ -10,5 +10,5 @@
     /// Check the timeouts of the connection and close it if one has passed.
     Inspect,
     /// Close if the connection is idle: its slot is needed for another one.
-    Yield,
+    Evict,
 }
--- a/crates/rockflow-dispatcher/src/client/mod.rs
+++ b/crates/rockflow-dispatcher/src/client/mod.rs
@@ -37,5 +37,5 @@
         debug!(request = request.0, reason = reason.as_str(), "client disconnected before its response");
         registry.decisions.send(DecisionMessage::ClientDisconnected(request));
     }
-    connection.release();
+    connection.release_counters();
 }
--- a/crates/rockflow-dispatcher/src/client/registry.rs
+++ b/crates/rockflow-dispatcher/src/client/registry.rs
@@ -138,7 +138,7 @@
         let longest_idle = slots.values().min_by_key(|slot| slot.idle_since());
         if let Some(slot) = longest_idle.filter(|slot| slot.idle_since() != BUSY) {
             slot.set_busy();
-            slot.mailbox.send(ClientMessage::Yield);
+            slot.mailbox.send(ClientMessage::Evict);
         }
     }
 
