--- a/crates/rockflow-dispatcher/src/decision/attempts.rs
+++ b/crates/rockflow-dispatcher/src/decision/attempts.rs
@@ -43,13 +43,13 @@
         let mailbox = self.host_mailbox(attempt.host);
         let source = attempt.source.and_then(|source| self.hosts.get(&source));
         let source = source.map(|source| source.endpoint.name.clone());
-        let Some(open) = self.requests.get_mut(id) else {
+        let Some(open_request) = self.requests.get_mut(id) else {
             return error!(request = id.0, "attempt of an unknown request");
         };
-        let key = AttemptKey { request: id, attempt: AttemptNumber(open.attempts.len() as u16) };
-        let limits = attempt_limits(&attempt, open.deadline, now);
-        let permit = SendPermit::new(limits.send_by, open.client.clone());
-        open.attempts.push(AttemptState {
+        let key = AttemptKey { request: id, attempt: AttemptNumber(open_request.attempts.len() as u16) };
+        let limits = attempt_limits(&attempt, open_request.deadline, now);
+        let permit = SendPermit::new(limits.send_by, open_request.client.clone());
+        open_request.attempts.push(AttemptState {
             host: attempt.host,
             source: attempt.source,
             mailbox: mailbox.clone(),
@@ -65,7 +65,8 @@
         let lacks_source = attempt.source.is_some() && source.is_none();
         match mailbox.filter(|_| !lacks_source) {
             Some(mailbox) => {
-                let outgoing = encode_attempt(open, &attempt, key, source.as_deref(), limits.timeout, permit);
+                let outgoing =
+                    encode_attempt(open_request, &attempt, key, source.as_deref(), limits.timeout, permit);
                 mailbox.send(HostMessage::Send(outgoing));
             }
             None => self.end_without_response(key, Outcome::NotSent),
@@ -88,9 +89,9 @@
         matches: impl Fn(AttemptKey, &OpenRequest, &AttemptState) -> bool,
     ) {
         let mut withdrawn = Vec::new();
-        for (id, open) in self.requests.iter() {
-            for (key, attempt) in open.in_flight(id) {
-                if matches(key, open, attempt) && attempt.permit.withdraw() {
+        for (id, open_request) in self.requests.iter() {
+            for (key, attempt) in open_request.in_flight(id) {
+                if matches(key, open_request, attempt) && attempt.permit.withdraw() {
                     withdrawn.push(key);
                 }
             }
@@ -139,8 +140,8 @@
     /// Reports the end of an attempt to the decision logic; does nothing if it has already ended.
     fn end_attempt(&mut self, key: AttemptKey, result: AttemptResult) {
         let now = self.dependencies.clock.now();
-        let Some(open) = self.requests.get_mut(key.request) else { return };
-        let attempt = open.attempts.get_mut(usize::from(key.attempt.0));
+        let Some(open_request) = self.requests.get_mut(key.request) else { return };
+        let attempt = open_request.attempts.get_mut(usize::from(key.attempt.0));
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
@@ -149,7 +150,7 @@
             host: attempt.host,
             outcome: result.outcome,
             duration: now.saturating_sub(attempt.started),
-            request_finished: open.is_responded,
+            request_finished: open_request.is_responded,
             cache_status: result.cache_status,
             fill_wait: result.fill_wait,
             first_byte_sent: attempt.permit.is_sent(),
@@ -168,7 +169,7 @@
 
 /// Encodes the request line of an attempt. The options that concern fills are set only if it has a source.
 fn encode_attempt(
-    open: &OpenRequest,
+    open_request: &OpenRequest,
     attempt: &Attempt,
     key: AttemptKey,
     source: Option<&str>,
@@ -177,10 +178,10 @@
 ) -> OutgoingAttempt {
     let has_source = source.is_some();
     let fetch = FetchRequest {
-        id: &open.request.call_id,
-        class: &open.request.class,
-        object: &open.request.object,
-        part: open.request.part,
+        id: &open_request.request.call_id,
+        class: &open_request.request.class,
+        object: &open_request.request.object,
+        part: open_request.request.part,
         timeout,
         source,
         cache_priority: attempt.cache_priority as u8,
@@ -189,11 +190,11 @@
         cached_at_source_only: has_source && attempt.cached_at_source_only,
         no_store_at_parent: has_source && attempt.no_store_at_parent,
         revalidate: has_source && attempt.revalidate,
-        cached_tag: open.request.cached_tag.as_deref(),
+        cached_tag: open_request.request.cached_tag.as_deref(),
     };
     OutgoingAttempt {
         key,
-        id: open.request.call_id.clone(),
+        id: open_request.request.call_id.clone(),
         names_cached_copy: fetch.cached_tag.is_some(),
         line: fetch.encode(),
         permit,
--- a/crates/rockflow-dispatcher/src/decision/mod.rs
+++ b/crates/rockflow-dispatcher/src/decision/mod.rs
@@ -72,11 +72,11 @@
     /// Events that the decision logic has not handled yet.
     events: VecDeque<Event>,
     /// Called once all pending events are handled. One callback suffices, because no further message is taken before.
-    on_decided: Option<CompletionCallback<()>>,
+    on_events_handled: Option<CompletionCallback<()>>,
     /// When the last open request must have its response. `None` until a shutdown starts.
     shutdown_deadline: Option<Duration>,
     /// Number of requests that failed because the decision logic missed their deadlines.
-    overdue: u64,
+    overdue_requests: u64,
 }
 
 impl DecisionActor {
@@ -92,9 +92,9 @@
             purges: PurgeLog::new(),
             deadlines: DeadlineQueue::default(),
             events: VecDeque::new(),
-            on_decided: None,
+            on_events_handled: None,
             shutdown_deadline: None,
-            overdue: 0,
+            overdue_requests: 0,
         };
         for action in actor.dispatcher.start() {
             actor.apply_action(action);
@@ -123,12 +123,12 @@
     /// Handles pending events, due deadlines and at most one message. Returns how long the actor may wait before the
     /// next step, or `None` if only a message can give it work.
     fn step(&mut self) -> Option<Duration> {
-        self.decide();
+        self.handle_events();
         // A delay of this actor must not turn responses that are already in its mailbox into timeouts. While messages
         // wait, deadlines are therefore postponed by the response grace at most.
         let has_messages = !self.dependencies.mailbox.is_empty();
-        let patience = if has_messages { self.response_grace() } else { Duration::ZERO };
-        self.run_due_deadlines(self.dependencies.clock.now().saturating_sub(patience));
+        let postponement = if has_messages { self.response_grace() } else { Duration::ZERO };
+        self.run_due_deadlines(self.dependencies.clock.now().saturating_sub(postponement));
         if let Some(message) = self.dependencies.mailbox.take() {
             self.on_message(message);
             return Some(Duration::ZERO);
@@ -137,23 +137,23 @@
     }
 
     /// Feeds all pending events to the decision logic, carries out its actions, and then calls the waiting callback.
-    fn decide(&mut self) {
+    fn handle_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             for action in self.dispatcher.handle(self.dependencies.clock.now(), event) {
                 self.apply_action(action);
             }
         }
-        if let Some(done) = self.on_decided.take() {
+        if let Some(done) = self.on_events_handled.take() {
             done(());
         }
     }
 
     /// Handles the pending events, then calls `done`. If the decision logic panics, `done` is called once it has
     /// restarted with the change applied.
-    fn decide_then(&mut self, done: Option<CompletionCallback<()>>) {
-        self.on_decided = done;
+    fn handle_events_then(&mut self, done: Option<CompletionCallback<()>>) {
+        self.on_events_handled = done;
         debug!(events = self.events.len(), "applying changes to the decisions");
-        self.decide();
+        self.handle_events();
     }
 
     fn on_message(&mut self, message: DecisionMessage) {
@@ -175,7 +175,7 @@
                 if scope != ListScope::Changes || !entries.is_empty() {
                     self.apply_endpoints(scope, entries);
                 }
-                self.decide_then(done);
+                self.handle_events_then(done);
             }
             DecisionMessage::PurgesReceived { purges, done } => self.on_purges(purges, done),
             DecisionMessage::PurgeEverything(slot) => {
@@ -194,7 +194,7 @@
         report.outcomes = self.requests.outcomes().to_vec();
         report.open_requests = self.requests.len();
         report.queued_messages = self.dependencies.mailbox.len();
-        report.overdue = self.overdue;
+        report.overdue = self.overdue_requests;
         report
     }
 
@@ -229,12 +229,12 @@
         while let Some(deadline) = self.deadlines.pop_due(time) {
             match deadline {
                 Deadline::AttemptTimeout(key) => self.cancel_attempt(key, Outcome::TimedOut),
-                Deadline::SendBy(late) => self.withdraw_unsent(|key, _, _| key == late),
+                Deadline::SendBy(unsent) => self.withdraw_unsent(|key, _, _| key == unsent),
                 Deadline::HealthCheck(tag) => self.end_health_check(tag, Outcome::TimedOut, Vec::new()),
                 Deadline::Timer(timer) => self.events.push_back(Event::TimerFired(timer)),
                 Deadline::Response(id) => self.on_response_overdue(id),
             }
-            self.decide();
+            self.handle_events();
         }
     }
 }
--- a/crates/rockflow-dispatcher/src/decision/open_request.rs
+++ b/crates/rockflow-dispatcher/src/decision/open_request.rs
@@ -61,8 +61,8 @@
 
     /// The attempts that have not ended, with their keys.
     pub(super) fn in_flight(&self, id: RequestId) -> impl Iterator<Item = (AttemptKey, &AttemptState)> {
-        let numbered = self.attempts.iter().enumerate();
-        numbered.filter(|(_, attempt)| attempt.is_in_flight).map(move |(number, attempt)| {
+        let numbered_attempts = self.attempts.iter().enumerate();
+        numbered_attempts.filter(|(_, attempt)| attempt.is_in_flight).map(move |(number, attempt)| {
             let key = AttemptKey { request: id, attempt: AttemptNumber(number as u16) };
             (key, attempt)
         })
@@ -76,7 +76,7 @@
 
 /// Owns the open requests and counts their outcomes.
 pub(super) struct RequestTable {
-    open: BTreeMap<RequestId, OpenRequest>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     /// The client-assigned ids of the requests that have no response yet.
     call_ids: BTreeSet<String>,
     /// Outcome counts, indexed by request class.
@@ -86,14 +86,14 @@
 impl RequestTable {
     pub(super) fn new(classes: usize) -> Self {
         RequestTable {
-            open: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             call_ids: BTreeSet::new(),
             outcomes: vec![OutcomeCounts::default(); classes],
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.open.len()
+        self.open_requests.len()
     }
 
     pub(super) fn outcomes(&self) -> &[OutcomeCounts] {
@@ -101,24 +101,24 @@
     }
 
     pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
-        self.open.get(&id)
+        self.open_requests.get(&id)
     }
 
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
-        self.open.get_mut(&id)
+        self.open_requests.get_mut(&id)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest)> {
-        self.open.iter().map(|(id, open)| (*id, open))
+        self.open_requests.iter().map(|(id, open_request)| (*id, open_request))
     }
 
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (RequestId, &mut OpenRequest)> {
-        self.open.iter_mut().map(|(id, open)| (*id, open))
+        self.open_requests.iter_mut().map(|(id, open_request)| (*id, open_request))
     }
 
     /// The attempt with this key. `None` if it is unknown or has ended.
     pub(super) fn in_flight(&self, key: AttemptKey) -> Option<&AttemptState> {
-        let attempt = self.open.get(&key.request)?.attempts.get(usize::from(key.attempt.0))?;
+        let attempt = self.open_requests.get(&key.request)?.attempts.get(usize::from(key.attempt.0))?;
         Some(attempt).filter(|attempt| attempt.is_in_flight)
     }
 
@@ -127,8 +127,8 @@
         self.call_ids.insert(call_id.to_string())
     }
 
-    pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
-        self.open.insert(id, open);
+    pub(super) fn insert(&mut self, id: RequestId, open_request: OpenRequest) {
+        self.open_requests.insert(id, open_request);
     }
 
     /// Counts a request whose client disconnected before it was opened.
@@ -138,47 +138,51 @@
 
     /// Records that the client of a request disconnected. Returns false if the request is not open.
     pub(super) fn disconnect(&mut self, id: RequestId) -> bool {
-        let Some(open) = self.open.get_mut(&id) else { return false };
-        if !std::mem::replace(&mut open.is_responded, true) {
-            self.call_ids.remove(&open.request.call_id);
-            self.outcomes[open.class].disconnected += 1;
+        let Some(open_request) = self.open_requests.get_mut(&id) else { return false };
+        if !std::mem::replace(&mut open_request.is_responded, true) {
+            self.call_ids.remove(&open_request.request.call_id);
+            self.outcomes[open_request.class].disconnected += 1;
         }
         true
     }
 
     /// Sends the response to a request. Does nothing if the request already has one or is not open.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.is_responded) else { return };
-        open.is_responded = true;
-        self.call_ids.remove(&open.request.call_id);
-        let counts = &mut self.outcomes[open.class];
+        let Some(open_request) =
+            self.open_requests.get_mut(&id).filter(|open_request| !open_request.is_responded)
+        else {
+            return;
+        };
+        open_request.is_responded = true;
+        self.call_ids.remove(&open_request.request.call_id);
+        let counts = &mut self.outcomes[open_request.class];
         match &response {
             Response::Succeeded { .. } | Response::NotModified { .. } => counts.succeeded += 1,
             Response::Rejected { .. } => counts.rejected += 1,
             Response::Failed | Response::Healthy | Response::Invalid(_) => counts.failed += 1,
         }
-        open.client.send(ClientMessage::Respond(id, response));
+        open_request.client.send(ClientMessage::Respond(id, response));
         self.remove_finished(id);
     }
 
     /// Removes a request if it has its response and no attempt in flight.
     pub(super) fn remove_finished(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(OpenRequest::is_finished) {
-            self.open.remove(&id);
+        if self.open_requests.get(&id).is_some_and(OpenRequest::is_finished) {
+            self.open_requests.remove(&id);
         }
     }
 
     /// Ends all requests: withdraws or cancels their attempts, and responds to each open one that it failed.
     pub(super) fn fail_all(&mut self) {
         self.call_ids.clear();
-        for (id, open) in std::mem::take(&mut self.open) {
-            for (key, attempt) in open.in_flight(id) {
+        for (id, open_request) in std::mem::take(&mut self.open_requests) {
+            for (key, attempt) in open_request.in_flight(id) {
                 attempt.permit.withdraw();
                 attempt.send_cancel(key, CancelReason::Withdrawn);
             }
-            if !open.is_responded {
-                self.outcomes[open.class].failed += 1;
-                open.client.send(ClientMessage::Respond(id, Response::Failed));
+            if !open_request.is_responded {
+                self.outcomes[open_request.class].failed += 1;
+                open_request.client.send(ClientMessage::Respond(id, Response::Failed));
             }
         }
     }
--- a/crates/rockflow-dispatcher/src/decision/purges.rs
+++ b/crates/rockflow-dispatcher/src/decision/purges.rs
@@ -14,12 +14,12 @@
 pub(super) struct PurgeLog {
     purges: Vec<Purge>,
     /// Number of purges at which the expired ones are removed.
-    prune_at: usize,
+    prune_threshold: usize,
 }
 
 impl PurgeLog {
     pub(super) fn new() -> Self {
-        PurgeLog { purges: Vec::new(), prune_at: MIN_PRUNE_SIZE }
+        PurgeLog { purges: Vec::new(), prune_threshold: MIN_PRUNE_SIZE }
     }
 
     /// Removes and returns all purges.
@@ -30,9 +30,9 @@
     /// Adds purges, and from time to time removes those older than `window`.
     fn extend(&mut self, purges: Vec<Purge>, clock: Clock, window: Duration) {
         self.purges.extend(purges);
-        if self.purges.len() >= self.prune_at {
+        if self.purges.len() >= self.prune_threshold {
             self.prune(clock, window);
-            self.prune_at = MIN_PRUNE_SIZE.max(2 * self.purges.len());
+            self.prune_threshold = MIN_PRUNE_SIZE.max(2 * self.purges.len());
         }
     }
 
@@ -44,8 +44,8 @@
             return;
         }
         let timestamps = self.purges.iter().map(|purge| purge.purged_at);
-        let youngest = timestamps.min_by_key(|purged_at| purged_at.age(clock));
-        self.purges = youngest.map(Purge::everything).into_iter().collect();
+        let most_recent = timestamps.min_by_key(|purged_at| purged_at.age(clock));
+        self.purges = most_recent.map(Purge::everything).into_iter().collect();
     }
 }
 
@@ -53,7 +53,7 @@
     /// Applies purges, and calls `done` once the decision logic has handled them.
     pub(super) fn on_purges(&mut self, purges: Vec<Purge>, done: Option<CompletionCallback<()>>) {
         self.apply_purges(purges);
-        self.decide_then(done);
+        self.handle_events_then(done);
     }
 
     /// Queues purges for the decision logic, withdraws the unsent attempts that they cover, and keeps them for a
@@ -66,8 +66,8 @@
             age: purge.purged_at.age(clock),
         }));
         // Unsent attempts were decided without these purges.
-        self.withdraw_unsent(|_, open, _| {
-            let (object, group) = (open.object(), open.group());
+        self.withdraw_unsent(|_, open_request, _| {
+            let (object, group) = (open_request.object(), open_request.group());
             purges.iter().any(|purge| purge.covers(object, group))
         });
         self.purges.extend(purges, clock, self.dependencies.deployment.purge_window);
--- a/crates/rockflow-dispatcher/src/decision/requests.rs
+++ b/crates/rockflow-dispatcher/src/decision/requests.rs
@@ -49,9 +49,9 @@
             size_kb: request.size_kb,
             previous_attempts: Vec::new(),
         }));
-        let open =
+        let open_request =
             OpenRequest { class, request, client, deadline, is_responded: false, attempts: Vec::new() };
-        self.requests.insert(id, open);
+        self.requests.insert(id, open_request);
     }
 
     /// Passes a client's disconnect to the decision logic and withdraws its unsent attempts.
@@ -68,7 +68,7 @@
     /// Fails a request that the decision logic has not answered in time or before the process exits. The decision
     /// logic then handles it as if its client had disconnected.
     pub(super) fn on_response_overdue(&mut self, id: RequestId) {
-        if self.requests.get(id).is_none_or(|open| open.is_responded) {
+        if self.requests.get(id).is_none_or(|open_request| open_request.is_responded) {
             return;
         }
         error!(
@@ -76,7 +76,7 @@
             shutting_down = self.shutdown_deadline.is_some(),
             "request not decided in time"
         );
-        self.overdue += 1;
+        self.overdue_requests += 1;
         self.requests.respond(id, Response::Failed);
         self.events.push_back(Event::ClientDisconnected(id));
     }
--- a/crates/rockflow-dispatcher/src/decision/shutdown.rs
+++ b/crates/rockflow-dispatcher/src/decision/shutdown.rs
@@ -11,9 +11,11 @@
     pub(super) fn on_shutdown(&mut self, deadline: Duration) {
         self.shutdown_deadline = Some(deadline);
         let response_due = deadline + self.response_grace();
-        for (id, open) in self.requests.iter_mut().filter(|(_, open)| open.deadline > deadline) {
-            open.deadline = deadline;
-            for (key, _) in open.in_flight(id) {
+        for (id, open_request) in
+            self.requests.iter_mut().filter(|(_, open_request)| open_request.deadline > deadline)
+        {
+            open_request.deadline = deadline;
+            for (key, _) in open_request.in_flight(id) {
                 self.deadlines.push(deadline, Deadline::AttemptTimeout(key));
             }
             self.deadlines.push(response_due, Deadline::Response(id));
