--- a/crates/rockflow-dispatcher/src/backpressure.rs
+++ b/crates/rockflow-dispatcher/src/backpressure.rs
@@ -18,7 +18,7 @@
 /// Counts the queued purges against [`MAX_PURGES`].
 #[derive(Default)]
 pub struct PurgeQuota {
-    waiting: AtomicUsize,
+    queued: AtomicUsize,
 }
 
 /// A reserved part of a [`PurgeQuota`], released on drop.
@@ -31,14 +31,14 @@
     /// Reserves quota for `count` purges. Returns `None` if not enough is left.
     pub fn reserve(self: &Arc<Self>, count: usize) -> Option<PurgeReservation> {
         let reservation = PurgeReservation { quota: self.clone(), count };
-        let before = self.waiting.fetch_add(count, Ordering::Relaxed);
-        (before + count <= MAX_PURGES).then_some(reservation)
+        let queued_before = self.queued.fetch_add(count, Ordering::Relaxed);
+        (queued_before + count <= MAX_PURGES).then_some(reservation)
     }
 }
 
 impl Drop for PurgeReservation {
     fn drop(&mut self) {
-        self.quota.waiting.fetch_sub(self.count, Ordering::Relaxed);
+        self.quota.queued.fetch_sub(self.count, Ordering::Relaxed);
     }
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// The value in a slot, and the callbacks of the callers to notify about it.
-struct Waiting<T, R> {
+struct PendingValue<T, R> {
     value: T,
     callers: VecDeque<CompletionCallback<R>>,
 }
@@ -60,37 +60,37 @@
 /// Holds at most one value: those put before the reader takes it are merged into one. All their callers are notified
 /// once the merged value is processed.
 pub struct CoalescingSlot<T, R> {
-    waiting: Mutex<Option<Waiting<T, R>>>,
+    pending: Mutex<Option<PendingValue<T, R>>>,
 }
 
 impl<T, R> Default for CoalescingSlot<T, R> {
     fn default() -> Self {
-        CoalescingSlot { waiting: Mutex::new(None) }
+        CoalescingSlot { pending: Mutex::new(None) }
     }
 }
 
 impl<T, R: Clone> CoalescingSlot<T, R> {
-    /// Puts a value. `join` computes it from the value in the slot, which is `None` if the slot is empty.
-    pub fn put(&self, join: impl FnOnce(Option<T>) -> T, done: CompletionCallback<R>) -> PutOutcome {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        let (before, mut callers) = match waiting.take() {
-            Some(Waiting { value, callers }) => (Some(value), callers),
+    /// Puts a value. `merge` computes it from the value in the slot, which is `None` if the slot is empty.
+    pub fn put(&self, merge: impl FnOnce(Option<T>) -> T, done: CompletionCallback<R>) -> PutOutcome {
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        let (previous, mut callers) = match pending.take() {
+            Some(PendingValue { value, callers }) => (Some(value), callers),
             None => (None, VecDeque::new()),
         };
         let outcome =
-            PutOutcome { was_empty: before.is_none(), dropped_caller: callers.len() >= MAX_CALLERS };
+            PutOutcome { was_empty: previous.is_none(), dropped_caller: callers.len() >= MAX_CALLERS };
         if outcome.dropped_caller {
             callers.pop_front();
         }
         callers.push_back(done);
-        *waiting = Some(Waiting { value: join(before), callers });
+        *pending = Some(PendingValue { value: merge(previous), callers });
         outcome
     }
 
     /// Takes the value, and a function that notifies all callers that wait for it. Returns `None` if the slot is empty.
     pub fn take(&self) -> Option<(T, impl FnOnce(R) + use<T, R>)> {
-        let waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).take();
-        waiting.map(|Waiting { value, callers }| {
+        let pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner).take();
+        pending.map(|PendingValue { value, callers }| {
             let notify = move |reply: R| {
                 for done in callers {
                     done(reply.clone());
