--- a/crates/rockflow-dispatcher/tests/panics.rs
+++ b/crates/rockflow-dispatcher/tests/panics.rs
@@ -10,16 +10,16 @@
 use tracing::{Event, Metadata, Subscriber};
 
 /// How many more panics to force when changes are applied to the decision logic.
-static PANICS: AtomicUsize = AtomicUsize::new(0);
+static REMAINING_PANICS: AtomicUsize = AtomicUsize::new(0);
 
 /// Panics inside the decision actor when it logs that changes are being applied.
 struct PanickingSubscriber;
 
 /// The formatted fields of a log event.
 #[derive(Default)]
-struct Text(String);
+struct EventText(String);
 
-impl Visit for Text {
+impl Visit for EventText {
     fn record_debug(&mut self, _: &Field, value: &dyn Debug) {
         write!(self.0, "{value:?} ").unwrap();
     }
@@ -39,11 +39,13 @@
     fn record_follows_from(&self, _: &Id, _: &Id) {}
 
     fn event(&self, event: &Event<'_>) {
-        let mut text = Text::default();
+        let mut text = EventText::default();
         event.record(&mut text);
         if text.0.contains("applying changes to the decisions") {
-            let left = PANICS.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1));
-            assert!(left.is_err(), "forced: {}", text.0);
+            let forced_panic =
+                REMAINING_PANICS
+                    .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |remaining| remaining.checked_sub(1));
+            assert!(forced_panic.is_err(), "forced: {}", text.0);
         }
     }
 
@@ -53,9 +55,9 @@
 }
 
 #[test]
-fn callers_are_notified_across_a_panic() {
+fn callers_are_notified_after_a_panic() {
     tracing::subscriber::set_global_default(PanickingSubscriber).unwrap();
-    PANICS.store(4, Ordering::Relaxed);
+    REMAINING_PANICS.store(4, Ordering::Relaxed);
     common::play(include_str!("scenarios/panics.txt"));
-    assert_eq!(PANICS.load(Ordering::Relaxed), 0);
+    assert_eq!(REMAINING_PANICS.load(Ordering::Relaxed), 0);
 }
