--- a/crates/rockflow-dispatcher/src/client/connection.rs
+++ b/crates/rockflow-dispatcher/src/client/connection.rs
@@ -29,8 +29,8 @@
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Limit on the bytes that are discarded after a request or after the last response.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Consecutive rounds with progress before the coroutine yields, so that a client that always sends more does not
-/// starve other connections.
+/// A connection that keeps making progress yields its coroutine once in this many rounds, so that a client that always
+/// sends more does not starve other connections.
 const ROUNDS_BEFORE_YIELD: u64 = 16;
 /// Holds one complete head and the start of a pipelined one.
 const RECEIVE_BUFFER_BYTES: usize = 2 * client::MAX_HEAD_BYTES;
@@ -183,6 +183,8 @@
         Ok(progress)
     }
 
+    /// Checks the time limits. If one has passed, an idle connection closes after the requests in its buffer, and any
+    /// other ends at once.
     fn inspect(&mut self) -> Result<(), EndReason> {
         if !self.is_expired() {
             return Ok(());
@@ -232,8 +234,8 @@
         if !std::mem::take(&mut self.close_pending) {
             return false;
         }
-        // Incomplete pipelined bytes get no error response: the client could take it for a second response to its
-        // previous request.
+        // An empty buffer needs no response. Incomplete pipelined bytes get no error response: the client could take
+        // it for a second response to its previous request.
         if !has_partial_head || self.is_pipelined {
             self.close_without_response();
         } else if self.is_closing() {
--- a/crates/rockflow-dispatcher/src/decision/mod.rs
+++ b/crates/rockflow-dispatcher/src/decision/mod.rs
@@ -63,6 +63,7 @@
 /// Owns the decision logic together with the open requests, hosts, health checks, purges and deadlines that it acts on.
 pub struct DecisionActor {
     dependencies: Dependencies,
+    /// The decision logic.
     dispatcher: Dispatcher,
     requests: RequestTable,
     hosts: BTreeMap<HostId, HostState>,
