--- a/crates/rockflow-dispatcher/src/backpressure.rs
+++ b/crates/rockflow-dispatcher/src/backpressure.rs
@@ -1,93 +1,96 @@
-//! Bounds on what callers of other threads leave waiting for an actor, and what replaces that which exceeds them. What
-//! replaces a purge is never laxer than the purge.
+//! Bounds on the messages that callers on other threads queue for an actor. Excess messages are replaced by a single
+//! one; what replaces purges always covers at least as much as they did.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Purges that may wait; a purge of everything replaces those beyond. The decisions look at all they hold with each, so
-/// that more would delay requests.
+/// Maximum number of queued purges; one purge of everything replaces the excess. The decision logic scans all its
+/// purges with each new one, so a larger number would delay requests.
 pub const MAX_PURGES: usize = 4096;
-/// Callers that may wait for one value. With one more, the earliest is not notified.
+/// Maximum number of callers that wait for one value. An additional caller displaces the one that has waited longest,
+/// which is then never notified.
 pub const MAX_CALLERS: usize = 4096;
 
-/// Called once, in the actor that has done what was requested; it must not wait.
+/// Called once by the actor that has completed the operation, on its coroutine; it must not block.
 pub type CompletionCallback<T> = Box<dyn FnOnce(T) + Send>;
 
-/// Counts the purges that wait.
+/// Counts the queued purges against [`MAX_PURGES`].
 #[derive(Default)]
 pub struct PurgeQuota {
-    waiting: AtomicUsize,
+    queued: AtomicUsize,
 }
 
-/// A part of the quota, which is released when this is dropped.
+/// A reserved part of a [`PurgeQuota`], released on drop.
 pub struct PurgeReservation {
     quota: Arc<PurgeQuota>,
     count: usize,
 }
 
 impl PurgeQuota {
-    /// Reserves room for `count` purges; none: there is not enough left.
+    /// Reserves quota for `count` purges. Returns `None` if not enough is left.
     pub fn reserve(self: &Arc<Self>, count: usize) -> Option<PurgeReservation> {
         let reservation = PurgeReservation { quota: self.clone(), count };
-        let before = self.waiting.fetch_add(count, Ordering::Relaxed);
-        (before + count <= MAX_PURGES).then_some(reservation)
+        let queued_before = self.queued.fetch_add(count, Ordering::Relaxed);
+        (queued_before + count <= MAX_PURGES).then_some(reservation)
     }
 }
 
 impl Drop for PurgeReservation {
     fn drop(&mut self) {
-        self.quota.waiting.fetch_sub(self.count, Ordering::Relaxed);
+        self.quota.queued.fetch_sub(self.count, Ordering::Relaxed);
     }
 }
 
-/// What became of a value that was put into a [`CoalescingSlot`].
+/// The result of [`CoalescingSlot::put`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PutOutcome {
-    /// The slot was empty, so that its reader must be notified.
+    /// Whether the slot was empty, so that the caller must notify its reader.
     pub was_empty: bool,
-    /// A caller that waited longest gave way and will not be notified.
+    /// Whether the earliest waiting caller was displaced and will never be notified.
     pub dropped_caller: bool,
 }
 
-struct Waiting<T, R> {
+/// The value in a slot, and the callbacks of the callers to notify about it.
+struct PendingValue<T, R> {
     value: T,
     callers: VecDeque<CompletionCallback<R>>,
 }
 
-/// Holds one value in place of all that were put before it, and the callers that wait for it to be processed.
+/// Holds at most one value: those put before the reader takes it are merged into one. All their callers are notified
+/// once the merged value is processed.
 pub struct CoalescingSlot<T, R> {
-    waiting: Mutex<Option<Waiting<T, R>>>,
+    pending: Mutex<Option<PendingValue<T, R>>>,
 }
 
 impl<T, R> Default for CoalescingSlot<T, R> {
     fn default() -> Self {
-        CoalescingSlot { waiting: Mutex::new(None) }
+        CoalescingSlot { pending: Mutex::new(None) }
     }
 }
 
 impl<T, R: Clone> CoalescingSlot<T, R> {
-    /// Puts the value that `join` makes from the one that waits, if any.
-    pub fn put(&self, join: impl FnOnce(Option<T>) -> T, done: CompletionCallback<R>) -> PutOutcome {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        let (before, mut callers) = match waiting.take() {
-            Some(Waiting { value, callers }) => (Some(value), callers),
+    /// Puts a value. `merge` computes it from the value in the slot, which is `None` if the slot is empty.
+    pub fn put(&self, merge: impl FnOnce(Option<T>) -> T, done: CompletionCallback<R>) -> PutOutcome {
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        let (previous, mut callers) = match pending.take() {
+            Some(PendingValue { value, callers }) => (Some(value), callers),
             None => (None, VecDeque::new()),
         };
         let outcome =
-            PutOutcome { was_empty: before.is_none(), dropped_caller: callers.len() >= MAX_CALLERS };
+            PutOutcome { was_empty: previous.is_none(), dropped_caller: callers.len() >= MAX_CALLERS };
         if outcome.dropped_caller {
             callers.pop_front();
         }
         callers.push_back(done);
-        *waiting = Some(Waiting { value: join(before), callers });
+        *pending = Some(PendingValue { value: merge(previous), callers });
         outcome
     }
 
-    /// Takes the value, and a function that notifies all callers that wait for it.
+    /// Takes the value, and a function that notifies all callers that wait for it. Returns `None` if the slot is empty.
     pub fn take(&self) -> Option<(T, impl FnOnce(R) + use<T, R>)> {
-        let waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).take();
-        waiting.map(|Waiting { value, callers }| {
+        let pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner).take();
+        pending.map(|PendingValue { value, callers }| {
             let notify = move |reply: R| {
                 for done in callers {
                     done(reply.clone());
--- a/crates/rockflow-dispatcher/src/decision/attempts.rs
+++ b/crates/rockflow-dispatcher/src/decision/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent to their hosts, cancelled, withdrawn before they are sent, and ended.
+//! The life cycle of attempts: sending, cancelling, withdrawing unsent ones, and reporting how each ended.
 
 use crate::attempt::{AttemptKey, CancelReason, OutgoingAttempt};
 use crate::decision::deadlines::Deadline;
@@ -15,14 +15,17 @@
 
 /// The time limits of an attempt.
 struct AttemptLimits {
+    /// How long the attempt may take from now.
     timeout: Duration,
+    /// The time after which the attempt may no longer be sent, on the clock of the process.
     send_by: Duration,
 }
 
-/// How an attempt ended.
+/// How an attempt ended and what its host reported.
 struct AttemptResult {
     outcome: Outcome,
     cache_status: CacheStatus,
+    /// How long the host waited for its fill; zero if it reported none.
     fill_wait: Duration,
 }
 
@@ -33,18 +36,20 @@
 }
 
 impl DecisionActor {
+    /// Hands an attempt to the actor of its host and sets its deadlines. It ends at once as not sent if the host or its
+    /// source is no longer listed.
     pub(super) fn send_attempt(&mut self, id: RequestId, attempt: Attempt) {
         let now = self.dependencies.clock.now();
         let mailbox = self.host_mailbox(attempt.host);
         let source = attempt.source.and_then(|source| self.hosts.get(&source));
         let source = source.map(|source| source.endpoint.name.clone());
-        let Some(open) = self.requests.get_mut(id) else {
+        let Some(open_request) = self.requests.get_mut(id) else {
             return error!(request = id.0, "attempt of an unknown request");
         };
-        let key = AttemptKey { request: id, attempt: AttemptNumber(open.attempts.len() as u16) };
-        let limits = attempt_limits(&attempt, open.deadline, now);
-        let permit = SendPermit::new(limits.send_by, open.client.clone());
-        open.attempts.push(AttemptState {
+        let key = AttemptKey { request: id, attempt: AttemptNumber(open_request.attempts.len() as u16) };
+        let limits = attempt_limits(&attempt, open_request.deadline, now);
+        let permit = SendPermit::new(limits.send_by, open_request.client.clone());
+        open_request.attempts.push(AttemptState {
             host: attempt.host,
             source: attempt.source,
             mailbox: mailbox.clone(),
@@ -56,18 +61,19 @@
         if limits.send_by < now + limits.timeout {
             self.deadlines.push(limits.send_by, Deadline::SendBy(key));
         }
-        // Guards against a fill that is left out, which would be another attempt than the one decided.
+        // Without its source, the host would answer from its cache only, which is not what was decided.
         let lacks_source = attempt.source.is_some() && source.is_none();
         match mailbox.filter(|_| !lacks_source) {
             Some(mailbox) => {
-                let outgoing = encode_attempt(open, &attempt, key, source.as_deref(), limits.timeout, permit);
+                let outgoing =
+                    encode_attempt(open_request, &attempt, key, source.as_deref(), limits.timeout, permit);
                 mailbox.send(HostMessage::Send(outgoing));
             }
             None => self.end_without_response(key, Outcome::NotSent),
         }
     }
 
-    /// Cancels an attempt: its host is told, and its outcome is known at once.
+    /// Cancels an attempt that has not ended: notifies its host and reports the outcome without waiting for the host.
     pub(super) fn cancel_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
         let Some(attempt) = self.requests.in_flight(key) else { return };
         attempt.permit.withdraw();
@@ -76,15 +82,16 @@
         self.end_without_response(key, outcome);
     }
 
-    /// Takes back attempts that have not been sent, so that they are decided anew by what is known now.
+    /// Withdraws the matching attempts that have not been sent, so that the decision logic can route their requests
+    /// again with its current state.
     pub(super) fn withdraw_unsent(
         &mut self,
         matches: impl Fn(AttemptKey, &OpenRequest, &AttemptState) -> bool,
     ) {
         let mut withdrawn = Vec::new();
-        for (id, open) in self.requests.iter() {
-            for (key, attempt) in open.in_flight(id) {
-                if matches(key, open, attempt) && attempt.permit.withdraw() {
+        for (id, open_request) in self.requests.iter() {
+            for (key, attempt) in open_request.in_flight(id) {
+                if matches(key, open_request, attempt) && attempt.permit.withdraw() {
                     withdrawn.push(key);
                 }
             }
@@ -97,6 +104,7 @@
         }
     }
 
+    /// Handles the response of a host; one to an attempt that has ended is ignored.
     pub(super) fn on_response(&mut self, key: AttemptKey, response: HostResponse) {
         if self.requests.in_flight(key).is_none() {
             return;
@@ -124,14 +132,16 @@
         self.end_attempt(key, result);
     }
 
+    /// Ends an attempt for which no response was received.
     pub(super) fn end_without_response(&mut self, key: AttemptKey, outcome: Outcome) {
         self.end_attempt(key, AttemptResult::without_response(outcome));
     }
 
+    /// Reports the end of an attempt to the decision logic; does nothing if it has already ended.
     fn end_attempt(&mut self, key: AttemptKey, result: AttemptResult) {
         let now = self.dependencies.clock.now();
-        let Some(open) = self.requests.get_mut(key.request) else { return };
-        let attempt = open.attempts.get_mut(usize::from(key.attempt.0));
+        let Some(open_request) = self.requests.get_mut(key.request) else { return };
+        let attempt = open_request.attempts.get_mut(usize::from(key.attempt.0));
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
@@ -140,7 +150,7 @@
             host: attempt.host,
             outcome: result.outcome,
             duration: now.saturating_sub(attempt.started),
-            request_finished: open.is_responded,
+            request_finished: open_request.is_responded,
             cache_status: result.cache_status,
             fill_wait: result.fill_wait,
             first_byte_sent: attempt.permit.is_sent(),
@@ -149,6 +159,7 @@
     }
 }
 
+/// The limits of an attempt that starts now; both end at the deadline of the request at the latest.
 fn attempt_limits(attempt: &Attempt, deadline: Duration, now: Duration) -> AttemptLimits {
     let time_left = deadline.saturating_sub(now);
     let timeout = attempt.timeout.map_or(time_left, |limit| limit.min(time_left));
@@ -156,8 +167,9 @@
     AttemptLimits { timeout, send_by }
 }
 
+/// Encodes the request line of an attempt. The options that concern fills are set only if it has a source.
 fn encode_attempt(
-    open: &OpenRequest,
+    open_request: &OpenRequest,
     attempt: &Attempt,
     key: AttemptKey,
     source: Option<&str>,
@@ -166,10 +178,10 @@
 ) -> OutgoingAttempt {
     let has_source = source.is_some();
     let fetch = FetchRequest {
-        id: &open.request.call_id,
-        class: &open.request.class,
-        object: &open.request.object,
-        part: open.request.part,
+        id: &open_request.request.call_id,
+        class: &open_request.request.class,
+        object: &open_request.request.object,
+        part: open_request.request.part,
         timeout,
         source,
         cache_priority: attempt.cache_priority as u8,
@@ -178,11 +190,11 @@
         cached_at_source_only: has_source && attempt.cached_at_source_only,
         no_store_at_parent: has_source && attempt.no_store_at_parent,
         revalidate: has_source && attempt.revalidate,
-        cached_tag: open.request.cached_tag.as_deref(),
+        cached_tag: open_request.request.cached_tag.as_deref(),
     };
     OutgoingAttempt {
         key,
-        id: open.request.call_id.clone(),
+        id: open_request.request.call_id.clone(),
         names_cached_copy: fetch.cached_tag.is_some(),
         line: fetch.encode(),
         permit,
--- a/crates/rockflow-dispatcher/src/decision/open_request.rs
+++ b/crates/rockflow-dispatcher/src/decision/open_request.rs
@@ -1,4 +1,4 @@
-//! The requests that are open, and their attempts.
+//! The table of open requests and their attempts.
 
 use crate::attempt::{AttemptKey, CancelReason};
 use crate::client::message::ClientMessage;
@@ -12,18 +12,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt of an open request.
+/// An attempt of an open request, kept until the request is removed.
 pub(super) struct AttemptState {
     pub host: HostId,
+    /// The host that a miss is filled from. `None` if the attempt allows no fill.
     pub source: Option<HostId>,
-    /// Where its host is reached, also once that is no longer listed.
+    /// The mailbox of the host's actor, which is usable even after the host is delisted. `None` if the host was not
+    /// listed.
     pub mailbox: Option<Arc<Mailbox<HostMessage>>>,
     pub started: Duration,
+    /// Whether the attempt has not ended; it need not have been sent yet.
     pub is_in_flight: bool,
+    /// Shared with the connection that sends the attempt; withdrawing it prevents the send.
     pub permit: Arc<SendPermit>,
 }
 
 impl AttemptState {
+    /// Asks the host's actor to cancel the attempt.
     pub(super) fn send_cancel(&self, key: AttemptKey, reason: CancelReason) {
         if let Some(mailbox) = &self.mailbox {
             mailbox.send(HostMessage::Cancel { key, reason });
@@ -31,14 +36,17 @@
     }
 }
 
-/// A request from its arrival until its response is sent and its last attempt has ended.
+/// A request, kept from its arrival until it has its response and all its attempts have ended.
 pub(super) struct OpenRequest {
-    /// Index of the class.
+    /// Index of the request class.
     pub class: usize,
     pub request: Box<ClientRequest>,
     pub client: Arc<Mailbox<ClientMessage>>,
+    /// When the response is due, on the clock of the process.
     pub deadline: Duration,
+    /// Whether the response was handed to the client connection, or the client has disconnected.
     pub is_responded: bool,
+    /// All attempts so far, indexed by `AttemptNumber`.
     pub attempts: Vec<AttemptState>,
 }
 
@@ -53,38 +61,39 @@
 
     /// The attempts that have not ended, with their keys.
     pub(super) fn in_flight(&self, id: RequestId) -> impl Iterator<Item = (AttemptKey, &AttemptState)> {
-        let numbered = self.attempts.iter().enumerate();
-        numbered.filter(|(_, attempt)| attempt.is_in_flight).map(move |(number, attempt)| {
+        let numbered_attempts = self.attempts.iter().enumerate();
+        numbered_attempts.filter(|(_, attempt)| attempt.is_in_flight).map(move |(number, attempt)| {
             let key = AttemptKey { request: id, attempt: AttemptNumber(number as u16) };
             (key, attempt)
         })
     }
 
+    /// Whether the request needs no response and has no attempt in flight.
     fn is_finished(&self) -> bool {
         self.is_responded && self.attempts.iter().all(|attempt| !attempt.is_in_flight)
     }
 }
 
-/// Owns the open requests, and counts how requests end.
+/// Owns the open requests and counts their outcomes.
 pub(super) struct RequestTable {
-    open: BTreeMap<RequestId, OpenRequest>,
-    /// The client's ids of the requests without a response.
+    open_requests: BTreeMap<RequestId, OpenRequest>,
+    /// The client-assigned ids of the requests that have no response yet.
     call_ids: BTreeSet<String>,
-    /// By index of the class.
+    /// Outcome counts, indexed by request class.
     outcomes: Vec<OutcomeCounts>,
 }
 
 impl RequestTable {
     pub(super) fn new(classes: usize) -> Self {
         RequestTable {
-            open: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             call_ids: BTreeSet::new(),
             outcomes: vec![OutcomeCounts::default(); classes],
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.open.len()
+        self.open_requests.len()
     }
 
     pub(super) fn outcomes(&self) -> &[OutcomeCounts] {
@@ -92,34 +101,34 @@
     }
 
     pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
-        self.open.get(&id)
+        self.open_requests.get(&id)
     }
 
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
-        self.open.get_mut(&id)
+        self.open_requests.get_mut(&id)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest)> {
-        self.open.iter().map(|(id, open)| (*id, open))
+        self.open_requests.iter().map(|(id, open_request)| (*id, open_request))
     }
 
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (RequestId, &mut OpenRequest)> {
-        self.open.iter_mut().map(|(id, open)| (*id, open))
+        self.open_requests.iter_mut().map(|(id, open_request)| (*id, open_request))
     }
 
-    /// An attempt that has not ended.
+    /// The attempt with this key. `None` if it is unknown or has ended.
     pub(super) fn in_flight(&self, key: AttemptKey) -> Option<&AttemptState> {
-        let attempt = self.open.get(&key.request)?.attempts.get(usize::from(key.attempt.0))?;
+        let attempt = self.open_requests.get(&key.request)?.attempts.get(usize::from(key.attempt.0))?;
         Some(attempt).filter(|attempt| attempt.is_in_flight)
     }
 
-    /// Reserves the client's id of a request; false: another request has it.
+    /// Reserves a client-assigned request id. Returns false if another request without a response uses it.
     pub(super) fn reserve_call_id(&mut self, call_id: &str) -> bool {
         self.call_ids.insert(call_id.to_string())
     }
 
-    pub(super) fn insert(&mut self, id: RequestId, open: OpenRequest) {
-        self.open.insert(id, open);
+    pub(super) fn insert(&mut self, id: RequestId, open_request: OpenRequest) {
+        self.open_requests.insert(id, open_request);
     }
 
     /// Counts a request whose client disconnected before it was opened.
@@ -127,49 +136,53 @@
         self.outcomes[class].disconnected += 1;
     }
 
-    /// Marks a request whose client disconnected; false: it is not open.
+    /// Records that the client of a request disconnected. Returns false if the request is not open.
     pub(super) fn disconnect(&mut self, id: RequestId) -> bool {
-        let Some(open) = self.open.get_mut(&id) else { return false };
-        if !std::mem::replace(&mut open.is_responded, true) {
-            self.call_ids.remove(&open.request.call_id);
-            self.outcomes[open.class].disconnected += 1;
+        let Some(open_request) = self.open_requests.get_mut(&id) else { return false };
+        if !std::mem::replace(&mut open_request.is_responded, true) {
+            self.call_ids.remove(&open_request.request.call_id);
+            self.outcomes[open_request.class].disconnected += 1;
         }
         true
     }
 
-    /// Sends the one response to a request; another that would follow it is dropped.
+    /// Sends the response to a request. Does nothing if the request already has one or is not open.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.is_responded) else { return };
-        open.is_responded = true;
-        self.call_ids.remove(&open.request.call_id);
-        let counts = &mut self.outcomes[open.class];
+        let Some(open_request) =
+            self.open_requests.get_mut(&id).filter(|open_request| !open_request.is_responded)
+        else {
+            return;
+        };
+        open_request.is_responded = true;
+        self.call_ids.remove(&open_request.request.call_id);
+        let counts = &mut self.outcomes[open_request.class];
         match &response {
             Response::Succeeded { .. } | Response::NotModified { .. } => counts.succeeded += 1,
             Response::Rejected { .. } => counts.rejected += 1,
             Response::Failed | Response::Healthy | Response::Invalid(_) => counts.failed += 1,
         }
-        open.client.send(ClientMessage::Respond(id, response));
+        open_request.client.send(ClientMessage::Respond(id, response));
         self.remove_finished(id);
     }
 
-    /// Removes a request that has its response and no attempt in flight.
+    /// Removes a request if it has its response and no attempt in flight.
     pub(super) fn remove_finished(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(OpenRequest::is_finished) {
-            self.open.remove(&id);
+        if self.open_requests.get(&id).is_some_and(OpenRequest::is_finished) {
+            self.open_requests.remove(&id);
         }
     }
 
-    /// Ends all requests: withdraws their attempts, and responds that they failed.
+    /// Ends all requests: withdraws or cancels their attempts, and responds to each open one that it failed.
     pub(super) fn fail_all(&mut self) {
         self.call_ids.clear();
-        for (id, open) in std::mem::take(&mut self.open) {
-            for (key, attempt) in open.in_flight(id) {
+        for (id, open_request) in std::mem::take(&mut self.open_requests) {
+            for (key, attempt) in open_request.in_flight(id) {
                 attempt.permit.withdraw();
                 attempt.send_cancel(key, CancelReason::Withdrawn);
             }
-            if !open.is_responded {
-                self.outcomes[open.class].failed += 1;
-                open.client.send(ClientMessage::Respond(id, Response::Failed));
+            if !open_request.is_responded {
+                self.outcomes[open_request.class].failed += 1;
+                open_request.client.send(ClientMessage::Respond(id, Response::Failed));
             }
         }
     }
--- a/crates/rockflow-dispatcher/src/decision/purges.rs
+++ b/crates/rockflow-dispatcher/src/decision/purges.rs
@@ -1,4 +1,4 @@
-//! Purges: passed to the decisions, and held for decisions that have to restart.
+//! Purges: passed to the decision logic, and kept so that they can be applied again if it restarts after a panic.
 
 use crate::backpressure::{CompletionCallback, MAX_PURGES};
 use crate::clock::Clock;
@@ -7,52 +7,57 @@
 use rockflow::Event;
 use std::time::Duration;
 
-/// Held purges below which it is not checked which have expired.
+/// Number of kept purges below which expired ones are not removed.
 const MIN_PRUNE_SIZE: usize = 64;
 
 /// Owns the purges that may still be in effect.
 pub(super) struct PurgeLog {
     purges: Vec<Purge>,
-    /// With so many it is checked which have expired.
-    prune_at: usize,
+    /// Number of purges at which the expired ones are removed.
+    prune_threshold: usize,
 }
 
 impl PurgeLog {
     pub(super) fn new() -> Self {
-        PurgeLog { purges: Vec::new(), prune_at: MIN_PRUNE_SIZE }
+        PurgeLog { purges: Vec::new(), prune_threshold: MIN_PRUNE_SIZE }
     }
 
+    /// Removes and returns all purges.
     pub(super) fn take(&mut self) -> Vec<Purge> {
         std::mem::take(&mut self.purges)
     }
 
+    /// Adds purges, and from time to time removes those older than `window`.
     fn extend(&mut self, purges: Vec<Purge>, clock: Clock, window: Duration) {
         self.purges.extend(purges);
-        if self.purges.len() >= self.prune_at {
+        if self.purges.len() >= self.prune_threshold {
             self.prune(clock, window);
-            self.prune_at = MIN_PRUNE_SIZE.max(2 * self.purges.len());
+            self.prune_threshold = MIN_PRUNE_SIZE.max(2 * self.purges.len());
         }
     }
 
-    /// Forgets purges that have expired. Guards against those without end: one of everything, as young as the youngest,
-    /// replaces all past the cap, which is never laxer.
+    /// Removes expired purges. If more than [`MAX_PURGES`] remain, one purge of everything with the most recent
+    /// timestamp replaces them all, which bounds memory and purges no less than they did.
     fn prune(&mut self, clock: Clock, window: Duration) {
         self.purges.retain(|purge| purge.purged_at.age(clock) <= window);
         if self.purges.len() <= MAX_PURGES {
             return;
         }
         let timestamps = self.purges.iter().map(|purge| purge.purged_at);
-        let youngest = timestamps.min_by_key(|purged_at| purged_at.age(clock));
-        self.purges = youngest.map(Purge::everything).into_iter().collect();
+        let most_recent = timestamps.min_by_key(|purged_at| purged_at.age(clock));
+        self.purges = most_recent.map(Purge::everything).into_iter().collect();
     }
 }
 
 impl DecisionActor {
+    /// Applies purges, and calls `done` once the decision logic has handled them.
     pub(super) fn on_purges(&mut self, purges: Vec<Purge>, done: Option<CompletionCallback<()>>) {
         self.apply_purges(purges);
-        self.decide_then(done);
+        self.handle_events_then(done);
     }
 
+    /// Queues purges for the decision logic, withdraws the unsent attempts that they cover, and keeps them for a
+    /// restart.
     pub(super) fn apply_purges(&mut self, purges: Vec<Purge>) {
         let clock = self.dependencies.clock;
         self.events.extend(purges.iter().map(|purge| Event::Purged {
@@ -60,9 +65,9 @@
             group: purge.group,
             age: purge.purged_at.age(clock),
         }));
-        // What has not been sent was decided without these purges.
-        self.withdraw_unsent(|_, open, _| {
-            let (object, group) = (open.object(), open.group());
+        // Unsent attempts were decided without these purges.
+        self.withdraw_unsent(|_, open_request, _| {
+            let (object, group) = (open_request.object(), open_request.group());
             purges.iter().any(|purge| purge.covers(object, group))
         });
         self.purges.extend(purges, clock, self.dependencies.deployment.purge_window);
