--- a/crates/rockflow/src/outcome.rs
+++ b/crates/rockflow/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says of its host, its source and the path between them.
+//! Updates health, load and fill statistics when an attempt ends.
 
 use crate::action::Attempt;
 use crate::concurrency::Timeliness;
@@ -11,7 +11,7 @@
 use crate::state::RoutingState;
 use std::time::Duration;
 
-/// An attempt that ended, with what of its request bears on the judgement.
+/// An attempt that ended, with the properties of its request that are needed to assess the outcome.
 #[derive(Debug)]
 pub(crate) struct EndedAttempt<'a> {
     end: &'a AttemptEnd,
@@ -20,29 +20,31 @@
     source_location: Option<LocationId>,
     class: ClassId,
     has_size: bool,
+    /// Expected transfer time of the response, in seconds.
     transfer_s: f64,
-    /// Whether the latency objective of the request has not passed.
+    /// Whether the attempt ended before the latency objective of its request.
     is_in_time: bool,
-    /// Whether it took longer than an ordinary attempt.
+    /// Whether the attempt took longer than the usual duration of its request.
     is_slow: bool,
-    /// Whether responses report nothing of hits and fills.
+    /// Whether the deployment is configured without cache status in responses.
     status_unreported: bool,
 }
 
-/// What an outcome says of the host and the source, and what the request avoids from now on.
+/// How an outcome changes the health of the host and of the source.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Verdict {
     host: HealthSample,
     source: HealthSample,
+    /// The host that later attempts of the same request avoid. `None`: the request avoids no further host.
     avoided: Option<HostId>,
 }
 
 impl Verdict {
-    /// Neither the host nor the source is judged.
+    /// Leaves the health of both host and source unchanged.
     const NONE: Verdict = Verdict { host: HealthSample::NONE, source: HealthSample::NONE, avoided: None };
-    /// The host answered, and nothing is said of the source.
+    /// Counts as a success of the host and leaves the health of the source unchanged.
     const HOST_ANSWERED: Verdict = Verdict { host: HealthSample::SUCCESS, ..Verdict::NONE };
-    /// The host failed, and nothing is said of the source.
+    /// Counts as a failure of the host and leaves the health of the source unchanged.
     const HOST_FAILED: Verdict = Verdict { host: HealthSample::FAILURE, ..Verdict::NONE };
 
     fn avoiding(self, avoided: Option<HostId>) -> Self {
@@ -51,7 +53,7 @@
 }
 
 impl<'a> EndedAttempt<'a> {
-    /// The end of an attempt of a request, at a time.
+    /// Combines the end of an attempt with its open request, at the time of `state`.
     pub(crate) fn new(
         state: &RoutingState,
         open: &OpenRequest,
@@ -76,18 +78,18 @@
         self.end.outcome == Outcome::Succeeded
     }
 
-    /// Whether it surely or possibly went on to its source.
+    /// Whether the host asked the source, or may have done so.
     fn went_to_source(&self) -> bool {
         self.attempt.source.is_some() && self.end.cache_status != CacheStatus::Hit
     }
 
-    /// Whether its copy came from the source, as far as is reported.
+    /// Whether the response was filled from the source. Assumed where responses carry no cache status.
     fn was_filled(&self) -> bool {
         let is_filled = matches!(self.end.cache_status, CacheStatus::Filled | CacheStatus::FilledByOrigin);
         self.status_unreported || is_filled
     }
 
-    /// Whether nothing tells which of host and source failed.
+    /// Whether the failure cannot be attributed to either the host or the source.
     fn is_failure_of_either(&self) -> bool {
         if !self.went_to_source() {
             return false;
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The host that could not be reached.
+    /// The host or source that could not be reached, if any.
     fn unreachable_host(&self) -> Option<HostId> {
         match (self.end.outcome, self.end.cache_status) {
             (Outcome::ConnectFailed | Outcome::ConnectionLost, _) => Some(self.attempt.host),
@@ -111,7 +113,8 @@
     fn verdict(&self) -> Verdict {
         let host = Some(self.attempt.host);
         let source = self.attempt.source;
-        // A fault of the connection: the same host, which may have cached what was damaged, is tried once more.
+        // The connection failed, not the host: the same host is tried once more, as it may have cached the response
+        // that was damaged in transit.
         let host_after_retry = host.filter(|_| self.end.attempt.0 > 0);
         match self.end.outcome {
             Outcome::Succeeded if self.is_slow => self.slow_verdict(),
@@ -129,7 +132,9 @@
         }
     }
 
-    /// Slow, and nothing tells where: both count; what is a host's own shows beside the others of its role.
+    /// A slow success counts half as a success and half as a failure, for the host and for a source that it may have
+    /// asked, as the response doesn't show which of them was slow. A slow host becomes visible by comparison with the
+    /// others of its role.
     fn slow_verdict(&self) -> Verdict {
         let source = HealthSample {
             success: if self.was_filled() { 0.5 } else { 0.0 },
@@ -143,7 +148,7 @@
         let source = self.attempt.source;
         match self.end.cache_status {
             CacheStatus::NoFillCapacity => Verdict::NONE.avoiding(host),
-            // The source is not at fault, and another would ask the same origin.
+            // The origin failed, not the source, and another source would ask the same origin.
             CacheStatus::OriginFailed => Verdict::HOST_ANSWERED,
             CacheStatus::SourceRejected | CacheStatus::SourceUnreachable | CacheStatus::SourceMiss => {
                 Verdict { host: HealthSample::SUCCESS, source: HealthSample::FAILURE, avoided: source }
@@ -159,7 +164,7 @@
 }
 
 impl RoutingState {
-    /// Records the end of an attempt, and returns the host that the request avoids from now on.
+    /// Records the end of an attempt, and returns the host that later attempts of the request avoid.
     pub(crate) fn record_attempt_end(&mut self, ended: &EndedAttempt) -> Option<HostId> {
         let now = self.now;
         self.record_load(ended);
@@ -192,7 +197,8 @@
         }
     }
 
-    /// Records whether a fill came in time, unless it was late for a host that is ejected anyway.
+    /// Records whether a fill met its latency objective. A late fill isn't counted when its host or source is already
+    /// ejected.
     fn record_fill_timing(&mut self, ended: &EndedAttempt, verdict: &Verdict) {
         let Some(source_location) = ended.source_location else { return };
         let now = self.now;
@@ -206,7 +212,8 @@
         if timeliness == Timeliness::Late && self.has_ejected_part(&ended.attempt, now) {
             return;
         }
-        // What the parent had cached tells of the link; what it had to fetch tells of what lies behind it.
+        // A copy that the parent had cached measures the link to the parent; a copy that the parent had to fetch
+        // measures the fetch as well.
         let is_timed = matches!(ended.end.outcome, Outcome::Succeeded | Outcome::TimedOut);
         let is_cached_at_source =
             ended.source_use == SourceUse::CachedOnly || ended.end.cache_status == CacheStatus::Filled;
@@ -220,8 +227,10 @@
         self.fill_limits.record(now, timing);
     }
 
-    /// Whether an attempt counts as a late fill. A parent that rejects or is down is told apart from what lies behind it,
-    /// where responses report it.
+    /// Whether an attempt counts as a late fill.
+    ///
+    /// Where responses carry a cache status, a parent that rejects or is down doesn't count, as the status distinguishes
+    /// it from a failed origin.
     fn is_late(&self, ended: &EndedAttempt, verdict: &Verdict) -> bool {
         match ended.end.outcome {
             Outcome::Succeeded => !ended.is_in_time,
@@ -235,7 +244,7 @@
         }
     }
 
-    /// Whether the host or the source of an attempt is ejected.
+    /// Whether the host or the source of an attempt is ejected as an outlier.
     fn has_ejected_part(&self, attempt: &Attempt, now: Duration) -> bool {
         let is_ejected = |id: HostId| self.endpoints.is_ejected(id, now);
         is_ejected(attempt.host) || attempt.source.is_some_and(is_ejected)
