--- a/crates/rockflow/src/decay.rs
+++ b/crates/rockflow/src/decay.rs
@@ -1,48 +1,49 @@
-//! Sums that decay exponentially, the basis of every rate that the decisions keep.
+//! Exponentially decaying sums, which all counts and rates of recent events are based on.
 
 use std::time::Duration;
 
-/// The shortest memory of a sum, in seconds.
+/// Shortest time constant of a sum, in seconds. Prevents a division by zero.
 const MIN_MEMORY_S: f64 = 1e-6;
 
-/// How many observations, decayed, a judgement needs at least.
+/// Minimum decayed count of observations before a limit, an ejection or a rate comparison may rely on them.
 pub(crate) const MIN_OBSERVATIONS: f64 = 2.0;
 
-/// A sum whose content decays by a factor of e within its memory. It is brought up to date when it is read.
+/// A sum that decays by a factor of e within its time constant. The decay is computed at each read.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingSum {
     sum: f64,
+    /// The time to which `sum` is decayed.
     updated: Duration,
     memory_s: f64,
 }
 
 impl DecayingSum {
-    /// An empty sum with this memory.
+    /// An empty sum that decays with this time constant.
     pub(crate) fn new(memory: Duration) -> Self {
         DecayingSum { sum: 0.0, updated: Duration::ZERO, memory_s: memory.as_secs_f64().max(MIN_MEMORY_S) }
     }
 
-    /// An empty sum with the same memory.
+    /// An empty sum with the same time constant.
     pub(crate) fn emptied(&self) -> Self {
         self.emptied_with_memory_part(1.0)
     }
 
-    /// An empty sum with a part of the memory.
-    pub(crate) fn emptied_with_memory_part(&self, part: f64) -> Self {
-        DecayingSum { sum: 0.0, updated: Duration::ZERO, memory_s: self.memory_s * part }
+    /// An empty sum whose time constant is that of this one times `factor`.
+    pub(crate) fn emptied_with_memory_part(&self, factor: f64) -> Self {
+        DecayingSum { sum: 0.0, updated: Duration::ZERO, memory_s: self.memory_s * factor }
     }
 
-    /// The memory in seconds.
+    /// The time constant, in seconds.
     pub(crate) fn memory_s(&self) -> f64 {
         self.memory_s
     }
 
-    /// The sum as decayed by now.
+    /// The sum, decayed to `now`.
     pub(crate) fn read(&self, now: Duration) -> f64 {
         self.sum * libm::exp(-now.saturating_sub(self.updated).as_secs_f64() / self.memory_s)
     }
 
-    /// Adds an amount. The sum never falls below zero.
+    /// Adds an amount, which may be negative; the sum never falls below zero.
     pub(crate) fn add(&mut self, now: Duration, amount: f64) {
         self.sum = (self.read(now) + amount).max(0.0);
         self.updated = now;
