--- a/crates/rockflow/src/slow_start.rs
+++ b/crates/rockflow/src/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a host with a cold cache may be sent by this dispatcher.
+//! Slow start: limits the work that this dispatcher sends to a host with a cold cache.
 
 use crate::config::{DeploymentConfig, SlowStart};
 use crate::decay::DecayingSum;
@@ -6,26 +6,27 @@
 use crate::load::link_capacity;
 use std::time::Duration;
 
-/// The part of the tolerated work that a decaying sum over its window may hold: at most twice that in any window.
+/// Maximum of the decaying sum of sent work, as a part of the work that the host tolerates within a window.
+/// Up to twice this part can be sent within one window, because the sum decays meanwhile.
 const BUDGET_PART: f64 = 0.4;
-/// In-flight attempts that a host in slow start gains with each answer.
+/// How much each answer raises the limit on attempts in flight at a host in slow start.
 const IN_FLIGHT_GAIN: f64 = 0.5;
-/// The shortest ramp in seconds.
+/// Shortest ramp, in seconds. Prevents a division by zero.
 const MIN_RAMP_S: f64 = 1e-6;
 
 /// The slow start of one host.
 #[derive(Debug)]
 pub(crate) struct WarmUp {
     slow_start: SlowStart,
-    /// Transfer time in seconds that this dispatcher sent to the host within the window.
+    /// Work that this dispatcher recently sent to the host, in seconds of transfer time; decays over the window.
     sent_work: DecayingSum,
     answers_since_start: f64,
-    /// When it could not be reached, and is taken to have restarted.
+    /// When the host was last unreachable, which is treated as a restart. `None`: not since its listed start.
     presumed_restart: Option<Duration>,
 }
 
 impl WarmUp {
-    /// The slow start of a host of this role.
+    /// The slow start of a newly listed host, with the settings for its role. Origins have no slow start.
     pub(crate) fn new(config: &DeploymentConfig, role: Role) -> Self {
         let slow_start = if role == Role::Cache { config.cache_slow_start } else { config.parent_slow_start };
         WarmUp {
@@ -36,38 +37,40 @@
         }
     }
 
-    /// Discovery lists a new start of the host.
+    /// Starts anew when discovery lists a restart of the host.
     pub(crate) fn on_restart(&mut self) {
         self.presumed_restart = None;
         self.answers_since_start = 0.0;
     }
 
-    /// The host could not be reached: it may come back with a cold cache before discovery lists the restart.
+    /// Presumes that an unreachable host has restarted: it may return with a cold cache before discovery lists the
+    /// restart.
     ///
-    /// One failure suffices, as each dispatcher may see little of a host. A host that was merely out of reach gets
-    /// little for a while.
+    /// One failure suffices, because each dispatcher may send few attempts to a host. A host that was unreachable
+    /// without a restart receives little work until the ramp ends.
     pub(crate) fn presume_restart(&mut self, now: Duration) {
         self.presumed_restart = Some(now);
         self.answers_since_start = 0.0;
     }
 
-    /// The host answered.
+    /// Counts an answer, which raises the limit on attempts in flight.
     pub(crate) fn record_answer(&mut self) {
         self.answers_since_start += 1.0;
     }
 
-    /// Work was sent to the host, in seconds of transfer time.
+    /// Adds work sent to the host, in seconds of transfer time.
     pub(crate) fn record_sent(&mut self, now: Duration, work_s: f64) {
         self.sent_work.add(now, work_s);
     }
 
-    /// Takes the budget as spent: a restarted dispatcher must not spend it a second time.
+    /// Marks the budget as spent. A restarted dispatcher doesn't know what it sent before and must not spend the budget
+    /// twice.
     pub(crate) fn spend_budget(&mut self, config: &DeploymentConfig, entry: &EndpointEntry, now: Duration) {
         let budget = self.budget(config, entry, now).unwrap_or(0.0);
         self.sent_work.add(now, budget);
     }
 
-    /// The share of its capacity that the host has now, by the configuration and its start.
+    /// Share of its full capacity that the host has now: the initial share at its start, 1 after the ramp and for origins.
     pub(crate) fn capacity_share(&self, entry: &EndpointEntry, now: Duration) -> f64 {
         if entry.role == Role::Origin {
             return 1.0;
@@ -79,17 +82,17 @@
         (initial + (1.0 - initial) * progress).min(1.0)
     }
 
-    /// When the slow start ends. None: the host has its whole capacity.
+    /// When the slow start ends. `None`: the host has its full capacity.
     pub(crate) fn ends_at(&self, entry: &EndpointEntry, now: Duration) -> Option<Duration> {
         let started = self.started(entry)?;
         (self.capacity_share(entry, now) < 1.0).then(|| started + self.slow_start.ramp)
     }
 
-    /// Whether the host can take work of this many seconds from this dispatcher now: within the budget and below a
-    /// number in flight that grows with its answers.
+    /// Whether this dispatcher may now send the host an attempt of `work_s` seconds of transfer time: within the budget,
+    /// and below the limit on attempts in flight, which grows with the answers of the host.
     ///
-    /// Where the budget is less than an attempt, dispatchers take turns by their index, a window each, so that a
-    /// host shared by many still gets whole attempts and their sum stays the same.
+    /// Where the budget is less than one attempt, dispatchers take turns by their index, for one window each. A host
+    /// that is shared by many dispatchers then still receives whole attempts, and the total work stays the same.
     pub(crate) fn has_capacity(
         &self,
         config: &DeploymentConfig,
@@ -99,28 +102,31 @@
         now: Duration,
     ) -> bool {
         let Some(budget) = self.budget(config, entry, now) else { return true };
-        // Powers of two change seldom as the host warms up, and the turns of fewer are among those of more: else
-        // each change would deal them anew, and most dispatchers would get one in the same window.
-        let turns = libm::exp2(libm::ceil(libm::log2((work_s / budget).max(1.0))));
-        let window = (now.as_secs_f64() / self.slow_start.window.as_secs_f64()).floor();
-        let turn = window + config.dispatcher_index as f64;
+        // The number of turns is a power of two: it changes rarely as the host warms up, and each turn in a longer
+        // cycle is also one in a shorter cycle. Otherwise each change would reassign all turns, and most dispatchers
+        // would get one in the same window.
+        let turn_count = libm::exp2(libm::ceil(libm::log2((work_s / budget).max(1.0))));
+        let window_index = (now.as_secs_f64() / self.slow_start.window.as_secs_f64()).floor();
+        let turn = window_index + config.dispatcher_index as f64;
         let initial_limit = (self.slow_start.initial_share * link_capacity(config, entry)).max(1.0);
-        turn % turns < 1.0
-            && self.sent_work.read(now) + work_s <= budget * turns
+        turn % turn_count < 1.0
+            && self.sent_work.read(now) + work_s <= budget * turn_count
             && (in_flight as f64) < initial_limit + IN_FLIGHT_GAIN * self.answers_since_start
     }
 
+    /// The later of the listed start and the presumed restart. `None`: the host started long ago.
     fn started(&self, entry: &EndpointEntry) -> Option<Duration> {
         entry.started.max(self.presumed_restart)
     }
 
-    /// This dispatcher's part of the work that the host tolerates within a window, in seconds. None: no slow start.
+    /// This dispatcher's part of the work that the host tolerates within a window, in seconds of transfer time.
+    /// `None`: the host is not in slow start.
     fn budget(&self, config: &DeploymentConfig, entry: &EndpointEntry, now: Duration) -> Option<f64> {
-        let share = self.capacity_share(entry, now);
-        let tolerated = self.slow_start.overload_multiple
-            * share
+        let capacity_share = self.capacity_share(entry, now);
+        let tolerated_s = self.slow_start.overload_multiple
+            * capacity_share
             * link_capacity(config, entry)
             * self.slow_start.window.as_secs_f64();
-        (share < 1.0).then_some(BUDGET_PART * tolerated)
+        (capacity_share < 1.0).then_some(BUDGET_PART * tolerated_s)
     }
 }
