--- a/crates/rockflow/src/load.rs
+++ b/crates/rockflow/src/load.rs
@@ -1,18 +1,20 @@
-//! Load of a cache in relation to the capacity of its link.
+//! Load of a host relative to the capacity of its link.
 
 use crate::config::{DeploymentConfig, WeightMeaning};
 use crate::decay::DecayingSum;
 use crate::endpoints::{EndpointEntry, Role};
 use std::time::Duration;
 
-/// Standard deviations by which this dispatcher's part of a cache's load may stand out by chance.
+/// Standard deviations by which the attempts in flight from this dispatcher may exceed its even share of a cache's load
+/// by chance.
 const CHANCE_DEVIATIONS: f64 = 1.0;
-/// The memory of hit times, as a part of the longest deadline.
-const HIT_MEMORY_PART: f64 = 0.2;
-/// The part of that memory that is taken as spent on hits at full rate.
+/// Time constant of hit durations, as a part of the longest deadline.
+const HIT_TIME_CONSTANT_PART: f64 = 0.2;
+/// Weight of the prior assumption that hits transfer at full rate, as a part of that time constant.
 const HIT_PRIOR_PART: f64 = 0.2;
 
-/// This dispatcher's part of the transfers at full rate that a host's link fits, one where it is not configured.
+/// This dispatcher's part of the capacity of a host's link, in simultaneous transfers at full rate. The capacity counts
+/// as one transfer where weights don't state it.
 pub(crate) fn link_capacity(config: &DeploymentConfig, entry: &EndpointEntry) -> f64 {
     let sharing_dispatchers =
         if entry.role == Role::Cache { config.location_dispatchers } else { config.dispatcher_count };
@@ -20,48 +22,49 @@
     link / sharing_dispatchers.max(1) as f64
 }
 
-/// What this dispatcher sees of a host's load.
+/// Load of a host as observed by this dispatcher.
 #[derive(Debug)]
 pub(crate) struct HostLoad {
     in_flight: usize,
-    /// Seconds that hits took, and the seconds of transfer at full rate in them.
+    /// Total duration of recent hits, in seconds.
     hit_seconds: DecayingSum,
+    /// What the same hits would have taken at full rate, in seconds.
     hit_transfer_seconds: DecayingSum,
 }
 
 impl HostLoad {
-    /// No load; `empty` has the memory of the longest deadline.
+    /// A host without load. The time constant of `empty_sum` is the longest deadline.
     pub(crate) fn new(empty: DecayingSum) -> Self {
-        let hits = empty.emptied_with_memory_part(HIT_MEMORY_PART);
+        let hits = empty.emptied_with_memory_part(HIT_TIME_CONSTANT_PART);
         HostLoad { in_flight: 0, hit_seconds: hits, hit_transfer_seconds: hits }
     }
 
-    /// Attempts of this dispatcher in flight at the host.
+    /// Number of attempts from this dispatcher in flight at the host.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// An attempt was sent.
+    /// Counts an attempt sent to the host.
     pub(crate) fn attempt_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An attempt ended.
+    /// Removes an ended attempt from those in flight.
     pub(crate) fn attempt_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Records how long a hit took, and its transfer time at full rate, in seconds.
+    /// Records how long a hit took and what its transfer takes at full rate, both in seconds.
     pub(crate) fn record_hit(&mut self, now: Duration, seconds: f64, transfer_s: f64) {
         self.hit_seconds.add(now, seconds);
         self.hit_transfer_seconds.add(now, transfer_s);
     }
 
-    /// The transfers in flight over what the link carries at present, one attempt to come included; the dispatchers of
-    /// the location are taken as alike.
+    /// Estimated transfers in flight, one more attempt included, over the number that the link carries at its present
+    /// capacity; 0 where the capacity of the link is unknown.
     ///
-    /// What chance may have added to this dispatcher's part is taken off. What the others send shows in how long hits
-    /// take.
+    /// Assumes that all dispatchers of the location send alike. An excess of this dispatcher's own attempts that can be
+    /// due to chance is subtracted. The load from other dispatchers is measured by how much hits are slowed down.
     pub(crate) fn relative_load(
         &self,
         config: &DeploymentConfig,
@@ -71,17 +74,21 @@
     ) -> f64 {
         let capacity = link_capacity(config, entry);
         let others_share = 1.0 - 1.0 / config.location_dispatchers.max(1) as f64;
-        // Where the part is less than one transfer, one attempt is no sign of what the others send.
-        let chance = CHANCE_DEVIATIONS * libm::sqrt(others_share) / 2.0 / capacity.min(1.0);
-        let root = libm::sqrt((self.in_flight + 1) as f64 + chance * chance) - chance;
+        // Where this dispatcher's part of the capacity is less than one transfer, a single attempt in flight says
+        // nothing about the load from others.
+        let chance_deviation = CHANCE_DEVIATIONS * libm::sqrt(others_share) / 2.0 / capacity.min(1.0);
+        let attempts = (self.in_flight + 1) as f64;
+        let lower_bound_root = libm::sqrt(attempts + chance_deviation * chance_deviation) - chance_deviation;
         let hit_seconds = read_with_prior(&self.hit_seconds, now);
         let hit_transfer_seconds = read_with_prior(&self.hit_transfer_seconds, now);
         let slowdown = if others_share > 0.0 { hit_seconds / hit_transfer_seconds } else { 0.0 };
-        let known = if config.weight_meaning == WeightMeaning::LinkCapacity { 1.0 } else { 0.0 };
-        known * (root * root / (capacity * capacity_share)).max(slowdown)
+        let capacity_known = if config.weight_meaning == WeightMeaning::LinkCapacity { 1.0 } else { 0.0 };
+        let own_load = lower_bound_root * lower_bound_root / (capacity * capacity_share);
+        capacity_known * own_load.max(slowdown)
     }
 }
 
+/// The decayed sum plus the prior, which keeps the ratio of two sums near 1 while there are few hits.
 fn read_with_prior(sum: &DecayingSum, now: Duration) -> f64 {
     sum.read(now) + HIT_PRIOR_PART * sum.memory_s()
 }
