--- a/crates/rockflow/src/concurrency.rs
+++ b/crates/rockflow/src/concurrency.rs
@@ -1,72 +1,74 @@
-//! Concurrency limit of fills: cuts their number while they come late.
+//! Adaptive concurrency limit for fills: reduced while fills miss their latency objective.
 
 use crate::decay::{DecayingSum, MIN_OBSERVATIONS};
 use std::time::Duration;
 
-/// The share of late fills at which their number is limited.
+/// Share of late fills above which a limit starts.
 const LATE_SHARE: f64 = 0.15;
-/// The part of the fills in flight at which the limit starts.
+/// Initial limit, as a part of the fills in flight.
 const INITIAL_PART: f64 = 0.5;
-/// The part of the limit that a round of late fills takes off.
+/// Part by which the limit falls when as many fills are late as the limit admits at once.
 const LATE_CUT: f64 = 0.5;
-/// The least limit, as a share of the fills that are wanted.
+/// Lowest limit, as the share of fills that are admitted.
 const MIN_LIMIT: f64 = 0.1;
-/// How long the limit holds after the last late fill, as a part of the longest deadline.
+/// How long the limit stays in effect after the last late fill, as a part of the longest deadline.
 const HOLD_PART: f64 = 0.3;
 
-/// Whether a fill came in time.
+/// Whether a fill met its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timeliness {
-    /// Before its latency objective.
+    /// The fill ended within its latency objective.
     Timely,
-    /// After its latency objective, or never.
+    /// The fill ended after its latency objective or never.
     Late,
 }
 
-/// Limits fills that crowd a full link or a slow source.
+/// Limits the number of fills over a saturated link or from a slow source.
 ///
-/// When fills come late their number is cut until those admitted come in time. Below one they are admitted by random
-/// draw, as one for each of many dispatchers can be too many. A burst of answers that are late for another reason
-/// costs some misses.
+/// While fills are late, the limit is reduced until the admitted fills meet their latency objective. Below a limit of
+/// one, fills are admitted by random draw, because one fill at each of many dispatchers can still be too many. A burst
+/// of responses that are late for another reason also triggers the limit, and some misses are then not filled.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
     in_flight: usize,
-    /// Fills at once; below one, the share of fills that are admitted.
+    /// Maximum number of fills in flight; below one, the share of fills that are admitted.
     limit: f64,
     late: DecayingSum,
     timely: DecayingSum,
+    /// The last late fill that started or reduced the limit. `None`: the limit was never in effect.
     last_late: Option<Duration>,
 }
 
 impl ConcurrencyLimit {
-    /// No limit; `empty` has the memory of the longest deadline.
+    /// A limit that is not in effect. The time constant of `empty_sum` is the longest deadline.
     pub(crate) fn new(empty: DecayingSum) -> Self {
         ConcurrencyLimit { in_flight: 0, limit: 1.0, late: empty, timely: empty, last_late: None }
     }
 
-    /// A fill was sent.
+    /// Counts a fill sent.
     pub(crate) fn fill_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A fill ended.
+    /// Removes an ended fill from those in flight.
     pub(crate) fn fill_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Whether fills have lately come late. Where few are admitted few can show it: then it lasts longer.
+    /// Whether the limit is in effect because fills were recently late. It stays in effect longer when it admits only a
+    /// share of the fills, as there are then fewer fills to measure.
     pub(crate) fn is_constrained(&self, now: Duration) -> bool {
         let hold_s = self.late.memory_s() * HOLD_PART / self.limit.min(1.0);
         let hold = Duration::from_secs_f64(hold_s);
         self.last_late.is_some_and(|late| now < late + hold)
     }
 
-    /// Whether a fill of a request with this random draw is not admitted.
+    /// Whether the limit rejects a fill for a request with this random draw, from 0 to 1.
     pub(crate) fn is_limited(&self, now: Duration, draw: f64) -> bool {
         self.is_constrained(now) && (self.in_flight as f64 >= self.limit.max(1.0) || draw > self.limit)
     }
 
-    /// Records whether a fill came in time, and adapts the limit.
+    /// Records whether a fill met its latency objective, and adapts the limit.
     pub(crate) fn record(&mut self, now: Duration, timeliness: Timeliness) {
         match timeliness {
             Timeliness::Timely => {
@@ -93,7 +95,7 @@
     }
 }
 
-/// Whether no more than the tolerated share of fills was late.
+/// Whether the late fills are at most the tolerated share of all fills. Takes decayed counts.
 pub(crate) fn is_mostly_timely(late: f64, timely: f64) -> bool {
     late <= LATE_SHARE * (late + timely)
 }
