--- a/crates/rockflow/src/source_path.rs
+++ b/crates/rockflow/src/source_path.rs
@@ -1,4 +1,5 @@
-//! Paths from sources: the limits that fills are under by the link they come through and by what lies behind a parent.
+//! Concurrency limits of fills: by the location of the source, for the link of this location, and for the fetches that
+//! parents make.
 
 use crate::concurrency::{is_mostly_timely, ConcurrencyLimit, Timeliness};
 use crate::decay::{DecayingSum, MIN_OBSERVATIONS};
@@ -6,10 +7,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The path that fills from the sources of one location take.
+/// Limit and timing of the fills from the sources of one location.
 #[derive(Debug)]
 pub(crate) struct SourcePath {
     limit: ConcurrencyLimit,
+    /// Late and timely attempts with a source in this location, also where other causes than the path are likely.
     late: DecayingSum,
     timely: DecayingSum,
 }
@@ -19,7 +21,7 @@
         SourcePath { limit: ConcurrencyLimit::new(empty), late: empty, timely: empty }
     }
 
-    /// The limit of fills on this path.
+    /// The concurrency limit of fills from this location.
     pub(crate) fn limit(&self) -> &ConcurrencyLimit {
         &self.limit
     }
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Whether fills on this path are known to come in time.
+    /// Whether there are enough recent fills from this location, and most met their latency objective.
     fn is_timely(&self, now: Duration) -> bool {
         let late = self.late.read(now);
         let timely = self.timely.read(now);
@@ -39,46 +41,47 @@
     }
 }
 
-/// What an attempt asks of its source.
+/// What an attempt requests from its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SourceUse {
-    /// It has no source.
+    /// Nothing: the attempt has no source.
     None,
-    /// Only what the source has cached.
+    /// Only an object that the source has cached.
     CachedOnly,
-    /// The source fetches what it lacks.
+    /// Any object: the source fetches what it has not cached.
     Fill,
 }
 
-/// The timing of an attempt with a source, and which limits it may tell of.
+/// The timing of an attempt with a source, and the limits that it applies to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FillTiming {
-    /// Whether it came in time.
+    /// Whether the attempt met its latency objective.
     pub(crate) timeliness: Timeliness,
-    /// The location of its source.
+    /// The location of the source, which selects the path.
     pub(crate) source_location: LocationId,
-    /// Whether its copy came over the link of this location from what the source had cached.
+    /// Whether the source had the copy cached, so that the timing measures the link of this location alone.
     pub(crate) over_link: bool,
-    /// What it asked of its source.
+    /// What the attempt requested from the source.
     pub(crate) source_use: SourceUse,
-    /// Whether responses report nothing of fills, so that lateness has no place.
+    /// Whether responses don't report fills. The cause of a late response is then unknown, and it is taken as common to
+    /// all paths.
     pub(crate) status_unreported: bool,
 }
 
-/// The limits of fills at this dispatcher.
+/// The concurrency limits of fills from this dispatcher.
 #[derive(Debug)]
 pub(crate) struct FillLimits {
     empty: DecayingSum,
-    /// What comes over the link of this location from a source.
+    /// Limits copies that come from any source over the link of this location.
     link: ConcurrencyLimit,
-    /// What is fetched for a parent that lacks it.
+    /// Limits fills that a parent may have to fetch from the origin.
     behind_parents: ConcurrencyLimit,
-    /// By the location of the source, no more than are listed.
+    /// The path from each location that had a listed source. Locations of removed sources are kept.
     paths: BTreeMap<LocationId, SourcePath>,
 }
 
 impl FillLimits {
-    /// No limits; `empty` has the memory of the longest deadline.
+    /// No limit in effect and no paths. The time constant of `empty_sum` is the longest deadline.
     pub(crate) fn new(empty: DecayingSum) -> Self {
         FillLimits {
             empty,
@@ -88,44 +91,46 @@
         }
     }
 
-    /// A source in this location is listed.
+    /// Adds the path from a location in which a source is listed.
     pub(crate) fn add_source_location(&mut self, location: LocationId) {
         let empty = self.empty;
         self.paths.entry(location).or_insert_with(|| SourcePath::new(empty));
     }
 
-    /// The path from a location.
+    /// The path from a location. `None`: no source was ever listed there.
     pub(crate) fn path(&self, location: LocationId) -> Option<&SourcePath> {
         self.paths.get(&location)
     }
 
-    /// The limit of what comes over the link of this location.
+    /// The limit of copies over the link of this location.
     pub(crate) fn link(&self) -> &ConcurrencyLimit {
         &self.link
     }
 
-    /// The limit of what is fetched for parents.
+    /// The limit of fills that parents may have to fetch from the origin.
     pub(crate) fn behind_parents(&self) -> &ConcurrencyLimit {
         &self.behind_parents
     }
 
-    /// An attempt was sent.
+    /// Counts an attempt sent towards all limits that apply to it.
     pub(crate) fn attempt_sent(&mut self, source_location: Option<LocationId>, source_use: SourceUse) {
         for limit in self.limits_of(source_location, source_use) {
             limit.fill_sent();
         }
     }
 
-    /// An attempt ended.
+    /// Removes an ended attempt from all limits that apply to it.
     pub(crate) fn attempt_ended(&mut self, source_location: Option<LocationId>, source_use: SourceUse) {
         for limit in self.limits_of(source_location, source_use) {
             limit.fill_ended();
         }
     }
 
-    /// Records whether an attempt with a source came in time.
+    /// Records whether an attempt with a source met its latency objective.
     ///
-    /// What strikes the sources of one location alone is a fault on the path from there, not behind them.
+    /// While fills from another location are timely, a late fill counts only towards the limit of its own path. Otherwise
+    /// the cause is taken as common to all paths, and only the limits of the link and of the fetches by parents count it.
+    /// A timely fill counts towards all limits that apply to it.
     pub(crate) fn record(&mut self, now: Duration, timing: FillTiming) {
         let location = timing.source_location;
         let others_timely = self.paths.iter().any(|(other, path)| *other != location && path.is_timely(now));
@@ -145,7 +150,7 @@
         }
     }
 
-    /// The limits that an attempt counts towards.
+    /// The limits that apply to an attempt.
     fn limits_of(
         &mut self,
         source_location: Option<LocationId>,
