--- a/crates/rockflow/src/class_stats.rs
+++ b/crates/rockflow/src/class_stats.rs
@@ -1,28 +1,28 @@
-//! Statistics of a request class: transfer times, and how well its large requests are served beside the rest.
+//! Statistics of a request class: transfer times, and the success rate of its large requests compared with all.
 
 use crate::config::Class;
 use crate::decay::{DecayingSum, MIN_OBSERVATIONS};
 use std::time::Duration;
 
-/// The decayed number of transfers from which their mean is used.
+/// Minimum decayed count of transfers for their mean to be used.
 const MIN_TRANSFERS: f64 = 0.5;
-/// Standard deviations above the mean up to which a transfer of unknown size is usual.
+/// Standard deviations above the mean up to which the transfer time of a response of unknown size counts as usual.
 const USUAL_DEVIATIONS: f64 = 3.0;
-/// A request is large from this multiple of the mean transfer time of its class on.
+/// Multiple of the mean transfer time of its class from which a request counts as large.
 const LARGE_FROM: f64 = 2.0;
-/// Large requests are under-served when their success rate is below this part of that of the class.
+/// Large requests are under-served when their success rate is below this part of the success rate of the class.
 const LARGE_SUCCESS_PART: f64 = 0.6;
 
-/// How long the transfer of a response takes at full rate.
+/// Estimated time to transfer a response at full rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransferEstimate {
-    /// The expected time, in seconds: by the size of the response, or the mean of its class.
+    /// Expected time in seconds, from the size of the response or else the mean of its class.
     pub(crate) expected_s: f64,
-    /// The longest usual time, in seconds.
+    /// Longest usual time in seconds; equal to the expected time where the size is known.
     pub(crate) usual_max_s: f64,
 }
 
-/// Moments of the transfer times seen.
+/// Decayed count, sum and sum of squares of the transfer times.
 #[derive(Debug)]
 struct TransferTimes {
     count: DecayingSum,
@@ -30,14 +30,14 @@
     squared_seconds: DecayingSum,
 }
 
-/// Requests received and succeeded.
+/// Decayed counts of the requests received and of those that succeeded.
 #[derive(Debug)]
 struct SuccessRate {
     received: DecayingSum,
     succeeded: DecayingSum,
 }
 
-/// A request class with its statistics.
+/// The configuration and statistics of a request class.
 #[derive(Debug)]
 pub(crate) struct ClassStats {
     class: Class,
@@ -47,7 +47,7 @@
 }
 
 impl ClassStats {
-    /// A class without observations; `empty` sets the memory of its sums.
+    /// A class without observations. `empty_sum` sets the time constant of all sums.
     pub(crate) fn new(class: &Class, empty: DecayingSum) -> Self {
         ClassStats {
             class: class.clone(),
@@ -62,46 +62,51 @@
         &self.class
     }
 
-    /// The transfer time of a request of the class whose size is unknown.
+    /// The estimated transfer time of a request of the class whose size is unknown.
     pub(crate) fn transfer_estimate(&self, now: Duration) -> TransferEstimate {
         let count = self.transfers.count.read(now);
         let seconds = self.transfers.seconds.read(now);
         let squared_seconds = self.transfers.squared_seconds.read(now);
         if count < MIN_TRANSFERS {
-            // Nothing seen yet: the part of the latency objective that the stretch leaves to the transfer.
-            let guess = self.class.latency_objective.as_secs_f64() / (1.0 + self.class.transfer_stretch);
-            return TransferEstimate { expected_s: guess, usual_max_s: guess * (1.0 + USUAL_DEVIATIONS) };
+            // Without transfers to measure: the transfer time that would use up the latency objective together with
+            // its stretch.
+            let default_s = self.class.latency_objective.as_secs_f64() / (1.0 + self.class.transfer_stretch);
+            return TransferEstimate {
+                expected_s: default_s,
+                usual_max_s: default_s * (1.0 + USUAL_DEVIATIONS),
+            };
         }
         let mean = seconds / count;
         let deviation = libm::sqrt((squared_seconds / count - mean * mean).max(0.0));
         TransferEstimate { expected_s: mean, usual_max_s: mean + USUAL_DEVIATIONS * deviation }
     }
 
-    /// Records the transfer time of a request.
+    /// Records a transfer time, in seconds.
     pub(crate) fn record_transfer(&mut self, now: Duration, seconds: f64) {
         self.transfers.count.add(now, 1.0);
         self.transfers.seconds.add(now, seconds);
         self.transfers.squared_seconds.add(now, seconds * seconds);
     }
 
-    /// Records that a request arrived that takes this many seconds to transfer.
+    /// Records the arrival of a request whose response takes `transfer_s` seconds to transfer.
     pub(crate) fn record_received(&mut self, now: Duration, transfer_s: f64) {
         let large = self.count_if_large(now, transfer_s);
         self.all.received.add(now, 1.0);
         self.large.received.add(now, large);
     }
 
-    /// Records that a request succeeded that takes this many seconds to transfer.
+    /// Records the success of a request whose response takes `transfer_s` seconds to transfer.
     pub(crate) fn record_succeeded(&mut self, now: Duration, transfer_s: f64) {
         let large = self.count_if_large(now, transfer_s);
         self.all.succeeded.add(now, 1.0);
         self.large.succeeded.add(now, large);
     }
 
-    /// Whether large requests succeed far less often than the rest of the class.
+    /// Whether the success rate of large requests is far below that of the class.
     ///
-    /// In a lasting overload they are the first to be shed, as they are the first to be late. While this holds they
-    /// are admitted on the terms of a request of mean size, at the cost that some come late and crowd others.
+    /// In a lasting overload, load shedding rejects large requests first, because they are the first to be late. While
+    /// they are under-served, they are admitted like a request of mean size, at the cost that some of them are late and
+    /// slow down others.
     pub(crate) fn is_large_under_served(&self, now: Duration) -> bool {
         let received = self.all.received.read(now);
         let succeeded = self.all.succeeded.read(now);
@@ -111,6 +116,7 @@
             && large_succeeded * received < LARGE_SUCCESS_PART * succeeded * large_received
     }
 
+    /// What a request adds to the counts of large requests: 1 if it is large, else 0.
     fn count_if_large(&self, now: Duration, transfer_s: f64) -> f64 {
         if transfer_s >= LARGE_FROM * self.transfer_estimate(now).expected_s {
             1.0
