--- a/crates/rockflow/src/endpoint_table.rs
+++ b/crates/rockflow/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The table of listed hosts, and which of them this dispatcher may use.
+//! The table of listed hosts, with those that this dispatcher may use.
 
 use crate::config::DeploymentConfig;
 use crate::decay::DecayingSum;
@@ -9,21 +9,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The hosts of one role.
+/// The usable hosts of one role.
 #[derive(Debug, Default)]
 struct RoleHosts {
-    /// Those that this dispatcher may use, by id.
+    /// Hosts that this dispatcher may use, draining ones included, in the order of their ids.
     usable: Vec<HostId>,
-    /// The best odds of a success among them.
+    /// The best odds of a success among the usable hosts.
     best_odds: f64,
 }
 
-/// All listed hosts.
+/// All listed hosts, with those of each role that this dispatcher may use.
 #[derive(Debug)]
 pub(crate) struct EndpointTable {
     hosts: BTreeMap<HostId, Host>,
-    /// Whether a list has come since the start of the dispatcher.
-    is_listed: bool,
+    /// Whether an update of the endpoint list was applied since the start of the dispatcher.
+    has_received_list: bool,
     caches: RoleHosts,
     parents: RoleHosts,
     origins: RoleHosts,
@@ -31,11 +31,11 @@
 }
 
 impl EndpointTable {
-    /// No hosts; `empty` has the memory of the longest deadline.
+    /// An empty table. The time constant of `empty_sum` is the longest deadline.
     pub(crate) fn new(empty: DecayingSum) -> Self {
         EndpointTable {
             hosts: BTreeMap::new(),
-            is_listed: false,
+            has_received_list: false,
             caches: RoleHosts::default(),
             parents: RoleHosts::default(),
             origins: RoleHosts::default(),
@@ -43,34 +43,35 @@
         }
     }
 
-    /// A listed host.
+    /// A listed host. `None`: no host with this id is listed.
     pub(crate) fn get(&self, id: HostId) -> Option<&Host> {
         self.hosts.get(&id)
     }
 
-    /// A listed host, to be changed.
+    /// Mutable access to a listed host. `None`: no host with this id is listed.
     pub(crate) fn get_mut(&mut self, id: HostId) -> Option<&mut Host> {
         self.hosts.get_mut(&id)
     }
 
-    /// The hosts of a role that take new attempts of this dispatcher, by id.
+    /// The hosts of a role that take new attempts from this dispatcher, in the order of their ids.
     pub(crate) fn ready(&self, role: Role) -> impl Iterator<Item = &Host> {
         let usable = self.of_role(role).usable.iter().map(|id| &self.hosts[id]);
         usable.filter(|host| host.entry().readiness == Readiness::Ready)
     }
 
-    /// Whether a host is an origin that this dispatcher may use.
+    /// Whether the host is a listed origin.
     pub(crate) fn is_usable_origin(&self, id: HostId) -> bool {
         self.origins.usable.contains(&id)
     }
 
-    /// Whether a host is ejected as an outlier.
+    /// Whether a host is ejected as an outlier among the usable hosts of its role; false for a host that is not listed.
     pub(crate) fn is_ejected(&self, id: HostId, now: Duration) -> bool {
         let Some(host) = self.hosts.get(&id) else { return false };
         host.health.is_outlier(now, self.of_role(host.entry().role).best_odds)
     }
 
-    /// Records what an outcome says of a host, and finds the best odds of its role anew.
+    /// Adds an outcome to the health of a host, and recomputes the best odds of its role. Ignores hosts that are not
+    /// listed.
     pub(crate) fn record_health(&mut self, id: HostId, now: Duration, sample: HealthSample) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         host.health.record(now, sample);
@@ -80,7 +81,8 @@
         self.of_role_mut(role).best_odds = best_odds;
     }
 
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list. An update of any scope but changes also removes the hosts that it doesn't
+    /// list.
     pub(crate) fn apply(
         &mut self,
         config: &DeploymentConfig,
@@ -94,13 +96,13 @@
         for entry in entries {
             self.apply_entry(config, now, entry);
         }
-        self.is_listed = true;
+        self.has_received_list = true;
         for role in [Role::Cache, Role::Parent, Role::Origin] {
             self.find_usable(config, role);
         }
     }
 
-    /// What is known of each host.
+    /// The status of each listed host, in the order of their ids.
     pub(crate) fn statuses(&self, now: Duration) -> Vec<HostStatus> {
         let status = |(id, host): (&HostId, &Host)| HostStatus {
             host: *id,
@@ -124,15 +126,17 @@
         } else {
             self.hosts.insert(id, Host::new(config, entry, empty));
         }
-        if self.is_listed {
+        if self.has_received_list {
             return;
         }
+        // A restarted dispatcher may have spent the budget before the restart.
         if let Some(host) = self.hosts.get_mut(&id) {
             host.spend_warm_up_budget(config, now);
         }
     }
 
-    /// Caches are used within the location only, parents and origins from anywhere.
+    /// Recomputes the usable hosts of a role: caches of the location of this dispatcher, parents and origins of any
+    /// location.
     fn find_usable(&mut self, config: &DeploymentConfig, role: Role) {
         let is_usable = |entry: &EndpointEntry| {
             entry.role == role && (role != Role::Cache || entry.location == config.location)
