--- a/crates/rockflow/src/state.rs
+++ b/crates/rockflow/src/state.rs
@@ -1,4 +1,4 @@
-//! What the decisions know, each part with its own module.
+//! The state that routing decisions are based on. Each part has its own module.
 
 use crate::class_stats::{ClassStats, TransferEstimate};
 use crate::config::{Class, DeploymentConfig};
@@ -13,49 +13,50 @@
 use crate::source_path::FillLimits;
 use std::time::Duration;
 
-/// The longest deadline where no class is configured.
+/// Used as the longest deadline if no class is configured.
 const DEFAULT_LONGEST_DEADLINE: Duration = Duration::from_secs(1);
 
-/// All that a decision on a request goes by, besides the request itself.
+/// Everything that a routing decision depends on, apart from the request.
 #[derive(Debug)]
 pub(crate) struct RoutingState {
-    /// The configuration.
+    /// The configuration of the deployment, fixed from the start.
     pub(crate) config: DeploymentConfig,
-    /// The time of the last event.
+    /// The latest time of the events so far; never goes back.
     pub(crate) now: Duration,
-    /// The listed hosts.
+    /// The listed hosts with their health, load and slow start.
     pub(crate) endpoints: EndpointTable,
-    /// Recent requests by object.
+    /// Counts of recent requests by part of an object.
     pub(crate) popularity: Popularity,
-    /// Recent purges.
+    /// Purges recent enough that older copies may still be cached.
     pub(crate) purges: Purges,
-    /// Limits of fills.
+    /// Concurrency limits of fills.
     pub(crate) fill_limits: FillLimits,
+    /// Statistics of the classes, by [`ClassId`].
     classes: Vec<ClassStats>,
-    /// The longest deadline of a class, in seconds.
+    /// The longest deadline of all classes, in seconds.
     longest_deadline_s: f64,
 }
 
 impl RoutingState {
-    /// Nothing is known but the configuration.
+    /// The state at the start of a dispatcher: a configuration, no hosts and no observations.
     pub(crate) fn new(config: DeploymentConfig) -> Self {
         let longest_deadline =
             config.classes.iter().map(|class| class.deadline).max().unwrap_or(DEFAULT_LONGEST_DEADLINE);
-        let long_memory = DecayingSum::new(popularity::memory(longest_deadline));
-        let short_memory = DecayingSum::new(longest_deadline);
+        let popularity_sum = DecayingSum::new(popularity::memory(longest_deadline));
+        let deadline_sum = DecayingSum::new(longest_deadline);
         RoutingState {
             now: Duration::ZERO,
-            endpoints: EndpointTable::new(short_memory),
-            popularity: Popularity::new(long_memory, config.max_tracked),
+            endpoints: EndpointTable::new(deadline_sum),
+            popularity: Popularity::new(popularity_sum, config.max_tracked),
             purges: Purges::new(config.purge_window, config.max_tracked),
-            fill_limits: FillLimits::new(short_memory),
-            classes: config.classes.iter().map(|class| ClassStats::new(class, long_memory)).collect(),
-            longest_deadline_s: short_memory.memory_s(),
+            fill_limits: FillLimits::new(deadline_sum),
+            classes: config.classes.iter().map(|class| ClassStats::new(class, popularity_sum)).collect(),
+            longest_deadline_s: deadline_sum.memory_s(),
             config,
         }
     }
 
-    /// The class of a request.
+    /// The configuration of the class of a request.
     pub(crate) fn class(&self, open: &OpenRequest) -> &Class {
         self.class_stats(open.request.class).class()
     }
@@ -68,7 +69,7 @@
         &self.classes[class.0]
     }
 
-    /// The statistics of a class, to be changed.
+    /// Mutable access to the statistics of a class.
     ///
     /// # Panics
     /// If the class is not configured.
@@ -76,7 +77,7 @@
         &mut self.classes[class.0]
     }
 
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list, and adds fill limits for new source locations.
     pub(crate) fn apply_endpoint_list(&mut self, scope: ListScope, entries: Vec<EndpointEntry>) {
         for entry in &entries {
             if entry.role != Role::Cache && entry.readiness != Readiness::Gone {
@@ -86,7 +87,7 @@
         self.endpoints.apply(&self.config, self.now, scope, entries);
     }
 
-    /// Records that a request arrived, and returns its transfer time.
+    /// Records the arrival of a request, and returns its estimated transfer time.
     pub(crate) fn record_request(&mut self, request: &Request) -> TransferEstimate {
         let now = self.now;
         let transfer = self.transfer_time(request);
@@ -100,7 +101,7 @@
         transfer
     }
 
-    /// Records that an attempt was sent.
+    /// Counts an attempt sent in the load and slow start of its host, the slow start of its source, and the fill limits.
     pub(crate) fn record_attempt_sent(&mut self, class: ClassId, attempt: &AttemptState) {
         let now = self.now;
         let mean_s = self.class_stats(class).transfer_estimate(now).expected_s;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Whether the transfer time of a request follows from its size.
+    /// Whether the transfer time of a request can be computed from its size and the configured transfer rate.
     pub(crate) fn is_transfer_known(&self, request: &Request) -> bool {
         request.size_kb > 0.0 && self.config.stream_kb_per_s > 0.0
     }
