--- a/crates/rockflow/tests/slow_start.rs
+++ b/crates/rockflow/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! Fifty dispatchers in virtual time, each of which sees only its own part, and one host in slow start among those of its
-//! role: what all of them together send there stays within the configured limit, whatever their phases.
+//! Guards against overloading a host in slow start: each of fifty dispatchers sees only its own part of the load, so
+//! that limits kept by each could add up to too much. Runs in virtual time with one host of a role in slow start, and
+//! checks that the sum of what all dispatchers send there stays within the configured limit.
 
 use rockflow::{CacheStatus, EndpointEntry, HostId, Outcome, Role};
 use rockflow_routing_simulation::{
@@ -10,23 +11,29 @@
 use test_case::test_case;
 
 const DISPATCHERS: usize = 50;
-const SIZE_KB: f64 = 50.0;
+/// Mean size of a response.
+const MEAN_SIZE_KB: f64 = 50.0;
+/// Capacity of each link, in transfers at full rate.
 const LINK_WEIGHT: f64 = 8.0;
 const CACHES: u64 = 4;
 const PARENTS: u64 = 4;
 const NEW_PARENT: HostId = HostId(100);
 const NEW_CACHE: HostId = HostId(0);
+/// When the dispatchers and the new host start.
 const BEGIN: Duration = Duration::from_secs(10);
 const END: Duration = Duration::from_secs(25);
+/// Time between two requests at the same dispatcher.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 const RESPONSE_TIME: Duration = Duration::from_millis(60);
 
+/// When the dispatchers send their first requests.
 #[derive(Clone, Copy, PartialEq)]
 enum Start {
-    /// Each dispatcher in a phase of its own.
+    /// Each dispatcher at its own random time within one request interval.
     Staggered,
+    /// All dispatchers at the same time.
     Simultaneous,
-    /// At once, and seven in ten are killed midway and restart with empty tables.
+    /// All at the same time; seven in ten restart five seconds later without their state.
     WithRestarts,
 }
 
@@ -37,7 +44,7 @@
     caches.chain(parents).collect()
 }
 
-/// Nothing is cached: a look misses, and whatever may fill does.
+/// Nothing is cached: a cached-only attempt misses, and any other attempt is filled.
 fn respond(sent: &SentAttempt) -> HostResponse {
     let (outcome, cache_status) = if sent.is_cached_only() {
         (Outcome::Miss, CacheStatus::Unknown)
@@ -52,7 +59,7 @@
         seed,
         dispatchers: DISPATCHERS,
         request_interval: REQUEST_INTERVAL,
-        mean_size_kb: SIZE_KB,
+        mean_size_kb: MEAN_SIZE_KB,
         object_count: None,
     });
     for dispatcher in 0..DISPATCHERS {
@@ -77,17 +84,18 @@
     for seed in 1..=5 {
         let fleet = simulate(start, new_host, seed);
         let sent: Vec<Duration> = fleet.attempts_using(new_host).map(|sent| sent.at).collect();
-        let attempt_s = SIZE_KB / STREAM_KB_PER_S;
+        let attempt_s = MEAN_SIZE_KB / STREAM_KB_PER_S;
         let host = SlowStartHost { started: BEGIN, weight: LINK_WEIGHT, attempt_s };
         let relative_work = host.max_relative_work(&sent);
-        // A quarter of all would fall to it: several times what it tolerates when it starts.
-        let offered = fleet.requests.len() as f64 / 4.0 * attempt_s / (END - BEGIN).as_secs_f64();
+        // Checks that the test offers enough load: a quarter of all requests, the even share of one of four hosts, is
+        // several times what the host tolerates when it starts.
+        let offered_load = fleet.requests.len() as f64 / 4.0 * attempt_s / (END - BEGIN).as_secs_f64();
         assert!(
-            offered > 2.0 * SLOW_START.overload_multiple * SLOW_START.initial_share * LINK_WEIGHT,
-            "{offered} offers too little"
+            offered_load > 2.0 * SLOW_START.overload_multiple * SLOW_START.initial_share * LINK_WEIGHT,
+            "the offered load of {offered_load} transfers is too low to test the limit"
         );
-        assert!(relative_work <= 1.0, "seed {seed}: {relative_work:.2} of what it tolerates");
-        assert!(relative_work > 0.05, "seed {seed}: {relative_work:.2}: it never warms up");
-        println!("seed {seed}: {relative_work:.2}, {} attempts", sent.len());
+        assert!(relative_work <= 1.0, "seed {seed}: {relative_work:.2} times the limit");
+        assert!(relative_work > 0.05, "seed {seed}: {relative_work:.2} of the limit, too little to warm up");
+        println!("seed {seed}: {relative_work:.2} of the limit, {} attempts", sent.len());
     }
 }
--- a/crates/rockflow/tests/slow_start_at_scale.rs
+++ b/crates/rockflow/tests/slow_start_at_scale.rs
@@ -1,5 +1,6 @@
-//! Fleets of 3 to 1,800 dispatchers in virtual time: a host in slow start gets no more from all of them together than it
-//! tolerates, however uneven their traffic is, whenever each learns of the host, and also when most of them restart.
+//! Fleets of 3 to 1,800 dispatchers in virtual time: the work that all of them together send to a host in slow start
+//! stays within its limit with even and uneven traffic, also when dispatchers learn of the host at different times and
+//! when most of them restart.
 
 use rockflow::Role;
 use rockflow_routing_simulation::warm_up::{simulate, Restarts, Traffic, WarmUpCase, REQUEST_INTERVAL};
@@ -27,9 +28,13 @@
                 for seed in 1..=2 {
                     let result = simulate(dispatchers, case, seed);
                     let (attempts, excess) = (result.sent.len(), result.max_excess);
-                    println!("{dispatchers} {case:?} seed {seed}: {attempts} attempts, {excess:.1} over");
+                    println!(
+                        "{dispatchers} {case:?} seed {seed}: {attempts} attempts, {excess:.1} over the limit"
+                    );
                     if excess > 0.0 || attempts == 0 {
-                        failures.push(format!("{case:?} seed {seed}: {excess:.1} over, {attempts} attempts"));
+                        failures.push(format!(
+                            "{case:?} seed {seed}: {excess:.1} over the limit, {attempts} attempts"
+                        ));
                     }
                 }
             }
@@ -38,7 +43,8 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Ten requests a second at each dispatcher: traffic grows with the fleet, so that each gets its turn.
+/// Traffic grows with the fleet, at ten requests a second for each dispatcher, so that each has a request to send in its
+/// turn.
 #[test_case(300, Restarts::None)]
 #[test_case(300, Restarts::Most)]
 #[test_case(1800, Restarts::None)]
@@ -55,8 +61,8 @@
     };
     let result = simulate(dispatchers, case, 1);
     let (attempts, excess) = (result.sent.len(), result.max_excess);
-    println!("{dispatchers} {case:?}: {attempts} attempts, {excess:.1} over");
-    assert!(excess <= 0.0, "{excess:.1} over");
-    // It is warmed, too: at this size a fleet of any number gives it some fifty.
+    println!("{dispatchers} {case:?}: {attempts} attempts, {excess:.1} over the limit");
+    assert!(excess <= 0.0, "{excess:.1} over the limit");
+    // The host also gets enough attempts to warm up: at this size, fleets of any number send it about fifty.
     assert!(attempts >= 30, "{attempts} attempts");
 }
