--- a/crates/rockflow/tests/fill_limit_recovery.rs
+++ b/crates/rockflow/tests/fill_limit_recovery.rs
@@ -1,5 +1,6 @@
-//! A burst of late responses limits fills, then parents are healthy: until fills go out as before takes at most three of the
-//! longest deadline after the last late one, however few requests there are and whatever the random draws.
+//! Guards against a fill limit that stays in effect after its cause has ended. A burst of late fills triggers the limit,
+//! then parents are healthy: within three times the longest deadline after the last late fill, fills must be sent as
+//! before, at any request rate and with any random draws.
 
 use rockflow::{CacheStatus, Outcome, Role};
 use rockflow_routing_simulation::{
@@ -8,21 +9,26 @@
 use std::time::Duration;
 use test_case::test_case;
 
+/// How long fills are late, from the start.
 const BURST: Duration = Duration::from_secs(10);
+/// Duration of a late fill.
 const LATE_FILL: Duration = Duration::from_millis(1500);
+/// Duration of a timely fill.
 const TIMELY_FILL: Duration = Duration::from_millis(60);
+/// Duration of a cached-only attempt that misses.
 const MISS_TIME: Duration = Duration::from_millis(1);
 
-/// The share of the requests that was rejected.
+/// Share of rejected requests, from 0 to 1, in three periods.
 struct RejectedShares {
-    /// Of those in the last seconds of the burst.
+    /// In the second half of the burst.
     while_limited: f64,
-    /// Of those in the time that the recovery may take.
+    /// From the end of the burst until the recovery must be complete.
     while_recovering: f64,
-    after: f64,
+    /// After the time by which the recovery must be complete.
+    after_recovery: f64,
 }
 
-/// Fills are late during the burst, and `late_share` of them after it.
+/// All fills are late during the burst, and a random `late_share` of them after it.
 fn simulate(request_interval: Duration, late_share: f64, seed: u64) -> RejectedShares {
     let mut fleet = FleetSimulation::new(FleetOptions {
         seed,
@@ -45,13 +51,13 @@
         };
         HostResponse { outcome, cache_status, duration }
     });
-    // The last late fill of the burst ends this much after it.
-    let healthy = BURST + LATE_FILL;
-    let recovered = healthy + 3 * DEADLINE;
+    // The last late fill of the burst ends this long after the burst.
+    let last_late_end = BURST + LATE_FILL;
+    let recovered = last_late_end + 3 * DEADLINE;
     RejectedShares {
         while_limited: rejected_share(&fleet, BURST / 2, BURST),
-        while_recovering: rejected_share(&fleet, healthy, recovered),
-        after: rejected_share(&fleet, recovered, healthy + 10 * DEADLINE),
+        while_recovering: rejected_share(&fleet, last_late_end, recovered),
+        after_recovery: rejected_share(&fleet, recovered, last_late_end + 10 * DEADLINE),
     }
 }
 
@@ -69,13 +75,13 @@
 fn fills_recover_within_a_bound_after_a_late_burst(request_interval_ms: u64, late_share: f64) {
     for seed in 1..=20 {
         let rejected = simulate(Duration::from_millis(request_interval_ms), late_share, seed);
-        let RejectedShares { while_limited, while_recovering, after } = rejected;
+        let RejectedShares { while_limited, while_recovering, after_recovery } = rejected;
         println!(
             "seed {seed}: {while_limited:.2} rejected while limited, {while_recovering:.3} while recovering, \
-             {after:.3} after it"
+             {after_recovery:.3} after recovery"
         );
         assert!(while_limited > 0.8, "seed {seed}: fills were never limited");
-        // A fill that is late itself ends rejected; hardly one more does.
-        assert!(after <= 3.0 * late_share, "seed {seed}: {after} still rejected");
+        // A late fill itself ends in a rejection; hardly any other request must be rejected.
+        assert!(after_recovery <= 3.0 * late_share, "seed {seed}: {after_recovery} still rejected");
     }
 }
