--- a/crates/rockflow/tests/scenario/mod.rs
+++ b/crates/rockflow/tests/scenario/mod.rs
@@ -1,9 +1,15 @@
-//! Plays text scenarios of the decisions.
+//! Runs text scenarios of routing decisions.
 //!
-//! A line is `config ..` or `at TIME EVENT`, each with `-> ACTION` for every action that must come of it, in order
-//! (`-> ignore` takes any that are left), or `Nx` before a line, or `times N` .. `done`; `#` is a comment. Timers fire by
-//! themselves. A host is a name (c cache, p parent, o origin, then a number), `$x` (bound when first seen, the same from
-//! then on), `!$x` (another one) or `any`; `%` in an id is the round of the loop.
+//! - `config KEY=VALUE ..` starts a dispatcher with a configuration; keys left out have defaults.
+//! - `at TIME EVENT` feeds an event to the dispatcher; timers that are due before it fire first. `wait` is no event.
+//! - `-> ACTION` after either of them is an expected action. All actions must be listed, in order; `-> ignore` accepts
+//!   all that remain.
+//! - `Nx LINE` repeats a line N times, `times N` repeats the lines up to `done`. `%` is replaced by the index of the
+//!   iteration, from 0.
+//! - `#` starts a comment, and a line of `---` separates scenarios.
+//!
+//! A host is a name (`c` for a cache, `p` for a parent, `o` for the origin, followed by a number). An expected action may
+//! also have `any` for any host, `$x` for the host that `$x` matched first, and `!$x` for any host but that.
 
 mod notation;
 mod player;
@@ -11,13 +17,13 @@
 use notation::unroll;
 use player::Player;
 
-/// Plays the scenarios of a file, which are separated by `---`.
+/// Runs the scenarios of `tests/scenarios/NAME.txt`.
 ///
 /// # Panics
-/// With the line that failed.
+/// At the first line whose actions differ from the expected ones, with the line.
 pub fn play_file(name: &str) {
     let path = format!("{}/tests/scenarios/{name}.txt", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(path).expect("a scenario file");
+    let text = std::fs::read_to_string(path).expect("the scenario file is readable");
     for scenario in text.split("\n---\n") {
         play_scenario(name, scenario);
     }
@@ -30,12 +36,12 @@
         let fail =
             |error: String| panic!("{name}, {:?}, line {number} ({text}): {error}", scenario.lines().next());
         let mut steps = text.split("->").map(|step| step.split_whitespace().collect::<Vec<&str>>());
-        player.play(&steps.next().expect("an event")).unwrap_or_else(fail);
+        player.play(&steps.next().expect("split returns at least one step")).unwrap_or_else(fail);
         for step in steps {
             player.expect_action(&step).unwrap_or_else(fail);
         }
         if !player.unexpected_actions().is_empty() {
-            fail(format!("not expected: {:?}", player.unexpected_actions()));
+            fail(format!("unexpected actions: {:?}", player.unexpected_actions()));
         }
     }
 }
--- a/crates/rockflow/tests/scenario/notation.rs
+++ b/crates/rockflow/tests/scenario/notation.rs
@@ -1,4 +1,4 @@
-//! The notation of scenarios: words, times, hosts, configurations and events.
+//! Parses the notation of scenarios: words, durations, hosts, configurations and events.
 
 use rockflow::{
     AttemptEnd, AttemptNumber, CacheStatus, CacheStatusDetail, CellId, Class, ClassId, DeploymentConfig,
@@ -7,7 +7,7 @@
 };
 use std::time::Duration;
 
-/// Units of time in microseconds; the longer of two that end alike comes first.
+/// Suffixes of durations, with their length in microseconds. `s` comes last, as it is also the end of the others.
 const TIME_UNITS: [(&str, f64); 3] = [("us", 1.0), ("ms", 1_000.0), ("s", 1_000_000.0)];
 
 const OUTCOMES: [(&str, Outcome); 10] = [
@@ -33,7 +33,7 @@
     ("origin-failed", CacheStatus::OriginFailed),
 ];
 
-/// A line of a scenario with its number in the file.
+/// A line of a scenario, with its number from 1 within the scenario.
 pub struct Line {
     pub number: usize,
     pub text: String,
@@ -50,20 +50,21 @@
     }
 
     pub fn number(&self, key: &str, default: u64) -> u64 {
-        self.value(key)
-            .map_or(default, |text| text.parse().unwrap_or_else(|_| panic!("not a number: {key}={text}")))
+        self.value(key).map_or(default, |text| {
+            text.parse().unwrap_or_else(|_| panic!("expected a number: {key}={text}"))
+        })
     }
 
     pub fn has(&self, word: &str) -> bool {
         self.0.contains(&word)
     }
 
-    /// What the first known word stands for.
+    /// The value of the first choice whose name is among the words.
     fn choice<T: Copy>(&self, choices: &[(&str, T)]) -> Option<T> {
         choices.iter().find(|(name, _)| self.has(name)).map(|(_, value)| *value)
     }
 
-    /// `qN` in second place.
+    /// The request `qN` of the second word; request 0 if the word is missing or something else.
     fn request(&self) -> RequestId {
         let number = self.0.get(1).and_then(|word| word.strip_prefix('q')?.parse().ok());
         RequestId(number.unwrap_or(0))
@@ -72,13 +73,14 @@
 
 pub fn parse_duration(text: &str) -> Duration {
     let unit = TIME_UNITS.iter().find(|(unit, _)| text.ends_with(unit));
-    let (unit, micros) = unit.unwrap_or_else(|| panic!("no unit of time: {text}"));
-    let number: f64 = text.trim_end_matches(unit).parse().unwrap_or_else(|_| panic!("no time: {text}"));
+    let (unit, micros) = unit.unwrap_or_else(|| panic!("duration without a unit: {text}"));
+    let number: f64 =
+        text.trim_end_matches(unit).parse().unwrap_or_else(|_| panic!("expected a duration: {text}"));
     Duration::from_micros((number * micros) as u64)
 }
 
 pub fn parse_host(name: &str) -> HostId {
-    let number: u64 = name[1..].parse().unwrap_or_else(|_| panic!("no host: {name}"));
+    let number: u64 = name[1..].parse().unwrap_or_else(|_| panic!("expected a host name: {name}"));
     HostId(u64::from(name.as_bytes()[0]) * 1000 + number)
 }
 
@@ -122,9 +124,10 @@
     }
 }
 
-/// Class 0 has no fresh lifetime, class 1 has one and a grace.
+/// Two classes: copies of class 0 are fresh until they are purged, those of class 1 have a freshness lifetime and a
+/// grace.
 fn parse_classes(words: Words) -> Vec<Class> {
-    let first = Class {
+    let without_lifetime = Class {
         effect: parse_effect(words),
         latency_objective: Duration::from_millis(500),
         transfer_stretch: 2.0,
@@ -135,14 +138,14 @@
         grace: Duration::ZERO,
         cacheable: words.value("cacheable") != Some("no"),
     };
-    let second = Class {
+    let with_lifetime = Class {
         latency_objective: Duration::from_millis(300),
         deadline: Duration::from_secs(3),
         fresh_lifetime: Duration::from_secs(10),
         grace: Duration::from_secs(20),
-        ..first.clone()
+        ..without_lifetime.clone()
     };
-    vec![first, second]
+    vec![without_lifetime, with_lifetime]
 }
 
 fn parse_effect(words: Words) -> Effect {
@@ -154,11 +157,11 @@
         "idempotency-key-all" => with_key(KeyScope::All),
         "idempotency-key-location" => with_key(KeyScope::Location),
         "idempotency-key-cell" => with_key(KeyScope::Cell),
-        other => panic!("no effect: {other}"),
+        other => panic!("unknown effect: {other}"),
     }
 }
 
-/// An event. None: time passes, and nothing else.
+/// The event of a line. `None` for `wait`: time passes without an event.
 pub fn parse_event(
     words: Words,
     host_of_attempt: impl Fn(RequestId, AttemptNumber) -> HostId,
@@ -173,7 +176,7 @@
             request,
             attempt,
             host: host_of_attempt(request, attempt),
-            outcome: words.choice(&OUTCOMES).expect("an outcome"),
+            outcome: words.choice(&OUTCOMES).expect("the event has an outcome"),
             duration: Duration::from_millis(50),
             request_finished: words.has("finished"),
             cache_status: words.choice(&CACHE_STATUSES).unwrap_or(CacheStatus::Unknown),
@@ -181,15 +184,17 @@
             first_byte_sent: !words.has("no-byte-sent"),
         }),
         "disconnect" => Event::ClientDisconnected(request),
-        "shutdown" => Event::ShutdownStarted { deadline: parse_duration(words.value("by").expect("a time")) },
+        "shutdown" => Event::ShutdownStarted {
+            deadline: parse_duration(words.value("by").expect("the event has `by=TIME`")),
+        },
         "response-started" => Event::ResponseStarted { request, attempt },
         "timer" => Event::TimerFired(TimerId(words.number("id", 0) as u32)),
         "purge" => Event::Purged {
-            object: words.value("object").map(|text| ObjectId(text.parse().expect("an object"))),
+            object: words.value("object").map(|text| ObjectId(text.parse().expect("the object is a number"))),
             group: Some(GroupId(words.number("group", 0))),
             age: parse_duration(words.value("age").unwrap_or("0ms")),
         },
-        other => panic!("no event: {other}"),
+        other => panic!("unknown event: {other}"),
     })
 }
 
@@ -199,7 +204,7 @@
         "restored" => ListScope::Restored,
         "changes" => ListScope::Changes,
         "failed" => ListScope::Failed,
-        other => panic!("no scope of a list: {other}"),
+        other => panic!("unknown scope of an endpoint list: {other}"),
     };
     Event::EndpointsListed { scope, entries: words.0[2..].iter().map(|word| parse_entry(word)).collect() }
 }
@@ -245,37 +250,39 @@
     }
 }
 
-/// `HOST@TIME`: an attempt that another dispatcher may have sent.
+/// Parses `HOST@TIME`: an attempt that another dispatcher may have sent.
 fn parse_previous_attempt(word: &str) -> PreviousAttempt {
-    let (name, sent) = word.split_once('@').expect("a host and a time");
+    let (name, sent) = word.split_once('@').expect("a previous attempt is `HOST@TIME`");
     PreviousAttempt { host: parse_host(name), sent: parse_duration(sent) }
 }
 
-/// The lines of a scenario with loops unrolled, without comments.
+/// The lines of a scenario without comments and blank lines, with repetitions unrolled.
 pub fn unroll(scenario: &str) -> Vec<Line> {
-    let (mut lines, mut body, mut rounds) = (Vec::new(), Vec::new(), 1);
+    let mut lines = Vec::new();
+    let mut body = Vec::new();
+    let mut iterations = 1;
     for (index, line) in scenario.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
-        let repeated = line.split_once("x ").and_then(|(n, rest)| Some((n.parse().ok()?, rest)));
+        let repeated_line = line.split_once("x ").and_then(|(count, rest)| Some((count.parse().ok()?, rest)));
         if let Some(count) = line.strip_prefix("times ") {
-            rounds = count.parse().expect("a number of rounds");
+            iterations = count.parse().expect("`times` has a number");
             continue;
-        } else if let Some((count, rest)) = repeated {
-            rounds = count;
+        } else if let Some((count, rest)) = repeated_line {
+            iterations = count;
             body.push((index + 1, rest));
         } else if line != "done" && !line.is_empty() {
             body.push((index + 1, line));
         }
-        if rounds == 1 || line == "done" || repeated.is_some() {
-            for round in 0..rounds {
+        if iterations == 1 || line == "done" || repeated_line.is_some() {
+            for iteration in 0..iterations {
                 let unrolled = body.iter().map(|(number, text)| Line {
                     number: *number,
-                    text: text.replace('%', &round.to_string()),
+                    text: text.replace('%', &iteration.to_string()),
                 });
                 lines.extend(unrolled);
             }
             body.clear();
-            rounds = 1;
+            iterations = 1;
         }
     }
     lines
--- a/crates/rockflow/tests/scenarios.rs
+++ b/crates/rockflow/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The decisions by text scenarios: what must come of which events.
+//! Routing decisions in text scenarios: each feeds events to a dispatcher and lists the actions that must follow.
 
 mod scenario;
 
