--- a/crates/rockflow/src/attempts.rs
+++ b/crates/rockflow/src/attempts.rs
@@ -129,7 +129,7 @@
     ) -> FillRestrictions {
         let path = source.and_then(|id| self.source_path(id)).map(SourcePath::limit);
         let link = self.fill_limits.link();
-        let behind_parents = self.fill_limits.behind_parents();
+        let parent_fetches = self.fill_limits.parent_fetches();
         let is_constrained = |limit: &ConcurrencyLimit| limit.is_constrained(self.now);
         let is_limited = |limit: &ConcurrencyLimit| limit.is_limited(self.now, open.draw);
 
@@ -141,11 +141,11 @@
             && !open.has_attempted(AttemptKind::FreshOnly)
             && (is_link_constrained || is_source_warming);
         let look_at_parent =
-            may_look && is_constrained(behind_parents) && !has_looked_at_source(open) && !is_source_warming;
+            may_look && is_constrained(parent_fetches) && !has_looked_at_source(open) && !is_source_warming;
         let look_first = look_at_cache_alone || look_at_parent;
 
         let is_link_limited = is_limited(link) || path.is_some_and(is_limited);
-        let is_fill_limited = is_link_limited || !look_first && is_limited(behind_parents);
+        let is_fill_limited = is_link_limited || !look_first && is_limited(parent_fetches);
         let is_cached_only = cache.is_crowded || is_fill_limited && !look_at_cache_alone;
         FillRestrictions {
             look_first,
--- a/crates/rockflow/src/source_path.rs
+++ b/crates/rockflow/src/source_path.rs
@@ -75,7 +75,7 @@
     /// Limits copies that come from any source over the link of this location.
     link: ConcurrencyLimit,
     /// Limits fills that a parent may have to fetch from the origin.
-    behind_parents: ConcurrencyLimit,
+    parent_fetches: ConcurrencyLimit,
     /// The path from each location that had a listed source. Locations of removed sources are kept.
     paths: BTreeMap<LocationId, SourcePath>,
 }
@@ -86,7 +86,7 @@
         FillLimits {
             empty,
             link: ConcurrencyLimit::new(empty),
-            behind_parents: ConcurrencyLimit::new(empty),
+            parent_fetches: ConcurrencyLimit::new(empty),
             paths: BTreeMap::new(),
         }
     }
@@ -108,8 +108,8 @@
     }
 
     /// The limit of fills that parents may have to fetch from the origin.
-    pub(crate) fn behind_parents(&self) -> &ConcurrencyLimit {
-        &self.behind_parents
+    pub(crate) fn parent_fetches(&self) -> &ConcurrencyLimit {
+        &self.parent_fetches
     }
 
     /// Counts an attempt sent towards all limits that apply to it.
@@ -146,7 +146,7 @@
             self.link.record(now, timing.timeliness);
         }
         if timing.source_use == SourceUse::Fill && (is_timely || is_common) {
-            self.behind_parents.record(now, timing.timeliness);
+            self.parent_fetches.record(now, timing.timeliness);
         }
     }
 
@@ -158,7 +158,7 @@
     ) -> impl Iterator<Item = &mut ConcurrencyLimit> {
         let path = source_location.and_then(|location| self.paths.get_mut(&location));
         let link = (source_use != SourceUse::None).then_some(&mut self.link);
-        let behind_parents = (source_use == SourceUse::Fill).then_some(&mut self.behind_parents);
-        [path.map(|path| &mut path.limit), link, behind_parents].into_iter().flatten()
+        let parent_fetches = (source_use == SourceUse::Fill).then_some(&mut self.parent_fetches);
+        [path.map(|path| &mut path.limit), link, parent_fetches].into_iter().flatten()
     }
 }
