--- a/crates/rockflow/src/class_stats.rs
+++ b/crates/rockflow/src/class_stats.rs
@@ -48,12 +48,12 @@
 
 impl ClassStats {
     /// A class without observations. `empty_sum` sets the time constant of all sums.
-    pub(crate) fn new(class: &Class, empty: DecayingSum) -> Self {
+    pub(crate) fn new(class: &Class, empty_sum: DecayingSum) -> Self {
         ClassStats {
             class: class.clone(),
-            transfers: TransferTimes { count: empty, seconds: empty, squared_seconds: empty },
-            all: SuccessRate { received: empty, succeeded: empty },
-            large: SuccessRate { received: empty, succeeded: empty },
+            transfers: TransferTimes { count: empty_sum, seconds: empty_sum, squared_seconds: empty_sum },
+            all: SuccessRate { received: empty_sum, succeeded: empty_sum },
+            large: SuccessRate { received: empty_sum, succeeded: empty_sum },
         }
     }
 
--- a/crates/rockflow/src/concurrency.rs
+++ b/crates/rockflow/src/concurrency.rs
@@ -41,8 +41,8 @@
 
 impl ConcurrencyLimit {
     /// A limit that is not in effect. The time constant of `empty_sum` is the longest deadline.
-    pub(crate) fn new(empty: DecayingSum) -> Self {
-        ConcurrencyLimit { in_flight: 0, limit: 1.0, late: empty, timely: empty, last_late: None }
+    pub(crate) fn new(empty_sum: DecayingSum) -> Self {
+        ConcurrencyLimit { in_flight: 0, limit: 1.0, late: empty_sum, timely: empty_sum, last_late: None }
     }
 
     /// Counts a fill sent.
@@ -58,7 +58,7 @@
     /// Whether the limit is in effect because fills were recently late. It stays in effect longer when it admits only a
     /// share of the fills, as there are then fewer fills to measure.
     pub(crate) fn is_constrained(&self, now: Duration) -> bool {
-        let hold_s = self.late.memory_s() * HOLD_PART / self.limit.min(1.0);
+        let hold_s = self.late.time_constant_s() * HOLD_PART / self.limit.min(1.0);
         let hold = Duration::from_secs_f64(hold_s);
         self.last_late.is_some_and(|late| now < late + hold)
     }
--- a/crates/rockflow/src/decay.rs
+++ b/crates/rockflow/src/decay.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Shortest time constant of a sum, in seconds. Prevents a division by zero.
-const MIN_MEMORY_S: f64 = 1e-6;
+const MIN_TIME_CONSTANT_S: f64 = 1e-6;
 
 /// Minimum decayed count of observations before a limit, an ejection or a rate comparison may rely on them.
 pub(crate) const MIN_OBSERVATIONS: f64 = 2.0;
@@ -14,33 +14,37 @@
     sum: f64,
     /// The time to which `sum` is decayed.
     updated: Duration,
-    memory_s: f64,
+    time_constant_s: f64,
 }
 
 impl DecayingSum {
     /// An empty sum that decays with this time constant.
-    pub(crate) fn new(memory: Duration) -> Self {
-        DecayingSum { sum: 0.0, updated: Duration::ZERO, memory_s: memory.as_secs_f64().max(MIN_MEMORY_S) }
+    pub(crate) fn new(time_constant: Duration) -> Self {
+        DecayingSum {
+            sum: 0.0,
+            updated: Duration::ZERO,
+            time_constant_s: time_constant.as_secs_f64().max(MIN_TIME_CONSTANT_S),
+        }
     }
 
     /// An empty sum with the same time constant.
     pub(crate) fn emptied(&self) -> Self {
-        self.emptied_with_memory_part(1.0)
+        self.emptied_with_scaled_time_constant(1.0)
     }
 
     /// An empty sum whose time constant is that of this one times `factor`.
-    pub(crate) fn emptied_with_memory_part(&self, factor: f64) -> Self {
-        DecayingSum { sum: 0.0, updated: Duration::ZERO, memory_s: self.memory_s * factor }
+    pub(crate) fn emptied_with_scaled_time_constant(&self, factor: f64) -> Self {
+        DecayingSum { sum: 0.0, updated: Duration::ZERO, time_constant_s: self.time_constant_s * factor }
     }
 
     /// The time constant, in seconds.
-    pub(crate) fn memory_s(&self) -> f64 {
-        self.memory_s
+    pub(crate) fn time_constant_s(&self) -> f64 {
+        self.time_constant_s
     }
 
     /// The sum, decayed to `now`.
     pub(crate) fn read(&self, now: Duration) -> f64 {
-        self.sum * libm::exp(-now.saturating_sub(self.updated).as_secs_f64() / self.memory_s)
+        self.sum * libm::exp(-now.saturating_sub(self.updated).as_secs_f64() / self.time_constant_s)
     }
 
     /// Adds an amount, which may be negative; the sum never falls below zero.
--- a/crates/rockflow/src/endpoint_table.rs
+++ b/crates/rockflow/src/endpoint_table.rs
@@ -27,19 +27,19 @@
     caches: RoleHosts,
     parents: RoleHosts,
     origins: RoleHosts,
-    empty: DecayingSum,
+    empty_sum: DecayingSum,
 }
 
 impl EndpointTable {
     /// An empty table. The time constant of `empty_sum` is the longest deadline.
-    pub(crate) fn new(empty: DecayingSum) -> Self {
+    pub(crate) fn new(empty_sum: DecayingSum) -> Self {
         EndpointTable {
             hosts: BTreeMap::new(),
             has_received_list: false,
             caches: RoleHosts::default(),
             parents: RoleHosts::default(),
             origins: RoleHosts::default(),
-            empty,
+            empty_sum,
         }
     }
 
@@ -120,11 +120,11 @@
             self.hosts.remove(&id);
             return;
         }
-        let empty = self.empty;
+        let empty_sum = self.empty_sum;
         if let Some(host) = self.hosts.get_mut(&id) {
-            host.update(entry, empty);
+            host.update(entry, empty_sum);
         } else {
-            self.hosts.insert(id, Host::new(config, entry, empty));
+            self.hosts.insert(id, Host::new(config, entry, empty_sum));
         }
         if self.has_received_list {
             return;
--- a/crates/rockflow/src/health.rs
+++ b/crates/rockflow/src/health.rs
@@ -42,8 +42,8 @@
 
 impl HostHealth {
     /// A host without observations. `empty_sum` sets the time constant of both sums.
-    pub(crate) fn new(empty: DecayingSum) -> Self {
-        HostHealth { successes: empty, failures: empty }
+    pub(crate) fn new(empty_sum: DecayingSum) -> Self {
+        HostHealth { successes: empty_sum, failures: empty_sum }
     }
 
     /// Adds one outcome to the decayed counts.
--- a/crates/rockflow/src/host.rs
+++ b/crates/rockflow/src/host.rs
@@ -22,10 +22,10 @@
 
 impl Host {
     /// A host that is listed for the first time. The time constant of `empty_sum` is the longest deadline.
-    pub(crate) fn new(config: &DeploymentConfig, entry: EndpointEntry, empty: DecayingSum) -> Self {
+    pub(crate) fn new(config: &DeploymentConfig, entry: EndpointEntry, empty_sum: DecayingSum) -> Self {
         Host {
-            health: HostHealth::new(empty),
-            load: HostLoad::new(empty),
+            health: HostHealth::new(empty_sum),
+            load: HostLoad::new(empty_sum),
             warm_up: WarmUp::new(config, entry.role),
             entry,
         }
@@ -37,9 +37,9 @@
     }
 
     /// Replaces the entry of the host. Health and slow start are reset if its start time changed.
-    pub(crate) fn update(&mut self, entry: EndpointEntry, empty: DecayingSum) {
+    pub(crate) fn update(&mut self, entry: EndpointEntry, empty_sum: DecayingSum) {
         if self.entry.started != entry.started {
-            self.health = HostHealth::new(empty);
+            self.health = HostHealth::new(empty_sum);
             self.warm_up.on_restart();
         }
         self.entry = entry;
--- a/crates/rockflow/src/load.rs
+++ b/crates/rockflow/src/load.rs
@@ -34,8 +34,8 @@
 
 impl HostLoad {
     /// A host without load. The time constant of `empty_sum` is the longest deadline.
-    pub(crate) fn new(empty: DecayingSum) -> Self {
-        let hits = empty.emptied_with_memory_part(HIT_TIME_CONSTANT_PART);
+    pub(crate) fn new(empty_sum: DecayingSum) -> Self {
+        let hits = empty_sum.emptied_with_scaled_time_constant(HIT_TIME_CONSTANT_PART);
         HostLoad { in_flight: 0, hit_seconds: hits, hit_transfer_seconds: hits }
     }
 
@@ -90,5 +90,5 @@
 
 /// The decayed sum plus the prior, which keeps the ratio of two sums near 1 while there are few hits.
 fn read_with_prior(sum: &DecayingSum, now: Duration) -> f64 {
-    sum.read(now) + HIT_PRIOR_PART * sum.memory_s()
+    sum.read(now) + HIT_PRIOR_PART * sum.time_constant_s()
 }
--- a/crates/rockflow/src/source_path.rs
+++ b/crates/rockflow/src/source_path.rs
@@ -17,8 +17,8 @@
 }
 
 impl SourcePath {
-    fn new(empty: DecayingSum) -> Self {
-        SourcePath { limit: ConcurrencyLimit::new(empty), late: empty, timely: empty }
+    fn new(empty_sum: DecayingSum) -> Self {
+        SourcePath { limit: ConcurrencyLimit::new(empty_sum), late: empty_sum, timely: empty_sum }
     }
 
     /// The concurrency limit of fills from this location.
@@ -71,7 +71,7 @@
 /// The concurrency limits of fills from this dispatcher.
 #[derive(Debug)]
 pub(crate) struct FillLimits {
-    empty: DecayingSum,
+    empty_sum: DecayingSum,
     /// Limits copies that come from any source over the link of this location.
     link: ConcurrencyLimit,
     /// Limits fills that a parent may have to fetch from the origin.
@@ -82,19 +82,19 @@
 
 impl FillLimits {
     /// No limit in effect and no paths. The time constant of `empty_sum` is the longest deadline.
-    pub(crate) fn new(empty: DecayingSum) -> Self {
+    pub(crate) fn new(empty_sum: DecayingSum) -> Self {
         FillLimits {
-            empty,
-            link: ConcurrencyLimit::new(empty),
-            parent_fetches: ConcurrencyLimit::new(empty),
+            empty_sum,
+            link: ConcurrencyLimit::new(empty_sum),
+            parent_fetches: ConcurrencyLimit::new(empty_sum),
             paths: BTreeMap::new(),
         }
     }
 
     /// Adds the path from a location in which a source is listed.
     pub(crate) fn add_source_location(&mut self, location: LocationId) {
-        let empty = self.empty;
-        self.paths.entry(location).or_insert_with(|| SourcePath::new(empty));
+        let empty_sum = self.empty_sum;
+        self.paths.entry(location).or_insert_with(|| SourcePath::new(empty_sum));
     }
 
     /// The path from a location. `None`: no source was ever listed there.
--- a/crates/rockflow/src/state.rs
+++ b/crates/rockflow/src/state.rs
@@ -51,7 +51,7 @@
             purges: Purges::new(config.purge_window, config.max_tracked),
             fill_limits: FillLimits::new(deadline_sum),
             classes: config.classes.iter().map(|class| ClassStats::new(class, popularity_sum)).collect(),
-            longest_deadline_s: deadline_sum.memory_s(),
+            longest_deadline_s: deadline_sum.time_constant_s(),
             config,
         }
     }
