--- a/crates/rockflow/src/outcome.rs
+++ b/crates/rockflow/src/outcome.rs
@@ -32,23 +32,24 @@
 
 /// How an outcome changes the health of the host and of the source.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Verdict {
+struct HealthEffect {
     host: HealthSample,
     source: HealthSample,
     /// The host that later attempts of the same request avoid. `None`: the request avoids no further host.
     avoided: Option<HostId>,
 }
 
-impl Verdict {
+impl HealthEffect {
     /// Leaves the health of both host and source unchanged.
-    const NONE: Verdict = Verdict { host: HealthSample::NONE, source: HealthSample::NONE, avoided: None };
+    const NONE: HealthEffect =
+        HealthEffect { host: HealthSample::NONE, source: HealthSample::NONE, avoided: None };
     /// Counts as a success of the host and leaves the health of the source unchanged.
-    const HOST_ANSWERED: Verdict = Verdict { host: HealthSample::SUCCESS, ..Verdict::NONE };
+    const HOST_ANSWERED: HealthEffect = HealthEffect { host: HealthSample::SUCCESS, ..HealthEffect::NONE };
     /// Counts as a failure of the host and leaves the health of the source unchanged.
-    const HOST_FAILED: Verdict = Verdict { host: HealthSample::FAILURE, ..Verdict::NONE };
+    const HOST_FAILED: HealthEffect = HealthEffect { host: HealthSample::FAILURE, ..HealthEffect::NONE };
 
     fn avoiding(self, avoided: Option<HostId>) -> Self {
-        Verdict { avoided, ..self }
+        HealthEffect { avoided, ..self }
     }
 }
 
@@ -79,7 +80,7 @@
     }
 
     /// Whether the host asked the source, or may have done so.
-    fn went_to_source(&self) -> bool {
+    fn may_have_used_source(&self) -> bool {
         self.attempt.source.is_some() && self.end.cache_status != CacheStatus::Hit
     }
 
@@ -90,8 +91,8 @@
     }
 
     /// Whether the failure cannot be attributed to either the host or the source.
-    fn is_failure_of_either(&self) -> bool {
-        if !self.went_to_source() {
+    fn is_failure_unattributable(&self) -> bool {
+        if !self.may_have_used_source() {
             return false;
         }
         match self.end.outcome {
@@ -110,55 +111,55 @@
         }
     }
 
-    fn verdict(&self) -> Verdict {
+    fn health_effect(&self) -> HealthEffect {
         let host = Some(self.attempt.host);
         let source = self.attempt.source;
         // The connection failed, not the host: the same host is tried once more, as it may have cached the response
         // that was damaged in transit.
         let host_after_retry = host.filter(|_| self.end.attempt.0 > 0);
         match self.end.outcome {
-            Outcome::Succeeded if self.is_slow => self.slow_verdict(),
+            Outcome::Succeeded if self.is_slow => self.slow_success_effect(),
             Outcome::Succeeded if self.was_filled() => {
-                Verdict { source: HealthSample::SUCCESS, ..Verdict::HOST_ANSWERED }
+                HealthEffect { source: HealthSample::SUCCESS, ..HealthEffect::HOST_ANSWERED }
             }
-            Outcome::Succeeded => Verdict::HOST_ANSWERED,
+            Outcome::Succeeded => HealthEffect::HOST_ANSWERED,
             Outcome::Miss => {
-                Verdict::HOST_ANSWERED.avoiding(source.filter(|_| self.source_use == SourceUse::Fill))
+                HealthEffect::HOST_ANSWERED.avoiding(source.filter(|_| self.source_use == SourceUse::Fill))
             }
-            Outcome::Cancelled => Verdict::NONE,
-            Outcome::NotSent => Verdict::NONE.avoiding(host_after_retry),
-            Outcome::MalformedResponse => Verdict::HOST_FAILED.avoiding(host_after_retry),
-            _ => self.failure_verdict(),
+            Outcome::Cancelled => HealthEffect::NONE,
+            Outcome::NotSent => HealthEffect::NONE.avoiding(host_after_retry),
+            Outcome::MalformedResponse => HealthEffect::HOST_FAILED.avoiding(host_after_retry),
+            _ => self.failure_effect(),
         }
     }
 
     /// A slow success counts half as a success and half as a failure, for the host and for a source that it may have
     /// asked, as the response doesn't show which of them was slow. A slow host becomes visible by comparison with the
     /// others of its role.
-    fn slow_verdict(&self) -> Verdict {
+    fn slow_success_effect(&self) -> HealthEffect {
         let source = HealthSample {
             success: if self.was_filled() { 0.5 } else { 0.0 },
-            failure: if self.went_to_source() { 0.5 } else { 0.0 },
+            failure: if self.may_have_used_source() { 0.5 } else { 0.0 },
         };
-        Verdict { host: HealthSample::SLOW, source, avoided: None }
+        HealthEffect { host: HealthSample::SLOW, source, avoided: None }
     }
 
-    fn failure_verdict(&self) -> Verdict {
+    fn failure_effect(&self) -> HealthEffect {
         let host = Some(self.attempt.host);
         let source = self.attempt.source;
         match self.end.cache_status {
-            CacheStatus::NoFillCapacity => Verdict::NONE.avoiding(host),
+            CacheStatus::NoFillCapacity => HealthEffect::NONE.avoiding(host),
             // The origin failed, not the source, and another source would ask the same origin.
-            CacheStatus::OriginFailed => Verdict::HOST_ANSWERED,
+            CacheStatus::OriginFailed => HealthEffect::HOST_ANSWERED,
             CacheStatus::SourceRejected | CacheStatus::SourceUnreachable | CacheStatus::SourceMiss => {
-                Verdict { host: HealthSample::SUCCESS, source: HealthSample::FAILURE, avoided: source }
+                HealthEffect { host: HealthSample::SUCCESS, source: HealthSample::FAILURE, avoided: source }
             }
-            _ if self.is_failure_of_either() => Verdict {
+            _ if self.is_failure_unattributable() => HealthEffect {
                 host: HealthSample::HALF_FAILURE,
                 source: HealthSample::HALF_FAILURE,
                 avoided: source,
             },
-            _ => Verdict::HOST_FAILED.avoiding(host),
+            _ => HealthEffect::HOST_FAILED.avoiding(host),
         }
     }
 }
@@ -176,13 +177,13 @@
         if let Some(host) = ended.unreachable_host().and_then(|id| self.endpoints.get_mut(id)) {
             host.warm_up.presume_restart(now);
         }
-        let verdict = ended.verdict();
-        self.endpoints.record_health(ended.attempt.host, now, verdict.host);
-        self.record_fill_timing(ended, &verdict);
+        let effect = ended.health_effect();
+        self.endpoints.record_health(ended.attempt.host, now, effect.host);
+        self.record_fill_timing(ended, &effect);
         if let Some(source) = ended.attempt.source {
-            self.endpoints.record_health(source, now, verdict.source);
+            self.endpoints.record_health(source, now, effect.source);
         }
-        verdict.avoided
+        effect.avoided
     }
 
     fn record_load(&mut self, ended: &EndedAttempt) {
@@ -199,17 +200,17 @@
 
     /// Records whether a fill met its latency objective. A late fill isn't counted when its host or source is already
     /// ejected.
-    fn record_fill_timing(&mut self, ended: &EndedAttempt, verdict: &Verdict) {
+    fn record_fill_timing(&mut self, ended: &EndedAttempt, effect: &HealthEffect) {
         let Some(source_location) = ended.source_location else { return };
         let now = self.now;
-        let timeliness = if self.is_late(ended, verdict) {
+        let timeliness = if self.is_late(ended, effect) {
             Timeliness::Late
         } else if ended.has_succeeded() && ended.is_in_time {
             Timeliness::Timely
         } else {
             return;
         };
-        if timeliness == Timeliness::Late && self.has_ejected_part(&ended.attempt, now) {
+        if timeliness == Timeliness::Late && self.is_host_or_source_ejected(&ended.attempt, now) {
             return;
         }
         // A copy that the parent had cached measures the link to the parent; a copy that the parent had to fetch
@@ -220,7 +221,7 @@
         let timing = FillTiming {
             timeliness,
             source_location,
-            over_link: is_timed && ended.went_to_source() && is_cached_at_source,
+            measures_link: is_timed && ended.may_have_used_source() && is_cached_at_source,
             source_use: ended.source_use,
             status_unreported: ended.status_unreported,
         };
@@ -231,7 +232,7 @@
     ///
     /// Where responses carry a cache status, a parent that rejects or is down doesn't count, as the status distinguishes
     /// it from a failed origin.
-    fn is_late(&self, ended: &EndedAttempt, verdict: &Verdict) -> bool {
+    fn is_late(&self, ended: &EndedAttempt, effect: &HealthEffect) -> bool {
         match ended.end.outcome {
             Outcome::Succeeded => !ended.is_in_time,
             Outcome::TimedOut => ended.end.first_byte_sent,
@@ -239,13 +240,13 @@
             _ => {
                 let is_from_origin =
                     ended.attempt.source.is_some_and(|id| self.endpoints.is_usable_origin(id));
-                (ended.status_unreported || is_from_origin) && verdict.source.failure > 0.0
+                (ended.status_unreported || is_from_origin) && effect.source.failure > 0.0
             }
         }
     }
 
     /// Whether the host or the source of an attempt is ejected as an outlier.
-    fn has_ejected_part(&self, attempt: &Attempt, now: Duration) -> bool {
+    fn is_host_or_source_ejected(&self, attempt: &Attempt, now: Duration) -> bool {
         let is_ejected = |id: HostId| self.endpoints.is_ejected(id, now);
         is_ejected(attempt.host) || attempt.source.is_some_and(is_ejected)
     }
--- a/crates/rockflow/src/source_path.rs
+++ b/crates/rockflow/src/source_path.rs
@@ -60,7 +60,7 @@
     /// The location of the source, which selects the path.
     pub(crate) source_location: LocationId,
     /// Whether the source had the copy cached, so that the timing measures the link of this location alone.
-    pub(crate) over_link: bool,
+    pub(crate) measures_link: bool,
     /// What the attempt requested from the source.
     pub(crate) source_use: SourceUse,
     /// Whether responses don't report fills. The cause of a late response is then unknown, and it is taken as common to
@@ -142,7 +142,7 @@
                 path.limit.record(now, timing.timeliness);
             }
         }
-        if timing.over_link && (is_timely || is_common) {
+        if timing.measures_link && (is_timely || is_common) {
             self.link.record(now, timing.timeliness);
         }
         if timing.source_use == SourceUse::Fill && (is_timely || is_common) {
