--- a/crates/rockflow/src/concurrency.rs
+++ b/crates/rockflow/src/concurrency.rs
@@ -8,7 +8,7 @@
 /// Initial limit, as a part of the fills in flight.
 const INITIAL_PART: f64 = 0.5;
 /// Part by which the limit falls when as many fills are late as the limit admits at once.
-const LATE_CUT: f64 = 0.5;
+const LATE_REDUCTION: f64 = 0.5;
 /// Lowest limit, as the share of fills that are admitted.
 const MIN_LIMIT: f64 = 0.1;
 /// How long the limit stays in effect after the last late fill, as a part of the longest deadline.
@@ -84,7 +84,7 @@
         let late = self.late.read(now);
         let timely = self.timely.read(now);
         if self.is_constrained(now) {
-            self.limit *= 1.0 - LATE_CUT / self.limit.max(1.0);
+            self.limit *= 1.0 - LATE_REDUCTION / self.limit.max(1.0);
         } else if late >= MIN_OBSERVATIONS && !is_mostly_timely(late, timely) {
             self.limit = (self.in_flight as f64 * INITIAL_PART).max(1.0);
         } else {
--- a/crates/rockflow/src/endpoint_table.rs
+++ b/crates/rockflow/src/endpoint_table.rs
@@ -55,7 +55,7 @@
 
     /// The hosts of a role that take new attempts from this dispatcher, in the order of their ids.
     pub(crate) fn ready(&self, role: Role) -> impl Iterator<Item = &Host> {
-        let usable = self.of_role(role).usable.iter().map(|id| &self.hosts[id]);
+        let usable = self.hosts_of_role(role).usable.iter().map(|id| &self.hosts[id]);
         usable.filter(|host| host.entry().readiness == Readiness::Ready)
     }
 
@@ -67,7 +67,7 @@
     /// Whether a host is ejected as an outlier among the usable hosts of its role; false for a host that is not listed.
     pub(crate) fn is_ejected(&self, id: HostId, now: Duration) -> bool {
         let Some(host) = self.hosts.get(&id) else { return false };
-        host.health.is_outlier(now, self.of_role(host.entry().role).best_odds)
+        host.health.is_outlier(now, self.hosts_of_role(host.entry().role).best_odds)
     }
 
     /// Adds an outcome to the health of a host, and recomputes the best odds of its role. Ignores hosts that are not
@@ -77,8 +77,8 @@
         host.health.record(now, sample);
         let role = host.entry().role;
         let odds = |id: &HostId| self.hosts.get(id).map_or(0.0, |host| host.health.odds(now));
-        let best_odds = self.of_role(role).usable.iter().map(odds).fold(0.0, f64::max);
-        self.of_role_mut(role).best_odds = best_odds;
+        let best_odds = self.hosts_of_role(role).usable.iter().map(odds).fold(0.0, f64::max);
+        self.hosts_of_role_mut(role).best_odds = best_odds;
     }
 
     /// Applies an update of the endpoint list. An update of any scope but changes also removes the hosts that it doesn't
@@ -98,7 +98,7 @@
         }
         self.has_received_list = true;
         for role in [Role::Cache, Role::Parent, Role::Origin] {
-            self.find_usable(config, role);
+            self.update_usable(config, role);
         }
     }
 
@@ -137,16 +137,16 @@
 
     /// Recomputes the usable hosts of a role: caches of the location of this dispatcher, parents and origins of any
     /// location.
-    fn find_usable(&mut self, config: &DeploymentConfig, role: Role) {
+    fn update_usable(&mut self, config: &DeploymentConfig, role: Role) {
         let is_usable = |entry: &EndpointEntry| {
             entry.role == role && (role != Role::Cache || entry.location == config.location)
         };
         let usable = self.hosts.values().map(Host::entry).filter(|entry| is_usable(entry));
         let usable = usable.map(|entry| entry.host).collect();
-        self.of_role_mut(role).usable = usable;
+        self.hosts_of_role_mut(role).usable = usable;
     }
 
-    fn of_role(&self, role: Role) -> &RoleHosts {
+    fn hosts_of_role(&self, role: Role) -> &RoleHosts {
         match role {
             Role::Cache => &self.caches,
             Role::Parent => &self.parents,
@@ -154,7 +154,7 @@
         }
     }
 
-    fn of_role_mut(&mut self, role: Role) -> &mut RoleHosts {
+    fn hosts_of_role_mut(&mut self, role: Role) -> &mut RoleHosts {
         match role {
             Role::Cache => &mut self.caches,
             Role::Parent => &mut self.parents,
--- a/crates/rockflow/src/load.rs
+++ b/crates/rockflow/src/load.rs
@@ -18,8 +18,9 @@
 pub(crate) fn link_capacity(config: &DeploymentConfig, entry: &EndpointEntry) -> f64 {
     let sharing_dispatchers =
         if entry.role == Role::Cache { config.location_dispatchers } else { config.dispatcher_count };
-    let link = if config.weight_meaning == WeightMeaning::LinkCapacity { entry.weight.max(1.0) } else { 1.0 };
-    link / sharing_dispatchers.max(1) as f64
+    let link_transfers =
+        if config.weight_meaning == WeightMeaning::LinkCapacity { entry.weight.max(1.0) } else { 1.0 };
+    link_transfers / sharing_dispatchers.max(1) as f64
 }
 
 /// Load of a host as observed by this dispatcher.
--- a/crates/rockflow/src/source_path.rs
+++ b/crates/rockflow/src/source_path.rs
@@ -133,8 +133,9 @@
     /// A timely fill counts towards all limits that apply to it.
     pub(crate) fn record(&mut self, now: Duration, timing: FillTiming) {
         let location = timing.source_location;
-        let others_timely = self.paths.iter().any(|(other, path)| *other != location && path.is_timely(now));
-        let is_common = timing.status_unreported || !others_timely;
+        let is_other_path_timely =
+            self.paths.iter().any(|(other, path)| *other != location && path.is_timely(now));
+        let is_common = timing.status_unreported || !is_other_path_timely;
         let is_timely = timing.timeliness == Timeliness::Timely;
         if let Some(path) = self.paths.get_mut(&location) {
             path.record(now, timing.timeliness);
