--- a/crates/rockflow/tests/scenario/player.rs
+++ b/crates/rockflow/tests/scenario/runner.rs
@@ -7,7 +7,7 @@
 
 /// Runs the lines of one scenario on a dispatcher.
 #[derive(Default)]
-pub struct Player {
+pub struct ScenarioRunner {
     dispatcher: Option<Dispatcher>,
     /// The hosts of the attempts sent for each request, by attempt number.
     sent_to: BTreeMap<RequestId, Vec<HostId>>,
@@ -19,9 +19,9 @@
     actions: VecDeque<Action>,
 }
 
-impl Player {
+impl ScenarioRunner {
     /// Runs the first step of a line, a configuration or an event.
-    pub fn play(&mut self, step: &[&str]) -> Result<(), String> {
+    pub fn run_step(&mut self, step: &[&str]) -> Result<(), String> {
         match step[0] {
             "config" => {
                 let mut dispatcher = Dispatcher::new(parse_config(Words(step)), 1);
--- a/crates/rockflow/tests/scenarios.rs
+++ b/crates/rockflow/tests/scenarios.rs
@@ -20,6 +20,6 @@
 #[test_case("final_answers")]
 #[test_case("discovery")]
 #[test_case("unexpected_events")]
-fn decides_as_in_scenario(name: &str) {
-    scenario::play_file(name);
+fn actions_match_scenario(name: &str) {
+    scenario::run_file(name);
 }
