--- a/crates/rockflow/tests/fill_limit_recovery.rs
+++ b/crates/rockflow/tests/fill_limit_recovery.rs
@@ -68,11 +68,11 @@
 }
 
 #[test_case(20, 0.0; "many requests")]
-#[test_case(200, 0.0; "some")]
-#[test_case(1000, 0.0; "few")]
+#[test_case(200, 0.0; "some requests")]
+#[test_case(1000, 0.0; "few requests")]
 #[test_case(20, 0.1; "many requests, a tenth of the responses still late")]
-#[test_case(200, 0.1; "some, a tenth still late")]
-fn fills_recover_within_a_bound_after_a_late_burst(request_interval_ms: u64, late_share: f64) {
+#[test_case(200, 0.1; "some requests, a tenth of the responses still late")]
+fn fills_recover_within_three_deadlines_after_late_burst(request_interval_ms: u64, late_share: f64) {
     for seed in 1..=20 {
         let rejected = simulate(Duration::from_millis(request_interval_ms), late_share, seed);
         let RejectedShares { while_limited, while_recovering, after_recovery } = rejected;
--- a/crates/rockflow/tests/slow_start.rs
+++ b/crates/rockflow/tests/slow_start.rs
@@ -80,7 +80,7 @@
 #[test_case(Start::Staggered, NEW_CACHE; "staggered, a cache")]
 #[test_case(Start::Simultaneous, NEW_CACHE; "simultaneous, a cache")]
 #[test_case(Start::WithRestarts, NEW_CACHE; "seven in ten restarted, a cache")]
-fn host_in_slow_start_gets_no_more_than_it_tolerates(start: Start, new_host: HostId) {
+fn work_sent_to_host_in_slow_start_stays_within_limit(start: Start, new_host: HostId) {
     for seed in 1..=5 {
         let fleet = simulate(start, new_host, seed);
         let sent: Vec<Duration> = fleet.attempts_using(new_host).map(|sent| sent.at).collect();
--- a/crates/rockflow/tests/slow_start_at_scale.rs
+++ b/crates/rockflow/tests/slow_start_at_scale.rs
@@ -11,7 +11,7 @@
 #[test_case(30)]
 #[test_case(300)]
 #[test_case(1800)]
-fn host_in_slow_start_gets_no_more_than_it_tolerates(dispatchers: usize) {
+fn work_sent_to_host_in_slow_start_stays_within_limit(dispatchers: usize) {
     let mut failures = Vec::new();
     for role in [Role::Cache, Role::Parent] {
         for size_kb in [50.0, 400.0] {
@@ -49,7 +49,7 @@
 #[test_case(300, Restarts::Most)]
 #[test_case(1800, Restarts::None)]
 #[test_case(1800, Restarts::Most)]
-fn host_in_slow_start_of_a_busy_fleet_is_warmed_within_its_limit(dispatchers: usize, restarts: Restarts) {
+fn busy_fleet_warms_host_within_its_limit(dispatchers: usize, restarts: Restarts) {
     let has_restarts = restarts == Restarts::Most;
     let case = WarmUpCase {
         role: Role::Cache,
