--- a/crates/rockflow/src/outcome.rs
+++ b/crates/rockflow/src/outcome.rs
@@ -30,7 +30,7 @@
     status_unreported: bool,
 }
 
-/// How an outcome changes the health of the host and of the source.
+/// How an outcome changes the health of the host and of the source, and which host the request avoids from then on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HealthEffect {
     host: HealthSample,
@@ -111,11 +111,12 @@
         }
     }
 
+    /// How the outcome changes the health of the host and of the source.
     fn health_effect(&self) -> HealthEffect {
         let host = Some(self.attempt.host);
         let source = self.attempt.source;
-        // The connection failed, not the host: the same host is tried once more, as it may have cached the response
-        // that was damaged in transit.
+        // The cause may be the connection alone. After the first attempt of a request the same host is tried once more,
+        // as it may have cached the response that was damaged in transit.
         let host_after_retry = host.filter(|_| self.end.attempt.0 > 0);
         match self.end.outcome {
             Outcome::Succeeded if self.is_slow => self.slow_success_effect(),
@@ -144,6 +145,7 @@
         HealthEffect { host: HealthSample::SLOW, source, avoided: None }
     }
 
+    /// The effect of a failure, attributed by the cache status where there is one.
     fn failure_effect(&self) -> HealthEffect {
         let host = Some(self.attempt.host);
         let source = self.attempt.source;
@@ -186,6 +188,7 @@
         effect.avoided
     }
 
+    /// Updates the attempts in flight, hit durations and slow start of the host.
     fn record_load(&mut self, ended: &EndedAttempt) {
         let now = self.now;
         let Some(host) = self.endpoints.get_mut(ended.attempt.host) else { return };
