--- a/crates/rockflow/src/load.rs
+++ b/crates/rockflow/src/load.rs
@@ -78,6 +78,8 @@
         // Where this dispatcher's part of the capacity is less than one transfer, a single attempt in flight says
         // nothing about the load from others.
         let chance_deviation = CHANCE_DEVIATIONS * libm::sqrt(others_share) / 2.0 / capacity.min(1.0);
+        // Solves x + 2 * chance_deviation * sqrt(x) = attempts for sqrt(x), where x is the number of attempts without
+        // the excess that can be due to chance.
         let attempts = (self.in_flight + 1) as f64;
         let lower_bound_root = libm::sqrt(attempts + chance_deviation * chance_deviation) - chance_deviation;
         let hit_seconds = read_with_prior(&self.hit_seconds, now);
