--- a/crates/rockflow/src/endpoint_table.rs
+++ b/crates/rockflow/src/endpoint_table.rs
@@ -59,7 +59,7 @@
         usable.filter(|host| host.entry().readiness == Readiness::Ready)
     }
 
-    /// Whether the host is a listed origin.
+    /// Whether the host is a listed origin. Dispatchers may use the origins of all locations.
     pub(crate) fn is_usable_origin(&self, id: HostId) -> bool {
         self.origins.usable.contains(&id)
     }
@@ -81,8 +81,8 @@
         self.hosts_of_role_mut(role).best_odds = best_odds;
     }
 
-    /// Applies an update of the endpoint list. An update of any scope but changes also removes the hosts that it doesn't
-    /// list.
+    /// Applies an update of the endpoint list. Except for [`ListScope::Changes`], hosts that the update doesn't name are
+    /// removed.
     pub(crate) fn apply(
         &mut self,
         config: &DeploymentConfig,
