--- a/crates/rockflow/src/slow_start.rs
+++ b/crates/rockflow/src/slow_start.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Starts anew when discovery lists a restart of the host.
+    /// Starts anew when discovery lists a restart of the host. Work sent before still counts against the budget.
     pub(crate) fn on_restart(&mut self) {
         self.presumed_restart = None;
         self.answers_since_start = 0.0;
