--- a/crates/rockflow/src/outcome.rs
+++ b/crates/rockflow/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says of its host, its source and the path between them.
+//! Updates health, load and fill statistics when an attempt ends.
 
 use crate::action::Attempt;
 use crate::concurrency::Timeliness;
@@ -11,7 +11,7 @@
 use crate::state::RoutingState;
 use std::time::Duration;
 
-/// An attempt that ended, with what of its request bears on the judgement.
+/// An attempt that ended, with the properties of its request that are needed to assess the outcome.
 #[derive(Debug)]
 pub(crate) struct EndedAttempt<'a> {
     end: &'a AttemptEnd,
@@ -20,38 +20,41 @@
     source_location: Option<LocationId>,
     class: ClassId,
     has_size: bool,
+    /// Expected transfer time of the response, in seconds.
     transfer_s: f64,
-    /// Whether the latency objective of the request has not passed.
+    /// Whether the attempt ended before the latency objective of its request.
     is_in_time: bool,
-    /// Whether it took longer than an ordinary attempt.
+    /// Whether the attempt took longer than the usual duration of its request.
     is_slow: bool,
-    /// Whether responses report nothing of hits and fills.
+    /// Whether the deployment is configured without cache status in responses.
     status_unreported: bool,
 }
 
-/// What an outcome says of the host and the source, and what the request avoids from now on.
+/// How an outcome changes the health of the host and of the source, and which host the request avoids from then on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Verdict {
+struct HealthEffect {
     host: HealthSample,
     source: HealthSample,
+    /// The host that later attempts of the same request avoid. `None`: the request avoids no further host.
     avoided: Option<HostId>,
 }
 
-impl Verdict {
-    /// Neither the host nor the source is judged.
-    const NONE: Verdict = Verdict { host: HealthSample::NONE, source: HealthSample::NONE, avoided: None };
-    /// The host answered, and nothing is said of the source.
-    const HOST_ANSWERED: Verdict = Verdict { host: HealthSample::SUCCESS, ..Verdict::NONE };
-    /// The host failed, and nothing is said of the source.
-    const HOST_FAILED: Verdict = Verdict { host: HealthSample::FAILURE, ..Verdict::NONE };
+impl HealthEffect {
+    /// Leaves the health of both host and source unchanged.
+    const NONE: HealthEffect =
+        HealthEffect { host: HealthSample::NONE, source: HealthSample::NONE, avoided: None };
+    /// Counts as a success of the host and leaves the health of the source unchanged.
+    const HOST_ANSWERED: HealthEffect = HealthEffect { host: HealthSample::SUCCESS, ..HealthEffect::NONE };
+    /// Counts as a failure of the host and leaves the health of the source unchanged.
+    const HOST_FAILED: HealthEffect = HealthEffect { host: HealthSample::FAILURE, ..HealthEffect::NONE };
 
     fn avoiding(self, avoided: Option<HostId>) -> Self {
-        Verdict { avoided, ..self }
+        HealthEffect { avoided, ..self }
     }
 }
 
 impl<'a> EndedAttempt<'a> {
-    /// The end of an attempt of a request, at a time.
+    /// Combines the end of an attempt with its open request, at the time of `state`.
     pub(crate) fn new(
         state: &RoutingState,
         open: &OpenRequest,
@@ -76,20 +79,20 @@
         self.end.outcome == Outcome::Succeeded
     }
 
-    /// Whether it surely or possibly went on to its source.
-    fn went_to_source(&self) -> bool {
+    /// Whether the host asked the source, or may have done so.
+    fn may_have_used_source(&self) -> bool {
         self.attempt.source.is_some() && self.end.cache_status != CacheStatus::Hit
     }
 
-    /// Whether its copy came from the source, as far as is reported.
+    /// Whether the response was filled from the source. Assumed where responses carry no cache status.
     fn was_filled(&self) -> bool {
         let is_filled = matches!(self.end.cache_status, CacheStatus::Filled | CacheStatus::FilledByOrigin);
         self.status_unreported || is_filled
     }
 
-    /// Whether nothing tells which of host and source failed.
-    fn is_failure_of_either(&self) -> bool {
-        if !self.went_to_source() {
+    /// Whether the failure cannot be attributed to either the host or the source.
+    fn is_failure_unattributable(&self) -> bool {
+        if !self.may_have_used_source() {
             return false;
         }
         match self.end.outcome {
@@ -99,7 +102,7 @@
         }
     }
 
-    /// The host that could not be reached.
+    /// The host or source that could not be reached, if any.
     fn unreachable_host(&self) -> Option<HostId> {
         match (self.end.outcome, self.end.cache_status) {
             (Outcome::ConnectFailed | Outcome::ConnectionLost, _) => Some(self.attempt.host),
@@ -108,58 +111,63 @@
         }
     }
 
-    fn verdict(&self) -> Verdict {
+    /// How the outcome changes the health of the host and of the source.
+    fn health_effect(&self) -> HealthEffect {
         let host = Some(self.attempt.host);
         let source = self.attempt.source;
-        // A fault of the connection: the same host, which may have cached what was damaged, is tried once more.
+        // The cause may be the connection alone. After the first attempt of a request the same host is tried once more,
+        // as it may have cached the response that was damaged in transit.
         let host_after_retry = host.filter(|_| self.end.attempt.0 > 0);
         match self.end.outcome {
-            Outcome::Succeeded if self.is_slow => self.slow_verdict(),
+            Outcome::Succeeded if self.is_slow => self.slow_success_effect(),
             Outcome::Succeeded if self.was_filled() => {
-                Verdict { source: HealthSample::SUCCESS, ..Verdict::HOST_ANSWERED }
+                HealthEffect { source: HealthSample::SUCCESS, ..HealthEffect::HOST_ANSWERED }
             }
-            Outcome::Succeeded => Verdict::HOST_ANSWERED,
+            Outcome::Succeeded => HealthEffect::HOST_ANSWERED,
             Outcome::Miss => {
-                Verdict::HOST_ANSWERED.avoiding(source.filter(|_| self.source_use == SourceUse::Fill))
+                HealthEffect::HOST_ANSWERED.avoiding(source.filter(|_| self.source_use == SourceUse::Fill))
             }
-            Outcome::Cancelled => Verdict::NONE,
-            Outcome::NotSent => Verdict::NONE.avoiding(host_after_retry),
-            Outcome::MalformedResponse => Verdict::HOST_FAILED.avoiding(host_after_retry),
-            _ => self.failure_verdict(),
+            Outcome::Cancelled => HealthEffect::NONE,
+            Outcome::NotSent => HealthEffect::NONE.avoiding(host_after_retry),
+            Outcome::MalformedResponse => HealthEffect::HOST_FAILED.avoiding(host_after_retry),
+            _ => self.failure_effect(),
         }
     }
 
-    /// Slow, and nothing tells where: both count; what is a host's own shows beside the others of its role.
-    fn slow_verdict(&self) -> Verdict {
+    /// A slow success counts half as a success and half as a failure, for the host and for a source that it may have
+    /// asked, as the response doesn't show which of them was slow. A slow host becomes visible by comparison with the
+    /// others of its role.
+    fn slow_success_effect(&self) -> HealthEffect {
         let source = HealthSample {
             success: if self.was_filled() { 0.5 } else { 0.0 },
-            failure: if self.went_to_source() { 0.5 } else { 0.0 },
+            failure: if self.may_have_used_source() { 0.5 } else { 0.0 },
         };
-        Verdict { host: HealthSample::SLOW, source, avoided: None }
+        HealthEffect { host: HealthSample::SLOW, source, avoided: None }
     }
 
-    fn failure_verdict(&self) -> Verdict {
+    /// The effect of a failure, attributed by the cache status where there is one.
+    fn failure_effect(&self) -> HealthEffect {
         let host = Some(self.attempt.host);
         let source = self.attempt.source;
         match self.end.cache_status {
-            CacheStatus::NoFillCapacity => Verdict::NONE.avoiding(host),
-            // The source is not at fault, and another would ask the same origin.
-            CacheStatus::OriginFailed => Verdict::HOST_ANSWERED,
+            CacheStatus::NoFillCapacity => HealthEffect::NONE.avoiding(host),
+            // The origin failed, not the source, and another source would ask the same origin.
+            CacheStatus::OriginFailed => HealthEffect::HOST_ANSWERED,
             CacheStatus::SourceRejected | CacheStatus::SourceUnreachable | CacheStatus::SourceMiss => {
-                Verdict { host: HealthSample::SUCCESS, source: HealthSample::FAILURE, avoided: source }
+                HealthEffect { host: HealthSample::SUCCESS, source: HealthSample::FAILURE, avoided: source }
             }
-            _ if self.is_failure_of_either() => Verdict {
+            _ if self.is_failure_unattributable() => HealthEffect {
                 host: HealthSample::HALF_FAILURE,
                 source: HealthSample::HALF_FAILURE,
                 avoided: source,
             },
-            _ => Verdict::HOST_FAILED.avoiding(host),
+            _ => HealthEffect::HOST_FAILED.avoiding(host),
         }
     }
 }
 
 impl RoutingState {
-    /// Records the end of an attempt, and returns the host that the request avoids from now on.
+    /// Records the end of an attempt, and returns the host that later attempts of the request avoid.
     pub(crate) fn record_attempt_end(&mut self, ended: &EndedAttempt) -> Option<HostId> {
         let now = self.now;
         self.record_load(ended);
@@ -171,15 +179,16 @@
         if let Some(host) = ended.unreachable_host().and_then(|id| self.endpoints.get_mut(id)) {
             host.warm_up.presume_restart(now);
         }
-        let verdict = ended.verdict();
-        self.endpoints.record_health(ended.attempt.host, now, verdict.host);
-        self.record_fill_timing(ended, &verdict);
+        let effect = ended.health_effect();
+        self.endpoints.record_health(ended.attempt.host, now, effect.host);
+        self.record_fill_timing(ended, &effect);
         if let Some(source) = ended.attempt.source {
-            self.endpoints.record_health(source, now, verdict.source);
+            self.endpoints.record_health(source, now, effect.source);
         }
-        verdict.avoided
+        effect.avoided
     }
 
+    /// Updates the attempts in flight, hit durations and slow start of the host.
     fn record_load(&mut self, ended: &EndedAttempt) {
         let now = self.now;
         let Some(host) = self.endpoints.get_mut(ended.attempt.host) else { return };
@@ -192,37 +201,41 @@
         }
     }
 
-    /// Records whether a fill came in time, unless it was late for a host that is ejected anyway.
-    fn record_fill_timing(&mut self, ended: &EndedAttempt, verdict: &Verdict) {
+    /// Records whether a fill met its latency objective. A late fill isn't counted when its host or source is already
+    /// ejected.
+    fn record_fill_timing(&mut self, ended: &EndedAttempt, effect: &HealthEffect) {
         let Some(source_location) = ended.source_location else { return };
         let now = self.now;
-        let timeliness = if self.is_late(ended, verdict) {
+        let timeliness = if self.is_late(ended, effect) {
             Timeliness::Late
         } else if ended.has_succeeded() && ended.is_in_time {
             Timeliness::Timely
         } else {
             return;
         };
-        if timeliness == Timeliness::Late && self.has_ejected_part(&ended.attempt, now) {
+        if timeliness == Timeliness::Late && self.is_host_or_source_ejected(&ended.attempt, now) {
             return;
         }
-        // What the parent had cached tells of the link; what it had to fetch tells of what lies behind it.
+        // A copy that the parent had cached measures the link to the parent; a copy that the parent had to fetch
+        // measures the fetch as well.
         let is_timed = matches!(ended.end.outcome, Outcome::Succeeded | Outcome::TimedOut);
         let is_cached_at_source =
             ended.source_use == SourceUse::CachedOnly || ended.end.cache_status == CacheStatus::Filled;
         let timing = FillTiming {
             timeliness,
             source_location,
-            over_link: is_timed && ended.went_to_source() && is_cached_at_source,
+            measures_link: is_timed && ended.may_have_used_source() && is_cached_at_source,
             source_use: ended.source_use,
             status_unreported: ended.status_unreported,
         };
         self.fill_limits.record(now, timing);
     }
 
-    /// Whether an attempt counts as a late fill. A parent that rejects or is down is told apart from what lies behind it,
-    /// where responses report it.
-    fn is_late(&self, ended: &EndedAttempt, verdict: &Verdict) -> bool {
+    /// Whether an attempt counts as a late fill.
+    ///
+    /// Where responses carry a cache status, a parent that rejects or is down doesn't count, as the status distinguishes
+    /// it from a failed origin.
+    fn is_late(&self, ended: &EndedAttempt, effect: &HealthEffect) -> bool {
         match ended.end.outcome {
             Outcome::Succeeded => !ended.is_in_time,
             Outcome::TimedOut => ended.end.first_byte_sent,
@@ -230,13 +243,13 @@
             _ => {
                 let is_from_origin =
                     ended.attempt.source.is_some_and(|id| self.endpoints.is_usable_origin(id));
-                (ended.status_unreported || is_from_origin) && verdict.source.failure > 0.0
+                (ended.status_unreported || is_from_origin) && effect.source.failure > 0.0
             }
         }
     }
 
-    /// Whether the host or the source of an attempt is ejected.
-    fn has_ejected_part(&self, attempt: &Attempt, now: Duration) -> bool {
+    /// Whether the host or the source of an attempt is ejected as an outlier.
+    fn is_host_or_source_ejected(&self, attempt: &Attempt, now: Duration) -> bool {
         let is_ejected = |id: HostId| self.endpoints.is_ejected(id, now);
         is_ejected(attempt.host) || attempt.source.is_some_and(is_ejected)
     }
--- a/crates/rockflow/src/source_path.rs
+++ b/crates/rockflow/src/source_path.rs
@@ -1,4 +1,5 @@
-//! Paths from sources: the limits that fills are under by the link they come through and by what lies behind a parent.
+//! Concurrency limits of fills: by the location of the source, for the link of this location, and for the fetches that
+//! parents make.
 
 use crate::concurrency::{is_mostly_timely, ConcurrencyLimit, Timeliness};
 use crate::decay::{DecayingSum, MIN_OBSERVATIONS};
@@ -6,20 +7,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The path that fills from the sources of one location take.
+/// Limit and timing of the fills from the sources of one location.
 #[derive(Debug)]
 pub(crate) struct SourcePath {
     limit: ConcurrencyLimit,
+    /// Late and timely attempts with a source in this location, also where other causes than the path are likely.
     late: DecayingSum,
     timely: DecayingSum,
 }
 
 impl SourcePath {
-    fn new(empty: DecayingSum) -> Self {
-        SourcePath { limit: ConcurrencyLimit::new(empty), late: empty, timely: empty }
+    fn new(empty_sum: DecayingSum) -> Self {
+        SourcePath { limit: ConcurrencyLimit::new(empty_sum), late: empty_sum, timely: empty_sum }
     }
 
-    /// The limit of fills on this path.
+    /// The concurrency limit of fills from this location.
     pub(crate) fn limit(&self) -> &ConcurrencyLimit {
         &self.limit
     }
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Whether fills on this path are known to come in time.
+    /// Whether there are enough recent fills from this location, and most met their latency objective.
     fn is_timely(&self, now: Duration) -> bool {
         let late = self.late.read(now);
         let timely = self.timely.read(now);
@@ -39,97 +41,101 @@
     }
 }
 
-/// What an attempt asks of its source.
+/// What an attempt requests from its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SourceUse {
-    /// It has no source.
+    /// Nothing: the attempt has no source.
     None,
-    /// Only what the source has cached.
+    /// Only an object that the source has cached.
     CachedOnly,
-    /// The source fetches what it lacks.
+    /// Any object: the source fetches what it has not cached.
     Fill,
 }
 
-/// The timing of an attempt with a source, and which limits it may tell of.
+/// The timing of an attempt with a source, and the limits that it applies to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FillTiming {
-    /// Whether it came in time.
+    /// Whether the attempt met its latency objective.
     pub(crate) timeliness: Timeliness,
-    /// The location of its source.
+    /// The location of the source, which selects the path.
     pub(crate) source_location: LocationId,
-    /// Whether its copy came over the link of this location from what the source had cached.
-    pub(crate) over_link: bool,
-    /// What it asked of its source.
+    /// Whether the source had the copy cached, so that the timing measures the link of this location alone.
+    pub(crate) measures_link: bool,
+    /// What the attempt requested from the source.
     pub(crate) source_use: SourceUse,
-    /// Whether responses report nothing of fills, so that lateness has no place.
+    /// Whether responses don't report fills. The cause of a late response is then unknown, and it is taken as common to
+    /// all paths.
     pub(crate) status_unreported: bool,
 }
 
-/// The limits of fills at this dispatcher.
+/// The concurrency limits of fills from this dispatcher.
 #[derive(Debug)]
 pub(crate) struct FillLimits {
-    empty: DecayingSum,
-    /// What comes over the link of this location from a source.
+    empty_sum: DecayingSum,
+    /// Limits copies that come from any source over the link of this location.
     link: ConcurrencyLimit,
-    /// What is fetched for a parent that lacks it.
-    behind_parents: ConcurrencyLimit,
-    /// By the location of the source, no more than are listed.
+    /// Limits fills that a parent may have to fetch from the origin.
+    parent_fetches: ConcurrencyLimit,
+    /// The path from each location that had a listed source. Locations of removed sources are kept.
     paths: BTreeMap<LocationId, SourcePath>,
 }
 
 impl FillLimits {
-    /// No limits; `empty` has the memory of the longest deadline.
-    pub(crate) fn new(empty: DecayingSum) -> Self {
+    /// No limit in effect and no paths. The time constant of `empty_sum` is the longest deadline.
+    pub(crate) fn new(empty_sum: DecayingSum) -> Self {
         FillLimits {
-            empty,
-            link: ConcurrencyLimit::new(empty),
-            behind_parents: ConcurrencyLimit::new(empty),
+            empty_sum,
+            link: ConcurrencyLimit::new(empty_sum),
+            parent_fetches: ConcurrencyLimit::new(empty_sum),
             paths: BTreeMap::new(),
         }
     }
 
-    /// A source in this location is listed.
+    /// Adds the path from a location in which a source is listed.
     pub(crate) fn add_source_location(&mut self, location: LocationId) {
-        let empty = self.empty;
-        self.paths.entry(location).or_insert_with(|| SourcePath::new(empty));
+        let empty_sum = self.empty_sum;
+        self.paths.entry(location).or_insert_with(|| SourcePath::new(empty_sum));
     }
 
-    /// The path from a location.
+    /// The path from a location. `None`: no source was ever listed there.
     pub(crate) fn path(&self, location: LocationId) -> Option<&SourcePath> {
         self.paths.get(&location)
     }
 
-    /// The limit of what comes over the link of this location.
+    /// The limit of copies over the link of this location.
     pub(crate) fn link(&self) -> &ConcurrencyLimit {
         &self.link
     }
 
-    /// The limit of what is fetched for parents.
-    pub(crate) fn behind_parents(&self) -> &ConcurrencyLimit {
-        &self.behind_parents
+    /// The limit of fills that parents may have to fetch from the origin.
+    pub(crate) fn parent_fetches(&self) -> &ConcurrencyLimit {
+        &self.parent_fetches
     }
 
-    /// An attempt was sent.
+    /// Counts an attempt sent towards all limits that apply to it.
     pub(crate) fn attempt_sent(&mut self, source_location: Option<LocationId>, source_use: SourceUse) {
         for limit in self.limits_of(source_location, source_use) {
             limit.fill_sent();
         }
     }
 
-    /// An attempt ended.
+    /// Removes an ended attempt from all limits that apply to it.
     pub(crate) fn attempt_ended(&mut self, source_location: Option<LocationId>, source_use: SourceUse) {
         for limit in self.limits_of(source_location, source_use) {
             limit.fill_ended();
         }
     }
 
-    /// Records whether an attempt with a source came in time.
+    /// Records whether an attempt with a source met its latency objective.
     ///
-    /// What strikes the sources of one location alone is a fault on the path from there, not behind them.
+    /// While fills from another location are timely, a late fill counts only towards the limit of its own path. Otherwise
+    /// the cause is taken as common to all paths, and only the limits of the link and of the fetches by parents count it.
+    /// A timely fill counts towards all limits that apply to it.
     pub(crate) fn record(&mut self, now: Duration, timing: FillTiming) {
         let location = timing.source_location;
-        let others_timely = self.paths.iter().any(|(other, path)| *other != location && path.is_timely(now));
-        let is_common = timing.status_unreported || !others_timely;
+        let is_other_path_timely =
+            self.paths.iter().any(|(other, path)| *other != location && path.is_timely(now));
+        let is_common = timing.status_unreported || !is_other_path_timely;
         let is_timely = timing.timeliness == Timeliness::Timely;
         if let Some(path) = self.paths.get_mut(&location) {
             path.record(now, timing.timeliness);
@@ -137,15 +143,15 @@
                 path.limit.record(now, timing.timeliness);
             }
         }
-        if timing.over_link && (is_timely || is_common) {
+        if timing.measures_link && (is_timely || is_common) {
             self.link.record(now, timing.timeliness);
         }
         if timing.source_use == SourceUse::Fill && (is_timely || is_common) {
-            self.behind_parents.record(now, timing.timeliness);
+            self.parent_fetches.record(now, timing.timeliness);
         }
     }
 
-    /// The limits that an attempt counts towards.
+    /// The limits that apply to an attempt.
     fn limits_of(
         &mut self,
         source_location: Option<LocationId>,
@@ -153,7 +159,7 @@
     ) -> impl Iterator<Item = &mut ConcurrencyLimit> {
         let path = source_location.and_then(|location| self.paths.get_mut(&location));
         let link = (source_use != SourceUse::None).then_some(&mut self.link);
-        let behind_parents = (source_use == SourceUse::Fill).then_some(&mut self.behind_parents);
-        [path.map(|path| &mut path.limit), link, behind_parents].into_iter().flatten()
+        let parent_fetches = (source_use == SourceUse::Fill).then_some(&mut self.parent_fetches);
+        [path.map(|path| &mut path.limit), link, parent_fetches].into_iter().flatten()
     }
 }
