--- a/crates/rockflow/src/lib.rs
+++ b/crates/rockflow/src/lib.rs
@@ -1,39 +1,39 @@
-//! rockflow decides where objects are served, cached and filled from. It does no I/O: a caller hands in events with
-//! their time and carries out the actions that come back. Every time is a span since the start of the caller's clock.
+//! rockflow decides where objects are served, cached and filled from. It does no I/O: the caller passes in timestamped
+//! events and carries out the actions that are returned. Every timestamp is the time elapsed on the caller's clock.
 //!
-//! [`Dispatcher`] is the entry point. What goes in and out of it:
+//! [`Dispatcher`] is the entry point. Its inputs and outputs:
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
 //! | [`config`] | the configuration of a deployment |
-//! | [`event`] | what the decisions are informed of |
-//! | [`action`] | what they want done |
+//! | [`event`] | the inputs: requests, ends of attempts, endpoint lists, purges, timers |
+//! | [`action`] | the outputs: attempts, cancellations, rejections, timers |
 //! | [`endpoints`] | hosts, as discovery lists them and as status reports show them |
-//! | [`ids`] | identifiers |
+//! | [`ids`] | the identifiers that events and actions use |
 //!
-//! Which private module decides what:
+//! Responsibilities of the private modules:
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `dispatcher` | what each event sets off; when a failed subscription to the endpoint list is tried again |
-//! | `attempts` | the next attempt of a request: where it goes, what it asks for, its timeout; when a request is given up |
-//! | `placement` | which cache serves and which source fills: rendezvous hashing, spreading of hot objects, passing on |
-//! | `effects` | whether an attempt may be repeated, until when, and whether a request may be rejected |
-//! | `outcome` | what the end of an attempt says of its host, its source and the path between them |
-//! | `health` | when a host is ejected as an outlier, and which requests try it again |
-//! | `slow_start` | what a host with a cold cache may be sent |
-//! | `load` | how loaded a cache is in relation to the capacity of its link |
-//! | `concurrency` | how many fills are admitted while they come late |
-//! | `source_path` | which limits a late fill bears on: the path from its source, the link, or what lies behind parents |
-//! | `popularity` | which objects are popular, and which are hot |
-//! | `class_stats` | transfer times of a class, and whether its large requests are under-served |
-//! | `freshness` | the maximum age of an acceptable copy, by lifetime, grace and purges |
-//! | `request` | when a request is late, and how long an ordinary attempt takes |
-//! | `endpoint_table` | which hosts this dispatcher uses, and what an update of the list changes |
-//! | `emit` | nothing: turns what is wanted of a request into actions |
+//! | `dispatcher` | handles each event; retries a failed subscription to the endpoint list |
+//! | `attempts` | chooses the host, source, kind and timeout of the next attempt, or gives the request up |
+//! | `placement` | chooses the serving cache and the source of a fill: rendezvous hashing, spreading, overflow |
+//! | `effects` | decides whether an attempt may be repeated, until when, and whether a request may be rejected |
+//! | `outcome` | updates health, load and fill statistics when an attempt ends |
+//! | `health` | ejects a host as an outlier, and admits the requests that try it again |
+//! | `slow_start` | limits the work sent to a host with a cold cache |
+//! | `load` | measures the load of a cache relative to the capacity of its link |
+//! | `concurrency` | limits concurrent fills while fills are late |
+//! | `source_path` | charges a late fill to a limit: path from the source, local link, or fetches by parents |
+//! | `popularity` | tells which objects are popular, and which are hot |
+//! | `class_stats` | estimates the transfer times of a class; detects that its large requests are under-served |
+//! | `freshness` | computes the maximum age of an acceptable copy from lifetime, grace and purges |
+//! | `request` | tracks open requests and their attempts; computes objective, deadline and usual duration |
+//! | `endpoint_table` | keeps the listed hosts, and tells which of them this dispatcher may use |
+//! | `emit` | turns the decisions on a request into actions |
 //!
-//! `state` holds together what is known (`RoutingState`), `host` what is known of one host, and `decay` the sums that all
-//! rates are kept in.
+//! `state` holds the whole routing state (`RoutingState`), `host` the state of one host, and `decay` the exponentially
+//! decaying sums behind all rates.
 
 pub mod action;
 pub mod config;
