--- a/crates/rockflow/src/event.rs
+++ b/crates/rockflow/src/event.rs
@@ -1,4 +1,4 @@
-//! What the decisions are informed of.
+//! Events: the input of the decisions.
 
 use crate::endpoints::{EndpointEntry, ListScope};
 use crate::ids::{AttemptNumber, ClassId, GroupId, HostId, ObjectId, RequestId, TimerId};
@@ -7,30 +7,30 @@
 /// A client's request for a part of an object.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// The identifier that later events and actions of this request carry.
     pub id: RequestId,
-    /// Its class.
+    /// The request class, which sets effect, latency objective and freshness lifetime.
     pub class: ClassId,
     /// The requested object.
     pub object: ObjectId,
-    /// The part of the object.
+    /// The index of the requested part of the object.
     pub part: u32,
-    /// The group of the object.
+    /// The group of the object, for purges of whole groups.
     pub group: GroupId,
-    /// Time until the client gives up.
+    /// Time from the arrival until the client gives up.
     pub time_left: Duration,
     /// Size of the part in kB. Zero: unknown.
     pub size_kb: f64,
-    /// Attempts that a lost dispatcher may have made for the same request; usually none.
+    /// Attempts that another dispatcher may have sent before it failed and its request was taken over; usually empty.
     pub previous_attempts: Vec<PreviousAttempt>,
 }
 
-/// An attempt that may have executed under a previous owner of its request.
+/// An attempt that may have executed while another dispatcher owned the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PreviousAttempt {
-    /// The host that it was sent to.
+    /// The host that the attempt was sent to.
     pub host: HostId,
-    /// The earliest time at which it can have been sent.
+    /// The earliest time at which the attempt can have been sent.
     pub sent: Duration,
 }
 
@@ -41,40 +41,40 @@
     Succeeded,
     /// The host answered with an error.
     HostError,
-    /// The host shed the load.
+    /// The host shed the attempt because of its load.
     Rejected,
-    /// The timeout passed.
+    /// The timeout of the attempt expired.
     TimedOut,
-    /// No connection came up.
+    /// No connection to the host could be opened.
     ConnectFailed,
-    /// The connection was lost, and no other shows that the host lives.
+    /// The connection was lost, and no other connection shows that the host is up.
     ConnectionLost,
-    /// The response was unusable or incomplete, from a host that lives; the attempt may have executed.
+    /// The host is up, but its response was unusable or incomplete; the attempt may have executed.
     MalformedResponse,
-    /// The dispatcher cancelled it.
+    /// The dispatcher cancelled the attempt.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// The host has no acceptable copy and filled none.
+    /// The host has no acceptable copy and did not fill one.
     Miss,
 }
 
-/// What a response reports of the copy or of the fill.
+/// What a response reports about the served copy or about the fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// Nothing is reported.
+    /// The response reports nothing.
     Unknown,
-    /// The host held an acceptable copy.
+    /// The host had an acceptable copy in its cache.
     Hit,
-    /// It was filled from its source.
+    /// The host filled the copy from its source.
     Filled,
-    /// It was filled from its source, which was filled from the origin.
+    /// The host filled the copy from its source, which in turn filled it from the origin.
     FilledByOrigin,
-    /// It waited for a fill that was already in progress.
+    /// The host waited for a fill that was already in progress.
     Coalesced,
-    /// The copy is past its freshness lifetime.
+    /// The served copy is past its freshness lifetime.
     Stale,
-    /// The source shed the load.
+    /// The source shed the fill because of its load.
     SourceRejected,
     /// The source could not be reached.
     SourceUnreachable,
@@ -82,7 +82,7 @@
     SourceMiss,
     /// The host has no capacity for another fill.
     NoFillCapacity,
-    /// The origin behind the source failed.
+    /// The origin that the source fetches from failed.
     OriginFailed,
 }
 
@@ -91,50 +91,50 @@
 pub struct AttemptEnd {
     /// The request of the attempt.
     pub request: RequestId,
-    /// Which of its attempts ended.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNumber,
-    /// The host that it was sent to.
+    /// The host that the attempt was sent to.
     pub host: HostId,
-    /// How it ended.
+    /// Whether the attempt succeeded, or why it failed.
     pub outcome: Outcome,
-    /// The time from the action to its end.
+    /// Time from the [`SendAttempt`](crate::Action::SendAttempt) action to the end of the attempt.
     pub duration: Duration,
-    /// Whether the request has its final answer, by this outcome or before it.
+    /// Whether the client has the final answer to the request, from this attempt or from an earlier one.
     pub request_finished: bool,
-    /// What the response reports of the copy or the fill.
+    /// What the response reports about the copy or the fill.
     pub cache_status: CacheStatus,
-    /// Time to the source's first byte or to its failure. Zero: unknown.
+    /// Time until the first byte or the failure of the source. Zero: unknown.
     pub fill_wait: Duration,
-    /// Whether a byte of it was sent. False: it surely never executed, whatever the outcome.
+    /// Whether any byte of the attempt was sent. False: it certainly did not execute, whatever the outcome.
     pub first_byte_sent: bool,
 }
 
 /// Something that happened outside the decisions.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Discovery sent the endpoint list or changes of it.
+    /// Discovery sent the endpoint list or changes to it, or failed to answer.
     EndpointsListed {
         /// Which hosts the entries cover.
         scope: ListScope,
-        /// The entries.
+        /// The covered hosts. Ignored if discovery did not answer.
         entries: Vec<EndpointEntry>,
     },
     /// A client sent a request.
     RequestArrived(Request),
     /// The response of an attempt has begun to stream to the client.
     ResponseStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// Which of its attempts is answered.
+        /// The number of the attempt whose response is streamed.
         attempt: AttemptNumber,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client closed its connection or cancelled the request.
     ClientDisconnected(RequestId),
-    /// The program shuts down: every open request needs its final answer by then.
+    /// A graceful shutdown began: every open request needs its final answer by the deadline.
     ShutdownStarted {
-        /// When the last answer is due.
+        /// The latest time for the final answer of any open request.
         deadline: Duration,
     },
     /// A timer fired.
@@ -143,27 +143,27 @@
     HealthChecked {
         /// The host that was checked.
         host: HostId,
-        /// How the check ended.
+        /// Whether the check succeeded, or why it failed.
         outcome: Outcome,
-        /// How long it took.
+        /// Time from the [`CheckHealth`](crate::Action::CheckHealth) action to the end of the check.
         duration: Duration,
         /// The values of the host's load report, in the configured order.
         load_report: Vec<f32>,
     },
-    /// Copies were declared invalid. Without an object: the whole group. The group of an object may be unknown.
+    /// All copies of an object, or of the objects of a group, that are older than the purge are invalid.
     Purged {
-        /// The object whose copies are invalid.
+        /// The purged object. None: the whole group is purged.
         object: Option<ObjectId>,
-        /// Its group, or the group whose copies are invalid.
+        /// The group of the purged object, or the purged group. None: unknown; without an object, everything is purged.
         group: Option<GroupId>,
-        /// How long ago the purge was issued.
+        /// Time since the purge was issued.
         age: Duration,
     },
     /// Another dispatcher sent a message.
     MessageReceived {
-        /// The index of the sender.
+        /// The index of the sending dispatcher, as in its `dispatcher_index`.
         from: u16,
-        /// The content.
+        /// The message body as the sender passed it in.
         payload: Vec<u8>,
     },
 }
