--- a/crates/rockflow/src/config.rs
+++ b/crates/rockflow/src/config.rs
@@ -3,117 +3,117 @@
 use crate::ids::LocationId;
 use std::time::Duration;
 
-/// Which hosts drop a repeat of a request that carries an idempotency key.
+/// The hosts that share deduplication records, so that each drops a repeated request with a known idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every host.
+    /// All hosts.
     All,
-    /// The hosts of the location in which the request ran first.
+    /// The hosts of the location in which the request first executed.
     Location,
-    /// The hosts of the cell in which the request ran first.
+    /// The hosts of the cell in which the request first executed.
     Cell,
 }
 
-/// What a second execution of a request would do.
+/// The effect of executing a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: the request may be repeated freely.
+    /// No effect: the request may be repeated freely.
     Idempotent,
-    /// Nothing, as long as the repeat reaches a host of the scope within the deduplication window.
+    /// No effect, as long as the repeat reaches a host of the scope within the deduplication window.
     IdempotencyKey {
         /// The hosts that drop a repeat.
         scope: KeyScope,
-        /// How long after an execution its repeats are dropped.
+        /// Time after an execution within which its repeats are dropped.
         deduplication_window: Duration,
     },
-    /// Harm: the request must not be executed twice.
+    /// A harmful effect: the request must not be executed twice.
     AtMostOnce,
 }
 
-/// A class of requests and what is promised for it.
+/// A class of requests with its latency objective, its freshness rules and its idempotency.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// What a second execution does.
+    /// The effect of a second execution, which decides whether and where a request may be retried.
     pub effect: Effect,
-    /// Latency objective of a request that takes no time to transfer.
+    /// Latency objective of a request, before the allowance for its transfer (`transfer_stretch`).
     pub latency_objective: Duration,
-    /// How many times its transfer time a request may take on top of the latency objective.
+    /// Allowance for the transfer on top of the latency objective, as a multiple of the expected transfer time.
     pub transfer_stretch: f64,
-    /// How long a client waits in all, over all attempts.
+    /// Total time from the arrival of a request until the client gives up, over all attempts.
     pub deadline: Duration,
-    /// Value of an answer within the latency objective.
+    /// Value of an answer within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// Value of an answer after the latency objective.
+    /// Value of an answer after the latency objective, on the scale of `priority_weight`.
     pub late_priority_weight: f64,
     /// Freshness lifetime of a copy. Zero: a copy is fresh until it is purged.
     pub fresh_lifetime: Duration,
-    /// How long past its freshness lifetime a copy may be served when a fill failed (stale-if-error).
+    /// Time past its freshness lifetime for which a copy may be served after a failed fill (stale-if-error).
     pub grace: Duration,
-    /// Whether caches may keep a copy.
+    /// Whether caches may store a copy.
     pub cacheable: bool,
 }
 
-/// What the weights of endpoint entries stand for.
+/// The meaning and unit of the weights of endpoint entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
     /// The capacity of a host's link, in transfers at full rate.
     LinkCapacity,
-    /// Not known: all hosts count alike.
+    /// No known meaning: the weights are ignored, and all hosts of a role count as equal.
     Unknown,
 }
 
-/// Slow start: the load that a host with a cold cache may receive.
+/// Slow start: a limit on the load of a recently started host, which has a cold cache.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// The part of its capacity that a host has when it starts.
+    /// The capacity of a host at its start, as a share of its full capacity, from 0 to 1.
     pub initial_share: f64,
-    /// The time until it has its whole capacity.
+    /// Time from the start of a host until it has its full capacity; the share grows linearly.
     pub ramp: Duration,
-    /// The work that it tolerates within a window, as a multiple of its present capacity.
+    /// The work that a host tolerates within a window, as a multiple of its current capacity.
     pub overload_multiple: f64,
-    /// The window in which the work is counted.
+    /// The length of the window over which the work is counted.
     pub window: Duration,
 }
 
-/// How much responses report of cache hits and fills.
+/// How much detail responses report about cache hits and fills.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatusDetail {
-    /// Hits, fills and why a fill failed.
+    /// Hits, fills and the reason of a failed fill.
     All,
-    /// Hits alone.
+    /// Only hits.
     HitsOnly,
-    /// Nothing.
+    /// No cache status at all.
     None,
 }
 
-/// The configuration of a deployment, as one dispatcher sees it.
+/// The configuration of a deployment from the point of view of one dispatcher.
 #[derive(Clone, Debug)]
 pub struct DeploymentConfig {
     /// The location of this dispatcher.
     pub location: LocationId,
-    /// Dispatchers in this location, this one included.
+    /// The number of dispatchers in this location, including this one.
     pub location_dispatchers: usize,
-    /// Dispatchers in all.
+    /// The number of dispatchers in all locations.
     pub dispatcher_count: usize,
-    /// The index of this dispatcher among all, from 0.
+    /// The index of this dispatcher among all dispatchers, from 0.
     pub dispatcher_index: usize,
-    /// The request classes, by [`ClassId`](crate::ClassId).
+    /// The request classes, indexed by [`ClassId`](crate::ClassId).
     pub classes: Vec<Class>,
-    /// What the weights of endpoint entries stand for.
+    /// The meaning and unit of the weights of endpoint entries.
     pub weight_meaning: WeightMeaning,
     /// Slow start of caches.
     pub cache_slow_start: SlowStart,
     /// Slow start of parents.
     pub parent_slow_start: SlowStart,
-    /// The time after a purge within which every cache has dropped the copies it names.
+    /// Time after a purge by which every cache has dropped the purged copies.
     pub purge_window: Duration,
     /// Transfer rate of a single response, in kB/s. Zero: unknown.
     pub stream_kb_per_s: f64,
-    /// How much responses report of hits and fills.
+    /// How much detail responses report about hits and fills.
     pub cache_status_detail: CacheStatusDetail,
     /// Whether a host can coalesce a fill with one already in progress.
     pub coalescing: bool,
-    /// Whether a dispatcher may go to a parent or the origin without a cache.
+    /// Whether a dispatcher may send an attempt to a parent or the origin directly when no cache is ready.
     pub direct_source_access: bool,
     /// Whether hedged requests are allowed.
     pub hedging: bool,
@@ -121,12 +121,12 @@
     pub cancellation: bool,
     /// Whether hosts answer health checks.
     pub health_checks: bool,
-    /// Attempts that a request may take.
+    /// The maximum number of attempts for a request, not counting those of which no byte was sent.
     pub max_attempts: usize,
-    /// Objects, and purges, that are tracked at once.
+    /// The maximum number of object parts whose popularity is tracked, and of purges that are tracked.
     pub max_tracked: usize,
     /// The longest `Retry-After` that a client honours. None: a rejection carries none.
     pub max_retry_after: Option<Duration>,
-    /// Set where the endpoint list must be requested: how long an old list may be relied on.
+    /// How long an endpoint list may be used after its last update. None: the list comes without a subscription.
     pub endpoint_list_max_age: Option<Duration>,
 }
--- a/crates/rockflow/src/endpoints.rs
+++ b/crates/rockflow/src/endpoints.rs
@@ -1,73 +1,73 @@
-//! Hosts: how discovery lists them and how the decisions see them.
+//! Hosts, as discovery lists them and as status reports show them.
 
 use crate::ids::{CellId, HostId, LocationId};
 use std::time::Duration;
 
-/// What a host does in the hierarchy of caches.
+/// The position of a host in the cache hierarchy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// An edge cache, which answers requests.
+    /// An edge cache, which answers the attempts of dispatchers.
     Cache,
-    /// A parent cache, from which edge caches are filled.
+    /// A parent cache, which fills the misses of edge caches.
     Parent,
-    /// The origin, which holds every object.
+    /// An origin, which has every object.
     Origin,
 }
 
-/// Whether a host takes new attempts.
+/// Whether a host accepts new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It takes attempts.
+    /// The host accepts attempts.
     Ready,
-    /// It finishes what is in flight and takes nothing new.
+    /// The host finishes the attempts in flight and accepts no new ones.
     Draining,
-    /// It has left.
+    /// The host has left the endpoint list.
     Gone,
 }
 
 /// A host as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The host.
+    /// The listed host.
     pub host: HostId,
-    /// The cell that shares its deduplication records.
+    /// The cell whose hosts share deduplication records with this host.
     pub cell: CellId,
-    /// Where it is.
+    /// The location (zone) of the host.
     pub location: LocationId,
-    /// What it does.
+    /// The position of the host in the cache hierarchy.
     pub role: Role,
-    /// Whether it takes new attempts.
+    /// Whether the host accepts new attempts.
     pub readiness: Readiness,
-    /// Its weight, by [`WeightMeaning`](crate::WeightMeaning).
+    /// The weight of the host; [`WeightMeaning`](crate::WeightMeaning) tells its unit.
     pub weight: f64,
-    /// When it started. None: long ago.
+    /// When the host started. None: long ago, so that it is past its slow start.
     pub started: Option<Duration>,
 }
 
-/// What the decisions hold of a host, for status reports.
+/// The state of a host at this dispatcher, for status reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostStatus {
-    /// The host.
+    /// The reported host.
     pub host: HostId,
-    /// Attempts of this dispatcher in flight at it.
+    /// The number of attempts that this dispatcher has in flight at the host.
     pub in_flight: usize,
-    /// Whether it is ejected as an outlier for its recent failures.
+    /// Whether the host is ejected as an outlier because of its recent failures.
     pub ejected: bool,
-    /// The share of successes among its recent answers, 1 without any.
+    /// The share of successes among the recent attempts, from 0 to 1; 1 if there were none.
     pub health: f64,
-    /// When its slow start ends. None: it is not in slow start.
+    /// When the slow start of the host ends. None: the host is not in slow start.
     pub warming_until: Option<Duration>,
 }
 
 /// Which hosts an update of the endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All hosts, as known now.
+    /// All hosts, as discovery lists them now.
     Full,
-    /// All hosts, as known before a restart of this dispatcher.
+    /// All hosts, as they were listed before this dispatcher restarted.
     Restored,
-    /// The hosts that changed.
+    /// Only the hosts that changed.
     Changes,
-    /// None: discovery did not answer, and the old list stays in use.
+    /// No hosts: discovery did not answer, and the previous list stays in use.
     Failed,
 }
--- a/crates/rockflow/src/ids.rs
+++ b/crates/rockflow/src/ids.rs
@@ -1,30 +1,30 @@
-//! Identifiers of everything that events and actions refer to.
+//! Identifiers used in events and actions.
 
-/// A client's request, unique for the lifetime of a dispatcher.
+/// Identifies a client's request. Unique for the lifetime of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A cache, a parent or the origin.
+/// Identifies a cache, a parent or an origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub u64);
 
-/// An object that clients request.
+/// Identifies an object that clients request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObjectId(pub u64);
 
-/// A group of objects that one purge may name as a whole.
+/// Identifies a group of objects, which can be purged as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupId(pub u64);
 
-/// A request class: an index into [`DeploymentConfig::classes`](crate::DeploymentConfig::classes).
+/// Identifies a request class: an index into [`DeploymentConfig::classes`](crate::DeploymentConfig::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// A location (zone) of hosts and dispatchers.
+/// Identifies a location (zone) of hosts and dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LocationId(pub u16);
 
-/// A small set of hosts that share their deduplication records of idempotency keys.
+/// Identifies a cell: a small set of hosts that share their deduplication records of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u16);
 
@@ -32,6 +32,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u16);
 
-/// A timer that the decisions started.
+/// Identifies a timer that a [`SetTimer`](crate::Action::SetTimer) action started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u32);
