--- a/crates/rockflow/src/dispatcher.rs
+++ b/crates/rockflow/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The entry point: takes events in, keeps the open requests, and gives actions out.
+//! The entry point: handles events, keeps the open requests, and returns actions.
 
 use crate::action::Action;
 use crate::config::DeploymentConfig;
@@ -13,16 +13,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The timer after which a failed subscription to the endpoint list is tried again.
+/// The timer that fires when a failed subscription to the endpoint list is to be retried.
 const SUBSCRIPTION_TIMER: TimerId = TimerId(0);
-/// The delay of that retry, once to twice, as a part of the time that an old list may be relied on.
+/// The shortest delay before that retry, as a fraction of `endpoint_list_max_age`. Random jitter up to doubles it.
 const SUBSCRIPTION_RETRY_PART: f64 = 0.1;
 
-/// The decisions of one dispatcher.
+/// The decision logic of one dispatcher.
 ///
-/// The caller makes one from the configuration and a seed, carries out the actions of [`start`](Self::start), then
-/// hands each [`Event`] with its time to [`handle`](Self::handle) and carries out the [`Action`]s that come back, in
-/// order. The same configuration, seed and events give the same actions.
+/// The caller creates it from the configuration and a seed, carries out the actions of [`start`](Self::start), then
+/// passes each [`Event`] with its time to [`handle`](Self::handle) and carries out the returned [`Action`]s in order.
+/// The same configuration, seed and events always give the same actions.
 ///
 /// # Examples
 ///
@@ -128,7 +128,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows only its configuration. The seed determines its random draws.
+    /// Creates a dispatcher without an endpoint list or requests. The seed determines its random numbers.
     pub fn new(config: DeploymentConfig, seed: u64) -> Self {
         Dispatcher {
             state: RoutingState::new(config),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The actions to carry out before the first event.
+    /// Returns the actions to carry out before the first event.
     pub fn start(&mut self) -> Vec<Action> {
         match self.state.config.endpoint_list_max_age {
             Some(_) => vec![Action::Subscribe { on: true }],
@@ -146,10 +146,12 @@
         }
     }
 
-    /// Takes one event and returns what is to be done, in order. A time before that of an earlier event counts as that.
+    /// Handles one event and returns the actions to carry out, in order.
+    ///
+    /// Time never goes back: if `now` is before the time of an earlier event, that earlier event's time is used.
     ///
     /// # Panics
-    /// If a request names a class that is not configured.
+    /// If a request has a class that is not configured.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.state.now = self.state.now.max(now);
         match event {
@@ -172,13 +174,13 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// What is known of each listed host.
+    /// Returns the status of each listed host.
     pub fn host_statuses(&self) -> Vec<HostStatus> {
         self.state.endpoints.statuses(self.state.now)
     }
 
-    /// When discovery does not answer, the old list stays in use, and the subscription is tried again well before it may
-    /// no longer be relied on.
+    /// Applies an update of the endpoint list. If discovery did not answer, the current list stays in use, and the
+    /// subscription is retried well before that list reaches its maximum age.
     fn on_endpoints_listed(&mut self, scope: ListScope, entries: Vec<EndpointEntry>) {
         if scope != ListScope::Failed {
             self.state.apply_endpoint_list(scope, entries);
@@ -245,14 +247,15 @@
         self.emit_request(id);
     }
 
-    /// Decides the next attempt of a request, or its final answer: what is given up is answered at once.
+    /// Decides the next attempt of a request. If there is none, the request is rejected or failed at once.
     fn decide(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if !open.awaits_decision() {
             return;
         }
         let next = self.state.next_attempt(open);
-        // Drawn also where it is not used. It spreads the retries of clients.
+        // The jitter of `Retry-After`, which spreads the retries of clients. It is drawn even when unused, so that
+        // later random numbers do not depend on this decision.
         let draw = self.rng.rand_float();
         match next {
             Some(attempt) => open.attempts.push(attempt),
--- a/crates/rockflow/src/emit.rs
+++ b/crates/rockflow/src/emit.rs
@@ -1,12 +1,13 @@
-//! Emission: the difference between what is wanted of a request and what is present becomes actions.
+//! Turns the decisions on a request that have not been carried out yet into actions.
 
 use crate::action::Action;
 use crate::ids::AttemptNumber;
 use crate::request::{AttemptPhase, OpenRequest};
 use crate::state::RoutingState;
 
-/// Emits the actions of one request: wanted attempts, cancellations, the final answer. Actions on requests come from
-/// nowhere else.
+/// Emits the actions of one request: unsent attempts, cancellations, and the final answer.
+///
+/// All actions on requests are emitted here, which ensures that a request gets at most one final answer.
 pub(crate) fn emit(open: &mut OpenRequest, state: &mut RoutingState, actions: &mut Vec<Action>) {
     let request = open.request.id;
     let class = open.request.class;
