--- a/crates/rockflow/src/attempts.rs
+++ b/crates/rockflow/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The next attempt of a request: where it goes, what it asks for, and how long it may take.
+//! Chooses the next attempt of a request: its host, source, kind and timeout.
 
 use crate::action::{Attempt, CachePriority};
 use crate::concurrency::ConcurrencyLimit;
@@ -11,12 +11,12 @@
 use crate::state::RoutingState;
 use std::time::Duration;
 
-/// How many times the configured attempts a request may take where some of them were never sent.
+/// Limit on all attempts of a request, including those that were never sent, as a multiple of `max_attempts`.
 const UNSENT_ATTEMPTS_FACTOR: usize = 2;
-/// The part of the latency objective that a timeout leaves to a retry besides the transfer.
+/// The fraction of the latency objective that a timeout leaves for a retry, in addition to its transfer time.
 const RETRY_FIXED_PART: f64 = 0.2;
 
-/// Where an attempt goes.
+/// The host and source of an attempt, and its kind.
 #[derive(Clone, Copy, Debug)]
 struct Route {
     host: HostId,
@@ -24,21 +24,21 @@
     kind: AttemptKind,
 }
 
-/// How the limits of fills bear on an attempt.
+/// Restrictions that the concurrency limits of fills impose on an attempt.
 #[derive(Clone, Copy, Debug)]
 struct FillRestrictions {
-    /// Look for a fresh copy before a fill.
+    /// A cached fresh copy must be looked up before a fill is requested.
     look_first: bool,
-    /// That look asks the cache alone and not its source.
+    /// That lookup is limited to the cache; its source is not asked.
     look_at_cache_alone: bool,
     /// No fill is admitted.
     is_limited: bool,
-    /// No source is used at all.
+    /// The attempt must not name a source.
     without_source: bool,
 }
 
 impl RoutingState {
-    /// The next attempt of a request that has none in flight. None: the request is given up.
+    /// Chooses the next attempt of a request that has none in flight. None: the request must be rejected or failed.
     pub(crate) fn next_attempt(&self, open: &OpenRequest) -> Option<AttemptState> {
         if !self.has_attempts_left(open) || self.now >= open.deadline {
             return None;
@@ -58,7 +58,8 @@
         })
     }
 
-    /// Attempts that were never sent don't use up the configured number, but there is an end to them too.
+    /// Whether the request may have another attempt. Attempts that were never sent don't count towards `max_attempts`,
+    /// but the total is limited too.
     fn has_attempts_left(&self, open: &OpenRequest) -> bool {
         let attempts = open.attempts.len() + open.request.previous_attempts.len();
         let max_attempts = self.config.max_attempts;
@@ -92,20 +93,22 @@
         }
     }
 
-    /// Whether a stale copy may still be tried.
+    /// Whether the class allows stale copies and the request has not asked for one yet.
     fn may_try_stale(&self, open: &OpenRequest) -> bool {
         let class = self.class(open);
         class.cacheable && class.grace > Duration::ZERO && !open.has_attempted(AttemptKind::StaleAllowed)
     }
 
-    /// The retry after a failed fetch: the same cache, which may hold a stale copy, unless the cache is what failed.
+    /// The route of the retry after a failed fetch, for a stale copy. It goes to the same cache, which may have one,
+    /// unless that cache itself failed or can't take the attempt.
     fn stale_route(&self, open: &OpenRequest, last_host: HostId) -> Option<Route> {
         let candidates = self.candidates(self.ranking(Role::Cache, &open.request), open, open.transfer_s);
         let host = if candidates.contains(&last_host) { last_host } else { self.choose_cache(open)?.host };
         Some(Route { host, source: None, kind: AttemptKind::StaleAllowed })
     }
 
-    /// The host that answers: a cache or, where none of the location is ready and it is allowed, a source.
+    /// Chooses the host that answers: a cache or, if no cache of the location is ready and direct access to sources is
+    /// configured, a source.
     fn choose_serving_host(&self, open: &OpenRequest) -> Option<CacheChoice> {
         if let Some(cache) = self.choose_cache(open) {
             return Some(cache);
@@ -117,10 +120,11 @@
         Some(CacheChoice { host, is_crowded: false })
     }
 
-    /// While fills are constrained, a look for a fresh copy comes first; only what is missed counts as a fill.
+    /// Determines the restrictions on fills. While fills are constrained, a fresh cached copy is looked up first, and
+    /// only a miss is sent as a fill.
     ///
-    /// The look asks the parent too, unless the link is constrained or the parent is in slow start, as hits would use
-    /// its budget. A crowded cache is asked only for what it has: fills would crowd the hits out.
+    /// The lookup includes the parent, unless the link is constrained, or the parent is in slow start, where even hits
+    /// would use up its budget. An overloaded cache gets no fills: they would displace hits.
     fn fill_restrictions(
         &self,
         open: &OpenRequest,
@@ -202,8 +206,10 @@
         }
     }
 
-    /// The timeout leaves time for a retry, but lets an ordinary attempt finish. Where a stale copy can serve, that time
-    /// is before the latency objective, else before the client gives up. Only idempotent requests have one.
+    /// The timeout of an attempt. None unless the request is idempotent.
+    ///
+    /// It leaves time for a retry, but is never shorter than an ordinary attempt takes. If a stale copy may be served,
+    /// the retry has to finish before the latency objective, otherwise before the client gives up.
     fn attempt_timeout(&self, open: &OpenRequest, kind: AttemptKind) -> Option<Duration> {
         let class = self.class(open);
         if class.effect != Effect::Idempotent {
@@ -225,7 +231,7 @@
     }
 }
 
-/// Whether the request has asked a source for what it has cached.
+/// Whether an earlier attempt of the request looked up a cached copy at a source.
 fn has_looked_at_source(open: &OpenRequest) -> bool {
     open.attempts
         .iter()
--- a/crates/rockflow/src/placement.rs
+++ b/crates/rockflow/src/placement.rs
@@ -1,7 +1,7 @@
-//! Placement: which cache serves a request, and which source fills it.
+//! Placement: chooses the cache that serves a request and the source of its fill.
 //!
-//! Hosts are ranked by weighted rendezvous hashing of the part of the object, alike at every dispatcher. Load, health
-//! and limits only decide how far down the ranking a request goes.
+//! Hosts are ranked by weighted rendezvous hashing of the object part, so every dispatcher computes the same ranking.
+//! Load, health and limits only determine how far down the ranking a request goes.
 
 use crate::config::WeightMeaning;
 use crate::endpoints::Role;
@@ -13,36 +13,36 @@
 use crate::source_path::SourcePath;
 use crate::state::RoutingState;
 
-/// Caches that a hot object is spread over, fewer where that would be all.
+/// The number of caches that serve a hot object; one less if those would be all caches.
 const HOT_SPREAD: usize = 2;
-/// The relative load up to which the hash order stands.
+/// The highest relative load at which a cache serves the requests that hash to it without restriction.
 const CALM_LOAD: f64 = 2.0;
-/// The relative load up to which a cache takes what crowded ones pass on.
+/// The highest relative load at which a cache takes over requests from overloaded caches.
 const IDLE_LOAD: f64 = 1.0;
-/// The part of the time to the latency objective that a transfer at a crowded cache may be expected to take.
+/// The fraction of the time until the latency objective that a transfer from an overloaded cache may take.
 const CROWDED_PART: f64 = 0.8;
-/// The shortest transfer that a load is compared with, in seconds.
+/// Lower bound of the transfer time by which the latency objective is divided, in seconds. Avoids division by zero.
 const MIN_TRANSFER_S: f64 = 1e-3;
-/// The least weight of a host in the hash order.
+/// Lower bound of the weight of a host in rendezvous hashing.
 const MIN_HASH_WEIGHT: f64 = 1e-3;
 
-/// The cache for an attempt.
+/// The cache that an attempt goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CacheChoice {
-    /// The cache.
+    /// The chosen cache, or a source that is accessed directly.
     pub(crate) host: HostId,
-    /// Whether it is too crowded for a fill.
+    /// Whether the host is too loaded for a fill, so that it is asked only for copies in its cache.
     pub(crate) is_crowded: bool,
 }
 
-/// A host with its place in the hash order.
+/// A host with its rendezvous hash score. The highest score ranks first.
 struct Ranked {
     score: f64,
     host: HostId,
 }
 
 impl RoutingState {
-    /// The ready hosts of a role in the hash order of a part of an object.
+    /// Ranks the ready hosts of a role by rendezvous hashing of the requested object part, the preferred host first.
     pub(crate) fn ranking(&self, role: Role, request: &Request) -> Vec<HostId> {
         let score = |host: &Host| Ranked { score: self.hash_score(host, request), host: host.entry().host };
         let mut ranked: Vec<Ranked> = self.endpoints.ready(role).map(score).collect();
@@ -50,7 +50,8 @@
         ranked.into_iter().map(|ranked| ranked.host).collect()
     }
 
-    /// Those of a ranking that can take an attempt now: the healthy ones, or the ejected if there are no others.
+    /// Filters a ranking by the hosts that can take an attempt of `work_s` seconds now: the healthy hosts or, if there
+    /// are none, the ejected ones. Some requests try the first host even if it is ejected, to find out if it recovered.
     pub(crate) fn candidates(&self, ranking: Vec<HostId>, open: &OpenRequest, work_s: f64) -> Vec<HostId> {
         let tried_anyway = ranking.first().copied().filter(|_| health::may_try_ejected(open.draw));
         let can_take = |id: &HostId| self.has_capacity(*id, work_s) && !open.failed_hosts.contains(id);
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The cache for an attempt. None: none can take it.
+    /// Chooses the cache for an attempt. None: no cache can take it.
     pub(crate) fn choose_cache(&self, open: &OpenRequest) -> Option<CacheChoice> {
         let request = &open.request;
         let mean_s = self.class_stats(request.class).transfer_estimate(self.now).expected_s;
@@ -79,14 +80,14 @@
         if self.relative_load(least_loaded) <= CALM_LOAD {
             return Some(CacheChoice { host: least_loaded, is_crowded: false });
         }
-        // A crowded cache passes the request on, in hash order, to one whose link has capacity.
+        // The cache is overloaded: the request goes to the next cache in the ranking whose link has spare capacity.
         if let Some(idle) = candidates.iter().copied().find(|id| self.relative_load(*id) <= IDLE_LOAD) {
             return Some(CacheChoice { host: idle, is_crowded: false });
         }
         self.choose_crowded_cache(open, least_loaded, mean_s)
     }
 
-    /// The source of a fill: the first parent in hash order that can take it, else the origin.
+    /// Chooses the source of a fill: the first parent of the ranking that can take it, otherwise the origin.
     pub(crate) fn choose_source(&self, open: &OpenRequest) -> Option<HostId> {
         let request = &open.request;
         let mean_s = self.class_stats(request.class).transfer_estimate(self.now).expected_s;
@@ -95,7 +96,8 @@
             let origins = self.ranking(Role::Origin, request);
             return origins.into_iter().find(|id| !open.failed_hosts.contains(id));
         };
-        // Past a location whose fills are limited, in hash order, to one whose fills come in time.
+        // If fills from the location of the first parent are limited, the next parent whose location has timely fills
+        // is preferred.
         let is_limited = |path: &SourcePath| path.limit().is_limited(self.now, open.draw);
         if self.source_path(first).is_some_and(is_limited) {
             let is_free = |path: &SourcePath| !path.limit().is_constrained(self.now);
@@ -105,17 +107,18 @@
         Some(first)
     }
 
-    /// The path from a source.
+    /// The path that fills from a source take. None: the source is not listed.
     pub(crate) fn source_path(&self, source: HostId) -> Option<&SourcePath> {
         let location = self.endpoints.get(source)?.entry().location;
         self.fill_limits.path(location)
     }
 
-    /// A crowded cache, where the request can still be answered in time. A fill takes more of the time than a hit.
+    /// Chooses an overloaded cache, if it can still answer the request in time. None: the expected transfer takes too
+    /// long. A fill takes more of the available time than a hit, so fills stop at a lower load than hits.
     fn choose_crowded_cache(&self, open: &OpenRequest, cache: HostId, mean_s: f64) -> Option<CacheChoice> {
         let class = self.class(open);
         let objective_s = class.latency_objective.as_secs_f64();
-        // A transfer time that is learned from answers grows with crowding.
+        // Without a size, the transfer time is an average of past answers, which grows with the load itself.
         let transfer_s = if open.has_size() { open.transfer_s } else { objective_s * USUAL_FIXED_PART };
         let is_under_served = self.class_stats(open.request.class).is_large_under_served(self.now);
         let transfer_s = if is_under_served { transfer_s.min(mean_s) } else { transfer_s };
@@ -128,7 +131,7 @@
             .then(|| CacheChoice { host: cache, is_crowded: load > max_load(USUAL_FIXED_PART) })
     }
 
-    /// How many caches an object is spread over: more than one when this dispatcher sees it often, but never all.
+    /// The number of caches that serve an object: more than one if the object is hot, but never all.
     fn spread(&self, request: &Request, caches: usize) -> usize {
         let max = if self.popularity.is_hot(self.now, request, caches) { HOT_SPREAD } else { 1 };
         max.min(caches.saturating_sub(1)).max(1)
@@ -138,7 +141,7 @@
         let entry = host.entry();
         let key = (u128::from(request.object.0) << 32 | u128::from(request.part)).to_be_bytes();
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&key, entry.host.0);
-        // The upper 53 bits, as a number between 0 and 1, both excluded.
+        // The upper 53 bits of the hash, as a number between 0 and 1, both excluded.
         let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
         let weight = match self.config.weight_meaning {
             WeightMeaning::LinkCapacity => entry.weight.max(MIN_HASH_WEIGHT),
