--- a/crates/rockflow/src/effects.rs
+++ b/crates/rockflow/src/effects.rs
@@ -1,4 +1,4 @@
-//! What a repeated execution of a request would do: whether an attempt may follow others, and until when.
+//! Repeated execution: whether a request may be attempted again after earlier attempts, and until when.
 
 use crate::config::{Effect, KeyScope};
 use crate::event::{AttemptEnd, Outcome, PreviousAttempt};
@@ -7,14 +7,14 @@
 use crate::state::RoutingState;
 use std::time::Duration;
 
-/// Whether an attempt may have executed, by its end.
+/// Whether the host may have executed an attempt that ended like this.
 pub(crate) fn may_have_executed(end: &AttemptEnd) -> bool {
     let surely_not =
         matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
     end.first_byte_sent && !surely_not
 }
 
-/// The attempts of a request that may have executed, those of a previous dispatcher included.
+/// The attempts of a request that may have executed, including those of a previous dispatcher.
 fn attempts_maybe_executed(open: &OpenRequest) -> impl Iterator<Item = PreviousAttempt> + '_ {
     let own = open
         .attempts
@@ -24,12 +24,13 @@
     own.chain(open.request.previous_attempts.iter().copied())
 }
 
+/// Whether no attempt of the request can have executed.
 fn has_surely_not_executed(open: &OpenRequest) -> bool {
     attempts_maybe_executed(open).next().is_none()
 }
 
 impl RoutingState {
-    /// Whether one more attempt may go to this host, by what earlier ones may have done.
+    /// Whether the request may be sent to this host, considering that earlier attempts may have executed.
     pub(crate) fn may_repeat(&self, open: &OpenRequest, host: HostId) -> bool {
         match self.class(open).effect {
             Effect::Idempotent => true,
@@ -44,9 +45,11 @@
         }
     }
 
-    /// When a repeat must have been sent so that it is dropped. None: nothing may have executed, or any time will do.
+    /// The latest time to send a repeat so that hosts still drop it. None: no attempt may have executed, or the class
+    /// has no deduplication window.
     ///
-    /// It ends before the deduplication window does: an attempt takes a while.
+    /// This is before the end of the window by the duration of an ordinary attempt, as the repeat may execute
+    /// some time after it is sent.
     pub(crate) fn repeat_by(&self, open: &OpenRequest) -> Option<Duration> {
         let Effect::IdempotencyKey { deduplication_window, .. } = self.class(open).effect else {
             return None;
@@ -56,7 +59,7 @@
         Some(first_end.saturating_sub(open.usual_duration))
     }
 
-    /// Whether the request can be answered as one that had no effect and may be sent again.
+    /// Whether the request may be rejected, which tells the client that it may safely send the request again.
     pub(crate) fn may_reject(&self, open: &OpenRequest) -> bool {
         match self.class(open).effect {
             Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. } => true,
@@ -64,7 +67,8 @@
         }
     }
 
-    /// The hosts that share their deduplication records with a host have the same id. None: the host is not listed.
+    /// A number that is equal for exactly those hosts that share deduplication records in this scope. None: the host is
+    /// not listed.
     fn key_scope_id(&self, scope: KeyScope, host: HostId) -> Option<u16> {
         let entry = self.endpoints.get(host)?.entry();
         Some(match scope {
--- a/crates/rockflow/src/request.rs
+++ b/crates/rockflow/src/request.rs
@@ -1,4 +1,6 @@
 //! Open requests and the state of their attempts.
+//!
+//! A request is open until its final answer is given and all its attempts have ended.
 
 use crate::action::{Action, Attempt};
 use crate::class_stats::TransferEstimate;
@@ -8,32 +10,32 @@
 use crate::source_path::SourceUse;
 use std::time::Duration;
 
-/// Usual transfer times that an ordinary attempt takes.
+/// The time that an ordinary attempt takes for its transfer, as a multiple of the estimated transfer time.
 pub(crate) const USUAL_TRANSFERS: f64 = 1.25;
-/// The part of the latency objective that an ordinary attempt takes besides the transfer.
+/// The fraction of the latency objective that an ordinary attempt takes in addition to its transfer.
 pub(crate) const USUAL_FIXED_PART: f64 = 0.5;
 
-/// What an attempt is for.
+/// The kinds of copies that may answer an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptKind {
-    /// The ordinary way: a fresh copy, filled from the source where there is none.
+    /// A fresh copy, filled from the source on a miss. This is the ordinary kind.
     Fetch,
-    /// Only what is cached and fresh.
+    /// Only a cached, fresh copy; nothing is filled.
     FreshOnly,
-    /// Only what is cached, stale copies within the grace included.
+    /// Only a cached copy, fresh or stale within the grace; nothing is filled.
     StaleAllowed,
 }
 
-/// How far an attempt has come.
+/// The lifecycle of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptPhase {
-    /// Wanted and not yet sent.
+    /// Decided; its action has not been emitted.
     Unsent,
-    /// Sent and not ended.
+    /// Its action has been emitted; its end has not been reported.
     InFlight,
-    /// Cancelled and not ended.
+    /// Cancellation has been requested; its end has not been reported.
     Cancelled,
-    /// Ended.
+    /// Its end has been reported.
     Ended {
         /// Whether the host may have executed it.
         may_have_executed: bool,
@@ -43,20 +45,20 @@
 /// An attempt of an open request.
 #[derive(Debug)]
 pub(crate) struct AttemptState {
-    /// What is sent.
+    /// The attempt as the caller sends it.
     pub(crate) attempt: Attempt,
-    /// What it is for.
+    /// Which copies may answer the attempt.
     pub(crate) kind: AttemptKind,
-    /// How far it has come.
+    /// The current phase of the attempt.
     pub(crate) phase: AttemptPhase,
-    /// When it was decided.
+    /// When the attempt was decided; it cannot have been sent earlier.
     pub(crate) sent: Duration,
-    /// Where its source is.
+    /// The location of the source. None: the attempt has no source.
     pub(crate) source_location: Option<LocationId>,
 }
 
 impl AttemptState {
-    /// What the attempt asks of its source.
+    /// Whether the source may fetch a copy, answers only from its cache, or is not used.
     pub(crate) fn source_use(&self) -> SourceUse {
         match self.attempt.source {
             None => SourceUse::None,
@@ -65,45 +67,46 @@
         }
     }
 
-    /// Whether the attempt has ended.
+    /// Whether the end of the attempt has been reported.
     pub(crate) fn is_ended(&self) -> bool {
         matches!(self.phase, AttemptPhase::Ended { .. })
     }
 }
 
-/// A request that has no final answer yet, or attempts that have not ended.
+/// A request without a final answer, or with attempts that have not ended.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     /// The request as it arrived.
     pub(crate) request: Request,
-    /// When its latency objective passes.
+    /// The time by which an answer meets the latency objective, transfer included. Never after the deadline.
     pub(crate) objective: Duration,
-    /// When the client gives up.
+    /// The time by which the final answer is due: the client gives up, or a shutdown ends.
     pub(crate) deadline: Duration,
-    /// Its random draw from 0 to 1, for what is admitted by chance.
+    /// A random number from 0 to 1, drawn once per request. It decides whether a limited fill is admitted and whether
+    /// an ejected host is tried.
     pub(crate) draw: f64,
-    /// The expected transfer time, in seconds.
+    /// The expected transfer time of the response, in seconds.
     pub(crate) transfer_s: f64,
-    /// How long an ordinary attempt takes, a fill included.
+    /// The duration of an ordinary attempt, including a fill. A longer attempt counts as slow.
     pub(crate) usual_duration: Duration,
-    /// Its attempts, by number.
+    /// All attempts of the request, indexed by attempt number.
     pub(crate) attempts: Vec<AttemptState>,
-    /// Attempts that ended before a byte of them was sent.
+    /// The number of attempts that ended before a byte was sent.
     pub(crate) unsent_attempts: usize,
-    /// Whether a response streams to the client.
+    /// Whether a response has begun to stream to the client, after which no other attempt is made.
     pub(crate) response_started: bool,
-    /// Hosts and sources that it avoids, as they failed it.
+    /// Hosts and sources that failed this request and are not used for it again.
     pub(crate) failed_hosts: Vec<HostId>,
-    /// Whether the origin failed it, which no other source mends.
+    /// Whether the origin failed during a fill. Another source would ask the same origin, so none is used.
     pub(crate) origin_failed: bool,
-    /// The final answer that is wanted and not yet given.
+    /// The rejection or failure that has been decided but not emitted.
     pub(crate) answer: Option<Action>,
-    /// Whether no final answer is owed any more.
+    /// Whether the client has its final answer or has disconnected.
     pub(crate) finished: bool,
 }
 
 impl OpenRequest {
-    /// A request that arrives now.
+    /// Opens a request that arrives now. `draw` is a random number from 0 to 1.
     pub(crate) fn new(
         now: Duration,
         request: Request,
@@ -131,28 +134,28 @@
         }
     }
 
-    /// Whether its size is known.
+    /// Whether the size of the requested part is known.
     pub(crate) fn has_size(&self) -> bool {
         self.request.size_kb > 0.0
     }
 
-    /// Whether it has had an attempt of this kind.
+    /// Whether an attempt of this kind was made.
     pub(crate) fn has_attempted(&self, kind: AttemptKind) -> bool {
         self.attempts.iter().any(|attempt| attempt.kind == kind)
     }
 
-    /// Whether it waits for a decision: no answer yet, and nothing in flight.
+    /// Whether the next attempt must be decided: the request has no answer and no attempt in flight.
     pub(crate) fn awaits_decision(&self) -> bool {
         !self.finished && !self.response_started && self.attempts.iter().all(AttemptState::is_ended)
     }
 
-    /// Whether nothing more can come of it.
+    /// Whether the request can be dropped: it is finished, and no attempt is in flight.
     pub(crate) fn is_closed(&self) -> bool {
         let over = |attempt: &AttemptState| attempt.is_ended() || attempt.phase == AttemptPhase::Unsent;
         self.finished && self.attempts.iter().all(over)
     }
 
-    /// The program shuts down: the request ends by then.
+    /// Moves the deadline and the objective forward to the end of a shutdown, unless they are earlier.
     pub(crate) fn shorten_to(&mut self, deadline: Duration) {
         self.deadline = self.deadline.min(deadline);
         self.objective = self.objective.min(deadline);
