--- a/crates/rockflow/src/freshness.rs
+++ b/crates/rockflow/src/freshness.rs
@@ -7,10 +7,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The least maximum age that a purge leaves: zero would stand for no limit.
+/// The smallest maximum age after a purge. It is not zero, because zero would mean no limit.
 const MIN_MAX_AGE: Duration = Duration::from_micros(1);
 
-/// What a purge covers.
+/// The objects that a purge covers. `Everything` stands for a purge whose group is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PurgeScope {
     Everything,
@@ -18,25 +18,27 @@
     Object(ObjectId),
 }
 
-/// Purges whose copies may still be in caches.
+/// Recent purges, whose copies may still be in caches.
 #[derive(Debug)]
 pub(crate) struct Purges {
     /// When the latest purge of each scope was issued.
     issued: BTreeMap<PurgeScope, Duration>,
+    /// Time after a purge by which every cache has dropped the purged copies.
     window: Duration,
+    /// The number of scopes from which on purges of single objects are widened to their groups.
     max_tracked: usize,
 }
 
 impl Purges {
-    /// No purges. Every cache has dropped the copies of a purge after `window`.
+    /// Creates an empty table. Purges are forgotten after `window`, when every cache has dropped the purged copies.
     pub(crate) fn new(window: Duration, max_tracked: usize) -> Self {
         Purges { issued: BTreeMap::new(), window, max_tracked }
     }
 
     /// Records a purge that was issued `age` ago.
     ///
-    /// A full table folds objects into their groups, or into everything where the group is unknown: this rejects
-    /// more copies, never fewer.
+    /// If the table is full, a purge of an object is widened to its group, or to everything if the group is unknown.
+    /// This rejects copies that are still valid, but never accepts a purged one.
     pub(crate) fn record(
         &mut self,
         now: Duration,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The time since the latest purge that covers a request, while older copies can exist.
+    /// Time since the latest purge that covers a request. None: no purge covers it, or no purged copy can be left.
     fn since_purge(&self, now: Duration, request: &Request) -> Option<Duration> {
         let scopes =
             [PurgeScope::Everything, PurgeScope::Group(request.group), PurgeScope::Object(request.object)];
--- a/crates/rockflow/src/popularity.rs
+++ b/crates/rockflow/src/popularity.rs
@@ -1,4 +1,4 @@
-//! Popularity of objects, as this dispatcher sees them requested.
+//! Popularity of objects, measured by the requests that this dispatcher receives.
 
 use crate::decay::DecayingSum;
 use crate::event::Request;
@@ -6,42 +6,44 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The memory of popularity, as a multiple of the longest deadline.
+/// The decay time constant of request counts, as a multiple of the longest deadline.
 const MEMORY_FACTOR: f64 = 4.0;
-/// Decayed requests above which an object is popular.
+/// The decayed request count above which an object part is popular.
 const POPULAR_FROM: f64 = 1.2;
-/// An object is hot when its share of the traffic reaches this part of an even share for each cache.
+/// The share of all requests from which on a popular object part is hot, as a multiple of an equal share per cache.
 const HOT_SHARE: f64 = 0.15;
-/// Decayed requests below which a full table drops a part of an object.
+/// The decayed request count at or below which an object part is dropped from a full table.
 const TRACKED_FROM: f64 = 1.0;
 
-/// A part of an object.
+/// A part of an object, whose popularity is tracked separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ObjectPart {
     object: ObjectId,
     part: u32,
 }
 
-/// Recent requests, by part of an object.
+/// Decayed counts of recent requests.
 #[derive(Debug)]
 pub(crate) struct Popularity {
     parts: BTreeMap<ObjectPart, DecayingSum>,
+    /// The count over all object parts, including those that are not tracked.
     total: DecayingSum,
+    /// The maximum number of entries in `parts`.
     max_tracked: usize,
 }
 
-/// The memory of what is popular, where clients wait for `longest_deadline`.
+/// The decay time constant of request counts. `longest_deadline` is the longest deadline of a request class.
 pub(crate) fn memory(longest_deadline: Duration) -> Duration {
     longest_deadline.mul_f64(MEMORY_FACTOR)
 }
 
 impl Popularity {
-    /// Nothing requested yet. `empty` has the [`memory`].
+    /// Creates empty counts, which decay like `empty`, with [`memory`] as their time constant.
     pub(crate) fn new(empty: DecayingSum, max_tracked: usize) -> Self {
         Popularity { parts: BTreeMap::new(), total: empty, max_tracked }
     }
 
-    /// Records a request.
+    /// Counts a request. If the table is full, unpopular entries make room for the requested part.
     pub(crate) fn record(&mut self, now: Duration, request: &Request) {
         self.total.add(now, 1.0);
         if self.parts.len() >= self.max_tracked {
@@ -53,12 +55,12 @@
         }
     }
 
-    /// Whether the object of a request is requested repeatedly.
+    /// Whether the requested object part is requested repeatedly.
     pub(crate) fn is_popular(&self, now: Duration, request: &Request) -> bool {
         self.requests(now, request) > POPULAR_FROM
     }
 
-    /// Whether the object of a request is so popular that one of so many caches alone would be crowded by it.
+    /// Whether the requested object part is so popular that it may overload a single cache out of this many.
     pub(crate) fn is_hot(&self, now: Duration, request: &Request, caches: usize) -> bool {
         let requests = self.requests(now, request);
         requests > POPULAR_FROM && requests * caches as f64 >= HOT_SHARE * self.total.read(now)
