--- a/crates/rockflow/tests/large_requests.rs
+++ b/crates/rockflow/tests/large_requests.rs
@@ -1,6 +1,8 @@
-//! The largest requests of a class, and each third of a day, in virtual time: hosts whose links are shared by what is in
-//! flight on them, requests of very different sizes. On a quiet day the largest succeed nearly as often as the rest, on an
-//! overloaded one at least half as often.
+//! Simulates hosts whose links are shared by their transfers, with requests of very different sizes, in virtual time.
+//!
+//! Guards against starvation of the largest requests, which are the first to be late and to be shed. At light load
+//! their success rate must be at least two thirds of the overall rate, at higher load at least half. The success rate
+//! must not collapse in any third of the run.
 
 use rockflow::{CacheStatus, EndpointEntry, Event, HostId, ListScope, Outcome, Readiness, Role};
 use rockflow_routing_simulation::{
@@ -16,9 +18,9 @@
 const LINK_WEIGHT: f64 = 8.0;
 const BEGIN: Duration = Duration::from_secs(1);
 const END: Duration = Duration::from_secs(61);
-/// How long requests that arrived by the end may still take.
+/// How long the simulation goes on after `END`, so that the last requests can finish.
 const TAIL: Duration = Duration::from_secs(10);
-/// Sizes in relation to the mean, each as likely as the other; their sum is ten.
+/// Request sizes relative to the mean, in ascending order, all equally likely. Their sum is 10, so their mean is 1.
 const RELATIVE_SIZES: [f64; 10] = [0.15, 0.25, 0.35, 0.5, 0.6, 0.8, 1.0, 1.3, 1.8, 3.25];
 const MEAN_KB: f64 = 200.0;
 const CACHED_SHARE: f64 = 0.75;
@@ -28,11 +30,11 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Replacement {
     None,
-    /// One cache is replaced in the middle of the day.
+    /// One cache is replaced in the middle of the run.
     OneCache,
 }
 
-/// Success rates of a day.
+/// The success rates in one simulation run, from 0 to 1.
 struct SuccessRates {
     all: f64,
     largest_tenth: f64,
@@ -40,9 +42,9 @@
     thirds_of_day: [f64; 3],
 }
 
-/// The hosts of the day. Their links are shared alike by what is in flight.
+/// The simulated hosts. The transfers in flight at a host share its link equally.
 struct SharedLinks {
-    /// By host, when what is in flight ends.
+    /// For each host, when the transfers in flight end.
     in_flight: BTreeMap<HostId, Vec<Duration>>,
     rng: oorandom::Rand64,
 }
@@ -71,14 +73,14 @@
     caches.chain(parents).chain([origin]).collect()
 }
 
-/// The first cache leaves, and a new one takes its place.
+/// The change of the endpoint list by which a new cache replaces the first one.
 fn replacement(at: Duration) -> Event {
     let gone = EndpointEntry { readiness: Readiness::Gone, ..hosts()[0].clone() };
     let new = endpoint_entry(50, Role::Cache, LINK_WEIGHT, Some(at));
     Event::EndpointsListed { scope: ListScope::Changes, entries: vec![gone, new] }
 }
 
-/// A day at a load in relation to what the caches' links carry.
+/// Runs a simulation. `load` is the requested transfer rate relative to the capacity of all caches' links.
 fn simulate(load: f64, replacing: Replacement, seed: u64) -> SuccessRates {
     let interval = Duration::from_secs_f64(MEAN_KB / STREAM_KB_PER_S / (load * LINK_WEIGHT * CACHES as f64));
     let mut fleet = FleetSimulation::new(FleetOptions {
@@ -119,7 +121,7 @@
     }
 }
 
-/// The share of the chosen requests of the day that succeeded.
+/// The share of the chosen requests that succeeded, out of those that arrived before `END`.
 fn success_rate(fleet: &FleetSimulation, is_chosen: impl Fn(&SimulatedRequest) -> bool) -> f64 {
     let of_day = fleet.requests.values().filter(|request| request.at < END);
     let chosen: Vec<&SimulatedRequest> = of_day.filter(|request| is_chosen(request)).collect();
--- a/crates/rockflow/tests/rolling_replacement.rs
+++ b/crates/rockflow/tests/rolling_replacement.rs
@@ -1,6 +1,9 @@
-//! All caches of a location replaced within seven seconds, while each dispatcher learns of it late and in an order of its
-//! own: every request gets one final answer in time, nothing goes to a host that is known to drain, no new host is
-//! overloaded, and nothing is lost any more once the last change of the list has arrived.
+//! Replaces all caches of a location within seven seconds, while each dispatcher is notified of the changes late and in
+//! a different order.
+//!
+//! Guards against lost requests and overload during a rolling replacement: every request gets one final answer in time,
+//! no attempt goes to a host that the dispatcher knows to drain, no new host is overloaded, and requests succeed again
+//! once the last change of the list has arrived.
 
 use rockflow::{CacheStatus, EndpointEntry, Event, HostId, ListScope, ObjectId, Outcome, Readiness, Role};
 use rockflow_routing_simulation::{
@@ -21,24 +24,26 @@
 const RESPONSE_TIME: Duration = Duration::from_millis(60);
 const MISS_TIME: Duration = Duration::from_millis(2);
 const REFUSAL_TIME: Duration = Duration::from_millis(1);
-/// When the first cache is replaced; the fleet runs steadily by then.
+/// When the replacement of the first cache begins. By then the fleet is in a steady state.
 const BEGIN: Duration = Duration::from_secs(20);
-/// The time between the replacements of two caches.
+/// Time between the replacements of two successive caches.
 const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(1100);
-/// The time from a cache's drain until it has left.
+/// Time from the start of a cache's drain until it is gone.
 const DRAIN_TIME: Duration = Duration::from_millis(700);
-/// The time from then until its successor starts.
+/// Time from when a cache is gone until its successor starts.
 const START_DELAY: Duration = Duration::from_millis(400);
-/// How late a dispatcher learns of a change at the latest.
+/// The longest time until a dispatcher is notified of a change.
 const MAX_NOTICE_DELAY: Duration = Duration::from_secs(4);
-/// When the last change has arrived everywhere.
+/// When every dispatcher has been notified of the last change: the last replacement begins within 6 s, and its
+/// successor starts within another 2 s.
 const LAST_CHANGE: Duration = Duration::from_secs(BEGIN.as_secs() + 6 + 2 + MAX_NOTICE_DELAY.as_secs());
 const END: Duration = Duration::from_secs(LAST_CHANGE.as_secs() + 15);
 
+/// When dispatchers are notified of a change.
 #[derive(Clone, Copy, PartialEq)]
 enum Notice {
     AtOnce,
-    /// At each dispatcher after a delay of its own for each change.
+    /// After a random delay, drawn separately for each dispatcher and change.
     Delayed,
 }
 
@@ -50,7 +55,7 @@
 
 struct Simulation {
     fleet: FleetSimulation,
-    /// When a dispatcher learned that a host drains.
+    /// When a dispatcher was notified that a host drains.
     drain_notices: BTreeMap<HostAtDispatcher, Duration>,
 }
 
@@ -73,7 +78,7 @@
     endpoint_entry(cache, Role::Cache, LINK_WEIGHT, None)
 }
 
-/// The changes of the list by which a cache is replaced.
+/// The changes of the endpoint list by which a cache is replaced, in order of time.
 fn changes(cache: u64) -> [Change; 3] {
     let old = |readiness| EndpointEntry { readiness, ..old_cache(cache) };
     let start = successor_start(cache);
@@ -85,7 +90,7 @@
     ]
 }
 
-/// Whether the cache runs at a time, by its id.
+/// Whether a cache is running at a time.
 fn is_up(host: HostId, at: Duration) -> bool {
     if host.0 < CACHES {
         at < drain_begin(host.0) + DRAIN_TIME
@@ -94,7 +99,7 @@
     }
 }
 
-/// Caches that hold what they were filled with.
+/// The simulated caches. A copy that was filled once stays cached.
 #[derive(Default)]
 struct Caches {
     copies: BTreeSet<(HostId, ObjectId)>,
@@ -142,7 +147,8 @@
         simulation
     }
 
-    /// The changes of one host arrive in order, those of several hosts in any.
+    /// Schedules the notifications of one replacement at a dispatcher. They arrive in order; relative to those of other
+    /// replacements the order is random.
     fn notify_of_replacement(&mut self, notice: Notice, dispatcher: usize, cache: u64) {
         let mut noticed = BEGIN;
         for Change { at, entry } in changes(cache) {
@@ -159,7 +165,7 @@
         }
     }
 
-    /// The share of the requests that arrived in that time that succeeded.
+    /// The share of successes among the requests that arrived from `from` until before `to`.
     fn success_rate(&self, from: Duration, to: Duration) -> f64 {
         let requests = || self.fleet.requests.values().filter(|request| (from..to).contains(&request.at));
         let succeeded = requests().filter(|request| request.has_answer(FinalAnswerKind::Succeeded));
@@ -181,7 +187,7 @@
         }
     }
 
-    /// The most that a new cache got in a window, over what it tolerates.
+    /// The highest work that a new cache received in a window, relative to the work that it tolerates.
     fn max_relative_work_of_new_caches(&self) -> f64 {
         let relative_work = |cache: u64| {
             let started = successor_start(cache);
@@ -211,7 +217,7 @@
             "seed {seed}: {before:.3} succeeded before, {during:.3} during, {after:.3} after it; {max_work:.2}"
         );
         assert!(before > 0.99 && after > 0.99, "seed {seed}: {before} before, {after} after");
-        // What the new caches tolerate together at their start is three tenths of what is requested.
+        // At their start, the new caches together tolerate three tenths of the requested work.
         assert!(during > 0.85, "seed {seed}: {during} during");
         assert!(
             (0.3..=1.0).contains(&max_work),
