--- a/crates/rockflow/src/attempts.rs
+++ b/crates/rockflow/src/attempts.rs
@@ -6,15 +6,15 @@
 use crate::endpoints::Role;
 use crate::ids::HostId;
 use crate::placement::CacheChoice;
-use crate::request::{AttemptKind, AttemptPhase, AttemptState, OpenRequest, USUAL_TRANSFERS};
+use crate::request::{AttemptKind, AttemptPhase, AttemptState, OpenRequest, USUAL_TRANSFER_FACTOR};
 use crate::source_path::SourcePath;
 use crate::state::RoutingState;
 use std::time::Duration;
 
 /// Limit on all attempts of a request, including those that were never sent, as a multiple of `max_attempts`.
-const UNSENT_ATTEMPTS_FACTOR: usize = 2;
+const TOTAL_ATTEMPTS_FACTOR: usize = 2;
 /// The fraction of the latency objective that a timeout leaves for a retry, in addition to its transfer time.
-const RETRY_FIXED_PART: f64 = 0.2;
+const RETRY_FIXED_FRACTION: f64 = 0.2;
 
 /// The host and source of an attempt, and its kind.
 #[derive(Clone, Copy, Debug)]
@@ -28,13 +28,13 @@
 #[derive(Clone, Copy, Debug)]
 struct FillRestrictions {
     /// A cached fresh copy must be looked up before a fill is requested.
-    look_first: bool,
+    lookup_first: bool,
     /// That lookup is limited to the cache; its source is not asked.
-    look_at_cache_alone: bool,
+    lookup_at_cache_only: bool,
     /// No fill is admitted.
-    is_limited: bool,
+    is_fill_limited: bool,
     /// The attempt must not name a source.
-    without_source: bool,
+    is_source_excluded: bool,
 }
 
 impl RoutingState {
@@ -44,8 +44,8 @@
             return None;
         }
         let route = self.choose_route(open)?;
-        let is_allowed = route.kind == AttemptKind::Fetch || self.class(open).cacheable;
-        if !is_allowed || !self.may_repeat(open, route.host) {
+        let is_kind_allowed = route.kind == AttemptKind::Fetch || self.class(open).cacheable;
+        if !is_kind_allowed || !self.may_repeat(open, route.host) {
             return None;
         }
         let source = route.source.and_then(|id| self.endpoints.get(id));
@@ -53,7 +53,7 @@
             attempt: self.build_attempt(open, route),
             kind: route.kind,
             phase: AttemptPhase::Unsent,
-            sent: self.now,
+            decided_at: self.now,
             source_location: source.map(|host| host.entry().location),
         })
     }
@@ -63,13 +63,13 @@
     fn has_attempts_left(&self, open: &OpenRequest) -> bool {
         let attempts = open.attempts.len() + open.request.previous_attempts.len();
         let max_attempts = self.config.max_attempts;
-        attempts - open.unsent_attempts < max_attempts && attempts < UNSENT_ATTEMPTS_FACTOR * max_attempts
+        attempts - open.unsent_attempts < max_attempts && attempts < TOTAL_ATTEMPTS_FACTOR * max_attempts
     }
 
     fn choose_route(&self, open: &OpenRequest) -> Option<Route> {
-        let may_be_stale = self.may_try_stale(open);
+        let may_serve_stale = self.may_try_stale(open);
         if let Some(last) = open.attempts.last() {
-            if may_be_stale && last.kind == AttemptKind::Fetch {
+            if may_serve_stale && last.kind == AttemptKind::Fetch {
                 return self.stale_route(open, last.attempt.host);
             }
         }
@@ -77,8 +77,8 @@
         let host = cache.host;
         let source = self.choose_source(open);
         let restrictions = self.fill_restrictions(open, cache, source);
-        let source = source.filter(|_| !restrictions.without_source);
-        if restrictions.look_first && (restrictions.look_at_cache_alone || !restrictions.is_limited) {
+        let source = source.filter(|_| !restrictions.is_source_excluded);
+        if restrictions.lookup_first && (restrictions.lookup_at_cache_only || !restrictions.is_fill_limited) {
             return Some(self.fresh_only_route(host, source, restrictions));
         }
         match source {
@@ -86,7 +86,7 @@
                 let source = (source != host).then_some(source);
                 Some(Route { host, source, kind: AttemptKind::Fetch })
             }
-            None if may_be_stale || open.attempts.is_empty() => {
+            None if may_serve_stale || open.attempts.is_empty() => {
                 Some(Route { host, source: None, kind: AttemptKind::StaleAllowed })
             }
             None => None,
@@ -117,7 +117,7 @@
             return None;
         }
         let host = self.choose_source(open)?;
-        Some(CacheChoice { host, is_crowded: false })
+        Some(CacheChoice { host, hits_only: false })
     }
 
     /// Determines the restrictions on fills. While fills are constrained, a fresh cached copy is looked up first, and
@@ -139,23 +139,25 @@
 
         let is_source_warming = source.is_some_and(|id| self.is_warming(id));
         let is_cacheable = self.class(open).cacheable;
-        let may_look = is_cacheable && !cache.is_crowded && !open.has_attempted(AttemptKind::Fetch);
+        let may_look_up = is_cacheable && !cache.hits_only && !open.has_attempted(AttemptKind::Fetch);
         let is_link_constrained = is_constrained(link) || path.is_some_and(is_constrained);
-        let look_at_cache_alone = may_look
+        let lookup_at_cache_only = may_look_up
             && !open.has_attempted(AttemptKind::FreshOnly)
             && (is_link_constrained || is_source_warming);
-        let look_at_parent =
-            may_look && is_constrained(behind_parents) && !has_looked_at_source(open) && !is_source_warming;
-        let look_first = look_at_cache_alone || look_at_parent;
+        let lookup_at_parent = may_look_up
+            && is_constrained(behind_parents)
+            && !has_looked_up_at_source(open)
+            && !is_source_warming;
+        let lookup_first = lookup_at_cache_only || lookup_at_parent;
 
         let is_link_limited = is_limited(link) || path.is_some_and(is_limited);
-        let is_fill_limited = is_link_limited || !look_first && is_limited(behind_parents);
-        let is_cached_only = cache.is_crowded || is_fill_limited && !look_at_cache_alone;
+        let is_fill_limited = is_link_limited || !lookup_first && is_limited(behind_parents);
+        let is_cached_only = cache.hits_only || is_fill_limited && !lookup_at_cache_only;
         FillRestrictions {
-            look_first,
-            look_at_cache_alone,
-            is_limited: is_fill_limited,
-            without_source: is_cacheable && is_cached_only || open.origin_failed,
+            lookup_first,
+            lookup_at_cache_only,
+            is_fill_limited,
+            is_source_excluded: is_cacheable && is_cached_only || open.origin_failed,
         }
     }
 
@@ -166,7 +168,7 @@
         restrictions: FillRestrictions,
     ) -> Route {
         let source =
-            if restrictions.look_at_cache_alone { None } else { source.filter(|id| self.is_parent(*id)) };
+            if restrictions.lookup_at_cache_only { None } else { source.filter(|id| self.is_parent(*id)) };
         Route { host, source, kind: AttemptKind::FreshOnly }
     }
 
@@ -186,7 +188,7 @@
             host: route.host,
             source: route.source,
             timeout: self.attempt_timeout(open, route.kind),
-            send_by: self.repeat_by(open),
+            send_by: self.repeat_deadline(open),
             cache_priority: self.cache_priority(open, class),
             max_age: self.purges.max_age(self.now, request, class, route.kind),
             coalesce: self.config.coalescing && class.cacheable && is_fetch,
@@ -216,23 +218,23 @@
             return None;
         }
         let is_stale_attempt = kind == AttemptKind::StaleAllowed;
-        let may_be_stale = class.grace > Duration::ZERO
+        let may_serve_stale = class.grace > Duration::ZERO
             && !is_stale_attempt
             && !open.has_attempted(AttemptKind::StaleAllowed);
-        let until = if may_be_stale { open.objective } else { open.deadline };
+        let retry_due = if may_serve_stale { open.objective } else { open.deadline };
         let retry_time = if is_stale_attempt {
             Duration::ZERO
         } else {
-            Duration::from_secs_f64(USUAL_TRANSFERS * open.transfer_s)
-                + class.latency_objective.mul_f64(RETRY_FIXED_PART)
+            Duration::from_secs_f64(USUAL_TRANSFER_FACTOR * open.transfer_s)
+                + class.latency_objective.mul_f64(RETRY_FIXED_FRACTION)
         };
-        let limit = until.saturating_sub(self.now + retry_time).max(open.usual_duration);
-        Some(limit.min(open.deadline.saturating_sub(self.now)))
+        let timeout = retry_due.saturating_sub(self.now + retry_time).max(open.usual_duration);
+        Some(timeout.min(open.deadline.saturating_sub(self.now)))
     }
 }
 
 /// Whether an earlier attempt of the request looked up a cached copy at a source.
-fn has_looked_at_source(open: &OpenRequest) -> bool {
+fn has_looked_up_at_source(open: &OpenRequest) -> bool {
     open.attempts
         .iter()
         .any(|attempt| attempt.kind == AttemptKind::FreshOnly && attempt.attempt.source.is_some())
--- a/crates/rockflow/src/dispatcher.rs
+++ b/crates/rockflow/src/dispatcher.rs
@@ -16,7 +16,7 @@
 /// The timer that fires when a failed subscription to the endpoint list is to be retried.
 const SUBSCRIPTION_TIMER: TimerId = TimerId(0);
 /// The shortest delay before that retry, as a fraction of `endpoint_list_max_age`. Random jitter up to doubles it.
-const SUBSCRIPTION_RETRY_PART: f64 = 0.1;
+const SUBSCRIPTION_RETRY_FRACTION: f64 = 0.1;
 
 /// The decision logic of one dispatcher.
 ///
@@ -162,7 +162,7 @@
             Event::ClientDisconnected(request) => self.on_client_disconnected(request),
             Event::ShutdownStarted { deadline } => {
                 for open in self.requests.values_mut() {
-                    open.shorten_to(deadline);
+                    open.limit_deadline(deadline);
                 }
             }
             Event::TimerFired(_) => self.actions = self.start(),
@@ -187,7 +187,7 @@
             return;
         }
         let max_age = self.state.config.endpoint_list_max_age.unwrap_or_default();
-        let delay = max_age.mul_f64(SUBSCRIPTION_RETRY_PART * (1.0 + self.rng.rand_float()));
+        let delay = max_age.mul_f64(SUBSCRIPTION_RETRY_FRACTION * (1.0 + self.rng.rand_float()));
         self.actions.push(Action::SetTimer { timer: SUBSCRIPTION_TIMER, delay });
     }
 
@@ -234,8 +234,8 @@
         }
         let attempt = &open.attempts[usize::from(end.attempt.0)];
         let ended = EndedAttempt::new(state, open, attempt, &end);
-        let avoided = state.record_attempt_end(&ended);
-        open.failed_hosts.extend(avoided);
+        let host_to_avoid = state.record_attempt_end(&ended);
+        open.failed_hosts.extend(host_to_avoid);
         if end.cache_status == CacheStatus::OriginFailed {
             open.origin_failed = true;
         }
@@ -256,14 +256,14 @@
         let next = self.state.next_attempt(open);
         // The jitter of `Retry-After`, which spreads the retries of clients. It is drawn even when unused, so that
         // later random numbers do not depend on this decision.
-        let draw = self.rng.rand_float();
+        let retry_jitter = self.rng.rand_float();
         match next {
             Some(attempt) => open.attempts.push(attempt),
             None if self.state.may_reject(open) => {
-                let retry_after = self.state.config.max_retry_after.map(|max| max.mul_f64(draw));
-                open.answer = Some(Action::Reject { request: id, retry_after });
+                let retry_after = self.state.config.max_retry_after.map(|max| max.mul_f64(retry_jitter));
+                open.final_answer = Some(Action::Reject { request: id, retry_after });
             }
-            None => open.answer = Some(Action::Fail { request: id }),
+            None => open.final_answer = Some(Action::Fail { request: id }),
         }
     }
 
--- a/crates/rockflow/src/effects.rs
+++ b/crates/rockflow/src/effects.rs
@@ -9,24 +9,24 @@
 
 /// Whether the host may have executed an attempt that ended like this.
 pub(crate) fn may_have_executed(end: &AttemptEnd) -> bool {
-    let surely_not =
+    let certainly_not_executed =
         matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
-    end.first_byte_sent && !surely_not
+    end.first_byte_sent && !certainly_not_executed
 }
 
 /// The attempts of a request that may have executed, including those of a previous dispatcher.
-fn attempts_maybe_executed(open: &OpenRequest) -> impl Iterator<Item = PreviousAttempt> + '_ {
+fn possibly_executed_attempts(open: &OpenRequest) -> impl Iterator<Item = PreviousAttempt> + '_ {
     let own = open
         .attempts
         .iter()
         .filter(|attempt| attempt.phase != AttemptPhase::Ended { may_have_executed: false })
-        .map(|attempt| PreviousAttempt { host: attempt.attempt.host, sent: attempt.sent });
+        .map(|attempt| PreviousAttempt { host: attempt.attempt.host, sent: attempt.decided_at });
     own.chain(open.request.previous_attempts.iter().copied())
 }
 
 /// Whether no attempt of the request can have executed.
-fn has_surely_not_executed(open: &OpenRequest) -> bool {
-    attempts_maybe_executed(open).next().is_none()
+fn has_certainly_not_executed(open: &OpenRequest) -> bool {
+    possibly_executed_attempts(open).next().is_none()
 }
 
 impl RoutingState {
@@ -34,12 +34,12 @@
     pub(crate) fn may_repeat(&self, open: &OpenRequest, host: HostId) -> bool {
         match self.class(open).effect {
             Effect::Idempotent => true,
-            Effect::AtMostOnce => has_surely_not_executed(open),
+            Effect::AtMostOnce => has_certainly_not_executed(open),
             Effect::IdempotencyKey { scope, .. } => {
-                let in_window = self.repeat_by(open).is_none_or(|by| self.now < by);
+                let in_window = self.repeat_deadline(open).is_none_or(|by| self.now < by);
                 let scope_id = self.key_scope_id(scope, host);
                 in_window
-                    && attempts_maybe_executed(open)
+                    && possibly_executed_attempts(open)
                         .all(|attempt| self.key_scope_id(scope, attempt.host) == scope_id)
             }
         }
@@ -50,20 +50,20 @@
     ///
     /// This is before the end of the window by the duration of an ordinary attempt, as the repeat may execute
     /// some time after it is sent.
-    pub(crate) fn repeat_by(&self, open: &OpenRequest) -> Option<Duration> {
+    pub(crate) fn repeat_deadline(&self, open: &OpenRequest) -> Option<Duration> {
         let Effect::IdempotencyKey { deduplication_window, .. } = self.class(open).effect else {
             return None;
         };
-        let first_end =
-            attempts_maybe_executed(open).map(|attempt| attempt.sent + deduplication_window).min()?;
-        Some(first_end.saturating_sub(open.usual_duration))
+        let first_window_end =
+            possibly_executed_attempts(open).map(|attempt| attempt.sent + deduplication_window).min()?;
+        Some(first_window_end.saturating_sub(open.usual_duration))
     }
 
     /// Whether the request may be rejected, which tells the client that it may safely send the request again.
     pub(crate) fn may_reject(&self, open: &OpenRequest) -> bool {
         match self.class(open).effect {
             Effect::Idempotent | Effect::IdempotencyKey { scope: KeyScope::All, .. } => true,
-            Effect::IdempotencyKey { .. } | Effect::AtMostOnce => has_surely_not_executed(open),
+            Effect::IdempotencyKey { .. } | Effect::AtMostOnce => has_certainly_not_executed(open),
         }
     }
 
--- a/crates/rockflow/src/emit.rs
+++ b/crates/rockflow/src/emit.rs
@@ -11,7 +11,7 @@
 pub(crate) fn emit(open: &mut OpenRequest, state: &mut RoutingState, actions: &mut Vec<Action>) {
     let request = open.request.id;
     let class = open.request.class;
-    let answer = open.answer.take().filter(|_| !open.finished);
+    let answer = open.final_answer.take().filter(|_| !open.finished);
     if answer.is_some() {
         open.finished = true;
     }
--- a/crates/rockflow/src/placement.rs
+++ b/crates/rockflow/src/placement.rs
@@ -9,18 +9,18 @@
 use crate::health;
 use crate::host::Host;
 use crate::ids::HostId;
-use crate::request::{OpenRequest, USUAL_FIXED_PART};
+use crate::request::{OpenRequest, USUAL_FIXED_FRACTION};
 use crate::source_path::SourcePath;
 use crate::state::RoutingState;
 
 /// The number of caches that serve a hot object; one less if those would be all caches.
-const HOT_SPREAD: usize = 2;
+const HOT_OBJECT_CACHES: usize = 2;
 /// The highest relative load at which a cache serves the requests that hash to it without restriction.
-const CALM_LOAD: f64 = 2.0;
+const OVERLOAD_THRESHOLD: f64 = 2.0;
 /// The highest relative load at which a cache takes over requests from overloaded caches.
-const IDLE_LOAD: f64 = 1.0;
+const SPARE_CAPACITY_THRESHOLD: f64 = 1.0;
 /// The fraction of the time until the latency objective that a transfer from an overloaded cache may take.
-const CROWDED_PART: f64 = 0.8;
+const OVERLOADED_TRANSFER_FRACTION: f64 = 0.8;
 /// Lower bound of the transfer time by which the latency objective is divided, in seconds. Avoids division by zero.
 const MIN_TRANSFER_S: f64 = 1e-3;
 /// Lower bound of the weight of a host in rendezvous hashing.
@@ -32,11 +32,11 @@
     /// The chosen cache, or a source that is accessed directly.
     pub(crate) host: HostId,
     /// Whether the host is too loaded for a fill, so that it is asked only for copies in its cache.
-    pub(crate) is_crowded: bool,
+    pub(crate) hits_only: bool,
 }
 
 /// A host with its rendezvous hash score. The highest score ranks first.
-struct Ranked {
+struct RankedHost {
     score: f64,
     host: HostId,
 }
@@ -44,8 +44,9 @@
 impl RoutingState {
     /// Ranks the ready hosts of a role by rendezvous hashing of the requested object part, the preferred host first.
     pub(crate) fn ranking(&self, role: Role, request: &Request) -> Vec<HostId> {
-        let score = |host: &Host| Ranked { score: self.hash_score(host, request), host: host.entry().host };
-        let mut ranked: Vec<Ranked> = self.endpoints.ready(role).map(score).collect();
+        let score =
+            |host: &Host| RankedHost { score: self.hash_score(host, request), host: host.entry().host };
+        let mut ranked: Vec<RankedHost> = self.endpoints.ready(role).map(score).collect();
         ranked.sort_by(|a, b| b.score.total_cmp(&a.score).then(a.host.cmp(&b.host)));
         ranked.into_iter().map(|ranked| ranked.host).collect()
     }
@@ -53,9 +54,10 @@
     /// Filters a ranking by the hosts that can take an attempt of `work_s` seconds now: the healthy hosts or, if there
     /// are none, the ejected ones. Some requests try the first host even if it is ejected, to find out if it recovered.
     pub(crate) fn candidates(&self, ranking: Vec<HostId>, open: &OpenRequest, work_s: f64) -> Vec<HostId> {
-        let tried_anyway = ranking.first().copied().filter(|_| health::may_try_ejected(open.draw));
+        let tried_even_if_ejected = ranking.first().copied().filter(|_| health::may_try_ejected(open.draw));
         let can_take = |id: &HostId| self.has_capacity(*id, work_s) && !open.failed_hosts.contains(id);
-        let is_healthy = |id: &HostId| !self.endpoints.is_ejected(*id, self.now) || tried_anyway == Some(*id);
+        let is_healthy =
+            |id: &HostId| !self.endpoints.is_ejected(*id, self.now) || tried_even_if_ejected == Some(*id);
         let (healthy, ejected): (Vec<HostId>, Vec<HostId>) =
             ranking.into_iter().filter(can_take).partition(is_healthy);
         if healthy.is_empty() {
@@ -68,30 +70,32 @@
     /// Chooses the cache for an attempt. None: no cache can take it.
     pub(crate) fn choose_cache(&self, open: &OpenRequest) -> Option<CacheChoice> {
         let request = &open.request;
-        let mean_s = self.class_stats(request.class).transfer_estimate(self.now).expected_s;
+        let mean_transfer_s = self.class_stats(request.class).transfer_estimate(self.now).expected_s;
         let ranking = self.ranking(Role::Cache, request);
-        let spread = self.spread(request, ranking.len());
-        let candidates = self.candidates(ranking, open, mean_s);
+        let serving_caches = self.serving_cache_count(request, ranking.len());
+        let candidates = self.candidates(ranking, open, mean_transfer_s);
         let least_loaded = candidates
             .iter()
             .copied()
-            .take(spread)
+            .take(serving_caches)
             .min_by(|a, b| self.relative_load(*a).total_cmp(&self.relative_load(*b)))?;
-        if self.relative_load(least_loaded) <= CALM_LOAD {
-            return Some(CacheChoice { host: least_loaded, is_crowded: false });
+        if self.relative_load(least_loaded) <= OVERLOAD_THRESHOLD {
+            return Some(CacheChoice { host: least_loaded, hits_only: false });
         }
         // The cache is overloaded: the request goes to the next cache in the ranking whose link has spare capacity.
-        if let Some(idle) = candidates.iter().copied().find(|id| self.relative_load(*id) <= IDLE_LOAD) {
-            return Some(CacheChoice { host: idle, is_crowded: false });
+        if let Some(idle) =
+            candidates.iter().copied().find(|id| self.relative_load(*id) <= SPARE_CAPACITY_THRESHOLD)
+        {
+            return Some(CacheChoice { host: idle, hits_only: false });
         }
-        self.choose_crowded_cache(open, least_loaded, mean_s)
+        self.choose_overloaded_cache(open, least_loaded, mean_transfer_s)
     }
 
     /// Chooses the source of a fill: the first parent of the ranking that can take it, otherwise the origin.
     pub(crate) fn choose_source(&self, open: &OpenRequest) -> Option<HostId> {
         let request = &open.request;
-        let mean_s = self.class_stats(request.class).transfer_estimate(self.now).expected_s;
-        let parents = self.candidates(self.ranking(Role::Parent, request), open, mean_s);
+        let mean_transfer_s = self.class_stats(request.class).transfer_estimate(self.now).expected_s;
+        let parents = self.candidates(self.ranking(Role::Parent, request), open, mean_transfer_s);
         let Some(first) = parents.first().copied() else {
             let origins = self.ranking(Role::Origin, request);
             return origins.into_iter().find(|id| !open.failed_hosts.contains(id));
@@ -100,9 +104,10 @@
         // is preferred.
         let is_limited = |path: &SourcePath| path.limit().is_limited(self.now, open.draw);
         if self.source_path(first).is_some_and(is_limited) {
-            let is_free = |path: &SourcePath| !path.limit().is_constrained(self.now);
-            let free = parents.iter().copied().find(|id| self.source_path(*id).is_none_or(is_free));
-            return free.or(Some(first));
+            let is_unconstrained = |path: &SourcePath| !path.limit().is_constrained(self.now);
+            let unconstrained =
+                parents.iter().copied().find(|id| self.source_path(*id).is_none_or(is_unconstrained));
+            return unconstrained.or(Some(first));
         }
         Some(first)
     }
@@ -115,25 +120,30 @@
 
     /// Chooses an overloaded cache, if it can still answer the request in time. None: the expected transfer takes too
     /// long. A fill takes more of the available time than a hit, so fills stop at a lower load than hits.
-    fn choose_crowded_cache(&self, open: &OpenRequest, cache: HostId, mean_s: f64) -> Option<CacheChoice> {
+    fn choose_overloaded_cache(
+        &self,
+        open: &OpenRequest,
+        cache: HostId,
+        mean_transfer_s: f64,
+    ) -> Option<CacheChoice> {
         let class = self.class(open);
         let objective_s = class.latency_objective.as_secs_f64();
         // Without a size, the transfer time is an average of past answers, which grows with the load itself.
-        let transfer_s = if open.has_size() { open.transfer_s } else { objective_s * USUAL_FIXED_PART };
+        let transfer_s = if open.has_size() { open.transfer_s } else { objective_s * USUAL_FIXED_FRACTION };
         let is_under_served = self.class_stats(open.request.class).is_large_under_served(self.now);
-        let transfer_s = if is_under_served { transfer_s.min(mean_s) } else { transfer_s };
-        let max_load = |objective_part: f64| {
-            let objective_transfers = objective_part * objective_s / transfer_s.max(MIN_TRANSFER_S);
-            CROWDED_PART * (class.transfer_stretch + objective_transfers)
+        let transfer_s = if is_under_served { transfer_s.min(mean_transfer_s) } else { transfer_s };
+        let max_load = |objective_fraction: f64| {
+            let objective_transfers = objective_fraction * objective_s / transfer_s.max(MIN_TRANSFER_S);
+            OVERLOADED_TRANSFER_FRACTION * (class.transfer_stretch + objective_transfers)
         };
         let load = self.relative_load(cache);
         (load <= max_load(1.0))
-            .then(|| CacheChoice { host: cache, is_crowded: load > max_load(USUAL_FIXED_PART) })
+            .then(|| CacheChoice { host: cache, hits_only: load > max_load(USUAL_FIXED_FRACTION) })
     }
 
     /// The number of caches that serve an object: more than one if the object is hot, but never all.
-    fn spread(&self, request: &Request, caches: usize) -> usize {
-        let max = if self.popularity.is_hot(self.now, request, caches) { HOT_SPREAD } else { 1 };
+    fn serving_cache_count(&self, request: &Request, caches: usize) -> usize {
+        let max = if self.popularity.is_hot(self.now, request, caches) { HOT_OBJECT_CACHES } else { 1 };
         max.min(caches.saturating_sub(1)).max(1)
     }
 
@@ -142,12 +152,12 @@
         let key = (u128::from(request.object.0) << 32 | u128::from(request.part)).to_be_bytes();
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&key, entry.host.0);
         // The upper 53 bits of the hash, as a number between 0 and 1, both excluded.
-        let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+        let uniform = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
         let weight = match self.config.weight_meaning {
             WeightMeaning::LinkCapacity => entry.weight.max(MIN_HASH_WEIGHT),
             WeightMeaning::Unknown => 1.0,
         };
-        -weight / libm::log(unit)
+        -weight / libm::log(uniform)
     }
 
     fn has_capacity(&self, id: HostId, work_s: f64) -> bool {
--- a/crates/rockflow/src/popularity.rs
+++ b/crates/rockflow/src/popularity.rs
@@ -9,11 +9,11 @@
 /// The decay time constant of request counts, as a multiple of the longest deadline.
 const MEMORY_FACTOR: f64 = 4.0;
 /// The decayed request count above which an object part is popular.
-const POPULAR_FROM: f64 = 1.2;
+const POPULAR_THRESHOLD: f64 = 1.2;
 /// The share of all requests from which on a popular object part is hot, as a multiple of an equal share per cache.
 const HOT_SHARE: f64 = 0.15;
 /// The decayed request count at or below which an object part is dropped from a full table.
-const TRACKED_FROM: f64 = 1.0;
+const EVICTION_THRESHOLD: f64 = 1.0;
 
 /// A part of an object, whose popularity is tracked separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,7 +47,7 @@
     pub(crate) fn record(&mut self, now: Duration, request: &Request) {
         self.total.add(now, 1.0);
         if self.parts.len() >= self.max_tracked {
-            self.parts.retain(|_, requests| requests.read(now) > TRACKED_FROM);
+            self.parts.retain(|_, requests| requests.read(now) > EVICTION_THRESHOLD);
         }
         if self.parts.len() < self.max_tracked {
             let empty = self.total.emptied();
@@ -57,16 +57,16 @@
 
     /// Whether the requested object part is requested repeatedly.
     pub(crate) fn is_popular(&self, now: Duration, request: &Request) -> bool {
-        self.requests(now, request) > POPULAR_FROM
+        self.request_count(now, request) > POPULAR_THRESHOLD
     }
 
     /// Whether the requested object part is so popular that it may overload a single cache out of this many.
     pub(crate) fn is_hot(&self, now: Duration, request: &Request, caches: usize) -> bool {
-        let requests = self.requests(now, request);
-        requests > POPULAR_FROM && requests * caches as f64 >= HOT_SHARE * self.total.read(now)
+        let count = self.request_count(now, request);
+        count > POPULAR_THRESHOLD && count * caches as f64 >= HOT_SHARE * self.total.read(now)
     }
 
-    fn requests(&self, now: Duration, request: &Request) -> f64 {
+    fn request_count(&self, now: Duration, request: &Request) -> f64 {
         self.parts.get(&part_of(request)).map_or(0.0, |requests| requests.read(now))
     }
 }
--- a/crates/rockflow/src/request.rs
+++ b/crates/rockflow/src/request.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// The time that an ordinary attempt takes for its transfer, as a multiple of the estimated transfer time.
-pub(crate) const USUAL_TRANSFERS: f64 = 1.25;
+pub(crate) const USUAL_TRANSFER_FACTOR: f64 = 1.25;
 /// The fraction of the latency objective that an ordinary attempt takes in addition to its transfer.
-pub(crate) const USUAL_FIXED_PART: f64 = 0.5;
+pub(crate) const USUAL_FIXED_FRACTION: f64 = 0.5;
 
 /// The kinds of copies that may answer an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     /// The current phase of the attempt.
     pub(crate) phase: AttemptPhase,
     /// When the attempt was decided; it cannot have been sent earlier.
-    pub(crate) sent: Duration,
+    pub(crate) decided_at: Duration,
     /// The location of the source. None: the attempt has no source.
     pub(crate) source_location: Option<LocationId>,
 }
@@ -100,7 +100,7 @@
     /// Whether the origin failed during a fill. Another source would ask the same origin, so none is used.
     pub(crate) origin_failed: bool,
     /// The rejection or failure that has been decided but not emitted.
-    pub(crate) answer: Option<Action>,
+    pub(crate) final_answer: Option<Action>,
     /// Whether the client has its final answer or has disconnected.
     pub(crate) finished: bool,
 }
@@ -116,20 +116,20 @@
     ) -> Self {
         let deadline = now + request.time_left;
         let stretch = Duration::from_secs_f64(class.transfer_stretch * transfer.expected_s);
-        let usual_transfer = Duration::from_secs_f64(USUAL_TRANSFERS * transfer.usual_max_s);
+        let usual_transfer = Duration::from_secs_f64(USUAL_TRANSFER_FACTOR * transfer.usual_max_s);
         OpenRequest {
             request,
             objective: (now + class.latency_objective + stretch).min(deadline),
             deadline,
             draw,
             transfer_s: transfer.expected_s,
-            usual_duration: usual_transfer + class.latency_objective.mul_f64(USUAL_FIXED_PART),
+            usual_duration: usual_transfer + class.latency_objective.mul_f64(USUAL_FIXED_FRACTION),
             attempts: Vec::new(),
             unsent_attempts: 0,
             response_started: false,
             failed_hosts: Vec::new(),
             origin_failed: false,
-            answer: None,
+            final_answer: None,
             finished: false,
         }
     }
@@ -151,12 +151,13 @@
 
     /// Whether the request can be dropped: it is finished, and no attempt is in flight.
     pub(crate) fn is_closed(&self) -> bool {
-        let over = |attempt: &AttemptState| attempt.is_ended() || attempt.phase == AttemptPhase::Unsent;
-        self.finished && self.attempts.iter().all(over)
+        let is_inactive =
+            |attempt: &AttemptState| attempt.is_ended() || attempt.phase == AttemptPhase::Unsent;
+        self.finished && self.attempts.iter().all(is_inactive)
     }
 
     /// Moves the deadline and the objective forward to the end of a shutdown, unless they are earlier.
-    pub(crate) fn shorten_to(&mut self, deadline: Duration) {
+    pub(crate) fn limit_deadline(&mut self, deadline: Duration) {
         self.deadline = self.deadline.min(deadline);
         self.objective = self.objective.min(deadline);
     }
