--- a/crates/rockflow/tests/rolling_replacement.rs
+++ b/crates/rockflow/tests/rolling_replacement.rs
@@ -25,7 +25,7 @@
 const MISS_TIME: Duration = Duration::from_millis(2);
 const REFUSAL_TIME: Duration = Duration::from_millis(1);
 /// When the replacement of the first cache begins. By then the fleet is in a steady state.
-const BEGIN: Duration = Duration::from_secs(20);
+const REPLACEMENTS_START: Duration = Duration::from_secs(20);
 /// Time between the replacements of two successive caches.
 const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(1100);
 /// Time from the start of a cache's drain until it is gone.
@@ -33,16 +33,17 @@
 /// Time from when a cache is gone until its successor starts.
 const START_DELAY: Duration = Duration::from_millis(400);
 /// The longest time until a dispatcher is notified of a change.
-const MAX_NOTICE_DELAY: Duration = Duration::from_secs(4);
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
 /// When every dispatcher has been notified of the last change: the last replacement begins within 6 s, and its
 /// successor starts within another 2 s.
-const LAST_CHANGE: Duration = Duration::from_secs(BEGIN.as_secs() + 6 + 2 + MAX_NOTICE_DELAY.as_secs());
-const END: Duration = Duration::from_secs(LAST_CHANGE.as_secs() + 15);
+const LAST_NOTIFICATION: Duration =
+    Duration::from_secs(REPLACEMENTS_START.as_secs() + 6 + 2 + MAX_NOTIFICATION_DELAY.as_secs());
+const SIMULATION_END: Duration = Duration::from_secs(LAST_NOTIFICATION.as_secs() + 15);
 
 /// When dispatchers are notified of a change.
 #[derive(Clone, Copy, PartialEq)]
-enum Notice {
-    AtOnce,
+enum NotificationTiming {
+    Immediate,
     /// After a random delay, drawn separately for each dispatcher and change.
     Delayed,
 }
@@ -56,22 +57,23 @@
 struct Simulation {
     fleet: FleetSimulation,
     /// When a dispatcher was notified that a host drains.
-    drain_notices: BTreeMap<HostAtDispatcher, Duration>,
+    drain_notified_at: BTreeMap<HostAtDispatcher, Duration>,
 }
 
+/// An entry of the endpoint list that changes at a time.
 struct Change {
     at: Duration,
     entry: EndpointEntry,
 }
 
 /// When a cache starts to drain.
-fn drain_begin(cache: u64) -> Duration {
-    BEGIN + REPLACEMENT_INTERVAL * cache as u32
+fn drain_start(cache: u64) -> Duration {
+    REPLACEMENTS_START + REPLACEMENT_INTERVAL * cache as u32
 }
 
 /// When the successor of a cache starts.
 fn successor_start(cache: u64) -> Duration {
-    drain_begin(cache) + DRAIN_TIME + START_DELAY
+    drain_start(cache) + DRAIN_TIME + START_DELAY
 }
 
 fn old_cache(cache: u64) -> EndpointEntry {
@@ -84,8 +86,8 @@
     let start = successor_start(cache);
     let successor = endpoint_entry(FIRST_NEW_CACHE + cache, Role::Cache, LINK_WEIGHT, Some(start));
     [
-        Change { at: drain_begin(cache), entry: old(Readiness::Draining) },
-        Change { at: drain_begin(cache) + DRAIN_TIME, entry: old(Readiness::Gone) },
+        Change { at: drain_start(cache), entry: old(Readiness::Draining) },
+        Change { at: drain_start(cache) + DRAIN_TIME, entry: old(Readiness::Gone) },
         Change { at: start, entry: successor },
     ]
 }
@@ -93,7 +95,7 @@
 /// Whether a cache is running at a time.
 fn is_up(host: HostId, at: Duration) -> bool {
     if host.0 < CACHES {
-        at < drain_begin(host.0) + DRAIN_TIME
+        at < drain_start(host.0) + DRAIN_TIME
     } else {
         at >= successor_start(host.0 - FIRST_NEW_CACHE)
     }
@@ -123,7 +125,7 @@
 }
 
 impl Simulation {
-    fn run(notice: Notice, seed: u64) -> Self {
+    fn run(timing: NotificationTiming, seed: u64) -> Self {
         let fleet = FleetSimulation::new(FleetOptions {
             seed,
             dispatchers: DISPATCHERS,
@@ -131,37 +133,37 @@
             mean_size_kb: SIZE_KB,
             object_count: Some(OBJECTS),
         });
-        let mut simulation = Simulation { fleet, drain_notices: BTreeMap::new() };
+        let mut simulation = Simulation { fleet, drain_notified_at: BTreeMap::new() };
         let parents = (100..104).map(|id| endpoint_entry(id, Role::Parent, 4.0 * LINK_WEIGHT, None));
         let hosts: Vec<EndpointEntry> = (0..CACHES).map(old_cache).chain(parents).collect();
         for dispatcher in 0..DISPATCHERS {
             simulation.fleet.restart_dispatcher(Duration::ZERO, dispatcher, hosts.clone());
-            let phase = simulation.fleet.rng.rand_float();
-            simulation.fleet.start_requests(REQUEST_INTERVAL.mul_f64(phase), dispatcher);
+            let start_offset = simulation.fleet.rng.rand_float();
+            simulation.fleet.start_requests(REQUEST_INTERVAL.mul_f64(start_offset), dispatcher);
             for cache in 0..CACHES {
-                simulation.notify_of_replacement(notice, dispatcher, cache);
+                simulation.notify_of_replacement(timing, dispatcher, cache);
             }
         }
         let mut caches = Caches::default();
-        simulation.fleet.run(END, |sent| caches.respond(sent));
+        simulation.fleet.run(SIMULATION_END, |sent| caches.respond(sent));
         simulation
     }
 
     /// Schedules the notifications of one replacement at a dispatcher. They arrive in order; relative to those of other
     /// replacements the order is random.
-    fn notify_of_replacement(&mut self, notice: Notice, dispatcher: usize, cache: u64) {
-        let mut noticed = BEGIN;
+    fn notify_of_replacement(&mut self, timing: NotificationTiming, dispatcher: usize, cache: u64) {
+        let mut notified_at = REPLACEMENTS_START;
         for Change { at, entry } in changes(cache) {
-            let delay = match notice {
-                Notice::AtOnce => Duration::ZERO,
-                Notice::Delayed => MAX_NOTICE_DELAY.mul_f64(self.fleet.rng.rand_float()),
+            let delay = match timing {
+                NotificationTiming::Immediate => Duration::ZERO,
+                NotificationTiming::Delayed => MAX_NOTIFICATION_DELAY.mul_f64(self.fleet.rng.rand_float()),
             };
-            noticed = noticed.max(at + delay);
+            notified_at = notified_at.max(at + delay);
             if entry.readiness == Readiness::Draining {
-                self.drain_notices.insert(HostAtDispatcher { dispatcher, host: entry.host }, noticed);
+                self.drain_notified_at.insert(HostAtDispatcher { dispatcher, host: entry.host }, notified_at);
             }
             let event = Event::EndpointsListed { scope: ListScope::Changes, entries: vec![entry] };
-            self.fleet.deliver(noticed, dispatcher, event);
+            self.fleet.deliver(notified_at, dispatcher, event);
         }
     }
 
@@ -173,7 +175,7 @@
     }
 
     fn assert_one_final_answer_in_time(&self, seed: u64) {
-        for request in self.fleet.requests.values().filter(|request| request.at + DEADLINE < END) {
+        for request in self.fleet.requests.values().filter(|request| request.at + DEADLINE < SIMULATION_END) {
             let [answer] = request.final_answers[..] else { panic!("seed {seed}: {request:?}") };
             assert!(answer.at <= request.at + DEADLINE, "seed {seed}: {request:?}");
         }
@@ -182,8 +184,8 @@
     fn assert_nothing_sent_to_known_drains(&self, seed: u64) {
         for sent in &self.fleet.sent {
             let key = HostAtDispatcher { dispatcher: sent.dispatcher, host: sent.attempt.host };
-            let noticed = self.drain_notices.get(&key);
-            assert!(noticed.is_none_or(|noticed| sent.at < *noticed), "seed {seed}: {sent:?}");
+            let notified_at = self.drain_notified_at.get(&key);
+            assert!(notified_at.is_none_or(|notified_at| sent.at < *notified_at), "seed {seed}: {sent:?}");
         }
     }
 
@@ -201,27 +203,32 @@
     }
 }
 
-#[test_case(Notice::AtOnce; "noticed at once")]
-#[test_case(Notice::Delayed; "noticed late, by each in an order of its own")]
-fn replacing_all_caches_loses_little_for_a_bounded_time(notice: Notice) {
+#[test_case(NotificationTiming::Immediate; "notified immediately")]
+#[test_case(NotificationTiming::Delayed; "notified late, each dispatcher in a different order")]
+fn replacing_all_caches_fails_few_requests_and_only_temporarily(timing: NotificationTiming) {
     for seed in 1..=5 {
-        let simulation = Simulation::run(notice, seed);
+        let simulation = Simulation::run(timing, seed);
         simulation.assert_one_final_answer_in_time(seed);
         simulation.assert_nothing_sent_to_known_drains(seed);
         let max_work = simulation.max_relative_work_of_new_caches();
-        let last = if notice == Notice::Delayed { LAST_CHANGE } else { LAST_CHANGE - MAX_NOTICE_DELAY };
-        let before = simulation.success_rate(BEGIN / 2, BEGIN);
-        let during = simulation.success_rate(BEGIN, last);
-        let after = simulation.success_rate(last + DEADLINE, END - DEADLINE);
+        let last_notification = if timing == NotificationTiming::Delayed {
+            LAST_NOTIFICATION
+        } else {
+            LAST_NOTIFICATION - MAX_NOTIFICATION_DELAY
+        };
+        let before = simulation.success_rate(REPLACEMENTS_START / 2, REPLACEMENTS_START);
+        let during = simulation.success_rate(REPLACEMENTS_START, last_notification);
+        let after = simulation.success_rate(last_notification + DEADLINE, SIMULATION_END - DEADLINE);
         println!(
-            "seed {seed}: {before:.3} succeeded before, {during:.3} during, {after:.3} after it; {max_work:.2}"
+            "seed {seed}: {before:.3} succeeded before, {during:.3} during, {after:.3} after; \
+             relative work {max_work:.2}"
         );
         assert!(before > 0.99 && after > 0.99, "seed {seed}: {before} before, {after} after");
         // At their start, the new caches together tolerate three tenths of the requested work.
         assert!(during > 0.85, "seed {seed}: {during} during");
         assert!(
             (0.3..=1.0).contains(&max_work),
-            "seed {seed}: a new cache got {max_work} of what it tolerates"
+            "seed {seed}: a new cache received {max_work} times the work that it tolerates"
         );
     }
 }
