--- a/crates/rockflow/src/attempts.rs
+++ b/crates/rockflow/src/attempts.rs
@@ -210,8 +210,8 @@
 
     /// The timeout of an attempt. None unless the request is idempotent.
     ///
-    /// It leaves time for a retry, but is never shorter than an ordinary attempt takes. If a stale copy may be served,
-    /// the retry has to finish before the latency objective, otherwise before the client gives up.
+    /// It leaves time for a retry, but an ordinary attempt can finish unless the client gives up first. If a stale copy
+    /// may be served, the retry has to finish before the latency objective, otherwise before the client gives up.
     fn attempt_timeout(&self, open: &OpenRequest, kind: AttemptKind) -> Option<Duration> {
         let class = self.class(open);
         if class.effect != Effect::Idempotent {
--- a/crates/rockflow/src/config.rs
+++ b/crates/rockflow/src/config.rs
@@ -123,7 +123,8 @@
     pub health_checks: bool,
     /// The maximum number of attempts for a request, not counting those of which no byte was sent.
     pub max_attempts: usize,
-    /// The maximum number of object parts whose popularity is tracked, and of purges that are tracked.
+    /// The maximum number of object parts whose popularity is tracked. Also the number of tracked purges from which
+    /// on a purge of an object is widened to its group.
     pub max_tracked: usize,
     /// The longest `Retry-After` that a client honours. None: a rejection carries none.
     pub max_retry_after: Option<Duration>,
--- a/crates/rockflow/src/dispatcher.rs
+++ b/crates/rockflow/src/dispatcher.rs
@@ -124,6 +124,7 @@
     state: RoutingState,
     requests: BTreeMap<RequestId, OpenRequest>,
     rng: oorandom::Rand64,
+    /// The actions of the event that is being handled.
     actions: Vec<Action>,
 }
 
@@ -247,7 +248,7 @@
         self.emit_request(id);
     }
 
-    /// Decides the next attempt of a request. If there is none, the request is rejected or failed at once.
+    /// Decides the next attempt of a request that waits for one. If none is possible, the final answer is decided.
     fn decide(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if !open.awaits_decision() {
--- a/crates/rockflow/src/freshness.rs
+++ b/crates/rockflow/src/freshness.rs
@@ -10,7 +10,7 @@
 /// The smallest maximum age after a purge. It is not zero, because zero would mean no limit.
 const MIN_MAX_AGE: Duration = Duration::from_micros(1);
 
-/// The objects that a purge covers. `Everything` stands for a purge whose group is unknown.
+/// The objects that a purge covers. A purge without a known group covers everything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PurgeScope {
     Everything,
--- a/crates/rockflow/src/placement.rs
+++ b/crates/rockflow/src/placement.rs
@@ -83,10 +83,10 @@
             return Some(CacheChoice { host: least_loaded, hits_only: false });
         }
         // The cache is overloaded: the request goes to the next cache in the ranking whose link has spare capacity.
-        if let Some(idle) =
+        if let Some(host) =
             candidates.iter().copied().find(|id| self.relative_load(*id) <= SPARE_CAPACITY_THRESHOLD)
         {
-            return Some(CacheChoice { host: idle, hits_only: false });
+            return Some(CacheChoice { host, hits_only: false });
         }
         self.choose_overloaded_cache(open, least_loaded, mean_transfer_s)
     }
@@ -128,7 +128,8 @@
     ) -> Option<CacheChoice> {
         let class = self.class(open);
         let objective_s = class.latency_objective.as_secs_f64();
-        // Without a size, the transfer time is an average of past answers, which grows with the load itself.
+        // Without a size, the expected transfer time is learned from answers and grows with the load itself, so a
+        // fraction of the latency objective is used instead.
         let transfer_s = if open.has_size() { open.transfer_s } else { objective_s * USUAL_FIXED_FRACTION };
         let is_under_served = self.class_stats(open.request.class).is_large_under_served(self.now);
         let transfer_s = if is_under_served { transfer_s.min(mean_transfer_s) } else { transfer_s };
--- a/crates/rockflow/src/request.rs
+++ b/crates/rockflow/src/request.rs
@@ -20,9 +20,9 @@
 pub(crate) enum AttemptKind {
     /// A fresh copy, filled from the source on a miss. This is the ordinary kind.
     Fetch,
-    /// Only a cached, fresh copy; nothing is filled.
+    /// Only a fresh copy that the cache or its parent has cached. Nothing is fetched from the origin.
     FreshOnly,
-    /// Only a cached copy, fresh or stale within the grace; nothing is filled.
+    /// Only a copy in the cache, fresh or stale within the grace. No source is asked.
     StaleAllowed,
 }
 
--- a/crates/rockflow/tests/large_requests.rs
+++ b/crates/rockflow/tests/large_requests.rs
@@ -15,6 +15,7 @@
 
 const DISPATCHERS: usize = 6;
 const CACHES: u64 = 4;
+/// The capacity of a cache's link, in transfers at full rate.
 const LINK_WEIGHT: f64 = 8.0;
 const REQUESTS_START: Duration = Duration::from_secs(1);
 const REQUESTS_END: Duration = Duration::from_secs(61);
--- a/crates/rockflow/tests/rolling_replacement.rs
+++ b/crates/rockflow/tests/rolling_replacement.rs
@@ -16,7 +16,9 @@
 
 const DISPATCHERS: usize = 30;
 const CACHES: u64 = 6;
+/// The host id of the first new cache; the successor of cache `n` has this id plus `n`.
 const FIRST_NEW_CACHE: u64 = 50;
+/// The capacity of a cache's link, in transfers at full rate.
 const LINK_WEIGHT: f64 = 6.0;
 const SIZE_KB: f64 = 50.0;
 const OBJECTS: u64 = 400;
