--- a/crates/rockflow/src/attempts.rs
+++ b/crates/rockflow/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The next attempt of a request: where it goes, what it asks for, and how long it may take.
+//! Chooses the next attempt of a request: its host, source, kind and timeout.
 
 use crate::action::{Attempt, CachePriority};
 use crate::concurrency::ConcurrencyLimit;
@@ -6,17 +6,17 @@
 use crate::endpoints::Role;
 use crate::ids::HostId;
 use crate::placement::CacheChoice;
-use crate::request::{AttemptKind, AttemptPhase, AttemptState, OpenRequest, USUAL_TRANSFERS};
+use crate::request::{AttemptKind, AttemptPhase, AttemptState, OpenRequest, USUAL_TRANSFER_FACTOR};
 use crate::source_path::SourcePath;
 use crate::state::RoutingState;
 use std::time::Duration;
 
-/// How many times the configured attempts a request may take where some of them were never sent.
-const UNSENT_ATTEMPTS_FACTOR: usize = 2;
-/// The part of the latency objective that a timeout leaves to a retry besides the transfer.
-const RETRY_FIXED_PART: f64 = 0.2;
+/// Limit on all attempts of a request, including those that were never sent, as a multiple of `max_attempts`.
+const TOTAL_ATTEMPTS_FACTOR: usize = 2;
+/// The fraction of the latency objective that a timeout leaves for a retry, in addition to its transfer time.
+const RETRY_FIXED_FRACTION: f64 = 0.2;
 
-/// Where an attempt goes.
+/// The host and source of an attempt, and its kind.
 #[derive(Clone, Copy, Debug)]
 struct Route {
     host: HostId,
@@ -24,28 +24,28 @@
     kind: AttemptKind,
 }
 
-/// How the limits of fills bear on an attempt.
+/// Restrictions that the concurrency limits of fills impose on an attempt.
 #[derive(Clone, Copy, Debug)]
 struct FillRestrictions {
-    /// Look for a fresh copy before a fill.
-    look_first: bool,
-    /// That look asks the cache alone and not its source.
-    look_at_cache_alone: bool,
+    /// A cached fresh copy must be looked up before a fill is requested.
+    lookup_first: bool,
+    /// That lookup is limited to the cache; its source is not asked.
+    lookup_at_cache_only: bool,
     /// No fill is admitted.
-    is_limited: bool,
-    /// No source is used at all.
-    without_source: bool,
+    is_fill_limited: bool,
+    /// The attempt must not name a source.
+    is_source_excluded: bool,
 }
 
 impl RoutingState {
-    /// The next attempt of a request that has none in flight. None: the request is given up.
+    /// Chooses the next attempt of a request that has none in flight. None: the request must be rejected or failed.
     pub(crate) fn next_attempt(&self, open: &OpenRequest) -> Option<AttemptState> {
         if !self.has_attempts_left(open) || self.now >= open.deadline {
             return None;
         }
         let route = self.choose_route(open)?;
-        let is_allowed = route.kind == AttemptKind::Fetch || self.class(open).cacheable;
-        if !is_allowed || !self.may_repeat(open, route.host) {
+        let is_kind_allowed = route.kind == AttemptKind::Fetch || self.class(open).cacheable;
+        if !is_kind_allowed || !self.may_repeat(open, route.host) {
             return None;
         }
         let source = route.source.and_then(|id| self.endpoints.get(id));
@@ -53,22 +53,23 @@
             attempt: self.build_attempt(open, route),
             kind: route.kind,
             phase: AttemptPhase::Unsent,
-            sent: self.now,
+            decided_at: self.now,
             source_location: source.map(|host| host.entry().location),
         })
     }
 
-    /// Attempts that were never sent don't use up the configured number, but there is an end to them too.
+    /// Whether the request may have another attempt. Attempts that were never sent don't count towards `max_attempts`,
+    /// but the total is limited too.
     fn has_attempts_left(&self, open: &OpenRequest) -> bool {
         let attempts = open.attempts.len() + open.request.previous_attempts.len();
         let max_attempts = self.config.max_attempts;
-        attempts - open.unsent_attempts < max_attempts && attempts < UNSENT_ATTEMPTS_FACTOR * max_attempts
+        attempts - open.unsent_attempts < max_attempts && attempts < TOTAL_ATTEMPTS_FACTOR * max_attempts
     }
 
     fn choose_route(&self, open: &OpenRequest) -> Option<Route> {
-        let may_be_stale = self.may_try_stale(open);
+        let may_serve_stale = self.may_try_stale(open);
         if let Some(last) = open.attempts.last() {
-            if may_be_stale && last.kind == AttemptKind::Fetch {
+            if may_serve_stale && last.kind == AttemptKind::Fetch {
                 return self.stale_route(open, last.attempt.host);
             }
         }
@@ -76,8 +77,8 @@
         let host = cache.host;
         let source = self.choose_source(open);
         let restrictions = self.fill_restrictions(open, cache, source);
-        let source = source.filter(|_| !restrictions.without_source);
-        if restrictions.look_first && (restrictions.look_at_cache_alone || !restrictions.is_limited) {
+        let source = source.filter(|_| !restrictions.is_source_excluded);
+        if restrictions.lookup_first && (restrictions.lookup_at_cache_only || !restrictions.is_fill_limited) {
             return Some(self.fresh_only_route(host, source, restrictions));
         }
         match source {
@@ -85,27 +86,29 @@
                 let source = (source != host).then_some(source);
                 Some(Route { host, source, kind: AttemptKind::Fetch })
             }
-            None if may_be_stale || open.attempts.is_empty() => {
+            None if may_serve_stale || open.attempts.is_empty() => {
                 Some(Route { host, source: None, kind: AttemptKind::StaleAllowed })
             }
             None => None,
         }
     }
 
-    /// Whether a stale copy may still be tried.
+    /// Whether the class allows stale copies and the request has not asked for one yet.
     fn may_try_stale(&self, open: &OpenRequest) -> bool {
         let class = self.class(open);
         class.cacheable && class.grace > Duration::ZERO && !open.has_attempted(AttemptKind::StaleAllowed)
     }
 
-    /// The retry after a failed fetch: the same cache, which may hold a stale copy, unless the cache is what failed.
+    /// The route of the retry after a failed fetch, for a stale copy. It goes to the same cache, which may have one,
+    /// unless that cache itself failed or can't take the attempt.
     fn stale_route(&self, open: &OpenRequest, last_host: HostId) -> Option<Route> {
         let candidates = self.candidates(self.ranking(Role::Cache, &open.request), open, open.transfer_s);
         let host = if candidates.contains(&last_host) { last_host } else { self.choose_cache(open)?.host };
         Some(Route { host, source: None, kind: AttemptKind::StaleAllowed })
     }
 
-    /// The host that answers: a cache or, where none of the location is ready and it is allowed, a source.
+    /// Chooses the host that answers: a cache or, if no cache of the location is ready and direct access to sources is
+    /// configured, a source.
     fn choose_serving_host(&self, open: &OpenRequest) -> Option<CacheChoice> {
         if let Some(cache) = self.choose_cache(open) {
             return Some(cache);
@@ -114,13 +117,14 @@
             return None;
         }
         let host = self.choose_source(open)?;
-        Some(CacheChoice { host, is_crowded: false })
+        Some(CacheChoice { host, hits_only: false })
     }
 
-    /// While fills are constrained, a look for a fresh copy comes first; only what is missed counts as a fill.
+    /// Determines the restrictions on fills. While fills are constrained, a fresh cached copy is looked up first, and
+    /// only a miss is sent as a fill.
     ///
-    /// The look asks the parent too, unless the link is constrained or the parent is in slow start, as hits would use
-    /// its budget. A crowded cache is asked only for what it has: fills would crowd the hits out.
+    /// The lookup includes the parent, unless the link is constrained, or the parent is in slow start, where even hits
+    /// would use up its budget. An overloaded cache gets no fills: they would displace hits.
     fn fill_restrictions(
         &self,
         open: &OpenRequest,
@@ -135,23 +139,25 @@
 
         let is_source_warming = source.is_some_and(|id| self.is_warming(id));
         let is_cacheable = self.class(open).cacheable;
-        let may_look = is_cacheable && !cache.is_crowded && !open.has_attempted(AttemptKind::Fetch);
+        let may_look_up = is_cacheable && !cache.hits_only && !open.has_attempted(AttemptKind::Fetch);
         let is_link_constrained = is_constrained(link) || path.is_some_and(is_constrained);
-        let look_at_cache_alone = may_look
+        let lookup_at_cache_only = may_look_up
             && !open.has_attempted(AttemptKind::FreshOnly)
             && (is_link_constrained || is_source_warming);
-        let look_at_parent =
-            may_look && is_constrained(parent_fetches) && !has_looked_at_source(open) && !is_source_warming;
-        let look_first = look_at_cache_alone || look_at_parent;
+        let lookup_at_parent = may_look_up
+            && is_constrained(parent_fetches)
+            && !has_looked_up_at_source(open)
+            && !is_source_warming;
+        let lookup_first = lookup_at_cache_only || lookup_at_parent;
 
         let is_link_limited = is_limited(link) || path.is_some_and(is_limited);
-        let is_fill_limited = is_link_limited || !look_first && is_limited(parent_fetches);
-        let is_cached_only = cache.is_crowded || is_fill_limited && !look_at_cache_alone;
+        let is_fill_limited = is_link_limited || !lookup_first && is_limited(parent_fetches);
+        let is_cached_only = cache.hits_only || is_fill_limited && !lookup_at_cache_only;
         FillRestrictions {
-            look_first,
-            look_at_cache_alone,
-            is_limited: is_fill_limited,
-            without_source: is_cacheable && is_cached_only || open.origin_failed,
+            lookup_first,
+            lookup_at_cache_only,
+            is_fill_limited,
+            is_source_excluded: is_cacheable && is_cached_only || open.origin_failed,
         }
     }
 
@@ -162,7 +168,7 @@
         restrictions: FillRestrictions,
     ) -> Route {
         let source =
-            if restrictions.look_at_cache_alone { None } else { source.filter(|id| self.is_parent(*id)) };
+            if restrictions.lookup_at_cache_only { None } else { source.filter(|id| self.is_parent(*id)) };
         Route { host, source, kind: AttemptKind::FreshOnly }
     }
 
@@ -182,7 +188,7 @@
             host: route.host,
             source: route.source,
             timeout: self.attempt_timeout(open, route.kind),
-            send_by: self.repeat_by(open),
+            send_by: self.repeat_deadline(open),
             cache_priority: self.cache_priority(open, class),
             max_age: self.purges.max_age(self.now, request, class, route.kind),
             coalesce: self.config.coalescing && class.cacheable && is_fetch,
@@ -202,31 +208,33 @@
         }
     }
 
-    /// The timeout leaves time for a retry, but lets an ordinary attempt finish. Where a stale copy can serve, that time
-    /// is before the latency objective, else before the client gives up. Only idempotent requests have one.
+    /// The timeout of an attempt. None unless the request is idempotent.
+    ///
+    /// It leaves time for a retry, but an ordinary attempt can finish unless the client gives up first. If a stale copy
+    /// may be served, the retry has to finish before the latency objective, otherwise before the client gives up.
     fn attempt_timeout(&self, open: &OpenRequest, kind: AttemptKind) -> Option<Duration> {
         let class = self.class(open);
         if class.effect != Effect::Idempotent {
             return None;
         }
         let is_stale_attempt = kind == AttemptKind::StaleAllowed;
-        let may_be_stale = class.grace > Duration::ZERO
+        let may_serve_stale = class.grace > Duration::ZERO
             && !is_stale_attempt
             && !open.has_attempted(AttemptKind::StaleAllowed);
-        let until = if may_be_stale { open.objective } else { open.deadline };
+        let retry_due = if may_serve_stale { open.objective } else { open.deadline };
         let retry_time = if is_stale_attempt {
             Duration::ZERO
         } else {
-            Duration::from_secs_f64(USUAL_TRANSFERS * open.transfer_s)
-                + class.latency_objective.mul_f64(RETRY_FIXED_PART)
+            Duration::from_secs_f64(USUAL_TRANSFER_FACTOR * open.transfer_s)
+                + class.latency_objective.mul_f64(RETRY_FIXED_FRACTION)
         };
-        let limit = until.saturating_sub(self.now + retry_time).max(open.usual_duration);
-        Some(limit.min(open.deadline.saturating_sub(self.now)))
+        let timeout = retry_due.saturating_sub(self.now + retry_time).max(open.usual_duration);
+        Some(timeout.min(open.deadline.saturating_sub(self.now)))
     }
 }
 
-/// Whether the request has asked a source for what it has cached.
-fn has_looked_at_source(open: &OpenRequest) -> bool {
+/// Whether an earlier attempt of the request looked up a cached copy at a source.
+fn has_looked_up_at_source(open: &OpenRequest) -> bool {
     open.attempts
         .iter()
         .any(|attempt| attempt.kind == AttemptKind::FreshOnly && attempt.attempt.source.is_some())
