--- a/crates/rockflow-dispatcher/src/host/message.rs
+++ b/crates/rockflow-dispatcher/src/host/message.rs
@@ -1,39 +1,39 @@
-//! Messages to a host's actor.
+//! Messages to the actor of a host.
 
 use crate::attempt::{AttemptKey, CancelReason, EndedAttempts, OutgoingAttempt};
 use rockflow_protocol::upstream::HealthCheckKind;
 
-/// A message to a host's actor.
+/// A message to a [`HostActor`](crate::host::HostActor).
 pub enum HostMessage {
-    /// Send an attempt.
+    /// Send an attempt, or queue it until a connection is free.
     Send(OutgoingAttempt),
-    /// Cancel an attempt.
+    /// Cancel an attempt, whether it is delayed, queued or in flight.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         key: AttemptKey,
-        /// Why.
+        /// Why it is cancelled; a timeout may also retire its connection.
         reason: CancelReason,
     },
     /// Send a health check.
     CheckHealth {
-        /// Identifies it.
+        /// Identifies the health check in the host's response and in the result sent to the decision actor.
         tag: u64,
-        /// What it asks for.
+        /// Whether the host has to report its load as well.
         kind: HealthCheckKind,
     },
-    /// An attempt that was delayed may be sent now.
+    /// Send an attempt whose delay after a cancellation has passed.
     Release(AttemptKey),
-    /// Close connections that are idle.
+    /// Close idle connections, and the others once nothing is in flight on them.
     CloseIdle,
-    /// The host is gone: what is in flight may end, nothing new is sent.
+    /// The host was removed from the endpoint list: attempts in flight may complete, no new ones are sent.
     Retire,
-    /// A connection ended.
+    /// A connection to the host has ended.
     ConnectionEnded {
-        /// Attempts that ended with it; the last group are those that were not sent.
+        /// Attempts that ended with the connection. The last group holds those that were never sent.
         ended: Vec<EndedAttempts>,
-        /// Attempts that were handed to it and may go on another.
+        /// Attempts that were assigned to the connection but not sent, and may be sent on another one.
         resend: Vec<OutgoingAttempt>,
-        /// It was never established.
+        /// Whether the connection ended before it was established.
         never_established: bool,
     },
 }
--- a/crates/rockflow-dispatcher/src/host/mod.rs
+++ b/crates/rockflow-dispatcher/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! The actor of a host: chooses the connection for each message, and opens another where none will do.
+//! The actor of a host: assigns each attempt and health check to a connection, and opens a new one when none is free.
 
 pub mod message;
 
@@ -20,33 +20,36 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// How often the host's other connections are checked after one broke, and how many times while none is open.
+/// Interval at which the host's other connections are checked after one of them failed.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(4);
+/// Number of these checks that find no open connection before the host counts as gone.
 const MAX_LIVENESS_CHECKS: usize = 25;
-/// Guards against a cancellation that arrives behind the next attempt of its request, which goes on another connection
-/// under the same id: the host would drop that one. The next attempt is delayed by this time.
+/// Delay between the cancellation of an attempt and the next attempt of the same request. Both attempts have the same
+/// id but may use different connections: without the delay, the cancellation could arrive after the next attempt, and
+/// the host would drop that attempt instead.
 const CANCEL_PROPAGATION: Duration = Duration::from_millis(5);
-/// Share of the cap on connections up to which an attempt gets one to itself.
+/// Share of the connection cap that may be in use before attempts have to share connections.
 const EXCLUSIVE_SHARE: f64 = 0.75;
 
-/// Owns the connections to one host, and the attempts that wait for one.
+/// Owns the connections to one host, and the attempts that wait for a free one.
 pub struct HostActor {
     endpoint: String,
     address: SocketAddr,
     pool: Arc<ConnectionPool>,
     mailbox: Arc<Mailbox<HostMessage>>,
     connections: Vec<Arc<UpstreamConnection>>,
-    /// Shared with the connections, which take from it when they are free.
+    /// Attempts that wait for a connection. Shared with the connections, which take attempts from it when free.
     queue: Arc<AttemptQueue>,
-    /// When an attempt of a request was last cancelled.
+    /// When an attempt of each request was last cancelled; entries older than [`CANCEL_PROPAGATION`] are removed.
     cancelled_at: BTreeMap<RequestId, Duration>,
-    /// Attempts that wait until a cancellation has arrived.
+    /// Attempts held back for [`CANCEL_PROPAGATION`].
     delayed: BTreeMap<AttemptKey, OutgoingAttempt>,
+    /// The host was removed from the endpoint list.
     retired: bool,
 }
 
 impl HostActor {
-    /// The actor of a host that has no connection yet.
+    /// Creates the actor without any connections.
     pub fn new(
         endpoint: String,
         address: SocketAddr,
@@ -89,7 +92,7 @@
             }
             HostMessage::CheckHealth { tag, kind } => self.check_health(tag, kind),
             HostMessage::Cancel { key, reason } => self.cancel(key, reason),
-            // A connection closes once nothing is in flight on it.
+            // A retired connection closes once nothing is in flight on it, so idle ones close at once.
             HostMessage::CloseIdle => self.retire_connections(),
             HostMessage::Retire => self.retire(),
             HostMessage::ConnectionEnded { ended, resend, never_established } => {
@@ -115,7 +118,7 @@
     }
 
     fn send(&mut self, attempt: OutgoingAttempt) {
-        // No connection is opened for what may not be sent any more.
+        // Doesn't open a connection for an attempt that may no longer be sent.
         if !attempt.permit.is_valid(self.pool.clock.now()) {
             return self.fail(attempt.key, Outcome::NotSent);
         }
@@ -151,7 +154,7 @@
 
     fn retire(&mut self) {
         self.retired = true;
-        // None of these is sent any more.
+        // Queued and delayed attempts were not sent, and must not be sent any more.
         while let Some(attempt) = self.queue.pop() {
             self.fail(attempt.key, Outcome::NotSent);
         }
@@ -177,7 +180,8 @@
             self.send(attempt);
         }
         if let Some(unsent) = ended.last_mut().filter(|_| never_established) {
-            // The attempt that has waited longest for a connection did so for this one.
+            // A connection is opened for each queued attempt. If fewer are being established than attempts are queued,
+            // the oldest queued attempt fails with the connection that was opened for it.
             if self.queue.len() > self.connecting() {
                 unsent.attempts.extend(self.queue.pop().map(|attempt| attempt.key));
             }
@@ -196,7 +200,8 @@
         self.connections.iter().filter(|connection| connection.is_connecting()).count()
     }
 
-    /// Opens as many connections as attempts wait; if none can be opened, no attempt waits in vain.
+    /// Opens connections until each queued attempt has one that is being established. Fails all queued attempts if the
+    /// host has no connection and none could be opened.
     fn serve_queue(&mut self) {
         while self.connecting() < self.queue.len() && self.open_connection().is_some() {}
         if self.connections.iter().all(|connection| connection.is_ended()) {
@@ -206,9 +211,9 @@
         }
     }
 
-    /// Reports attempts that ended with their connection. Guards against taking a reset of one connection for the death of
-    /// the process, which resets all and accepts no new one for a while: a connection that is open by then, old or new,
-    /// shows that the host is alive.
+    /// Reports attempts that ended with their connection. A reset of one connection doesn't mean that the host's
+    /// process has died. A dead process resets all its connections and accepts no new ones for a while, so any
+    /// connection, old or new, that is open after a short wait shows that the host is alive.
     fn report_ended(&mut self, ended: EndedAttempts) {
         if ended.attempts.is_empty() {
             return;
@@ -231,8 +236,9 @@
         });
     }
 
-    /// A connection for an attempt, if one is free. What a host spoils or leaves unanswered affects the whole connection,
-    /// so an attempt gets one to itself as long as there are plenty; the one used last, so that surplus ones age.
+    /// Chooses a free connection for an attempt. A malformed or missing response affects all attempts on a connection,
+    /// so attempts share one only when connections are scarce. Among equally loaded connections the most recently used
+    /// one is chosen, so that surplus connections reach their idle timeout.
     fn connection_for(&self, id: &str) -> Option<Arc<UpstreamConnection>> {
         let usable = self.connections.iter().filter(|connection| connection.accepts(id, &self.pool));
         let best = usable.min_by_key(|connection| (connection.in_flight(), Reverse(connection.last_used())));
@@ -241,7 +247,8 @@
         best.filter(|connection| connection.in_flight() == 0 || is_scarce).cloned()
     }
 
-    /// Opens another connection; none past the cap. Those that are exhausted close when their attempts have ended.
+    /// Opens another connection and returns it, or `None` if the connection cap is reached. Retires the host's
+    /// exhausted connections.
     fn open_connection(&mut self) -> Option<Arc<UpstreamConnection>> {
         let cap = self.pool.max_connections;
         if self.pool.connections().len() >= cap {
@@ -263,7 +270,8 @@
     }
 }
 
-/// Waits until one of the connections is open or all have ended, for a bounded time; returns whether one is open.
+/// Waits until one of the connections is open or all have ended, at most [`MAX_LIVENESS_CHECKS`] intervals. Returns
+/// whether one is open.
 fn await_open(connections: &[Arc<UpstreamConnection>]) -> bool {
     for _ in 0..MAX_LIVENESS_CHECKS {
         timer::sleep(LIVENESS_CHECK_INTERVAL);
