--- a/crates/rockflow-dispatcher/src/upstream/mod.rs
+++ b/crates/rockflow-dispatcher/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The actor of one connection to a host: the attempts that are in flight on it, and what becomes of them.
+//! Starts the actor of an upstream connection (a connection to a host), and collects the attempts left when it ends.
 
 mod connection;
 pub mod message;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tracing::{debug, error, info};
 
-/// Starts the actor of a new connection, which tells the host's mailbox of its end.
+/// Starts the actor of a new connection, which sends [`HostMessage::ConnectionEnded`] to `host` when it ends.
 pub fn start(
     endpoint: String,
     address: SocketAddr,
@@ -45,12 +45,12 @@
     connection
 }
 
-/// What a connection leaves when it ends.
+/// Attempts without a response when their connection ends.
 struct Leftover {
-    /// Attempts that ended with it: first those that may have executed, last those that were never sent.
+    /// Attempts that ended with the connection: first those that may have executed, last those that were never sent.
     ended: Vec<EndedAttempts>,
-    /// Attempts that were not sent and may go on another connection: this one had received responses, and its host closed
-    /// it just then.
+    /// Attempts that were not sent and may be sent on another connection. Empty if this connection never received
+    /// anything, so that a host that accepts connections and closes them at once is not retried without end.
     resend: Vec<OutgoingAttempt>,
 }
 
@@ -90,13 +90,14 @@
     Leftover { ended, resend }
 }
 
-/// Guards against taking a machine that vanished for alive, as it lets its old connections stand; and against taking one
-/// connection that is established late for the end of a host that responds on others.
+/// The time since which another connection must have received data for the host to count as alive, after a connect that
+/// timed out. A machine that vanished leaves its old connections open, so an open connection is no evidence; a host
+/// that responds on other connections is alive even if one connect is slow. `None` for errors other than a timeout.
 fn alive_evidence(error: &std::io::Error, started: Duration) -> Option<Duration> {
     (error.kind() == ErrorKind::TimedOut).then_some(started)
 }
 
-/// Serves an established connection to its end.
+/// Serves an established connection until it ends.
 fn serve(
     endpoint: &str,
     stream: TcpStream,
@@ -115,7 +116,7 @@
     actor.finish()
 }
 
-/// Takes the attempts that were handed over and not read any more.
+/// Returns the attempts that are left in the connection's mailbox, and fails the health checks there.
 fn drain_mailbox(pool: &ConnectionPool, shared: &UpstreamConnection) -> Vec<OutgoingAttempt> {
     let mut attempts = Vec::new();
     while let Some(message) = shared.mailbox.take() {
