--- a/crates/rockflow-dispatcher/src/connection_pool.rs
+++ b/crates/rockflow-dispatcher/src/connection_pool.rs
@@ -1,5 +1,4 @@
-//! What the connections to hosts share with each other, with the hosts' actors and with whoever inspects them. It uses no
-//! actor.
+//! State shared between the actors of hosts and their upstream connections (connections to hosts).
 
 use crate::attempt::{AttemptKey, OutgoingAttempt};
 use crate::clock::Clock;
@@ -11,46 +10,46 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Part of the configured idle time after which a connection is not used again: the host may be closing it.
+/// Fraction of the idle timeout after which an idle connection is not used again, because the host may be closing it.
 const USABLE_IDLE_SHARE: f64 = 0.8;
-/// Request ids that a connection remembers at most; past it, it takes no further attempts.
+/// Maximum number of request ids that a connection remembers. A connection that reaches it accepts no further attempts.
 const MAX_REMEMBERED_IDS: usize = 1024;
 
-/// Shared by all hosts' actors and their connections.
+/// The settings, limits and connections shared by the actors of all hosts and connections.
 pub struct ConnectionPool {
-    /// The clock.
+    /// The clock of the dispatcher.
     pub clock: Clock,
-    /// Where outcomes are sent.
+    /// The mailbox of the decision actor, which receives the outcomes of attempts and health checks.
     pub decisions: Arc<Mailbox<DecisionMessage>>,
-    /// Time for a connection to be established, and for a health check.
+    /// Timeout for establishing a connection, for a health check, and for progress of a partly received response.
     pub connect_timeout: Duration,
-    /// A host closes a connection that was idle for this time.
+    /// Time after which hosts close an idle connection.
     pub idle_timeout: Duration,
-    /// Attempts that one connection carries at once.
+    /// Concurrency limit of one connection, in attempts.
     pub max_concurrent_attempts: usize,
-    /// The longest that a request may be open, and so that a response to its attempts may arrive.
+    /// The longest time that a request may be open. No response to one of its attempts is expected after that.
     pub max_request_time: Duration,
-    /// Bytes that may wait to be written on one connection.
+    /// Limit on the bytes that wait to be written on one connection.
     pub max_unsent_bytes: usize,
-    /// Cap on the connections to all hosts.
+    /// Limit on the number of connections to all hosts together.
     pub max_connections: usize,
-    /// Bytes of responses that are held.
+    /// Memory of response bytes: the receive buffers of upstream connections and the bodies held for clients.
     pub buffered_bytes: Arc<AtomicUsize>,
-    /// Cap on the bytes of responses that are held.
+    /// Limit on `buffered_bytes`.
     pub max_buffered_bytes: usize,
-    /// All connections.
+    /// All connections that have not ended, by number.
     pub connections: Mutex<BTreeMap<u64, Arc<UpstreamConnection>>>,
-    /// Number of the next connection.
+    /// The number that the next connection gets.
     pub next_connection: AtomicU64,
 }
 
 impl ConnectionPool {
-    /// All connections. No coroutine gives way while it holds this lock.
+    /// Locks the connections. The caller must not yield its coroutine while it holds the lock.
     pub fn connections(&self) -> MutexGuard<'_, BTreeMap<u64, Arc<UpstreamConnection>>> {
         lock(&self.connections)
     }
 
-    /// Has every connection on which a response has begun check whether it makes progress.
+    /// Makes every connection with a partly received response check whether that response makes progress.
     pub fn inspect(&self) {
         for connection in self.connections().values().filter(|connection| connection.is_receiving()) {
             connection.send(UpstreamMessage::Inspect);
@@ -58,30 +57,30 @@
     }
 }
 
-/// Attempts of one host for which no connection is free. Each goes on whichever is first: one that is established, or one
-/// that has received its response. There are no more of them than attempts of open requests, which have a cap.
+/// Attempts for one host that wait for a free connection. The first connection that is established or becomes idle
+/// takes the oldest attempt. The queue has no limit: the cap on open requests limits the number of attempts.
 #[derive(Default)]
 pub struct AttemptQueue {
     attempts: Mutex<VecDeque<OutgoingAttempt>>,
 }
 
 impl AttemptQueue {
-    /// Appends an attempt.
+    /// Appends an attempt to the queue.
     pub fn push(&self, attempt: OutgoingAttempt) {
         lock(&self.attempts).push_back(attempt);
     }
 
-    /// Number of attempts.
+    /// Number of queued attempts.
     pub fn len(&self) -> usize {
         lock(&self.attempts).len()
     }
 
-    /// Whether there is none.
+    /// Whether the queue holds no attempts.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes the attempt that has waited longest of those that may go on the connection.
+    /// Removes the oldest attempt whose id the connection has not carried yet, and returns it.
     pub fn pop_for(&self, connection: &UpstreamConnection) -> Option<OutgoingAttempt> {
         let mut attempts = lock(&self.attempts);
         let remembered = lock(&connection.remembered_ids);
@@ -89,12 +88,12 @@
         attempts.remove(index)
     }
 
-    /// Takes the attempt that has waited longest.
+    /// Removes the oldest attempt and returns it.
     pub fn pop(&self) -> Option<OutgoingAttempt> {
         lock(&self.attempts).pop_front()
     }
 
-    /// Removes an attempt.
+    /// Removes the attempt with this key, if it is queued.
     pub fn remove(&self, key: AttemptKey) {
         lock(&self.attempts).retain(|attempt| attempt.key != key);
     }
@@ -102,38 +101,38 @@
 
 /// A request id that a connection has carried.
 pub struct RememberedId {
-    /// When it was last sent.
+    /// When the attempt with this id was assigned to the connection.
     pub sent_at: Duration,
-    /// A response to it has arrived.
+    /// Whether a response with this id has arrived.
     pub is_answered: bool,
 }
 
-/// What the host's actor sees of a connection. The connection's actor owns the state; the host's actor adds the attempts
-/// that it hands over.
+/// The state of a connection that its actor shares with the actor of its host. The connection's actor updates it; the
+/// host's actor only adds the attempts that it assigns to the connection.
 pub struct UpstreamConnection {
-    /// The mailbox of its actor.
+    /// The mailbox of the connection's actor.
     pub mailbox: Arc<Mailbox<UpstreamMessage>>,
-    /// It was established.
+    /// Whether the connection was ever established.
     pub established: AtomicBool,
-    /// It has ended.
+    /// Whether the connection has ended or was never established.
     pub ended: AtomicBool,
-    /// A response has begun to arrive.
+    /// Whether a response has arrived in part.
     pub receiving: AtomicBool,
-    /// It takes no further attempts.
+    /// Whether the connection was retired and accepts no further attempts.
     pub exhausted: AtomicBool,
-    /// Attempts on it, sent or about to be.
+    /// Number of attempts assigned to the connection that have not ended, whether or not they were sent.
     pub in_flight: AtomicUsize,
-    /// When it was last used.
+    /// When an attempt was last assigned to the connection, or when it was created.
     pub last_used: Mutex<Duration>,
-    /// When anything last arrived on it.
+    /// When data last arrived on the connection; zero if none has.
     pub last_received: Mutex<Duration>,
-    /// The ids that it has carried: another attempt under one of them could not be told from what is still to arrive for
-    /// the first, be it late or a second time.
+    /// The ids of the attempts that the connection has carried. A second attempt with the same id must not use it: a
+    /// late or duplicate response to the first would be mistaken for a response to the second.
     pub remembered_ids: Mutex<BTreeMap<String, RememberedId>>,
 }
 
 impl UpstreamConnection {
-    /// A connection that is being established.
+    /// Creates the state of a connection that is being established.
     pub fn new(now: Duration) -> Self {
         UpstreamConnection {
             mailbox: Mailbox::new(),
@@ -148,43 +147,43 @@
         }
     }
 
-    /// It is being established.
+    /// Whether the connection is still being established.
     pub fn is_connecting(&self) -> bool {
         !self.established.load(Ordering::Relaxed) && !self.is_ended()
     }
 
-    /// It was established and has not ended.
+    /// Whether the connection was established and has not ended.
     pub fn is_open(&self) -> bool {
         self.established.load(Ordering::Relaxed) && !self.is_ended()
     }
 
-    /// It has ended.
+    /// Whether the connection has ended or could not be established.
     pub fn is_ended(&self) -> bool {
         self.ended.load(Ordering::Relaxed)
     }
 
-    /// Whether anything arrived on it since `time`, and more may.
+    /// Whether data has arrived since `time` on this connection, and it has not ended.
     pub fn has_received_since(&self, time: Duration) -> bool {
         !self.is_ended() && *lock(&self.last_received) >= time
     }
 
-    /// A response has begun to arrive.
+    /// Whether a response has arrived in part.
     pub fn is_receiving(&self) -> bool {
         self.receiving.load(Ordering::Relaxed)
     }
 
-    /// Attempts on it, sent or about to be.
+    /// Number of attempts assigned to the connection that have not ended.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// When it was last used.
+    /// When an attempt was last assigned to the connection, or when it was created.
     pub fn last_used(&self) -> Duration {
         *lock(&self.last_used)
     }
 
-    /// Whether an attempt under this id may go on it. Nothing gets through behind a response that nobody waits for and
-    /// that is not complete.
+    /// Whether an attempt with this id may be sent on the connection. A partly received response without a matching
+    /// attempt in flight blocks the connection, because later responses can't arrive before it is complete.
     pub fn accepts(&self, id: &str, pool: &ConnectionPool) -> bool {
         let is_repeated = lock(&self.remembered_ids).contains_key(id);
         let is_blocked = self.is_receiving() && self.in_flight() == 0;
@@ -195,7 +194,8 @@
             && self.in_flight() < pool.max_concurrent_attempts
     }
 
-    /// Whether it will take no further attempts.
+    /// Whether the connection will never accept attempts again: it was retired, remembers too many ids or was idle too
+    /// long.
     pub fn is_exhausted(&self, pool: &ConnectionPool) -> bool {
         let idle = pool.clock.now().saturating_sub(self.last_used());
         let is_full = lock(&self.remembered_ids).len() >= MAX_REMEMBERED_IDS;
@@ -203,7 +203,7 @@
         self.exhausted.load(Ordering::Relaxed) || is_full || is_stale
     }
 
-    /// Remembers an id that goes on it, for as long as a response may arrive.
+    /// Remembers the id of an attempt on this connection, and forgets ids for which no response is expected any more.
     pub fn remember(&self, id: &str, pool: &ConnectionPool) {
         let sent_at = pool.clock.now();
         let mut ids = lock(&self.remembered_ids);
@@ -211,7 +211,7 @@
         ids.insert(id.to_string(), RememberedId { sent_at, is_answered: false });
     }
 
-    /// Hands an attempt over to the connection.
+    /// Assigns an attempt to the connection, which sends it if its permit is still valid.
     pub fn send_attempt(&self, attempt: OutgoingAttempt, pool: &ConnectionPool) {
         self.remember(&attempt.id, pool);
         self.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -224,7 +224,7 @@
     }
 }
 
-/// No coroutine gives way while it holds one of these locks.
+/// Locks shared state of the pool. The caller must not yield its coroutine while it holds the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
