--- a/crates/rockflow-dispatcher/src/endpoint.rs
+++ b/crates/rockflow-dispatcher/src/endpoint.rs
@@ -1,27 +1,27 @@
-//! An endpoint as the endpoint list holds it.
+//! An entry of the endpoint list.
 
 use rockflow::{EndpointEntry, Readiness};
 use rockflow_endpoints::{ListedEndpoint, RegistryEntry};
 use std::net::SocketAddr;
 
-/// The id that the decisions use for a name on the wire; the same at every dispatcher.
+/// Hashes a name on the wire to the numeric id that the router uses for it. All dispatchers compute the same id.
 pub fn id_from_name(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
-/// An entry of the endpoint list, with what only the sockets need.
+/// A host in the endpoint list: the router's entry for it, and the name and address that connections need.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The name that identifies it.
+    /// The unique name of the host, discovery's instance id.
     pub name: String,
-    /// Where it is reached.
+    /// The address for connections to the host.
     pub address: SocketAddr,
-    /// What the decisions know of it.
+    /// The properties of the host that the router uses.
     pub entry: EndpointEntry,
 }
 
 impl Endpoint {
-    /// What the availability of its group depends on.
+    /// The properties on which the availability of the endpoint's group depends.
     pub fn to_listed(&self) -> ListedEndpoint {
         ListedEndpoint {
             role: self.entry.role,
--- a/crates/rockflow-dispatcher/src/endpoint_list/message.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the endpoint list's actor.
+//! Messages to the actor of the endpoint list.
 
 use crate::backpressure::{CoalescingSlot, CompletionCallback};
 use crate::status::StatusReport;
@@ -7,23 +7,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The overrides of control that were not applied, by endpoint name.
+/// The overrides of the control node that were not applied, by endpoint name.
 pub type RejectedOverrides = BTreeMap<String, RejectedOverride>;
 
-/// A message to the endpoint list's actor.
+/// A message to an [`EndpointListActor`](crate::endpoint_list::EndpointListActor).
 pub enum EndpointListMessage {
-    /// An event of discovery.
+    /// Apply a watch event that discovery sent: an endpoint update, a purge or both.
     Event(WatchEvent),
-    /// Replace all overrides of operators.
+    /// Replace all administrative overrides set by operators.
     SetOperatorOverrides {
         /// The new overrides.
         overrides: AdminOverrides,
-        /// Called once the decisions go by them.
+        /// Called once the decision actor has applied the overrides.
         done: CompletionCallback<()>,
     },
-    /// Replace all overrides of control by those in the slot; its callers are notified once the decisions go by them, with
-    /// those that are not applied.
+    /// Replace all administrative overrides set by the control node with those in the slot. The slot's callers are
+    /// notified with the rejected overrides once the decision actor has applied the others.
     SetControlOverrides(Arc<CoalescingSlot<AdminOverrides, RejectedOverrides>>),
-    /// Begin a status report, which the decisions complete.
+    /// Fill in the endpoint list's part of a status report and pass it to the decision actor, which completes it.
     ReportStatus(CompletionCallback<Box<StatusReport>>),
 }
--- a/crates/rockflow-dispatcher/src/endpoint_list/mod.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list/mod.rs
@@ -1,4 +1,5 @@
-//! The actor of the endpoint list: holds what discovery lists, applies administrative overrides, and tells the decisions.
+//! The actor of the endpoint list: reads the endpoints from discovery's events, applies administrative overrides, and
+//! sends the changes to the decision actor.
 
 pub mod message;
 mod reader;
@@ -21,18 +22,18 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Owns the endpoint list.
+/// Owns the endpoint list and its administrative overrides.
 pub struct EndpointListActor {
     clock: Clock,
     reader: EndpointReader,
     mailbox: Arc<Mailbox<EndpointListMessage>>,
     decisions: Arc<Mailbox<DecisionMessage>>,
-    /// Where discovery's list and the overrides are merged; none where nobody can set overrides.
+    /// Applies the overrides to discovery's endpoint list. `None` if the dispatcher runs without overrides.
     registry: Option<EndpointRegistry<Endpoint>>,
 }
 
 impl EndpointListActor {
-    /// An actor that tells `decisions` of changes; without a registry there are no overrides.
+    /// Creates an actor that sends changes to `decisions`. Without a registry, overrides are not supported.
     pub fn new(
         clock: Clock,
         reader: EndpointReader,
@@ -43,7 +44,7 @@
         EndpointListActor { clock, reader, mailbox, decisions, registry }
     }
 
-    /// Runs for ever.
+    /// Handles messages and expiring overrides; never returns.
     pub fn run(&mut self) {
         self.mailbox.wake_by(Wake::Park(coroutine::current()));
         loop {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Waits for a message, or until the next override expires.
+    /// Waits for a message or until the next override expires, and removes expired overrides.
     fn wait_for_expiry(&mut self, now: Duration) {
         let Some(registry) = &mut self.registry else { return coroutine::park() };
         let Some(expiry) = registry.next_expiry(now) else { return coroutine::park() };
@@ -126,8 +127,8 @@
         self.tell_decisions(update.changes, Some(Box::new(move |()| done(rejected))));
     }
 
-    /// Sends one message, so that the decisions hear of all changes or none. Callers are notified in the order of their
-    /// messages, also where nothing changed.
+    /// Sends the changes to the decision actor in one message, so that it applies all of them or none. A message with
+    /// `done` is sent even if nothing changed, so that callers are notified in the order of their messages.
     fn tell_decisions(&self, entries: Vec<Endpoint>, done: Option<CompletionCallback<()>>) {
         if entries.is_empty() && done.is_none() {
             return;
