--- a/crates/rockflow-dispatcher/src/mailbox.rs
+++ b/crates/rockflow-dispatcher/src/mailbox.rs
@@ -1,24 +1,25 @@
-//! An actor's mailbox, and how the actor is woken: from a park, or from its wait on a socket.
+//! The mailbox of an actor. A message wakes the actor if it is parked or waits on a socket.
 
 use may::coroutine::Coroutine;
 use may::io::WaitIoWaker;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How the owner of a mailbox is woken.
+/// How a message wakes the actor that owns a mailbox.
 pub enum Wake {
-    /// It is parked.
+    /// Unpark the coroutine of the actor.
     Park(Coroutine),
-    /// It waits on a socket.
+    /// End the actor's wait on its socket.
     Io(WaitIoWaker),
 }
 
 struct Queues<T> {
-    /// Taken before the others, in their own order.
+    /// Messages that are taken before the normal ones, in the order in which they were sent.
     urgent: VecDeque<T>,
     normal: VecDeque<T>,
+    /// `None` until the actor has started, and after it has ended.
     wake: Option<Wake>,
-    /// The actor has ended: messages are dropped.
+    /// The actor has ended; further messages are dropped.
     closed: bool,
 }
 
@@ -28,46 +29,46 @@
     Urgent,
 }
 
-/// Messages to an actor. The queues have no bound of their own: each sender bounds what it sends.
+/// Holds the messages that an actor has not handled yet. The queues are unbounded: each sender limits its own messages.
 pub struct Mailbox<T> {
     queues: Mutex<Queues<T>>,
 }
 
 impl<T> Mailbox<T> {
-    /// An empty mailbox that wakes nobody yet.
+    /// Creates an empty mailbox whose messages wake no actor until [`Mailbox::wake_by`] is called.
     pub fn new() -> Arc<Self> {
         let queues = Queues { urgent: VecDeque::new(), normal: VecDeque::new(), wake: None, closed: false };
         Arc::new(Mailbox { queues: Mutex::new(queues) })
     }
 
-    /// Sends a message.
+    /// Appends a message and wakes the actor.
     pub fn send(&self, message: T) {
         self.push(message, Priority::Normal);
     }
 
-    /// Sends a message that is taken before all that are not urgent.
+    /// Like [`Mailbox::send`], but the message is taken before all normal ones.
     pub fn send_urgent(&self, message: T) {
         self.push(message, Priority::Urgent);
     }
 
-    /// Takes the next message.
+    /// Removes the next message and returns it, or `None` if the mailbox is empty. Doesn't wait.
     pub fn take(&self) -> Option<T> {
         let mut queues = self.lock();
         queues.urgent.pop_front().or_else(|| queues.normal.pop_front())
     }
 
-    /// Number of messages that wait.
+    /// Number of messages in the mailbox.
     pub fn len(&self) -> usize {
         let queues = self.lock();
         queues.urgent.len() + queues.normal.len()
     }
 
-    /// Whether no message waits.
+    /// Whether the mailbox contains no message.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The actor has ended: drops all messages, and those that are still sent.
+    /// Called when the actor ends: drops all messages, including those sent later.
     pub fn close(&self) {
         let mut queues = self.lock();
         queues.closed = true;
@@ -76,12 +77,12 @@
         queues.wake = None;
     }
 
-    /// Whether the actor has ended.
+    /// Whether the mailbox was closed because its actor has ended.
     pub fn is_closed(&self) -> bool {
         self.lock().closed
     }
 
-    /// From now on the actor is woken this way.
+    /// Sets how further messages wake the actor.
     pub fn wake_by(&self, wake: Wake) {
         self.lock().wake = Some(wake);
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// No coroutine gives way while it holds this lock, so it is never waited for long.
+    /// Locks the queues. The caller must not yield its coroutine while it holds the lock, so the wait for it is short.
     fn lock(&self) -> MutexGuard<'_, Queues<T>> {
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
