--- a/crates/rockflow-dispatcher/src/timer.rs
+++ b/crates/rockflow-dispatcher/src/timer.rs
@@ -1,25 +1,30 @@
-//! Every wait of the dispatcher's coroutines for a time. One thread watches the deadlines; a coroutine unparks those that
-//! wait, so that all of it but the watching is done on the runtime's worker.
+//! Timers for the dispatcher's coroutines: parks with a timeout, and sleeps. A thread waits for the earliest deadline;
+//! a coroutine on the runtime's worker then unparks the coroutines whose deadline has passed. No other work is done on
+//! the thread.
 //!
-//! Guards against faults of `may`'s own timers; none is used here but that of a connect, which runs on the worker:
-//! - They run the coroutines that they wake on their own thread, beside the worker. Where either has given a coroutine
-//!   away it still writes into it; one that continued and ended meanwhile on the other thread is freed memory by then.
-//! - A park that is delayed between its timer and its own last step misses that timer, and lasts for ever.
-//! - One that another thread unparks in the last step of its park continues inside of that step. If it ends there, the
-//!   worker waits for ever for the step to end; so no other thread unparks a coroutine that ends.
-//! - Past 1,024 lengths of wait a coroutine may take back another's timer, and that one sleeps for ever.
+//! Replaces `may`'s own timers because of the faults below. The only one of them still in use is the timeout of a
+//! connect, which runs on the worker.
+//! - They run the coroutines that they wake on the timer thread, in parallel with the worker. Either
+//!   thread still writes to a coroutine after passing it on. If the coroutine has meanwhile continued and ended on the
+//!   other thread, that is a write to freed memory.
+//! - A park that is delayed between setting its timer and its own last step misses the timer, and never returns.
+//! - A coroutine that another thread unparks during the last step of its park continues inside that step. If it ends
+//!   there, the worker waits forever for the step to complete. Therefore no thread except the worker may unpark a
+//!   coroutine that can end.
+//! - With more than 1,024 distinct wait durations, a coroutine may remove the timer of another one, which then sleeps
+//!   forever.
 
 use may::coroutine::{self, Coroutine};
 use std::collections::BTreeMap;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The shortest park: keeps timers that follow close on each other from waking the thread for each.
+/// The shortest park. Without a minimum, closely spaced deadlines would each wake the thread.
 const MIN_PARK: Duration = Duration::from_millis(1);
-/// The longest park.
+/// The longest park; a longer wait takes several parks.
 const MAX_PARK: Duration = Duration::from_secs(3600);
 
-/// A deadline, and a number that tells it from others of the same time.
+/// Orders timers by deadline. The number makes timers with the same deadline distinct.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
     deadline: Instant,
@@ -27,13 +32,15 @@
 }
 
 struct Deadlines {
+    /// Coroutines whose deadline has not passed.
     waiting: BTreeMap<Key, Coroutine>,
-    /// Those whose deadline has passed and that are not unparked yet.
+    /// Coroutines whose deadline has passed and that still have to be unparked.
     due: Vec<Coroutine>,
+    /// The number that the next timer gets.
     next_number: u64,
-    /// The thread and its coroutine are running.
+    /// Whether the thread and the coroutine that unparks were started; the first timer starts them.
     started: bool,
-    /// The deadline until which the thread waits; none: until it is notified of one.
+    /// The deadline for which the thread waits. `None`: it waits for a notification of [`EARLIER`].
     watched: Option<Instant>,
 }
 
@@ -44,18 +51,19 @@
     started: false,
     watched: None,
 });
-/// Notified when a deadline is set that is earlier than the watched one.
+/// Wakes the thread when a timer is set whose deadline is earlier than the watched one.
 static EARLIER: Condvar = Condvar::new();
 
-/// No coroutine gives way while it holds this lock, so it is never waited for long.
+/// Locks the deadlines. The caller must not yield its coroutine while it holds the lock, so the wait for it is short.
 fn deadlines() -> MutexGuard<'static, Deadlines> {
     DEADLINES.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A deadline of the running coroutine; removed when it is dropped.
+/// A timer that unparks the coroutine that set it. Dropping it removes the timer.
 struct Timer(Key);
 
 impl Timer {
+    /// Sets a timer for the running coroutine, at least [`MIN_PARK`] and at most [`MAX_PARK`] from now.
     fn set(wait: Duration) -> Timer {
         let deadline = Instant::now() + wait.clamp(MIN_PARK, MAX_PARK);
         let mut deadlines = deadlines();
@@ -83,7 +91,7 @@
     }
 }
 
-/// The coroutine, which never ends: unparks those whose deadline has passed.
+/// Body of the coroutine that unparks the due coroutines. Never returns.
 fn unpark_due() {
     loop {
         let due = std::mem::take(&mut deadlines().due);
@@ -94,7 +102,8 @@
     }
 }
 
-/// The thread: has those unparked whose deadline has passed, and waits for the next deadline.
+/// Body of the thread: moves the coroutines whose deadline has passed to `due`, wakes `waker` to unpark them, and waits
+/// for the next deadline. Never returns.
 fn watch_deadlines(waker: &Coroutine) {
     let mut held = deadlines();
     loop {
@@ -119,13 +128,15 @@
     }
 }
 
-/// Parks until the coroutine is woken or the wait has passed, or returns early: whoever parks checks the time anyway.
+/// Parks the running coroutine until it is unparked or `wait` has passed. May return early, so callers have to check
+/// the time.
 pub fn park(wait: Duration) {
     let _timer = Timer::set(wait);
     coroutine::park();
 }
 
-/// Sleeps for the whole wait. A wake-up meanwhile is lost: the mailbox is read after it and before the next park.
+/// Suspends the running coroutine for at least `wait`. An unpark during the sleep is lost, so an actor has to read its
+/// mailbox afterwards, before it parks again.
 pub fn sleep(wait: Duration) {
     let start = Instant::now();
     while let Some(left) = wait.checked_sub(start.elapsed()).filter(|left| !left.is_zero()) {
