--- a/crates/rockflow-dispatcher/src/clock.rs
+++ b/crates/rockflow-dispatcher/src/clock.rs
@@ -1,9 +1,9 @@
-//! The one clock: monotonic for the decisions, and the only place where Unix time is converted.
+//! The dispatcher's monotonic clock, which also converts Unix timestamps.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Counts on from the Unix time of the start, so that hosts started before it have their place on the same scale and a
-/// step of the system's clock moves nothing.
+/// A monotonic clock that starts at the Unix time at which the dispatcher started. Start times of hosts, which are Unix
+/// timestamps, can be compared with it, and a step of the system clock doesn't change it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix_at_start: Duration,
@@ -11,22 +11,22 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Self {
         Clock { unix_at_start: unix_now(), start: Instant::now() }
     }
 
-    /// The current time.
+    /// The time on this clock: the Unix time at its start plus the time elapsed since.
     pub fn now(&self) -> Duration {
         self.unix_at_start + self.start.elapsed()
     }
 
-    /// A Unix time in milliseconds on this clock; always the same for the same time.
+    /// Converts a Unix time in milliseconds to this clock. The result depends on the argument alone.
     pub fn at(&self, unix_ms: u64) -> Duration {
         Duration::from_millis(unix_ms)
     }
 
-    /// How long ago a Unix time in milliseconds was, by the system's clock.
+    /// Time elapsed since a Unix time in milliseconds, by the system clock; zero if that time is in the future.
     pub fn age(&self, unix_ms: u64) -> Duration {
         unix_now().saturating_sub(Duration::from_millis(unix_ms))
     }
--- a/crates/rockflow-dispatcher/src/supervisor.rs
+++ b/crates/rockflow-dispatcher/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Starts the dispatcher's own actors, and restarts those that panic.
+//! Starts the long-running actors of the dispatcher, and restarts those that panic.
 
 use crate::timer;
 use may::coroutine::Builder;
@@ -6,14 +6,15 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Stack of an actor, in words of eight bytes.
+/// Stack size of an actor, in words of eight bytes.
 pub(crate) const STACK_WORDS: usize = 0x2000;
-/// Stack of an actor that parses JSON or runs the decisions.
+/// Stack size of an actor that parses JSON or makes routing decisions, in words of eight bytes.
 pub(crate) const LARGE_STACK_WORDS: usize = 0x20000;
-/// The wait before an actor that panicked is started again.
+/// Delay between the end of an actor and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(10);
 
-/// Starts an actor. One that panics is started again: without it nothing is decided or passed on.
+/// Starts an actor in a coroutine, and restarts it whenever it panics or returns: the dispatcher can't work without it.
+/// Fails if the coroutine can't be created.
 pub(crate) fn spawn(
     name: &'static str,
     stack_words: usize,
@@ -25,6 +26,6 @@
         timer::sleep(RESTART_DELAY);
     };
     let builder = Builder::new().name(name.to_string()).stack_size(stack_words);
-    // Safe as long as actors use no thread-local values across a wait and keep to their stacks.
+    // SAFETY: actors keep no thread-local values across a wait and don't exceed their stacks.
     unsafe { builder.spawn::<_, ()>(supervised).map(|_| ()) }
 }
