--- a/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
@@ -1,4 +1,4 @@
-//! Reads endpoints from events of discovery by what the settings name.
+//! Converts discovery's events into endpoints, using the location and machine kind names of the settings.
 
 use crate::clock::Clock;
 use crate::endpoint::{id_from_name, Endpoint};
@@ -14,47 +14,49 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{instance}: {fault}")]
 pub struct InvalidInstance {
-    /// Its name.
+    /// The instance id that discovery lists.
     pub instance: String,
-    /// What is wrong with it.
+    /// The invalid part of its entry.
     pub fault: InstanceFault,
 }
 
-/// What is wrong with an instance.
+/// The invalid part of an instance's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InstanceFault {
-    /// The settings don't name its location.
+    /// The settings don't contain its zone as a location.
     #[error("unknown zone")]
     UnknownLocation,
-    /// The settings don't name its kind.
-    #[error("unknown kind")]
+    /// The settings don't contain its machine type as a kind.
+    #[error("unknown machine type")]
     UnknownKind,
-    /// Its address can't be parsed.
-    #[error("no address")]
+    /// Its `hostPort` can't be parsed as a socket address.
+    #[error("invalid address")]
     InvalidAddress,
 }
 
-/// What is known at the start of a dispatcher.
+/// The endpoint list and the purges with which a dispatcher starts.
 pub struct InitialState {
-    /// The endpoints.
+    /// The listed endpoints, ordered by name.
     pub endpoints: Vec<Endpoint>,
-    /// The purges, in their order.
+    /// The purges, in the order of the events.
     pub purges: Vec<Purge>,
 }
 
-/// Reads events of discovery.
+/// Converts discovery's events into [`Endpoint`]s and [`Purge`]s.
 pub struct EndpointReader {
     clock: Clock,
     /// Names of the locations, by index.
     locations: Vec<String>,
     /// Names of the kinds of machines, by index.
     kinds: Vec<String>,
+    /// Index in `kinds` of the kind that parents have; negative if there are no parents.
     parent_kind: i64,
+    /// Index in `kinds` of the kind that origins have; negative if there are no origins.
     origin_kind: i64,
 }
 
 impl EndpointReader {
-    /// A reader by these settings.
+    /// Creates a reader for the locations and kinds of these settings.
     pub fn new(
         clock: Clock,
         deployment_settings: &DeploymentSettings,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Reads a snapshot: the list that its events amount to, and its purges.
+    /// Reads the events of a snapshot: the endpoint list that results from all its updates, and its purges.
     pub fn read_snapshot(&self, events: &[WatchEvent]) -> InitialState {
         let mut endpoints = BTreeMap::new();
         let mut purges = Vec::new();
@@ -82,7 +84,7 @@
         InitialState { endpoints: endpoints.into_values().collect(), purges }
     }
 
-    /// Reads the endpoints of an update; invalid ones are logged and left out.
+    /// Reads the endpoints of an update. Logs and omits invalid instances.
     pub fn read_update(&self, update: &EndpointUpdate) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
         for instance in &update.instances {
@@ -94,6 +96,7 @@
         endpoints
     }
 
+    /// Applies an update to a list of endpoints by name.
     fn apply_update(&self, endpoints: &mut BTreeMap<String, Endpoint>, update: &EndpointUpdate) {
         if update.is_full {
             endpoints.clear();
@@ -141,6 +144,7 @@
     }
 }
 
+/// Position of the normalized `name` in `names`.
 fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| *known == normalize_value(name))
 }
--- a/crates/rockflow-dispatcher/src/upstream/connection.rs
+++ b/crates/rockflow-dispatcher/src/upstream/connection.rs
@@ -18,75 +18,79 @@
 use thiserror::Error;
 use tracing::{debug, warn};
 
-/// Ids on a connection that were never answered, as a multiple of the attempts it carries at once; past it the connection
-/// is exhausted.
+/// Limit on the remembered ids of a connection that never got a response, as a multiple of the attempts that it may
+/// carry concurrently. A connection that reaches it is retired.
 const MAX_UNANSWERED_FACTOR: usize = 8;
 
-/// Why a connection can't be used any more.
+/// Why a connection fails.
 #[derive(Debug, Error)]
 enum ConnectionError {
     #[error("end of stream")]
     EndOfStream,
     #[error("{0}")]
     Io(#[source] std::io::Error),
-    #[error("an answer that stands still")]
+    #[error("incomplete response made no progress")]
     Stalled,
-    #[error("a host that reads nothing")]
+    #[error("too many unsent bytes: the host does not read")]
     HostNotReading,
-    #[error("an answer that fills the buffer")]
+    #[error("response exceeds the receive buffer")]
     OversizedResponse,
-    #[error("no memory left for an answer")]
+    #[error("limit on buffered response bytes reached")]
     OutOfMemory,
-    #[error("unchanged, where no copy was named")]
+    #[error("\"unchanged\" in response to an attempt without a cached copy")]
     UnexpectedNotModified,
     #[error("{0}")]
     Malformed(#[from] DecodeError),
 }
 
-/// Whether a host took the first bytes of an attempt.
+/// Result of writing the first bytes of an attempt to the socket.
 enum SendOutcome {
     Done,
-    /// The host takes nothing now.
+    /// The socket accepts no bytes at the moment.
     Blocked,
 }
 
-/// What is left of a connection that has ended.
+/// Attempts without a response when their connection ended.
 pub(super) struct EndedConnection {
-    /// The attempts that were in flight, which may have been executed.
+    /// The attempts in flight, which may have executed.
     pub in_flight: EndedAttempts,
     /// The attempts that were not sent.
     pub unsent: Vec<OutgoingAttempt>,
 }
 
-/// An attempt that was sent.
+/// An attempt whose first byte was sent.
 struct SentAttempt {
     key: AttemptKey,
     sent_at: Duration,
     names_cached_copy: bool,
 }
 
-/// Owns the socket and the attempts on it; the host's actor sees [`UpstreamConnection`].
+/// Owns the socket and the attempts on it. The host's actor reads the state in [`UpstreamConnection`].
 pub(super) struct ConnectionActor<'a> {
     endpoint: &'a str,
     pool: &'a ConnectionPool,
     shared: &'a UpstreamConnection,
     queue: &'a AttemptQueue,
     stream: TcpStream,
-    /// What is being written, and the attempts that follow it.
+    /// Encoded bytes that are being written.
     unsent: Vec<u8>,
+    /// Attempts that are written after `unsent`.
     waiting: VecDeque<OutgoingAttempt>,
-    /// Attempts in flight by their id on the wire.
+    /// Attempts in flight, by their id on the wire.
     in_flight: BTreeMap<String, SentAttempt>,
+    /// Tags of the health checks in flight.
     health_checks: BTreeSet<u64>,
     buffer: Buffer,
-    /// The part of `ConnectionPool::buffered_bytes` that is this buffer's.
+    /// Capacity of this buffer as last added to [`ConnectionPool::buffered_bytes`].
     counted_bytes: usize,
-    /// When anything last arrived.
+    /// When data last arrived; zero if none has.
     last_received: Duration,
-    /// When the response that is arriving began.
+    /// When the receive buffer last became non-empty, usually with the first bytes of a response. `None` while it is
+    /// empty.
     response_started: Option<Duration>,
+    /// No attempts are taken from the queue, and the connection closes once nothing is in flight.
     retired: bool,
-    /// The outcome of the attempts that are in flight when it ends, if the host is gone.
+    /// Outcome of the attempts in flight when the connection ends, if the host is gone.
     outcome: Outcome,
 }
 
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Serves the connection until it ends.
+    /// Serves the connection until it fails or is retired and idle.
     pub(super) fn serve(&mut self) {
         loop {
             let mut progress = self.read_mailbox();
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Gives back what is counted for the connection, fails its health checks, and returns its attempts.
+    /// Subtracts this connection's buffer from the buffered bytes, fails its health checks, and returns its attempts.
     pub(super) fn finish(self) -> EndedConnection {
         self.pool.buffered_bytes.fetch_sub(self.counted_bytes, Ordering::Relaxed);
         for tag in self.health_checks {
@@ -152,11 +156,11 @@
         EndedConnection { in_flight, unsent: self.waiting.into() }
     }
 
-    /// Reads, takes an attempt from the queue, and writes. Reads first: a host that has closed is not written to, so that
-    /// what waits goes on another connection.
+    /// Reads, takes an attempt from the queue, and writes; returns whether any of these made progress. Reading comes
+    /// first to detect a close by the host: attempts that were not written yet can then be sent on another connection.
     fn transfer(&mut self) -> Result<bool, ConnectionError> {
         let read = self.read()?;
-        // Only where nothing is left to read has a response stopped: what had arrived may just not have been read in time.
+        // Checked only if nothing is left to read: a response is not stalled if the worker merely read it late.
         if !read {
             self.check_progress()?;
         }
@@ -173,7 +177,8 @@
         }
     }
 
-    /// Takes what has waited longest for a connection, once nothing else is in flight or arriving on this one.
+    /// Takes the oldest queued attempt that this connection may carry, if nothing is in flight or arriving on it.
+    /// Returns whether it took one.
     fn take_queued(&mut self) -> bool {
         let is_free = self.in_flight.is_empty() && self.waiting.is_empty() && !self.shared.is_receiving();
         if !is_free || self.retired || self.queue.is_empty() || self.shared.is_exhausted(self.pool) {
@@ -185,6 +190,7 @@
         true
     }
 
+    /// Handles all messages in the mailbox; returns whether there were any.
     fn read_mailbox(&mut self) -> bool {
         let mut progress = false;
         while let Some(message) = self.shared.mailbox.take() {
@@ -200,7 +206,7 @@
             UpstreamMessage::Cancel { key, reason } => self.cancel(key, reason),
             UpstreamMessage::CheckHealth { tag, kind } => self.check_health(tag, kind),
             UpstreamMessage::Retire => self.retire(),
-            // Any message wakes the actor, which then checks.
+            // The message only has to wake the actor, which then calls `check_progress`.
             UpstreamMessage::Inspect => {}
         }
     }
@@ -216,7 +222,7 @@
     }
 
     fn cancel(&mut self, key: AttemptKey, reason: CancelReason) {
-        // What is cancelled before it is sent never is.
+        // An attempt that was not sent yet is dropped without a message to the host.
         if self.waiting.iter().any(|attempt| attempt.key == key) {
             self.waiting.retain(|attempt| attempt.key != key);
             return;
@@ -225,9 +231,10 @@
         let Some((id, sent_at)) = found.map(|(id, attempt)| (id.clone(), attempt.sent_at)) else { return };
         self.in_flight.remove(&id);
         self.unsent.extend_from_slice(&upstream::encode_cancel(&id));
-        // Guards against a machine that vanished or was cut off: the connection would stay open and silent, and after a
-        // cut it recovers late. A new one shows at once whether anyone is there. And against one on which this attempt
-        // alone is never answered: it is of no further use then.
+        // A connection to a machine that vanished or was cut off from the network stays open and silent, and recovers
+        // late after the network does. Connecting anew shows at once whether the machine is reachable, so a connection
+        // without data since this attempt was sent is retired. So is one on which the timed-out attempt was the
+        // last in flight, as it is of no further use, and one with too many ids that never got a response.
         let is_silent = self.last_received < sent_at;
         let is_last_unanswered = reason == CancelReason::TimedOut && self.in_flight.is_empty();
         if is_silent || is_last_unanswered || self.has_too_many_unanswered() {
@@ -245,7 +252,7 @@
         self.retired = true;
     }
 
-    /// Writes what the host takes; returns whether anything was written.
+    /// Writes until the socket accepts no more bytes or nothing is left to write; returns whether anything was written.
     fn write(&mut self) -> Result<bool, ConnectionError> {
         let mut wrote = false;
         loop {
@@ -274,7 +281,7 @@
         }
     }
 
-    /// Writes the first bytes of an attempt, if it may still be sent.
+    /// Writes the first bytes of an attempt, or reports it as not sent if its permit is no longer valid.
     fn send(&mut self, attempt: OutgoingAttempt) -> Result<SendOutcome, ConnectionError> {
         let now = self.pool.clock.now();
         if !attempt.permit.start_sending(now) {
@@ -301,8 +308,8 @@
         }
     }
 
-    /// Guards against a response that arrived before the host closed and is lost with the connection because it had not been
-    /// read completely.
+    /// Reads the responses that arrived before a write failed, which would otherwise be lost with the connection.
+    /// Returns the error with which the connection ends.
     fn on_write_failed(&mut self, error: std::io::Error) -> ConnectionError {
         loop {
             match self.read() {
@@ -313,6 +320,7 @@
         }
     }
 
+    /// Fails if more bytes wait to be written than [`ConnectionPool::max_unsent_bytes`].
     fn check_unsent(&self) -> Result<(), ConnectionError> {
         let waiting = self.waiting.iter().map(|attempt| attempt.line.len()).sum::<usize>();
         if self.unsent.len() + waiting > self.pool.max_unsent_bytes {
@@ -321,8 +329,9 @@
         Ok(())
     }
 
-    /// Guards against a response that stops short while its connection stays open, and against a line that arrives byte by
-    /// byte without end: nothing else would get through behind it.
+    /// Fails if a partly received response has stalled, because it blocks all later responses on the connection. The
+    /// first line has to be complete within the connect timeout after its first byte, so a line that arrives byte by
+    /// byte without end fails too. After the first line, the timeout restarts whenever data arrives.
     fn check_progress(&self) -> Result<(), ConnectionError> {
         let now = self.pool.clock.now();
         let has_line = self.buffer.filled().contains(&b'\n');
@@ -338,7 +347,8 @@
         Ok(())
     }
 
-    /// The connection is gone. In the middle of a response it was a live host's.
+    /// Sets the outcome of the attempts in flight after the connection was lost. If part of a response had arrived, the
+    /// host was alive and the outcome stays [`Outcome::MalformedResponse`].
     fn lost(&mut self, error: ConnectionError) -> ConnectionError {
         if self.response_started.is_none() {
             self.outcome = Outcome::ConnectionLost;
@@ -346,7 +356,7 @@
         error
     }
 
-    /// Reads what has arrived and passes the complete responses on; returns whether anything was read.
+    /// Reads once from the socket and passes complete responses on; returns whether to read again.
     fn read(&mut self) -> Result<bool, ConnectionError> {
         let Some(spare) = self.buffer.spare() else { return Err(ConnectionError::OversizedResponse) };
         match self.stream.inner().read(spare) {
@@ -371,7 +381,8 @@
         Ok(true)
     }
 
-    /// Counts the memory of the buffer; past the cap on all of it, the connection that needs more ends.
+    /// Updates the total of buffered bytes with the buffer's capacity. Fails if this buffer has grown and the total
+    /// exceeds [`ConnectionPool::max_buffered_bytes`].
     fn count_buffer(&mut self) -> Result<(), ConnectionError> {
         let before = std::mem::replace(&mut self.counted_bytes, self.buffer.capacity());
         let buffered_bytes = &self.pool.buffered_bytes;
@@ -411,7 +422,8 @@
         Ok(())
     }
 
-    /// A well-formed response that nobody waits for: to what has ended, a second one, or one that was never requested.
+    /// Logs a well-formed response that matches no attempt or health check in flight: a late, duplicate or unrequested
+    /// one.
     fn ignore(&self, response: &HostResponse) {
         debug!(endpoint = self.endpoint, request = response.id, "response without a matching request");
     }
