--- a/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list/reader.rs
@@ -146,5 +146,5 @@
 
 /// Position of the normalized `name` in `names`.
 fn index_of(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| *known == normalize_value(name))
+    names.iter().position(|candidate| *candidate == normalize_value(name))
 }
