--- a/crates/rockflow-dispatcher/src/timer.rs
+++ b/crates/rockflow-dispatcher/src/timer.rs
@@ -26,22 +26,22 @@
 
 /// Orders timers by deadline. The number makes timers with the same deadline distinct.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct TimerKey {
     deadline: Instant,
     number: u64,
 }
 
 struct Deadlines {
     /// Coroutines whose deadline has not passed.
-    waiting: BTreeMap<Key, Coroutine>,
+    waiting: BTreeMap<TimerKey, Coroutine>,
     /// Coroutines whose deadline has passed and that still have to be unparked.
     due: Vec<Coroutine>,
     /// The number that the next timer gets.
     next_number: u64,
     /// Whether the thread and the coroutine that unparks were started; the first timer starts them.
     started: bool,
-    /// The deadline for which the thread waits. `None`: it waits for a notification of [`EARLIER`].
-    watched: Option<Instant>,
+    /// The deadline for which the thread waits. `None`: it waits for a notification of [`EARLIER_DEADLINE`].
+    watched_deadline: Option<Instant>,
 }
 
 static DEADLINES: Mutex<Deadlines> = Mutex::new(Deadlines {
@@ -49,37 +49,37 @@
     due: Vec::new(),
     next_number: 0,
     started: false,
-    watched: None,
+    watched_deadline: None,
 });
 /// Wakes the thread when a timer is set whose deadline is earlier than the watched one.
-static EARLIER: Condvar = Condvar::new();
+static EARLIER_DEADLINE: Condvar = Condvar::new();
 
 /// Locks the deadlines. The caller must not yield its coroutine while it holds the lock, so the wait for it is short.
-fn deadlines() -> MutexGuard<'static, Deadlines> {
+fn lock_deadlines() -> MutexGuard<'static, Deadlines> {
     DEADLINES.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A timer that unparks the coroutine that set it. Dropping it removes the timer.
-struct Timer(Key);
+struct Timer(TimerKey);
 
 impl Timer {
     /// Sets a timer for the running coroutine, at least [`MIN_PARK`] and at most [`MAX_PARK`] from now.
     fn set(wait: Duration) -> Timer {
         let deadline = Instant::now() + wait.clamp(MIN_PARK, MAX_PARK);
-        let mut deadlines = deadlines();
+        let mut deadlines = lock_deadlines();
         if !deadlines.started {
             let waker = may::go!(unpark_due).coroutine().clone();
             let thread = std::thread::Builder::new().name("timers".to_string());
-            thread.spawn(move || watch_deadlines(&waker)).expect("a thread for timers");
+            thread.spawn(move || watch_deadlines(&waker)).expect("failed to start the timer thread");
             deadlines.started = true;
         }
-        let key = Key { deadline, number: deadlines.next_number };
+        let key = TimerKey { deadline, number: deadlines.next_number };
         deadlines.next_number += 1;
         deadlines.waiting.insert(key, coroutine::current());
-        if deadlines.watched.is_none_or(|watched| deadline < watched) {
-            deadlines.watched = Some(deadline);
+        if deadlines.watched_deadline.is_none_or(|watched| deadline < watched) {
+            deadlines.watched_deadline = Some(deadline);
             drop(deadlines);
-            EARLIER.notify_one();
+            EARLIER_DEADLINE.notify_one();
         }
         Timer(key)
     }
@@ -87,16 +87,16 @@
 
 impl Drop for Timer {
     fn drop(&mut self) {
-        deadlines().waiting.remove(&self.0);
+        lock_deadlines().waiting.remove(&self.0);
     }
 }
 
 /// Body of the coroutine that unparks the due coroutines. Never returns.
 fn unpark_due() {
     loop {
-        let due = std::mem::take(&mut deadlines().due);
-        for waiting in due {
-            waiting.unpark();
+        let due = std::mem::take(&mut lock_deadlines().due);
+        for coroutine in due {
+            coroutine.unpark();
         }
         coroutine::park();
     }
@@ -105,25 +105,26 @@
 /// Body of the thread: moves the coroutines whose deadline has passed to `due`, wakes `waker` to unpark them, and waits
 /// for the next deadline. Never returns.
 fn watch_deadlines(waker: &Coroutine) {
-    let mut held = deadlines();
+    let mut deadlines = lock_deadlines();
     loop {
         let now = Instant::now();
-        let later = held.waiting.split_off(&Key { deadline: now, number: u64::MAX });
-        let due = std::mem::replace(&mut held.waiting, later);
+        let pending = deadlines.waiting.split_off(&TimerKey { deadline: now, number: u64::MAX });
+        let due = std::mem::replace(&mut deadlines.waiting, pending);
         if !due.is_empty() {
-            held.due.extend(due.into_values());
-            drop(held);
+            deadlines.due.extend(due.into_values());
+            drop(deadlines);
             waker.unpark();
-            held = deadlines();
+            deadlines = lock_deadlines();
             continue;
         }
-        held.watched = held.waiting.keys().next().map(|key| key.deadline);
-        held = match held.watched {
-            Some(until) => {
-                let woken = EARLIER.wait_timeout(held, until.saturating_duration_since(now));
-                woken.unwrap_or_else(PoisonError::into_inner).0
+        deadlines.watched_deadline = deadlines.waiting.keys().next().map(|key| key.deadline);
+        deadlines = match deadlines.watched_deadline {
+            Some(deadline) => {
+                let wait_result =
+                    EARLIER_DEADLINE.wait_timeout(deadlines, deadline.saturating_duration_since(now));
+                wait_result.unwrap_or_else(PoisonError::into_inner).0
             }
-            None => EARLIER.wait(held).unwrap_or_else(PoisonError::into_inner),
+            None => EARLIER_DEADLINE.wait(deadlines).unwrap_or_else(PoisonError::into_inner),
         };
     }
 }
@@ -139,7 +140,7 @@
 /// mailbox afterwards, before it parks again.
 pub fn sleep(wait: Duration) {
     let start = Instant::now();
-    while let Some(left) = wait.checked_sub(start.elapsed()).filter(|left| !left.is_zero()) {
-        park(left);
+    while let Some(remaining) = wait.checked_sub(start.elapsed()).filter(|remaining| !remaining.is_zero()) {
+        park(remaining);
     }
 }
