--- a/crates/rockflow-dispatcher/src/connection_pool.rs
+++ b/crates/rockflow-dispatcher/src/connection_pool.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Fraction of the idle timeout after which an idle connection is not used again, because the host may be closing it.
-const USABLE_IDLE_SHARE: f64 = 0.8;
+const MAX_IDLE_FRACTION: f64 = 0.8;
 /// Maximum number of request ids that a connection remembers. A connection that reaches it accepts no further attempts.
 const MAX_REMEMBERED_IDS: usize = 1024;
 
@@ -185,10 +185,10 @@
     /// Whether an attempt with this id may be sent on the connection. A partly received response without a matching
     /// attempt in flight blocks the connection, because later responses can't arrive before it is complete.
     pub fn accepts(&self, id: &str, pool: &ConnectionPool) -> bool {
-        let is_repeated = lock(&self.remembered_ids).contains_key(id);
+        let is_used_id = lock(&self.remembered_ids).contains_key(id);
         let is_blocked = self.is_receiving() && self.in_flight() == 0;
         self.is_open()
-            && !is_repeated
+            && !is_used_id
             && !is_blocked
             && !self.is_exhausted(pool)
             && self.in_flight() < pool.max_concurrent_attempts
@@ -197,10 +197,10 @@
     /// Whether the connection will never accept attempts again: it was retired, remembers too many ids or was idle too
     /// long.
     pub fn is_exhausted(&self, pool: &ConnectionPool) -> bool {
-        let idle = pool.clock.now().saturating_sub(self.last_used());
+        let idle_time = pool.clock.now().saturating_sub(self.last_used());
         let is_full = lock(&self.remembered_ids).len() >= MAX_REMEMBERED_IDS;
-        let is_stale = idle >= pool.idle_timeout.mul_f64(USABLE_IDLE_SHARE);
-        self.exhausted.load(Ordering::Relaxed) || is_full || is_stale
+        let is_idle_too_long = idle_time >= pool.idle_timeout.mul_f64(MAX_IDLE_FRACTION);
+        self.exhausted.load(Ordering::Relaxed) || is_full || is_idle_too_long
     }
 
     /// Remembers the id of an attempt on this connection, and forgets ids for which no response is expected any more.
--- a/crates/rockflow-dispatcher/src/host/mod.rs
+++ b/crates/rockflow-dispatcher/src/host/mod.rs
@@ -29,7 +29,7 @@
 /// the host would drop that attempt instead.
 const CANCEL_PROPAGATION: Duration = Duration::from_millis(5);
 /// Share of the connection cap that may be in use before attempts have to share connections.
-const EXCLUSIVE_SHARE: f64 = 0.75;
+const EXCLUSIVE_USE_LIMIT: f64 = 0.75;
 
 /// Owns the connections to one host, and the attempts that wait for a free one.
 pub struct HostActor {
@@ -104,7 +104,8 @@
     fn send_or_delay(&mut self, attempt: OutgoingAttempt) {
         let now = self.pool.clock.now();
         let cancelled_at = self.cancelled_at.get(&attempt.key.request);
-        let delay = cancelled_at.map_or(Duration::ZERO, |at| (*at + CANCEL_PROPAGATION).saturating_sub(now));
+        let delay = cancelled_at
+            .map_or(Duration::ZERO, |cancelled_at| (*cancelled_at + CANCEL_PROPAGATION).saturating_sub(now));
         if delay.is_zero() {
             return self.send(attempt);
         }
@@ -120,13 +121,13 @@
     fn send(&mut self, attempt: OutgoingAttempt) {
         // Doesn't open a connection for an attempt that may no longer be sent.
         if !attempt.permit.is_valid(self.pool.clock.now()) {
-            return self.fail(attempt.key, Outcome::NotSent);
+            return self.report_failure(attempt.key, Outcome::NotSent);
         }
         match self.connection_for(&attempt.id) {
             Some(connection) => connection.send_attempt(attempt, &self.pool),
             None => {
                 self.queue.push(attempt);
-                self.serve_queue();
+                self.open_connections_for_queue();
             }
         }
     }
@@ -143,7 +144,7 @@
 
     fn cancel(&mut self, key: AttemptKey, reason: CancelReason) {
         let now = self.pool.clock.now();
-        self.cancelled_at.retain(|_, at| now < *at + CANCEL_PROPAGATION);
+        self.cancelled_at.retain(|_, cancelled_at| now < *cancelled_at + CANCEL_PROPAGATION);
         self.cancelled_at.insert(key.request, now);
         self.delayed.remove(&key);
         self.queue.remove(key);
@@ -156,10 +157,10 @@
         self.retired = true;
         // Queued and delayed attempts were not sent, and must not be sent any more.
         while let Some(attempt) = self.queue.pop() {
-            self.fail(attempt.key, Outcome::NotSent);
+            self.report_failure(attempt.key, Outcome::NotSent);
         }
         for attempt in std::mem::take(&mut self.delayed).into_values() {
-            self.fail(attempt.key, Outcome::NotSent);
+            self.report_failure(attempt.key, Outcome::NotSent);
         }
         self.retire_connections();
     }
@@ -189,10 +190,10 @@
         for attempts in ended {
             self.report_ended(attempts);
         }
-        self.serve_queue();
+        self.open_connections_for_queue();
     }
 
-    fn fail(&self, key: AttemptKey, outcome: Outcome) {
+    fn report_failure(&self, key: AttemptKey, outcome: Outcome) {
         self.pool.decisions.send(DecisionMessage::AttemptFailed { key, outcome });
     }
 
@@ -202,11 +203,11 @@
 
     /// Opens connections until each queued attempt has one that is being established. Fails all queued attempts if the
     /// host has no connection and none could be opened.
-    fn serve_queue(&mut self) {
+    fn open_connections_for_queue(&mut self) {
         while self.connecting() < self.queue.len() && self.open_connection().is_some() {}
         if self.connections.iter().all(|connection| connection.is_ended()) {
             while let Some(attempt) = self.queue.pop() {
-                self.fail(attempt.key, Outcome::ConnectFailed);
+                self.report_failure(attempt.key, Outcome::ConnectFailed);
             }
         }
     }
@@ -221,18 +222,18 @@
         let decisions = self.pool.decisions.clone();
         if let Some(since) = ended.alive_if_received_since {
             let is_alive = self.connections.iter().any(|connection| connection.has_received_since(since));
-            return report(&decisions, ended, is_alive);
+            return send_outcomes(&decisions, ended, is_alive);
         }
         if ended.outcome_if_alive == ended.outcome_if_gone {
-            return report(&decisions, ended, false);
+            return send_outcomes(&decisions, ended, false);
         }
         if !self.connections.iter().any(|connection| connection.is_open()) {
             self.open_connection();
         }
-        let others = self.connections.clone();
+        let connections = self.connections.clone();
         may::go!(move || {
-            let is_alive = await_open(&others);
-            report(&decisions, ended, is_alive);
+            let is_alive = await_open(&connections);
+            send_outcomes(&decisions, ended, is_alive);
         });
     }
 
@@ -241,10 +242,11 @@
     /// one is chosen, so that surplus connections reach their idle timeout.
     fn connection_for(&self, id: &str) -> Option<Arc<UpstreamConnection>> {
         let usable = self.connections.iter().filter(|connection| connection.accepts(id, &self.pool));
-        let best = usable.min_by_key(|connection| (connection.in_flight(), Reverse(connection.last_used())));
-        let open = self.pool.connections().len() as f64;
-        let is_scarce = open >= EXCLUSIVE_SHARE * self.pool.max_connections as f64;
-        best.filter(|connection| connection.in_flight() == 0 || is_scarce).cloned()
+        let least_loaded =
+            usable.min_by_key(|connection| (connection.in_flight(), Reverse(connection.last_used())));
+        let open_connections = self.pool.connections().len() as f64;
+        let is_scarce = open_connections >= EXCLUSIVE_USE_LIMIT * self.pool.max_connections as f64;
+        least_loaded.filter(|connection| connection.in_flight() == 0 || is_scarce).cloned()
     }
 
     /// Opens another connection and returns it, or `None` if the connection cap is reached. Retires the host's
@@ -285,7 +287,7 @@
     false
 }
 
-fn report(decisions: &Mailbox<DecisionMessage>, ended: EndedAttempts, is_alive: bool) {
+fn send_outcomes(decisions: &Mailbox<DecisionMessage>, ended: EndedAttempts, is_alive: bool) {
     let outcome = if is_alive { ended.outcome_if_alive } else { ended.outcome_if_gone };
     for key in ended.attempts {
         decisions.send(DecisionMessage::AttemptFailed { key, outcome });
--- a/crates/rockflow-dispatcher/src/upstream/connection.rs
+++ b/crates/rockflow-dispatcher/src/upstream/connection.rs
@@ -73,16 +73,16 @@
     queue: &'a AttemptQueue,
     stream: TcpStream,
     /// Encoded bytes that are being written.
-    unsent: Vec<u8>,
-    /// Attempts that are written after `unsent`.
-    waiting: VecDeque<OutgoingAttempt>,
+    unsent_bytes: Vec<u8>,
+    /// Attempts that are written after `unsent_bytes`.
+    unsent_attempts: VecDeque<OutgoingAttempt>,
     /// Attempts in flight, by their id on the wire.
     in_flight: BTreeMap<String, SentAttempt>,
     /// Tags of the health checks in flight.
     health_checks: BTreeSet<u64>,
     buffer: Buffer,
     /// Capacity of this buffer as last added to [`ConnectionPool::buffered_bytes`].
-    counted_bytes: usize,
+    counted_capacity: usize,
     /// When data last arrived; zero if none has.
     last_received: Duration,
     /// When the receive buffer last became non-empty, usually with the first bytes of a response. `None` while it is
@@ -108,12 +108,12 @@
             shared,
             queue,
             stream,
-            unsent: Vec::new(),
-            waiting: VecDeque::new(),
+            unsent_bytes: Vec::new(),
+            unsent_attempts: VecDeque::new(),
             in_flight: BTreeMap::new(),
             health_checks: BTreeSet::new(),
             buffer: Buffer::new(upstream::MAX_RESPONSE_BYTES),
-            counted_bytes: 0,
+            counted_capacity: 0,
             last_received: Duration::ZERO,
             response_started: None,
             retired: false,
@@ -126,12 +126,12 @@
         loop {
             let mut progress = self.read_mailbox();
             match self.transfer() {
-                Ok(moved) => progress |= moved,
+                Ok(transferred) => progress |= transferred,
                 Err(error) => return self.log_end(&error),
             }
-            let in_flight = self.in_flight.len() + self.waiting.len() + self.shared.mailbox.len();
+            let in_flight = self.in_flight.len() + self.unsent_attempts.len() + self.shared.mailbox.len();
             self.shared.in_flight.store(in_flight, Ordering::Relaxed);
-            if self.retired && self.in_flight.is_empty() && self.waiting.is_empty() {
+            if self.retired && self.in_flight.is_empty() && self.unsent_attempts.is_empty() {
                 return debug!(endpoint = self.endpoint, "connection closed");
             }
             if !progress {
@@ -142,7 +142,7 @@
 
     /// Subtracts this connection's buffer from the buffered bytes, fails its health checks, and returns its attempts.
     pub(super) fn finish(self) -> EndedConnection {
-        self.pool.buffered_bytes.fetch_sub(self.counted_bytes, Ordering::Relaxed);
+        self.pool.buffered_bytes.fetch_sub(self.counted_capacity, Ordering::Relaxed);
         for tag in self.health_checks {
             let outcome = Outcome::ConnectionLost;
             self.pool.decisions.send(DecisionMessage::HealthCheckFailed { tag, outcome });
@@ -153,20 +153,20 @@
             outcome_if_gone: self.outcome,
             outcome_if_alive: Outcome::MalformedResponse,
         };
-        EndedConnection { in_flight, unsent: self.waiting.into() }
+        EndedConnection { in_flight, unsent: self.unsent_attempts.into() }
     }
 
     /// Reads, takes an attempt from the queue, and writes; returns whether any of these made progress. Reading comes
     /// first to detect a close by the host: attempts that were not written yet can then be sent on another connection.
     fn transfer(&mut self) -> Result<bool, ConnectionError> {
-        let read = self.read()?;
+        let has_read = self.read()?;
         // Checked only if nothing is left to read: a response is not stalled if the worker merely read it late.
-        if !read {
+        if !has_read {
             self.check_progress()?;
         }
-        let took = self.take_queued();
-        let wrote = self.write()?;
-        Ok(read | took | wrote)
+        let has_taken = self.take_queued();
+        let has_written = self.write()?;
+        Ok(has_read | has_taken | has_written)
     }
 
     fn log_end(&self, error: &ConnectionError) {
@@ -180,7 +180,8 @@
     /// Takes the oldest queued attempt that this connection may carry, if nothing is in flight or arriving on it.
     /// Returns whether it took one.
     fn take_queued(&mut self) -> bool {
-        let is_free = self.in_flight.is_empty() && self.waiting.is_empty() && !self.shared.is_receiving();
+        let is_free =
+            self.in_flight.is_empty() && self.unsent_attempts.is_empty() && !self.shared.is_receiving();
         if !is_free || self.retired || self.queue.is_empty() || self.shared.is_exhausted(self.pool) {
             return false;
         }
@@ -212,25 +213,27 @@
     }
 
     fn enqueue(&mut self, attempt: OutgoingAttempt) {
-        self.waiting.push_back(attempt);
+        self.unsent_attempts.push_back(attempt);
         *lock(&self.shared.last_used) = self.pool.clock.now();
     }
 
     fn check_health(&mut self, tag: u64, kind: HealthCheckKind) {
-        self.unsent.extend_from_slice(&upstream::encode_health_check(&tag.to_string(), kind));
+        self.unsent_bytes.extend_from_slice(&upstream::encode_health_check(&tag.to_string(), kind));
         self.health_checks.insert(tag);
     }
 
     fn cancel(&mut self, key: AttemptKey, reason: CancelReason) {
         // An attempt that was not sent yet is dropped without a message to the host.
-        if self.waiting.iter().any(|attempt| attempt.key == key) {
-            self.waiting.retain(|attempt| attempt.key != key);
+        if self.unsent_attempts.iter().any(|attempt| attempt.key == key) {
+            self.unsent_attempts.retain(|attempt| attempt.key != key);
             return;
         }
-        let found = self.in_flight.iter().find(|(_, attempt)| attempt.key == key);
-        let Some((id, sent_at)) = found.map(|(id, attempt)| (id.clone(), attempt.sent_at)) else { return };
+        let sent_attempt = self.in_flight.iter().find(|(_, attempt)| attempt.key == key);
+        let Some((id, sent_at)) = sent_attempt.map(|(id, attempt)| (id.clone(), attempt.sent_at)) else {
+            return;
+        };
         self.in_flight.remove(&id);
-        self.unsent.extend_from_slice(&upstream::encode_cancel(&id));
+        self.unsent_bytes.extend_from_slice(&upstream::encode_cancel(&id));
         // A connection to a machine that vanished or was cut off from the network stays open and silent, and recovers
         // late after the network does. Connecting anew shows at once whether the machine is reachable, so a connection
         // without data since this attempt was sent is retired. So is one on which the timed-out attempt was the
@@ -254,35 +257,35 @@
 
     /// Writes until the socket accepts no more bytes or nothing is left to write; returns whether anything was written.
     fn write(&mut self) -> Result<bool, ConnectionError> {
-        let mut wrote = false;
+        let mut has_written = false;
         loop {
-            while !self.unsent.is_empty() {
-                match self.stream.inner().write(&self.unsent) {
+            while !self.unsent_bytes.is_empty() {
+                match self.stream.inner().write(&self.unsent_bytes) {
                     Ok(length) => {
-                        self.unsent.drain(..length);
-                        wrote = true;
+                        self.unsent_bytes.drain(..length);
+                        has_written = true;
                     }
                     Err(error) if error.kind() == ErrorKind::WouldBlock => {
                         self.check_unsent()?;
-                        return Ok(wrote);
+                        return Ok(has_written);
                     }
                     Err(error) if error.kind() == ErrorKind::Interrupted => {}
                     Err(error) => return Err(self.on_write_failed(error)),
                 }
             }
-            let Some(attempt) = self.waiting.pop_front() else { return Ok(wrote) };
-            match self.send(attempt)? {
-                SendOutcome::Done => wrote = true,
+            let Some(attempt) = self.unsent_attempts.pop_front() else { return Ok(has_written) };
+            match self.send_attempt(attempt)? {
+                SendOutcome::Done => has_written = true,
                 SendOutcome::Blocked => {
                     self.check_unsent()?;
-                    return Ok(wrote);
+                    return Ok(has_written);
                 }
             }
         }
     }
 
     /// Writes the first bytes of an attempt, or reports it as not sent if its permit is no longer valid.
-    fn send(&mut self, attempt: OutgoingAttempt) -> Result<SendOutcome, ConnectionError> {
+    fn send_attempt(&mut self, attempt: OutgoingAttempt) -> Result<SendOutcome, ConnectionError> {
         let now = self.pool.clock.now();
         if !attempt.permit.start_sending(now) {
             let outcome = Outcome::NotSent;
@@ -291,14 +294,14 @@
         }
         match self.stream.inner().write(&attempt.line) {
             Ok(length) => {
-                self.unsent.extend_from_slice(&attempt.line[length..]);
+                self.unsent_bytes.extend_from_slice(&attempt.line[length..]);
                 let OutgoingAttempt { key, id, names_cached_copy, .. } = attempt;
                 self.in_flight.insert(id, SentAttempt { key, sent_at: now, names_cached_copy });
                 Ok(SendOutcome::Done)
             }
             Err(error) => {
                 attempt.permit.undo_sending();
-                self.waiting.push_front(attempt);
+                self.unsent_attempts.push_front(attempt);
                 match error.kind() {
                     ErrorKind::WouldBlock => Ok(SendOutcome::Blocked),
                     ErrorKind::Interrupted => Ok(SendOutcome::Done),
@@ -310,20 +313,20 @@
 
     /// Reads the responses that arrived before a write failed, which would otherwise be lost with the connection.
     /// Returns the error with which the connection ends.
-    fn on_write_failed(&mut self, error: std::io::Error) -> ConnectionError {
+    fn on_write_failed(&mut self, write_error: std::io::Error) -> ConnectionError {
         loop {
             match self.read() {
                 Ok(true) => {}
-                Ok(false) => return self.lost(ConnectionError::Io(error)),
-                Err(end) => return end,
+                Ok(false) => return self.on_connection_lost(ConnectionError::Io(write_error)),
+                Err(read_error) => return read_error,
             }
         }
     }
 
     /// Fails if more bytes wait to be written than [`ConnectionPool::max_unsent_bytes`].
     fn check_unsent(&self) -> Result<(), ConnectionError> {
-        let waiting = self.waiting.iter().map(|attempt| attempt.line.len()).sum::<usize>();
-        if self.unsent.len() + waiting > self.pool.max_unsent_bytes {
+        let attempt_bytes = self.unsent_attempts.iter().map(|attempt| attempt.line.len()).sum::<usize>();
+        if self.unsent_bytes.len() + attempt_bytes > self.pool.max_unsent_bytes {
             return Err(ConnectionError::HostNotReading);
         }
         Ok(())
@@ -334,10 +337,10 @@
     /// byte without end fails too. After the first line, the timeout restarts whenever data arrives.
     fn check_progress(&self) -> Result<(), ConnectionError> {
         let now = self.pool.clock.now();
-        let has_line = self.buffer.filled().contains(&b'\n');
+        let has_first_line = self.buffer.filled().contains(&b'\n');
         let stalled_since = match self.response_started {
-            Some(_) if has_line => Some(self.last_received),
-            started => started,
+            Some(_) if has_first_line => Some(self.last_received),
+            response_started => response_started,
         };
         let is_stalled =
             stalled_since.is_some_and(|since| now.saturating_sub(since) > self.pool.connect_timeout);
@@ -349,7 +352,7 @@
 
     /// Sets the outcome of the attempts in flight after the connection was lost. If part of a response had arrived, the
     /// host was alive and the outcome stays [`Outcome::MalformedResponse`].
-    fn lost(&mut self, error: ConnectionError) -> ConnectionError {
+    fn on_connection_lost(&mut self, error: ConnectionError) -> ConnectionError {
         if self.response_started.is_none() {
             self.outcome = Outcome::ConnectionLost;
         }
@@ -360,11 +363,11 @@
     fn read(&mut self) -> Result<bool, ConnectionError> {
         let Some(spare) = self.buffer.spare() else { return Err(ConnectionError::OversizedResponse) };
         match self.stream.inner().read(spare) {
-            Ok(0) => return Err(self.lost(ConnectionError::EndOfStream)),
+            Ok(0) => return Err(self.on_connection_lost(ConnectionError::EndOfStream)),
             Ok(length) => self.buffer.commit(length),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
             Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(true),
-            Err(error) => return Err(self.lost(ConnectionError::Io(error))),
+            Err(error) => return Err(self.on_connection_lost(ConnectionError::Io(error))),
         }
         self.last_received = self.pool.clock.now();
         *lock(&self.shared.last_received) = self.last_received;
@@ -384,11 +387,14 @@
     /// Updates the total of buffered bytes with the buffer's capacity. Fails if this buffer has grown and the total
     /// exceeds [`ConnectionPool::max_buffered_bytes`].
     fn count_buffer(&mut self) -> Result<(), ConnectionError> {
-        let before = std::mem::replace(&mut self.counted_bytes, self.buffer.capacity());
+        let previous_capacity = std::mem::replace(&mut self.counted_capacity, self.buffer.capacity());
         let buffered_bytes = &self.pool.buffered_bytes;
-        let total = buffered_bytes.fetch_add(self.counted_bytes, Ordering::Relaxed) + self.counted_bytes;
-        buffered_bytes.fetch_sub(before, Ordering::Relaxed);
-        if self.counted_bytes > before && total - before > self.pool.max_buffered_bytes {
+        let total =
+            buffered_bytes.fetch_add(self.counted_capacity, Ordering::Relaxed) + self.counted_capacity;
+        buffered_bytes.fetch_sub(previous_capacity, Ordering::Relaxed);
+        if self.counted_capacity > previous_capacity
+            && total - previous_capacity > self.pool.max_buffered_bytes
+        {
             return Err(ConnectionError::OutOfMemory);
         }
         Ok(())
@@ -405,12 +411,12 @@
                 Some(tag) => {
                     self.pool.decisions.send(DecisionMessage::HealthCheckAnswered { tag, response });
                 }
-                None => self.ignore(&response),
+                None => self.log_unmatched(&response),
             }
             return Ok(());
         }
         let Some(attempt) = self.in_flight.get(&response.id) else {
-            self.ignore(&response);
+            self.log_unmatched(&response);
             return Ok(());
         };
         if response.status == Status::NotModified && !attempt.names_cached_copy {
@@ -424,7 +430,7 @@
 
     /// Logs a well-formed response that matches no attempt or health check in flight: a late, duplicate or unrequested
     /// one.
-    fn ignore(&self, response: &HostResponse) {
+    fn log_unmatched(&self, response: &HostResponse) {
         debug!(endpoint = self.endpoint, request = response.id, "response without a matching request");
     }
 }
--- a/crates/rockflow-dispatcher/src/upstream/mod.rs
+++ b/crates/rockflow-dispatcher/src/upstream/mod.rs
@@ -34,11 +34,11 @@
     pool.connections().insert(number, connection.clone());
     let shared = connection.clone();
     may::go!(move || {
-        let leftover = run(&endpoint, address, &pool, &shared, &queue);
+        let unfinished = run(&endpoint, address, &pool, &shared, &queue);
         pool.connections().remove(&number);
         host.send(HostMessage::ConnectionEnded {
-            ended: leftover.ended,
-            resend: leftover.resend,
+            ended: unfinished.ended,
+            resend: unfinished.resend,
             never_established: !shared.established.load(Ordering::Relaxed),
         });
     });
@@ -46,7 +46,7 @@
 }
 
 /// Attempts without a response when their connection ends.
-struct Leftover {
+struct UnfinishedAttempts {
     /// Attempts that ended with the connection: first those that may have executed, last those that were never sent.
     ended: Vec<EndedAttempts>,
     /// Attempts that were not sent and may be sent on another connection. Empty if this connection never received
@@ -60,11 +60,11 @@
     pool: &ConnectionPool,
     shared: &UpstreamConnection,
     queue: &AttemptQueue,
-) -> Leftover {
+) -> UnfinishedAttempts {
     let mut ended = Vec::new();
     let mut unsent = Vec::new();
     let mut alive_if_received_since = None;
-    let started = pool.clock.now();
+    let connect_started = pool.clock.now();
     match TcpStream::connect_timeout(&address, pool.connect_timeout) {
         Ok(stream) => {
             debug!(endpoint, "connected");
@@ -75,7 +75,7 @@
         Err(error) => {
             info!(endpoint, %error, "connect failed");
             shared.ended.store(true, Ordering::Relaxed);
-            alive_if_received_since = alive_evidence(&error, started);
+            alive_if_received_since = required_receive_time(&error, connect_started);
         }
     }
     unsent.extend(drain_mailbox(pool, shared));
@@ -87,14 +87,14 @@
         outcome_if_gone: Outcome::ConnectFailed,
         outcome_if_alive: Outcome::NotSent,
     });
-    Leftover { ended, resend }
+    UnfinishedAttempts { ended, resend }
 }
 
 /// The time since which another connection must have received data for the host to count as alive, after a connect that
 /// timed out. A machine that vanished leaves its old connections open, so an open connection is no evidence; a host
 /// that responds on other connections is alive even if one connect is slow. `None` for errors other than a timeout.
-fn alive_evidence(error: &std::io::Error, started: Duration) -> Option<Duration> {
-    (error.kind() == ErrorKind::TimedOut).then_some(started)
+fn required_receive_time(error: &std::io::Error, connect_started: Duration) -> Option<Duration> {
+    (error.kind() == ErrorKind::TimedOut).then_some(connect_started)
 }
 
 /// Serves an established connection until it ends.
