--- a/crates/rockflow-dispatcher/src/endpoint_list/mod.rs
+++ b/crates/rockflow-dispatcher/src/endpoint_list/mod.rs
@@ -62,7 +62,7 @@
             EndpointListMessage::SetOperatorOverrides { overrides, done } => {
                 let registry = self.registry.as_mut();
                 let changes = registry.map(|registry| registry.replace_operator_overrides(overrides, now));
-                self.tell_decisions(changes.unwrap_or_default(), Some(done));
+                self.send_changes(changes.unwrap_or_default(), Some(done));
             }
             EndpointListMessage::SetControlOverrides(slot) => {
                 if let Some((overrides, notify)) = slot.take() {
@@ -70,7 +70,7 @@
                 }
             }
             EndpointListMessage::ReportStatus(reply) => {
-                let report = Box::new(self.begin_report());
+                let report = Box::new(self.start_report());
                 self.decisions.send(DecisionMessage::ReportStatus { report, reply });
             }
         }
@@ -82,7 +82,7 @@
         let Some(expiry) = registry.next_expiry(now) else { return coroutine::park() };
         timer::park(expiry.saturating_sub(now));
         let changes = registry.expire_overrides(self.clock.now());
-        self.tell_decisions(changes, None);
+        self.send_changes(changes, None);
     }
 
     fn on_event(&mut self, event: WatchEvent, now: Duration) {
@@ -105,7 +105,7 @@
         match &mut self.registry {
             Some(registry) => {
                 let changes = registry.apply_update(scope, entries, now);
-                self.tell_decisions(changes, None);
+                self.send_changes(changes, None);
             }
             None => {
                 self.decisions.send_urgent(DecisionMessage::EndpointsChanged { scope, entries, done: None });
@@ -124,12 +124,12 @@
         let listed = discovered.map(|endpoint| (endpoint.name.clone(), endpoint.to_listed())).collect();
         let update = registry.replace_control_overrides(overrides, listed, now);
         let rejected = update.rejected;
-        self.tell_decisions(update.changes, Some(Box::new(move |()| done(rejected))));
+        self.send_changes(update.changes, Some(Box::new(move |()| done(rejected))));
     }
 
     /// Sends the changes to the decision actor in one message, so that it applies all of them or none. A message with
     /// `done` is sent even if nothing changed, so that callers are notified in the order of their messages.
-    fn tell_decisions(&self, entries: Vec<Endpoint>, done: Option<CompletionCallback<()>>) {
+    fn send_changes(&self, entries: Vec<Endpoint>, done: Option<CompletionCallback<()>>) {
         if entries.is_empty() && done.is_none() {
             return;
         }
@@ -140,7 +140,7 @@
         self.decisions.send_urgent(DecisionMessage::EndpointsChanged { scope, entries, done });
     }
 
-    fn begin_report(&self) -> StatusReport {
+    fn start_report(&self) -> StatusReport {
         let Some(registry) = &self.registry else { return StatusReport::default() };
         StatusReport {
             discovered: registry.discovered().cloned().collect(),
--- a/crates/rockflow-dispatcher/src/supervisor.rs
+++ b/crates/rockflow-dispatcher/src/supervisor.rs
@@ -20,12 +20,12 @@
     stack_words: usize,
     mut actor: impl FnMut() + Send + 'static,
 ) -> std::io::Result<()> {
-    let supervised = move || loop {
-        let ended = catch_unwind(AssertUnwindSafe(&mut actor));
-        error!(actor = name, panicked = ended.is_err(), "actor ended, restarting it");
+    let run_forever = move || loop {
+        let result = catch_unwind(AssertUnwindSafe(&mut actor));
+        error!(actor = name, panicked = result.is_err(), "actor ended, restarting it");
         timer::sleep(RESTART_DELAY);
     };
     let builder = Builder::new().name(name.to_string()).stack_size(stack_words);
     // SAFETY: actors keep no thread-local values across a wait and don't exceed their stacks.
-    unsafe { builder.spawn::<_, ()>(supervised).map(|_| ()) }
+    unsafe { builder.spawn::<_, ()>(run_forever).map(|_| ()) }
 }
