--- a/crates/rockflow-dispatcher/tests/timer.rs
+++ b/crates/rockflow-dispatcher/tests/timer.rs
@@ -1,4 +1,4 @@
-//! Waits: they come out whole, nobody sleeps for ever, and whoever waits runs on the runtime's worker alone.
+//! Timer tests: a sleep is never too short, every sleeper wakes, and coroutines run only on the runtime's worker.
 
 use rockflow_dispatcher::timer::{park, sleep};
 use rockflow_dispatcher::Service;
@@ -6,14 +6,16 @@
 use std::sync::{mpsc, Once};
 use std::time::{Duration, Instant};
 
+const TIMEOUT: Duration = Duration::from_secs(20);
+
 fn set_up() {
     static ONCE: Once = Once::new();
     ONCE.call_once(Service::set_up);
 }
 
-/// Every length is one of its own: past 1,024 of them the runtime's timers lose some.
+/// All sleeps have different durations: with more than 1,024 of these, the runtime's timers lose some.
 #[test]
-fn sleeps_of_thousands_of_lengths_are_complete() {
+fn sleeps_of_thousands_of_durations_are_complete() {
     set_up();
     let (done, ended) = mpsc::channel();
     for n in 0..4000 {
@@ -25,13 +27,13 @@
         });
     }
     for n in 0..4000 {
-        let (wait, took) =
-            ended.recv_timeout(Duration::from_secs(20)).unwrap_or_else(|_| panic!("{n} of 4000 woke"));
-        assert!(took >= wait, "{took:?} of {wait:?}");
+        let (wait, elapsed) = ended.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("{n} of 4000 woke"));
+        assert!(elapsed >= wait, "slept {elapsed:?} instead of {wait:?}");
     }
 }
 
-/// Fails where each wait is a length of its own: sleepers are left behind, or the process dies of it.
+/// Fails with the runtime's timers if the waits have many different durations: some sleepers never wake, or the process
+/// crashes.
 #[test]
 fn every_sleeper_wakes_among_thousands() {
     set_up();
@@ -39,9 +41,9 @@
     for n in 0..3000 {
         let done = done.clone();
         may::go!(move || {
-            let until = Instant::now() + Duration::from_millis(200 + n);
-            while let Some(left) = until.checked_duration_since(Instant::now()) {
-                park(left);
+            let deadline = Instant::now() + Duration::from_millis(200 + n);
+            while let Some(remaining) = deadline.checked_duration_since(Instant::now()) {
+                park(remaining);
             }
             done.send(()).unwrap();
         });
@@ -54,13 +56,14 @@
         });
     }
     for n in 0..3300 {
-        ended.recv_timeout(Duration::from_secs(20)).unwrap_or_else(|_| panic!("{n} of 3300 woke"));
+        ended.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("{n} of 3300 woke"));
     }
 }
 
-/// Fails with the runtime's timers, which run whom they wake on a thread of their own, beside the worker.
+/// Fails with the runtime's timers, which run the coroutines that they wake on the timer thread, in parallel with the
+/// worker.
 #[test]
-fn waiting_coroutines_run_on_the_worker_alone() {
+fn woken_coroutines_run_only_on_the_worker() {
     set_up();
     let (done, ended) = mpsc::channel();
     may::go!(move || {
@@ -73,5 +76,5 @@
         }
         done.send(threads.len()).unwrap();
     });
-    assert_eq!(ended.recv_timeout(Duration::from_secs(20)), Ok(1));
+    assert_eq!(ended.recv_timeout(TIMEOUT), Ok(1));
 }
