--- a/crates/rockflow-dispatcher/tests/timer.rs
+++ b/crates/rockflow-dispatcher/tests/timer.rs
@@ -6,6 +6,7 @@
 use std::sync::{mpsc, Once};
 use std::time::{Duration, Instant};
 
+/// Time to wait for the next coroutine to end before a test fails.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn set_up() {
@@ -17,17 +18,18 @@
 #[test]
 fn sleeps_of_thousands_of_durations_are_complete() {
     set_up();
-    let (done, ended) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     for n in 0..4000 {
-        let done = done.clone();
+        let sender = sender.clone();
         may::go!(move || {
             let (start, wait) = (Instant::now(), Duration::from_micros(n * 97));
             sleep(wait);
-            done.send((wait, start.elapsed())).unwrap();
+            sender.send((wait, start.elapsed())).unwrap();
         });
     }
     for n in 0..4000 {
-        let (wait, elapsed) = ended.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("{n} of 4000 woke"));
+        let (wait, elapsed) =
+            receiver.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("only {n} of 4000 sleepers woke"));
         assert!(elapsed >= wait, "slept {elapsed:?} instead of {wait:?}");
     }
 }
@@ -37,26 +39,26 @@
 #[test]
 fn every_sleeper_wakes_among_thousands() {
     set_up();
-    let (done, ended) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     for n in 0..3000 {
-        let done = done.clone();
+        let sender = sender.clone();
         may::go!(move || {
             let deadline = Instant::now() + Duration::from_millis(200 + n);
             while let Some(remaining) = deadline.checked_duration_since(Instant::now()) {
                 park(remaining);
             }
-            done.send(()).unwrap();
+            sender.send(()).unwrap();
         });
     }
     for n in 0..300 {
-        let done = done.clone();
+        let sender = sender.clone();
         may::go!(move || {
             (0..100).for_each(|round| sleep(Duration::from_millis(5 + (n + round) % 40)));
-            done.send(()).unwrap();
+            sender.send(()).unwrap();
         });
     }
     for n in 0..3300 {
-        ended.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("{n} of 3300 woke"));
+        receiver.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("only {n} of 3300 sleepers woke"));
     }
 }
 
@@ -65,7 +67,7 @@
 #[test]
 fn woken_coroutines_run_only_on_the_worker() {
     set_up();
-    let (done, ended) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     may::go!(move || {
         let mut threads = HashSet::from([std::thread::current().id()]);
         for _ in 0..20 {
@@ -74,7 +76,7 @@
             park(Duration::from_millis(1));
             threads.insert(std::thread::current().id());
         }
-        done.send(threads.len()).unwrap();
+        sender.send(threads.len()).unwrap();
     });
-    assert_eq!(ended.recv_timeout(TIMEOUT), Ok(1));
+    assert_eq!(receiver.recv_timeout(TIMEOUT), Ok(1));
 }
