--- a/crates/rockflow-dispatcher/src/clock.rs
+++ b/crates/rockflow-dispatcher/src/clock.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's monotonic clock, which also converts Unix timestamps.
+//! The dispatcher's monotonic clock. Unix timestamps are converted only here.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/rockflow-dispatcher/src/connection_pool.rs
+++ b/crates/rockflow-dispatcher/src/connection_pool.rs
@@ -1,4 +1,5 @@
-//! State shared between the actors of hosts and their upstream connections (connections to hosts).
+//! State shared between the actors of hosts and their upstream connections (connections to hosts), and with code that
+//! inspects the connections. Nothing here depends on the implementation of an actor.
 
 use crate::attempt::{AttemptKey, OutgoingAttempt};
 use crate::clock::Clock;
@@ -58,7 +59,8 @@
 }
 
 /// Attempts for one host that wait for a free connection. The first connection that is established or becomes idle
-/// takes the oldest attempt. The queue has no limit: the cap on open requests limits the number of attempts.
+/// takes the oldest attempt whose id it has not carried before. The queue has no limit: the cap on open requests limits
+/// the number of attempts.
 #[derive(Default)]
 pub struct AttemptQueue {
     attempts: Mutex<VecDeque<OutgoingAttempt>>,
--- a/crates/rockflow-dispatcher/src/host/message.rs
+++ b/crates/rockflow-dispatcher/src/host/message.rs
@@ -25,7 +25,8 @@
     Release(AttemptKey),
     /// Close idle connections, and the others once nothing is in flight on them.
     CloseIdle,
-    /// The host was removed from the endpoint list: attempts in flight may complete, no new ones are sent.
+    /// The host was removed from the endpoint list or its address changed: attempts in flight may complete, but no new
+    /// ones are sent.
     Retire,
     /// A connection to the host has ended.
     ConnectionEnded {
--- a/crates/rockflow-dispatcher/src/host/mod.rs
+++ b/crates/rockflow-dispatcher/src/host/mod.rs
@@ -44,7 +44,7 @@
     cancelled_at: BTreeMap<RequestId, Duration>,
     /// Attempts held back for [`CANCEL_PROPAGATION`].
     delayed: BTreeMap<AttemptKey, OutgoingAttempt>,
-    /// The host was removed from the endpoint list.
+    /// The host was removed from the endpoint list or its address changed.
     retired: bool,
 }
 
@@ -133,6 +133,7 @@
     }
 
     fn check_health(&mut self, tag: u64, kind: HealthCheckKind) {
+        // Health checks have no request id, so no connection is ruled out because it has carried the id before.
         match self.connection_for("").or_else(|| self.open_connection()) {
             Some(connection) => connection.send(UpstreamMessage::CheckHealth { tag, kind }),
             None => {
--- a/crates/rockflow-dispatcher/src/timer.rs
+++ b/crates/rockflow-dispatcher/src/timer.rs
@@ -4,9 +4,10 @@
 //!
 //! Replaces `may`'s own timers because of the faults below. The only one of them still in use is the timeout of a
 //! connect, which runs on the worker.
-//! - They run the coroutines that they wake on the timer thread, in parallel with the worker. Either
-//!   thread still writes to a coroutine after passing it on. If the coroutine has meanwhile continued and ended on the
-//!   other thread, that is a write to freed memory.
+//! - They run the coroutines that they wake on the timer thread, in parallel with the worker. Either thread still
+//!   writes
+//!   to a coroutine after passing it on. If the coroutine has meanwhile continued and ended on the other thread, that is
+//!   a write to freed memory.
 //! - A park that is delayed between setting its timer and its own last step misses the timer, and never returns.
 //! - A coroutine that another thread unparks during the last step of its park continues inside that step. If it ends
 //!   there, the worker waits forever for the step to complete. Therefore no thread except the worker may unpark a
@@ -19,7 +20,7 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The shortest park. Without a minimum, closely spaced deadlines would each wake the thread.
+/// The shortest park. Keeps closely spaced deadlines from each waking the thread.
 const MIN_PARK: Duration = Duration::from_millis(1);
 /// The longest park; a longer wait takes several parks.
 const MAX_PARK: Duration = Duration::from_secs(3600);
--- a/crates/rockflow-dispatcher/src/upstream/connection.rs
+++ b/crates/rockflow-dispatcher/src/upstream/connection.rs
@@ -45,12 +45,14 @@
 
 /// Result of writing the first bytes of an attempt to the socket.
 enum SendOutcome {
+    /// Writing may go on: the attempt was sent at least in part, was reported as not sent, or is retried after an
+    /// interrupted system call.
     Done,
     /// The socket accepts no bytes at the moment.
     Blocked,
 }
 
-/// Attempts without a response when their connection ended.
+/// The attempts that are left when an established connection ends.
 pub(super) struct EndedConnection {
     /// The attempts in flight, which may have executed.
     pub in_flight: EndedAttempts,
@@ -236,8 +238,8 @@
         self.unsent_bytes.extend_from_slice(&upstream::encode_cancel(&id));
         // A connection to a machine that vanished or was cut off from the network stays open and silent, and recovers
         // late after the network does. Connecting anew shows at once whether the machine is reachable, so a connection
-        // without data since this attempt was sent is retired. So is one on which the timed-out attempt was the
-        // last in flight, as it is of no further use, and one with too many ids that never got a response.
+        // without data since this attempt was sent is retired. So is one on which the timed-out attempt was the last in
+        // flight, as it is of no further use, and one with too many ids that never got a response.
         let is_silent = self.last_received < sent_at;
         let is_last_unanswered = reason == CancelReason::TimedOut && self.in_flight.is_empty();
         if is_silent || is_last_unanswered || self.has_too_many_unanswered() {
--- a/crates/rockflow-dispatcher/src/upstream/mod.rs
+++ b/crates/rockflow-dispatcher/src/upstream/mod.rs
@@ -45,7 +45,7 @@
     connection
 }
 
-/// Attempts without a response when their connection ends.
+/// The attempts that are left when a connection ends or can't be established.
 struct UnfinishedAttempts {
     /// Attempts that ended with the connection: first those that may have executed, last those that were never sent.
     ended: Vec<EndedAttempts>,
