--- a/crates/rockflow-dispatcher/src/upstream/mod.rs
+++ b/crates/rockflow-dispatcher/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The actor of one connection to a host: the attempts that are in flight on it, and what becomes of them.
+//! Starts the actor of an upstream connection (a connection to a host), and collects the attempts left when it ends.
 
 mod connection;
 pub mod message;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tracing::{debug, error, info};
 
-/// Starts the actor of a new connection, which tells the host's mailbox of its end.
+/// Starts the actor of a new connection, which sends [`HostMessage::ConnectionEnded`] to `host` when it ends.
 pub fn start(
     endpoint: String,
     address: SocketAddr,
@@ -34,23 +34,23 @@
     pool.connections().insert(number, connection.clone());
     let shared = connection.clone();
     may::go!(move || {
-        let leftover = run(&endpoint, address, &pool, &shared, &queue);
+        let unfinished = run(&endpoint, address, &pool, &shared, &queue);
         pool.connections().remove(&number);
         host.send(HostMessage::ConnectionEnded {
-            ended: leftover.ended,
-            resend: leftover.resend,
+            ended: unfinished.ended,
+            resend: unfinished.resend,
             never_established: !shared.established.load(Ordering::Relaxed),
         });
     });
     connection
 }
 
-/// What a connection leaves when it ends.
-struct Leftover {
-    /// Attempts that ended with it: first those that may have executed, last those that were never sent.
+/// The attempts that are left when a connection ends or can't be established.
+struct UnfinishedAttempts {
+    /// Attempts that ended with the connection: first those that may have executed, last those that were never sent.
     ended: Vec<EndedAttempts>,
-    /// Attempts that were not sent and may go on another connection: this one had received responses, and its host closed
-    /// it just then.
+    /// Attempts that were not sent and may be sent on another connection. Empty if this connection never received
+    /// anything, so that a host that accepts connections and closes them at once is not retried without end.
     resend: Vec<OutgoingAttempt>,
 }
 
@@ -60,11 +60,11 @@
     pool: &ConnectionPool,
     shared: &UpstreamConnection,
     queue: &AttemptQueue,
-) -> Leftover {
+) -> UnfinishedAttempts {
     let mut ended = Vec::new();
     let mut unsent = Vec::new();
     let mut alive_if_received_since = None;
-    let started = pool.clock.now();
+    let connect_started = pool.clock.now();
     match TcpStream::connect_timeout(&address, pool.connect_timeout) {
         Ok(stream) => {
             debug!(endpoint, "connected");
@@ -75,7 +75,7 @@
         Err(error) => {
             info!(endpoint, %error, "connect failed");
             shared.ended.store(true, Ordering::Relaxed);
-            alive_if_received_since = alive_evidence(&error, started);
+            alive_if_received_since = required_receive_time(&error, connect_started);
         }
     }
     unsent.extend(drain_mailbox(pool, shared));
@@ -87,16 +87,17 @@
         outcome_if_gone: Outcome::ConnectFailed,
         outcome_if_alive: Outcome::NotSent,
     });
-    Leftover { ended, resend }
+    UnfinishedAttempts { ended, resend }
 }
 
-/// Guards against taking a machine that vanished for alive, as it lets its old connections stand; and against taking one
-/// connection that is established late for the end of a host that responds on others.
-fn alive_evidence(error: &std::io::Error, started: Duration) -> Option<Duration> {
-    (error.kind() == ErrorKind::TimedOut).then_some(started)
+/// The time since which another connection must have received data for the host to count as alive, after a connect that
+/// timed out. A machine that vanished leaves its old connections open, so an open connection is no evidence; a host
+/// that responds on other connections is alive even if one connect is slow. `None` for errors other than a timeout.
+fn required_receive_time(error: &std::io::Error, connect_started: Duration) -> Option<Duration> {
+    (error.kind() == ErrorKind::TimedOut).then_some(connect_started)
 }
 
-/// Serves an established connection to its end.
+/// Serves an established connection until it ends.
 fn serve(
     endpoint: &str,
     stream: TcpStream,
@@ -115,7 +116,7 @@
     actor.finish()
 }
 
-/// Takes the attempts that were handed over and not read any more.
+/// Returns the attempts that are left in the connection's mailbox, and fails the health checks there.
 fn drain_mailbox(pool: &ConnectionPool, shared: &UpstreamConnection) -> Vec<OutgoingAttempt> {
     let mut attempts = Vec::new();
     while let Some(message) = shared.mailbox.take() {
