--- a/crates/rockflow-dispatcher/src/discovery/clock.rs
+++ b/crates/rockflow-dispatcher/src/discovery/clock.rs
@@ -1,25 +1,31 @@
-//! The age of the purges that discovery sends, whatever its clock differs from this one. Decides; does no I/O.
+//! Computes the age of received purges independently of the offset between discovery's clock and the local
+//! one. Pure logic without I/O.
 
 use crate::purge_backlog::MAX_DELIVERY_DELAY;
 use std::time::Duration;
 
-/// By discovery's timestamps alone, purges seem older by as much as its clock is behind. So the age of a purge is counted
-/// from the youngest of those received lately, itself among them: never more than it is, as that one was made before it
-/// was received. Where the clocks agree, an age is short by as long as the youngest took to arrive, which is never laxer.
+/// Corrects purge ages for the offset of discovery's clock.
+///
+/// If that clock is behind, every purge looks too old by the offset. The age of a purge is therefore its
+/// apparent age less the smallest apparent age received recently, its own included. The result never exceeds
+/// the true age, because the youngest purge was made before it was received. With synchronized clocks, ages
+/// are too small by the delivery time of the youngest purge, which only makes a purge stricter.
 #[derive(Debug)]
 pub struct DiscoveryClock {
-    /// What was received lately: between one and two of these.
+    /// "Recently" spans between one and two windows.
     window: Duration,
+    /// Upper limit of the computed ages.
     max_age: Duration,
     window_start: Duration,
-    /// The smallest apparent age in this window.
+    /// The smallest apparent age in the current window; `None` if nothing was received in it.
     youngest: Option<Duration>,
-    /// The smallest apparent age in the window before.
+    /// The same for the preceding window.
     previous_youngest: Option<Duration>,
 }
 
 impl DiscoveryClock {
-    /// A purge is in effect for `purge_window`: after that, a clock that was set has no effect any more.
+    /// `purge_window` is how long a purge stays in effect. It is also the length of a window, so an
+    /// adjustment of discovery's clock stops distorting ages after two of them.
     pub fn new(purge_window: Duration, now: Duration) -> DiscoveryClock {
         DiscoveryClock {
             window: purge_window,
@@ -30,8 +36,9 @@
         }
     }
 
-    /// The age of a purge that is received now and has `apparent_age` by its timestamp. It is no older than an event takes
-    /// to arrive: what was made while discovery was unreachable seems younger for it.
+    /// Returns the corrected age of a purge received now whose timestamp gives `apparent_age`. The result is
+    /// at most the maximum delivery delay, so a purge made while discovery was unreachable counts as younger
+    /// than it is.
     pub fn age(&mut self, now: Duration, apparent_age: Duration) -> Duration {
         let elapsed = now.saturating_sub(self.window_start);
         if elapsed >= self.window {
--- a/crates/rockflow-dispatcher/src/discovery/message.rs
+++ b/crates/rockflow-dispatcher/src/discovery/message.rs
@@ -1,11 +1,11 @@
-//! Messages to the discovery client.
+//! Messages that the discovery client receives.
 
 use std::net::SocketAddr;
 
 /// A message to the discovery client.
 pub enum DiscoveryMessage {
-    /// The service is at another address from now on; its revisions go on.
+    /// Reconnect to the service at this address and continue from the last revision.
     SetAddress(SocketAddr),
-    /// Check whether the service has fallen silent.
+    /// Check whether the current connection, or discovery as a whole, has been silent for too long.
     Inspect,
 }
--- a/crates/rockflow-dispatcher/src/discovery/mod.rs
+++ b/crates/rockflow-dispatcher/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The client of the discovery service: reads its event stream and passes each event on once, in order.
+//! The client of the discovery service: reads its event stream and forwards each event once, in order.
 
 pub mod clock;
 pub mod message;
@@ -26,56 +26,59 @@
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-/// A comment arrives each second: a stream on which nothing has arrived for more than two is dead.
+/// The service sends a comment every second, so a stream without any bytes for more than two seconds is dead.
 const STREAM_SILENCE_LIMIT: Duration = Duration::from_millis(2300);
+/// Upper limit of the time to connect; short drain times lower it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The wait before the next connection: doubled with each failure up to the second, less by chance.
+/// The backoff before reconnecting doubles with each failure, from the minimum to the maximum, before jitter.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// The share of the backoff that is not random.
+/// The fraction of the backoff that is always waited; the remainder is random jitter.
 const FIXED_BACKOFF_SHARE: f64 = 0.5;
-/// A connection attempt, or the wait before it, lasts at most this part of the time that a drain may take.
-const DRAIN_LIMIT_PARTS: u32 = 4;
+/// A connection attempt, or the backoff before it, lasts at most the drain timeout divided by this.
+const DRAIN_TIMEOUT_DIVISOR: u32 = 4;
 
-/// Why a stream of events ended.
+/// Why an event stream ended.
 #[derive(Debug, Error)]
 enum StreamEnd {
-    #[error("moved")]
+    #[error("the address of the service has changed")]
     AddressChanged,
-    #[error("ended")]
+    #[error("closed by the service")]
     EndOfStream,
-    #[error("not connected: {0}")]
+    #[error("connecting failed: {0}")]
     ConnectFailed(#[source] std::io::Error),
-    #[error("a head or chunk size without end")]
+    #[error("the response head or a chunk header is too long")]
     OversizedFraming,
-    #[error("silent")]
+    #[error("nothing received for too long")]
     Silent,
     #[error("{0}")]
     Io(#[source] std::io::Error),
     #[error("{0}")]
     Malformed(#[from] DecodeError),
-    #[error("notices {first} to {last} are missing")]
+    #[error("events {first} to {last} are missing")]
     MissingEvents { first: u64, last: u64 },
 }
 
-/// Owns the connection to the discovery service, and the revision up to which events were passed on.
+/// Actor that owns the connection to the discovery service.
 pub struct DiscoveryClient {
     clock: Clock,
     address: SocketAddr,
+    /// Revision of the last event that was forwarded or skipped.
     last_revision: u64,
     mailbox: Arc<Mailbox<DiscoveryMessage>>,
+    /// Receives the events.
     endpoint_list: Arc<Mailbox<EndpointListMessage>>,
     status: Arc<SharedDiscoveryStatus>,
     rng: oorandom::Rand64,
     silence: SilenceDetector,
-    /// The revision after a gap that was requested a second time.
+    /// First revision of the last gap for which the events were requested again.
     requested_gap: Option<u64>,
-    /// The revision of an unreadable event that was requested a second time.
-    requested_unreadable: Option<u64>,
+    /// Revision of the last malformed event that was requested again.
+    requested_malformed: Option<u64>,
 }
 
 impl DiscoveryClient {
-    /// A client that passes events after the configured snapshot to `endpoint_list`.
+    /// Creates a client that sends events newer than the configured snapshot to `endpoint_list`.
     pub fn new(clock: Clock, config: &Config, endpoint_list: Arc<Mailbox<EndpointListMessage>>) -> Self {
         let (address, last_revision) = (config.discovery_address, config.snapshot.revision);
         DiscoveryClient {
@@ -88,21 +91,21 @@
             rng: oorandom::Rand64::new(u128::from(config.seed)),
             silence: SilenceDetector::new(clock.now(), config.network_settings.drain_timeout),
             requested_gap: None,
-            requested_unreadable: None,
+            requested_malformed: None,
         }
     }
 
-    /// The mailbox of the client.
+    /// Returns the client's mailbox.
     pub fn mailbox(&self) -> Arc<Mailbox<DiscoveryMessage>> {
         self.mailbox.clone()
     }
 
-    /// What others see of the connection.
+    /// Returns the shared status of the connection, which this client keeps up to date.
     pub fn status(&self) -> Arc<SharedDiscoveryStatus> {
         self.status.clone()
     }
 
-    /// Runs for ever: connects, passes events on, and connects again after a backoff.
+    /// Connects, forwards events, and reconnects after a backoff. Never returns.
     pub fn run(&mut self) {
         let mut backoff = MIN_BACKOFF;
         loop {
@@ -111,7 +114,7 @@
             info!(reason = %end, revision = self.last_revision, "discovery connection ended");
             self.check_silence();
             let has_succeeded = self.last_revision > revision_before || self.address != address_before;
-            let max_backoff = self.within_drain_limit(MAX_BACKOFF);
+            let max_backoff = self.limited_by_drain_timeout(MAX_BACKOFF);
             backoff = if has_succeeded { MIN_BACKOFF } else { (2 * backoff).min(max_backoff) };
             self.wait_backoff(backoff);
         }
@@ -127,25 +130,25 @@
         }
     }
 
-    /// Guards against a drain that is received late where little time is left for it: a service that is reachable again is
-    /// connected in time for one that began just then.
-    fn within_drain_limit(&self, max: Duration) -> Duration {
-        max.min(self.silence.limit() / DRAIN_LIMIT_PARTS).max(MIN_BACKOFF)
+    /// Limits the time until discovery is connected again, so that a drain that starts as the service becomes
+    /// reachable is received early enough to be carried out within the drain timeout.
+    fn limited_by_drain_timeout(&self, max: Duration) -> Duration {
+        max.min(self.silence.limit() / DRAIN_TIMEOUT_DIVISOR).max(MIN_BACKOFF)
     }
 
-    /// Reads the mailbox; returns whether the service has another address now.
+    /// Processes the mailbox. Returns whether the address of the service has changed.
     fn has_address_changed(&mut self) -> bool {
-        let before = self.address;
+        let old_address = self.address;
         while let Some(message) = self.mailbox.take() {
             if let DiscoveryMessage::SetAddress(address) = message {
                 self.address = address;
                 self.status.set_address(address);
             }
         }
-        self.address != before
+        self.address != old_address
     }
 
-    /// Connects and passes events on until the stream ends.
+    /// Connects, and forwards events until the stream ends.
     fn watch_events(&mut self) -> StreamEnd {
         let mut connection = match self.connect() {
             Ok(connection) => connection,
@@ -156,16 +159,17 @@
                 return StreamEnd::AddressChanged;
             }
             self.check_silence();
-            if let Err(end) = self.advance(&mut connection) {
+            if let Err(end) = self.poll_connection(&mut connection) {
                 return end;
             }
         }
     }
 
-    /// Nothing is asked of the socket but to connect, write and read: its own time limits are not available on every
-    /// platform, and the wait here is bounded by what is received.
+    /// Connects without setting socket timeouts, which not every platform supports. Silence of the stream is
+    /// detected in `poll_connection` instead.
     fn connect(&mut self) -> std::io::Result<Connection> {
-        let stream = TcpStream::connect_timeout(&self.address, self.within_drain_limit(CONNECT_TIMEOUT))?;
+        let stream =
+            TcpStream::connect_timeout(&self.address, self.limited_by_drain_timeout(CONNECT_TIMEOUT))?;
         self.mailbox.wake_by(Wake::Io(stream.waker()));
         Ok(Connection {
             stream,
@@ -176,14 +180,14 @@
         })
     }
 
-    /// Writes or reads once, or waits until that is possible.
-    fn advance(&mut self, connection: &mut Connection) -> Result<(), StreamEnd> {
+    /// Performs one write or read, or waits until the socket is ready for it.
+    fn poll_connection(&mut self, connection: &mut Connection) -> Result<(), StreamEnd> {
         match connection.transfer()? {
-            Transfer::Other => {}
+            Transfer::Retry => {}
             Transfer::Received => {
                 connection.last_received = self.clock.now();
                 self.on_received(connection.last_received);
-                self.pass_events(connection)?;
+                self.forward_events(connection)?;
             }
             Transfer::Blocked => {
                 let silence = self.clock.now().saturating_sub(connection.last_received);
@@ -203,38 +207,39 @@
         self.status.set_received(now);
     }
 
-    /// Reports once that nothing has been received for longer than a drain may take.
+    /// Logs, once per silence, that nothing has been received for longer than the drain timeout.
     fn check_silence(&mut self) {
         if let Some(silence) = self.silence.check(self.clock.now()) {
             error!(
                 address = %self.address, revision = self.last_revision, silent_seconds = silence.as_secs_f64(),
-                "discovery unreachable for longer than a drain may take, using the last endpoint list"
+                "discovery unreachable for longer than the drain timeout, using the last endpoint list"
             );
         }
     }
 
-    /// Passes on the events that are complete, also those before an error.
-    fn pass_events(&mut self, connection: &mut Connection) -> Result<(), StreamEnd> {
+    /// Forwards all complete events, including those that precede a decoding error.
+    fn forward_events(&mut self, connection: &mut Connection) -> Result<(), StreamEnd> {
         let mut events = Vec::new();
         let decoded = connection.decoder.decode(connection.buffer.filled(), &mut events);
         for event in events {
-            self.pass_event(event)?;
+            self.forward_event(event)?;
         }
         if connection.decoder.has_unreadable_event() {
-            self.skip_unreadable();
+            self.skip_repeated_malformed_event();
         }
         connection.buffer.consume(decoded?);
         Ok(())
     }
 
-    fn pass_event(&mut self, event: WatchEvent) -> Result<(), StreamEnd> {
+    fn forward_event(&mut self, event: WatchEvent) -> Result<(), StreamEnd> {
         let (revision, next) = (event.revision, self.last_revision + 1);
         if revision < next {
             return Ok(());
         }
-        // Also where a full list follows the gap: a purge may be in it.
+        // A full endpoint list after the gap doesn't replace it, because the gap may contain purges.
         if revision > next && self.requested_gap != Some(next) {
-            // Requested again once; what is missing after that is not available.
+            // The missing events are requested again once; if they are still missing, the service no longer
+            // has them.
             self.requested_gap = Some(next);
             return Err(StreamEnd::MissingEvents { first: next, last: revision - 1 });
         }
@@ -246,10 +251,10 @@
         Ok(())
     }
 
-    /// Guards against requesting an event that can't be read without end: the second time it is skipped.
-    fn skip_unreadable(&mut self) {
+    /// Skips a malformed event that was already requested again, so that it isn't requested forever.
+    fn skip_repeated_malformed_event(&mut self) {
         let next = self.last_revision + 1;
-        if self.requested_unreadable.replace(next) == Some(next) {
+        if self.requested_malformed.replace(next) == Some(next) {
             warn!(first = next, last = next, "discovery events lost");
             self.last_revision = next;
         }
@@ -261,22 +266,24 @@
     }
 }
 
-/// A connection to the service.
+/// A connection to the discovery service.
 struct Connection {
     stream: TcpStream,
-    /// What is left to write of the request.
+    /// Remainder of the watch request.
     unwritten: Vec<u8>,
     buffer: Buffer,
     decoder: WatchStream,
+    /// When bytes were last received; initially, when the connection was established.
     last_received: Duration,
 }
 
-/// What came of one write or read.
+/// Outcome of one write or read.
 enum Transfer {
-    /// Something arrived.
+    /// Bytes were received.
     Received,
-    /// Nothing arrived, and the next one may be tried at once.
-    Other,
+    /// Nothing was received; the next transfer may be attempted immediately.
+    Retry,
+    /// The socket is not ready.
     Blocked,
 }
 
@@ -286,7 +293,7 @@
         match result {
             Ok(transfer) => Ok(transfer),
             Err(StreamEnd::Io(error)) if error.kind() == ErrorKind::WouldBlock => Ok(Transfer::Blocked),
-            Err(StreamEnd::Io(error)) if error.kind() == ErrorKind::Interrupted => Ok(Transfer::Other),
+            Err(StreamEnd::Io(error)) if error.kind() == ErrorKind::Interrupted => Ok(Transfer::Retry),
             Err(end) => Err(end),
         }
     }
@@ -294,7 +301,7 @@
     fn write(&mut self) -> Result<Transfer, StreamEnd> {
         let written = self.stream.inner().write(&self.unwritten).map_err(StreamEnd::Io)?;
         self.unwritten.drain(..written);
-        Ok(Transfer::Other)
+        Ok(Transfer::Retry)
     }
 
     fn read(&mut self) -> Result<Transfer, StreamEnd> {
--- a/crates/rockflow-dispatcher/src/discovery/silence.rs
+++ b/crates/rockflow-dispatcher/src/discovery/silence.rs
@@ -1,19 +1,20 @@
-//! Detects that nothing has been received for too long. Decides; does no I/O.
+//! Detects that nothing has been received from discovery for too long. Pure logic without I/O.
 
 use std::time::Duration;
 
-/// How long nothing has been received, and whether that has been reported.
+/// Tracks how long nothing has been received, and reports each silence that exceeds the limit once.
 #[derive(Debug)]
 pub struct SilenceDetector {
-    since: Duration,
+    /// When something was last received, or when detection began.
+    last_received: Duration,
     limit: Duration,
     is_reported: bool,
 }
 
 impl SilenceDetector {
-    /// Silence from now on is reported once it is longer than `limit`.
+    /// Starts detection at `now`; a silence is reported when it exceeds `limit`.
     pub fn new(now: Duration, limit: Duration) -> SilenceDetector {
-        SilenceDetector { since: now, limit, is_reported: false }
+        SilenceDetector { last_received: now, limit, is_reported: false }
     }
 
     /// The longest silence that is not reported.
@@ -21,15 +22,15 @@
         self.limit
     }
 
-    /// Something was received; returns how long the silence was, if it had been reported.
+    /// Records that something was received. If the silence before it was reported, returns its length.
     pub fn on_received(&mut self, now: Duration) -> Option<Duration> {
-        let silence = now.saturating_sub(std::mem::replace(&mut self.since, now));
+        let silence = now.saturating_sub(std::mem::replace(&mut self.last_received, now));
         std::mem::take(&mut self.is_reported).then_some(silence)
     }
 
-    /// Returns how long the silence is, the first time that it is past the limit.
+    /// Returns the length of the current silence the first time that it exceeds the limit, otherwise `None`.
     pub fn check(&mut self, now: Duration) -> Option<Duration> {
-        let silence = now.saturating_sub(self.since);
+        let silence = now.saturating_sub(self.last_received);
         if self.is_reported || silence <= self.limit {
             return None;
         }
--- a/crates/rockflow-dispatcher/src/discovery/status.rs
+++ b/crates/rockflow-dispatcher/src/discovery/status.rs
@@ -1,30 +1,30 @@
-//! What others see of the connection to the discovery service.
+//! The observable state of the connection to the discovery service.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// `SharedDiscoveryStatus::last_received_ms` before anything was received.
+/// Value of `SharedDiscoveryStatus::last_received_ms` while nothing has been received.
 const NEVER: u64 = 0;
 
-/// The state of the connection to the discovery service.
+/// A snapshot of the state of the connection to the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryStatus {
-    /// Address of the service.
+    /// Address at which the service is connected, or at which a connection is attempted.
     pub address: SocketAddr,
-    /// Revision of the last event.
+    /// Revision of the last event that was forwarded; before the first, that of the configured snapshot.
     pub last_revision: u64,
-    /// When anything was last received, on the dispatcher's clock.
+    /// When any bytes were last received, on the dispatcher's clock; `None` if none were.
     pub last_received: Option<Duration>,
 }
 
-/// Owned by the discovery client, and read from any thread.
+/// The status as written by the discovery client and read from any thread.
 #[derive(Debug)]
 pub struct SharedDiscoveryStatus {
     address: Mutex<SocketAddr>,
     last_revision: AtomicU64,
-    /// In milliseconds of the clock, or `NEVER`.
+    /// In milliseconds of the dispatcher's clock, or `NEVER`.
     last_received_ms: AtomicU64,
 }
 
@@ -38,7 +38,7 @@
         })
     }
 
-    /// The current status.
+    /// Returns the current status.
     pub fn read(&self) -> DiscoveryStatus {
         let received_ms = self.last_received_ms.load(Ordering::Relaxed);
         DiscoveryStatus {
