--- a/crates/rockflow-dispatcher/src/config.rs
+++ b/crates/rockflow-dispatcher/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a dispatcher, read from JSON.
+//! The configuration of a dispatcher, parsed from JSON.
 
 use rockflow_protocol::discovery::Snapshot;
 use rockflow_settings::{DeploymentSettings, DottedSettings, NetworkSettings};
@@ -8,63 +8,63 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Limits of the process.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Memory in MB.
+    /// Memory in MiB.
     pub memory_mb: usize,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub sockets: usize,
 }
 
-/// The values that take effect only with a restart, by key.
+/// Configuration values that take effect only after a restart, by top-level key.
 pub type RestartOnlyValues = BTreeMap<String, Value>;
 const RESTART_ONLY_KEYS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
-/// The configuration.
+/// The configuration of a dispatcher.
 pub struct Config {
-    /// Name of the dispatcher.
+    /// Name of the dispatcher, for logs and reports.
     pub name: String,
-    /// Address at which clients connect.
+    /// Address at which client connections are accepted.
     pub listen: SocketAddr,
-    /// Seed of the random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Limits of the process.
+    /// Resource limits of the process.
     pub limits: Limits,
     /// Address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// Endpoints and purges at the start.
+    /// Endpoints and purges known at startup; discovery continues from its revision.
     pub snapshot: Snapshot,
-    /// What the decisions go by.
+    /// Settings of the routing decisions.
     pub deployment_settings: DeploymentSettings,
-    /// What only the sockets need.
+    /// Settings of the network I/O.
     pub network_settings: NetworkSettings,
-    /// The values that take effect only with a restart.
+    /// The values that [`Service::reload`](crate::Service::reload) can't change, for comparison.
     pub restart_only: RestartOnlyValues,
 }
 
-/// Why a configuration can't be used. The text names the key.
+/// Why a configuration is rejected. The message names the key.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A key is missing.
+    /// A required key is missing.
     #[error("{0} is missing")]
     Missing(String),
     /// A value is not a string.
-    #[error("{0} is no text")]
+    #[error("{0} is not a string")]
     NotText(String),
-    /// A value is not an address with a port.
-    #[error("{0} is no address with a port")]
+    /// A value is not an IP address with a port.
+    #[error("{0} is not an IP address with a port")]
     NotAddress(String),
     /// A value is not a number of at least 1.
-    #[error("{0} is no count")]
+    #[error("{0} is not a number of at least 1")]
     NotCount(String),
-    /// The seed is not hexadecimal.
-    #[error("seed is no hexadecimal number")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("seed is not a hexadecimal number of at most 64 bits")]
     InvalidSeed,
-    /// The snapshot can't be read.
+    /// The snapshot under `known` is invalid.
     #[error("known: {0}")]
     InvalidSnapshot(#[source] serde_json::Error),
     /// A setting is missing or invalid.
@@ -73,7 +73,7 @@
 }
 
 impl Config {
-    /// Reads a configuration.
+    /// Parses a configuration from JSON text.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let root: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let document = Document { root: &root };
@@ -99,12 +99,13 @@
     }
 }
 
+/// Typed access to the values of a JSON document.
 struct Document<'a> {
     root: &'a Value,
 }
 
 impl<'a> Document<'a> {
-    /// The value at a path of keys with dots between them.
+    /// Returns the value at a path of keys separated by dots.
     fn value(&self, path: &str) -> Result<&'a Value, ConfigError> {
         let found = path.split('.').try_fold(self.root, |value, name| value.get(name));
         found.ok_or_else(|| ConfigError::Missing(path.to_string()))
--- a/crates/rockflow-dispatcher/tests/config.rs
+++ b/crates/rockflow-dispatcher/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: errors name their key, and nested settings read as dotted ones do.
+//! Parsing of the configuration: error messages name the key, and nested settings parse like dotted ones.
 
 use rockflow_dispatcher::caps::Caps;
 use rockflow_dispatcher::Config;
@@ -11,15 +11,15 @@
 }
 
 #[test_case("/listen", None, "listen is missing")]
-#[test_case("/listen", Some(json!("nowhere")), "listen is no address with a port")]
-#[test_case("/seed", Some(json!("xyz")), "seed is no hexadecimal number")]
-#[test_case("/limits/sockets", Some(json!(0)), "limits.sockets is no count")]
+#[test_case("/listen", Some(json!("nowhere")), "listen is not an IP address with a port")]
+#[test_case("/seed", Some(json!("xyz")), "seed is not a hexadecimal number of at most 64 bits")]
+#[test_case("/limits/sockets", Some(json!(0)), "limits.sockets is not a number of at least 1")]
 #[test_case("/known", Some(json!({"rev": 1})), "known: missing field `notices`")]
 #[test_case("/settings/az", None, "settings: az is missing")]
 #[test_case("/settings/grades/1/name", None, "settings: grades.1.name is missing")]
 #[test_case("/settings/rules/startCapacity", Some(json!(-1)), "settings: rules.startCapacity does not parse")]
 #[test_case("/settings/limits/connIdleUs", Some(json!("x")), "settings: limits.connIdleUs does not parse")]
-fn rejects_invalid_value_and_names_its_key(path: &str, value: Option<Value>, what: &str) {
+fn rejects_invalid_value_and_names_its_key(path: &str, value: Option<Value>, expected: &str) {
     let mut document = example();
     let (parent, key) = path.rsplit_once('/').unwrap();
     let parent = document.pointer_mut(parent).unwrap().as_object_mut().unwrap();
@@ -29,12 +29,12 @@
     };
     assert_eq!(
         Config::parse(&document.to_string()).err().map(|error| error.to_string()).as_deref(),
-        Some(what)
+        Some(expected)
     );
 }
 
 #[test]
-fn nested_settings_read_as_dotted_lines() {
+fn nested_and_dotted_settings_parse_alike() {
     let nested =
         json!({"az": 1, "a": {"b": [true, 2.5], "c": "one, two"}, "grades": [{"name": "x"}, {"name": "y"}]});
     let (nested, dotted) =
@@ -48,7 +48,7 @@
 #[test_case(192, 1024)]
 #[test_case(16, 64)]
 #[test_case(2048, 4096)]
-fn caps_keep_within_limits(memory_mb: usize, sockets: usize) {
+fn caps_stay_within_process_limits(memory_mb: usize, sockets: usize) {
     let mut document = example();
     document["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
     let caps = Caps::of(&Config::parse(&document.to_string()).unwrap().limits);
