--- a/crates/rockflow-dispatcher/src/purge.rs
+++ b/crates/rockflow-dispatcher/src/purge.rs
@@ -1,4 +1,4 @@
-//! Purges, as the dispatcher's actors hand them on.
+//! Purges as they are exchanged between the dispatcher's actors.
 
 use crate::clock::Clock;
 use crate::endpoint::id_from_name;
@@ -6,17 +6,18 @@
 use rockflow_protocol::discovery::PurgeEvent;
 use std::time::Duration;
 
-/// When a purge was made.
+/// When a purge was made, on the clock of its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PurgeTimestamp {
-    /// Unix milliseconds by the clock of the discovery service.
+    /// Unix time in milliseconds, by the clock of the discovery service.
     Unix(u64),
-    /// A time on this dispatcher's own clock.
+    /// A time on this dispatcher's clock.
     Local(Duration),
 }
 
 impl PurgeTimestamp {
-    /// How long ago that is.
+    /// Returns how long ago this is by the dispatcher's `clock`, without correction for the offset of
+    /// discovery's clock.
     pub fn age(self, clock: Clock) -> Duration {
         match self {
             PurgeTimestamp::Unix(ms) => clock.age(ms),
@@ -25,24 +26,25 @@
     }
 }
 
-/// A purge of an object or a group; of everything if neither is named.
+/// A purge of an object or a group, or of everything if neither is set. If both are set, only the object
+/// counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// The object.
+    /// The purged object.
     pub object: Option<ObjectId>,
-    /// The group.
+    /// The purged group.
     pub group: Option<GroupId>,
-    /// When it was made: older copies are not served.
+    /// When the purge was made. Copies older than that are not served.
     pub purged_at: PurgeTimestamp,
 }
 
 impl Purge {
-    /// A purge of everything.
+    /// Creates a purge of everything.
     pub fn everything(purged_at: PurgeTimestamp) -> Purge {
         Purge { object: None, group: None, purged_at }
     }
 
-    /// Whether it covers an object of a group.
+    /// Whether the purge covers `object`, which belongs to `group`.
     pub fn covers(&self, object: ObjectId, group: GroupId) -> bool {
         match (self.object, self.group) {
             (Some(purged), _) => purged == object,
--- a/crates/rockflow-dispatcher/src/purge_backlog.rs
+++ b/crates/rockflow-dispatcher/src/purge_backlog.rs
@@ -1,28 +1,30 @@
-//! What discovery sends to who has begun to follow it: all its earlier purges. Decides; does no I/O.
+//! Collects the history of purges that discovery sends to a new follower. Pure logic without I/O.
 
 use crate::purge::{Purge, PurgeTimestamp};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The longest that an event of discovery takes to arrive at dispatchers.
+/// Upper limit of the time that an event of discovery takes to arrive at a dispatcher.
 pub const MAX_DELIVERY_DELAY: Duration = Duration::from_secs(7);
-/// The furthest that discovery's clock and this one are taken to differ.
+/// Upper limit assumed for the offset between discovery's clock and the local one.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
-/// Purges that are held. When full, one of everything replaces them.
+/// Cap on the number of held purges. Beyond it, a purge of everything replaces them.
 pub const MAX_HELD_PURGES: usize = 16_384;
-/// How often it is checked whether what arrives is recent by now.
+/// Interval of the checks whether the received purges have reached the present.
 pub const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// What arrives is recent where discovery's time advances by no more than so many times as much as it does here.
+/// The history is complete when the newest timestamp advances at most this many times as fast as the local
+/// clock; while history is being replayed, it advances much faster.
 const MAX_RECENT_RATE: u32 = 2;
 
-/// A purge, and its Unix time by discovery.
+/// A purge and its time on discovery's clock.
 #[derive(Debug)]
 struct HeldPurge {
     purge: Purge,
+    /// Unix time.
     purged_at: Duration,
 }
 
-/// A purge of the backlog, and its age.
+/// A purge of the backlog and its age when it was taken from there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgedPurge {
     /// The purge.
@@ -31,28 +33,31 @@
     pub age: Duration,
 }
 
-/// When the backlog was last checked, and the newest timestamp at that time.
+/// The newest timestamp at the time of a check for completeness.
 #[derive(Clone, Copy, Debug)]
 struct CatchUpCheck {
-    at: Duration,
+    /// Local time of the check.
+    checked_at: Duration,
     newest: Duration,
 }
 
-/// Holds purges until discovery has caught up with the present, so that the newest of them gives the age of the others by
-/// discovery's own clock. Released too early, they only seem younger.
+/// Holds purges until discovery has sent its whole history. The newest purge then shows the current time of
+/// discovery's clock, by which the ages of the others are computed. If the backlog is taken too early, the
+/// ages come out too small, which only makes the purges stricter.
 #[derive(Debug)]
 pub struct PurgeBacklog {
     purge_window: Duration,
     held: VecDeque<HeldPurge>,
+    /// The newest plausible timestamp, as Unix time by discovery's clock.
     newest: Duration,
-    /// The newest timestamp at the time when purges last exceeded the cap.
+    /// The newest timestamp when the cap was last exceeded; `None` if it never was.
     overflowed_at: Option<Duration>,
-    /// None: nothing has been received from discovery.
+    /// `None` until something has been received from discovery.
     last_check: Option<CatchUpCheck>,
 }
 
 impl PurgeBacklog {
-    /// A purge is in effect for `purge_window`.
+    /// `purge_window` is how long a purge stays in effect.
     pub fn new(purge_window: Duration) -> PurgeBacklog {
         PurgeBacklog {
             purge_window,
@@ -63,11 +68,12 @@
         }
     }
 
-    /// Holds a purge that discovery sent.
+    /// Adds a purge sent by discovery. `now`, here and below, is the time of the local
+    /// [`Clock`](crate::Clock).
     pub fn hold(&mut self, now: Duration, purge: Purge) {
         let PurgeTimestamp::Unix(ms) = purge.purged_at else { return };
         let purged_at = Duration::from_millis(ms);
-        // Guards against a wrong timestamp that would make all others old.
+        // A wrong timestamp far in the future would make all other purges look expired.
         if purged_at <= now + MAX_CLOCK_SKEW {
             self.newest = self.newest.max(purged_at);
         }
@@ -81,14 +87,15 @@
         self.held.push_back(HeldPurge { purge, purged_at });
     }
 
-    /// Whether all is held that discovery sent before; `has_received`: it has sent anything.
+    /// Whether the whole history has been received. `has_received` tells whether discovery has sent anything
+    /// yet. To be called repeatedly; it compares the newest timestamps at two checks.
     pub fn is_complete(&mut self, now: Duration, has_received: bool) -> bool {
-        let check = CatchUpCheck { at: now, newest: self.newest };
+        let check = CatchUpCheck { checked_at: now, newest: self.newest };
         let Some(last) = self.last_check else {
             self.last_check = has_received.then_some(check);
             return false;
         };
-        let elapsed = now.saturating_sub(last.at);
+        let elapsed = now.saturating_sub(last.checked_at);
         if elapsed < CATCH_UP_CHECK_INTERVAL {
             return false;
         }
@@ -96,7 +103,7 @@
         self.newest - last.newest <= elapsed * MAX_RECENT_RATE
     }
 
-    /// Takes the purges that may be in effect, in their order. Only by discovery's own clock is one past its time.
+    /// Removes all purges and returns those that may still be in effect, in the order of arrival.
     pub fn take(&mut self, now: Duration) -> Vec<AgedPurge> {
         let mut taken = Vec::new();
         for HeldPurge { purge, purged_at } in std::mem::take(&mut self.held) {
@@ -109,17 +116,21 @@
         taken
     }
 
-    /// Whether purges that may be in effect exceeded the cap: one of everything replaces them.
+    /// Whether the cap was exceeded by purges that may still be in effect, so that a purge of everything must
+    /// replace them.
     pub fn has_overflowed(&self, now: Duration) -> bool {
         self.overflowed_at.is_some_and(|newest| self.may_be_in_effect(now, newest))
     }
 
-    /// A publication of it may have to be told from that of a later one for a while after it has expired.
+    /// Whether a purge is of no use any more by discovery's clock. Purges are kept beyond the time in which
+    /// they are in effect, because the publication of an expired purge may have to be distinguished from that
+    /// of a later one for a while.
     fn is_expired(&self, purged_at: Duration) -> bool {
         self.newest.saturating_sub(purged_at) > self.purge_window * 2 + MAX_DELIVERY_DELAY
     }
 
-    /// Neither expired by discovery's clock nor by this one, whatever they differ.
+    /// Whether a purge is expired neither by discovery's clock nor, allowing for the maximum clock skew, by
+    /// the local one.
     fn may_be_in_effect(&self, now: Duration, purged_at: Duration) -> bool {
         let max_age = self.purge_window + MAX_CLOCK_SKEW + MAX_DELIVERY_DELAY;
         !self.is_expired(purged_at) && now.saturating_sub(purged_at) <= max_age
--- a/crates/rockflow-dispatcher/src/purge_follower.rs
+++ b/crates/rockflow-dispatcher/src/purge_follower.rs
@@ -1,4 +1,4 @@
-//! Follows discovery for its purges alone, for whoever passes them on.
+//! Follows the discovery service for its purges only, for components that publish them to others.
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -16,27 +16,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A purge that discovery sent.
+/// A purge received from discovery.
 pub struct ObservedPurge {
     /// The purge.
     pub purge: Purge,
-    /// How long ago it was made.
+    /// How long ago the purge was made, corrected for the offset of discovery's clock.
     pub age: Duration,
-    /// It was sent before the follower had caught up.
+    /// Whether the purge belongs to the history that discovery sent at the start.
     pub is_backlog: bool,
 }
 
 /// A running follower.
 pub struct PurgeFollower {
     discovery: Arc<Mailbox<DiscoveryMessage>>,
-    /// The connection to discovery.
+    /// Status of the connection to discovery.
     pub status: Arc<SharedDiscoveryStatus>,
 }
 
 impl PurgeFollower {
-    /// Starts following. `on_purge` is called with every purge, in an actor of its own; it must not wait. A purge is in
-    /// effect for `purge_window`: what is older by any clock is left out, as discovery sends its whole history to a new
-    /// follower. What is left of the history is held until discovery has caught up.
+    /// Starts following discovery. `on_purge` is called for each purge in a separate actor; it must not
+    /// block.
+    ///
+    /// Discovery sends its whole history of purges to a new follower. Purges that are older than
+    /// `purge_window`, the time in which a purge is in effect, are left out, with allowance for delivery
+    /// delay and clock skew. The others are held until the history is complete, and then passed to
+    /// `on_purge`.
     ///
     /// # Errors
     /// If an actor can't be started.
@@ -57,13 +61,13 @@
         Ok(follower)
     }
 
-    /// Discovery is at another address from now on.
+    /// Reconnects to discovery at another address.
     pub fn set_address(&self, address: SocketAddr) {
         self.discovery.send_urgent(DiscoveryMessage::SetAddress(address));
     }
 }
 
-/// Owns the backlog, and the clock by which purges are aged.
+/// Actor that receives the events of the discovery client and passes their purges to the callback.
 struct FollowerActor<F> {
     clock: Clock,
     mailbox: Arc<Mailbox<EndpointListMessage>>,
@@ -81,7 +85,7 @@
             match self.mailbox.take() {
                 Some(message) => {
                     if let Some(purge) = purge_of(message) {
-                        self.pass_on(&mut discovery_clock, purge);
+                        self.on_purge_received(&mut discovery_clock, purge);
                     }
                 }
                 None => coroutine::park(),
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Holds purges until discovery has caught up, then passes them on.
+    /// Holds purges until the history of discovery is complete, then passes them to the callback.
     fn collect_backlog(&mut self) {
         let mut backlog = PurgeBacklog::new(self.purge_window);
         loop {
@@ -114,7 +118,7 @@
         }
     }
 
-    fn pass_on(&mut self, discovery_clock: &mut DiscoveryClock, purge: Purge) {
+    fn on_purge_received(&mut self, discovery_clock: &mut DiscoveryClock, purge: Purge) {
         let apparent_age = purge.purged_at.age(self.clock);
         if apparent_age > self.purge_window + MAX_CLOCK_SKEW + MAX_DELIVERY_DELAY {
             return;
