--- a/crates/rockflow-dispatcher/src/handle.rs
+++ b/crates/rockflow-dispatcher/src/handle.rs
@@ -1,5 +1,5 @@
-//! The way in for whoever manages a running dispatcher, from a thread of its own. Each call leaves a message in a mailbox
-//! and returns; the reply comes by a callback that must not wait.
+//! The interface for managing a running dispatcher from any thread. A call sends a message to an actor and
+//! returns; the actor reports the result through a callback, which must not block.
 
 use crate::backpressure::{CoalescingSlot, PurgeQuota};
 use crate::caps::Caps;
@@ -19,21 +19,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Messages that may wait at the endpoint list; further ones of managers are rejected.
+/// While this many messages are queued at the endpoint list, further operator requests are rejected.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// A handle of a running dispatcher.
+/// A handle for managing a running dispatcher.
 #[derive(Clone)]
 pub struct ServiceHandle {
-    /// The clock.
+    /// The dispatcher's clock, which all its local times refer to.
     pub clock: Clock,
     /// Name of the dispatcher.
     pub name: String,
-    /// Caps on what it holds.
+    /// Caps on the dispatcher's resources.
     pub caps: Caps,
-    /// The request classes with their names on the wire, by index.
+    /// The request classes with their names in requests, by class index.
     pub classes: Vec<(String, Class)>,
-    /// Names of the locations, by index.
+    /// Names of the locations, by location index.
     pub locations: Vec<String>,
     pub(crate) endpoint_list: Arc<Mailbox<EndpointListMessage>>,
     pub(crate) clients: Arc<ClientRegistry>,
@@ -41,14 +41,16 @@
     pub(crate) discovery: Arc<SharedDiscoveryStatus>,
     pub(crate) phase: Arc<AtomicU8>,
     pub(crate) purge_quota: Arc<PurgeQuota>,
-    /// The time of the purge of everything that replaces those beyond the quota.
+    /// Pending purge of everything that replaces purges beyond the quota; holds the local time at which it
+    /// was made.
     pub(crate) purge_overflow: Arc<CoalescingSlot<Duration, ()>>,
+    /// Overrides of the control nodes that are not applied yet.
     pub(crate) control_overrides: Arc<CoalescingSlot<AdminOverrides, RejectedOverrides>>,
 }
 
 impl ServiceHandle {
-    /// Replaces all overrides of operators. `done` is called once the decisions go by them; false: too many messages wait,
-    /// and nothing was done.
+    /// Replaces all administrative overrides set by operators. `done` is called once they are in effect.
+    /// Returns false, without any change, if too many messages are queued.
     pub fn set_operator_overrides(
         &self,
         overrides: AdminOverrides,
@@ -62,8 +64,9 @@
         true
     }
 
-    /// Replaces all overrides of control. `done` is called once the decisions go by them, with those that are not applied;
-    /// false: too many callers wait, and the earliest will not be called.
+    /// Replaces all administrative overrides set by the control nodes. `done` is called with the rejected
+    /// ones once the others are in effect. Returns false if too many callers are waiting, so that the
+    /// callback of the earliest was dropped.
     pub fn set_control_overrides(
         &self,
         overrides: AdminOverrides,
@@ -77,8 +80,9 @@
         !outcome.dropped_caller
     }
 
-    /// Applies purges, or one of everything where too many wait. `done` is called once the decisions go by it; false: too
-    /// many callers wait for that one, and the earliest will not be called.
+    /// Applies purges; beyond the quota of queued purges, a purge of everything replaces them. `done` is
+    /// called once the purges are in effect. Returns false if too many callers wait for the purge of
+    /// everything, so that the callback of the earliest was dropped.
     pub fn purge(&self, purges: Vec<Purge>, done: impl FnOnce() + Send + 'static) -> bool {
         if let Some(reservation) = self.purge_quota.reserve(purges.len()) {
             let done = Box::new(move |()| {
@@ -92,8 +96,8 @@
         let ages = purges.iter().map(|purge| purge.purged_at.age(self.clock));
         let youngest = ages.min().unwrap_or_default();
         let purged_at = self.clock.now().saturating_sub(youngest);
-        let join = |before: Option<Duration>| before.map_or(purged_at, |before| before.max(purged_at));
-        let outcome = self.purge_overflow.put(join, Box::new(move |()| done()));
+        let latest = |pending: Option<Duration>| pending.map_or(purged_at, |pending| pending.max(purged_at));
+        let outcome = self.purge_overflow.put(latest, Box::new(move |()| done()));
         if outcome.was_empty {
             let slot = self.purge_overflow.clone();
             self.clients.decisions.send_urgent(DecisionMessage::PurgeEverything(slot));
@@ -101,12 +105,13 @@
         !outcome.dropped_caller
     }
 
-    /// The timestamp of a purge that was made `age` ago, on the clock of this dispatcher.
+    /// Returns the timestamp of a purge made `age` ago, on this dispatcher's clock.
     pub fn timestamp_before_now(&self, age: Duration) -> PurgeTimestamp {
         PurgeTimestamp::Local(self.clock.now().saturating_sub(age))
     }
 
-    /// Requests a status report; false: too many messages wait, and none will come.
+    /// Requests a status report, which is passed to `reply`. Returns false, without a reply, if too many
+    /// messages are queued.
     pub fn request_status(&self, reply: impl FnOnce(Box<StatusReport>) + Send + 'static) -> bool {
         if self.endpoint_list.len() >= MAX_QUEUED_MESSAGES {
             return false;
@@ -115,18 +120,18 @@
         true
     }
 
-    /// The phase of the dispatcher.
+    /// Returns the phase of the dispatcher.
     pub fn phase(&self) -> Phase {
         let phase = self.phase.load(Ordering::Relaxed);
         Phase::ALL.into_iter().find(|known| *known as u8 == phase).unwrap_or(Phase::Stopped)
     }
 
-    /// The connection to the discovery service.
+    /// Returns the status of the connection to the discovery service.
     pub fn discovery_status(&self) -> DiscoveryStatus {
         self.discovery.read()
     }
 
-    /// How much of each capped resource is in use. The names are those of the management model.
+    /// Returns how much of each capped resource is in use, under the names of the management model.
     pub fn fill_levels(&self) -> Vec<FillLevel> {
         let level = |name, cap, fill| FillLevel { name, cap, fill };
         let buffered_bytes = self.pool.buffered_bytes.load(Ordering::Relaxed);
--- a/crates/rockflow-dispatcher/src/lib.rs
+++ b/crates/rockflow-dispatcher/src/lib.rs
@@ -1,16 +1,18 @@
-//! The rockflow dispatcher on sockets, to be embedded: actors on `may` that carry out what the decisions say.
+//! The rockflow dispatcher as an embeddable library: actors on `may` coroutines that do the network I/O for
+//! the routing decisions.
 //!
-//! [`Service`] is the program from start to exit. Each actor runs in a coroutine, owns its state and is reached through
-//! its [`mailbox::Mailbox`]; the messages of an actor lie beside it.
+//! [`Service`] is a running dispatcher, from start to graceful shutdown. Each actor runs in a coroutine, owns
+//! its state and receives messages through its [`mailbox::Mailbox`]; its message type is defined in the
+//! module next to it.
 //!
 //! | actor | owns |
 //! | --- | --- |
-//! | [`decision::DecisionActor`] | the decisions, open requests, deadlines, health checks, the hosts' mailboxes |
+//! | [`decision::DecisionActor`] | routing decisions, open requests, deadlines, health checks, the hosts' mailboxes |
 //! | [`endpoint_list::EndpointListActor`] | the endpoint list and its administrative overrides |
 //! | [`discovery::DiscoveryClient`] | the connection to the discovery service |
-//! | [`client`] | one connection of a client |
-//! | [`host::HostActor`] | the connections to one host, and what waits for one |
-//! | [`upstream`] | one connection to a host |
+//! | [`client`] | one client connection |
+//! | [`host::HostActor`] | the connections to one host, and the attempts that wait for a connection |
+//! | [`upstream`] | one upstream connection to a host |
 
 pub mod attempt;
 pub mod backpressure;
--- a/crates/rockflow-dispatcher/src/listener.rs
+++ b/crates/rockflow-dispatcher/src/listener.rs
@@ -1,4 +1,5 @@
-//! Accepts clients' connections, up to the cap; past it they wait unaccepted until a request has its response.
+//! Accepts client connections up to a cap. Further ones wait in the listen backlog until an accepted
+//! connection closes; meanwhile connections close after their response.
 
 use crate::client::{self, ClientRegistry};
 use crate::connection_pool::ConnectionPool;
@@ -12,13 +13,13 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The wait after a failed accept, for example with no descriptor left.
+/// Delay after a failed accept, for example when the process has no file descriptor left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How often connections are checked for those that are of no use any more.
+/// Interval at which connections check whether they should be closed, for example for lack of progress.
 const INSPECTION_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Has all connections check themselves, again and again.
+/// Sends all connections a periodic request to check themselves. Never returns.
 pub fn inspect_connections(
     clients: &ClientRegistry,
     pool: &ConnectionPool,
@@ -32,11 +33,11 @@
     }
 }
 
-/// Accepts connections for ever. `permits` holds one for each connection that may still be accepted.
+/// Accepts connections; never returns. `permits` counts the connections that may still be accepted.
 pub fn run(listener: &TcpListener, clients: &Arc<ClientRegistry>, permits: &Arc<Semphore>) {
     loop {
         if !permits.try_wait() {
-            warn!("all client connections are busy, they close with their responses");
+            warn!("the cap on client connections is reached, connections close after their responses");
             clients.crowded.store(true, Ordering::Relaxed);
             permits.wait();
             clients.crowded.store(false, Ordering::Relaxed);
--- a/crates/rockflow-dispatcher/src/service.rs
+++ b/crates/rockflow-dispatcher/src/service.rs
@@ -1,4 +1,4 @@
-//! The program from start to exit.
+//! Starts the actors of a dispatcher, reloads its configuration and shuts it down gracefully.
 
 use crate::backpressure::{CoalescingSlot, PurgeQuota};
 use crate::caps::Caps;
@@ -29,19 +29,21 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Threads that run coroutines: the runtime still writes into a coroutine that it has given away, and a second could end
-/// it meanwhile.
+/// Number of threads that run coroutines. With more than one, a coroutine could be resumed and freed on
+/// another thread while the runtime still writes to it.
 const WORKERS: usize = 1;
-/// After a shutdown has begun, new connections arrive for 0.4 s and requests on open ones for 0.2 s more.
+/// How long requests are still served after a shutdown has begun: new connections arrive for 0.4 s, and
+/// requests on open ones for 0.2 s more.
 const DRAIN_TIME: Duration = Duration::from_millis(650);
-/// The program is not killed before the longest deadline, or this if it is shorter, has passed after that.
+/// Upper limit of the time after `DRAIN_TIME` in which open requests may finish. The process is not killed
+/// before the longest deadline of any class, or this limit if it is shorter, has passed.
 const MAX_CLOSE_TIME: Duration = Duration::from_secs(3);
-/// Left of that time for the last responses to be written.
+/// The part of that time that is reserved for writing the last responses.
 const RESPONSE_WRITE_TIME: Duration = Duration::from_millis(150);
-/// How often a shutdown checks whether it is complete.
+/// Interval at which a shutdown checks whether it can continue.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running dispatcher. Its actors last as long as the process.
+/// A running dispatcher. Its actors run until the process exits.
 ///
 /// ```no_run
 /// use rockflow_dispatcher::{Config, Service};
@@ -64,24 +66,25 @@
 }
 
 impl Service {
-    /// Sets the coroutines up; once in a process, before the first service.
+    /// Configures the coroutine runtime. Call it once per process, before the first service starts.
     pub fn set_up() {
         may::config().set_workers(WORKERS).set_stack_size(STACK_WORDS);
     }
 
-    /// Starts a dispatcher in which nobody can set overrides.
+    /// Starts a dispatcher without support for administrative overrides.
     ///
     /// # Errors
-    /// If the address can't be listened at, or an actor can't be started.
+    /// If the listen address can't be bound, or an actor can't be started.
     pub fn start(config: Config) -> std::io::Result<Service> {
         Service::start_with_overrides(Clock::start(), config, None)
     }
 
-    /// Starts a dispatcher with overrides of operators, which are in effect from the first request on and can be changed
-    /// through its [`handle`](Service::handle); none: nobody can set overrides, and nothing is held for them.
+    /// Starts a dispatcher with administrative overrides of the operators. They are in effect from the first
+    /// request on and can be changed through the [`handle`](Service::handle). With `None`, overrides are not
+    /// supported and no state is kept for them.
     ///
     /// # Errors
-    /// If the address can't be listened at, or an actor can't be started.
+    /// If the listen address can't be bound, or an actor can't be started.
     pub fn start_with_overrides(
         clock: Clock,
         config: Config,
@@ -94,7 +97,7 @@
         if let Some(registry) = &mut registry {
             endpoints = registry.apply_update(ListScope::Full, endpoints, clock.now());
         }
-        startup.log(&config, &endpoints);
+        startup.log_start(&config, &endpoints);
         let mut discovery = DiscoveryClient::new(clock, &config, startup.endpoint_list.clone());
         let mut decisions = DecisionActor::new(startup.dependencies(&config), endpoints, purges);
         let mut endpoint_list = EndpointListActor::new(
@@ -110,27 +113,28 @@
         spawn("endpoint-list", LARGE_STACK_WORDS, move || endpoint_list.run())?;
         spawn("discovery", LARGE_STACK_WORDS, move || discovery.run())?;
         startup.spawn_listener(listener, service.discovery.clone())?;
-        service.enter(Phase::Serving);
+        service.enter_phase(Phase::Serving);
         Ok(service)
     }
 
-    /// The current phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The address at which clients connect.
+    /// Returns the address at which client connections are accepted.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen_address
     }
 
-    /// A handle for whoever manages this dispatcher, from any thread.
+    /// Returns a handle to manage this dispatcher from any thread.
     pub fn handle(&self) -> ServiceHandle {
         self.handle.clone()
     }
 
-    /// Applies a new configuration under load: discovery is connected at its new address at once, from the last revision.
-    /// What takes effect only with a restart stays as it was, and is named in the log.
+    /// Applies a new configuration while requests are served. Discovery is reconnected at its new address
+    /// immediately and continues from the last revision. Changed values that take effect only after a restart
+    /// are ignored, and their keys logged.
     pub fn reload(&mut self, config: &Config) {
         let values = self.restart_only.iter().zip(config.restart_only.iter());
         let changed = values.filter(|(old, new)| old != new);
@@ -144,49 +148,50 @@
         self.discovery.send_urgent(DiscoveryMessage::SetAddress(to));
     }
 
-    /// Shuts down gracefully, to the end; blocks the calling thread.
+    /// Shuts down gracefully. Blocks the calling thread until the shutdown is complete.
     pub fn stop(&mut self) {
         self.stop_with(|_| {});
     }
 
-    /// Shuts down gracefully; `between` is called every few milliseconds until the end. Guards against configurations that
-    /// are missed in the time that it takes: requests that still arrive go by the endpoint list, and discovery may move
-    /// meanwhile.
-    pub fn stop_with(&mut self, mut between: impl FnMut(&mut Service)) {
-        self.enter(Phase::Draining);
-        let drained = self.clients.clock.now() + DRAIN_TIME;
-        let end = drained + self.clients.max_deadline.min(MAX_CLOSE_TIME);
-        let deadline = end - RESPONSE_WRITE_TIME;
+    /// Like [`stop`](Service::stop), but calls `on_poll` every few milliseconds until the shutdown is
+    /// complete. The caller can reload the configuration there: requests that still arrive depend on the
+    /// endpoint list, and the discovery service may change its address during the shutdown.
+    pub fn stop_with(&mut self, mut on_poll: impl FnMut(&mut Service)) {
+        self.enter_phase(Phase::Draining);
+        let drain_end = self.clients.clock.now() + DRAIN_TIME;
+        let close_end = drain_end + self.clients.max_deadline.min(MAX_CLOSE_TIME);
+        let deadline = close_end - RESPONSE_WRITE_TIME;
         self.clients.decisions.send_urgent(DecisionMessage::ShutdownStarted { deadline });
-        self.wait_until(&mut between, |service| service.clients.clock.now() >= drained);
-        self.enter(Phase::Closing);
+        self.wait_until(&mut on_poll, |service| service.clients.clock.now() >= drain_end);
+        self.enter_phase(Phase::Closing);
         self.clients.closing.store(true, Ordering::Relaxed);
         self.clients.inspect();
-        // Guards against a response that is lost to the reset of a connection which ends with bytes unread: connections
-        // that have their last response are left to their clients to close, for as long as they may linger.
-        self.wait_until(&mut between, |service| {
+        // Closing a socket with unread bytes resets the connection, which can lose a response that is still
+        // in transit. So after the last response the client closes the connection, and the shutdown waits for
+        // that until `close_end`.
+        self.wait_until(&mut on_poll, |service| {
             let open_requests = service.clients.open_requests.load(Ordering::Relaxed);
-            open_requests + service.clients.connections() == 0 || service.clients.clock.now() >= end
+            open_requests + service.clients.connections() == 0 || service.clients.clock.now() >= close_end
         });
-        self.enter(Phase::Stopped);
+        self.enter_phase(Phase::Stopped);
     }
 
-    fn enter(&mut self, phase: Phase) {
+    fn enter_phase(&mut self, phase: Phase) {
         let requests = self.clients.open_requests.load(Ordering::Relaxed);
         info!(from = ?self.phase, to = ?phase, requests, "phase changed");
         self.phase = phase;
         self.handle.phase.store(phase as u8, Ordering::Relaxed);
     }
 
-    fn wait_until(&mut self, between: &mut impl FnMut(&mut Service), is_reached: impl Fn(&Service) -> bool) {
+    fn wait_until(&mut self, on_poll: &mut impl FnMut(&mut Service), is_reached: impl Fn(&Service) -> bool) {
         while !is_reached(self) {
-            between(self);
+            on_poll(self);
             std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
     }
 }
 
-/// What the actors share, made before any of them starts.
+/// State shared by the actors, created before any of them starts.
 struct Startup {
     clock: Clock,
     caps: Caps,
@@ -232,7 +237,7 @@
         Startup { clock, caps, decisions, endpoint_list: Mailbox::new(), ready, clients, pool }
     }
 
-    fn log(&self, config: &Config, endpoints: &[Endpoint]) {
+    fn log_start(&self, config: &Config, endpoints: &[Endpoint]) {
         let (name, revision) = (&config.name, config.snapshot.revision);
         let (endpoints, caps) = (endpoints.len(), self.caps);
         info!(name, listen = %config.listen, endpoints, revision, ?caps, "starting");
