--- a/crates/rockflow-dispatcher/tests/common/mod.rs
+++ b/crates/rockflow-dispatcher/tests/common/mod.rs
@@ -1,78 +1,122 @@
-//! Plays a scenario against a whole dispatcher on loopback sockets. A line is a party and what it does:
+//! Runs scenario scripts against a whole dispatcher on loopback sockets.
 //!
-//!     host NAME cache|parent|origin [shut] [unlisted]   listed at the start, at a port of its own; `shut`: its queue
-//!                                       is full, so that what connects to it stays on its way
-//!     start [unknown-class] [comments] [sockets=N] [/PATH=JSON]   the dispatcher, with a class that the decisions
-//!                                       don't know, boards that comment while they are called, as the protocol has it, and
-//!                                       other values in its configuration
-//!     freeze | thaw                     nothing of the dispatcher runs in between, but for a planned stop's own thread; what
-//!                                       is sent meanwhile is there, in its order, before anything runs
-//!     until hosts|clients|held N | until rev N | until leaving|finishing   so many connections stand, or are on their way;
-//!                                       the board's notice has been heard; a planned stop takes nothing more
-//!     crowd N | burst N                 so many clients connect and say nothing; ask, and are gone
-//!     a asks OBJECT id=HEX [patience=MS] [Header:value]   a client asks, connecting first if it has to
-//!     a sends TEXT                      raw, with \r \n
-//!     a gets STATUS WORD...             one answer, holding all words
-//!     a pours N | a floods              sends so many bytes of no meaning; without end, beside what follows
-//!     a closes | a resets | a ended     the client leaves; the dispatcher has closed
-//!     a within MS ...                   what follows, by then
-//!     c shuts | c opens                 its queue is full from now on, or not any more
-//!     c untaken MS                      nobody connects to it in that time
-//!     c quiet MS                        nothing is said to it in that time
-//!     c takes [as NAME]                 host c accepts a connection, which is c's, or a party of its own, from then on
-//!     c gets WORD...                    a line holding all words but those after `!`, a field below N with
-//!                                       `FIELD<N`, or below N and the time since the last purge with `FIELD<N+since`, in
-//!                                       milliseconds; its id is remembered
-//!     c skips WORD...                   lines up to one holding these words are read and passed over
-//!     c trails WORD...                  the same as `gets`, and the dispatcher began to write it a moment after the line that
-//!                                       was got before
-//!     c says WORD FIELDS [id=HEX] [body=TEXT]   answers the remembered id, or the one named
-//!     c sends TEXT | c closes | c ended | c dies    a host's connection ends; the host is gone
-//!     nodelay N                         so many of the dispatcher's sockets, at least, hold no small write back
-//!     board takes LAST [by MS]          in that time
-//!     board accepts                     takes the call and says nothing at all
-//!     board down | board up             nobody listens there; somebody does again
-//!     board takes LAST | board says JSON | board closes     likewise board2 once it is the board; in JSON `@NAME` is
-//!                                       the address of a host, `@now` the Unix time in milliseconds
-//!     reload board2                     a configuration that names another board
-//!     mark NAME=draining|gone ... [until=MS]   operators' marks, in place of those before; the start said `marked`
-//!     fleet NAME=draining|gone ... [! NAME=lastone ...]   the fleet's marks, in place of those before; behind `!` those that
-//!                                       are kept apart, and why
-//!     purge all|group=N|OBJECT [ago=MS] by way of the link, till the decisions have heard of it
-//!     purges N [ago=MS]                 so many, each of another object, and nobody waits for them
-//!     post mark|fleet|purge ...         the same as without `post`, and the play does not wait for it
-//!     heeded WORD...                    the decisions go by what was posted, told in this order, each by its first word
-//!     wait MS                           time passes
-//!     stop [held] | release | over      a planned stop begins, and goes on to its next phase only once it is released; it has
-//!                                       come to its end
-//!     overdue N                         requests so far that the decisions left without an answer in time
+//! A script consists of comment lines that begin with `#` and of command lines. A command begins with its name, or with
+//! the name of a peer of the dispatcher: a host, a client, or a discovery service (`discovery`, `discovery2`). Below,
+//! `a` stands for a client, `c` for a host, and `peer` for either of them or a discovery service.
+//!
+//! Setup and control of the dispatcher:
+//!
+//!     host NAME cache|parent|origin [full-backlog] [small-backlog] [unlisted]
+//!                               Listens on a free port and is in the initial endpoint list unless `unlisted`. With
+//!                               `full-backlog` connections to it are not established until `empties-backlog`. A host
+//!                               that runs `fills-backlog` later needs `small-backlog`.
+//!     start [unknown-class] [comments] [overrides] [sockets=N] [/PATH=JSON]
+//!                               Starts the dispatcher: with a class that the decisions don't know, with discovery
+//!                               services that send comments periodically as the protocol requires, with support for
+//!                               overrides, and with other values in its configuration.
+//!     reload discovery2         Loads a configuration with another discovery address.
+//!     pause-worker | resume-worker
+//!                               Stops the thread that runs all of the dispatcher but a graceful shutdown. Bytes sent
+//!                               meanwhile arrive in the order of the commands before the dispatcher runs again.
+//!     shutdown [paused] | continue-shutdown | shutdown-completed
+//!                               Begins a graceful shutdown, which with `paused` stays in its first phase until it is
+//!                               continued; waits until it is complete.
+//!     wait-until NAME N         Waits until this capped resource (clients, hosts, held, module-words) is at N.
+//!     wait-until rev N          Waits until the discovery event with this revision is in effect.
+//!     wait-until draining|closing
+//!                               Waits for this phase of a shutdown.
+//!     wait MS                   Sleeps.
+//!     expect-overdue N          So many requests in total were not answered by the decisions in time.
+//!     expect-nodelay N          TCP_NODELAY was set on at least so many sockets of the dispatcher.
+//!
+//! Overrides and purges through the service handle. Each waits until it is in effect:
+//!
+//!     operator-overrides NAME=draining|gone ... [until=MS] | operator-overrides none
+//!                               Replaces the operators' overrides.
+//!     control-overrides [NAME=draining|gone ...] [rejects NAME=last-ready|too-many ...]
+//!                               Replaces the overrides of the control nodes; exactly those behind `rejects` are
+//!                               rejected, for these reasons.
+//!     purge all|group=N|OBJECT [ago=MS]
+//!     unawaited-purges N [ago=MS]
+//!                               Purges N objects without waiting.
+//!     async operator-overrides|control-overrides|purge ...
+//!                               The same as without `async`, without waiting.
+//!     expect-applied COMMAND... The `async` commands with these names have taken effect, in this order.
+//!
+//! Clients:
+//!
+//!     a requests OBJECT id=HEX [patience=MS] [Header:value]
+//!                               Connects if necessary and sends a request.
+//!     a receives STATUS WORD... Reads one response that contains all words.
+//!     a sends-filler N          Sends N meaningless bytes.
+//!     a sends-endlessly         Sends meaningless bytes in the background until the connection ends.
+//!     a resets                  Resets the connection.
+//!     idle-clients N            N clients connect and send nothing.
+//!     abandoned-requests N      N clients send a request and disconnect.
+//!
+//! Hosts:
+//!
+//!     c accepts [as NAME]       Accepts a connection, which replaces that of `c`, or is used by the new peer NAME.
+//!     c expects-no-connection MS
+//!     c expects-silence MS      Nothing arrives on the connection in that time.
+//!     c receives WORD...        Reads a line that contains all words except those after `!`. `FIELD<N` is a field below
+//!                               N, and `FIELD<N+since` one below N plus the milliseconds since the last purge. The
+//!                               request id of the line is remembered.
+//!     c receives-after-delay WORD...
+//!                               The same, and the dispatcher wrote the line more than 1 ms after the one received before.
+//!     c skips-to WORD...        Discards lines up to one that contains all words, whose request id is remembered.
+//!     c responds WORD FIELDS [id=HEX] [body=TEXT]
+//!                               Responds to the remembered request id, or to the given one.
+//!     c fills-backlog | c empties-backlog
+//!                               From now on connections to the host are not established, or are established again.
+//!     c terminates              Closes the connection and stops listening.
+//!
+//! Discovery services:
+//!
+//!     discovery accepts LAST [within MS]
+//!                               Accepts a connection that requests events after revision LAST, and sends a response head.
+//!     discovery accepts-silently
+//!                               Accepts a connection without a response.
+//!     discovery sends-event JSON
+//!                               `"@NAME"` stands for the address of a host, `@now` for the Unix time in milliseconds.
+//!     discovery down | discovery up
+//!                               Stops listening and disconnects; listens again on the same port.
+//!
+//! Any peer:
+//!
+//!     peer sends TEXT           Sends text with `\r` and `\n` as escape sequences.
+//!     peer closes               Closes the connection.
+//!     peer expects-close        The dispatcher closes the connection without sending anything more.
+//!     peer within MS COMMAND... Runs a command of this peer with this read timeout.
 
-mod party;
-mod play;
+mod peer;
+mod scenario;
 mod sockets;
 mod steps;
 pub mod worker;
 
-use play::Play;
-use sockets::OURS;
+use scenario::Scenario;
+use sockets::IS_TEST_THREAD;
 use std::panic::{catch_unwind, resume_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of every wait without one of its own.
+const TIMEOUT: Duration = Duration::from_secs(5);
 const MS: Duration = Duration::from_millis(1);
 
-/// Plays a scenario to its end.
-pub fn play(text: &str) {
-    OURS.set(true);
-    let mut play = Play::new();
+/// Runs a scenario script. If a command fails, prints the data that the peers have not read.
+pub fn run_scenario(text: &str) {
+    IS_TEST_THREAD.set(true);
+    let mut scenario = Scenario::new();
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
     lines.for_each(|line| {
         println!("{line}");
-        if let Err(what) = catch_unwind(AssertUnwindSafe(|| play.play(line))) {
-            play.parties
+        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| scenario.run_command(line))) {
+            scenario
+                .peers
                 .iter_mut()
-                .for_each(|(name, party)| println!("# {name} {}", party.describe_unread()));
-            resume_unwind(what);
+                .for_each(|(name, peer)| println!("# {name} {}", peer.describe_unread()));
+            resume_unwind(panic);
         }
     });
 }
--- a/crates/rockflow-dispatcher/tests/common/sockets.rs
+++ b/crates/rockflow-dispatcher/tests/common/sockets.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's use of its sockets, watched in place of the C library's calls.
+//! Observes the dispatcher's socket calls by replacing functions of the C library.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -6,40 +6,41 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often a thread of a dispatcher has asked for no delay of small writes.
+/// How often a dispatcher thread has set TCP_NODELAY.
 pub(super) static NO_DELAY: AtomicUsize = AtomicUsize::new(0);
 
 thread_local! {
-    /// A thread of the play itself, which may set its sockets' time limits.
-    pub(super) static OURS: Cell<bool> = const { Cell::new(false) };
+    /// Whether this thread belongs to the test itself rather than to a dispatcher.
+    pub(super) static IS_TEST_THREAD: Cell<bool> = const { Cell::new(false) };
 }
 
-/// What the dispatchers of this process have written to hosts, in that order.
+/// What the dispatchers of this process have written to hosts, in order.
 static COMMANDS: Mutex<Vec<SentCommands>> = Mutex::new(Vec::new());
 
-/// Bytes that were written to a host with one call.
+/// The bytes that one call wrote to a host.
 struct SentCommands {
-    at: Instant,
+    sent_at: Instant,
     host: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// How long after the last write of one line to a host that of another line began.
+/// Returns the time from the last write that contains `first` to the last one that contains `second`. `None`
+/// if either was not written to the host, or `second` was written before `first`.
 pub(super) fn gap_between(host: SocketAddr, first: &str, second: &str) -> Option<Duration> {
     let commands = COMMANDS.lock().unwrap_or_else(PoisonError::into_inner);
     let written_at = |line: &str| {
         let holds_line = |sent: &&SentCommands| {
             sent.host == host && sent.bytes.windows(line.len()).any(|window| window == line.as_bytes())
         };
-        commands.iter().rfind(holds_line).map(|sent| sent.at)
+        commands.iter().rfind(holds_line).map(|sent| sent.sent_at)
     };
     written_at(second)?.checked_duration_since(written_at(first)?)
 }
 
-/// Stands before the C library's own, and records what is written to hosts before it can arrive there.
+/// Replaces the C library's `send`; records what is written to hosts before it can arrive there.
 ///
 /// # Safety
-/// As that of the call it stands for.
+/// The same as for the replaced function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     socket: libc::c_int,
@@ -49,7 +50,7 @@
 ) -> libc::ssize_t {
     let bytes = std::slice::from_raw_parts(buffer.cast::<u8>(), length);
     let is_command = bytes.starts_with(b"want ") || bytes.starts_with(b"never_mind ");
-    if is_command && !OURS.get() {
+    if is_command && !IS_TEST_THREAD.get() {
         record_command(socket, bytes);
     }
     libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, 0, 0) as libc::ssize_t
@@ -60,15 +61,15 @@
     let socket = unsafe { std::os::fd::BorrowedFd::borrow_raw(socket) };
     let host = socket2::SockRef::from(&socket).peer_addr().ok().and_then(|address| address.as_socket());
     let Some(host) = host else { return };
-    let sent = SentCommands { at: Instant::now(), host, bytes: bytes.to_vec() };
+    let sent = SentCommands { sent_at: Instant::now(), host, bytes: bytes.to_vec() };
     COMMANDS.lock().unwrap_or_else(PoisonError::into_inner).push(sent);
 }
 
-/// Stands before the C library's own. Guards against a dispatcher that leans on time limits of sockets, which not
-/// every platform has: to its threads they are refused.
+/// Replaces the C library's `setsockopt`. Fails if a dispatcher thread sets a socket timeout, because the
+/// dispatcher must not rely on these: not every platform supports them.
 ///
 /// # Safety
-/// As that of the call it stands for.
+/// The same as for the replaced function.
 #[no_mangle]
 pub unsafe extern "C" fn setsockopt(
     socket: libc::c_int,
@@ -77,12 +78,12 @@
     value: *const libc::c_void,
     length: libc::socklen_t,
 ) -> libc::c_int {
-    let limit = level == libc::SOL_SOCKET && matches!(name, libc::SO_SNDTIMEO | libc::SO_RCVTIMEO);
-    if limit && !OURS.get() {
+    let is_timeout = level == libc::SOL_SOCKET && matches!(name, libc::SO_SNDTIMEO | libc::SO_RCVTIMEO);
+    if is_timeout && !IS_TEST_THREAD.get() {
         *libc::__errno_location() = libc::EBADF;
         return -1;
     }
-    if level == libc::IPPROTO_TCP && name == libc::TCP_NODELAY && !OURS.get() {
+    if level == libc::IPPROTO_TCP && name == libc::TCP_NODELAY && !IS_TEST_THREAD.get() {
         NO_DELAY.fetch_add(1, Ordering::Relaxed);
     }
     libc::syscall(libc::SYS_setsockopt, socket, level, name, value, length) as libc::c_int
--- a/crates/rockflow-dispatcher/tests/common/worker.rs
+++ b/crates/rockflow-dispatcher/tests/common/worker.rs
@@ -1,25 +1,25 @@
-//! The one worker on which all of the dispatcher runs, stopped by a gate.
+//! Pauses the single worker thread that runs all coroutines of the dispatcher.
 
 use std::sync::mpsc::{channel, Sender};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Stops the worker until the gate is dropped.
+/// Keeps the worker thread paused until it is dropped.
 pub struct WorkerGate {
-    _thaw: Sender<()>,
+    _resume: Sender<()>,
 }
 
 impl WorkerGate {
-    /// Stops the worker, and returns once it stands still.
+    /// Pauses the worker, and returns once it is blocked.
     pub fn close() -> WorkerGate {
-        let (frozen, stands) = channel();
-        let (thaw, go) = channel::<()>();
+        let (report_paused, is_paused) = channel();
+        let (resume, wait_for_resume) = channel::<()>();
         may::go!(move || {
-            frozen.send(()).unwrap();
-            let _ = go.recv();
+            report_paused.send(()).unwrap();
+            let _ = wait_for_resume.recv();
         });
-        stands.recv_timeout(PATIENCE).unwrap();
-        WorkerGate { _thaw: thaw }
+        is_paused.recv_timeout(TIMEOUT).unwrap();
+        WorkerGate { _resume: resume }
     }
 }
--- a/crates/rockflow-dispatcher/tests/panics.rs
+++ b/crates/rockflow-dispatcher/tests/panics.rs
@@ -54,6 +54,6 @@
 fn callers_are_notified_across_a_panic() {
     tracing::subscriber::set_global_default(PanickingSubscriber).unwrap();
     PANICS.store(4, Ordering::Relaxed);
-    common::play(include_str!("scenarios/panics.txt"));
+    common::run_scenario(include_str!("scenarios/panics-applying-changes.txt"));
     assert_eq!(PANICS.load(Ordering::Relaxed), 0);
 }
