--- a/crates/rockflow-dispatcher/tests/discovery.rs
+++ b/crates/rockflow-dispatcher/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! The discovery service is left and connected again a hundred times, in every way that a connection can end, while
-//! connections to a host and from a client come and go, so that descriptors are used again at once. Each connection must
-//! reach the service, and nothing may leak.
+//! Reconnects to discovery a hundred times, after every way in which a connection can end. Meanwhile upstream
+//! and client connections open and close, so that file descriptors are reused at once. Every reconnect must
+//! succeed, and nothing may leak.
 
 use rockflow_dispatcher::{Config, Service};
 use serde_json::{json, Value};
@@ -10,31 +10,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10);
-/// A host closes a connection on which nothing arrived for so long.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Idle timeout of the test host's connections.
 const HOST_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-const CALLS: u64 = 100;
+const RECONNECTS: u64 = 100;
 
+/// How a discovery connection ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
-    /// The configuration names another address.
-    Moved,
-    Ended,
+enum Disconnect {
+    /// A reload changes the address.
+    AddressChanged,
+    Closed,
     Reset,
-    /// Accepted, responded to, and then silent.
+    /// The service sends nothing more.
     Silent,
-    /// The configuration names an address where nobody listens, then one where somebody does.
+    /// A reload changes the address to one that refuses connections, and then to a working one.
     Refused,
-    /// The same, with an address whose connections are never established.
-    NeverUp,
+    /// The same, with an address at which connections are never established.
+    NeverEstablished,
 }
 
-/// How connection number `n` ends. The slow ways are the rarer ones.
-fn end_of(n: u64) -> End {
+/// How connection number `n` ends. The slow ways are used less often.
+fn disconnect_of(n: u64) -> Disconnect {
     match n {
-        n if n % 33 == 20 => End::Silent,
-        n if n % 25 == 13 => End::NeverUp,
-        n => [End::Moved, End::Ended, End::Reset, End::Refused][(n % 4) as usize],
+        n if n % 33 == 20 => Disconnect::Silent,
+        n if n % 25 == 13 => Disconnect::NeverEstablished,
+        n => {
+            use Disconnect::{AddressChanged, Closed, Refused, Reset};
+            [AddressChanged, Closed, Reset, Refused][(n % 4) as usize]
+        }
     }
 }
 
@@ -54,8 +58,9 @@
     Config::parse(&value.to_string()).unwrap()
 }
 
-/// Responds to one attempt on each connection and closes it; an idle one is closed too, as a spare connection carries none.
-fn host(listener: TcpListener) {
+/// Runs a host that responds to one attempt on each connection and then closes it. Idle connections are
+/// closed after a timeout, because spare connections carry no attempt.
+fn start_host(listener: TcpListener) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let stream = stream.unwrap();
@@ -65,62 +70,76 @@
                 let mut line = String::new();
                 if stream.read_line(&mut line).unwrap_or(0) > 0 {
                     let id = line.split(' ').nth(1).unwrap();
-                    let answer = format!("{id} data ver=t,born=1 2\r\nok\r\n");
-                    let _ = stream.get_mut().write_all(answer.as_bytes());
+                    let response = format!("{id} data ver=t,born=1 2\r\nok\r\n");
+                    let _ = stream.get_mut().write_all(response.as_bytes());
                 }
             });
         }
     });
 }
 
-/// Sends one request on each connection, until it is stopped; counts those that succeeded.
-fn client(to: SocketAddr, stop: Arc<AtomicBool>, served: Arc<AtomicUsize>) -> std::thread::JoinHandle<()> {
+/// Runs a client that sends one request per connection until it is stopped, and counts the successful ones in
+/// `served`.
+fn start_client(
+    address: SocketAddr,
+    stop: Arc<AtomicBool>,
+    served: Arc<AtomicUsize>,
+) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         for n in 0u64.. {
             if stop.load(Ordering::Relaxed) {
                 return;
             }
-            let mut stream = TcpStream::connect(to).unwrap();
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
-            let ask = format!("GET /invoke/pages/{n:x} HTTP/1.1\r\nX-Call-Id: {n:016x}\r\nX-Group: 1\r\n");
-            let rest = "X-Patience-Ms: 3000\r\nConnection: close\r\n\r\n";
-            stream.write_all(format!("{ask}{rest}").as_bytes()).unwrap();
-            let mut answer = String::new();
-            stream.read_to_string(&mut answer).unwrap();
-            served.fetch_add(usize::from(answer.starts_with("HTTP/1.1 200")), Ordering::Relaxed);
+            let mut stream = TcpStream::connect(address).unwrap();
+            stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+            let head = format!("GET /invoke/pages/{n:x} HTTP/1.1\r\nX-Call-Id: {n:016x}\r\nX-Group: 1\r\n");
+            let headers = "X-Patience-Ms: 3000\r\nConnection: close\r\n\r\n";
+            stream.write_all(format!("{head}{headers}").as_bytes()).unwrap();
+            let mut response = String::new();
+            stream.read_to_string(&mut response).unwrap();
+            served.fetch_add(usize::from(response.starts_with("HTTP/1.1 200")), Ordering::Relaxed);
         }
     })
 }
 
-fn descriptors() -> usize {
+fn open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").unwrap().count()
 }
 
-/// Accepts the next connection in time, and reads its head.
-fn accept_call(discovery: &TcpListener, last: u64) -> TcpStream {
-    socket2::SockRef::from(discovery).set_read_timeout(Some(PATIENCE)).unwrap();
-    let (stream, _) = discovery.accept().expect("the board is called again");
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+/// Accepts the next discovery connection and checks that it requests events after revision `last`.
+fn accept_watch_request(discovery: &TcpListener, last: u64) -> TcpStream {
+    socket2::SockRef::from(discovery).set_read_timeout(Some(TIMEOUT)).unwrap();
+    let (stream, _) = discovery.accept().expect("no connection in time");
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut reader = BufReader::new(stream);
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        assert!(reader.read_line(&mut head).expect("a whole head") > 0, "ended after {head:?}");
+        assert!(reader.read_line(&mut head).expect("no complete request head") > 0, "ended after {head:?}");
     }
-    assert!(head.contains(&format!("Last-Event-ID: {last}\r\n")), "{head}, not from {last}");
+    assert!(
+        head.contains(&format!("Last-Event-ID: {last}\r\n")),
+        "{head} does not request events after {last}"
+    );
     reader.into_inner()
 }
 
-/// Waits until the revision has arrived at the dispatcher.
+/// Waits until the dispatcher has received the event with this revision.
 fn await_revision(service: &Service, revision: u64) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while service.handle().discovery_status().last_revision < revision {
-        assert!(Instant::now() < until, "notice {revision} was not heard");
+        assert!(Instant::now() < deadline, "event {revision} was not received");
         std::thread::yield_now();
     }
 }
 
-/// A listener whose queue is full: connections to it are never established.
-fn listener_with_full_queue() -> (socket2::Socket, Vec<socket2::Socket>, SocketAddr) {
+/// A listener with a full backlog: connections to it are never established until it is dropped.
+struct FullListener {
+    _listener: socket2::Socket,
+    _backlog: Vec<socket2::Socket>,
+    address: SocketAddr,
+}
+
+fn listener_with_full_backlog() -> FullListener {
     use socket2::{Domain, Socket, Type};
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -132,70 +151,74 @@
         let _ = socket.connect(&address);
         socket
     };
-    let held = (0..4).map(fill).collect();
-    (listener, held, address.as_socket().unwrap())
+    let backlog = (0..4).map(fill).collect();
+    FullListener { _listener: listener, _backlog: backlog, address: address.as_socket().unwrap() }
 }
 
 #[test]
 fn every_reconnect_succeeds_and_leaks_nothing() {
     Service::set_up();
-    let (hosts, host_address) = listener();
-    host(hosts);
+    let (host_listener, host_address) = listener();
+    start_host(host_listener);
     let (mut discovery, mut discovery_address) = listener();
     let mut service = Service::start(config(discovery_address, host_address)).unwrap();
     let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let mut counted = 0;
+    let mut descriptors_at_start = 0;
     let clients: Vec<_> =
-        (0..2).map(|_| client(service.listen_address(), stop.clone(), served.clone())).collect();
+        (0..2).map(|_| start_client(service.listen_address(), stop.clone(), served.clone())).collect();
     let mut last = 1;
-    for n in 0..CALLS {
-        let mut call = accept_call(&discovery, last);
+    for n in 0..RECONNECTS {
+        let mut connection = accept_watch_request(&discovery, last);
         last += 1;
         let event = format!("{{\"rev\":{last},\"flush\":{{\"collection\":200,\"ms\":1}}}}");
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-        call.write_all(format!("{head}id: {last}\ndata: {event}\n\n").as_bytes()).unwrap();
+        connection.write_all(format!("{head}id: {last}\ndata: {event}\n\n").as_bytes()).unwrap();
         await_revision(&service, last);
-        match end_of(n) {
-            End::Ended => drop(call),
-            End::Reset => {
-                socket2::SockRef::from(&call).set_linger(Some(Duration::ZERO)).unwrap();
+        match disconnect_of(n) {
+            Disconnect::Closed => drop(connection),
+            Disconnect::Reset => {
+                socket2::SockRef::from(&connection).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            // The dispatcher ends it for its silence.
-            End::Silent => assert_eq!(call.read(&mut [0; 16]).unwrap(), 0),
-            end => {
-                if end == End::Refused {
-                    let nobody = listener().1;
-                    service.reload(&config(nobody, host_address));
-                    assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
+            // The dispatcher closes the connection because of its silence.
+            Disconnect::Silent => assert_eq!(connection.read(&mut [0; 16]).unwrap(), 0),
+            disconnect => {
+                if disconnect == Disconnect::Refused {
+                    let closed_port = listener().1;
+                    service.reload(&config(closed_port, host_address));
+                    assert_eq!(connection.read(&mut [0; 16]).unwrap(), 0);
                 }
-                let held = (end == End::NeverUp).then(listener_with_full_queue);
-                if let Some((_, _, nowhere)) = &held {
-                    service.reload(&config(*nowhere, host_address));
-                    assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
+                let full = (disconnect == Disconnect::NeverEstablished).then(listener_with_full_backlog);
+                if let Some(full) = &full {
+                    service.reload(&config(full.address, host_address));
+                    assert_eq!(connection.read(&mut [0; 16]).unwrap(), 0);
                 }
                 (discovery, discovery_address) = listener();
                 service.reload(&config(discovery_address, host_address));
-                if end == End::Moved {
-                    assert_eq!(call.read(&mut [0; 16]).unwrap(), 0);
+                if disconnect == Disconnect::AddressChanged {
+                    assert_eq!(connection.read(&mut [0; 16]).unwrap(), 0);
                 }
             }
         }
         if n == 0 {
-            counted = descriptors();
+            descriptors_at_start = open_descriptors();
         }
     }
-    let call = accept_call(&discovery, last);
+    let connection = accept_watch_request(&discovery, last);
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    // Connections that are closing may take a moment; what leaks stays.
-    let until = Instant::now() + PATIENCE;
+    // Waits for connections that are still closing; leaked ones would remain.
+    let deadline = Instant::now() + TIMEOUT;
     let busy = || service.handle().fill_levels()[..2].iter().any(|level| level.fill > 0);
-    while (busy() || descriptors() > counted) && Instant::now() < until {
+    while (busy() || open_descriptors() > descriptors_at_start) && Instant::now() < deadline {
         std::thread::yield_now();
     }
     assert!(!busy(), "{:?}", service.handle().fill_levels());
-    assert!(descriptors() <= counted, "{} descriptors, {counted} after the first call", descriptors());
+    let descriptors = open_descriptors();
+    assert!(
+        descriptors <= descriptors_at_start,
+        "{descriptors} descriptors, {descriptors_at_start} after the first connection"
+    );
     assert!(served.load(Ordering::Relaxed) > 100, "{served:?} served");
-    drop(call);
+    drop(connection);
     service.stop();
 }
