--- a/crates/rockflow-dispatcher/tests/discovery_clock.rs
+++ b/crates/rockflow-dispatcher/tests/discovery_clock.rs
@@ -1,4 +1,5 @@
-//! The age of a purge that discovery sends is never more than its true age, and not always zero.
+//! The computed age of a purge never exceeds its true age. Up to the maximum delivery delay, it is smaller only
+//! by the delivery time of the youngest recent purge.
 
 use rockflow_dispatcher::discovery::clock::DiscoveryClock;
 use rockflow_dispatcher::purge_backlog::MAX_DELIVERY_DELAY;
@@ -11,43 +12,44 @@
     Duration::from_millis(count)
 }
 
-/// Ages with a clock that is `behind`; a purge arrives each 20 ms, `took` after it was made.
-fn ages(behind: Duration, took: impl Fn(u64) -> Duration) -> Vec<(Duration, Duration)> {
+/// Returns the true and the computed ages of purges that arrive every 20 ms. Discovery's clock is `behind`,
+/// and purge number `n` arrives `delivery_time(n)` after it was made.
+fn ages(behind: Duration, delivery_time: impl Fn(u64) -> Duration) -> Vec<(Duration, Duration)> {
     let mut clock = DiscoveryClock::new(PURGE_WINDOW, Duration::ZERO);
-    let told = |n| (ms(20 * n), took(n));
-    (0..2000).map(told).map(|(now, took)| (took, clock.age(now, took + behind))).collect()
+    let arrivals = (0..2000).map(|n| (ms(20 * n), delivery_time(n)));
+    arrivals.map(|(now, true_age)| (true_age, clock.age(now, true_age + behind))).collect()
 }
 
-#[test_case(0; "right")]
+#[test_case(0; "synchronized")]
 #[test_case(3_000; "3 s behind")]
 #[test_case(60_000; "a minute behind")]
 fn no_age_exceeds_the_true_age(behind: u64) {
-    let took = |n| ms(5 + n * 7919 % 6500);
-    for (took, age) in ages(ms(behind), took) {
-        assert!(age <= took, "{age:?} of {took:?}");
+    let delivery_time = |n| ms(5 + n * 7919 % 6500);
+    for (true_age, age) in ages(ms(behind), delivery_time) {
+        assert!(age <= true_age, "{age:?} of {true_age:?}");
     }
 }
 
-#[test_case(0; "right")]
+#[test_case(0; "synchronized")]
 #[test_case(60_000; "a minute behind")]
-fn age_is_short_by_that_of_the_youngest(behind: u64) {
-    let took = |n| if n % 100 == 0 { ms(10) } else { ms(3000) };
-    for (took, age) in ages(ms(behind), took) {
-        assert_eq!(age, took - ms(10));
+fn age_is_reduced_by_delivery_time_of_youngest_purge(behind: u64) {
+    let delivery_time = |n| if n % 100 == 0 { ms(10) } else { ms(3000) };
+    for (true_age, age) in ages(ms(behind), delivery_time) {
+        assert_eq!(age, true_age - ms(10));
     }
 }
 
 #[test]
 fn no_age_exceeds_the_delivery_delay() {
-    let took = |n| if n == 0 { ms(10) } else { ms(100_000) };
-    for (_, age) in ages(Duration::ZERO, took) {
+    let delivery_time = |n| if n == 0 { ms(10) } else { ms(100_000) };
+    for (_, age) in ages(Duration::ZERO, delivery_time) {
         assert!(age <= MAX_DELIVERY_DELAY);
     }
 }
 
-/// A clock of discovery that is set back: within two windows purges are aged by the new one.
+/// Discovery's clock is set back: after at most two windows, ages are correct by the new time.
 #[test]
-fn clock_that_is_set_has_no_lasting_effect() {
+fn clock_adjustment_has_no_lasting_effect() {
     let mut clock = DiscoveryClock::new(PURGE_WINDOW, Duration::ZERO);
     clock.age(Duration::ZERO, ms(10));
     let ages = (1..1500).map(|n| clock.age(ms(20 * n), ms(60_010))).collect::<Vec<_>>();
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn after_a_long_silence_only_recent_purges_count() {
+fn purges_before_a_long_silence_are_disregarded() {
     let mut clock = DiscoveryClock::new(PURGE_WINDOW, Duration::ZERO);
     clock.age(Duration::ZERO, ms(10));
     assert_eq!(clock.age(PURGE_WINDOW * 3, ms(5000)), Duration::ZERO);
