--- a/crates/rockflow-dispatcher/src/purge_backlog.rs
+++ b/crates/rockflow-dispatcher/src/purge_backlog.rs
@@ -14,7 +14,7 @@
 pub const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The history is complete when the newest timestamp advances at most this many times as fast as the local
 /// clock; while history is being replayed, it advances much faster.
-const MAX_RECENT_RATE: u32 = 2;
+const MAX_TIMESTAMP_RATE: u32 = 2;
 
 /// A purge and its time on discovery's clock.
 #[derive(Debug)]
@@ -24,12 +24,12 @@
     purged_at: Duration,
 }
 
-/// A purge of the backlog and its age when it was taken from there.
+/// A purge taken from the backlog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgedPurge {
     /// The purge.
     pub purge: Purge,
-    /// How long ago it was made.
+    /// How long ago the purge was made when it was taken from the backlog.
     pub age: Duration,
 }
 
@@ -38,7 +38,8 @@
 struct CatchUpCheck {
     /// Local time of the check.
     checked_at: Duration,
-    newest: Duration,
+    /// Time on discovery's clock.
+    newest_timestamp: Duration,
 }
 
 /// Holds purges until discovery has sent its whole history. The newest purge then shows the current time of
@@ -49,9 +50,9 @@
     purge_window: Duration,
     held: VecDeque<HeldPurge>,
     /// The newest plausible timestamp, as Unix time by discovery's clock.
-    newest: Duration,
+    newest_timestamp: Duration,
     /// The newest timestamp when the cap was last exceeded; `None` if it never was.
-    overflowed_at: Option<Duration>,
+    newest_at_overflow: Option<Duration>,
     /// `None` until something has been received from discovery.
     last_check: Option<CatchUpCheck>,
 }
@@ -62,8 +63,8 @@
         PurgeBacklog {
             purge_window,
             held: VecDeque::new(),
-            newest: Duration::ZERO,
-            overflowed_at: None,
+            newest_timestamp: Duration::ZERO,
+            newest_at_overflow: None,
             last_check: None,
         }
     }
@@ -75,14 +76,14 @@
         let purged_at = Duration::from_millis(ms);
         // A wrong timestamp far in the future would make all other purges look expired.
         if purged_at <= now + MAX_CLOCK_SKEW {
-            self.newest = self.newest.max(purged_at);
+            self.newest_timestamp = self.newest_timestamp.max(purged_at);
         }
         while self.held.front().is_some_and(|held| self.is_expired(held.purged_at)) {
             self.held.pop_front();
         }
         if self.held.len() >= MAX_HELD_PURGES {
             self.held.clear();
-            self.overflowed_at = Some(self.newest);
+            self.newest_at_overflow = Some(self.newest_timestamp);
         }
         self.held.push_back(HeldPurge { purge, purged_at });
     }
@@ -90,7 +91,7 @@
     /// Whether the whole history has been received. `has_received` tells whether discovery has sent anything
     /// yet. To be called repeatedly; it compares the newest timestamps at two checks.
     pub fn is_complete(&mut self, now: Duration, has_received: bool) -> bool {
-        let check = CatchUpCheck { checked_at: now, newest: self.newest };
+        let check = CatchUpCheck { checked_at: now, newest_timestamp: self.newest_timestamp };
         let Some(last) = self.last_check else {
             self.last_check = has_received.then_some(check);
             return false;
@@ -100,7 +101,7 @@
             return false;
         }
         self.last_check = Some(check);
-        self.newest - last.newest <= elapsed * MAX_RECENT_RATE
+        self.newest_timestamp - last.newest_timestamp <= elapsed * MAX_TIMESTAMP_RATE
     }
 
     /// Removes all purges and returns those that may still be in effect, in the order of arrival.
@@ -109,7 +110,7 @@
         for HeldPurge { purge, purged_at } in std::mem::take(&mut self.held) {
             if self.may_be_in_effect(now, purged_at) {
                 let local_age = now.saturating_sub(purged_at).min(MAX_DELIVERY_DELAY).min(self.purge_window);
-                let age = self.newest.saturating_sub(purged_at).max(local_age);
+                let age = self.newest_timestamp.saturating_sub(purged_at).max(local_age);
                 taken.push(AgedPurge { purge, age });
             }
         }
@@ -119,14 +120,14 @@
     /// Whether the cap was exceeded by purges that may still be in effect, so that a purge of everything must
     /// replace them.
     pub fn has_overflowed(&self, now: Duration) -> bool {
-        self.overflowed_at.is_some_and(|newest| self.may_be_in_effect(now, newest))
+        self.newest_at_overflow.is_some_and(|newest_timestamp| self.may_be_in_effect(now, newest_timestamp))
     }
 
     /// Whether a purge is of no use any more by discovery's clock. Purges are kept beyond the time in which
     /// they are in effect, because the publication of an expired purge may have to be distinguished from that
     /// of a later one for a while.
     fn is_expired(&self, purged_at: Duration) -> bool {
-        self.newest.saturating_sub(purged_at) > self.purge_window * 2 + MAX_DELIVERY_DELAY
+        self.newest_timestamp.saturating_sub(purged_at) > self.purge_window * 2 + MAX_DELIVERY_DELAY
     }
 
     /// Whether a purge is expired neither by discovery's clock nor, allowing for the maximum clock skew, by
