--- a/crates/rockflow-dispatcher/src/handle.rs
+++ b/crates/rockflow-dispatcher/src/handle.rs
@@ -19,7 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// While this many messages are queued at the endpoint list, further operator requests are rejected.
+/// While this many messages are queued at the endpoint list, operators' overrides and requests for a status
+/// report are rejected.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
 /// A handle for managing a running dispatcher.
--- a/crates/rockflow-dispatcher/src/service.rs
+++ b/crates/rockflow-dispatcher/src/service.rs
@@ -167,8 +167,8 @@
         self.clients.closing.store(true, Ordering::Relaxed);
         self.clients.inspect();
         // Closing a socket with unread bytes resets the connection, which can lose a response that is still
-        // in transit. So after the last response the client closes the connection, and the shutdown waits for
-        // that until `close_end`.
+        // in transit. So after its last response a connection stays open until its client closes it or the
+        // linger timeout passes, and the shutdown waits for that until `close_end`.
         self.wait_until(&mut on_poll, |service| {
             let open_requests = service.clients.open_requests.load(Ordering::Relaxed);
             open_requests + service.clients.connections() == 0 || service.clients.clock.now() >= close_end
--- a/crates/rockflow-dispatcher/tests/common/mod.rs
+++ b/crates/rockflow-dispatcher/tests/common/mod.rs
@@ -100,7 +100,7 @@
 use std::panic::{catch_unwind, resume_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
-/// Timeout of every wait without one of its own.
+/// Default timeout of a command.
 const TIMEOUT: Duration = Duration::from_secs(5);
 const MS: Duration = Duration::from_millis(1);
 
