--- a/crates/rockflow-protocol/src/client.rs
+++ b/crates/rockflow-protocol/src/client.rs
@@ -1,15 +1,15 @@
-//! HTTP/1.1 between clients and the dispatcher: request heads in, responses out.
+//! HTTP/1.1 between clients and the dispatcher: decodes request heads and encodes response heads.
 
 use std::time::Duration;
 
-/// The longest request head that is read, in bytes.
+/// Maximum length of a request head in bytes, including empty lines before it. A longer one is rejected.
 pub const MAX_HEAD_BYTES: usize = 8192;
 const MAX_HEADERS: usize = 64;
-/// How every request begins that can be served.
+/// The prefix of every request that can be served.
 const REQUEST_START: &[u8] = b"GET /";
-/// The longest class name, object name or tag, in bytes.
+/// Maximum length of a class name, object name or entity tag, in bytes.
 const MAX_TOKEN_BYTES: usize = 128;
-/// Larger header values are rejected.
+// Maximum values of the numeric headers and of the part number. A request with a larger value is rejected.
 const MAX_TIME_LIMIT_MS: f64 = 3_600_000.0;
 const MAX_SIZE_KB: f64 = 4_000_000.0;
 const MAX_PART: f64 = 1_000_000.0;
@@ -26,13 +26,13 @@
     pub object: String,
     /// Number of the object's part.
     pub part: u32,
-    /// The object's group, by which it can be purged.
+    /// Number of the object's group; a purge can name a group instead of an object.
     pub group: u64,
-    /// How long the client waits for the response.
+    /// How long the client waits for the response, from the arrival of the request.
     pub time_limit: Duration,
     /// Expected size of the response in kB; 0 if unknown.
     pub size_kb: f64,
-    /// The entity tag, without quotes, of the copy that the client has.
+    /// Entity tag, without quotes, of the client's copy; `None` if it has no copy or its tag can't be sent to a host.
     pub cached_tag: Option<String>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl HttpStatus {
-    /// A status line's code and reason.
+    /// Creates a status from its code and reason phrase.
     pub const fn new(code: u16, reason: &'static str) -> Self {
         HttpStatus { code, reason }
     }
@@ -55,11 +55,11 @@
 /// What a request head asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ParsedRequest {
-    /// Whether the dispatcher can serve requests.
+    /// A health check: whether the dispatcher can serve requests.
     HealthCheck,
-    /// An object.
+    /// A request for an object.
     Fetch(Box<ClientRequest>),
-    /// Nothing that can be served, with the status to respond.
+    /// A request that can't be served, with the status of the response.
     Invalid(HttpStatus),
 }
 
@@ -68,26 +68,27 @@
 pub enum Persistence {
     /// More requests may follow.
     KeepAlive,
-    /// It ends with the response.
+    /// The connection is closed after the response.
     Close,
 }
 
-/// A request head.
+/// A decoded request head.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
-    /// Bytes that the head takes.
+    /// Length of the head in bytes, including empty lines before it. If the end of the request is unknown, the length
+    /// of the whole input.
     pub length: usize,
-    /// Whether the client keeps the connection open.
+    /// Whether the connection stays open after the response.
     pub persistence: Persistence,
-    /// What it asks for.
+    /// The request, or why it can't be served.
     pub request: ParsedRequest,
 }
 
-/// Reads one request head; none: it is not complete yet.
+/// Decodes the request head at the start of `bytes`. Returns `None` while the head is incomplete.
 pub fn decode_request(bytes: &[u8]) -> Option<RequestHead> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
-    // Where the head ends can't be known: nothing after it is read.
+    // The end of a malformed request, or of one with a body, is unknown: nothing after it can be read.
     let invalid = |status| {
         let request = ParsedRequest::Invalid(status);
         Some(RequestHead { length: bytes.len(), persistence: Persistence::Close, request })
@@ -106,7 +107,8 @@
     Some(RequestHead { length, persistence, request })
 }
 
-/// Parses one head and returns its length; none: it is not complete yet.
+/// Parses the head at the start of `bytes` and returns its length, including empty lines before it, or `None` while it
+/// is incomplete. The error is the status of the response.
 fn parse_head<'b>(
     bytes: &'b [u8],
     parsed: &mut httparse::Request<'_, 'b>,
@@ -122,25 +124,25 @@
     }
 }
 
-/// Clients may send empty lines between requests.
+/// The length of the empty lines at the start of `bytes`. Clients may send such lines between requests.
 fn count_empty_line_bytes(bytes: &[u8]) -> usize {
     bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count()
 }
 
-/// What has arrived behind a request whose response is not complete.
+/// What a client has sent after a request whose response is not complete yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PipelinedBytes {
-    /// Nothing, or empty lines.
+    /// No bytes, or only empty lines.
     Nothing,
-    /// The head of another request, not complete yet.
+    /// The beginning of another request's head.
     PartialRequest,
     /// The complete head of another request.
     Request,
-    /// Nothing that can become a request that is served.
+    /// Bytes that can't be the beginning of a request that is served.
     Unusable,
 }
 
-/// Tells what bytes behind a request are, by their content alone.
+/// Classifies the bytes after a request by their content alone.
 pub fn classify_pipelined(bytes: &[u8]) -> PipelinedBytes {
     let head = &bytes[count_empty_line_bytes(bytes)..];
     if head.is_empty() {
@@ -161,28 +163,28 @@
 /// A response to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// The object.
+    /// The object was obtained and is sent.
     Succeeded {
         /// Entity tag without quotes; empty if unknown.
         tag: String,
         /// The object's bytes.
         body: Vec<u8>,
     },
-    /// The client's copy is current.
+    /// The client's copy is current, so no body is sent.
     NotModified {
         /// Entity tag without quotes; empty if unknown.
         tag: String,
     },
-    /// Load was shed.
+    /// The request was rejected by load shedding.
     Rejected {
-        /// How long the client is told to wait before it tries again.
+        /// How long the client should wait before it retries; `None`: the response gives no time.
         retry_after: Option<Duration>,
     },
     /// No attempt succeeded in time.
     Failed,
-    /// The dispatcher can serve requests.
+    /// The health check succeeded: the dispatcher can serve requests.
     Healthy,
-    /// The request can't be served as it is.
+    /// The request can't be served, for the reason that the status gives.
     Invalid(HttpStatus),
 }
 
@@ -198,7 +200,7 @@
     }
 }
 
-/// Writes the head of a response; the body, if there is one, follows it.
+/// Encodes the head of a response. The caller sends the body of [`Response::Succeeded`] after it.
 pub fn encode_response(response: &Response, persistence: Persistence) -> Vec<u8> {
     let HttpStatus { code, reason } = response.status();
     let mut head = format!("HTTP/1.1 {code} {reason}\r\n");
@@ -222,17 +224,19 @@
     head.into_bytes()
 }
 
-/// A header field that appears twice or is not text.
+/// A header field that appears more than once or is not UTF-8.
 struct UnusableField;
 
+/// The header fields of a request.
 struct Fields<'a>(&'a [httparse::Header<'a>]);
 
 impl<'a> Fields<'a> {
+    /// The values of all fields with this name, which is compared without regard to case.
     fn all<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a [u8]> + 's {
         self.0.iter().filter(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
     }
 
-    /// A field that may appear at most once.
+    /// The trimmed value of a field that may appear at most once; `None` if it is missing.
     fn single(&self, name: &str) -> Result<Option<&'a str>, UnusableField> {
         let mut values = self.all(name);
         match (values.next(), values.next()) {
@@ -245,15 +249,17 @@
         }
     }
 
-    /// A decimal number up to `max`; a value that is none is rejected with the field's name as reason.
+    /// The value of a field as a decimal number up to `max`; `None` if it is missing. Any other value is rejected with
+    /// status
+    /// 400 and the field's name as reason.
     fn number(&self, name: &'static str, max: f64) -> Result<Option<f64>, HttpStatus> {
         let invalid = HttpStatus::new(400, name);
         let text = self.single(name).map_err(|_| invalid)?;
         text.map(|text| parse_decimal(text, max).ok_or(invalid)).transpose()
     }
 
-    /// Whether a body follows the head. Every `Content-Length` counts, as a body that is taken for none could hide a
-    /// request.
+    /// Whether a body follows the head. All `Content-Length` fields are checked: an overlooked body would be read as
+    /// the next request (request smuggling).
     fn announce_body(&self) -> bool {
         let mut lengths = self.all("content-length").map(<[u8]>::trim_ascii);
         self.all("transfer-encoding").next().is_some() || lengths.any(|length| length != b"0")
@@ -315,7 +321,7 @@
     })
 }
 
-/// The part that the target's arguments name; 0 without arguments.
+/// The part number of a query string: 0 if it is empty, `None` if it is not `part=` with a valid number.
 fn parse_part(arguments: &str) -> Option<u32> {
     if arguments.is_empty() {
         return Some(0);
@@ -324,20 +330,20 @@
     (part.fract() == 0.0).then_some(part as u32)
 }
 
-/// The content of a weak or strong entity tag.
+/// The content of a weak or strong entity tag; `None` if it is malformed or can't be sent to a host.
 fn parse_tag(text: &str) -> Option<String> {
     let quoted = text.trim_start_matches("W/").strip_prefix('"')?;
     quoted.strip_suffix('"').and_then(parse_token)
 }
 
-/// A number in digits, with or without a decimal point: no sign, no exponent.
+/// Parses a number up to `max` that has digits and perhaps a decimal point, but no sign or exponent.
 fn parse_decimal(text: &str, max: f64) -> Option<f64> {
     let is_plain = text.starts_with(|first: char| first.is_ascii_digit())
         && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse().ok().filter(|number| is_plain && *number <= max)
 }
 
-/// A name that can be part of a line to a host.
+/// The text as an owned name or tag; `None` if it is empty, too long or can't be part of a line to a host.
 fn parse_token(text: &str) -> Option<String> {
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b",=\"%;&?".contains(&byte);
     let fits = !text.is_empty() && text.len() <= MAX_TOKEN_BYTES && text.bytes().all(is_allowed);
