--- a/crates/rockflow-protocol/src/discovery.rs
+++ b/crates/rockflow-protocol/src/discovery.rs
@@ -1,24 +1,24 @@
-//! The event stream of the discovery service, which the protocol calls the board: the request that opens it, its
-//! server-sent events, and the updates of endpoints and purges in them.
+//! The event stream of the discovery service (called "board" in the request path): the request that opens the stream,
+//! and its server-sent events with endpoint updates and purges.
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The longest event, in bytes: a full list of endpoints.
+/// Maximum length of an event in bytes; full endpoint lists are the longest events.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 const MAX_HEADERS: usize = 32;
 
-/// An event of the stream.
+/// An event of the stream: an endpoint update, a purge, both or neither.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(expecting = "struct Notice")]
 pub struct WatchEvent {
-    /// Its number; numbers are consecutive.
+    /// Number of the event; numbers are consecutive.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// A change of the endpoint list.
+    /// The change of the endpoint list, if there is one.
     #[serde(rename = "pool")]
     pub endpoints: Option<EndpointUpdate>,
-    /// A purge.
+    /// The purge, if there is one.
     #[serde(rename = "flush")]
     pub purge: Option<PurgeEvent>,
 }
@@ -27,22 +27,23 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(expecting = "struct Pool")]
 pub struct EndpointUpdate {
-    /// The list replaces the one before.
+    /// Whether `instances` is the full list, which replaces the one before. Otherwise it has only the instances that
+    /// changed.
     #[serde(default, rename = "reset")]
     pub is_full: bool,
-    /// The instances of the list, or those that changed.
+    /// The listed or changed instances.
     pub instances: Vec<Instance>,
 }
 
-/// Where an instance is between its start and its end.
+/// The stage of an instance's life that discovery reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Lifecycle {
-    /// It takes requests.
+    /// The instance accepts requests.
     Active,
-    /// It drains.
+    /// The instance is draining.
     Leaving,
-    /// It is gone.
+    /// The instance is gone.
     Left,
 }
 
@@ -50,55 +51,55 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// The name that identifies it.
+    /// Name that identifies the instance.
     pub instance_id: String,
-    /// Its address and port.
+    /// Address and port at which the instance accepts connections.
     pub host_port: String,
     /// Name of its location.
     pub zone: String,
-    /// Name of its kind, from which its role follows.
+    /// Name of the kind of host, which determines the role: cache, parent or origin.
     pub machine_type: String,
-    /// Number of its cell.
+    /// Number of the cell that the instance belongs to.
     #[serde(default)]
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Whether the instance accepts requests, drains or is gone.
     pub lifecycle: Lifecycle,
-    /// Its relative capacity.
+    /// Relative capacity; 0 if missing.
     #[serde(default)]
     pub weight: f64,
-    /// Unix milliseconds of its start; 0: unknown.
+    /// Unix milliseconds at which the instance started; 0: unknown.
     #[serde(default)]
     pub started_at_ms: u64,
 }
 
-/// A purge of an object or of a group; of everything if neither is named.
+/// A purge of an object or of a group, or of everything if it names neither.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(expecting = "struct Flush")]
 pub struct PurgeEvent {
-    /// Name of the object.
+    /// Name of the object; `None` if the purge names none.
     #[serde(rename = "asset")]
     pub object: Option<String>,
-    /// Number of the group.
+    /// Number of the group; `None` if the purge names none.
     #[serde(rename = "collection")]
     pub group: Option<u64>,
-    /// Unix milliseconds at which the purge was made.
+    /// Unix milliseconds at which the purge was issued.
     #[serde(rename = "ms")]
     pub purged_at_ms: u64,
 }
 
-/// The state at the start of a dispatcher: the events up to a revision.
+/// What a dispatcher knows of discovery when it starts: the events up to a revision.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(expecting = "struct Known")]
 pub struct Snapshot {
-    /// Number of the last event.
+    /// Number of the last event before the start.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// The events that still matter, in order.
+    /// The events that still have an effect, in order.
     #[serde(rename = "notices")]
     pub events: Vec<WatchEvent>,
 }
 
-/// The request for the stream of events after `last_revision`.
+/// Encodes the request for the stream of all events after `last_revision`. `host` is the value of the `Host` header.
 pub fn encode_watch_request(host: &str, last_revision: u64) -> Vec<u8> {
     let request = format!(
         "GET /board/poll HTTP/1.1\r\nHost: {host}\r\nLast-Event-ID: {last_revision}\r\n\
@@ -110,7 +111,7 @@
 /// Why the stream can't be read any further.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// A response with another status than 200.
+    /// The status of the response is not 200; `None` if the head has no status.
     #[error("status {0:?}")]
     Status(Option<u16>),
     /// A response head that is not HTTP.
@@ -125,28 +126,31 @@
     /// A line that is not UTF-8.
     #[error("a line that is no text")]
     NotText,
-    /// An event that is complete and can't be read.
+    /// A complete event that is not valid JSON, or lacks a required field.
     #[error("event: {0}")]
     Event(#[source] serde_json::Error),
 }
 
+/// The part of the HTTP response that comes next.
 enum Stage {
     Head,
-    /// The body extends to the end of the connection.
+    /// The body without chunks, which extends to the end of the connection.
     Unframed,
     ChunkSize,
-    /// Bytes left of the chunk.
+    /// The content of a chunk, with the number of bytes that are still to come.
     Chunk(usize),
+    /// The line end after a chunk.
     ChunkEnd,
+    /// The body is complete; further bytes are ignored.
     Finished,
 }
 
-/// Decodes the stream, however its bytes are split, into events in their order.
+/// Decodes the response of the discovery service into events, in order. The bytes may be split anywhere.
 pub struct WatchStream {
     stage: Stage,
-    /// The line that is incomplete.
+    /// The part of the current line that has arrived.
     line: Vec<u8>,
-    /// The data lines of the event that is incomplete.
+    /// The data of the current event, from its complete lines.
     data: String,
     has_unreadable_event: bool,
 }
@@ -163,8 +167,8 @@
         self.has_unreadable_event
     }
 
-    /// Reads what it can and appends the complete events. Returns the number of bytes that were read; the others are
-    /// passed again with those that follow. Events before an error are appended too.
+    /// Decodes as many bytes as possible and appends the complete events. Returns the number of bytes that were
+    /// decoded; the caller passes the others again, followed by the next ones. Events before an error are appended too.
     pub fn decode(&mut self, bytes: &[u8], events: &mut Vec<WatchEvent>) -> Result<usize, DecodeError> {
         let mut read = 0;
         while read < bytes.len() {
@@ -174,7 +178,7 @@
         Ok(read)
     }
 
-    /// Reads the next element of the framing and returns its length; none: it is not complete yet.
+    /// Decodes the next part of the response and returns its length, or `None` while that part is incomplete.
     fn decode_stage(
         &mut self,
         bytes: &[u8],
