--- a/crates/rockflow-protocol/src/upstream.rs
+++ b/crates/rockflow-protocol/src/upstream.rs
@@ -1,18 +1,18 @@
-//! The line protocol between the dispatcher and its hosts: requests out, responses in.
+//! The line protocol between the dispatcher and its hosts: encodes requests and decodes responses.
 
 use crate::MAX_BODY_BYTES;
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest line of a response, in bytes.
+/// Maximum length of a response's line in bytes, including its line end.
 pub const MAX_LINE_BYTES: usize = 4096;
-/// The longest response, in bytes: its line, its body and the line end after it.
+/// Maximum length of a response in bytes: its line, its body and the CR LF after the body.
 pub const MAX_RESPONSE_BYTES: usize = MAX_LINE_BYTES + MAX_BODY_BYTES + 2;
 
 /// A request to a host for an object.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FetchRequest<'a> {
-    /// Id that the response repeats.
+    /// Id of the request, which the response repeats.
     pub id: &'a str,
     /// Name of the request class.
     pub class: &'a str,
@@ -22,28 +22,28 @@
     pub part: u32,
     /// How long the dispatcher waits for the response.
     pub timeout: Duration,
-    /// Name of the host from which the object may be filled.
+    /// Name of the host from which the object may be filled; `None`: the host responds from its cache only.
     pub source: Option<&'a str>,
-    /// Cache priority; 0: the host's default.
+    /// Cache priority of the copy that the host stores; 0: the host's default.
     pub cache_priority: u8,
-    /// Maximum age of a copy that may be served; none: its fresh lifetime.
+    /// Maximum age of a copy that may be served; `None`: its freshness lifetime.
     pub max_age: Option<Duration>,
-    /// Fills of the same object may share one transfer.
+    /// Whether the fill may share the transfer of another fill of the same object.
     pub coalesce: bool,
-    /// The source responds only from its own cache.
+    /// Whether the source responds from its cache only.
     pub cached_at_source_only: bool,
-    /// The object is not stored at the parent through which it passes.
+    /// Whether the parent through which the object passes stores no copy.
     pub no_store_at_parent: bool,
-    /// The copy is revalidated at the source.
+    /// Whether the host revalidates its copy at the source.
     pub revalidate: bool,
-    /// Entity tag of the client's copy.
+    /// Entity tag of the client's copy; `None` if it has none.
     pub cached_tag: Option<&'a str>,
 }
 
 impl FetchRequest<'_> {
-    /// The request as it goes out.
+    /// Encodes the request as a line with an empty body.
     pub fn encode(&self) -> Vec<u8> {
-        // Rounded down, but not to 0, which would stand for the default.
+        // Rounded down to whole milliseconds, but to at least 1: the host reads 0 as its default.
         let millis = |span: Duration| span.as_millis().max(1);
         let mut line = format!("want {} c={},k={},p={}", self.id, self.class, self.object, self.part);
         line += &format!(",w={}", millis(self.timeout));
@@ -67,6 +67,7 @@
         line.into_bytes()
     }
 
+    /// The names of the modes that are set.
     fn modes(&self) -> Vec<&'static str> {
         let modes = [
             (self.coalesce, "coalesce"),
@@ -78,21 +79,21 @@
     }
 }
 
-/// The cancellation of a request.
+/// Encodes the cancellation of the request with this id.
 pub fn encode_cancel(id: &str) -> Vec<u8> {
     format!("never_mind {id}\r\n").into_bytes()
 }
 
-/// What a health check asks for.
+/// What a host has to report in response to a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckKind {
     /// Whether the host responds.
     Liveness,
-    /// Its load report too.
+    /// Whether the host responds, and its load report.
     LoadReport,
 }
 
-/// A health check; the response repeats `tag`.
+/// Encodes a health check; the response repeats `tag` as its id.
 pub fn encode_health_check(tag: &str, kind: HealthCheckKind) -> Vec<u8> {
     let word = match kind {
         HealthCheckKind::Liveness => "there",
@@ -104,7 +105,7 @@
 /// The status of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
-    /// The object follows.
+    /// The response has the object as its body.
     Data,
     /// The client's copy is current.
     NotModified,
@@ -122,18 +123,18 @@
     Unhealthy,
 }
 
-/// How a host came by the object, or why it did not.
+/// How a host obtained the object, or why it could not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CacheNote {
-    /// From its cache.
+    /// Served from its cache.
     Hit,
     /// Filled from the source.
     Filled,
     /// The source filled it from the origin.
     FilledByOrigin,
-    /// Shared the transfer of another request.
+    /// Filled by a transfer that it shared with another request.
     Coalesced,
-    /// A stale copy.
+    /// Served as a stale copy from its cache.
     Stale,
     /// The source rejected the fill.
     SourceRejected,
@@ -141,7 +142,7 @@
     SourceUnreachable,
     /// The source does not have the object.
     SourceMiss,
-    /// No capacity for another fill.
+    /// The host has no capacity for another fill.
     NoFillCapacity,
     /// The origin failed.
     OriginFailed,
@@ -174,46 +175,46 @@
 /// One value of a load report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadValue {
-    /// Its name, as the settings have it.
+    /// Name of the value; the settings list the names that are read.
     pub name: String,
-    /// Its value, in the unit that the name implies.
+    /// The value, in the unit that its name implies.
     pub value: f32,
 }
 
 /// A response of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostResponse {
-    /// Id of the request, or tag of the health check.
+    /// Id of the request or tag of the health check that the host responds to.
     pub id: String,
-    /// Its status.
+    /// The result of the request or health check.
     pub status: Status,
-    /// How the host came by the object.
+    /// How the host obtained the object; `None` if it did not report it.
     pub cache_note: Option<CacheNote>,
-    /// How long the request waited for a fill.
+    /// How long the request waited for a fill; zero if the host reported none.
     pub fill_wait: Duration,
     /// Entity tag; empty if unknown.
     pub tag: String,
-    /// Unix milliseconds at which the origin served the copy.
+    /// Unix milliseconds at which the origin served the copy; `None` if unknown.
     pub created_at_ms: Option<u64>,
-    /// The load report of a health check.
+    /// The load report in the order that the host sent it; empty if it sent none.
     pub load: Vec<LoadValue>,
     /// The object's bytes.
     pub body: Vec<u8>,
 }
 
-/// A response that was read, and the bytes that it took.
+/// A decoded response and its length.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedResponse {
-    /// Bytes from the start of the input.
+    /// The number of bytes that the response takes at the start of the input.
     pub length: usize,
     /// The response.
     pub response: HostResponse,
 }
 
-/// Why what a host sent is no response. The connection can't be used any more.
+/// Why bytes from a host are not a valid response. The connection can't be used after any of these errors.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// No line end within [`MAX_LINE_BYTES`].
+    /// A line without a line end within [`MAX_LINE_BYTES`].
     #[error("a line without end")]
     EndlessLine,
     /// A line that ends in a bare line feed.
@@ -222,27 +223,27 @@
     /// A line that is not UTF-8.
     #[error("a line that is no text")]
     NotText,
-    /// A line with another number of words.
+    /// A line that does not have exactly four words.
     #[error("not four words: {0:?}")]
     WordCount(String),
     /// A status that the protocol doesn't know.
     #[error("unknown word {0:?}")]
     UnknownStatus(String),
-    /// A length that is no number.
+    /// A body length that is not a whole number.
     #[error("length {0:?}")]
     InvalidLength(String),
     /// A body of more than [`MAX_BODY_BYTES`].
     #[error("a body of {0} bytes")]
     BodyTooLong(usize),
-    /// A body that goes on after its announced length.
+    /// A body that is not followed by CR LF at its announced length.
     #[error("a body that is longer than its length")]
     UnterminatedBody,
-    /// A field without value, or with an unusable one.
+    /// A field without a value, or with an invalid one.
     #[error("field {0:?}")]
     InvalidField(String),
 }
 
-/// Reads one response; none: it is not complete yet.
+/// Decodes the response at the start of `bytes`. Returns `None` while the response is incomplete.
 pub fn decode_response(bytes: &[u8]) -> Result<Option<DecodedResponse>, DecodeError> {
     let Some(line_end) = bytes.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') else {
         return if bytes.len() < MAX_LINE_BYTES { Ok(None) } else { Err(DecodeError::EndlessLine) };
@@ -260,12 +261,12 @@
     Ok(Some(DecodedResponse { length: body_end + 2, response }))
 }
 
-/// The line of a response, with its fields not read yet.
+/// The line of a response, before its fields are parsed.
 struct ResponseLine<'a> {
     id: &'a str,
     status: Status,
     fields: &'a str,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     length: usize,
 }
 
@@ -311,7 +312,8 @@
     Ok(length)
 }
 
-/// Reads one field into the response; none: it has no value, or an unusable one. Unknown fields are ignored.
+/// Reads one field into the response. Returns `None` if the field has no value or an invalid one; unknown fields are
+/// ignored.
 fn read_field(response: &mut HostResponse, field: &str) -> Option<()> {
     let (name, value) = field.split_once('=')?;
     match name {
@@ -337,6 +339,7 @@
     Some(())
 }
 
+/// The value that a table has for a text on the wire.
 fn lookup<T: Copy>(table: &[(&str, T)], text: &str) -> Option<T> {
     table.iter().find(|(word, _)| *word == text).map(|(_, value)| *value)
 }
