--- a/crates/rockflow-protocol/src/buffer.rs
+++ b/crates/rockflow-protocol/src/buffer.rs
@@ -1,9 +1,10 @@
 //! The receive buffer of a connection.
 
-/// The capacity of a buffer at its first use and after it has been drained, in bytes.
+/// Capacity in bytes that a buffer allocates at its first use, and that it may keep once all bytes are consumed.
 const INITIAL_CAPACITY: usize = 4096;
 
-/// A byte queue that grows as needed up to its maximum and is compacted in place.
+/// A byte queue that grows as needed up to its maximum capacity. Unconsumed bytes are moved to the front before it
+/// grows.
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
@@ -12,7 +13,7 @@
 }
 
 impl Buffer {
-    /// An empty buffer, which allocates nothing yet.
+    /// Creates an empty buffer that holds at most `max_capacity` bytes. It allocates nothing yet.
     pub fn new(max_capacity: usize) -> Self {
         Buffer { bytes: Vec::new(), start: 0, end: 0, max_capacity }
     }
@@ -27,7 +28,7 @@
         &self.bytes[self.start..self.end]
     }
 
-    /// Space to read into; none while unconsumed bytes fill the maximum capacity.
+    /// Returns space to write into, or `None` while unconsumed bytes fill the maximum capacity.
     pub fn spare(&mut self) -> Option<&mut [u8]> {
         if self.end == self.bytes.len() && self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -53,7 +54,7 @@
         if self.start == self.end {
             self.start = 0;
             self.end = 0;
-            // Guards against every connection that once carried a large body holding on to its size.
+            // Otherwise each connection would keep the capacity of the largest body that it ever carried.
             if self.bytes.len() > INITIAL_CAPACITY {
                 self.bytes = Vec::new();
             }
--- a/crates/rockflow-protocol/src/lib.rs
+++ b/crates/rockflow-protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! Codecs of the dispatcher's three protocols, without I/O: the one place that knows the words on the wire.
+//! Codecs of the dispatcher's three protocols, without I/O. The texts of these protocols appear in no other part of the
+//! dispatcher.
 //!
 //! - [`client`]: HTTP/1.1 between clients and the dispatcher.
 //! - [`upstream`]: the line protocol between the dispatcher and its hosts.
-//! - [`discovery`]: the event stream of the discovery service (the protocol calls it the board).
+//! - [`discovery`]: the event stream of the discovery service (called "board" in the request path).
 
 pub mod buffer;
 pub mod client;
@@ -11,5 +12,5 @@
 
 pub use buffer::Buffer;
 
-/// The longest body of an object, in bytes, in either direction.
+/// Maximum size of an object's body in bytes, in responses from hosts and in responses to clients.
 pub const MAX_BODY_BYTES: usize = 240_000;
