--- a/crates/rockflow-protocol/src/client.rs
+++ b/crates/rockflow-protocol/src/client.rs
@@ -250,8 +250,7 @@
     }
 
     /// The value of a field as a decimal number up to `max`; `None` if it is missing. Any other value is rejected with
-    /// status
-    /// 400 and the field's name as reason.
+    /// status 400 and the field's name as reason.
     fn number(&self, name: &'static str, max: f64) -> Result<Option<f64>, HttpStatus> {
         let invalid = HttpStatus::new(400, name);
         let text = self.single(name).map_err(|_| invalid)?;
