--- a/crates/rockflow-protocol/src/discovery.rs
+++ b/crates/rockflow-protocol/src/discovery.rs
@@ -112,22 +112,22 @@
 #[derive(Debug, Error)]
 pub enum DecodeError {
     /// The status of the response is not 200; `None` if the head has no status.
-    #[error("status {0:?}")]
+    #[error("unexpected response status {0:?}")]
     Status(Option<u16>),
     /// A response head that is not HTTP.
-    #[error("head: {0}")]
+    #[error("malformed response head: {0}")]
     Head(#[source] httparse::Error),
     /// A chunk without a valid size.
-    #[error("chunk size")]
+    #[error("invalid chunk size")]
     ChunkSize,
     /// An event of more than [`MAX_EVENT_BYTES`].
-    #[error("an event without end")]
+    #[error("event longer than {} bytes", MAX_EVENT_BYTES)]
     EndlessEvent,
     /// A line that is not UTF-8.
-    #[error("a line that is no text")]
+    #[error("line is not UTF-8")]
     NotText,
     /// A complete event that is not valid JSON, or lacks a required field.
-    #[error("event: {0}")]
+    #[error("unreadable event: {0}")]
     Event(#[source] serde_json::Error),
 }
 
--- a/crates/rockflow-protocol/src/upstream.rs
+++ b/crates/rockflow-protocol/src/upstream.rs
@@ -215,31 +215,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// A line without a line end within [`MAX_LINE_BYTES`].
-    #[error("a line without end")]
+    #[error("line longer than {} bytes", MAX_LINE_BYTES)]
     EndlessLine,
     /// A line that ends in a bare line feed.
-    #[error("a line that does not end in CR LF")]
+    #[error("line does not end in CR LF")]
     BareLineFeed,
     /// A line that is not UTF-8.
-    #[error("a line that is no text")]
+    #[error("line is not UTF-8")]
     NotText,
     /// A line that does not have exactly four words.
-    #[error("not four words: {0:?}")]
+    #[error("line does not have four words: {0:?}")]
     WordCount(String),
     /// A status that the protocol doesn't know.
-    #[error("unknown word {0:?}")]
+    #[error("unknown status {0:?}")]
     UnknownStatus(String),
     /// A body length that is not a whole number.
-    #[error("length {0:?}")]
+    #[error("invalid body length {0:?}")]
     InvalidLength(String),
     /// A body of more than [`MAX_BODY_BYTES`].
-    #[error("a body of {0} bytes")]
+    #[error("body of {0} bytes is longer than {max} bytes", max = MAX_BODY_BYTES)]
     BodyTooLong(usize),
     /// A body that is not followed by CR LF at its announced length.
-    #[error("a body that is longer than its length")]
+    #[error("no CR LF after the announced length of the body")]
     UnterminatedBody,
     /// A field without a value, or with an invalid one.
-    #[error("field {0:?}")]
+    #[error("invalid field {0:?}")]
     InvalidField(String),
 }
 
