--- a/crates/rockflow-protocol/src/client.rs
+++ b/crates/rockflow-protocol/src/client.rs
@@ -98,7 +98,7 @@
         Err(status) => return invalid(status),
     };
     let fields = Fields(parsed.headers);
-    if fields.announce_body() {
+    if fields.announces_body() {
         return invalid(HttpStatus::new(413, "a body where none belongs"));
     }
     let persistence = fields.persistence(parsed.version);
@@ -113,10 +113,10 @@
     bytes: &'b [u8],
     parsed: &mut httparse::Request<'_, 'b>,
 ) -> Result<Option<usize>, HttpStatus> {
-    let blank = count_empty_line_bytes(bytes);
-    match parsed.parse(&bytes[blank..]) {
-        Ok(httparse::Status::Complete(length)) if blank + length <= MAX_HEAD_BYTES => {
-            Ok(Some(blank + length))
+    let empty_lines = count_empty_line_bytes(bytes);
+    match parsed.parse(&bytes[empty_lines..]) {
+        Ok(httparse::Status::Complete(length)) if empty_lines + length <= MAX_HEAD_BYTES => {
+            Ok(Some(empty_lines + length))
         }
         Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HttpStatus::new(431, "head too long")),
@@ -259,7 +259,7 @@
 
     /// Whether a body follows the head. All `Content-Length` fields are checked: an overlooked body would be read as
     /// the next request (request smuggling).
-    fn announce_body(&self) -> bool {
+    fn announces_body(&self) -> bool {
         let mut lengths = self.all("content-length").map(<[u8]>::trim_ascii);
         self.all("transfer-encoding").next().is_some() || lengths.any(|length| length != b"0")
     }
@@ -277,42 +277,38 @@
 }
 
 fn parse_request(method: &str, target: &str, fields: &Fields) -> Result<ParsedRequest, HttpStatus> {
-    let (path, arguments) = target.split_once('?').unwrap_or((target, ""));
-    let names = path.strip_prefix("/invoke/").and_then(|rest| rest.split_once('/'));
-    if path != "/_health" && names.is_none() {
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    let class_and_object = path.strip_prefix("/invoke/").and_then(|rest| rest.split_once('/'));
+    if path != "/_health" && class_and_object.is_none() {
         return Err(HttpStatus::new(404, "unknown path"));
     }
     if method != "GET" {
         return Err(HttpStatus::new(405, "unknown method"));
     }
-    match names {
+    match class_and_object {
         None => Ok(ParsedRequest::HealthCheck),
         Some((class, object)) => {
-            let request = parse_fetch(class, object, arguments, fields)?;
+            let request = parse_fetch(class, object, query, fields)?;
             Ok(ParsedRequest::Fetch(Box::new(request)))
         }
     }
 }
 
-fn parse_fetch(
-    class: &str,
-    object: &str,
-    arguments: &str,
-    fields: &Fields,
-) -> Result<ClientRequest, HttpStatus> {
-    let bad = |reason| HttpStatus::new(400, reason);
+fn parse_fetch(class: &str, object: &str, query: &str, fields: &Fields) -> Result<ClientRequest, HttpStatus> {
+    let bad_request = |reason| HttpStatus::new(400, reason);
     let call_id = fields.single("x-call-id").ok().flatten();
     let call_id = call_id.filter(|id| id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit()));
-    let time_limit_ms = fields.number("X-Patience-Ms", MAX_TIME_LIMIT_MS)?.ok_or(bad("X-Patience-Ms"))?;
+    let time_limit_ms =
+        fields.number("X-Patience-Ms", MAX_TIME_LIMIT_MS)?.ok_or(bad_request("X-Patience-Ms"))?;
     let size_kb = fields.number("X-Heap-Kb", MAX_SIZE_KB)?.unwrap_or(0.0);
     let group = fields.number("X-Group", MAX_GROUP)?.filter(|group| group.fract() == 0.0);
-    let cached_tag = fields.single("if-none-match").map_err(|_| bad("If-None-Match"))?;
+    let cached_tag = fields.single("if-none-match").map_err(|_| bad_request("If-None-Match"))?;
     Ok(ClientRequest {
-        call_id: call_id.ok_or(bad("X-Call-Id"))?.to_string(),
-        class: parse_token(class).ok_or(bad("class"))?,
-        object: parse_token(object).filter(|object| !object.contains('/')).ok_or(bad("object"))?,
-        part: parse_part(arguments).ok_or(bad("part"))?,
-        group: group.ok_or(bad("X-Group"))? as u64,
+        call_id: call_id.ok_or(bad_request("X-Call-Id"))?.to_string(),
+        class: parse_token(class).ok_or(bad_request("class"))?,
+        object: parse_token(object).filter(|object| !object.contains('/')).ok_or(bad_request("object"))?,
+        part: parse_part(query).ok_or(bad_request("part"))?,
+        group: group.ok_or(bad_request("X-Group"))? as u64,
         time_limit: Duration::from_secs_f64(time_limit_ms / 1e3),
         size_kb,
         // A tag that can't be passed on to a host is ignored.
@@ -321,11 +317,11 @@
 }
 
 /// The part number of a query string: 0 if it is empty, `None` if it is not `part=` with a valid number.
-fn parse_part(arguments: &str) -> Option<u32> {
-    if arguments.is_empty() {
+fn parse_part(query: &str) -> Option<u32> {
+    if query.is_empty() {
         return Some(0);
     }
-    let part = parse_decimal(arguments.strip_prefix("part=")?, MAX_PART)?;
+    let part = parse_decimal(query.strip_prefix("part=")?, MAX_PART)?;
     (part.fract() == 0.0).then_some(part as u32)
 }
 
@@ -337,14 +333,14 @@
 
 /// Parses a number up to `max` that has digits and perhaps a decimal point, but no sign or exponent.
 fn parse_decimal(text: &str, max: f64) -> Option<f64> {
-    let is_plain = text.starts_with(|first: char| first.is_ascii_digit())
+    let has_no_sign_or_exponent = text.starts_with(|first: char| first.is_ascii_digit())
         && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    text.parse().ok().filter(|number| is_plain && *number <= max)
+    text.parse().ok().filter(|number| has_no_sign_or_exponent && *number <= max)
 }
 
 /// The text as an owned name or tag; `None` if it is empty, too long or can't be part of a line to a host.
 fn parse_token(text: &str) -> Option<String> {
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b",=\"%;&?".contains(&byte);
-    let fits = !text.is_empty() && text.len() <= MAX_TOKEN_BYTES && text.bytes().all(is_allowed);
-    fits.then(|| text.to_string())
+    let is_valid = !text.is_empty() && text.len() <= MAX_TOKEN_BYTES && text.bytes().all(is_allowed);
+    is_valid.then(|| text.to_string())
 }
--- a/crates/rockflow-protocol/src/discovery.rs
+++ b/crates/rockflow-protocol/src/discovery.rs
@@ -122,10 +122,10 @@
     ChunkSize,
     /// An event of more than [`MAX_EVENT_BYTES`].
     #[error("event longer than {} bytes", MAX_EVENT_BYTES)]
-    EndlessEvent,
+    EventTooLong,
     /// A line that is not UTF-8.
     #[error("line is not UTF-8")]
-    NotText,
+    NotUtf8,
     /// A complete event that is not valid JSON, or lacks a required field.
     #[error("unreadable event: {0}")]
     Event(#[source] serde_json::Error),
@@ -135,7 +135,7 @@
 enum Stage {
     Head,
     /// The body without chunks, which extends to the end of the connection.
-    Unframed,
+    UnchunkedBody,
     ChunkSize,
     /// The content of a chunk, with the number of bytes that are still to come.
     Chunk(usize),
@@ -186,15 +186,16 @@
     ) -> Result<Option<usize>, DecodeError> {
         match self.stage {
             Stage::Head => self.decode_head(bytes),
-            Stage::Unframed => {
+            Stage::UnchunkedBody => {
                 self.decode_text(bytes, events)?;
                 Ok(Some(bytes.len()))
             }
             Stage::ChunkSize => self.decode_chunk_size(bytes),
-            Stage::Chunk(left) => {
-                let length = left.min(bytes.len());
+            Stage::Chunk(remaining) => {
+                let length = remaining.min(bytes.len());
                 self.decode_text(&bytes[..length], events)?;
-                self.stage = if length == left { Stage::ChunkEnd } else { Stage::Chunk(left - length) };
+                self.stage =
+                    if length == remaining { Stage::ChunkEnd } else { Stage::Chunk(remaining - length) };
                 Ok(Some(length))
             }
             Stage::ChunkEnd if bytes.len() < 2 => Ok(None),
@@ -216,7 +217,7 @@
                     header.name.eq_ignore_ascii_case("transfer-encoding")
                         && header.value.eq_ignore_ascii_case(b"chunked")
                 });
-                self.stage = if is_chunked { Stage::ChunkSize } else { Stage::Unframed };
+                self.stage = if is_chunked { Stage::ChunkSize } else { Stage::UnchunkedBody };
                 Ok(Some(length))
             }
             httparse::Status::Complete(_) => Err(DecodeError::Status(head.code)),
@@ -242,14 +243,14 @@
             }
             self.line.push(*byte);
             if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
-                return Err(DecodeError::EndlessEvent);
+                return Err(DecodeError::EventTooLong);
             }
         }
         Ok(())
     }
 
     fn decode_line(&mut self, line: &[u8], events: &mut Vec<WatchEvent>) -> Result<(), DecodeError> {
-        let line = std::str::from_utf8(line).map_err(|_| DecodeError::NotText)?.trim_end_matches('\r');
+        let line = std::str::from_utf8(line).map_err(|_| DecodeError::NotUtf8)?.trim_end_matches('\r');
         if let Some(data) = line.strip_prefix("data:") {
             self.data += data.strip_prefix(' ').unwrap_or(data);
         } else if line.is_empty() && !self.data.is_empty() {
--- a/crates/rockflow-protocol/src/upstream.rs
+++ b/crates/rockflow-protocol/src/upstream.rs
@@ -95,11 +95,11 @@
 
 /// Encodes a health check; the response repeats `tag` as its id.
 pub fn encode_health_check(tag: &str, kind: HealthCheckKind) -> Vec<u8> {
-    let word = match kind {
+    let command = match kind {
         HealthCheckKind::Liveness => "there",
         HealthCheckKind::LoadReport => "busy",
     };
-    format!("{word} {tag}\r\n").into_bytes()
+    format!("{command} {tag}\r\n").into_bytes()
 }
 
 /// The status of a response.
@@ -216,13 +216,13 @@
 pub enum DecodeError {
     /// A line without a line end within [`MAX_LINE_BYTES`].
     #[error("line longer than {} bytes", MAX_LINE_BYTES)]
-    EndlessLine,
+    LineTooLong,
     /// A line that ends in a bare line feed.
     #[error("line does not end in CR LF")]
     BareLineFeed,
     /// A line that is not UTF-8.
     #[error("line is not UTF-8")]
-    NotText,
+    NotUtf8,
     /// A line that does not have exactly four words.
     #[error("line does not have four words: {0:?}")]
     WordCount(String),
@@ -246,10 +246,10 @@
 /// Decodes the response at the start of `bytes`. Returns `None` while the response is incomplete.
 pub fn decode_response(bytes: &[u8]) -> Result<Option<DecodedResponse>, DecodeError> {
     let Some(line_end) = bytes.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') else {
-        return if bytes.len() < MAX_LINE_BYTES { Ok(None) } else { Err(DecodeError::EndlessLine) };
+        return if bytes.len() < MAX_LINE_BYTES { Ok(None) } else { Err(DecodeError::LineTooLong) };
     };
     let line = bytes[..line_end].strip_suffix(b"\r").ok_or(DecodeError::BareLineFeed)?;
-    let line = std::str::from_utf8(line).map_err(|_| DecodeError::NotText)?;
+    let line = std::str::from_utf8(line).map_err(|_| DecodeError::NotUtf8)?;
     let line = ResponseLine::parse(line)?;
     let body_start = line_end + 1;
     let body_end = body_start + line.length;
@@ -303,8 +303,8 @@
 }
 
 fn parse_length(text: &str) -> Result<usize, DecodeError> {
-    let is_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-    let length = text.parse().ok().filter(|_| is_digits);
+    let has_only_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    let length = text.parse().ok().filter(|_| has_only_digits);
     let length = length.ok_or_else(|| DecodeError::InvalidLength(text.to_string()))?;
     if length > MAX_BODY_BYTES {
         return Err(DecodeError::BodyTooLong(length));
