--- a/crates/rockflow-protocol/tests/codecs.rs
+++ b/crates/rockflow-protocol/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! The codecs byte by byte: at every split, with what is malformed, and with junk from a fixed seed.
+//! Tests of the codecs: input split at every byte, malformed input, and input with random bytes from a fixed seed.
 
 use rockflow_protocol::client::{self, ParsedRequest, Persistence, PipelinedBytes, Response};
 use rockflow_protocol::discovery::{self, WatchEvent, WatchStream};
@@ -18,8 +18,8 @@
     for cut in 0..REQUEST.len() {
         assert_eq!(client::decode_request(&REQUEST.as_bytes()[..cut]), None, "cut at {cut}");
     }
-    let two = format!("{REQUEST}{REQUEST}");
-    let head = client::decode_request(two.as_bytes()).expect("whole");
+    let two_requests = format!("{REQUEST}{REQUEST}");
+    let head = client::decode_request(two_requests.as_bytes()).expect("a complete head");
     assert_eq!((head.length, head.persistence), (REQUEST.len(), Persistence::KeepAlive));
     let ParsedRequest::Fetch(request) = head.request else { panic!("{:?}", head.request) };
     assert_eq!(
@@ -33,36 +33,36 @@
     assert_eq!(request.cached_tag.as_deref(), Some("4be0c1927d55a6f3"));
 }
 
-#[test_case("HTTP/1.1\r\n", "HTTP/1.1\r\nConnection: close\r\n", Some(Persistence::Close); "closed on the client's word")]
-#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\n", Some(Persistence::Close); "an old client closes")]
-#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\nConnection: Keep-Alive\r\n", Some(Persistence::KeepAlive); "an old client keeps it open")]
-#[test_case("GET", "\r\nGET", Some(Persistence::KeepAlive); "an empty line before")]
-#[test_case("\"4be0c1927d55a6f3\"", "junk, \"x\"", Some(Persistence::KeepAlive); "a tag that can't be passed on")]
-#[test_case("X-Heap-Kb: 412.5\r\n", "", Some(Persistence::KeepAlive); "no size told")]
-#[test_case("X-Call-Id: 9b", "X-Call-Id: zz", None; "a call id that is no number")]
-#[test_case("X-Patience-Ms: 1500\r\n", "", None; "no patience")]
-#[test_case("X-Patience-Ms: 1500", "X-Patience-Ms: NaN", None; "absurd patience")]
-#[test_case("X-Patience-Ms: 1500", "X-Patience-Ms: +1500", None; "a figure with a sign")]
-#[test_case("X-Patience-Ms: 1500", "X-Patience-Ms: 1e3", None; "a figure with an exponent")]
-#[test_case("X-Heap-Kb: 412.5", "X-Heap-Kb: 99999999999", None; "an absurd size")]
+#[test_case("HTTP/1.1\r\n", "HTTP/1.1\r\nConnection: close\r\n", Some(Persistence::Close); "the client asks to close")]
+#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\n", Some(Persistence::Close); "HTTP 1.0 closes by default")]
+#[test_case("HTTP/1.1\r\n", "HTTP/1.0\r\nConnection: Keep-Alive\r\n", Some(Persistence::KeepAlive); "HTTP 1.0 with keep-alive")]
+#[test_case("GET", "\r\nGET", Some(Persistence::KeepAlive); "an empty line before the head")]
+#[test_case("\"4be0c1927d55a6f3\"", "junk, \"x\"", Some(Persistence::KeepAlive); "a tag that can't be sent to a host")]
+#[test_case("X-Heap-Kb: 412.5\r\n", "", Some(Persistence::KeepAlive); "no size")]
+#[test_case("X-Call-Id: 9b", "X-Call-Id: zz", None; "a call id that is not hexadecimal")]
+#[test_case("X-Patience-Ms: 1500\r\n", "", None; "no time limit")]
+#[test_case("X-Patience-Ms: 1500", "X-Patience-Ms: NaN", None; "a time limit that is not a number")]
+#[test_case("X-Patience-Ms: 1500", "X-Patience-Ms: +1500", None; "a time limit with a sign")]
+#[test_case("X-Patience-Ms: 1500", "X-Patience-Ms: 1e3", None; "a time limit with an exponent")]
+#[test_case("X-Heap-Kb: 412.5", "X-Heap-Kb: 99999999999", None; "a size over the limit")]
 #[test_case("X-Call-Id", "X-Call-Id: 9b1f03aa5c7e2d42\r\nX-Call-Id", None; "two call ids")]
-#[test_case("X-Group", "X-Group: 17\r\nX-Group", None; "a group said twice")]
-#[test_case("X-Group: 17", "X-Group: 256", None; "a group past the last")]
-#[test_case("part=3", "part=-1", None; "a part below the first")]
+#[test_case("X-Group", "X-Group: 17\r\nX-Group", None; "two groups")]
+#[test_case("X-Group: 17", "X-Group: 256", None; "a group over the limit")]
+#[test_case("part=3", "part=-1", None; "a negative part")]
 #[test_case("part=3", "part=3&part=4", None; "two parts")]
 #[test_case("part=3", "x=3", None; "an unknown argument")]
-#[test_case("7f3a9c21e0b4d655", "a,b", None; "an object that would break a host's line")]
-#[test_case("7f3a9c21e0b4d655", "a/b", None; "a path too deep")]
-#[test_case("GET", "POST", None; "another method")]
+#[test_case("7f3a9c21e0b4d655", "a,b", None; "an object name with a comma")]
+#[test_case("7f3a9c21e0b4d655", "a/b", None; "an object name with a slash")]
+#[test_case("GET", "POST", None; "an unsupported method")]
 #[test_case("/invoke/", "/else/", None; "an unknown path")]
-#[test_case("X-Group", "Content-Length: 4\r\nX-Group", None; "a body where none belongs")]
-#[test_case("X-Group", "Content-Length: 0\r\nContent-Length: 44\r\nX-Group", None; "a body behind none")]
-#[test_case("X-Group", "Content-Length: \u{e9}\r\nX-Group", None; "a length that is no text")]
-#[test_case("X-Group", "Content-Length: 0\r\nX-Group", Some(Persistence::KeepAlive); "no body, said so")]
+#[test_case("X-Group", "Content-Length: 4\r\nX-Group", None; "a request with a body")]
+#[test_case("X-Group", "Content-Length: 0\r\nContent-Length: 44\r\nX-Group", None; "a second content length that announces a body")]
+#[test_case("X-Group", "Content-Length: \u{e9}\r\nX-Group", None; "a content length that is not a number")]
+#[test_case("X-Group", "Content-Length: 0\r\nX-Group", Some(Persistence::KeepAlive); "a content length of zero")]
 #[test_case("X-Group", "Transfer-Encoding: chunked\r\nX-Group", None; "a chunked body")]
 #[test_case("Host", "Ho st", None; "a malformed head")]
 fn decodes_or_rejects_request_head(from: &str, to: &str, expected: Option<Persistence>) {
-    let head = client::decode_request(REQUEST.replacen(from, to, 1).as_bytes()).expect("whole");
+    let head = client::decode_request(REQUEST.replacen(from, to, 1).as_bytes()).expect("a complete head");
     match (head.request, expected) {
         (ParsedRequest::Fetch(_), Some(persistence)) => assert_eq!(head.persistence, persistence),
         (ParsedRequest::Invalid(status), None) => assert!((400..500).contains(&status.code)),
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn rejects_head_past_its_limit() {
+fn rejects_head_over_the_length_limit() {
     let long = format!("GET /_health HTTP/1.1\r\nX: {}", "x".repeat(client::MAX_HEAD_BYTES));
-    let head = client::decode_request(long.as_bytes()).expect("given up");
+    let head = client::decode_request(long.as_bytes()).expect("a rejected head");
     assert!(matches!(head.request, ParsedRequest::Invalid(status) if status.code == 431));
     assert_eq!(head.persistence, Persistence::Close);
 }
@@ -86,12 +86,12 @@
         assert_eq!(client::classify_pipelined(part), PipelinedBytes::PartialRequest, "cut at {cut}");
     }
     assert_eq!(client::classify_pipelined(REQUEST.as_bytes()), PipelinedBytes::Request);
-    let followed = format!("\r\n{REQUEST}xxx");
-    assert_eq!(client::classify_pipelined(followed.as_bytes()), PipelinedBytes::Request);
+    let followed_by_more = format!("\r\n{REQUEST}xxx");
+    assert_eq!(client::classify_pipelined(followed_by_more.as_bytes()), PipelinedBytes::Request);
 }
 
 #[test_case("\r\n\r\n", PipelinedBytes::Nothing; "empty lines")]
-#[test_case("x", PipelinedBytes::Unusable; "a byte of no meaning")]
+#[test_case("x", PipelinedBytes::Unusable; "a byte that begins no request")]
 #[test_case("GET http://backend.local/", PipelinedBytes::Unusable; "a target that is not served")]
 #[test_case("POST /_health HTTP/1.1\r\n\r\n", PipelinedBytes::Unusable; "a method that is not served")]
 #[test_case("GET /\x01 HTTP/1.1\r\n\r\n", PipelinedBytes::Unusable; "a malformed head")]
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn pipelined_head_past_its_limit_is_unusable() {
+fn pipelined_head_over_the_length_limit_is_unusable() {
     let long = format!("GET /{}", "x".repeat(client::MAX_HEAD_BYTES));
     assert_eq!(client::classify_pipelined(long.as_bytes()), PipelinedBytes::Unusable);
 }
@@ -111,13 +111,13 @@
 #[test_case(Response::Rejected { retry_after: Some(Duration::from_millis(250)) },
     "503 Service Unavailable\r\nContent-Length: 0\r\nX-Come-Back-Ms: 250\r\n")]
 #[test_case(Response::Failed, "502 Bad Gateway\r\nContent-Length: 0\r\n")]
-fn encodes_response_head(answer: Response, head: &str) {
+fn encodes_response_head(response: Response, head: &str) {
     assert_eq!(
-        String::from_utf8(client::encode_response(&answer, Persistence::KeepAlive)).unwrap(),
+        String::from_utf8(client::encode_response(&response, Persistence::KeepAlive)).unwrap(),
         format!("HTTP/1.1 {head}\r\n")
     );
-    let last = client::encode_response(&answer, Persistence::Close);
-    assert_eq!(String::from_utf8(last).unwrap(), format!("HTTP/1.1 {head}Connection: close\r\n\r\n"));
+    let closing = client::encode_response(&response, Persistence::Close);
+    assert_eq!(String::from_utf8(closing).unwrap(), format!("HTTP/1.1 {head}Connection: close\r\n\r\n"));
 }
 
 fn load(name: &str, value: f32) -> LoadValue {
@@ -140,9 +140,9 @@
 }
 
 #[test]
-fn encodes_only_the_fields_that_are_set() {
-    let bare = FetchRequest { id: "9b", class: "pages", object: "7f", part: 3, ..FetchRequest::default() };
-    assert_eq!(bare.encode(), b"want 9b c=pages,k=7f,p=3,w=1 0\r\n\r\n");
+fn fetch_request_has_only_the_fields_that_are_set() {
+    let minimal = FetchRequest { id: "9b", class: "pages", object: "7f", part: 3, ..FetchRequest::default() };
+    assert_eq!(minimal.encode(), b"want 9b c=pages,k=7f,p=3,w=1 0\r\n\r\n");
     let full = FetchRequest {
         timeout: Duration::from_micros(900_900),
         source: Some("p1"),
@@ -151,7 +151,7 @@
         coalesce: true,
         revalidate: true,
         cached_tag: Some("t1"),
-        ..bare
+        ..minimal
     };
     let line =
         "want 9b c=pages,k=7f,p=3,w=900,from=p1,rank=2,oldest=1,mode=coalesce+freshen,seen=t1 0\r\n\r\n";
@@ -166,27 +166,27 @@
     for cut in 0..line.len() + 6 {
         assert_eq!(upstream::decode_response(&bytes[..cut]), Ok(None), "cut at {cut}");
     }
-    let DecodedResponse { length, response: answer } =
-        upstream::decode_response(&bytes).unwrap().expect("whole");
+    let DecodedResponse { length, response } =
+        upstream::decode_response(&bytes).unwrap().expect("a complete response");
     assert_eq!(
-        (length, answer.status, answer.cache_note),
+        (length, response.status, response.cache_note),
         (line.len() + 6, Status::Data, Some(CacheNote::FilledByOrigin))
     );
     assert_eq!(
-        (answer.fill_wait, answer.created_at_ms),
+        (response.fill_wait, response.created_at_ms),
         (Duration::from_micros(12_500), Some(1_764_576_000_123))
     );
-    assert_eq!((answer.tag.as_str(), &answer.body[..]), ("t1", &b"\r\nab"[..]));
-    assert_eq!(answer.load, [load("inflight", 7.0), load("util", 0.61)]);
+    assert_eq!((response.tag.as_str(), &response.body[..]), ("t1", &b"\r\nab"[..]));
+    assert_eq!(response.load, [load("inflight", 7.0), load("util", 0.61)]);
 }
 
-#[test_case("9b gone - 0\r\n\r\n"; "an unknown word")]
+#[test_case("9b gone - 0\r\n\r\n"; "an unknown status")]
 #[test_case("9b data - 1\r\nxyz"; "a body longer than its length")]
 #[test_case("9b data - 240001\r\n"; "a body over the limit")]
-#[test_case("9b data - -1\r\n\r\n"; "a length below nothing")]
+#[test_case("9b data - -1\r\n\r\n"; "a negative length")]
 #[test_case("9b data - +1\r\nx\r\n"; "a length with a sign")]
 #[test_case("9b data note=wa\u{e9}m 0\r\n\r\n"; "an unknown note")]
-#[test_case("9b data 0\r\n\r\n"; "three words")]
+#[test_case("9b data 0\r\n\r\n"; "three words only")]
 #[test_case("9b data waited=x 0\r\n\r\n"; "a field that does not parse")]
 #[test_case("9b data - 0\n\n"; "a bare line feed")]
 fn rejects_malformed_host_response(bytes: &str) {
@@ -198,30 +198,30 @@
     id: 42\r\ndata: {\"rev\":42,\r\ndata: \"flush\":{\"asset\":\"7f\",\"ms\":1764576000123}}\r\n\r\n";
 
 fn decode_stream(parts: &[&[u8]]) -> Result<Vec<WatchEvent>, discovery::DecodeError> {
-    let (mut stream, mut held, mut events) = (WatchStream::default(), Vec::new(), Vec::new());
+    let (mut stream, mut pending, mut events) = (WatchStream::default(), Vec::new(), Vec::new());
     for part in parts {
-        held.extend_from_slice(part);
-        let taken = stream.decode(&held, &mut events)?;
-        held.drain(..taken);
+        pending.extend_from_slice(part);
+        let decoded = stream.decode(&pending, &mut events)?;
+        pending.drain(..decoded);
     }
     Ok(events)
 }
 
-#[test_case(false; "to the end of the connection")]
-#[test_case(true; "in chunks")]
+#[test_case(false; "not chunked")]
+#[test_case(true; "chunked")]
 fn decodes_events_at_every_split(chunked: bool) {
     let mut sent = String::from("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n");
     if chunked {
         sent += "Transfer-Encoding: chunked\r\n\r\n";
-        let (a, b) = EVENTS.split_at(50);
-        [a, b].iter().for_each(|chunk| sent += &format!("{:x}\r\n{chunk}\r\n", chunk.len()));
+        let (first, second) = EVENTS.split_at(50);
+        [first, second].iter().for_each(|chunk| sent += &format!("{:x}\r\n{chunk}\r\n", chunk.len()));
         sent += "0\r\n\r\n";
     } else {
         sent += &format!("\r\n{EVENTS}");
     }
     for cut in 0..sent.len() {
-        let (a, b) = sent.as_bytes().split_at(cut);
-        let events = decode_stream(&[a, b]).expect("well formed");
+        let (first, second) = sent.as_bytes().split_at(cut);
+        let events = decode_stream(&[first, second]).expect("a valid stream");
         assert_eq!(events.iter().map(|event| event.revision).collect::<Vec<_>>(), [41, 42], "cut at {cut}");
         let purge = events[1].purge.as_ref().expect("a purge");
         assert_eq!(
@@ -231,27 +231,27 @@
     }
 }
 
-#[test_case("HTTP/1.1 503 No\r\n\r\n"; "a refusal")]
+#[test_case("HTTP/1.1 503 No\r\n\r\n"; "an error status")]
 #[test_case("HTTP/1.1 200 OK\r\n\r\ndata: {}\n\n"; "an event without a number")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\ndata: {\"rev\":\n\n"; "an event cut short")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"; "a chunk without a size")]
-#[test_case("junk\r\n\r\n"; "junk")]
+#[test_case("HTTP/1.1 200 OK\r\n\r\ndata: {\"rev\":\n\n"; "an event with truncated JSON")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"; "an invalid chunk size")]
+#[test_case("junk\r\n\r\n"; "no HTTP")]
 fn rejects_malformed_stream(sent: &str) {
     assert!(decode_stream(&[sent.as_bytes()]).is_err());
 }
 
 #[test]
-fn junk_neither_panics_nor_stalls() {
-    let mut chance = oorandom::Rand32::new(7);
-    let seeds =
+fn corrupted_input_neither_panics_nor_stalls() {
+    let mut random = oorandom::Rand32::new(7);
+    let valid_inputs =
         [REQUEST.to_string(), "9b data note=fill,waited=1 4\r\nabcd\r\n".to_string(), EVENTS.to_string()];
     for round in 0..30_000 {
-        let mut bytes = seeds[round % 3].clone().into_bytes();
-        for _ in 0..chance.rand_range(1..6) {
-            let at = chance.rand_range(0..bytes.len() as u32) as usize;
-            bytes[at] = chance.rand_range(0..256) as u8;
+        let mut bytes = valid_inputs[round % 3].clone().into_bytes();
+        for _ in 0..random.rand_range(1..6) {
+            let index = random.rand_range(0..bytes.len() as u32) as usize;
+            bytes[index] = random.rand_range(0..256) as u8;
         }
-        bytes.truncate(chance.rand_range(1..bytes.len() as u32 + 1) as usize);
+        bytes.truncate(random.rand_range(1..bytes.len() as u32 + 1) as usize);
         if let Some(head) = client::decode_request(&bytes) {
             assert!(head.length > 0 && head.length <= bytes.len());
         }
@@ -263,26 +263,29 @@
 }
 
 #[test]
-fn buffer_grows_compacts_and_stops_at_its_cap() {
-    let most = 10_000;
-    let mut buffer = Buffer::new(most);
-    let mut next = 0u8;
-    let (mut wanted, mut held) = (0u8, 0);
+fn buffer_grows_and_compacts_up_to_its_maximum_capacity() {
+    let max_capacity = 10_000;
+    let mut buffer = Buffer::new(max_capacity);
+    let mut next_written = 0u8;
+    let (mut next_read, mut length) = (0u8, 0);
     for step in 0..5_000 {
-        if let Some(room) = buffer.spare() {
-            let n = room.len().min(1 + step % 700);
-            room[..n].iter_mut().for_each(|byte| (*byte, next) = (next, next.wrapping_add(1)));
-            buffer.commit(n);
-            held += n;
+        if let Some(spare) = buffer.spare() {
+            let count = spare.len().min(1 + step % 700);
+            for byte in &mut spare[..count] {
+                *byte = next_written;
+                next_written = next_written.wrapping_add(1);
+            }
+            buffer.commit(count);
+            length += count;
         } else {
-            assert_eq!(held, most);
+            assert_eq!(length, max_capacity);
         }
-        let n = (step * 7 % 650).min(held);
-        for byte in &buffer.filled()[..n] {
-            assert_eq!(*byte, wanted);
-            wanted = wanted.wrapping_add(1);
+        let count = (step * 7 % 650).min(length);
+        for byte in &buffer.filled()[..count] {
+            assert_eq!(*byte, next_read);
+            next_read = next_read.wrapping_add(1);
         }
-        buffer.consume(n);
-        held -= n;
+        buffer.consume(count);
+        length -= count;
     }
 }
