--- a/crates/rockflow-protocol/tests/wire_format.rs
+++ b/crates/rockflow-protocol/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The literal text of what `codecs.rs` doesn't hold: every status, cache note, header and event as it travels.
+//! Literal wire texts that `codecs.rs` doesn't cover: every status, cache note, header and event.
 
 use rockflow_protocol::client::{self, HttpStatus, ParsedRequest, Persistence, Response};
 use rockflow_protocol::discovery::{
@@ -10,16 +10,16 @@
 
 #[test_case(Response::Healthy, "200 OK\r\nContent-Length: 0\r\n")]
 #[test_case(Response::Succeeded { tag: String::new(), body: Vec::new() }, "200 OK\r\nContent-Length: 0\r\n"; "no tag")]
-#[test_case(Response::NotModified { tag: String::new() }, "304 Not Modified\r\n"; "unchanged without a tag")]
-#[test_case(Response::Rejected { retry_after: None }, "503 Service Unavailable\r\nContent-Length: 0\r\n"; "no pause")]
-#[test_case(Response::Invalid(HttpStatus::new(431, "head too long")), "431 head too long\r\nContent-Length: 0\r\n"; "wrong")]
-fn client_answer_keeps_its_text(answer: Response, head: &str) {
+#[test_case(Response::NotModified { tag: String::new() }, "304 Not Modified\r\n"; "not modified without a tag")]
+#[test_case(Response::Rejected { retry_after: None }, "503 Service Unavailable\r\nContent-Length: 0\r\n"; "no retry time")]
+#[test_case(Response::Invalid(HttpStatus::new(431, "head too long")), "431 head too long\r\nContent-Length: 0\r\n"; "invalid")]
+fn client_response_has_literal_text(response: Response, head: &str) {
     assert_eq!(
-        String::from_utf8(client::encode_response(&answer, Persistence::KeepAlive)).unwrap(),
+        String::from_utf8(client::encode_response(&response, Persistence::KeepAlive)).unwrap(),
         format!("HTTP/1.1 {head}\r\n")
     );
-    let last = String::from_utf8(client::encode_response(&answer, Persistence::Close)).unwrap();
-    assert_eq!(last, format!("HTTP/1.1 {head}Connection: close\r\n\r\n"));
+    let closing = String::from_utf8(client::encode_response(&response, Persistence::Close)).unwrap();
+    assert_eq!(closing, format!("HTTP/1.1 {head}Connection: close\r\n\r\n"));
 }
 
 const HEADERS: &str = "X-Call-Id: 9b1f03aa5c7e2d41\r\nX-Patience-Ms: 1\r\nX-Group: 1\r\n";
@@ -40,23 +40,23 @@
     400,
     "If-None-Match"
 )]
-fn wrong_request_has_its_status_and_reason(head: &str, status: u16, reason: &str) {
-    let head = client::decode_request(head.replace("HEADERS", HEADERS).as_bytes()).expect("whole");
+fn invalid_request_has_literal_status_and_reason(head: &str, status: u16, reason: &str) {
+    let head = client::decode_request(head.replace("HEADERS", HEADERS).as_bytes()).expect("a complete head");
     match head.request {
-        ParsedRequest::Invalid(found) => assert_eq!((found.code, found.reason), (status, reason)),
+        ParsedRequest::Invalid(actual) => assert_eq!((actual.code, actual.reason), (status, reason)),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn health_request_is_read() {
-    let head = client::decode_request(b"GET /_health HTTP/1.1\r\n\r\n").expect("whole");
+fn health_check_of_a_client_is_decoded() {
+    let head = client::decode_request(b"GET /_health HTTP/1.1\r\n\r\n").expect("a complete head");
     assert_eq!(head.request, ParsedRequest::HealthCheck);
 }
 
 #[test]
-fn host_request_names_every_mode() {
-    let want = FetchRequest {
+fn fetch_request_has_literal_text_of_every_mode() {
+    let all_modes = FetchRequest {
         id: "9b",
         class: "pages",
         object: "7f",
@@ -67,20 +67,20 @@
         ..FetchRequest::default()
     };
     let line = "want 9b c=pages,k=7f,p=0,w=1,mode=coalesce+shallow+transit+freshen 0\r\n\r\n";
-    assert_eq!(String::from_utf8(want.encode()).unwrap(), line);
-    for (want, mode) in [
+    assert_eq!(String::from_utf8(all_modes.encode()).unwrap(), line);
+    for (request, mode) in [
         (FetchRequest { coalesce: true, ..FetchRequest::default() }, "coalesce"),
         (FetchRequest { cached_at_source_only: true, ..FetchRequest::default() }, "shallow"),
         (FetchRequest { no_store_at_parent: true, ..FetchRequest::default() }, "transit"),
         (FetchRequest { revalidate: true, ..FetchRequest::default() }, "freshen"),
     ] {
         let line = format!("want  c=,k=,p=0,w=1,mode={mode} 0\r\n\r\n");
-        assert_eq!(String::from_utf8(want.encode()).unwrap(), line);
+        assert_eq!(String::from_utf8(request.encode()).unwrap(), line);
     }
 }
 
 #[test]
-fn other_host_lines_keep_their_text() {
+fn cancellation_and_health_checks_have_literal_text() {
     assert_eq!(upstream::encode_cancel("9b"), b"never_mind 9b\r\n");
     assert_eq!(upstream::encode_health_check("t7", HealthCheckKind::LoadReport), b"busy t7\r\n");
     assert_eq!(upstream::encode_health_check("t7", HealthCheckKind::Liveness), b"there t7\r\n");
@@ -94,10 +94,10 @@
 #[test_case("moot", Status::NotExecuted)]
 #[test_case("well", Status::Healthy)]
 #[test_case("ill", Status::Unhealthy)]
-fn host_response_status_is_read(text: &str, status: Status) {
+fn host_response_status_is_decoded(text: &str, status: Status) {
     let line = format!("9b {text} - 0\r\n\r\n");
-    let DecodedResponse { length, response: answer } =
-        upstream::decode_response(line.as_bytes()).unwrap().expect("whole");
+    let DecodedResponse { length, response } =
+        upstream::decode_response(line.as_bytes()).unwrap().expect("a complete response");
     let expected = upstream::HostResponse {
         id: "9b".to_string(),
         status,
@@ -108,7 +108,7 @@
         load: Vec::new(),
         body: Vec::new(),
     };
-    assert_eq!((length, answer), (line.len(), expected));
+    assert_eq!((length, response), (line.len(), expected));
 }
 
 #[test_case("warm", CacheNote::Hit)]
@@ -121,25 +121,25 @@
 #[test_case("lacking", CacheNote::SourceMiss)]
 #[test_case("jammed", CacheNote::NoFillCapacity)]
 #[test_case("backfire", CacheNote::OriginFailed)]
-fn host_response_cache_note_is_read(text: &str, note: CacheNote) {
+fn host_response_cache_note_is_decoded(text: &str, note: CacheNote) {
     let line = format!("9b data note={text} 0\r\n\r\n");
-    let DecodedResponse { response: answer, .. } =
-        upstream::decode_response(line.as_bytes()).unwrap().expect("whole");
-    assert_eq!(answer.cache_note, Some(note));
+    let DecodedResponse { response, .. } =
+        upstream::decode_response(line.as_bytes()).unwrap().expect("a complete response");
+    assert_eq!(response.cache_note, Some(note));
 }
 
 #[test]
-fn discovery_request_keeps_its_text() {
+fn watch_request_has_literal_text() {
     let expected = "GET /board/poll HTTP/1.1\r\nHost: b:80\r\nLast-Event-ID: 41\r\n\
         Accept: text/event-stream\r\nConnection: close\r\n\r\n";
     assert_eq!(String::from_utf8(discovery::encode_watch_request("b:80", 41)).unwrap(), expected);
 }
 
-fn event(data: &str) -> WatchEvent {
+fn decode_event(data: &str) -> WatchEvent {
     let sent = format!("HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: {data}\n\n");
-    let mut notices = Vec::new();
-    WatchStream::default().decode(sent.as_bytes(), &mut notices).expect("well formed");
-    notices.remove(0)
+    let mut events = Vec::new();
+    WatchStream::default().decode(sent.as_bytes(), &mut events).expect("a valid event");
+    events.remove(0)
 }
 
 fn instance() -> Instance {
@@ -159,9 +159,9 @@
     "cell":3,"lifecycle":"active","weight":1.5,"startedAtMs":1764576000123}"#;
 
 #[test]
-fn discovery_list_event_is_read() {
+fn endpoint_update_is_decoded() {
     let text = INSTANCE.replace('\n', " ");
-    let found = event(&format!(
+    let decoded = decode_event(&format!(
         r#"{{"rev":41,"pool":{{"generation":7,"reset":true,"instances":[{text},{},{}]}}}}"#,
         text.replace("active", "leaving"),
         r#"{"instanceId":"i-2","hostPort":"h:1","zone":"z2","machineType":"m","lifecycle":"left"}"#,
@@ -177,11 +177,11 @@
         weight: 0.0,
         started_at_ms: 0,
     };
-    let pool = Some(EndpointUpdate { is_full: true, instances: vec![instance(), leaving, left] });
-    assert_eq!(found, WatchEvent { revision: 41, endpoints: pool, purge: None });
-    let bare = event(r#"{"rev":42,"pool":{"instances":[]}}"#);
+    let update = Some(EndpointUpdate { is_full: true, instances: vec![instance(), leaving, left] });
+    assert_eq!(decoded, WatchEvent { revision: 41, endpoints: update, purge: None });
+    let minimal = decode_event(r#"{"rev":42,"pool":{"instances":[]}}"#);
     assert_eq!(
-        bare,
+        minimal,
         WatchEvent {
             revision: 42,
             endpoints: Some(EndpointUpdate { is_full: false, instances: Vec::new() }),
@@ -191,19 +191,19 @@
 }
 
 #[test]
-fn discovery_purge_event_is_read() {
-    let flush = |text| event(text).purge.expect("a purge");
-    let object = flush(r#"{"rev":1,"flush":{"asset":"7f","ms":1764576000123}}"#);
+fn purge_event_is_decoded() {
+    let decode_purge = |text| decode_event(text).purge.expect("a purge");
+    let object = decode_purge(r#"{"rev":1,"flush":{"asset":"7f","ms":1764576000123}}"#);
     let expected =
         PurgeEvent { object: Some("7f".to_string()), group: None, purged_at_ms: 1_764_576_000_123 };
     assert_eq!(object, expected);
-    let group = flush(r#"{"rev":1,"flush":{"collection":17,"ms":5}}"#);
+    let group = decode_purge(r#"{"rev":1,"flush":{"collection":17,"ms":5}}"#);
     assert_eq!(group, PurgeEvent { object: None, group: Some(17), purged_at_ms: 5 });
 }
 
 #[test]
-fn snapshot_of_discovery_events_is_read() {
-    let known: Snapshot = serde_json::from_str(r#"{"rev":9,"notices":[{"rev":8},{"rev":9}]}"#).unwrap();
-    let bare = |rev| WatchEvent { revision: rev, endpoints: None, purge: None };
-    assert_eq!(known, Snapshot { revision: 9, events: vec![bare(8), bare(9)] });
+fn snapshot_is_decoded() {
+    let snapshot: Snapshot = serde_json::from_str(r#"{"rev":9,"notices":[{"rev":8},{"rev":9}]}"#).unwrap();
+    let empty_event = |revision| WatchEvent { revision, endpoints: None, purge: None };
+    assert_eq!(snapshot, Snapshot { revision: 9, events: vec![empty_event(8), empty_event(9)] });
 }
