--- a/crates/rockflow-settings/src/deployment.rs
+++ b/crates/rockflow-settings/src/deployment.rs
@@ -1,4 +1,5 @@
-//! The configuration of the decisions, from settings. Here alone the settings' keys and words meet the decisions' types.
+//! Reads the configuration of the decision logic from settings. This module maps the keys and texts of the settings to
+//! the types of the decision logic; nothing else does.
 
 use crate::dotted::DottedSettings;
 use crate::error::SettingsError;
@@ -21,24 +22,26 @@
     ("silent", CacheStatusDetail::None),
 ];
 
-/// How the endpoint list comes.
+/// How a dispatcher obtains the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Discovery {
+    /// The discovery service sends it without a request.
     Pushed,
+    /// The dispatcher requests it.
     OnRequest,
 }
 
 const DISCOVERIES: [(&str, Discovery); 2] =
     [("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)];
 
-/// The configuration of the decisions, and what is needed to read endpoint lists.
+/// The configuration of the decision logic, and the indexes and counts that are needed to read endpoint lists.
 #[derive(Clone, Debug)]
 pub struct DeploymentSettings {
-    /// The configuration.
+    /// The configuration of the decision logic.
     pub deployment: DeploymentConfig,
-    /// The index of the kind of host that is a parent. Negative: none is.
+    /// Index of the kind of host whose role is parent. Negative: there are no parents.
     pub parent_kind: i64,
-    /// The index of the kind of host that is the origin. Negative: none is.
+    /// Index of the kind of host whose role is origin. Negative: there is no origin.
     pub origin_kind: i64,
     /// The number of kinds of hosts.
     pub kind_count: usize,
@@ -47,7 +50,7 @@
 }
 
 impl DeploymentSettings {
-    /// Reads the configuration of the decisions.
+    /// Reads the configuration of the decision logic from settings.
     ///
     /// # Errors
     /// If a required key is missing or does not parse.
