--- a/crates/rockflow-settings/src/dotted.rs
+++ b/crates/rockflow-settings/src/dotted.rs
@@ -1,4 +1,4 @@
-//! Settings as dotted keys with text values, and how a value is read.
+//! Settings as dotted keys with text values, and the readers for values of other types.
 
 use crate::error::SettingsError;
 use serde_json::Value;
@@ -6,22 +6,23 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Settings by dotted key, as text.
+/// The text values of settings by dotted key.
 #[derive(Clone, Debug, Default)]
 pub struct DottedSettings {
     values: BTreeMap<String, String>,
 }
 
 impl DottedSettings {
-    /// Reads `key=value`, one a line; other lines are skipped.
+    /// Reads one `key=value` per line. Lines without `=` are skipped.
     pub fn from_lines(text: &str) -> Self {
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         let values = pairs.map(|(key, value)| (key.to_string(), value.to_string())).collect();
         DottedSettings { values }
     }
 
-    /// Reads nested JSON as the lines would have it: a list of plain values is joined by commas, one of objects gives its
-    /// length under `.count` and its items under `.0`, `.1` and so on.
+    /// Reads nested JSON into the keys and values that the dotted lines have. The items of a list of plain values are
+    /// joined by commas. A list of objects has its length in the key `.count` and its items in the keys `.0`, `.1` and
+    /// so on.
     pub fn from_json(value: &Value) -> Self {
         let mut values = BTreeMap::new();
         flatten("", value, &mut values);
@@ -33,15 +34,15 @@
         self.values.contains_key(key)
     }
 
-    /// The text of a key.
+    /// The value of a key as text.
     ///
     /// # Errors
-    /// If the key is missing, as for all other readers.
+    /// If the key is missing. All other readers fail then, too.
     pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
         self.values.get(key).map(String::as_str).ok_or_else(|| SettingsError::missing(key))
     }
 
-    /// A value of any type that is parsed from text.
+    /// The value of a key, parsed as a type.
     ///
     /// # Errors
     /// If the key is missing or its text does not parse.
@@ -49,10 +50,10 @@
         self.text(key)?.parse().map_err(|_| SettingsError::malformed(key))
     }
 
-    /// A finite number that is not negative.
+    /// The value of a key as a finite number that is not negative.
     ///
     /// # Errors
-    /// If the key is missing or its text is no such number.
+    /// If the key is missing or its value is not such a number.
     pub fn non_negative(&self, key: &str) -> Result<f64, SettingsError> {
         let number: f64 = self.parse(key)?;
         if number.is_finite() && number >= 0.0 {
@@ -62,15 +63,15 @@
         }
     }
 
-    /// A duration, written in whole microseconds.
+    /// The value of a key, in whole microseconds, as a duration.
     ///
     /// # Errors
-    /// If the key is missing or its text is no whole number.
+    /// If the key is missing or its value is not a whole number.
     pub fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
         Ok(Duration::from_micros(self.parse(key)?))
     }
 
-    /// The items of a comma-separated list, without empty ones.
+    /// The items of a comma-separated list. Empty items are left out.
     ///
     /// # Errors
     /// If the key is missing.
@@ -78,7 +79,7 @@
         Ok(self.text(key)?.split(',').filter(|item| !item.is_empty()).collect())
     }
 
-    /// The item of a list at an index, from 0.
+    /// The item of a comma-separated list at an index, which counts from 0.
     ///
     /// # Errors
     /// If the key is missing, the list is too short or the item does not parse.
@@ -88,10 +89,10 @@
         item.ok_or_else(|| SettingsError::malformed(key))
     }
 
-    /// The value that the text of a key stands for.
+    /// The value that `choices` has for the text of a key.
     ///
     /// # Errors
-    /// If the key is missing or its text is none of the choices.
+    /// If the key is missing or its text is not among the choices.
     pub fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Result<T, SettingsError> {
         let text = self.text(key)?;
         let found = choices.iter().find(|(name, _)| *name == text);
@@ -99,11 +100,12 @@
     }
 }
 
-/// Text as it stands in a value: spaces and commas become `_`.
+/// Replaces spaces and commas by `_`, as in all text values read from JSON. Commas separate the items of a list.
 pub fn normalize_value(text: &str) -> String {
     text.replace([' ', ','], "_")
 }
 
+/// The text of a JSON value that is neither an object nor a list; empty for null.
 fn scalar_text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
@@ -112,6 +114,7 @@
     }
 }
 
+/// Adds a JSON value and all values in it to `values`, with keys below `path`.
 fn flatten(path: &str, value: &Value, values: &mut BTreeMap<String, String>) {
     let child = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
