--- a/crates/rockflow-settings/src/error.rs
+++ b/crates/rockflow-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of reading settings.
+//! Errors in the settings that are read.
 
 use thiserror::Error;
 
--- a/crates/rockflow-settings/src/lib.rs
+++ b/crates/rockflow-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reads the settings of a deployment: the configuration of the decisions ([`DeploymentSettings`]) and what a dispatcher
-//! on sockets needs besides ([`NetworkSettings`]).
+//! Reads the settings of a deployment: the configuration of the decision logic ([`DeploymentSettings`]), and the names
+//! and connection limits that a dispatcher with network connections needs in addition ([`NetworkSettings`]).
 //!
-//! Settings come as dotted `key=value` lines (from the simulator) or as nested JSON (from the platform).
-//! [`DottedSettings`] reads both alike. Unknown keys are skipped; a required key that is missing or does not parse is named
-//! by a [`SettingsError`].
+//! The simulator sends settings as dotted `key=value` lines, the platform as nested JSON. [`DottedSettings`] reads both
+//! formats into the same keys and values. Unknown keys are ignored. A [`SettingsError`] names a required key that is
+//! missing or whose value is invalid.
 
 mod deployment;
 mod dotted;
--- a/crates/rockflow-settings/src/network.rs
+++ b/crates/rockflow-settings/src/network.rs
@@ -1,10 +1,10 @@
-//! What only a dispatcher on sockets needs of the settings: names, and the limits of connections.
+//! The settings that only a dispatcher with network connections needs: names and connection limits.
 
 use crate::dotted::DottedSettings;
 use crate::error::SettingsError;
 use std::time::Duration;
 
-/// Names and limits of connections.
+/// Names of classes, locations and kinds of hosts, and the limits of connections.
 #[derive(Clone, Debug)]
 pub struct NetworkSettings {
     /// Names of request classes, by index.
@@ -13,22 +13,22 @@
     pub location_names: Vec<String>,
     /// Names of the kinds of hosts, by index.
     pub kind_names: Vec<String>,
-    /// A connection that is not up by then counts as refused.
+    /// The time after which a connection attempt counts as refused by the host.
     pub connect_timeout: Duration,
-    /// A host closes a connection that was idle for this time.
+    /// The time after which a host closes an idle connection.
     pub idle_timeout: Duration,
-    /// The time from the notice of a drain until nothing more may be sent.
+    /// The time after the announcement of a drain within which a dispatcher has to stop sending requests.
     pub drain_timeout: Duration,
-    /// How late after a request's end its answer still counts.
+    /// How long after the deadline of a request its response is still accepted.
     pub answer_slack: Duration,
-    /// Requests that one connection to a host carries at once, at least 1.
+    /// Maximum number of concurrent requests on one connection to a host, at least 1.
     pub max_streams: usize,
-    /// The values of a load report, in order. Empty: health checks bring none.
+    /// Names of the values in a load report, in order. Empty if the responses to health checks have no load report.
     pub load_report_fields: Vec<String>,
 }
 
 impl NetworkSettings {
-    /// Reads the names and limits.
+    /// Reads the names and limits from settings.
     ///
     /// # Errors
     /// If a required key is missing or does not parse.
