--- a/crates/rockflow-settings/tests/settings.rs
+++ b/crates/rockflow-settings/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The keys and values of a configuration, as text, against every field that is read from them.
+//! Literal settings, and every field that is read from them.
 
 use rockflow::{CacheStatusDetail, Class, Effect, KeyScope, LocationId, SlowStart, WeightMeaning};
 use rockflow_settings::{DeploymentSettings, DottedSettings, NetworkSettings, SettingsError};
 use std::time::Duration;
 use test_case::test_case;
 
-/// Every key that is read, as the simulator sends them.
+/// Every key that is read, in the format of the simulator.
 const LINES: &str = "az=1
 dcs=hub,shop,edge
 discovery=on_request
@@ -71,7 +71,7 @@
 telemetry.fields=utilization,outstanding,x1
 ";
 
-/// The same as the platform writes it.
+/// The same settings in the JSON format of the platform.
 const JSON: &str = r#"{
     "az": 1,
     "dcs": ["hub", "shop", "edge"],
@@ -106,7 +106,7 @@
     "telemetry": {"how": "pull", "fields": ["utilization", "outstanding", "x1"]}
 }"#;
 
-/// Keys that may be missing.
+/// Keys of the settings above that may be missing, and one that is never read.
 const OPTIONAL: [&str; 3] = ["grades.0.aimStretch", "grades.2.aimStretch", "unknown.key"];
 
 type Parsed = (DeploymentSettings, NetworkSettings);
@@ -120,17 +120,19 @@
 }
 
 fn parse(settings: &DottedSettings) -> Result<Parsed, String> {
-    let read = || Ok((DeploymentSettings::parse(settings)?, NetworkSettings::parse(settings)?));
-    read().map_err(|error: SettingsError| error.to_string())
+    let parse_both = || Ok((DeploymentSettings::parse(settings)?, NetworkSettings::parse(settings)?));
+    parse_both().map_err(|error: SettingsError| error.to_string())
 }
 
-/// The lines with one of them replaced.
-fn with(key: &str, value: &str) -> String {
-    let line = LINES.lines().find(|line| line.starts_with(&format!("{key}="))).expect("a key of the text");
+/// The settings with another value for one key.
+fn lines_with(key: &str, value: &str) -> String {
+    let line =
+        LINES.lines().find(|line| line.starts_with(&format!("{key}="))).expect("a key of the settings");
     LINES.replace(&format!("{line}\n"), &format!("{key}={value}\n"))
 }
 
-fn without(key: &str) -> String {
+/// The settings without one key.
+fn lines_without(key: &str) -> String {
     LINES
         .lines()
         .filter(|line| !line.starts_with(&format!("{key}=")))
@@ -145,7 +147,8 @@
     assert_eq!(slow_start.window, Duration::from_micros(1_500_000));
 }
 
-/// Its times in microseconds: latency objective, deadline, fresh lifetime, grace.
+/// `times_us` are the latency objective, deadline, freshness lifetime and grace, in microseconds. `weights` are the
+/// priority weights of a response in time and of a late one.
 fn assert_class(
     class: &Class,
     effect: Effect,
@@ -164,34 +167,34 @@
 
 #[test_case(parse_lines(LINES); "dotted lines")]
 #[test_case(parse_json(JSON); "nested JSON")]
-fn reads_every_field_of_the_deployment(parsed: Result<Parsed, String>) {
+fn reads_every_deployment_setting(parsed: Result<Parsed, String>) {
     let (settings, _) = parsed.expect("valid settings");
     assert_eq!(
         (settings.parent_kind, settings.origin_kind, settings.kind_count, settings.location_count),
         (1, 2, 4, 3)
     );
-    let config = settings.deployment;
-    assert_eq!(config.location, LocationId(1));
-    assert_eq!(config.location_dispatchers, 4);
-    assert_eq!(config.dispatcher_count, 7);
-    assert_eq!(config.dispatcher_index, 3);
-    assert_eq!(config.weight_meaning, WeightMeaning::LinkCapacity);
-    assert_slow_start(config.cache_slow_start, 0.16, 15_000_000, 2.5);
-    assert_slow_start(config.parent_slow_start, 0.063, 22_000_000, 2.25);
-    assert_eq!(config.purge_window, Duration::from_micros(6_000_001));
-    assert_eq!(config.stream_kb_per_s, 9700.5);
-    assert_eq!(config.cache_status_detail, CacheStatusDetail::HitsOnly);
-    assert!(config.coalescing);
-    assert!(!config.direct_source_access);
-    assert!(!config.hedging);
-    assert!(config.cancellation);
-    assert!(config.health_checks);
-    assert_eq!(config.max_attempts, 6);
-    assert_eq!(config.max_tracked, 20_000);
-    assert_eq!(config.max_retry_after, Some(Duration::from_secs(1)));
-    assert_eq!(config.endpoint_list_max_age, Some(Duration::from_secs(9)));
+    let deployment = settings.deployment;
+    assert_eq!(deployment.location, LocationId(1));
+    assert_eq!(deployment.location_dispatchers, 4);
+    assert_eq!(deployment.dispatcher_count, 7);
+    assert_eq!(deployment.dispatcher_index, 3);
+    assert_eq!(deployment.weight_meaning, WeightMeaning::LinkCapacity);
+    assert_slow_start(deployment.cache_slow_start, 0.16, 15_000_000, 2.5);
+    assert_slow_start(deployment.parent_slow_start, 0.063, 22_000_000, 2.25);
+    assert_eq!(deployment.purge_window, Duration::from_micros(6_000_001));
+    assert_eq!(deployment.stream_kb_per_s, 9700.5);
+    assert_eq!(deployment.cache_status_detail, CacheStatusDetail::HitsOnly);
+    assert!(deployment.coalescing);
+    assert!(!deployment.direct_source_access);
+    assert!(!deployment.hedging);
+    assert!(deployment.cancellation);
+    assert!(deployment.health_checks);
+    assert_eq!(deployment.max_attempts, 6);
+    assert_eq!(deployment.max_tracked, 20_000);
+    assert_eq!(deployment.max_retry_after, Some(Duration::from_secs(1)));
+    assert_eq!(deployment.endpoint_list_max_age, Some(Duration::from_secs(9)));
 
-    let [pages, orders, payments] = &config.classes[..] else { panic!("{:?}", config.classes) };
+    let [pages, orders, payments] = &deployment.classes[..] else { panic!("{:?}", deployment.classes) };
     assert_class(pages, Effect::Idempotent, 1.6, [500_000, 5_000_000, 0, 0], [2.0, 0.15], true);
     let keyed = Effect::IdempotencyKey {
         scope: KeyScope::Cell,
@@ -204,7 +207,7 @@
 
 #[test_case(parse_lines(LINES); "dotted lines")]
 #[test_case(parse_json(JSON); "nested JSON")]
-fn reads_every_field_of_the_network(parsed: Result<Parsed, String>) {
+fn reads_every_network_setting(parsed: Result<Parsed, String>) {
     let (_, network) = parsed.expect("valid settings");
     assert_eq!(network.class_names, ["pages", "orders", "payments"]);
     assert_eq!(network.location_names, ["hub", "shop", "edge"]);
@@ -221,38 +224,39 @@
 #[test_case("weights", "rough", WeightMeaning::LinkCapacity)]
 #[test_case("weights", "live", WeightMeaning::Unknown)]
 #[test_case("weights", "silent", WeightMeaning::Unknown)]
-fn reads_the_meaning_of_weights(key: &str, value: &str, meaning: WeightMeaning) {
-    let (settings, _) = parse_lines(&with(key, value)).expect("valid settings");
+fn reads_weight_meaning(key: &str, value: &str, meaning: WeightMeaning) {
+    let (settings, _) = parse_lines(&lines_with(key, value)).expect("valid settings");
     assert_eq!(settings.deployment.weight_meaning, meaning);
 }
 
 #[test_case("all", CacheStatusDetail::All)]
 #[test_case("hit", CacheStatusDetail::HitsOnly)]
 #[test_case("silent", CacheStatusDetail::None)]
-fn reads_the_detail_of_cache_status(value: &str, detail: CacheStatusDetail) {
-    let (settings, _) = parse_lines(&with("familyInfo.noteLevel", value)).expect("valid settings");
+fn reads_cache_status_detail(value: &str, detail: CacheStatusDetail) {
+    let (settings, _) = parse_lines(&lines_with("familyInfo.noteLevel", value)).expect("valid settings");
     assert_eq!(settings.deployment.cache_status_detail, detail);
 }
 
 #[test_case("all", KeyScope::All)]
 #[test_case("zone", KeyScope::Location)]
 #[test_case("cell", KeyScope::Cell)]
-fn reads_the_scope_of_idempotency_keys(value: &str, expected: KeyScope) {
-    let (settings, _) = parse_lines(&with("grades.1.group", value)).expect("valid settings");
+fn reads_scope_of_idempotency_keys(value: &str, expected: KeyScope) {
+    let (settings, _) = parse_lines(&lines_with("grades.1.group", value)).expect("valid settings");
     let Effect::IdempotencyKey { scope, .. } = settings.deployment.classes[1].effect else { panic!() };
     assert_eq!(scope, expected);
 }
 
 #[test]
-fn parents_start_like_caches_where_there_are_none() {
-    let (settings, _) = parse_lines(&with("familyInfo.midKind", "-1")).expect("valid settings");
+fn parent_slow_start_defaults_to_cache_slow_start_without_parents() {
+    let (settings, _) = parse_lines(&lines_with("familyInfo.midKind", "-1")).expect("valid settings");
     assert_eq!(settings.parent_kind, -1);
     assert_slow_start(settings.deployment.parent_slow_start, 0.16, 15_000_000, 2.5);
 }
 
 #[test]
-fn optional_durations_are_read_only_where_they_apply() {
-    let lines = with("discovery", "pushed").replace("limits.retryAfter=true", "limits.retryAfter=false");
+fn optional_durations_are_needed_only_with_their_features() {
+    let lines =
+        lines_with("discovery", "pushed").replace("limits.retryAfter=true", "limits.retryAfter=false");
     let lines =
         lines.replace("rules.askWithinUs=9000000\n", "").replace("limits.maxRetryAfterUs=1000000\n", "");
     let (settings, _) = parse_lines(&lines).expect("valid settings");
@@ -261,37 +265,38 @@
 }
 
 #[test]
-fn hosts_without_load_reports_need_no_fields() {
-    let lines = with("telemetry.how", "silent").replace("telemetry.fields=utilization,outstanding,x1\n", "");
+fn load_report_fields_are_not_needed_without_load_reports() {
+    let lines =
+        lines_with("telemetry.how", "silent").replace("telemetry.fields=utilization,outstanding,x1\n", "");
     let (_, network) = parse_lines(&lines).expect("valid settings");
     assert!(network.load_report_fields.is_empty());
 }
 
 #[test]
-fn a_connection_carries_one_stream_at_least() {
-    let (_, network) = parse_lines(&with("limits.maxStreams", "0")).expect("valid settings");
+fn max_streams_is_at_least_one() {
+    let (_, network) = parse_lines(&lines_with("limits.maxStreams", "0")).expect("valid settings");
     assert_eq!(network.max_streams, 1);
 }
 
 #[test]
-fn names_each_missing_key() {
+fn error_names_missing_key() {
     for line in LINES.lines() {
         let (key, _) = line.split_once('=').expect("a key and a value");
-        let error = parse_lines(&without(key)).err();
+        let error = parse_lines(&lines_without(key)).err();
         let expected = (!OPTIONAL.contains(&key)).then(|| format!("settings: {key} is missing"));
         assert_eq!(error, expected, "{key}");
     }
 }
 
 #[test]
-fn names_each_key_whose_value_does_not_parse() {
-    let texts = ["dcs", "models", "grades.0.name", "grades.1.name", "grades.2.name", "telemetry.how"];
+fn error_names_key_of_invalid_value() {
+    let text_keys = ["dcs", "models", "grades.0.name", "grades.1.name", "grades.2.name", "telemetry.how"];
     for line in LINES.lines() {
         let (key, _) = line.split_once('=').expect("a key and a value");
-        if texts.contains(&key) || key == "telemetry.fields" {
+        if text_keys.contains(&key) || key == "telemetry.fields" {
             continue;
         }
-        let error = parse_lines(&with(key, "?")).err();
+        let error = parse_lines(&lines_with(key, "?")).err();
         assert_eq!(error, Some(format!("settings: {key} does not parse")), "{key}");
     }
 }
@@ -300,12 +305,12 @@
 #[test_case("inf"; "infinite")]
 #[test_case("NaN"; "not a number")]
 fn rejects_ratios_that_are_negative_or_not_finite(value: &str) {
-    let error = parse_lines(&with("rules.startCapacity", value)).err();
+    let error = parse_lines(&lines_with("rules.startCapacity", value)).err();
     assert_eq!(error.as_deref(), Some("settings: rules.startCapacity does not parse"));
 }
 
 #[test]
-fn skips_unknown_keys_and_other_lines() {
+fn ignores_unknown_keys_and_lines_without_a_key() {
     assert!(parse_lines(&format!("# a comment\n{LINES}\nunknown.key=1\n")).is_ok());
 }
 
