--- a/crates/rockflow-endpoints/src/availability.rs
+++ b/crates/rockflow-endpoints/src/availability.rs
@@ -1,4 +1,4 @@
-//! Guards against overrides that leave a group of endpoints without a ready member.
+//! Detects overrides that would leave a group of endpoints without a ready one.
 
 use crate::overrides::{effective_readiness, AdminOverrides};
 use rockflow::{Readiness, Role};
@@ -6,21 +6,23 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An endpoint as far as the availability of its group depends on it.
+/// The properties of an endpoint that the availability of its group depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint {
-    /// Its role.
+    /// Role of the endpoint; with the location it determines the group.
     pub role: Role,
-    /// Index of its location.
+    /// Index of the endpoint's location.
     pub location: u16,
-    /// Its readiness before the overrides that are judged.
+    /// Readiness without the overrides that are checked.
     pub readiness: Readiness,
 }
 
-/// The endpoints that can take each other's place: caches serve their own location, parents and origins all of them.
+/// Identifies a group of endpoints that can replace each other: the caches of one location, or all parents, or all
+/// origins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Group {
     role: usize,
+    /// `None` for parents and origins, which serve all locations.
     location: Option<u16>,
 }
 
@@ -31,10 +33,10 @@
     }
 }
 
-/// A group that would be left without a ready endpoint. Its `Display` names the endpoints that would be lost.
+/// A group that would be left without a ready endpoint. `Display` lists the endpoints that are ready so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EmptiedGroup {
-    /// Names of the endpoints that are ready now.
+    /// Names of the endpoints of the group that are ready with the overrides so far.
     pub endpoints: Vec<String>,
 }
 
@@ -44,8 +46,8 @@
     }
 }
 
-/// The first group that has a ready endpoint with the overrides `before` and would have none with `after`, unless all of
-/// its endpoints are overridden with `force`.
+/// Returns the first group that has ready endpoints with the overrides `before` but none with `after`. A group is left
+/// out if each of those endpoints has an override with `force` in `after`.
 pub fn find_emptied_group(
     endpoints: &BTreeMap<String, ListedEndpoint>,
     before: &AdminOverrides,
@@ -61,6 +63,7 @@
     emptied.map(|(_, names)| EmptiedGroup { endpoints: names.into_iter().map(str::to_string).collect() })
 }
 
+/// The names of the ready endpoints in each group that has one.
 fn ready_by_group<'a>(
     endpoints: &'a BTreeMap<String, ListedEndpoint>,
     overrides: &AdminOverrides,
@@ -76,7 +79,8 @@
     groups
 }
 
-/// The endpoints with the overrides of one source applied, as the basis on which those of the other are judged.
+/// Returns the endpoints with the overrides of one source applied. The overrides of the other source are checked
+/// against the result.
 pub fn apply_overrides(
     endpoints: BTreeMap<String, ListedEndpoint>,
     overrides: &AdminOverrides,
