--- a/crates/rockflow-endpoints/src/overrides.rs
+++ b/crates/rockflow-endpoints/src/overrides.rs
@@ -1,4 +1,4 @@
-//! Administrative overrides, and how they are merged with what discovery lists.
+//! Administrative overrides, and the merge with the readiness that discovery lists.
 
 use rockflow::Readiness;
 use std::cmp::Ordering;
@@ -8,11 +8,11 @@
 /// An administrative override of an endpoint's readiness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdminOverride {
-    /// `Draining` or `Gone`.
+    /// The readiness to which the endpoint is restricted: `Draining` or `Gone`.
     pub readiness: Readiness,
-    /// The time from which it has no effect; none: it does not expire.
+    /// The time from which the override has no effect; `None`: it does not expire.
     pub expires_at: Option<Duration>,
-    /// Accepted even if it leaves a group without a ready endpoint.
+    /// Whether the override is accepted even if it leaves a group without a ready endpoint.
     pub force: bool,
 }
 
@@ -20,27 +20,27 @@
 pub type AdminOverrides = BTreeMap<String, AdminOverride>;
 
 impl AdminOverride {
-    /// Whether it has not expired.
+    /// Whether the override has an effect, that is, has not expired.
     pub fn is_active(&self, now: Duration) -> bool {
         self.expires_at.is_none_or(|expires_at| now < expires_at)
     }
 }
 
-/// Who decides the readiness of an endpoint.
+/// The source of an endpoint's effective readiness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadinessSource {
-    /// The discovery service.
+    /// The endpoint list of the discovery service.
     Discovery,
-    /// An operator of this dispatcher.
+    /// An override by an operator of this dispatcher.
     Operator,
-    /// Control, for all dispatchers.
+    /// An override by the control nodes, for all dispatchers.
     Control,
-    /// Two or more of them agree.
+    /// Two or more of these sources have this readiness.
     Several,
 }
 
 impl ReadinessSource {
-    /// The management model's word for it.
+    /// The value of the source in the management model.
     pub fn as_str(self) -> &'static str {
         match self {
             ReadinessSource::Discovery => "board",
@@ -51,16 +51,17 @@
     }
 }
 
-/// The readiness that an endpoint has after all overrides.
+/// The readiness of an endpoint after all overrides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectiveReadiness {
-    /// The most restrictive of what discovery and overrides say.
+    /// The most restrictive readiness of the endpoint list and the active overrides.
     pub readiness: Readiness,
-    /// Who decided it.
+    /// The source that this readiness comes from.
     pub source: ReadinessSource,
 }
 
-/// Merges what discovery lists with one override; none: the endpoint is not listed.
+/// Merges the readiness that discovery lists with the override of an operator. Returns `None` if the endpoint is not
+/// listed, or is listed as gone.
 pub fn effective_readiness(
     discovered: Option<Readiness>,
     operator: Option<&AdminOverride>,
@@ -69,7 +70,8 @@
     merge_readiness(discovered, operator, None, now)
 }
 
-/// Merges what discovery lists with the overrides of both sources; none: the endpoint is not listed.
+/// Merges the readiness that discovery lists with the overrides of both sources. Returns `None` if the endpoint is not
+/// listed, or is listed as gone.
 pub fn merge_readiness(
     discovered: Option<Readiness>,
     operator: Option<&AdminOverride>,
@@ -89,7 +91,7 @@
     Some(effective)
 }
 
-/// How restrictive a readiness is; the greater wins.
+/// How restrictive a readiness is; the greater value applies in a merge.
 pub(crate) fn severity(readiness: Readiness) -> u8 {
     match readiness {
         Readiness::Ready => 0,
