--- a/crates/rockflow-endpoints/src/registry.rs
+++ b/crates/rockflow-endpoints/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: the discovered endpoints, the overrides of both sources, and the effective list that follows from them.
+//! The registry of discovered endpoints and of the overrides of both sources, with the effective list that results.
 
 use crate::availability::{apply_overrides, find_emptied_group, ListedEndpoint};
 use crate::overrides::{merge_readiness, severity, AdminOverride, AdminOverrides};
@@ -6,19 +6,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Overrides of control that are held at most; further ones are rejected.
+/// Maximum number of control overrides; further ones are rejected.
 pub const MAX_CONTROL_OVERRIDES: usize = 4096;
 
-/// Why an override of control is not applied. It is judged again with the next change.
+/// Why a control override is not applied. It is checked again whenever the control overrides are replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectedOverride {
-    /// It would leave its group without a ready endpoint.
+    /// The override would leave the endpoint's group without a ready endpoint.
     LastReadyEndpoint,
-    /// [`MAX_CONTROL_OVERRIDES`] are held already.
+    /// There are [`MAX_CONTROL_OVERRIDES`] already.
     TooMany,
 }
 
-/// An entry of the endpoint list, in the form in which the user of the registry holds it.
+/// An entry of the endpoint list, of a type that the user of the registry defines.
 pub trait RegistryEntry: Clone + PartialEq {
     /// The name that identifies the endpoint.
     fn name(&self) -> &str;
@@ -28,17 +28,18 @@
     fn with_readiness(&self, readiness: Readiness) -> Self;
 }
 
-/// What became of a set of control's overrides.
+/// The result of replacing the control overrides.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlUpdate<E> {
     /// Entries of the effective list that changed.
     pub changes: Vec<E>,
-    /// Overrides that are not applied, by endpoint name.
+    /// Why overrides are not applied, by endpoint name.
     pub rejected: BTreeMap<String, RejectedOverride>,
 }
 
-/// Owns the endpoint list and all overrides. Each change returns the entries of the effective list that differ from
-/// those returned before; one that is no longer in it is returned once as [`Readiness::Gone`].
+/// Owns the endpoint list and all overrides. Each method that changes them returns the entries of the effective list
+/// that differ from those returned before. An entry that is no longer in that list is returned once, as
+/// [`Readiness::Gone`].
 #[derive(Debug)]
 pub struct EndpointRegistry<E> {
     discovered: BTreeMap<String, E>,
@@ -48,7 +49,7 @@
 }
 
 impl<E: RegistryEntry> EndpointRegistry<E> {
-    /// An empty list with these overrides of operators.
+    /// Creates a registry with an empty endpoint list, these operator overrides and no control overrides.
     pub fn new(operator_overrides: AdminOverrides) -> Self {
         EndpointRegistry {
             discovered: BTreeMap::new(),
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Applies an update of discovery: changes, or (any other scope) a list that replaces the one before.
+    /// Applies an update of the discovery service. Entries of scope [`ListScope::Changes`] are merged into the list;
+    /// with any other scope they replace it.
     pub fn apply_update(&mut self, scope: ListScope, entries: Vec<E>, now: Duration) -> Vec<E> {
         if scope != ListScope::Changes {
             self.discovered.clear();
@@ -73,14 +75,15 @@
         self.take_changes(now)
     }
 
-    /// Replaces all overrides of operators.
+    /// Replaces all operator overrides.
     pub fn replace_operator_overrides(&mut self, overrides: AdminOverrides, now: Duration) -> Vec<E> {
         self.operator_overrides = overrides;
         self.take_changes(now)
     }
 
-    /// Replaces all overrides of control. Withdrawn ones are removed first; new ones are applied one by one, the less
-    /// restrictive first, and rejected where `endpoints` (the discovered list) would be left without a ready one.
+    /// Replaces all control overrides. Those that are not in `overrides` any more are removed first. New and changed
+    /// ones are then applied one by one, the less restrictive first. An override that would leave a group of
+    /// `endpoints` (the discovered list) without a ready endpoint is rejected.
     pub fn replace_control_overrides(
         &mut self,
         mut overrides: AdminOverrides,
@@ -101,12 +104,12 @@
         ControlUpdate { changes: self.take_changes(now), rejected }
     }
 
-    /// Returns the entries whose overrides have expired by now.
+    /// Returns the entries that changed because overrides have expired by `now`.
     pub fn expire_overrides(&mut self, now: Duration) -> Vec<E> {
         self.take_changes(now)
     }
 
-    /// When the next override expires.
+    /// The time at which the next override expires; `None` if none expires after `now`.
     pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
         let overrides = self.operator_overrides.values().chain(self.control_overrides.values());
         overrides.filter_map(|applied| applied.expires_at).filter(|expires_at| *expires_at > now).min()
@@ -117,16 +120,17 @@
         self.discovered.values()
     }
 
-    /// The overrides of operators.
+    /// The operator overrides.
     pub fn operator_overrides(&self) -> &AdminOverrides {
         &self.operator_overrides
     }
 
-    /// The overrides of control that are applied.
+    /// The control overrides that are applied, without rejected ones.
     pub fn control_overrides(&self) -> &AdminOverrides {
         &self.control_overrides
     }
 
+    /// Applies one control override, unless the registry is full or a group would be left without a ready endpoint.
     fn apply_control_override(
         &mut self,
         name: &str,
@@ -139,7 +143,7 @@
             return Err(RejectedOverride::TooMany);
         }
         let previous = self.control_overrides.insert(name.to_string(), new);
-        // An endpoint that is not listed leaves no group empty.
+        // An endpoint that is not listed belongs to no group, so its override can't leave one empty.
         if !endpoints.contains_key(name) {
             return Ok(());
         }
@@ -155,7 +159,7 @@
         Err(RejectedOverride::LastReadyEndpoint)
     }
 
-    /// Computes the effective list anew and returns where it differs from the one before.
+    /// Recomputes the effective list and returns the entries that differ from those of the list before.
     fn take_changes(&mut self, now: Duration) -> Vec<E> {
         let current = self.compute_effective(now);
         let removed = self.effective.iter().filter(|(name, _)| !current.contains_key(*name));
