--- a/crates/rockflow-endpoints/src/lib.rs
+++ b/crates/rockflow-endpoints/src/lib.rs
@@ -1,17 +1,18 @@
 //! The endpoint registry: merges the endpoint list of the discovery service with administrative overrides, without I/O.
 //!
-//! | discovery says | override says | effective readiness | decided by |
+//! | in the endpoint list | override | effective readiness | source |
 //! | --- | --- | --- | --- |
-//! | not listed, or gone | anything | not listed; the override is held | - |
-//! | ready | nothing, or expired | ready | discovery |
-//! | ready | draining or gone | draining or gone | the override's source |
-//! | draining | nothing, or expired | draining | discovery |
+//! | not listed, or gone | any or none | not listed; an override is kept | - |
+//! | ready | none, or expired | ready | discovery |
+//! | ready | draining or gone | as the override | operator or control |
+//! | draining | none, or expired | draining | discovery |
 //! | draining | draining | draining | several |
-//! | draining | gone | gone | the override's source |
+//! | draining | gone | gone | operator or control |
 //!
-//! Overrides come from two sources, local operators and control (which disseminates them to all dispatchers). Neither
-//! replaces the other; the more restrictive state wins. A lost connection to discovery changes nothing. An endpoint is
-//! identified by its name, so a successor under another name inherits no override.
+//! Overrides have two sources: the operators of this dispatcher, and the control nodes, which disseminate theirs to all
+//! dispatchers. Neither source replaces the other; the most restrictive readiness applies. Losing the connection to
+//! discovery changes nothing. An endpoint is identified by its name, so a replacement under another name inherits no
+//! override.
 
 mod availability;
 mod overrides;
