--- a/crates/rockflow-endpoints/src/availability.rs
+++ b/crates/rockflow-endpoints/src/availability.rs
@@ -57,7 +57,8 @@
     let still_ready = ready_by_group(endpoints, after, now);
     let ready_before = ready_by_group(endpoints, before, now);
     let emptied = ready_before.into_iter().find(|(group, names)| {
-        let all_forced = names.iter().all(|name| after.get(*name).is_some_and(|applied| applied.force));
+        let all_forced =
+            names.iter().all(|name| after.get(*name).is_some_and(|admin_override| admin_override.force));
         !still_ready.contains_key(group) && !all_forced
     });
     emptied.map(|(_, names)| EmptiedGroup { endpoints: names.into_iter().map(str::to_string).collect() })
@@ -82,15 +83,14 @@
 /// Returns the endpoints with the overrides of one source applied. The overrides of the other source are checked
 /// against the result.
 pub fn apply_overrides(
-    endpoints: BTreeMap<String, ListedEndpoint>,
+    mut endpoints: BTreeMap<String, ListedEndpoint>,
     overrides: &AdminOverrides,
     now: Duration,
 ) -> BTreeMap<String, ListedEndpoint> {
-    let mut applied = endpoints;
-    for (name, endpoint) in &mut applied {
+    for (name, endpoint) in &mut endpoints {
         if let Some(effective) = effective_readiness(Some(endpoint.readiness), overrides.get(name), now) {
             endpoint.readiness = effective.readiness;
         }
     }
-    applied
+    endpoints
 }
--- a/crates/rockflow-endpoints/src/overrides.rs
+++ b/crates/rockflow-endpoints/src/overrides.rs
@@ -80,10 +80,14 @@
 ) -> Option<EffectiveReadiness> {
     let discovered = discovered.filter(|readiness| *readiness != Readiness::Gone)?;
     let mut effective = EffectiveReadiness { readiness: discovered, source: ReadinessSource::Discovery };
-    for (applied, source) in [(operator, ReadinessSource::Operator), (control, ReadinessSource::Control)] {
-        let Some(applied) = applied.filter(|applied| applied.is_active(now)) else { continue };
-        match severity(applied.readiness).cmp(&severity(effective.readiness)) {
-            Ordering::Greater => effective = EffectiveReadiness { readiness: applied.readiness, source },
+    for (admin_override, source) in
+        [(operator, ReadinessSource::Operator), (control, ReadinessSource::Control)]
+    {
+        let Some(active) = admin_override.filter(|admin_override| admin_override.is_active(now)) else {
+            continue;
+        };
+        match severity(active.readiness).cmp(&severity(effective.readiness)) {
+            Ordering::Greater => effective = EffectiveReadiness { readiness: active.readiness, source },
             Ordering::Equal => effective.source = ReadinessSource::Several,
             Ordering::Less => {}
         }
--- a/crates/rockflow-endpoints/src/registry.rs
+++ b/crates/rockflow-endpoints/src/registry.rs
@@ -72,13 +72,13 @@
                 self.discovered.insert(entry.name().to_string(), entry);
             }
         }
-        self.take_changes(now)
+        self.recompute_effective(now)
     }
 
     /// Replaces all operator overrides.
     pub fn replace_operator_overrides(&mut self, overrides: AdminOverrides, now: Duration) -> Vec<E> {
         self.operator_overrides = overrides;
-        self.take_changes(now)
+        self.recompute_effective(now)
     }
 
     /// Replaces all control overrides. Those that are not in `overrides` any more are removed first. New and changed
@@ -101,18 +101,21 @@
                 rejected.insert(name, reason);
             }
         }
-        ControlUpdate { changes: self.take_changes(now), rejected }
+        ControlUpdate { changes: self.recompute_effective(now), rejected }
     }
 
     /// Returns the entries that changed because overrides have expired by `now`.
     pub fn expire_overrides(&mut self, now: Duration) -> Vec<E> {
-        self.take_changes(now)
+        self.recompute_effective(now)
     }
 
     /// The time at which the next override expires; `None` if none expires after `now`.
     pub fn next_expiry(&self, now: Duration) -> Option<Duration> {
         let overrides = self.operator_overrides.values().chain(self.control_overrides.values());
-        overrides.filter_map(|applied| applied.expires_at).filter(|expires_at| *expires_at > now).min()
+        overrides
+            .filter_map(|admin_override| admin_override.expires_at)
+            .filter(|expires_at| *expires_at > now)
+            .min()
     }
 
     /// The entries as discovery lists them, without overrides.
@@ -160,7 +163,7 @@
     }
 
     /// Recomputes the effective list and returns the entries that differ from those of the list before.
-    fn take_changes(&mut self, now: Duration) -> Vec<E> {
+    fn recompute_effective(&mut self, now: Duration) -> Vec<E> {
         let current = self.compute_effective(now);
         let removed = self.effective.iter().filter(|(name, _)| !current.contains_key(*name));
         let mut changes: Vec<E> = removed.map(|(_, entry)| entry.with_readiness(Readiness::Gone)).collect();
@@ -171,7 +174,7 @@
     }
 
     fn compute_effective(&self, now: Duration) -> BTreeMap<String, E> {
-        let mut list = BTreeMap::new();
+        let mut effective_list = BTreeMap::new();
         for (name, entry) in &self.discovered {
             let operator = self.operator_overrides.get(name);
             let control = self.control_overrides.get(name);
@@ -179,8 +182,8 @@
             let Some(effective) = merged.filter(|merged| merged.readiness != Readiness::Gone) else {
                 continue;
             };
-            list.insert(name.clone(), entry.with_readiness(effective.readiness));
+            effective_list.insert(name.clone(), entry.with_readiness(effective.readiness));
         }
-        list
+        effective_list
     }
 }
