--- a/crates/rockflow-endpoints/tests/merge.rs
+++ b/crates/rockflow-endpoints/tests/merge.rs
@@ -1,4 +1,4 @@
-//! The readiness of an endpoint where discovery, operators, control and time disagree.
+//! The effective readiness of endpoints with overrides of operators and control, which may expire.
 
 use rockflow::Readiness::{self, Draining, Gone, Ready};
 use rockflow::{ListScope, Role};
@@ -19,12 +19,12 @@
     EffectiveReadiness { readiness, source }
 }
 
-fn admin_override(readiness: Readiness, until: Option<u64>) -> AdminOverride {
-    AdminOverride { readiness, expires_at: until.map(at), force: false }
+fn admin_override(readiness: Readiness, expires_at_seconds: Option<u64>) -> AdminOverride {
+    AdminOverride { readiness, expires_at: expires_at_seconds.map(at), force: false }
 }
 
-#[test_case(None, Some(Draining), None; "overridden and not listed")]
-#[test_case(Some(Gone), Some(Draining), None; "gone, with an override")]
+#[test_case(None, Some(Draining), None; "an override of an endpoint that is not listed")]
+#[test_case(Some(Gone), Some(Draining), None; "an override of an endpoint that is gone")]
 #[test_case(Some(Ready), None, Some(effective(Ready, ReadinessSource::Discovery)))]
 #[test_case(Some(Ready), Some(Draining), Some(effective(Draining, ReadinessSource::Operator)))]
 #[test_case(Some(Ready), Some(Gone), Some(effective(Gone, ReadinessSource::Operator)))]
@@ -33,18 +33,19 @@
 #[test_case(Some(Draining), Some(Gone), Some(effective(Gone, ReadinessSource::Operator)))]
 fn more_restrictive_readiness_wins(
     discovered: Option<Readiness>,
-    overridden: Option<Readiness>,
+    override_readiness: Option<Readiness>,
     expected: Option<EffectiveReadiness>,
 ) {
-    let overridden = overridden.map(|readiness| admin_override(readiness, Some(10)));
-    assert_eq!(effective_readiness(discovered, overridden.as_ref(), at(9)), expected);
-    // From its expiry on the override has no effect.
-    let alone = discovered
+    let operator = override_readiness.map(|readiness| admin_override(readiness, Some(10)));
+    assert_eq!(effective_readiness(discovered, operator.as_ref(), at(9)), expected);
+    // The override expires at 10 s.
+    let without_override = discovered
         .filter(|discovered| *discovered != Gone)
         .map(|discovered| effective(discovered, ReadinessSource::Discovery));
-    assert_eq!(effective_readiness(discovered, overridden.as_ref(), at(10)), alone);
+    assert_eq!(effective_readiness(discovered, operator.as_ref(), at(10)), without_override);
 }
 
+/// An entry with its name, its readiness and a version, which stands for all other properties.
 #[derive(Clone, Debug, PartialEq)]
 struct TestEndpoint(&'static str, Readiness, u32);
 
@@ -74,10 +75,10 @@
         registry.replace_operator_overrides(overrides([("c1", admin_override(Draining, None))]), at(2)),
         [TestEndpoint("c1", Draining, 1)]
     );
-    // A full list, or the same entry again, removes no override.
+    // Neither a full list nor a repeated entry removes an override.
     assert_eq!(registry.apply_update(ListScope::Full, all.clone(), at(3)), []);
     assert_eq!(registry.apply_update(ListScope::Changes, vec![TestEndpoint("c1", Ready, 1)], at(3)), []);
-    // Other changes of the entry come through, under the override.
+    // Other changes of the entry are returned, with the readiness of the override.
     assert_eq!(
         registry.apply_update(ListScope::Changes, vec![TestEndpoint("c1", Ready, 2)], at(4)),
         [TestEndpoint("c1", Draining, 2)]
@@ -86,7 +87,7 @@
         registry.replace_operator_overrides(AdminOverrides::new(), at(5)),
         [TestEndpoint("c1", Ready, 2)]
     );
-    // One that the full list omits is gone, once.
+    // An endpoint that is missing in a full list is returned as gone once.
     assert_eq!(
         registry.apply_update(ListScope::Full, vec![TestEndpoint("c2", Ready, 1)], at(6)),
         [TestEndpoint("c1", Gone, 2)]
@@ -95,13 +96,13 @@
 }
 
 #[test]
-fn override_outlives_endpoint_and_is_not_inherited() {
+fn override_is_kept_for_the_same_name_but_not_inherited_by_another() {
     let mut registry = EndpointRegistry::new(overrides([("c1", admin_override(Draining, None))]));
     assert_eq!(
         registry.apply_update(ListScope::Full, vec![TestEndpoint("c1", Ready, 1)], at(0)),
         [TestEndpoint("c1", Draining, 1)]
     );
-    // It leaves; one under another name comes at its address.
+    // The endpoint is replaced by one with another name.
     let changes = registry.apply_update(
         ListScope::Changes,
         vec![TestEndpoint("c1", Gone, 1), TestEndpoint("c9", Ready, 1)],
@@ -109,7 +110,7 @@
     );
     assert_eq!(changes, [TestEndpoint("c1", Gone, 1), TestEndpoint("c9", Ready, 1)]);
     assert_eq!(registry.operator_overrides().len(), 1);
-    // Under its own name it comes back with the override.
+    // When an endpoint with the first name is listed again, the override applies to it.
     assert_eq!(
         registry.apply_update(ListScope::Changes, vec![TestEndpoint("c1", Ready, 3)], at(2)),
         [TestEndpoint("c1", Draining, 3)]
@@ -146,7 +147,7 @@
     );
     assert_eq!(registry.next_expiry(at(1)), Some(at(7)));
     assert_eq!(registry.expire_overrides(at(6)), []);
-    // The discovered readiness holds again.
+    // The readiness that discovery lists applies again.
     assert_eq!(registry.expire_overrides(at(7)), [TestEndpoint("c2", Draining, 1)]);
     assert_eq!(registry.next_expiry(at(7)), Some(at(9)));
     assert_eq!(registry.expire_overrides(at(9)), [TestEndpoint("c1", Ready, 1)]);
@@ -166,7 +167,8 @@
     control: Option<Readiness>,
     expected: EffectiveReadiness,
 ) {
-    let [operator, control] = [operator, control].map(|word| word.map(|word| admin_override(word, None)));
+    let new_override = |readiness: Readiness| admin_override(readiness, None);
+    let [operator, control] = [operator, control].map(|readiness| readiness.map(new_override));
     assert_eq!(merge_readiness(Some(discovered), operator.as_ref(), control.as_ref(), at(1)), Some(expected));
     assert_eq!(merge_readiness(Some(Gone), operator.as_ref(), control.as_ref(), at(1)), None);
 }
@@ -193,9 +195,9 @@
 fn control_overrides_replace_only_control_overrides() {
     let mut registry = EndpointRegistry::new(overrides([("c1", admin_override(Draining, None))]));
     let endpoints = list_endpoints(&mut registry, &["c1", "c2", "c3"]);
-    let both = overrides([("c1", admin_override(Gone, None)), ("c2", admin_override(Draining, None))]);
+    let control = overrides([("c1", admin_override(Gone, None)), ("c2", admin_override(Draining, None))]);
     let ControlUpdate { changes, rejected } =
-        registry.replace_control_overrides(both, endpoints.clone(), at(1));
+        registry.replace_control_overrides(control, endpoints.clone(), at(1));
     assert_eq!(changes, [TestEndpoint("c1", Gone, 1), TestEndpoint("c2", Draining, 1)]);
     assert!(rejected.is_empty());
     let ControlUpdate { changes, .. } =
@@ -205,49 +207,53 @@
 }
 
 #[test]
-fn override_of_last_ready_endpoint_is_rejected_and_judged_again() {
+fn override_of_last_ready_endpoint_is_rejected_until_another_is_ready() {
     let mut registry = EndpointRegistry::new(AdminOverrides::new());
     let endpoints = list_endpoints(&mut registry, &["c1", "c2"]);
-    let expected = overrides([("c1", admin_override(Draining, None)), ("c2", admin_override(Gone, None))]);
+    let control = overrides([("c1", admin_override(Draining, None)), ("c2", admin_override(Gone, None))]);
     let ControlUpdate { changes, rejected } =
-        registry.replace_control_overrides(expected.clone(), endpoints.clone(), at(1));
+        registry.replace_control_overrides(control.clone(), endpoints.clone(), at(1));
     assert_eq!(changes, [TestEndpoint("c1", Draining, 1)]);
     assert_eq!(rejected, BTreeMap::from([("c2".to_string(), RejectedOverride::LastReadyEndpoint)]));
-    // An operator's override counts like discovery.
+    // An endpoint that an operator drains is not ready, as if discovery listed it as draining.
     let endpoints = list_endpoints(&mut registry, &["c1", "c2", "c3"]);
     registry.replace_operator_overrides(overrides([("c3", admin_override(Draining, None))]), at(2));
     assert_eq!(
-        registry.replace_control_overrides(expected.clone(), endpoints.clone(), at(3)).rejected.len(),
+        registry.replace_control_overrides(control.clone(), endpoints.clone(), at(3)).rejected.len(),
         1
     );
     registry.replace_operator_overrides(AdminOverrides::new(), at(4));
     assert_eq!(
-        registry.replace_control_overrides(expected, endpoints, at(5)),
+        registry.replace_control_overrides(control, endpoints, at(5)),
         ControlUpdate { changes: vec![TestEndpoint("c2", Gone, 1)], rejected: BTreeMap::new() }
     );
 }
 
 #[test]
-fn override_of_unlisted_endpoint_is_held_without_effect() {
+fn override_of_unlisted_endpoint_applies_once_it_is_listed() {
     let mut registry = EndpointRegistry::new(AdminOverrides::new());
     let endpoints = list_endpoints(&mut registry, &["c1"]);
     let ControlUpdate { changes, rejected } = registry.replace_control_overrides(
-        overrides([("nobody", admin_override(Gone, None))]),
+        overrides([("unlisted", admin_override(Gone, None))]),
         endpoints,
         at(1),
     );
     assert_eq!((changes, rejected, registry.control_overrides().len()), (vec![], BTreeMap::new(), 1));
-    // It holds once discovery lists it.
-    assert_eq!(registry.apply_update(ListScope::Changes, vec![TestEndpoint("nobody", Ready, 1)], at(2)), []);
+    // The endpoint is listed, but the override to gone keeps it out of the effective list.
+    assert_eq!(
+        registry.apply_update(ListScope::Changes, vec![TestEndpoint("unlisted", Ready, 1)], at(2)),
+        []
+    );
 }
 
 #[test]
-fn rejects_control_overrides_past_the_cap() {
+fn rejects_control_overrides_over_the_limit() {
     let mut registry = EndpointRegistry::new(AdminOverrides::new());
     let endpoints = list_endpoints(&mut registry, &["c1"]);
-    let names = (0..=MAX_CONTROL_OVERRIDES).map(|n| (format!("h{n:05}"), admin_override(Draining, None)));
+    let control =
+        (0..=MAX_CONTROL_OVERRIDES).map(|index| (format!("h{index:05}"), admin_override(Draining, None)));
     let ControlUpdate { rejected, .. } =
-        registry.replace_control_overrides(names.collect(), endpoints, at(1));
+        registry.replace_control_overrides(control.collect(), endpoints, at(1));
     assert_eq!(
         rejected,
         BTreeMap::from([(format!("h{MAX_CONTROL_OVERRIDES:05}"), RejectedOverride::TooMany)])
