--- a/crates/rockflow-simulator-adapter/src/error.rs
+++ b/crates/rockflow-simulator-adapter/src/error.rs
@@ -1,9 +1,9 @@
-//! Errors of the adapter: faults of the input with the byte at which they are, and of reading and writing.
+//! Errors of the adapter: malformed input, with the byte offset of the fault, and failures to read or write.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter stopped. `at` is a byte of the whole input.
+/// Why the adapter stopped. `at` is an offset in bytes from the start of the whole input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The input could not be read.
@@ -15,43 +15,43 @@
     /// The input ended within a frame.
     #[error("frame cut short at byte {at}")]
     FrameCutShort {
-        /// The end of the input.
+        /// Offset of the end of the input.
         at: u64,
     },
-    /// The length of a frame is less than that of its clock.
+    /// The length of a frame is too short to include its clock.
     #[error("length {length} does not hold the clock at byte {at}")]
     LengthTooShort {
-        /// The length.
+        /// The length in the header, in bytes.
         length: usize,
-        /// Where the length is.
+        /// Offset of the length in the header.
         at: u64,
     },
     /// A record is longer than the rest of its frame.
     #[error("record runs past the end of its frame at byte {at}")]
     RecordCutShort {
-        /// Where a field does not fit.
+        /// Offset of the first field that does not fit.
         at: u64,
     },
     /// A frame is longer than its records.
     #[error("bytes left over after the last record at byte {at}")]
     BytesLeftOver {
-        /// Where the last record ends.
+        /// Offset of the end of the last record.
         at: u64,
     },
     /// No event has this code.
     #[error("unknown event code {code} at byte {at}")]
     UnknownEventCode {
-        /// The code.
+        /// The unknown code.
         code: u16,
-        /// Where it is.
+        /// Offset of the code.
         at: u64,
     },
-    /// An event before the record that names its instance.
+    /// An event precedes the first record that names an instance.
     #[error("event {code} before any instance was named at byte {at}")]
     NoInstanceNamed {
         /// The code of the event.
         code: u16,
-        /// Where it is.
+        /// Offset of the event.
         at: u64,
     },
     /// An event for an instance that was never created or has been retired.
@@ -61,17 +61,17 @@
         code: u16,
         /// The number of the instance.
         instance: u32,
-        /// Where the event is.
+        /// Offset of the event.
         at: u64,
     },
     /// The number of an endpoint list is too high.
     #[error("list number {list} is over {max} at byte {at}")]
     ListNumberTooHigh {
-        /// The number.
+        /// The number of the list.
         list: usize,
-        /// The highest number.
+        /// The highest valid number.
         max: usize,
-        /// Where the list is.
+        /// Offset of the list's number.
         at: u64,
     },
     /// An event refers to an endpoint list that was not sent.
@@ -79,33 +79,33 @@
     ListNeverSent {
         /// The number of the list.
         list: u8,
-        /// Where the event is.
+        /// Offset of the event's first field.
         at: u64,
     },
-    /// An entry of a list has a location or a kind that the settings don't know.
+    /// An entry of a list has a location or a kind of host that is not in the settings.
     #[error("list {list} names an unknown zone or kind at byte {at}")]
     UnknownLocationOrKind {
         /// The number of the list.
         list: u8,
-        /// Where the event is.
+        /// Offset of the first field of the event that refers to the list.
         at: u64,
     },
-    /// A request of a class that the settings don't know.
+    /// A request has a class that is not in the settings.
     #[error("class {class} is not in the settings at byte {at}")]
     UnknownClass {
-        /// The class.
+        /// The index of the class.
         class: usize,
-        /// Where the event is.
+        /// Offset of the request's first field.
         at: u64,
     },
-    /// A code within a record that stands for nothing.
+    /// A field of a record has a code without a meaning.
     #[error("unknown {what} {code} at byte {at}")]
     UnknownCode {
-        /// What it is a code of.
+        /// The field that has the code, for example `outcome`.
         what: &'static str,
-        /// The code.
+        /// The unknown code.
         code: u16,
-        /// Where it is.
+        /// Offset of the code.
         at: u64,
     },
 }
