--- a/crates/rockflow-simulator-adapter/src/instances.rs
+++ b/crates/rockflow-simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of dispatchers in the process, and the batches of events for them.
+//! The dispatcher instances of the process, and the processing of batches of events for them.
 
 use crate::error::AdapterError;
 use crate::wire::decode::{read_entries, read_event, UnresolvedEntry};
@@ -10,31 +10,33 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The number of endpoint lists that can be sent.
+/// The number of endpoint lists that the simulator can define; their numbers count from 0.
 const LIST_COUNT: usize = 16;
 
+/// A dispatcher with the settings that its events are decoded by.
 struct Instance {
     dispatcher: Dispatcher,
     settings: DeploymentSettings,
 }
 
-/// The endpoint lists of the process, and its instances by number.
+/// The endpoint lists, which all instances share, and the instances by number.
 #[derive(Default)]
 pub(crate) struct Instances {
     lists: [Option<Vec<UnresolvedEntry>>; LIST_COUNT],
-    /// None: the settings of the instance did not parse.
+    /// `None` for an instance whose settings are invalid. Its events are decoded but have no effect.
     instances: BTreeMap<u32, Option<Instance>>,
 }
 
-/// What the instances answer to a batch.
+/// The records that the instances reply to a batch.
 #[derive(Default)]
 struct Reply {
     instances: Vec<InstanceRecords>,
-    /// The index of the instance that was named last.
+    /// Index of the instance that was named last; `None` before the first.
     current: Option<usize>,
 }
 
 impl Reply {
+    /// Selects the instance that the following records are for.
     fn name_instance(&mut self, instance: u32) {
         let known = self.instances.iter().position(|records| records.instance() == instance);
         let index = known.unwrap_or_else(|| {
@@ -44,16 +46,17 @@
         self.current = Some(index);
     }
 
+    /// The records of the instance that was named last; `None` before the first.
     fn current(&mut self) -> Option<&mut InstanceRecords> {
         self.instances.get_mut(self.current?)
     }
 }
 
 impl Instances {
-    /// Plays a batch of `count` records at a time, and returns what each instance answers.
+    /// Processes the `count` records of a batch at time `now`, and returns the records that each instance replies.
     ///
     /// # Errors
-    /// If the batch is malformed or refers to what is not known.
+    /// If the batch is malformed, or refers to an instance, endpoint list, location, kind or class that is not known.
     pub(crate) fn play_batch(
         &mut self,
         reader: &mut Reader,
@@ -92,7 +95,7 @@
         match event {
             EventCode::InstanceCreated => self.create(reader, records),
             EventCode::InstanceRetired => {
-                // What it answered earlier in this batch is void with it.
+                // The actions of a removed instance are void, also those from earlier in this batch.
                 self.instances.remove(&instance);
                 records.clear();
                 Ok(())
@@ -111,6 +114,7 @@
         }
     }
 
+    /// Reads an endpoint list and stores it under its number.
     fn set_list(&mut self, reader: &mut Reader) -> Result<(), AdapterError> {
         let at = reader.place();
         let list = usize::from(reader.u8()?);
@@ -121,6 +125,7 @@
         Ok(())
     }
 
+    /// Reads the seed and settings of an instance and starts it. If the settings are invalid, the reply says so.
     fn create(&mut self, reader: &mut Reader, records: &mut InstanceRecords) -> Result<(), AdapterError> {
         let seed = reader.u64()?;
         let length = reader.u32()? as usize;
