--- a/crates/rockflow-simulator-adapter/src/wire/decode.rs
+++ b/crates/rockflow-simulator-adapter/src/wire/decode.rs
@@ -10,17 +10,18 @@
 use rockflow_settings::DeploymentSettings;
 use std::time::Duration;
 
-/// An entry of an endpoint list, before the settings tell its role.
+/// An entry of an endpoint list whose role is not known yet: it depends on the settings of the instance.
 pub struct UnresolvedEntry {
+    /// The entry, with `Role::Cache` as a placeholder.
     entry: EndpointEntry,
-    /// The index of its kind in the settings.
+    /// Index of the host's kind in the settings.
     kind: i64,
 }
 
-/// An endpoint list by its number; none if it was not sent.
+/// Endpoint lists by number; `None` for a list that was not sent.
 pub type EndpointLists = [Option<Vec<UnresolvedEntry>>];
 
-/// Reads the entries of an endpoint list behind their count.
+/// Reads the entries of an endpoint list, which follow their count.
 ///
 /// # Errors
 /// If the record is malformed.
@@ -33,14 +34,14 @@
     Ok(entries)
 }
 
-/// Reads what an instance is informed of. None: the instance has no settings, as they did not parse; then the record is
-/// read all the same.
+/// Reads the fields of an event for an instance. Without settings (those of the instance were invalid) it reads past
+/// the record and returns `None`.
 ///
 /// # Errors
-/// If the record is malformed, or refers to what is not known.
+/// If the record is malformed, or refers to an endpoint list, location, kind or class that is not known.
 ///
 /// # Panics
-/// If the code is not one of an instance's events.
+/// If the code is `InstanceNamed`, `EndpointList`, `InstanceCreated` or `InstanceRetired`.
 pub fn read_event(
     reader: &mut Reader,
     code: EventCode,
@@ -112,7 +113,7 @@
     Ok(Some(Event::EndpointsListed { scope, entries }))
 }
 
-/// The entry with its role. None: its location or kind is not known.
+/// The entry with its role; `None` if its location or kind is not in the settings.
 fn resolve(unresolved: &UnresolvedEntry, settings: &DeploymentSettings) -> Option<EndpointEntry> {
     let is_known = usize::from(unresolved.entry.location.0) < settings.location_count
         && unresolved.kind < settings.kind_count as i64;
@@ -172,7 +173,7 @@
         request_finished,
         cache_status,
         fill_wait,
-        // The simulator sends what it is handed.
+        // The simulator sends every attempt that it is given.
         first_byte_sent: true,
     })
 }
--- a/crates/rockflow-simulator-adapter/src/wire/encode.rs
+++ b/crates/rockflow-simulator-adapter/src/wire/encode.rs
@@ -1,28 +1,29 @@
-//! Encodes the records that the adapter sends.
+//! Encodes actions of the decision logic as records, and records as replies.
 
 use super::ActionCode;
 use rockflow::{Action, Attempt, CachePriority, HostId, RequestId};
 use std::time::Duration;
 
-/// The flags of an attempt.
+// The bits of an attempt's flags.
 const FLAG_COALESCE: u8 = 1;
 const FLAG_CACHED_AT_SOURCE_ONLY: u8 = 2;
 const FLAG_NO_STORE_AT_PARENT: u8 = 4;
 const FLAG_REVALIDATE: u8 = 8;
 
-/// The shortest timeout on the wire, where zero stands for none.
+/// The shortest timeout that is sent: zero on the wire means no timeout.
 const MIN_TIMEOUT: Duration = Duration::from_micros(1);
 
-/// The records of one instance in a reply.
+/// The encoded records of one instance in a reply.
 #[derive(Debug)]
 pub struct InstanceRecords {
     instance: u32,
+    /// The number of records.
     count: u32,
     bytes: Vec<u8>,
 }
 
 impl InstanceRecords {
-    /// No records of an instance.
+    /// Creates an empty set of records for an instance.
     pub fn new(instance: u32) -> Self {
         InstanceRecords { instance, count: 0, bytes: Vec::new() }
     }
@@ -32,20 +33,20 @@
         self.instance
     }
 
-    /// Drops all records.
+    /// Removes all records.
     pub fn clear(&mut self) {
         self.count = 0;
         self.bytes.clear();
     }
 
-    /// Adds the records of actions.
+    /// Adds one record for each action.
     pub fn push_actions(&mut self, actions: &[Action]) {
         for action in actions {
             self.push_action(action);
         }
     }
 
-    /// Adds the record that the settings of the instance were not read.
+    /// Adds the record that the settings of the instance are invalid, with the error text.
     pub fn push_settings_rejected(&mut self, error: &str) {
         self.push(ActionCode::SettingsRejected, |bytes| put_bytes(bytes, error.as_bytes()));
     }
@@ -88,7 +89,8 @@
         }
     }
 
-    /// An attempt that only asks for what is cached, with nothing else to say, has a record of its own.
+    /// Adds the record of an attempt. An attempt with priority `NoStore` and without source, maximum age
+    /// and flags has a shorter record.
     fn push_attempt(&mut self, request: RequestId, attempt: &Attempt) {
         let flags = flags(attempt);
         let is_plain = attempt.source.is_none()
@@ -111,7 +113,7 @@
     }
 }
 
-/// The reply to a batch: the records of each instance that has some.
+/// Encodes the reply to a batch. Instances without records are left out.
 pub fn encode_reply(batch: u32, instances: &[InstanceRecords]) -> Vec<u8> {
     let mut count = 0;
     let mut body = Vec::new();
@@ -156,13 +158,13 @@
     bytes.extend_from_slice(&host.0.to_be_bytes()[2..]);
 }
 
-/// Microseconds; what does not fit becomes the longest.
+/// Appends a duration in microseconds, limited to the longest that fits in 4 bytes.
 fn put_duration(bytes: &mut Vec<u8>, duration: Duration) {
     let micros = u32::try_from(duration.as_micros()).unwrap_or(u32::MAX);
     bytes.extend_from_slice(&micros.to_be_bytes());
 }
 
-/// Bytes behind their count; what does not fit the count is cut.
+/// Appends bytes after their count of 2 bytes. Content that is too long for the count is truncated.
 fn put_bytes(bytes: &mut Vec<u8>, content: &[u8]) {
     let count = content.len().min(usize::from(u16::MAX));
     bytes.extend_from_slice(&(count as u16).to_be_bytes());
--- a/crates/rockflow-simulator-adapter/src/wire/mod.rs
+++ b/crates/rockflow-simulator-adapter/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire: frames of records, big-endian and without padding. Here alone its codes meet the decisions' types.
+//! The simulator's wire protocol: frames of records, big-endian and without padding. Only this module maps the codes of
+//! the protocol to the types of the decision logic.
 //!
 //! [`decode`] reads records, [`encode`] writes them, [`reader`] reads fields.
 
@@ -10,15 +11,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
 pub enum EventCode {
-    /// An instance's endpoint list or changes of it.
+    /// The named instance gets an endpoint list or changes of its list.
     EndpointsListed = 256,
     /// Names the instance that the following records are for.
     InstanceNamed = 257,
     /// A client sent a request.
     RequestArrived = 258,
-    /// A client went away.
+    /// The client of a request disconnected.
     ClientDisconnected = 259,
-    /// The entries of a numbered endpoint list, for all instances.
+    /// Defines the entries of a numbered endpoint list, which events of all instances can refer to.
     EndpointList = 260,
     /// A timer fired.
     TimerFired = 261,
@@ -26,13 +27,13 @@
     HealthChecked = 262,
     /// An attempt ended.
     AttemptEnded = 263,
-    /// The named instance starts, with its seed and settings.
+    /// The named instance is created with its seed and settings, and starts.
     InstanceCreated = 264,
-    /// A response has begun to stream.
+    /// The first bytes of a response have arrived.
     ResponseStarted = 265,
-    /// The named instance ends.
+    /// The named instance is removed.
     InstanceRetired = 266,
-    /// Copies were declared invalid.
+    /// An object or a group was purged.
     Purged = 267,
     /// Another instance sent a message.
     MessageReceived = 268,
@@ -55,7 +56,7 @@
         EventCode::MessageReceived,
     ];
 
-    /// The event of a code.
+    /// The event with a code; `None` if the code is unknown.
     pub fn from_code(code: u16) -> Option<Self> {
         EventCode::ALL.into_iter().find(|event| event.code() == code)
     }
@@ -70,11 +71,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
 pub enum ActionCode {
-    /// Send an attempt that only asks for what is cached.
+    /// Send an attempt that the host responds to from its cache only.
     SendCachedOnlyAttempt = 320,
-    /// Shed a request.
+    /// Reject a request to shed load.
     Reject = 321,
-    /// Answer that a request failed.
+    /// Respond that a request failed.
     Fail = 322,
     /// Cancel an attempt.
     CancelAttempt = 323,
@@ -88,15 +89,15 @@
     SendMessage = 327,
     /// Write a log line.
     Log = 328,
-    /// The settings of the instance were not read.
+    /// The settings of the instance are invalid; the error text follows.
     SettingsRejected = 329,
-    /// Start or stop following discovery's changes.
+    /// Subscribe to changes of the endpoint list, or unsubscribe.
     Subscribe = 330,
-    /// Ask discovery for the endpoint list.
+    /// Request the endpoint list from discovery.
     RequestEndpointList = 331,
-    /// Send an attempt.
+    /// Send an attempt with a source or other fields that [`ActionCode::SendCachedOnlyAttempt`] doesn't have.
     SendAttempt = 332,
-    /// Names the instance that the following records are of.
+    /// Names the instance that the following records come from.
     InstanceNamed = 333,
 }
 
