--- a/crates/rockflow-simulator-adapter/src/lib.rs
+++ b/crates/rockflow-simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! Adapter between the simulator and the decisions: turns its batches into events, and the decisions' actions into replies.
-//! It decides nothing.
+//! Adapter between the simulator and the decision logic: decodes batches of the simulator into events, and encodes the
+//! actions of the decision logic into replies. It decides nothing itself.
 //!
-//! A batch is a frame of records for any number of instances of a dispatcher, with one time for all. Each gets one reply.
+//! A batch is a frame with a time and records for any number of dispatcher instances. Each batch gets one reply.
 
 mod error;
 mod instances;
@@ -15,14 +15,14 @@
 use wire::encode::encode_reply;
 use wire::reader::Reader;
 
-/// Bytes of a frame's header: the batch's number, the count of records, the length and the clock.
+/// Length of a frame's header in bytes: batch number, record count, length (4 bytes each) and clock (8 bytes).
 const HEADER_BYTES: usize = 20;
-/// Bytes of the header that the length counts: those of the clock.
+/// Length of the clock in bytes. The clock is the only header field that the length in the header includes.
 const CLOCK_BYTES: usize = 8;
-/// Where the length is in the header.
+/// Offset of the length in the header, in bytes.
 const LENGTH_OFFSET: u64 = 8;
 
-/// Plays batches until the input ends.
+/// Processes batches and writes a reply to each until the input ends.
 ///
 /// # Errors
 /// If the input is malformed, or cannot be read, or a reply cannot be written.
@@ -39,16 +39,19 @@
     Ok(())
 }
 
-/// A batch as it comes.
+/// A batch whose records are not decoded yet.
 struct Frame {
+    /// The number of the batch, which the reply repeats.
     batch: u32,
     /// The number of records.
     count: u32,
+    /// The clock of the simulator, for all records.
     now: Duration,
+    /// The records.
     body: Vec<u8>,
 }
 
-/// Reads the frame that begins at a place of the input. None: the input has ended.
+/// Reads the frame that begins at an offset of the input. Returns `None` at the end of the input.
 fn read_frame(input: &mut impl Read, place: u64) -> Result<Option<Frame>, AdapterError> {
     let header = read_up_to(input, HEADER_BYTES)?;
     if header.is_empty() {
@@ -73,7 +76,7 @@
     Ok(Some(Frame { batch, count, now, body }))
 }
 
-/// Reads so many bytes, or fewer if the input ends before.
+/// Reads `count` bytes, or fewer if the input ends earlier.
 fn read_up_to(input: &mut impl Read, count: usize) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = Vec::new();
     input.take(count as u64).read_to_end(&mut bytes).map_err(AdapterError::Read)?;
--- a/crates/rockflow-simulator-adapter/src/main.rs
+++ b/crates/rockflow-simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays the batches on standard input and writes the replies to standard output.
+//! Processes the simulator's batches from standard input and writes the replies to standard output.
 
 use std::io::{stdin, stdout};
 use std::process::ExitCode;
