--- a/crates/rockflow-simulator-adapter/src/instances.rs
+++ b/crates/rockflow-simulator-adapter/src/instances.rs
@@ -37,9 +37,9 @@
 
 impl Reply {
     /// Selects the instance that the following records are for.
-    fn name_instance(&mut self, instance: u32) {
-        let known = self.instances.iter().position(|records| records.instance() == instance);
-        let index = known.unwrap_or_else(|| {
+    fn select_instance(&mut self, instance: u32) {
+        let existing = self.instances.iter().position(|records| records.instance() == instance);
+        let index = existing.unwrap_or_else(|| {
             self.instances.push(InstanceRecords::new(instance));
             self.instances.len() - 1
         });
@@ -47,7 +47,7 @@
     }
 
     /// The records of the instance that was named last; `None` before the first.
-    fn current(&mut self) -> Option<&mut InstanceRecords> {
+    fn current_records(&mut self) -> Option<&mut InstanceRecords> {
         self.instances.get_mut(self.current?)
     }
 }
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// If the batch is malformed, or refers to an instance, endpoint list, location, kind or class that is not known.
-    pub(crate) fn play_batch(
+    pub(crate) fn process_batch(
         &mut self,
         reader: &mut Reader,
         now: Duration,
@@ -65,32 +65,32 @@
     ) -> Result<Vec<InstanceRecords>, AdapterError> {
         let mut reply = Reply::default();
         for _ in 0..count {
-            self.play_record(reader, now, &mut reply)?;
+            self.process_record(reader, now, &mut reply)?;
         }
         if !reader.is_empty() {
-            return Err(AdapterError::BytesLeftOver { at: reader.place() });
+            return Err(AdapterError::BytesLeftOver { offset: reader.offset() });
         }
         Ok(reply.instances)
     }
 
-    fn play_record(
+    fn process_record(
         &mut self,
         reader: &mut Reader,
         now: Duration,
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
-        let at = reader.place();
+        let offset = reader.offset();
         let code = reader.u16()?;
-        let event = EventCode::from_code(code).ok_or(AdapterError::UnknownEventCode { code, at })?;
+        let event = EventCode::from_code(code).ok_or(AdapterError::UnknownEventCode { code, offset })?;
         match event {
             EventCode::InstanceNamed => {
-                reply.name_instance(reader.u32()?);
+                reply.select_instance(reader.u32()?);
                 return Ok(());
             }
             EventCode::EndpointList => return self.set_list(reader),
             _ => {}
         }
-        let records = reply.current().ok_or(AdapterError::NoInstanceNamed { code, at })?;
+        let records = reply.current_records().ok_or(AdapterError::NoInstanceNamed { code, offset })?;
         let instance = records.instance();
         match event {
             EventCode::InstanceCreated => self.create(reader, records),
@@ -102,7 +102,7 @@
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(&instance) else {
-                    return Err(AdapterError::InstanceNotRunning { code, instance, at });
+                    return Err(AdapterError::InstanceNotRunning { code, instance, offset });
                 };
                 let settings = instance.as_ref().map(|instance| &instance.settings);
                 let event = read_event(reader, event, &self.lists, settings)?;
@@ -116,12 +116,12 @@
 
     /// Reads an endpoint list and stores it under its number.
     fn set_list(&mut self, reader: &mut Reader) -> Result<(), AdapterError> {
-        let at = reader.place();
+        let offset = reader.offset();
         let list = usize::from(reader.u8()?);
         let entries = read_entries(reader)?;
         let max = LIST_COUNT - 1;
-        let slot = self.lists.get_mut(list).ok_or(AdapterError::ListNumberTooHigh { list, max, at })?;
-        *slot = Some(entries);
+        let stored = self.lists.get_mut(list).ok_or(AdapterError::ListNumberTooHigh { list, max, offset })?;
+        *stored = Some(entries);
         Ok(())
     }
 
--- a/crates/rockflow-simulator-adapter/src/lib.rs
+++ b/crates/rockflow-simulator-adapter/src/lib.rs
@@ -28,11 +28,12 @@
 /// If the input is malformed, or cannot be read, or a reply cannot be written.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut instances = Instances::default();
-    let mut place = 0;
-    while let Some(frame) = read_frame(&mut input, place)? {
-        place += HEADER_BYTES as u64;
-        let records = instances.play_batch(&mut Reader::new(&frame.body, place), frame.now, frame.count)?;
-        place += frame.body.len() as u64;
+    let mut offset = 0;
+    while let Some(frame) = read_frame(&mut input, offset)? {
+        offset += HEADER_BYTES as u64;
+        let records =
+            instances.process_batch(&mut Reader::new(&frame.body, offset), frame.now, frame.count)?;
+        offset += frame.body.len() as u64;
         let reply = encode_reply(frame.batch, &records);
         output.write_all(&reply).and_then(|()| output.flush()).map_err(AdapterError::Write)?;
     }
@@ -51,27 +52,27 @@
     body: Vec<u8>,
 }
 
-/// Reads the frame that begins at an offset of the input. Returns `None` at the end of the input.
-fn read_frame(input: &mut impl Read, place: u64) -> Result<Option<Frame>, AdapterError> {
+/// Reads the frame that begins at `frame_offset` of the input. Returns `None` at the end of the input.
+fn read_frame(input: &mut impl Read, frame_offset: u64) -> Result<Option<Frame>, AdapterError> {
     let header = read_up_to(input, HEADER_BYTES)?;
     if header.is_empty() {
         return Ok(None);
     }
     if header.len() < HEADER_BYTES {
-        return Err(AdapterError::FrameCutShort { at: place + header.len() as u64 });
+        return Err(AdapterError::FrameCutShort { offset: frame_offset + header.len() as u64 });
     }
-    let mut fields = Reader::new(&header, place);
+    let mut fields = Reader::new(&header, frame_offset);
     let batch = fields.u32()?;
     let count = fields.u32()?;
     let length = fields.u32()? as usize;
     if length < CLOCK_BYTES {
-        return Err(AdapterError::LengthTooShort { length, at: place + LENGTH_OFFSET });
+        return Err(AdapterError::LengthTooShort { length, offset: frame_offset + LENGTH_OFFSET });
     }
     let now = Duration::from_micros(fields.u64()?);
     let body = read_up_to(input, length - CLOCK_BYTES)?;
     if body.len() < length - CLOCK_BYTES {
-        let at = place + (HEADER_BYTES + body.len()) as u64;
-        return Err(AdapterError::FrameCutShort { at });
+        let offset = frame_offset + (HEADER_BYTES + body.len()) as u64;
+        return Err(AdapterError::FrameCutShort { offset });
     }
     Ok(Some(Frame { batch, count, now, body }))
 }
--- a/crates/rockflow-simulator-adapter/src/wire/decode.rs
+++ b/crates/rockflow-simulator-adapter/src/wire/decode.rs
@@ -95,26 +95,27 @@
     lists: &EndpointLists,
     settings: Option<&DeploymentSettings>,
 ) -> Result<Option<Event>, AdapterError> {
-    let at = reader.place();
+    let offset = reader.offset();
     let scope = read_list_scope(reader)?;
     let _generation = reader.u32()?;
     let list = reader.u8()?;
     let unresolved = match lists.get(usize::from(list)) {
         _ if scope == ListScope::Failed => &[][..],
         Some(Some(entries)) => entries,
-        _ => return Err(AdapterError::ListNeverSent { list, at }),
+        _ => return Err(AdapterError::ListNeverSent { list, offset }),
     };
     let Some(settings) = settings else { return Ok(None) };
     let mut entries = Vec::with_capacity(unresolved.len());
     for entry in unresolved {
-        let entry = resolve(entry, settings).ok_or(AdapterError::UnknownLocationOrKind { list, at })?;
+        let entry =
+            resolve_role(entry, settings).ok_or(AdapterError::UnknownLocationOrKind { list, offset })?;
         entries.push(entry);
     }
     Ok(Some(Event::EndpointsListed { scope, entries }))
 }
 
 /// The entry with its role; `None` if its location or kind is not in the settings.
-fn resolve(unresolved: &UnresolvedEntry, settings: &DeploymentSettings) -> Option<EndpointEntry> {
+fn resolve_role(unresolved: &UnresolvedEntry, settings: &DeploymentSettings) -> Option<EndpointEntry> {
     let is_known = usize::from(unresolved.entry.location.0) < settings.location_count
         && unresolved.kind < settings.kind_count as i64;
     if !is_known {
@@ -129,7 +130,7 @@
 }
 
 fn read_request(reader: &mut Reader, settings: Option<&DeploymentSettings>) -> Result<Request, AdapterError> {
-    let at = reader.place();
+    let offset = reader.offset();
     let id = RequestId(reader.u64()?);
     let class = usize::from(reader.u8()?);
     let _tenant = reader.u16()?;
@@ -140,7 +141,7 @@
     let part = reader.f32()?;
     let _marks = reader.u16()?;
     if settings.is_some_and(|settings| class >= settings.deployment.classes.len()) {
-        return Err(AdapterError::UnknownClass { class, at });
+        return Err(AdapterError::UnknownClass { class, offset });
     }
     Ok(Request {
         id,
@@ -196,28 +197,28 @@
 }
 
 fn read_list_scope(reader: &mut Reader) -> Result<ListScope, AdapterError> {
-    let at = reader.place();
+    let offset = reader.offset();
     match reader.u8()? {
         0 => Ok(ListScope::Failed),
         1 => Ok(ListScope::Restored),
         2 => Ok(ListScope::Full),
         4 => Ok(ListScope::Changes),
-        other => Err(AdapterError::UnknownCode { what: "list scope", code: u16::from(other), at }),
+        other => Err(AdapterError::UnknownCode { field: "list scope", code: u16::from(other), offset }),
     }
 }
 
 fn read_readiness(reader: &mut Reader) -> Result<Readiness, AdapterError> {
-    let at = reader.place();
+    let offset = reader.offset();
     match reader.u8()? {
         0 => Ok(Readiness::Gone),
         1 => Ok(Readiness::Ready),
         2 => Ok(Readiness::Draining),
-        other => Err(AdapterError::UnknownCode { what: "readiness", code: u16::from(other), at }),
+        other => Err(AdapterError::UnknownCode { field: "readiness", code: u16::from(other), offset }),
     }
 }
 
 fn read_outcome(reader: &mut Reader) -> Result<Outcome, AdapterError> {
-    let at = reader.place();
+    let offset = reader.offset();
     match reader.u16()? {
         0 => Ok(Outcome::Succeeded),
         1 => Ok(Outcome::Cancelled),
@@ -228,12 +229,12 @@
         10 => Ok(Outcome::ConnectionLost),
         13 => Ok(Outcome::HostError),
         14 => Ok(Outcome::ConnectFailed),
-        code => Err(AdapterError::UnknownCode { what: "outcome", code, at }),
+        code => Err(AdapterError::UnknownCode { field: "outcome", code, offset }),
     }
 }
 
 fn read_cache_status(reader: &mut Reader) -> Result<CacheStatus, AdapterError> {
-    let at = reader.place();
+    let offset = reader.offset();
     match reader.u8()? {
         0 => Ok(CacheStatus::Unknown),
         1 => Ok(CacheStatus::Hit),
@@ -246,6 +247,6 @@
         8 => Ok(CacheStatus::SourceMiss),
         9 => Ok(CacheStatus::NoFillCapacity),
         10 => Ok(CacheStatus::OriginFailed),
-        other => Err(AdapterError::UnknownCode { what: "note", code: u16::from(other), at }),
+        other => Err(AdapterError::UnknownCode { field: "note", code: u16::from(other), offset }),
     }
 }
--- a/crates/rockflow-simulator-adapter/src/wire/encode.rs
+++ b/crates/rockflow-simulator-adapter/src/wire/encode.rs
@@ -93,17 +93,17 @@
     /// and flags has a shorter record.
     fn push_attempt(&mut self, request: RequestId, attempt: &Attempt) {
         let flags = flags(attempt);
-        let is_plain = attempt.source.is_none()
+        let is_cached_only = attempt.source.is_none()
             && attempt.cache_priority == CachePriority::NoStore
             && attempt.max_age.is_none()
             && flags == 0;
-        let code = if is_plain { ActionCode::SendCachedOnlyAttempt } else { ActionCode::SendAttempt };
+        let code = if is_cached_only { ActionCode::SendCachedOnlyAttempt } else { ActionCode::SendAttempt };
         self.push(code, |bytes| {
             put_request(bytes, request);
             put_host(bytes, attempt.host);
             let timeout = attempt.timeout.map(|timeout| timeout.max(MIN_TIMEOUT));
             put_duration(bytes, timeout.unwrap_or_default());
-            if !is_plain {
+            if !is_cached_only {
                 put_host(bytes, attempt.source.unwrap_or(attempt.host));
                 bytes.push(priority_code(attempt.cache_priority));
                 put_duration(bytes, attempt.max_age.unwrap_or_default());
--- a/crates/rockflow-simulator-adapter/src/wire/reader.rs
+++ b/crates/rockflow-simulator-adapter/src/wire/reader.rs
@@ -12,18 +12,18 @@
     bytes: &'a [u8],
     position: usize,
     /// Offset of the first byte in the whole input.
-    base: u64,
+    start_offset: u64,
 }
 
 impl<'a> Reader<'a> {
-    /// Creates a reader of `bytes`, the first of which is at offset `base` of the whole input.
-    pub fn new(bytes: &'a [u8], base: u64) -> Self {
-        Reader { bytes, position: 0, base }
+    /// Creates a reader of `bytes`, the first of which is at `start_offset` of the whole input.
+    pub fn new(bytes: &'a [u8], start_offset: u64) -> Self {
+        Reader { bytes, position: 0, start_offset }
     }
 
     /// Offset of the next byte in the whole input.
-    pub fn place(&self) -> u64 {
-        self.base + self.position as u64
+    pub fn offset(&self) -> u64 {
+        self.start_offset + self.position as u64
     }
 
     /// Whether all bytes have been read.
@@ -38,7 +38,7 @@
     pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], AdapterError> {
         let end = self.position.saturating_add(count);
         let Some(part) = self.bytes.get(self.position..end) else {
-            return Err(AdapterError::RecordCutShort { at: self.place() });
+            return Err(AdapterError::RecordCutShort { offset: self.offset() });
         };
         self.position = end;
         Ok(part)
