--- a/crates/rockflow-simulator-adapter/tests/wire/actions.rs
+++ b/crates/rockflow-simulator-adapter/tests/wire/actions.rs
@@ -1,4 +1,4 @@
-//! The bytes of every action on the wire.
+//! The literal bytes of every action.
 
 use crate::common::hex;
 use rockflow::{Action, Attempt, AttemptNumber, CachePriority, HostId, RequestId, TimerId};
@@ -10,7 +10,7 @@
 const HOST: HostId = HostId(0x0a12_4a07_1b5b);
 const SOURCE: HostId = HostId(0x0a12_4a07_2c6d);
 
-/// The head of a reply to batch 7 with one record of instance 3, whose bytes are `length` with the instance's own.
+/// A reply to batch 7 with one record of instance 3. `length` counts the record and the one that names the instance.
 fn reply(length: u32, record: &str) -> Vec<u8> {
     let mut bytes = hex("00000007 00000002");
     bytes.extend_from_slice(&length.to_be_bytes());
@@ -40,7 +40,7 @@
     }
 }
 
-fn plain_attempt() -> Attempt {
+fn cached_only_attempt() -> Attempt {
     Attempt {
         source: None,
         cache_priority: CachePriority::NoStore,
@@ -64,9 +64,9 @@
     "014c 000fa47d5d3a91c4 0a124a071b5b 00061a80 0a124a072c6d 03 00989680 09"; "high priority")]
 #[test_case(Attempt { timeout: Some(Duration::ZERO), ..attempt() }, 38,
     "014c 000fa47d5d3a91c4 0a124a071b5b 00000001 0a124a072c6d 02 00989680 09"; "a timeout of zero is not none")]
-#[test_case(plain_attempt(), 26, "0140 000fa47d5d3a91c4 0a124a071b5b 00061a80"; "only what is cached")]
+#[test_case(cached_only_attempt(), 26, "0140 000fa47d5d3a91c4 0a124a071b5b 00061a80"; "cached copies only")]
 fn attempt_has_literal_bytes(attempt: Attempt, length: u32, record: &str) {
-    // The instance's record of 6 bytes is in the length.
+    // The length includes the record of 6 bytes that names the instance.
     assert_eq!(hex(record).len() as u32 + 6, length);
     assert_eq!(encode(Action::SendAttempt { request: REQUEST, attempt }), reply(length, record));
 }
--- a/crates/rockflow-simulator-adapter/tests/wire/common.rs
+++ b/crates/rockflow-simulator-adapter/tests/wire/common.rs
@@ -1,4 +1,4 @@
-//! What the tests of the wire share.
+//! Settings and helpers for the tests of the wire protocol.
 
 /// Settings of one class, for one instance in location 1.
 pub const SETTINGS: &str = "az=1\ndcs=hub,edge\ndiscovery=pushed\nmodels=box,parent,origin\npeersTotal=1\nslotNo=0\n\
--- a/crates/rockflow-simulator-adapter/tests/wire/events.rs
+++ b/crates/rockflow-simulator-adapter/tests/wire/events.rs
@@ -1,4 +1,4 @@
-//! The bytes of every event on the wire.
+//! The literal bytes of every event.
 
 use crate::common::{hex, SETTINGS};
 use rockflow::{
@@ -15,14 +15,14 @@
 const REQUEST: RequestId = RequestId(0x000f_a47d_5d3a_91c4);
 const HOST: HostId = HostId(0x0a12_4a07_1b5b);
 
-/// A cache, a parent that drains and the origin, which has gone.
+/// The records of a ready cache, a draining parent and an origin that is gone.
 const ENTRIES: &str = "00000003 \
     0002 0a124a071b5b 0001 01 40200000 00000000000f4240 00 \
     0000 000000000002 0000 02 3f800000 0000000000000000 01 \
     0000 000000000003 0000 00 3f800000 0000000000000000 02";
 
-/// Reads a record with its code, where list 5 was sent.
-fn read(record: &str) -> Result<Event, String> {
+/// Decodes a record, including its code. List 0 is empty and list 5 has the entries above.
+fn decode_record(record: &str) -> Result<Event, String> {
     let settings = DeploymentSettings::parse(&DottedSettings::from_lines(SETTINGS)).expect("settings");
     let entries = read_entries(&mut Reader::new(&hex(ENTRIES), 0)).expect("entries");
     let mut lists = [None, None, None, None, None, Some(entries)];
@@ -121,7 +121,7 @@
 #[test_case("010b 0000000000000000 0003 000f4240", purged(None); "purge of a group")]
 #[test_case("010c 0009 0002 0102", message(); "message")]
 fn event_has_literal_bytes(record: &str, expected: Event) {
-    let event = read(record).expect("a valid record");
+    let event = decode_record(record).expect("a valid record");
     assert_eq!(format!("{event:?}"), format!("{expected:?}"));
 }
 
@@ -137,7 +137,7 @@
 fn outcome_has_literal_bytes(code: &str, outcome: Outcome) {
     let record =
         format!("0107 000fa47d5d3a91c4 0002 0a124a071b5b {code} 00061a80 01 00 000f4240 01 3f800000");
-    let event = read(&record).expect("a valid record");
+    let event = decode_record(&record).expect("a valid record");
     let expected = attempt_end(outcome, true, CacheStatus::Unknown);
     assert_eq!(format!("{event:?}"), format!("{expected:?}"));
 }
@@ -155,7 +155,7 @@
 #[test_case("0a", CacheStatus::OriginFailed)]
 fn cache_status_has_literal_bytes(code: &str, cache_status: CacheStatus) {
     let record = format!("0107 000fa47d5d3a91c4 0002 0a124a071b5b 0008 00061a80 00 {code} 000f4240 00");
-    let event = read(&record).expect("a valid record");
+    let event = decode_record(&record).expect("a valid record");
     let expected = attempt_end(Outcome::Rejected, false, cache_status);
     assert_eq!(format!("{event:?}"), format!("{expected:?}"));
 }
@@ -163,8 +163,8 @@
 #[test_case("0100 03 00000029 00", "unknown list scope 3 at byte 102"; "list scope")]
 #[test_case("0107 000fa47d5d3a91c4 0002 0a124a071b5b 0002", "unknown outcome 2 at byte 118"; "outcome")]
 #[test_case("0107 000fa47d5d3a91c4 0002 0a124a071b5b 0000 00061a80 01 0b", "unknown note 11 at byte 125"; "cache status")]
-fn unknown_code_is_named_with_its_place(record: &str, error: &str) {
-    assert_eq!(read(record).expect_err("an unknown code"), error);
+fn error_names_unknown_code_and_its_offset(record: &str, error: &str) {
+    assert_eq!(decode_record(record).expect_err("an unknown code"), error);
 }
 
 #[test]
--- a/crates/rockflow-simulator-adapter/tests/wire/main.rs
+++ b/crates/rockflow-simulator-adapter/tests/wire/main.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: frames, and every event and action by its literal bytes.
+//! Tests of the simulator's wire protocol: frames, and the literal bytes of every event and action.
 
 mod actions;
 mod common;
