--- a/crates/rockflow-simulator-adapter/src/instances.rs
+++ b/crates/rockflow-simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of dispatchers in the process, and the batches of events for them.
+//! The dispatcher instances of the process, and the processing of batches of events for them.
 
 use crate::error::AdapterError;
 use crate::wire::decode::{read_entries, read_event, UnresolvedEntry};
@@ -10,51 +10,54 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The number of endpoint lists that can be sent.
+/// The number of endpoint lists that the simulator can define; their numbers count from 0.
 const LIST_COUNT: usize = 16;
 
+/// A dispatcher with the settings that its events are decoded by.
 struct Instance {
     dispatcher: Dispatcher,
     settings: DeploymentSettings,
 }
 
-/// The endpoint lists of the process, and its instances by number.
+/// The endpoint lists, which all instances share, and the instances by number.
 #[derive(Default)]
 pub(crate) struct Instances {
     lists: [Option<Vec<UnresolvedEntry>>; LIST_COUNT],
-    /// None: the settings of the instance did not parse.
+    /// `None` for an instance whose settings are invalid. Its events are decoded but have no effect.
     instances: BTreeMap<u32, Option<Instance>>,
 }
 
-/// What the instances answer to a batch.
+/// The records that the instances reply to a batch.
 #[derive(Default)]
 struct Reply {
     instances: Vec<InstanceRecords>,
-    /// The index of the instance that was named last.
+    /// Index of the instance that was named last; `None` before the first.
     current: Option<usize>,
 }
 
 impl Reply {
-    fn name_instance(&mut self, instance: u32) {
-        let known = self.instances.iter().position(|records| records.instance() == instance);
-        let index = known.unwrap_or_else(|| {
+    /// Selects the instance that the following records are for.
+    fn select_instance(&mut self, instance: u32) {
+        let existing = self.instances.iter().position(|records| records.instance() == instance);
+        let index = existing.unwrap_or_else(|| {
             self.instances.push(InstanceRecords::new(instance));
             self.instances.len() - 1
         });
         self.current = Some(index);
     }
 
-    fn current(&mut self) -> Option<&mut InstanceRecords> {
+    /// The records of the instance that was named last; `None` before the first.
+    fn current_records(&mut self) -> Option<&mut InstanceRecords> {
         self.instances.get_mut(self.current?)
     }
 }
 
 impl Instances {
-    /// Plays a batch of `count` records at a time, and returns what each instance answers.
+    /// Processes the `count` records of a batch at time `now`, and returns the records that each instance replies.
     ///
     /// # Errors
-    /// If the batch is malformed or refers to what is not known.
-    pub(crate) fn play_batch(
+    /// If the batch is malformed, or refers to an instance, endpoint list, location, kind or class that is not known.
+    pub(crate) fn process_batch(
         &mut self,
         reader: &mut Reader,
         now: Duration,
@@ -62,44 +65,44 @@
     ) -> Result<Vec<InstanceRecords>, AdapterError> {
         let mut reply = Reply::default();
         for _ in 0..count {
-            self.play_record(reader, now, &mut reply)?;
+            self.process_record(reader, now, &mut reply)?;
         }
         if !reader.is_empty() {
-            return Err(AdapterError::BytesLeftOver { at: reader.place() });
+            return Err(AdapterError::BytesLeftOver { offset: reader.offset() });
         }
         Ok(reply.instances)
     }
 
-    fn play_record(
+    fn process_record(
         &mut self,
         reader: &mut Reader,
         now: Duration,
         reply: &mut Reply,
     ) -> Result<(), AdapterError> {
-        let at = reader.place();
+        let offset = reader.offset();
         let code = reader.u16()?;
-        let event = EventCode::from_code(code).ok_or(AdapterError::UnknownEventCode { code, at })?;
+        let event = EventCode::from_code(code).ok_or(AdapterError::UnknownEventCode { code, offset })?;
         match event {
             EventCode::InstanceNamed => {
-                reply.name_instance(reader.u32()?);
+                reply.select_instance(reader.u32()?);
                 return Ok(());
             }
             EventCode::EndpointList => return self.set_list(reader),
             _ => {}
         }
-        let records = reply.current().ok_or(AdapterError::NoInstanceNamed { code, at })?;
+        let records = reply.current_records().ok_or(AdapterError::NoInstanceNamed { code, offset })?;
         let instance = records.instance();
         match event {
             EventCode::InstanceCreated => self.create(reader, records),
             EventCode::InstanceRetired => {
-                // What it answered earlier in this batch is void with it.
+                // The actions of a removed instance are void, also those from earlier in this batch.
                 self.instances.remove(&instance);
                 records.clear();
                 Ok(())
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(&instance) else {
-                    return Err(AdapterError::InstanceNotRunning { code, instance, at });
+                    return Err(AdapterError::InstanceNotRunning { code, instance, offset });
                 };
                 let settings = instance.as_ref().map(|instance| &instance.settings);
                 let event = read_event(reader, event, &self.lists, settings)?;
@@ -111,16 +114,18 @@
         }
     }
 
+    /// Reads an endpoint list and stores it under its number.
     fn set_list(&mut self, reader: &mut Reader) -> Result<(), AdapterError> {
-        let at = reader.place();
+        let offset = reader.offset();
         let list = usize::from(reader.u8()?);
         let entries = read_entries(reader)?;
         let max = LIST_COUNT - 1;
-        let slot = self.lists.get_mut(list).ok_or(AdapterError::ListNumberTooHigh { list, max, at })?;
-        *slot = Some(entries);
+        let stored = self.lists.get_mut(list).ok_or(AdapterError::ListNumberTooHigh { list, max, offset })?;
+        *stored = Some(entries);
         Ok(())
     }
 
+    /// Reads the seed and settings of an instance and starts it. If the settings are invalid, the reply says so.
     fn create(&mut self, reader: &mut Reader, records: &mut InstanceRecords) -> Result<(), AdapterError> {
         let seed = reader.u64()?;
         let length = reader.u32()? as usize;
