--- a/crates/rockflow-dissemination/src/identity.rs
+++ b/crates/rockflow-dissemination/src/identity.rs
@@ -1,39 +1,39 @@
-//! Who takes part: processes, their incarnations and where they are reached.
+//! Identities of the processes that take part: their ids, incarnations and addresses.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A process, named by the hash of its name. The hash is the same everywhere, so that an id needs no shared registry.
+/// Identifies a process by the hash of its name. Every node computes the same hash, so ids need no shared registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The id of the process with this name.
+    /// Returns the id of the process with this name.
     pub fn of(name: &str) -> NodeId {
         NodeId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 }
 
-/// One run of a process: Unix milliseconds at its start, or a greater number where a later incarnation was known
-/// elsewhere. State held in memory is lost with it.
+/// Identifies one run of a process: Unix milliseconds at its start, or a greater number if another node already knew a
+/// later incarnation. A process that restarts has lost the state that it held in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
 /// A process and its current incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// The process.
+    /// Id of the process.
     pub node: NodeId,
-    /// Its current run.
+    /// The current run of the process.
     pub incarnation: Incarnation,
 }
 
 /// A node and the address at which it is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// The node.
+    /// Id of the node.
     pub node: NodeId,
-    /// Its datagram address.
+    /// Address at which the node receives datagrams.
     pub address: SocketAddr,
 }
 
--- a/crates/rockflow-dissemination/src/lib.rs
+++ b/crates/rockflow-dissemination/src/lib.rs
@@ -1,7 +1,8 @@
-//! Numbered dissemination with acknowledgement: purges and configuration go from a few control nodes through a tree of
-//! dispatchers to all of them, each entry is applied once, and control knows what is applied everywhere. Without I/O:
-//! messages and time come in, messages and outputs go out. `docs/design/dissemination.md` has the design and its
-//! invariants.
+//! Disseminates purges and host settings from a few control nodes, through a tree of dispatchers, to every dispatcher.
+//!
+//! Entries are numbered and acknowledged: each node applies an entry once, and the control nodes know which entries all
+//! members have applied. The crate does no I/O: its caller passes in the received messages and the time, and carries
+//! out the returned outputs. `docs/design/dissemination.md` has the design and its invariants.
 
 mod apply_queue;
 mod apply_tokens;
--- a/crates/rockflow-dissemination/src/setting.rs
+++ b/crates/rockflow-dissemination/src/setting.rs
@@ -1,68 +1,69 @@
-//! The setting of one host and the clock that orders its versions.
+//! Settings of hosts, and the timestamps that order the versions of a setting.
 
 use crate::entry::{SequenceNumber, StreamId};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a host's name, at most; also of the names in a directory.
+/// Maximum length in bytes of a host's name, and of each name in a directory.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Unix milliseconds in the year 2109. A later timestamp is rejected, and no incarnation is greater.
+/// Unix milliseconds in the year 2109. Later timestamps and greater incarnations are rejected.
 pub const MAX_CLOCK_UNIX_MS: u64 = 1 << 42;
-/// Unix milliseconds in the year 2074. A later timestamp does not advance a node's clock, so that the clock can still be
-/// advanced up to [`MAX_CLOCK_UNIX_MS`]. A setting with such a timestamp is replaced by one just above it.
+/// Unix milliseconds in the year 2074. A later timestamp does not advance a node's clock, which leaves room up to
+/// [`MAX_CLOCK_UNIX_MS`]: a setting with such a timestamp is replaced by a setting whose timestamp is just above it.
 pub const MAX_TRUSTED_CLOCK_UNIX_MS: u64 = MAX_CLOCK_UNIX_MS / 4 * 3;
 
-/// The state that operators want a host to be in. The greater is the more cautious.
+/// The state that operators want a host to be in, ordered from the least to the most cautious.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DesiredState {
-    /// As the endpoint list says; no override.
+    /// The state in the endpoint list applies: there is no administrative override.
     Listed,
-    /// Finishes what it has and takes no new requests.
+    /// The host finishes the requests that it has and takes no new ones.
     Draining,
-    /// Takes no requests.
+    /// The host takes no requests.
     Gone,
 }
 
-/// Orders the versions of one setting: a hybrid logical clock, then the publisher.
+/// Timestamp of a hybrid logical clock. It orders the versions of a setting by time, then by publisher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HybridTimestamp {
-    /// Unix milliseconds, raised above every timestamp that the publisher had received.
+    /// Unix milliseconds, raised above every timestamp that the publisher had received before.
     pub unix_ms: u64,
-    /// Index of the publishing control node; breaks ties.
+    /// Index of the publishing control node; orders equal times.
     pub control: u8,
 }
 
-/// The desired state of one host from now on. The latest timestamp wins. Of two concurrent versions, that is where
-/// neither publisher had received the other's (`replaced` is below the other's timestamp), the more cautious wins and
-/// both are reported.
+/// One version of the desired state of a host. The version with the latest timestamp wins. Two versions are concurrent
+/// if neither publisher had received the other's, which shows in that `replaced` of the later version is below the
+/// timestamp of the earlier one. Of concurrent versions the most cautious wins, and all of them are reported.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostSetting {
-    /// The host's name; at most [`MAX_NAME_BYTES`].
+    /// Name of the host; at most [`MAX_NAME_BYTES`] bytes.
     pub host: String,
-    /// What is wanted of it.
+    /// The state that the host is to be in.
     pub desired: DesiredState,
-    /// Orders this version among the others.
+    /// Orders this version among the versions of the same host.
     pub timestamp: HybridTimestamp,
     /// Timestamp of the version that this one replaces.
     pub replaced: HybridTimestamp,
 }
 
-/// A setting and its entry id, the same by whichever message it arrives.
+/// A setting with the id of its entry, which is the same whether it arrives in a batch or in a settings table.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SettingVersion {
-    /// The stream in which it was published.
+    /// The stream in which the setting was published.
     pub stream: StreamId,
-    /// Its number there.
+    /// Number of the setting's entry in that stream.
     pub number: SequenceNumber,
-    /// The setting.
+    /// The version of the setting.
     pub setting: HostSetting,
 }
 
-/// Why a member does not apply a setting. The setting is quarantined, and later entries are applied all the same.
+/// The reason why a member does not apply a setting. The member quarantines the setting and still applies later
+/// entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RejectionReason {
-    /// No host would be left in its place.
+    /// No other host would be left that can serve the requests of this one.
     LastOne,
-    /// More settings than a member can hold.
+    /// The member has no room for another setting.
     Full,
 }
