--- a/crates/rockflow-dissemination/src/output.rs
+++ b/crates/rockflow-dissemination/src/output.rs
@@ -1,4 +1,4 @@
-//! What a node wants done, and what its caller asks it to publish.
+//! The actions that a node returns to its caller, and the publications that the caller hands to a control node.
 
 use crate::apply_tokens::ApplyToken;
 use crate::entry::{EntryId, Purge, SequenceNumber, StreamId};
@@ -9,41 +9,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a control node is asked to publish.
+/// A purge or a setting that a control node is asked to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Publication {
     /// A purge.
     Purge {
-        /// What is purged.
+        /// The objects to purge.
         purge: Purge,
         /// Time since the purge was requested.
         age: Duration,
     },
     /// A setting of a host.
     Setting {
-        /// The host's name.
+        /// Name of the host.
         host: String,
-        /// What is wanted of it.
+        /// The state that the host is to be in.
         desired: DesiredState,
     },
 }
 
-/// What is to be done after a call of a node, in the order returned.
+/// An action for the caller of a node. The actions returned by a call are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message.
     Send {
-        /// The receiver.
+        /// Address of the receiver.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
     /// Apply purges, then call [`Node::confirm_applied`](crate::Node::confirm_applied). At a control node these are the
-    /// purges that others published, and nothing has to be confirmed.
+    /// purges that other control nodes published, and need no confirmation.
     Purge {
-        /// Each with its age. A purge of everything also replaces purges that were lost.
+        /// The purges, each with its age. A purge of everything may stand for purges that were lost.
         purges: Vec<(Purge, Duration)>,
-        /// What to confirm.
+        /// Token to confirm once all of it is applied.
         token: ApplyToken,
     },
     /// Apply the settings, then call [`Node::reject`](crate::Node::reject) for each that can't be applied, then
@@ -51,23 +51,24 @@
     Configure {
         /// All hosts whose desired state is not [`DesiredState::Listed`].
         settings: BTreeMap<String, DesiredState>,
-        /// Settings to be judged, with their hosts: those that have changed, and those that were rejected before.
+        /// Settings that the caller may reject, with their hosts: those that have changed, and those that were rejected
+        /// before.
         changed: Vec<(EntryId, String)>,
-        /// What to confirm.
+        /// Token to confirm once all of it is applied.
         token: ApplyToken,
     },
-    /// At a control node: an entry was seen for the first time to be applied by all members.
+    /// At a control node: the reports show for the first time that all members have applied an entry.
     ReplicatedToAll {
         /// The entry's stream.
         stream: StreamId,
-        /// Its number.
+        /// Number of the entry.
         number: SequenceNumber,
-        /// Time since it was published.
+        /// Time since the entry was published.
         after: Duration,
     },
-    /// A later incarnation of this control node was known elsewhere. The node continues under a greater one.
+    /// Another node knew a later incarnation of this control node, which therefore continues under a greater one.
     IncarnationSuperseded {
-        /// The incarnation of all that is sent from now on.
+        /// The incarnation under which the node sends from now on.
         incarnation: Incarnation,
     },
 }
