--- a/crates/rockflow-dissemination/src/counters.rs
+++ b/crates/rockflow-dissemination/src/counters.rs
@@ -1,41 +1,41 @@
-//! What a node counts.
+//! Counters of a node.
 
 use crate::message::Message;
 
-/// Messages by kind.
+/// Number of messages of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCounts {
-    /// [`Message::Join`].
+    /// Number of [`Message::Join`] messages.
     pub join: u64,
-    /// [`Message::Placement`].
+    /// Number of [`Message::Placement`] messages.
     pub placement: u64,
-    /// [`Message::NotListed`].
+    /// Number of [`Message::NotListed`] messages.
     pub not_listed: u64,
-    /// [`Message::Acknowledgement`].
+    /// Number of [`Message::Acknowledgement`] messages.
     pub acknowledgement: u64,
-    /// [`Message::Leave`].
+    /// Number of [`Message::Leave`] messages.
     pub leave: u64,
-    /// [`Message::Full`].
+    /// Number of [`Message::Full`] messages.
     pub full: u64,
-    /// [`Message::Heartbeat`].
+    /// Number of [`Message::Heartbeat`] messages.
     pub heartbeat: u64,
-    /// [`Message::Batch`].
+    /// Number of [`Message::Batch`] messages.
     pub batch: u64,
-    /// [`Message::RepairRequest`].
+    /// Number of [`Message::RepairRequest`] messages.
     pub repair_request: u64,
-    /// [`Message::Snapshot`].
+    /// Number of [`Message::Snapshot`] messages.
     pub snapshot: u64,
-    /// [`Message::SettingsRequest`].
+    /// Number of [`Message::SettingsRequest`] messages.
     pub settings_request: u64,
-    /// [`Message::SettingsPart`].
+    /// Number of [`Message::SettingsPart`] messages.
     pub settings_part: u64,
-    /// [`Message::RegionReports`].
+    /// Number of [`Message::RegionReports`] messages.
     pub region_reports: u64,
-    /// [`Message::SupersededIncarnation`].
+    /// Number of [`Message::SupersededIncarnation`] messages.
     pub superseded_incarnation: u64,
-    /// [`Message::Probe`].
+    /// Number of [`Message::Probe`] messages.
     pub probe: u64,
-    /// [`Message::ProbeReply`].
+    /// Number of [`Message::ProbeReply`] messages.
     pub probe_reply: u64,
 }
 
@@ -63,49 +63,50 @@
     }
 }
 
-/// Events since the node was created. Each counter only grows.
+/// Counts of events since the node was created; they never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages received.
     pub messages_in: MessageCounts,
     /// Messages sent.
     pub messages_out: MessageCounts,
-    /// Entries accepted: new to this incarnation.
+    /// Entries accepted, that is, received for the first time in this incarnation.
     pub accepted: u64,
-    /// Entries received again, `stale_numbers` among them.
+    /// Entries received again, including `stale_numbers`.
     pub duplicates: u64,
-    /// Entries whose numbers the log had dropped.
+    /// Entries received with a number that the log no longer holds.
     pub stale_numbers: u64,
-    /// Entries whose numbers were held with another content.
+    /// Entries received with a number under which the log holds a different entry.
     pub conflicts: u64,
-    /// Entries rejected: of the wrong kind, of an unknown control node or a retired stream, or too far ahead.
+    /// Entries rejected: of the wrong kind, from an unknown control node or a retired stream, or too far ahead of the
+    /// received ones.
     pub entries_rejected: u64,
-    /// Purges of everything in place of purges that were lost.
+    /// Purges of everything made in place of purges that were lost.
     pub substitute_purges: u64,
     /// Repair requests sent.
     pub repair_requests_sent: u64,
-    /// Requests for entries and settings that were answered.
+    /// Requests for entries or settings that this node answered.
     pub repair_requests_answered: u64,
-    /// Requests dropped by the rate limits; they are repeated.
+    /// Requests that the rate limits dropped; their senders repeat them.
     pub repair_requests_throttled: u64,
-    /// Publications for which a purge of everything stands.
+    /// Purges not published themselves, as too many were unsent: one purge of everything is published for them.
     pub publications_folded: u64,
-    /// Acknowledgements for which there was no room for another child.
+    /// Acknowledgements rejected as there was no room for another child.
     pub children_rejected: u64,
     /// Changes of the parent.
     pub parent_changes: u64,
-    /// Settings rejected here.
+    /// Settings that this node rejected.
     pub settings_rejected: u64,
-    /// Settings that met a concurrent version.
+    /// Settings received that are concurrent with another version.
     pub concurrent_settings: u64,
-    /// Streams dropped while another incarnation of their control node goes on.
+    /// Streams dropped because a later incarnation of their control node is known.
     pub streams_retired: u64,
-    /// Times that all pending tokens were replaced by one, as too many were unconfirmed.
+    /// Times that one token replaced all pending ones, as too many were unconfirmed.
     pub token_overflows: u64,
-    /// Reports dropped for lack of room, or because they go by an unknown listing.
+    /// Reports dropped for lack of room, or because their slots are numbered by an unknown listing.
     pub reports_dropped: u64,
-    /// Times that this process did not run for a while.
+    /// Times that the process was paused, for example stopped or starved of processor time.
     pub process_pauses: u64,
-    /// Messages from nodes that may not send them: not a control node, or not the parent.
+    /// Messages from nodes that may not send them, as they are not a control node or not the parent.
     pub unexpected_messages: u64,
 }
--- a/crates/rockflow-dissemination/src/status.rs
+++ b/crates/rockflow-dissemination/src/status.rs
@@ -6,107 +6,109 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Names of missing members, of lagging ones, and of concurrent or rejected settings, in one report.
+/// Maximum length of each list in a status report: missing members, lagging members, concurrent settings and rejected
+/// settings.
 pub(crate) const MAX_LISTED_NAMES: usize = 32;
 
-/// One stream as a node holds it.
+/// The state of one stream at a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamStatus {
-    /// The stream.
+    /// Id of the stream.
     pub stream: StreamId,
-    /// Whether the number of its first entry is known; until then nothing of it counts as received.
+    /// Whether the number of the stream's first entry is known; until then no entry of it counts as received.
     pub start_known: bool,
-    /// The first number of the log.
+    /// First number of the node's log. Entries before it are covered by a snapshot or were dropped.
     pub first: SequenceNumber,
-    /// All entries up to this one are here, or covered.
+    /// The node holds all entries up to this number, or a snapshot or purge of everything covers them.
     pub received: SequenceNumber,
-    /// All entries up to this one are applied.
+    /// The node's caller has applied all entries up to this number.
     pub applied: SequenceNumber,
-    /// The last number that is known, here or not.
+    /// Last number known to be published, whether or not the node has received its entry.
     pub last: SequenceNumber,
-    /// Entries in the log, those ahead of a gap included.
+    /// Number of entries in the log, including those after a gap.
     pub entries: usize,
-    /// For how long something is missing.
+    /// Time since the oldest missing entry became known; `None` if no entry is known to be missing.
     pub gap_age: Option<Duration>,
 }
 
-/// What a control node knows of the members.
+/// A control node's view of the members.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlStatus {
-    /// Version of the directory; 0: there is none.
+    /// Version of the directory; 0 if the control node has none.
     pub directory: u64,
-    /// Members in the directory.
+    /// Number of members in the directory.
     pub expected_members: usize,
-    /// Members in a report.
+    /// Number of members that are in the received reports.
     pub present: usize,
-    /// Names of some members that no report has.
+    /// Names of members that are in no report, at most `MAX_LISTED_NAMES`.
     pub missing: Vec<String>,
-    /// Names of some members that lag most in their region, and what they have applied.
+    /// Members that lag most in their region, each with a stream and the number up to which it has applied that stream;
+    /// at most `MAX_LISTED_NAMES`.
     pub lagging: Vec<(String, StreamId, SequenceNumber)>,
-    /// The last number of each stream that all members have applied.
+    /// For each stream, the last number that all members have applied.
     pub replicated_to_all: BTreeMap<StreamId, SequenceNumber>,
-    /// Some settings that members reject, and how many members do.
+    /// Settings that members reject, each with the reason and the number of these members; at most `MAX_LISTED_NAMES`.
     pub rejected: Vec<(StreamId, SequenceNumber, RejectionReason, u16)>,
     /// Whether this control node publishes purges.
     pub is_publishing: bool,
 }
 
-/// How much a node holds, to be compared with the limits.
+/// Sizes of a node's tables, to be compared with their limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Streams.
+    /// Number of streams.
     pub streams: usize,
-    /// Entries of the longest log of purges.
+    /// Number of entries in the longest log of purges.
     pub purge_log_entries: usize,
-    /// Entries of the longest log of settings.
+    /// Number of entries in the longest log of settings.
     pub configuration_log_entries: usize,
-    /// Children.
+    /// Number of children.
     pub children: usize,
-    /// Reports of children.
+    /// Number of reports that the children have sent.
     pub reports: usize,
-    /// Reports of other control nodes.
+    /// Number of reports received from other control nodes.
     pub region_reports: usize,
-    /// Hosts with a setting.
+    /// Number of hosts with a setting.
     pub hosts: usize,
-    /// Quarantined settings.
+    /// Number of quarantined settings.
     pub quarantined: usize,
-    /// Unconfirmed tokens of purges.
+    /// Number of unconfirmed tokens for purges.
     pub pending_purges: usize,
-    /// Unconfirmed tokens of settings.
+    /// Number of unconfirmed tokens for settings.
     pub pending_settings: usize,
-    /// Candidates for the parent.
+    /// Number of candidates for the parent.
     pub candidates: usize,
 }
 
 /// The state of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// The node, with its current incarnation.
+    /// The node and its current incarnation.
     pub identity: Identity,
-    /// Region, slot and slots of the region.
+    /// Index of the node's region, its slot there, and the number of slots of the region; `None` if it was not placed.
     pub place: Option<(u16, u16, u16)>,
-    /// Version of the directory by which the node was placed, or which it has at a control node.
+    /// Version of the directory from which the node was placed; at a control node, of its own directory.
     pub directory: u64,
-    /// The parent; a seed that has not answered yet has the node id 0.
+    /// The current parent, if any. A seed that has not answered yet has the node id 0.
     pub parent: Option<Peer>,
-    /// Whether the parent is the first candidate.
+    /// Whether the parent is the preferred candidate, that is, the first one.
     pub first_parent: bool,
-    /// Children.
+    /// Number of children.
     pub children: usize,
-    /// Time since a control node made the newest heartbeat received; `None`: none was received.
+    /// Time since a control node sent the newest heartbeat that has reached the node; `None` if none has.
     pub staleness: Option<Duration>,
-    /// The streams held.
+    /// The streams that the node holds.
     pub streams: Vec<StreamStatus>,
-    /// Hosts with a setting.
+    /// Number of hosts with a setting.
     pub setting_count: usize,
     /// The desired states of hosts, except [`DesiredState::Listed`].
     pub desired: BTreeMap<String, DesiredState>,
-    /// Some concurrent versions.
+    /// Concurrent versions of settings, at most `MAX_LISTED_NAMES`.
     pub concurrent_settings: Vec<HostSetting>,
-    /// Quarantined settings.
+    /// Quarantined settings, each with the reason why it was rejected.
     pub rejected: Vec<(StreamId, SequenceNumber, RejectionReason)>,
-    /// Tokens not confirmed yet.
+    /// Number of tokens that the caller has not confirmed yet.
     pub unconfirmed: usize,
-    /// At a control node.
+    /// The members' state as a control node knows it; `None` at a member.
     pub control: Option<ControlStatus>,
 }
