--- a/crates/rockflow-dissemination/src/clock.rs
+++ b/crates/rockflow-dissemination/src/clock.rs
@@ -1,11 +1,11 @@
-//! The time of a node, and how it notices that its process did not run for a while.
+//! The time of a node, and the detection of pauses of its process.
 
 use std::time::Duration;
 
-/// A call later than this after it was due shows that the process was stopped meanwhile.
+/// A call that comes later than this after the tick was due shows that the process was paused.
 const PAUSE_THRESHOLD_HEARTBEATS: u32 = 2;
 
-/// Time since an arbitrary origin; it never goes back.
+/// Time since an arbitrary origin; it never goes backwards.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeClock {
     heartbeat_interval: Duration,
@@ -13,17 +13,17 @@
     now: Duration,
     /// When the next tick is due.
     pub next_tick: Duration,
-    /// Until then messages may have waited unread for long, and their ages can't be relied on.
+    /// End of the time after a pause in which messages may have waited unread, so that their ages are unreliable.
     unreliable_until: Duration,
 }
 
 impl NodeClock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at `now`.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> NodeClock {
         NodeClock { heartbeat_interval, started: now, now, next_tick: now, unreliable_until: now }
     }
 
-    /// Takes the time of a call: at least that of the call before.
+    /// Advances the clock to the time of a call, or leaves it where `now` is earlier than the previous call.
     pub fn advance(&mut self, now: Duration) -> Advance {
         let now = now.max(self.now);
         let late = now.saturating_sub(self.next_tick.max(self.now));
@@ -36,7 +36,7 @@
         Advance { now, pause: Some(late) }
     }
 
-    /// Whether the process did not run for a while just before.
+    /// Whether the process was paused shortly before, so that the ages of messages are unreliable.
     pub fn is_unreliable(&self, now: Duration) -> bool {
         now < self.unreliable_until
     }
@@ -47,10 +47,10 @@
     }
 }
 
-/// The time of a call.
+/// The time of a call, and the pause before it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Advance {
     pub now: Duration,
-    /// The process did not run for this long.
+    /// Length of the pause that the call shows; `None` if it came in time.
     pub pause: Option<Duration>,
 }
--- a/crates/rockflow-dissemination/src/contact.rs
+++ b/crates/rockflow-dissemination/src/contact.rs
@@ -1,45 +1,46 @@
-//! How fresh a member's connection to control is, by the heartbeats of its parents.
+//! How recent a member's contact with the control nodes is, judged by the heartbeats of its parents.
 
 use crate::timestamp::Timestamp;
 use std::time::Duration;
 
-/// A heartbeat at most this old shows that the node is in contact with control, for as long.
+/// A heartbeat up to this age is fresh: it shows that the node is in contact with the control nodes. Contact is lost
+/// if no further fresh heartbeat arrives within the same time.
 const IN_CONTACT_HEARTBEATS: u32 = 8;
 
-/// The heartbeats received by way of parents.
+/// The record of the heartbeats received from parents, which pass them on from control nodes.
 #[derive(Clone, Debug)]
 pub(crate) struct Contact {
     heartbeat_interval: Duration,
-    /// When a control node made the newest heartbeat received.
+    /// When a control node sent the newest heartbeat received.
     newest: Option<Timestamp>,
-    /// Since when fresh heartbeats arrive without a break.
+    /// Start of the current contact, that is, of fresh heartbeats without a break.
     since: Duration,
-    /// When the last fresh one arrived.
+    /// When the last fresh heartbeat arrived; `None` before the first and after a pause of the process.
     last_fresh: Option<Duration>,
 }
 
 impl Contact {
-    /// No contact yet.
+    /// Creates a record without any contact.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> Contact {
         Contact { heartbeat_interval, newest: None, since: now, last_fresh: None }
     }
 
-    /// Since when fresh heartbeats arrive without a break.
+    /// Start of the current contact, that is, of fresh heartbeats without a break.
     pub fn since(&self) -> Duration {
         self.since
     }
 
-    /// Time since a control node made the newest heartbeat received.
+    /// Time since a control node sent the newest heartbeat received; `None` if none was received.
     pub fn staleness(&self, now: Duration) -> Option<Duration> {
         self.newest.map(|newest| newest.age(now))
     }
 
-    /// The same in milliseconds; `u32::MAX`: none was received.
+    /// The staleness in milliseconds; `u32::MAX` if no heartbeat was received.
     pub fn staleness_ms(&self, now: Duration) -> u32 {
         self.newest.map_or(u32::MAX, |newest| newest.age_ms(now))
     }
 
-    /// The parent has sent a heartbeat that a control node made at `timestamp`.
+    /// Records a heartbeat from the parent that a control node sent at `timestamp`.
     pub fn on_heartbeat(&mut self, now: Duration, timestamp: Timestamp) {
         self.newest = self.newest.max(Some(timestamp));
         let limit = self.heartbeat_interval * IN_CONTACT_HEARTBEATS;
@@ -52,7 +53,7 @@
         self.last_fresh = Some(now);
     }
 
-    /// This process did not run for a while: the next fresh heartbeat begins anew.
+    /// Ends the current contact after a pause of the process; the next fresh heartbeat starts a new one.
     pub fn interrupt(&mut self) {
         self.last_fresh = None;
     }
--- a/crates/rockflow-dissemination/src/encoded_size.rs
+++ b/crates/rockflow-dissemination/src/encoded_size.rs
@@ -1,30 +1,30 @@
-//! Approximate sizes of encoded messages, by which sending is limited and messages are divided.
+//! Estimated sizes of encoded messages, used for rate limits and for splitting contents into messages.
 
 use crate::entry::Entry;
 use crate::message::Message;
 use crate::setting::HostSetting;
 
-/// Bytes of entries or settings in one message.
+/// Maximum bytes of entries or settings in one message.
 pub(crate) const MAX_CONTENT_BYTES: usize = 1200;
-/// Bytes of a stream id and a number.
+/// Bytes of a stream id and a sequence number.
 pub(crate) const STREAM_ID_BYTES: usize = 14;
 /// Bytes of a node id and an address.
 const PEER_BYTES: usize = 20;
-/// Bytes of a purge.
+/// Bytes of a purge entry.
 const PURGE_BYTES: usize = 14;
 /// Bytes of a setting without the host's name.
 const SETTING_BYTES: usize = 24;
-/// Bytes that an entry takes beside its setting.
+/// Bytes that the entry around a setting adds.
 const SETTING_ENTRY_BYTES: usize = 5;
-/// Bytes before and around the content of a message.
+/// Bytes that the frame adds to the content of a message.
 const FRAME_BYTES: usize = 48;
 
-/// Bytes of a setting.
+/// Estimates the bytes of a setting.
 pub(crate) fn setting(setting: &HostSetting) -> usize {
     setting.host.len() + SETTING_BYTES
 }
 
-/// Bytes of an entry.
+/// Estimates the bytes of an entry.
 pub(crate) fn entry(entry: &Entry) -> usize {
     match entry {
         Entry::Purge(_) => PURGE_BYTES,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Bytes of a message on the wire.
+/// Estimates the bytes of a message on the wire.
 pub(crate) fn message(message: &Message) -> usize {
     let content = match message {
         Message::Batch { entries, .. } => {
--- a/crates/rockflow-dissemination/src/rate_limits.rs
+++ b/crates/rockflow-dissemination/src/rate_limits.rs
@@ -1,29 +1,29 @@
-//! Limits of what a node sends in answer to others.
+//! Limits of the bytes that a node sends in answer to requests of other nodes.
 
 use crate::config::NodeConfig;
 use crate::token_bucket::TokenBucket;
 use std::time::Duration;
 
-/// Repairs take this part of the configured bytes per second.
+/// Repairs may use one part in this many of the configured bytes per second.
 const REPAIR_RATE_DIVISOR: u64 = 2;
-/// Tables of settings take this part of the configured bytes per second.
+/// Settings tables may use one part in this many of the configured bytes per second.
 const TABLE_RATE_DIVISOR: u64 = 4;
-/// Unused credit is kept for this long.
+/// Unused credit accumulates for at most this long.
 const BURST: Duration = Duration::from_secs(10);
-/// A control node may send this multiple of a member's bytes.
+/// A control node may send this many times the bytes of a member.
 const CONTROL_RATE_MULTIPLIER: u64 = 64;
 
-/// One bucket for each kind of answer.
+/// One token bucket for each kind of answer.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimits {
-    /// Entries, snapshots and placements.
+    /// Limits entries, snapshots and placements.
     pub repairs: TokenBucket,
-    /// Tables of settings.
+    /// Limits settings tables.
     pub tables: TokenBucket,
 }
 
 impl RateLimits {
-    /// Limits with their whole burst available.
+    /// Creates the limits of a node, with full buckets.
     pub fn new(config: &NodeConfig, now: Duration) -> RateLimits {
         let multiplier = if config.control_id.is_some() { CONTROL_RATE_MULTIPLIER } else { 1 };
         let bytes_per_second = u64::from(config.bytes_per_second) * multiplier;
--- a/crates/rockflow-dissemination/src/slot_set.rs
+++ b/crates/rockflow-dissemination/src/slot_set.rs
@@ -1,18 +1,18 @@
-//! Sets of slots of a region.
+//! Sets of slots of a region. Each member of a region has one slot.
 
 use serde::{Deserialize, Serialize};
 
-/// Slots, and so members, of one region, at most.
+/// Maximum number of slots, and so of members, in one region.
 pub const MAX_SLOTS: usize = 1024;
-/// Slots in one byte of a set.
+/// Slots that one byte of a set holds.
 pub(crate) const SLOTS_PER_BYTE: usize = 8;
 
-/// Slots of a region as a bit set, eight to a byte, as long as its greatest slot needs.
+/// A bit set of the slots of a region, eight to a byte, only as long as its greatest slot requires.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotSet(pub Vec<u8>);
 
 impl SlotSet {
-    /// Adds a slot; one from [`MAX_SLOTS`] on is ignored.
+    /// Adds a slot, unless it is [`MAX_SLOTS`] or greater.
     pub fn set(&mut self, slot: u16) {
         let slot = usize::from(slot);
         if slot >= MAX_SLOTS {
@@ -32,7 +32,7 @@
         byte.is_some_and(|byte| byte & (1 << (slot % SLOTS_PER_BYTE)) != 0)
     }
 
-    /// Adds the slots of another set, below [`MAX_SLOTS`].
+    /// Adds the slots of another set that are less than [`MAX_SLOTS`].
     pub fn union(&mut self, other: &SlotSet) {
         let bytes = other.0.len().min(MAX_SLOTS / SLOTS_PER_BYTE);
         if self.0.len() < bytes {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// How many of the first `slots` slots are in the set.
+    /// Counts the slots less than `slots` that are in the set.
     pub fn present(&self, slots: u16) -> usize {
         (0..slots).filter(|slot| self.contains(*slot)).count()
     }
--- a/crates/rockflow-dissemination/src/token_bucket.rs
+++ b/crates/rockflow-dissemination/src/token_bucket.rs
@@ -1,22 +1,22 @@
-//! A limit of the bytes sent per second.
+//! A token bucket that limits the bytes sent per second.
 
 use std::time::Duration;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A token bucket of bytes. What is consumed may exceed its level once, so that a large message is not held back for
-/// ever.
+/// A token bucket of bytes. Its level may become negative, so that a message larger than the bucket is still sent.
+/// Nothing more is sent until the level is above zero again.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     bytes_per_second: u64,
-    /// In bytes times microseconds, as is `level`.
+    /// In millionths of a byte, as is `level`: bytes per second times microseconds.
     capacity: i64,
     level: i64,
     refilled_at: Duration,
 }
 
 impl TokenBucket {
-    /// A full bucket that holds what flows in within `burst`.
+    /// Creates a full bucket whose capacity is refilled within `burst`.
     pub fn new(bytes_per_second: u64, burst: Duration, now: Duration) -> TokenBucket {
         let capacity = bytes_per_second.saturating_mul(u64::try_from(burst.as_micros()).unwrap_or(u64::MAX));
         let capacity = i64::try_from(capacity).unwrap_or(i64::MAX);
@@ -35,7 +35,7 @@
         self.level > self.capacity / 2
     }
 
-    /// Takes bytes from the bucket, also below zero.
+    /// Takes bytes from the bucket; its level may become negative.
     pub fn consume(&mut self, bytes: usize) {
         let tokens = u64::try_from(bytes).unwrap_or(u64::MAX).saturating_mul(MICROS_PER_SECOND);
         self.level = self.level.saturating_sub(i64::try_from(tokens).unwrap_or(i64::MAX));
