--- a/crates/rockflow-dissemination/src/stream/gap.rs
+++ b/crates/rockflow-dissemination/src/stream/gap.rs
@@ -1,12 +1,12 @@
-//! Since when entries of a stream are missing.
+//! Tracks since when entries of a stream are missing.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Steps in which the end of a stream advanced over a gap. When full, the newest step takes in what follows.
+/// Maximum number of steps that a tracker holds. When it is full, the newest step also covers what follows.
 const MAX_GAP_STEPS: usize = 64;
 
-/// The end of the stream was known to be at least `last` since `since`.
+/// An advance of the known end of a stream: since `since`, its last number has been known to be at least `last`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GapStep {
     pub last: u64,
@@ -20,19 +20,19 @@
 }
 
 impl GapTracker {
-    /// Since when the oldest missing entry is known.
+    /// Time since which the oldest missing entry is known; `None` if no entry is missing.
     pub fn since(&self) -> Option<Duration> {
         self.steps.front().map(|step| step.since)
     }
 
-    /// All entries up to this one are here.
+    /// Forgets the steps up to `received`, as all entries up to this number have been received.
     pub fn on_received(&mut self, received: u64) {
         while self.steps.front().is_some_and(|step| step.last <= received) {
             self.steps.pop_front();
         }
     }
 
-    /// The stream is known to reach this far. Steps closer together than `wait` are one.
+    /// Records that the stream is known to reach `last`. Advances that follow each other within `wait` make one step.
     pub fn on_last(&mut self, now: Duration, last: u64, wait: Duration) {
         if self.steps.back().is_some_and(|step| step.last >= last) {
             return;
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Removes and returns the oldest step, if it is at least this old.
+    /// Removes and returns the oldest step if it is at least `age` old.
     pub fn pop_older_than(&mut self, now: Duration, age: Duration) -> Option<GapStep> {
         self.steps.pop_front_if(|step| now.saturating_sub(step.since) >= age)
     }
 
-    /// This process did not run for a while: nobody can have closed the gap meanwhile.
+    /// Adds a pause of the process to all times, as no entry could be received during the pause.
     pub fn shift_timers(&mut self, pause: Duration) {
         for step in &mut self.steps {
             step.since = step.since.saturating_add(pause);
--- a/crates/rockflow-dissemination/src/stream/log.rs
+++ b/crates/rockflow-dissemination/src/stream/log.rs
@@ -1,4 +1,4 @@
-//! A stream's log as it is sent to other nodes, and as its own publisher extends it.
+//! The log of a stream as it is sent to other nodes, and as the publishing node extends it.
 
 use super::{LogEntry, Stream, StreamTip, MAX_REPAIRABLE_GAP};
 use crate::encoded_size;
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 impl Stream {
-    /// How far the stream reaches here.
+    /// How far the stream reaches at this node.
     pub fn tip(&self) -> StreamTip {
         StreamTip { stream: self.id, first: self.first(), last: self.last() }
     }
 
-    /// Where the log begins for a node that requests it now, and how old the newest entry before it is that has not
-    /// expired.
+    /// Tells a node that requests the log where the log begins for it, and the age of the newest entry left out before
+    /// that has not expired. At most [`MAX_REPAIRABLE_GAP`] received entries are not left out.
     pub fn snapshot(&self, now: Duration, purge_window: Duration) -> Message {
         let next = self.first.max(self.received.saturating_sub(MAX_REPAIRABLE_GAP - 1));
         let left_out = self.log.range(self.first..next.max(self.first));
@@ -26,7 +26,7 @@
         Message::Snapshot { stream: self.id, next: SequenceNumber(next), min_accepted_age_ms }
     }
 
-    /// What the log holds of a range, in at most `max_batches` messages.
+    /// The entries that the log holds from `first` to `last`, in at most `max_batches` messages.
     pub fn batches(
         &self,
         now: Duration,
@@ -63,7 +63,7 @@
         batches.into_iter().map(batch).collect()
     }
 
-    /// Adds an entry under the next number; at its own publisher.
+    /// Adds an entry under the next number; only at the node that publishes the stream.
     pub fn append(&mut self, now: Duration, log_entry: LogEntry) -> SequenceNumber {
         self.start_known = true;
         let number = self.received.saturating_add(1);
@@ -74,14 +74,14 @@
         SequenceNumber(number)
     }
 
-    /// Counts an entry that was not sent yet as made now; at its own publisher.
+    /// Sets the timestamp of an entry that was not sent yet to `now`; only at the node that publishes the stream.
     pub fn refresh_timestamp(&mut self, now: Duration, number: SequenceNumber) {
         if let Some(held) = self.log.get_mut(&number.0) {
             held.timestamp = Timestamp::ago(now, Duration::ZERO);
         }
     }
 
-    /// The entries that are at most this old.
+    /// The entries that are at most `max_age` old.
     pub fn entries_within(&self, now: Duration, max_age: Duration) -> Vec<LogEntry> {
         self.log.values().filter(|held| held.timestamp.age(now) <= max_age).cloned().collect()
     }
--- a/crates/rockflow-dissemination/src/stream/mod.rs
+++ b/crates/rockflow-dissemination/src/stream/mod.rs
@@ -1,4 +1,4 @@
-//! One stream as a node holds it: its log, what is missing, how far it is known to reach, and how far it is applied.
+//! The state of one stream at a node: its log, its missing entries, and how far it is known, received and applied.
 
 mod gap;
 mod log;
@@ -13,85 +13,87 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Purges in one log, and how far ahead of a gap one is accepted. When full, the first is dropped, and a snapshot covers
-/// it.
+/// Maximum number of purges in one log, and how far ahead of a gap a purge is accepted. When the log is full, its first
+/// entry is dropped, and a snapshot covers it.
 pub const MAX_PURGE_LOG_ENTRIES: usize = 16_384;
-/// Settings in one log, likewise.
+/// Maximum number of settings in one log, and how far ahead of a gap a setting is accepted.
 pub const MAX_CONFIGURATION_LOG_ENTRIES: usize = 1024;
-/// Numbers in a gap that is repaired entry by entry; for a wider one a snapshot is requested.
+/// Widest gap, in numbers, that is repaired entry by entry. A snapshot is requested for a wider one.
 pub(crate) const MAX_REPAIRABLE_GAP: u64 = 4096;
-/// Entries remembered whose numbers are in the log with another content. When full, a purge of everything replaces a
-/// further one.
+/// Maximum number of conflicting entries that a stream remembers, that is, of entries under whose numbers the log holds
+/// different ones. Above it, a purge of everything replaces each further conflicting purge.
 const MAX_CONFLICTING_ENTRIES: usize = 64;
 
-/// How far a stream reaches at the sender.
+/// How far a stream reaches at the node that sends this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StreamTip {
-    /// The stream.
+    /// Id of the stream.
     pub stream: StreamId,
     /// First number that the sender's log holds.
     pub first: SequenceNumber,
-    /// Last number that the sender knows of.
+    /// Last number that the sender knows to be published, whether or not it holds the entry.
     pub last: SequenceNumber,
 }
 
-/// An entry in a log.
+/// An entry in a stream's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LogEntry {
-    /// When it was published, at the latest.
+    /// Upper bound of the time of publication: transit times are not subtracted.
     pub timestamp: Timestamp,
     pub entry: Entry,
 }
 
-/// What became of an entry.
+/// The result of inserting a received entry into a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InsertOutcome {
+    /// Added to the log.
     New,
     /// Received before.
     Known,
-    /// The log holds another content under its number: it is applied beside that one.
+    /// The log holds a different entry under the same number. Both entries are applied.
     Conflict,
-    /// The same, and there is no room to remember it.
+    /// As `Conflict`, but there is no room to remember the entry, so it may be received again.
     ConflictUntracked,
-    /// The log has dropped its number.
+    /// The log no longer holds the entry's number.
     Dropped,
-    /// Too far ahead: neither logged nor applied; it counts as missing.
+    /// The number is too far ahead of the received ones: the entry is neither logged nor applied, and stays missing.
     TooFarAhead,
-    /// Of the wrong kind, or without a valid number.
+    /// The entry is not of the stream's kind, or its number is not valid.
     Invalid,
 }
 
-/// A stream and its log.
+/// The state of a stream, including its log.
 #[derive(Clone, Debug)]
 pub(crate) struct Stream {
     pub id: StreamId,
-    /// Whether the number of its first entry is known: by that entry, or by a snapshot. Until then nothing of it counts
-    /// as received.
+    /// Whether the number of the stream's first entry is known, from that entry, a tip or a snapshot. Until then no
+    /// entry counts as received.
     pub start_known: bool,
-    /// All entries up to this one are applied.
+    /// The node's caller has applied all entries up to this number.
     pub applied: SequenceNumber,
-    /// When something of it was first received.
+    /// When the node first learned of the stream.
     pub first_seen: Duration,
-    /// When its end last advanced.
+    /// When the known end of the stream last advanced.
     pub last_advanced: Duration,
-    /// When a parent or control node last advertised how far it reaches.
+    /// When a parent or control node last advertised how far the stream reaches.
     pub last_advertised: Duration,
     log: BTreeMap<u64, LogEntry>,
-    /// All entries before this one are covered by a snapshot.
+    /// First number of the log; a snapshot covers all entries before it.
     first: u64,
-    /// The newest timestamp before the log.
+    /// The newest timestamp of the entries before the log; `None` if there are none, or none with a known timestamp.
     newest_dropped: Option<Timestamp>,
-    /// All entries up to this one are here, or covered.
+    /// The node holds all entries up to this number, or a snapshot or purge of everything covers them.
     received: u64,
-    /// The last number that is known, here or not.
+    /// The last number known to be published, whether or not its entry has been received.
     last: u64,
     gap: GapTracker,
     repairs: RepairSchedule,
+    /// Entries that were received under a number for which the log holds a different entry.
     conflicting: BTreeSet<(u64, Entry)>,
 }
 
 impl Stream {
-    /// A stream of which nothing has been received.
+    /// Creates a stream of which no entry has been received.
     pub fn new(id: StreamId, now: Duration) -> Stream {
         Stream {
             id,
@@ -111,47 +113,47 @@
         }
     }
 
-    /// All entries up to this one are here, or covered.
+    /// The node holds all entries up to this number, or a snapshot or purge of everything covers them.
     pub fn received(&self) -> SequenceNumber {
         SequenceNumber(self.received)
     }
 
-    /// The first number of the log.
+    /// First number of the log.
     pub fn first(&self) -> SequenceNumber {
         SequenceNumber(self.first)
     }
 
-    /// The last number that is known, here or not.
+    /// The last number known to be published, whether or not its entry has been received.
     pub fn last(&self) -> SequenceNumber {
         SequenceNumber(self.last.max(self.received))
     }
 
-    /// The newest timestamp before the log.
+    /// The newest timestamp of the entries before the log.
     pub fn newest_dropped(&self) -> Option<Timestamp> {
         self.newest_dropped
     }
 
-    /// Entries in the log, those ahead of a gap included.
+    /// Number of entries in the log, including those after a gap.
     pub fn entry_count(&self) -> usize {
         self.log.len()
     }
 
-    /// The entry of a number, if it is held.
+    /// The log entry with this number; `None` if the log does not hold it.
     pub fn get(&self, number: SequenceNumber) -> Option<&LogEntry> {
         self.log.get(&number.0)
     }
 
-    /// Whether something is known to be missing.
+    /// Whether an entry, or the start of the stream, is known to be missing.
     pub fn has_gap(&self) -> bool {
         !self.start_known || self.received < self.last
     }
 
-    /// Since when the oldest missing entry is known.
+    /// Time since which the oldest missing entry is known; `None` if no entry is missing.
     pub fn gap_since(&self) -> Option<Duration> {
         self.gap.since()
     }
 
-    /// Takes an entry that another node has sent.
+    /// Adds an entry that another node has sent, if the stream accepts it.
     pub fn insert(&mut self, number: SequenceNumber, log_entry: LogEntry) -> InsertOutcome {
         let is_of_kind = matches!(
             (&log_entry.entry, self.id.kind),
@@ -177,13 +179,13 @@
         InsertOutcome::New
     }
 
-    /// The first entry ever published is here: nothing is missing before it.
+    /// Records that the start of the stream is known: no entry before the log's first one is missing.
     pub fn mark_start_known(&mut self) {
         self.start_known = true;
         self.advance();
     }
 
-    /// Counts as received what follows without a gap.
+    /// Advances `received` over the entries that follow it in the log without a gap.
     pub fn advance(&mut self) {
         if !self.start_known {
             return;
@@ -198,7 +200,7 @@
         self.received = next - 1;
     }
 
-    /// The stream is known to reach this far.
+    /// Records that the stream is known to reach `last`, as the node `advertised_by` has shown.
     pub fn observe_last(&mut self, now: Duration, last: SequenceNumber, by: Option<SocketAddr>) {
         if last.0 <= self.last || last.0 == u64::MAX {
             return;
@@ -208,7 +210,8 @@
         self.repairs.advertised_by = by.or(self.repairs.advertised_by);
     }
 
-    /// After entries or a tip: notes since when something is missing. It is first requested after `wait`.
+    /// Updates since when entries are missing; to be called after entries or a tip were received. A missing entry is
+    /// first requested after `wait`.
     pub fn update_gap(&mut self, now: Duration, wait: Duration) {
         if self.start_known {
             self.gap.on_received(self.received);
@@ -221,12 +224,12 @@
         self.repairs.schedule(now + wait);
     }
 
-    /// This process did not run for a while: nobody can have answered meanwhile.
+    /// Adds a pause of the process to the age of the gap, as no request could be answered during the pause.
     pub fn shift_timers(&mut self, pause: Duration) {
         self.gap.shift_timers(pause);
     }
 
-    /// Abandons what is missing for at least `wait`. Returns whether entries are lost by it.
+    /// Abandons the entries that have been missing for at least `wait`. Returns whether entries are lost by this.
     pub fn abandon_gap(&mut self, now: Duration, wait: Duration) -> bool {
         let mut has_lost = false;
         while let Some(step) = self.gap.pop_older_than(now, wait) {
@@ -246,8 +249,8 @@
         held < until - self.received
     }
 
-    /// Continues from `next`, over what is missing before it, of which the newest was made at `newest_skipped`. Returns
-    /// whether something was missing.
+    /// Skips the missing entries before `next` and continues from there. `newest_skipped` is the timestamp of the
+    /// newest of them, if known. Returns whether an entry was missing.
     pub fn skip_to(&mut self, next: SequenceNumber, newest_skipped: Option<Timestamp>) -> bool {
         let until = next.0.saturating_sub(1);
         if self.start_known && until <= self.received {
@@ -265,7 +268,7 @@
         has_missed
     }
 
-    /// Drops purges older than `max_age`, and entries above the limit.
+    /// Drops the purges that are older than `max_age`, and the first entries of a log that is above its limit.
     pub fn trim(&mut self, now: Duration, max_age: Duration) {
         let max = self.max_entries();
         while let Some((_, first)) = self.log.first_key_value() {
@@ -296,8 +299,8 @@
         InsertOutcome::Conflict
     }
 
-    /// Drops the first entry of the log, which a snapshot covers from now on. Returns false where entries before it are
-    /// still missing.
+    /// Drops the first entry of the log, which a snapshot covers from now on. Returns false if the log is empty, or if
+    /// entries before its first one are still missing.
     fn drop_first(&mut self) -> bool {
         let Some((number, _)) = self.log.first_key_value() else { return false };
         if !self.start_known || *number > self.received {
--- a/crates/rockflow-dissemination/src/stream/repair.rs
+++ b/crates/rockflow-dissemination/src/stream/repair.rs
@@ -1,4 +1,4 @@
-//! When missing entries of a stream are requested.
+//! Schedules and builds the requests for missing entries of a stream.
 
 use super::{Stream, MAX_REPAIRABLE_GAP};
 use crate::entry::SequenceNumber;
@@ -6,32 +6,32 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest interval between two requests for the same gap.
+/// Longest interval between two requests for the same gap, in heartbeat intervals.
 const MAX_REPAIR_BACKOFF_HEARTBEATS: u32 = 16;
-/// Requests for the same gap that follow each other at one heartbeat interval, before the interval grows.
+/// Number of requests for the same gap that are sent one heartbeat interval apart before the backoff grows.
 const MAX_QUICK_REPAIR_REQUESTS: u32 = 16;
 
-/// The requests for missing entries.
+/// Schedule of the requests for missing entries of one stream.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RepairSchedule {
-    /// Requests since the stream last advanced.
+    /// Requests sent since the stream last advanced.
     attempts: u32,
-    /// The last number received at the previous request.
+    /// The number up to which entries had been received at the previous request.
     received_at_last: SequenceNumber,
-    /// When the next request is due.
+    /// When the next request is due; `None` if no entry is missing.
     pub due: Option<Duration>,
-    /// Who has advertised the stream's end.
+    /// Address of the node that last advertised a further end of the stream.
     pub advertised_by: Option<SocketAddr>,
 }
 
 impl RepairSchedule {
-    /// Nothing is missing.
+    /// Clears the schedule, as no entry is missing.
     pub fn reset(&mut self) {
         self.due = None;
         self.attempts = 0;
     }
 
-    /// A request is due at this time, unless one is already.
+    /// Makes a request due at `due`, unless one is scheduled already.
     pub fn schedule(&mut self, due: Duration) {
         self.due = self.due.or(Some(due));
     }
@@ -39,26 +39,26 @@
 
 /// A request that is to be sent now.
 pub(crate) struct Repair {
-    /// Requests before this one since the stream last advanced; chooses whom to ask.
+    /// Number of requests before this one since the stream last advanced; determines which node is asked.
     pub attempt: u32,
-    /// Who has advertised the stream's end.
+    /// Address of the node that last advertised a further end of the stream.
     pub advertised_by: Option<SocketAddr>,
-    /// What is missing; empty: a snapshot is wanted.
+    /// First and last number of each missing range; empty to ask for a snapshot.
     pub ranges: Vec<(SequenceNumber, SequenceNumber)>,
 }
 
 impl Stream {
-    /// When missing entries are to be requested.
+    /// When missing entries are to be requested; `None` if no entry is missing.
     pub fn repair_due(&self) -> Option<Duration> {
         self.repairs.due
     }
 
-    /// Makes a request due at this time.
+    /// Makes a request due at `due`, whether or not one is scheduled.
     pub fn request_repair_at(&mut self, due: Duration) {
         self.repairs.due = Some(due);
     }
 
-    /// The request for what is missing now; the next one is due later.
+    /// Builds the request for the entries that are missing now, and schedules the next request.
     pub fn next_repair(&mut self, now: Duration, heartbeat_interval: Duration) -> Repair {
         if self.repairs.received_at_last != self.received() {
             self.repairs.received_at_last = self.received();
@@ -72,7 +72,7 @@
         Repair { attempt, advertised_by: self.repairs.advertised_by, ranges: self.missing_ranges() }
     }
 
-    /// The first missing ranges; empty: a snapshot is to be requested.
+    /// The first missing ranges, at most [`MAX_RANGES`]; empty if a snapshot is to be requested.
     fn missing_ranges(&self) -> Vec<(SequenceNumber, SequenceNumber)> {
         if !self.start_known || self.last.saturating_sub(self.received) > MAX_REPAIRABLE_GAP {
             return Vec::new();
--- a/crates/rockflow-dissemination/src/streams.rs
+++ b/crates/rockflow-dissemination/src/streams.rs
@@ -1,4 +1,4 @@
-//! All streams that a node holds: which are admitted, and which are dropped.
+//! The streams that a node holds, with the rules by which streams are admitted and dropped.
 
 use crate::entry::{StreamId, StreamKind};
 use crate::identity::{ControlId, Incarnation};
@@ -8,42 +8,44 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Control nodes of a fleet, at most. Streams of others are rejected.
+/// Maximum number of control nodes of a fleet. Streams of further ones are rejected.
 pub(crate) const MAX_CONTROL: usize = 16;
 
-/// What became of a stream that a message names.
+/// The result of admitting a stream that a message names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamAdmission {
-    /// It was held already.
+    /// The node holds the stream already.
     Held,
+    /// The stream was added.
     New,
-    /// Of an unknown control node, a retired incarnation, or an impossible one.
+    /// The control node is unknown, or the incarnation is retired or impossibly great.
     Rejected,
-    /// There is no room for it, which loses its entries.
+    /// There is no room for the stream, so that its entries are lost.
     NoCapacity,
 }
 
-/// Owns the streams, at most [`MAX_STREAMS`]. When full, the earliest superseded incarnation is dropped.
+/// The streams of a node, at most [`MAX_STREAMS`]. When there are more, the stream of the earliest superseded
+/// incarnation is dropped.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Streams {
     streams: BTreeMap<StreamId, Stream>,
-    /// The latest incarnation that was dropped; it and earlier ones are not admitted again.
+    /// The latest incarnation whose stream was dropped; it and earlier ones are not admitted again.
     dropped: BTreeMap<(ControlId, StreamKind), Incarnation>,
     control_count: usize,
 }
 
 impl Streams {
-    /// No streams yet, of this many control nodes.
+    /// Creates an empty set for the streams of `control_count` control nodes.
     pub fn new(control_count: usize) -> Streams {
         Streams { control_count: control_count.min(MAX_CONTROL), ..Streams::default() }
     }
 
-    /// The stream of that id.
+    /// The stream with this id, if it is held.
     pub fn get(&self, id: StreamId) -> Option<&Stream> {
         self.streams.get(&id)
     }
 
-    /// The stream of that id, to change it.
+    /// The stream with this id, if it is held, for changing it.
     pub fn get_mut(&mut self, id: StreamId) -> Option<&mut Stream> {
         self.streams.get_mut(&id)
     }
@@ -53,7 +55,7 @@
         self.streams.values()
     }
 
-    /// All streams, to change them.
+    /// All streams, for changing them.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Stream> {
         self.streams.values_mut()
     }
@@ -68,7 +70,8 @@
         self.streams.len()
     }
 
-    /// The latest incarnation known of a control node, except one that can't be followed by another.
+    /// The latest incarnation of a control node that is known here; ignores incarnations that no later one can follow.
+    /// `None` if none is known.
     pub fn latest_incarnation(&self, control: ControlId) -> Option<Incarnation> {
         let ids = self.streams.keys().filter(|id| id.control == control);
         let held = ids.map(|id| id.incarnation).filter(|incarnation| !is_last_possible(*incarnation)).max();
@@ -77,7 +80,7 @@
         held.max(dropped)
     }
 
-    /// Adds a stream that isn't held, if it may be. Also returns the stream that was dropped for it.
+    /// Adds a stream that is not held yet, if it is admissible. Also returns the stream that was dropped to make room.
     pub fn admit(&mut self, now: Duration, id: StreamId) -> (StreamAdmission, Option<Stream>) {
         if self.streams.contains_key(&id) {
             return (StreamAdmission::Held, None);
@@ -102,9 +105,10 @@
         }
     }
 
-    /// Drops and returns superseded streams that were quiet for this long, by kind, since they last advanced and since a
-    /// later incarnation is known here: the latter may be when this node regains contact with what the earlier one had
-    /// published.
+    /// Drops and returns the superseded streams that were quiet for the time given for their kind. That time counts
+    /// from the stream's last advance, or from when a later incarnation became known here, whichever is later: a node
+    /// that was cut off may learn of the later incarnation first and receive the last entries of the earlier one after
+    /// that.
     pub fn retire_superseded(
         &mut self,
         now: Duration,
@@ -123,7 +127,7 @@
         over.into_iter().filter_map(|id| self.drop(id)).collect()
     }
 
-    /// Since when a later incarnation of the same control node is known here.
+    /// Time since which a later incarnation of the same control node is known here; `None` if none is.
     fn superseded_since(&self, id: StreamId) -> Option<Duration> {
         let is_later = |other: &&Stream| {
             let other = other.id;
@@ -142,7 +146,8 @@
     }
 }
 
-/// Whether no control node can start a greater incarnation. One that is named by a message supersedes nothing.
+/// Whether no control node can have a greater incarnation. A message may name such an incarnation, but it does not
+/// supersede others, as the control node could not continue above it.
 fn is_last_possible(incarnation: Incarnation) -> bool {
     incarnation.0 >= MAX_CLOCK_UNIX_MS
 }
