--- a/crates/rockflow-dissemination/src/directory.rs
+++ b/crates/rockflow-dissemination/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: which members are expected, and where each of them stands in the tree.
+//! The directory of the expected members, and each member's position in the tree.
 
 use crate::identity::{NodeId, Peer};
 use crate::message::MAX_PARENTS;
@@ -7,63 +7,64 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Members of a directory. One with more is rejected as a whole.
+/// Maximum number of members in a directory. A directory with more is rejected as a whole.
 const MAX_MEMBERS: usize = 16_384;
-/// Regions of a directory, likewise.
+/// Maximum number of regions in a directory. A directory with more is rejected as a whole.
 const MAX_REGIONS: usize = 256;
-/// Children of one member, by place; the head of a site has as many fewer within its site as there are sites below it.
+/// Number of children that the tree gives one member. The head of a site, that is, its first member, has one child
+/// fewer within its site for each site below it.
 const CHILDREN_PER_MEMBER: usize = 3;
-/// Members before it in its site that are candidates for a member's parent.
+/// Number of members directly before a member in its site that are candidates for its parent.
 const MAX_PRECEDING_CANDIDATES: usize = 3;
-/// Sites below the head of a site, by place.
+/// Number of sites that the tree puts below a site.
 const CHILD_SITES_PER_SITE: usize = 2;
-/// Candidates that are left to control nodes, at least.
+/// Minimum number of parent candidates that are reserved for control nodes.
 const MIN_CONTROL_CANDIDATES: usize = 2;
 
-/// One member, as the operator lists it.
+/// One member as the operator lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryMember {
-    /// Its name.
+    /// Name of the member, unique in the directory.
     pub name: String,
-    /// Its region.
+    /// Name of the member's region.
     pub region: String,
-    /// Its site within the region.
+    /// Name of the member's site within the region.
     pub site: String,
-    /// Its zone; may be empty.
+    /// Name of the member's zone; may be empty.
     pub zone: String,
-    /// Its datagram address.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
 }
 
-/// Why a directory is not valid.
+/// A directory that is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {problem}")]
 pub struct DirectoryError {
-    /// The line, counted from 1.
+    /// The invalid line, counted from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// What is wrong with the line.
     pub problem: DirectoryProblem,
 }
 
 /// What is wrong with a directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DirectoryProblem {
-    /// The first line has no version.
+    /// The first line is not `version,` with a number of at least 1.
     #[error("no `version,` with a number from 1")]
     NoVersion,
-    /// A member's name is listed before.
+    /// An earlier line has the same member name.
     #[error("a name that is there already")]
     DuplicateName,
-    /// A member's address is listed before.
+    /// An earlier line has the same address.
     #[error("an address that is there already")]
     DuplicateAddress,
-    /// More members than a directory holds.
+    /// There are more members than a directory may have.
     #[error("more members than a directory holds")]
     TooManyMembers,
-    /// More members or regions than a directory holds.
+    /// There are more members or regions than a directory may have.
     #[error("more members or regions than a directory holds")]
     TooManyMembersOrRegions,
-    /// More members than a region holds.
+    /// A region has more than [`MAX_SLOTS`] members.
     #[error("more members than a region holds")]
     TooManyInRegion,
     /// Two members have the same name.
@@ -72,53 +73,54 @@
     /// A line does not have the five fields.
     #[error("not `name,region,site,zone,address`")]
     WrongFields,
-    /// A field that must not be empty is.
+    /// The name, region or site is empty.
     #[error("an empty name, region or site")]
     EmptyField,
-    /// A field is longer than [`MAX_NAME_BYTES`].
+    /// A field is longer than [`MAX_NAME_BYTES`] bytes.
     #[error("a name that is too long")]
     FieldTooLong,
-    /// The address is not one with a port.
+    /// The last field is not an IP address with a port.
     #[error("no address with a port")]
     BadAddress,
 }
 
-/// Where a member stands.
+/// A member's position in the tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Index of its region.
+    /// Index of the member's region.
     pub region: u16,
-    /// Its slot in the region.
+    /// The member's slot in the region.
     pub slot: u16,
-    /// Slots of the region.
+    /// Number of slots in the region.
     pub slots: u16,
-    /// Hash of the region's listing.
+    /// Hash of the region's listing, see [`Region::listing_hash`].
     pub listing_hash: u32,
-    /// Members above it, then control nodes, by preference.
+    /// Candidates for the member's parent, the preferred one first: members above it in the tree, then control nodes.
     pub parents: Vec<Peer>,
 }
 
-/// The members of a region in the order of their slots: by site, then within it.
+/// A region and its members in the order of their slots: by site, then within the site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Region {
-    /// Its name.
+    /// Name of the region.
     pub name: String,
-    /// Hash of all on which the places of the region depend; says by which listing slots are counted.
+    /// Hash of everything on which the positions in the region depend. It identifies the listing by which the slots are
+    /// numbered.
     pub listing_hash: u32,
-    /// Indices into the members of the directory, by slot.
+    /// For each slot, the index of its member in [`Directory::members`].
     pub order: Vec<usize>,
-    /// The slots at which the sites begin, and the number of slots.
+    /// The first slot of each site, and last the number of slots.
     sites: Vec<usize>,
 }
 
-/// A member's region and slot.
+/// The region of a member and its slot there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Place {
     region: u16,
     slot: u16,
 }
 
-/// All expected members, divided into regions.
+/// All expected members, grouped into regions.
 ///
 /// ```
 /// use rockflow_dissemination::Directory;
@@ -129,20 +131,20 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directory {
-    /// Grows with each change.
+    /// Version of the directory; at least 1, and greater after each change.
     pub version: u64,
-    /// The members in the order of the file.
+    /// The members in the order of the file; their positions in this list are their indices.
     pub members: Vec<DirectoryMember>,
     regions: Vec<Region>,
     places: BTreeMap<NodeId, Place>,
 }
 
 impl Directory {
-    /// Reads a directory: a first line `version,N`, then `name,region,site,zone,address` for each member. Empty lines and
-    /// those that begin with `#` are skipped.
+    /// Parses a directory: a first line `version,N`, then `name,region,site,zone,address` for each member. Empty lines
+    /// and lines that begin with `#` are skipped.
     ///
     /// # Errors
-    /// The first line that is not valid.
+    /// Names the first line that is not valid, or the version line if the directory as a whole is not.
     pub fn parse(text: &str) -> Result<Directory, DirectoryError> {
         let lines = text.lines().map(str::trim).enumerate().map(|(index, line)| (index + 1, line));
         let mut lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
@@ -169,10 +171,10 @@
         Directory::of(version, members).map_err(|problem| DirectoryError { line: version_line, problem })
     }
 
-    /// A directory of these members.
+    /// Builds a directory of these members.
     ///
     /// # Errors
-    /// Too many members or regions, or two members of the same name.
+    /// Fails if there are too many members or regions, too many members in one region, or two members of the same name.
     pub fn of(version: u64, members: Vec<DirectoryMember>) -> Result<Directory, DirectoryProblem> {
         let mut by_region: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for (index, member) in members.iter().enumerate() {
@@ -199,24 +201,25 @@
         Ok(Directory { version, members, regions, places })
     }
 
-    /// The regions, by index.
+    /// The regions, ordered by their index.
     pub fn regions(&self) -> &[Region] {
         &self.regions
     }
 
-    /// The region of a member.
+    /// The region of a member; `None` if the directory does not list it.
     pub fn region_of(&self, node: NodeId) -> Option<&Region> {
         let place = self.places.get(&node)?;
         self.regions.get(usize::from(place.region))
     }
 
-    /// The name of the member at a slot.
+    /// The name of the member at a slot of a region; `None` if there is no such slot.
     pub fn name(&self, region: u16, slot: u16) -> Option<&str> {
         let order = &self.regions.get(usize::from(region))?.order;
         order.get(usize::from(slot)).map(|index| self.members[*index].name.as_str())
     }
 
-    /// Where a member stands: the same at all control nodes that have the same directory and list of control nodes.
+    /// The position of a member in the tree; `None` if the directory does not list it. All control nodes that have the
+    /// same directory and the same list of control nodes give the same positions.
     pub fn place(&self, node: NodeId, control: &[Peer]) -> Option<Placement> {
         let place = *self.places.get(&node)?;
         let region = &self.regions[usize::from(place.region)];
@@ -264,7 +267,7 @@
     Ok(DirectoryMember { name, region, site, zone, address })
 }
 
-/// Orders the members of a region by the hashes of their sites and names.
+/// Orders the members of a region by the hashes of their sites and names, and hashes the listing.
 fn build_region(number: u16, name: &str, mut order: Vec<usize>, members: &[DirectoryMember]) -> Region {
     let key = |index: usize| {
         let member = &members[index];
@@ -286,7 +289,7 @@
 }
 
 impl Region {
-    /// The slots above this one: the parent first, then the nearest.
+    /// The slots above this one: the parent first, then from the nearest to the farthest.
     fn ancestors(&self, slot: usize) -> Vec<usize> {
         let mut site = self.sites.partition_point(|first| *first <= slot) - 1;
         let head = self.sites[site];
@@ -309,7 +312,7 @@
         ancestors
     }
 
-    /// The rank within its site of the parent of a member that is not the head.
+    /// The rank of a member's parent within their site. The head of a site has rank 0; `rank` is greater than 0.
     fn parent_rank(&self, site: usize, rank: usize) -> usize {
         let child_sites = (1..=CHILD_SITES_PER_SITE).map(|child| site * CHILD_SITES_PER_SITE + child);
         let child_sites = child_sites.filter(|child| child + 1 < self.sites.len()).count();
