--- a/crates/rockflow-dissemination/src/clock.rs
+++ b/crates/rockflow-dissemination/src/clock.rs
@@ -26,14 +26,14 @@
     /// Advances the clock to the time of a call, or leaves it where `now` is earlier than the previous call.
     pub fn advance(&mut self, now: Duration) -> Advance {
         let now = now.max(self.now);
-        let late = now.saturating_sub(self.next_tick.max(self.now));
+        let delay = now.saturating_sub(self.next_tick.max(self.now));
         self.now = now;
-        if late <= self.heartbeat_interval * PAUSE_THRESHOLD_HEARTBEATS {
+        if delay <= self.heartbeat_interval * PAUSE_THRESHOLD_HEARTBEATS {
             return Advance { now, pause: None };
         }
         self.unreliable_until = now + self.heartbeat_interval;
         self.next_tick = now;
-        Advance { now, pause: Some(late) }
+        Advance { now, pause: Some(delay) }
     }
 
     /// Whether the process was paused shortly before, so that the ages of messages are unreliable.
--- a/crates/rockflow-dissemination/src/directory.rs
+++ b/crates/rockflow-dissemination/src/directory.rs
@@ -110,12 +110,12 @@
     /// For each slot, the index of its member in [`Directory::members`].
     pub order: Vec<usize>,
     /// The first slot of each site, and last the number of slots.
-    sites: Vec<usize>,
+    site_starts: Vec<usize>,
 }
 
 /// The region of a member and its slot there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct SlotPosition {
     region: u16,
     slot: u16,
 }
@@ -136,7 +136,7 @@
     /// The members in the order of the file; their positions in this list are their indices.
     pub members: Vec<DirectoryMember>,
     regions: Vec<Region>,
-    places: BTreeMap<NodeId, Place>,
+    positions: BTreeMap<NodeId, SlotPosition>,
 }
 
 impl Directory {
@@ -187,18 +187,18 @@
             return Err(DirectoryProblem::TooManyInRegion);
         }
         let mut regions = Vec::new();
-        let mut places = BTreeMap::new();
-        for (number, (name, order)) in (0_u16..).zip(by_region) {
-            let region = build_region(number, name, order, &members);
+        let mut positions = BTreeMap::new();
+        for (region_index, (name, order)) in (0_u16..).zip(by_region) {
+            let region = build_region(region_index, name, order, &members);
             for (slot, index) in (0_u16..).zip(&region.order) {
-                let place = Place { region: number, slot };
-                if places.insert(NodeId::of(&members[*index].name), place).is_some() {
+                let position = SlotPosition { region: region_index, slot };
+                if positions.insert(NodeId::of(&members[*index].name), position).is_some() {
                     return Err(DirectoryProblem::NameTwice);
                 }
             }
             regions.push(region);
         }
-        Ok(Directory { version, members, regions, places })
+        Ok(Directory { version, members, regions, positions })
     }
 
     /// The regions, ordered by their index.
@@ -208,8 +208,8 @@
 
     /// The region of a member; `None` if the directory does not list it.
     pub fn region_of(&self, node: NodeId) -> Option<&Region> {
-        let place = self.places.get(&node)?;
-        self.regions.get(usize::from(place.region))
+        let position = self.positions.get(&node)?;
+        self.regions.get(usize::from(position.region))
     }
 
     /// The name of the member at a slot of a region; `None` if there is no such slot.
@@ -221,19 +221,19 @@
     /// The position of a member in the tree; `None` if the directory does not list it. All control nodes that have the
     /// same directory and the same list of control nodes give the same positions.
     pub fn place(&self, node: NodeId, control: &[Peer]) -> Option<Placement> {
-        let place = *self.places.get(&node)?;
-        let region = &self.regions[usize::from(place.region)];
-        let ancestors = region.ancestors(usize::from(place.slot));
-        let ancestors = ancestors.into_iter().map(|slot| self.peer(region.order[slot]));
+        let position = *self.positions.get(&node)?;
+        let region = &self.regions[usize::from(position.region)];
+        let ancestor_slots = region.ancestors(usize::from(position.slot));
+        let ancestors = ancestor_slots.into_iter().map(|slot| self.peer(region.order[slot]));
         let mut parents: Vec<Peer> = ancestors.take(MAX_PARENTS - MIN_CONTROL_CANDIDATES).collect();
         if !control.is_empty() {
-            let first = (NodeId::of(&region.name).0 % control.len() as u64) as usize;
-            let rotated = control.iter().cycle().skip(first).take(control.len());
+            let first_control = (NodeId::of(&region.name).0 % control.len() as u64) as usize;
+            let rotated = control.iter().cycle().skip(first_control).take(control.len());
             parents.extend(rotated.take(MAX_PARENTS - parents.len()).copied());
         }
         Some(Placement {
-            region: place.region,
-            slot: place.slot,
+            region: position.region,
+            slot: position.slot,
             slots: region.order.len() as u16,
             listing_hash: region.listing_hash,
             parents,
@@ -268,42 +268,42 @@
 }
 
 /// Orders the members of a region by the hashes of their sites and names, and hashes the listing.
-fn build_region(number: u16, name: &str, mut order: Vec<usize>, members: &[DirectoryMember]) -> Region {
+fn build_region(region_index: u16, name: &str, mut order: Vec<usize>, members: &[DirectoryMember]) -> Region {
     let key = |index: usize| {
         let member = &members[index];
         (NodeId::of(&member.site), &member.site, NodeId::of(&member.name), &member.name)
     };
-    order.sort_by(|one, other| key(*one).cmp(&key(*other)));
-    let mut sites = Vec::new();
-    let mut hashed = format!("{number},{name}");
-    for (slot, index) in order.iter().enumerate() {
-        let member = &members[*index];
+    order.sort_by(|left, right| key(*left).cmp(&key(*right)));
+    let mut site_starts = Vec::new();
+    let mut listing = format!("{region_index},{name}");
+    for (slot, member_index) in order.iter().enumerate() {
+        let member = &members[*member_index];
         if slot == 0 || members[order[slot - 1]].site != member.site {
-            sites.push(slot);
+            site_starts.push(slot);
         }
-        hashed += &format!("\n{},{},{}", member.name, member.site, member.address);
+        listing += &format!("\n{},{},{}", member.name, member.site, member.address);
     }
-    sites.push(order.len());
-    let listing_hash = xxhash_rust::xxh3::xxh3_64(hashed.as_bytes()) as u32;
-    Region { name: name.to_owned(), listing_hash, order, sites }
+    site_starts.push(order.len());
+    let listing_hash = xxhash_rust::xxh3::xxh3_64(listing.as_bytes()) as u32;
+    Region { name: name.to_owned(), listing_hash, order, site_starts }
 }
 
 impl Region {
     /// The slots above this one: the parent first, then from the nearest to the farthest.
     fn ancestors(&self, slot: usize) -> Vec<usize> {
-        let mut site = self.sites.partition_point(|first| *first <= slot) - 1;
-        let head = self.sites[site];
+        let mut site = self.site_starts.partition_point(|start| *start <= slot) - 1;
+        let head = self.site_starts[site];
         let rank = slot - head;
         let mut ancestors = Vec::new();
         if rank > 0 {
             ancestors.push(head + self.parent_rank(site, rank));
-            ancestors.extend((1..=rank).take(MAX_PRECEDING_CANDIDATES).map(|back| slot - back));
+            ancestors.extend((1..=rank).take(MAX_PRECEDING_CANDIDATES).map(|distance| slot - distance));
         }
         while site > 0 {
             site = (site - 1) / CHILD_SITES_PER_SITE;
-            let head = self.sites[site];
+            let head = self.site_starts[site];
             ancestors.push(head);
-            if self.sites[site + 1] > head + 1 {
+            if self.site_starts[site + 1] > head + 1 {
                 ancestors.push(head + 1);
             }
         }
@@ -315,10 +315,10 @@
     /// The rank of a member's parent within their site. The head of a site has rank 0; `rank` is greater than 0.
     fn parent_rank(&self, site: usize, rank: usize) -> usize {
         let child_sites = (1..=CHILD_SITES_PER_SITE).map(|child| site * CHILD_SITES_PER_SITE + child);
-        let child_sites = child_sites.filter(|child| child + 1 < self.sites.len()).count();
-        let children_of_head = CHILDREN_PER_MEMBER - child_sites;
+        let child_site_count = child_sites.filter(|child| child + 1 < self.site_starts.len()).count();
+        let children_of_head = CHILDREN_PER_MEMBER - child_site_count;
         match rank.checked_sub(children_of_head + 1) {
-            Some(beyond) => 1 + beyond / CHILDREN_PER_MEMBER,
+            Some(beyond_head) => 1 + beyond_head / CHILDREN_PER_MEMBER,
             None => 0,
         }
     }
--- a/crates/rockflow-dissemination/src/slot_set.rs
+++ b/crates/rockflow-dissemination/src/slot_set.rs
@@ -38,8 +38,8 @@
         if self.0.len() < bytes {
             self.0.resize(bytes, 0);
         }
-        for (own, other) in self.0.iter_mut().zip(&other.0) {
-            *own |= other;
+        for (byte, other_byte) in self.0.iter_mut().zip(&other.0) {
+            *byte |= other_byte;
         }
     }
 
--- a/crates/rockflow-dissemination/src/stream/log.rs
+++ b/crates/rockflow-dissemination/src/stream/log.rs
@@ -17,9 +17,9 @@
     /// that has not expired. At most [`MAX_REPAIRABLE_GAP`] received entries are not left out.
     pub fn snapshot(&self, now: Duration, purge_window: Duration) -> Message {
         let next = self.first.max(self.received.saturating_sub(MAX_REPAIRABLE_GAP - 1));
-        let left_out = self.log.range(self.first..next.max(self.first));
-        let newest_left_out = left_out.map(|(_, held)| held.timestamp).max();
-        let newest = self.newest_dropped.max(newest_left_out);
+        let omitted = self.log.range(self.first..next.max(self.first));
+        let newest_omitted = omitted.map(|(_, held)| held.timestamp).max();
+        let newest = self.newest_dropped.max(newest_omitted);
         let unexpired =
             newest.filter(|newest| self.id.kind == StreamKind::Purges && newest.age(now) <= purge_window);
         let min_accepted_age_ms = unexpired.map(|newest| newest.age_ms(now));
@@ -41,19 +41,19 @@
         let mut next = 0;
         let mut bytes = 0;
         for (number, held) in self.log.range(first.0..=last.0) {
-            let added = encoded_size::entry(&held.entry);
+            let entry_bytes = encoded_size::entry(&held.entry);
             let aged = AgedEntry { age_ms: held.timestamp.age_ms(now), entry: held.entry.clone() };
-            let fits = *number == next && bytes + added <= encoded_size::MAX_CONTENT_BYTES;
+            let fits = *number == next && bytes + entry_bytes <= encoded_size::MAX_CONTENT_BYTES;
             let is_full = batches.len() >= max_batches;
             match batches.last_mut() {
                 Some((_, entries)) if fits && entries.len() < MAX_BATCH_ENTRIES => {
                     entries.push(aged);
-                    bytes += added;
+                    bytes += entry_bytes;
                 }
                 _ if is_full => break,
                 _ => {
                     batches.push((*number, vec![aged]));
-                    bytes = added;
+                    bytes = entry_bytes;
                 }
             }
             next = number.saturating_add(1);
--- a/crates/rockflow-dissemination/src/stream/mod.rs
+++ b/crates/rockflow-dissemination/src/stream/mod.rs
@@ -155,11 +155,11 @@
 
     /// Adds an entry that another node has sent, if the stream accepts it.
     pub fn insert(&mut self, number: SequenceNumber, log_entry: LogEntry) -> InsertOutcome {
-        let is_of_kind = matches!(
+        let has_stream_kind = matches!(
             (&log_entry.entry, self.id.kind),
             (Entry::Purge(_), StreamKind::Purges) | (Entry::Setting(_), StreamKind::Configuration)
         );
-        if number.0 == 0 || number.0 == u64::MAX || !is_of_kind {
+        if number.0 == 0 || number.0 == u64::MAX || !has_stream_kind {
             return InsertOutcome::Invalid;
         }
         match self.log.get(&number.0) {
@@ -170,9 +170,9 @@
         if self.start_known && number.0 <= self.received {
             return InsertOutcome::Dropped;
         }
-        let max = self.max_entries();
-        let is_too_far = self.start_known && number.0 - self.received > max as u64;
-        if is_too_far || (self.log.len() >= max && !self.drop_first()) {
+        let max_entries = self.max_entries();
+        let is_too_far_ahead = self.start_known && number.0 - self.received > max_entries as u64;
+        if is_too_far_ahead || (self.log.len() >= max_entries && !self.drop_first()) {
             return InsertOutcome::TooFarAhead;
         }
         self.log.insert(number.0, log_entry);
@@ -201,13 +201,13 @@
     }
 
     /// Records that the stream is known to reach `last`, as the node `advertised_by` has shown.
-    pub fn observe_last(&mut self, now: Duration, last: SequenceNumber, by: Option<SocketAddr>) {
+    pub fn observe_last(&mut self, now: Duration, last: SequenceNumber, advertised_by: Option<SocketAddr>) {
         if last.0 <= self.last || last.0 == u64::MAX {
             return;
         }
         self.last = last.0;
         self.last_advanced = now;
-        self.repairs.advertised_by = by.or(self.repairs.advertised_by);
+        self.repairs.advertised_by = advertised_by.or(self.repairs.advertised_by);
     }
 
     /// Updates since when entries are missing; to be called after entries or a tip were received. A missing entry is
@@ -270,10 +270,10 @@
 
     /// Drops the purges that are older than `max_age`, and the first entries of a log that is above its limit.
     pub fn trim(&mut self, now: Duration, max_age: Duration) {
-        let max = self.max_entries();
+        let max_entries = self.max_entries();
         while let Some((_, first)) = self.log.first_key_value() {
             let is_expired = self.id.kind == StreamKind::Purges && first.timestamp.age(now) > max_age;
-            if !(is_expired || self.log.len() > max) || !self.drop_first() {
+            if !(is_expired || self.log.len() > max_entries) || !self.drop_first() {
                 break;
             }
         }
--- a/crates/rockflow-dissemination/src/streams.rs
+++ b/crates/rockflow-dissemination/src/streams.rs
@@ -95,8 +95,8 @@
         if self.streams.len() <= MAX_STREAMS {
             return (StreamAdmission::New, None);
         }
-        let superseded = self.streams.keys().copied().filter(|id| self.superseded_since(*id).is_some());
-        match superseded.min_by_key(|id| (id.incarnation, *id)) {
+        let superseded_ids = self.streams.keys().copied().filter(|id| self.superseded_since(*id).is_some());
+        match superseded_ids.min_by_key(|id| (id.incarnation, *id)) {
             Some(earliest) if earliest != id => (StreamAdmission::New, self.drop(earliest)),
             _ => {
                 self.drop(id);
@@ -115,16 +115,17 @@
         purges_quiet: Duration,
         configuration_quiet: Duration,
     ) -> Vec<Stream> {
-        let is_over = |stream: &&Stream| {
+        let is_retired = |stream: &&Stream| {
             let quiet = match stream.id.kind {
                 StreamKind::Purges => purges_quiet,
                 StreamKind::Configuration => configuration_quiet,
             };
-            let since = self.superseded_since(stream.id).map(|since| since.max(stream.last_advanced));
-            since.is_some_and(|since| now.saturating_sub(since) > quiet)
+            let quiet_since = self.superseded_since(stream.id).map(|since| since.max(stream.last_advanced));
+            quiet_since.is_some_and(|since| now.saturating_sub(since) > quiet)
         };
-        let over: Vec<StreamId> = self.streams.values().filter(is_over).map(|stream| stream.id).collect();
-        over.into_iter().filter_map(|id| self.drop(id)).collect()
+        let retired: Vec<StreamId> =
+            self.streams.values().filter(is_retired).map(|stream| stream.id).collect();
+        retired.into_iter().filter_map(|id| self.drop(id)).collect()
     }
 
     /// Time since which a later incarnation of the same control node is known here; `None` if none is.
--- a/crates/rockflow-dissemination/src/timestamp.rs
+++ b/crates/rockflow-dissemination/src/timestamp.rs
@@ -28,6 +28,6 @@
     }
 }
 
-fn as_micros(span: Duration) -> i64 {
-    i64::try_from(span.as_micros()).unwrap_or(i64::MAX)
+fn as_micros(duration: Duration) -> i64 {
+    i64::try_from(duration.as_micros()).unwrap_or(i64::MAX)
 }
