--- a/crates/rockflow-dissemination/src/directory.rs
+++ b/crates/rockflow-dissemination/src/directory.rs
@@ -50,37 +50,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DirectoryProblem {
     /// The first line is not `version,` with a number of at least 1.
-    #[error("no `version,` with a number from 1")]
+    #[error("expected `version,N` with N of at least 1")]
     NoVersion,
     /// An earlier line has the same member name.
-    #[error("a name that is there already")]
+    #[error("duplicate member name")]
     DuplicateName,
     /// An earlier line has the same address.
-    #[error("an address that is there already")]
+    #[error("duplicate member address")]
     DuplicateAddress,
     /// There are more members than a directory may have.
-    #[error("more members than a directory holds")]
+    #[error("more than {} members", MAX_MEMBERS)]
     TooManyMembers,
     /// There are more members or regions than a directory may have.
-    #[error("more members or regions than a directory holds")]
+    #[error("more than {} members or {} regions", MAX_MEMBERS, MAX_REGIONS)]
     TooManyMembersOrRegions,
     /// A region has more than [`MAX_SLOTS`] members.
-    #[error("more members than a region holds")]
+    #[error("more than {} members in one region", MAX_SLOTS)]
     TooManyInRegion,
     /// Two members have the same name.
-    #[error("a name twice")]
+    #[error("two members with the same name")]
     NameTwice,
     /// A line does not have the five fields.
-    #[error("not `name,region,site,zone,address`")]
+    #[error("expected `name,region,site,zone,address`")]
     WrongFields,
     /// The name, region or site is empty.
-    #[error("an empty name, region or site")]
+    #[error("empty name, region or site")]
     EmptyField,
     /// A field is longer than [`MAX_NAME_BYTES`] bytes.
-    #[error("a name that is too long")]
+    #[error("name, region, site or zone longer than {} bytes", MAX_NAME_BYTES)]
     FieldTooLong,
     /// The last field is not an IP address with a port.
-    #[error("no address with a port")]
+    #[error("expected an IP address with a port")]
     BadAddress,
 }
 
--- a/crates/rockflow-dissemination/tests/directory.rs
+++ b/crates/rockflow-dissemination/tests/directory.rs
@@ -12,14 +12,14 @@
     (0..6).map(peer).collect()
 }
 
-#[test_case("", 1, "no `version,` with a number from 1")]
-#[test_case("version,0\n", 1, "no `version,` with a number from 1")]
-#[test_case("# none\n\nmember,a\n", 3, "no `version,` with a number from 1")]
-#[test_case("version,1\na,r,s,z\n", 2, "not `name,region,site,zone,address`")]
-#[test_case("version,1\na,r,s,z,10.0.0.1\n", 2, "no address with a port")]
-#[test_case("version,1\n,r,s,z,10.0.0.1:1\n", 2, "an empty name, region or site")]
-#[test_case("version,1\na,r,s,z,10.0.0.1:1\n\na,r,s,z,10.0.0.2:1\n", 4, "a name that is there already")]
-#[test_case("version,1\na,r,s,z,10.0.0.1:1\nb,r,s,z,10.0.0.1:1\n", 3, "an address that is there already")]
+#[test_case("", 1, "expected `version,N` with N of at least 1")]
+#[test_case("version,0\n", 1, "expected `version,N` with N of at least 1")]
+#[test_case("# none\n\nmember,a\n", 3, "expected `version,N` with N of at least 1")]
+#[test_case("version,1\na,r,s,z\n", 2, "expected `name,region,site,zone,address`")]
+#[test_case("version,1\na,r,s,z,10.0.0.1\n", 2, "expected an IP address with a port")]
+#[test_case("version,1\n,r,s,z,10.0.0.1:1\n", 2, "empty name, region or site")]
+#[test_case("version,1\na,r,s,z,10.0.0.1:1\n\na,r,s,z,10.0.0.2:1\n", 4, "duplicate member name")]
+#[test_case("version,1\na,r,s,z,10.0.0.1:1\nb,r,s,z,10.0.0.1:1\n", 3, "duplicate member address")]
 fn error_names_its_line(text: &str, line: usize, what: &str) {
     let fault = Directory::parse(text).expect_err("a fault");
     assert_eq!((fault.line, fault.problem.to_string().as_str()), (line, what));
