--- a/crates/rockflow-dissemination/tests/incarnations.rs
+++ b/crates/rockflow-dissemination/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Incarnations of control nodes that follow one another, some with impossible clocks.
+//! Successive incarnations of control nodes, some of them with impossible clocks.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use support::*;
 
-fn purges_of(incarnation: u64) -> StreamId {
+fn purge_stream(incarnation: u64) -> StreamId {
     StreamId { control: ControlId(0), kind: StreamKind::Purges, incarnation: Incarnation(incarnation) }
 }
 
@@ -20,97 +20,105 @@
     StreamTip { stream, first: SequenceNumber(1), last: SequenceNumber(last) }
 }
 
-/// The parent was cut off from a control node for long, which has published more and restarted; when they rejoin, the
-/// later incarnation is received first.
+fn is_full_purge(output: &Output) -> bool {
+    match output {
+        Output::Purge { purges, .. } => purges.contains(&(Purge::Everything, Duration::ZERO)),
+        _ => false,
+    }
+}
+
+/// The parent was cut off for long from a control node that published more and then restarted. When they rejoin, the
+/// member receives the later incarnation first, and must not take the earlier one for quiet and miss its last purges.
 #[test]
 fn quiet_incarnation_is_not_retired_when_a_later_one_is_received_first() {
     let mut node = placed_member();
-    let (one, two) = (purges_of(INCARNATION), purges_of(INCARNATION + 1));
+    let (earlier, later) = (purge_stream(INCARNATION), purge_stream(INCARNATION + 1));
     let mut now = ms(20);
-    node.on_message(now, identity("parent"), node_address(1), batch(one, 1, 1..2));
+    node.on_message(now, identity("parent"), node_address(1), batch(earlier, 1, 1..2));
     while now < s(60) {
-        parent_heartbeat(&mut node, now, vec![tip(one, 1)]);
+        parent_heartbeat(&mut node, now, vec![tip(earlier, 1)]);
         now += HEARTBEAT_INTERVAL;
         node.tick(now);
     }
-    let mut given = node.on_message(now, identity("parent"), node_address(1), batch(two, 1, 100..101));
-    given.extend(node.tick(now + ms(250)));
+    let mut outputs = node.on_message(now, identity("parent"), node_address(1), batch(later, 1, 100..101));
+    outputs.extend(node.tick(now + ms(250)));
     now += HEARTBEAT_INTERVAL;
-    given.extend(parent_heartbeat(&mut node, now, vec![tip(one, 3), tip(two, 1)]));
-    let asked = node.tick(now + HEARTBEAT_INTERVAL);
-    let ask = Message::RepairRequest { stream: one, ranges: vec![(SequenceNumber(2), SequenceNumber(3))] };
-    let asks = asked.iter().any(|out| matches!(out, Output::Send { message, .. } if *message == ask));
-    let floored = given.iter().any(|out| match out {
-        Output::Purge { purges, .. } => purges.contains(&(Purge::Everything, Duration::ZERO)),
-        _ => false,
-    });
-    assert!(asks || floored, "{given:?} {asked:?}");
-    given.extend(node.on_message(
+    outputs.extend(parent_heartbeat(&mut node, now, vec![tip(earlier, 3), tip(later, 1)]));
+    let tick_outputs = node.tick(now + HEARTBEAT_INTERVAL);
+    let repair_request =
+        Message::RepairRequest { stream: earlier, ranges: vec![(SequenceNumber(2), SequenceNumber(3))] };
+    let requests_repair = tick_outputs
+        .iter()
+        .any(|out| matches!(out, Output::Send { message, .. } if *message == repair_request));
+    let purges_everything = outputs.iter().any(is_full_purge);
+    assert!(requests_repair || purges_everything, "{outputs:?} {tick_outputs:?}");
+    outputs.extend(node.on_message(
         now + HEARTBEAT_INTERVAL,
         identity("parent"),
         node_address(1),
-        batch(one, 2, 2..4),
+        batch(earlier, 2, 2..4),
     ));
-    let taken = node.counters().accepted;
-    assert!(taken == 4 || floored, "{taken} taken");
-    // In the end it is retired.
+    let accepted = node.counters().accepted;
+    assert!(accepted == 4 || purges_everything, "{accepted} accepted");
+    // The earlier incarnation is retired once it has been quiet for long enough.
     for _ in 0..20 {
         now += HEARTBEAT_INTERVAL;
-        parent_heartbeat(&mut node, now, vec![tip(two, 1)]);
+        parent_heartbeat(&mut node, now, vec![tip(later, 1)]);
         node.tick(now);
     }
     assert_eq!(node.counters().streams_retired, 1);
 }
 
-/// Two halves of a fleet, each with a control node; one of these restarts shortly before they rejoin.
+/// Two halves of a fleet, each with a control node, are cut off from each other. One control node restarts shortly
+/// before they rejoin: the other half then receives its later incarnation while purges of the earlier one are missing.
 #[test]
 fn halves_that_rejoin_after_a_publisher_restart_miss_nothing() {
     for before_rejoining in [ms(300), ms(1000), ms(2000), ms(4000)] {
         for seed in 0..4 {
-            rejoins_after_a_restart(before_rejoining, seed);
+            check_rejoin_after_restart(before_rejoining, seed);
         }
     }
 }
 
-fn rejoins_after_a_restart(before_rejoining: Duration, seed: u64) {
+fn check_rejoin_after_restart(before_rejoining: Duration, seed: u64) {
     let mut fleet = Fleet::new(2, &[&[6], &[6]], 70 + seed);
     fleet.run(s(6));
-    // The halves: a control node and a region each.
-    let side = |fleet: &Fleet, index: usize| match index {
+    // Each half has one control node and one region.
+    let half_of = |fleet: &Fleet, index: usize| match index {
         0 | 1 => index,
         _ => usize::from(fleet.nodes[index].name.starts_with("m-1")),
     };
-    let mut cut = BTreeSet::new();
-    for one in 0..fleet.nodes.len() {
-        cut.extend(
-            (one..fleet.nodes.len())
-                .filter(|other| side(&fleet, one) != side(&fleet, *other))
-                .map(|other| (one, other)),
+    let mut links_between_halves = BTreeSet::new();
+    for node in 0..fleet.nodes.len() {
+        links_between_halves.extend(
+            (node..fleet.nodes.len())
+                .filter(|other| half_of(&fleet, node) != half_of(&fleet, *other))
+                .map(|other| (node, other)),
         );
     }
     let mut object = 0;
-    let mut owed = Vec::new();
-    let mut play = |fleet: &mut Fleet, span: Duration| {
-        let until = fleet.now + span;
+    let mut published_purges = Vec::new();
+    let mut publish_for = |fleet: &mut Fleet, duration: Duration| {
+        let until = fleet.now + duration;
         while fleet.now < until {
             object += 1;
-            owed.push((object, fleet.now));
+            published_purges.push((object, fleet.now));
             fleet.purge(0, object);
             fleet.run(ms(500).min(until - fleet.now));
         }
     };
-    play(&mut fleet, s(4));
-    fleet.cut = cut;
-    play(&mut fleet, s(40));
+    publish_for(&mut fleet, s(4));
+    fleet.cut = links_between_halves;
+    publish_for(&mut fleet, s(40));
     fleet.restart(0, INCARNATION + 50_000);
-    play(&mut fleet, before_rejoining);
-    let met = fleet.now;
+    publish_for(&mut fleet, before_rejoining);
+    let rejoined_at = fleet.now;
     fleet.cut.clear();
-    play(&mut fleet, s(12));
+    publish_for(&mut fleet, s(12));
     fleet.run(s(30));
-    for (object, published) in owed {
-        // What had expired when they rejoined does not have to be applied.
-        for index in fleet.members().filter(|_| published + PURGE_WINDOW > met + s(2)) {
+    for (object, published) in published_purges {
+        // Purges that had expired when the halves rejoined need not be applied.
+        for index in fleet.members().filter(|_| published + PURGE_WINDOW > rejoined_at + s(2)) {
             let name = &fleet.nodes[index].name;
             assert!(
                 fleet.covered(index, object, published),
@@ -120,13 +128,14 @@
     }
 }
 
-/// More incarnations than streams are held: an evicted one may still have purges that are not here.
+/// There are more incarnations than a node holds streams. An evicted one may have purges that the node has not
+/// received.
 #[test]
 fn evicted_incarnation_is_covered_by_a_full_purge() {
     let mut node = placed_member();
     let now = ms(20);
     for incarnation in 0..MAX_STREAMS as u64 {
-        let id = purges_of(INCARNATION + incarnation);
+        let id = purge_stream(INCARNATION + incarnation);
         node.on_message(now, identity("parent"), node_address(1), batch(id, 1, incarnation..incarnation + 1));
         parent_heartbeat(&mut node, now, vec![tip(id, 1)]);
     }
@@ -135,21 +144,17 @@
         now,
         identity("parent"),
         node_address(1),
-        batch(purges_of(INCARNATION + 1000), 1, 999..1000),
+        batch(purge_stream(INCARNATION + 1000), 1, 999..1000),
     );
-    let full_purge = |out: &Output| match out {
-        Output::Purge { purges, .. } => purges.contains(&(Purge::Everything, Duration::ZERO)),
-        _ => false,
-    };
-    assert!(outputs.iter().any(full_purge), "{outputs:?}");
+    assert!(outputs.iter().any(is_full_purge), "{outputs:?}");
     assert_eq!((node.counters().streams_retired, node.counters().substitute_purges), (1, 1));
 }
 
-fn control(index: usize) -> Node {
-    control_of(index, INCARNATION)
+fn new_control_node(index: usize) -> Node {
+    new_control_node_with_incarnation(index, INCARNATION)
 }
 
-fn control_of(index: usize, incarnation: u64) -> Node {
+fn new_control_node_with_incarnation(index: usize, incarnation: u64) -> Node {
     let peer =
         |index: usize| Peer { node: NodeId::of(&control_name(index)), address: node_address(index as u8) };
     let config = NodeConfig {
@@ -166,8 +171,9 @@
     node
 }
 
-fn published(node: &mut Node, now: Duration, what: Publication) -> Vec<Message> {
-    let (ids, mut outputs) = node.publish(now, vec![what]);
+/// Publishes on a control node and returns the batches that it sends within a heartbeat interval.
+fn published_batches(node: &mut Node, now: Duration, publication: Publication) -> Vec<Message> {
+    let (ids, mut outputs) = node.publish(now, vec![publication]);
     assert_eq!(ids.len(), 1);
     while node.next_due() <= now + HEARTBEAT_INTERVAL {
         outputs.extend(node.tick(node.next_due()));
@@ -179,67 +185,76 @@
     batches.collect()
 }
 
-/// One message names an impossible incarnation. Whatever it is, the control node's own purges are still accepted.
+/// One message names an impossible incarnation of a control node. Members must still accept the purges that the control
+/// node publishes afterwards.
 #[test]
 fn absurd_incarnation_in_one_message_does_not_lock_out_a_control_node() {
     for incarnation in [1 << 41, (1 << 42) - 1, 1 << 42, (1 << 42) + 1, 1 << 43, u64::MAX - 1, u64::MAX] {
-        let (mut member, mut own) = (placed_member(), control(0));
-        let named = purges_of(incarnation);
+        let (mut member, mut control_node) = (placed_member(), new_control_node(0));
+        let named_stream = purge_stream(incarnation);
         let mut now = ms(20);
-        let first =
-            published(&mut own, now, Publication::Purge { purge: Purge::object(1), age: Duration::ZERO });
+        let first = published_batches(
+            &mut control_node,
+            now,
+            Publication::Purge { purge: Purge::object(1), age: Duration::ZERO },
+        );
         member.on_message(now, identity(&control_name(0)), node_address(0), first[0].clone());
-        member.on_message(now, identity("m"), node_address(5), batch(named, 1, 50..51));
-        own.on_message(now, identity("m"), node_address(5), batch(named, 1, 50..51));
-        // A member tells the control node of a later incarnation that it knows.
+        member.on_message(now, identity("m"), node_address(5), batch(named_stream, 1, 50..51));
+        control_node.on_message(now, identity("m"), node_address(5), batch(named_stream, 1, 50..51));
+        // The member answers the control node's messages with the later incarnation that it knows, if any.
         for object in 2..80 {
-            // Once it is quiet for so long that a superseded incarnation is retired.
-            for _ in 0..if object == 10 { 40 } else { 1 } {
+            // One pause is long enough for a superseded incarnation to be retired.
+            let pause_heartbeats = if object == 10 { 40 } else { 1 };
+            for _ in 0..pause_heartbeats {
                 now += HEARTBEAT_INTERVAL;
                 parent_heartbeat(&mut member, now, Vec::new());
                 member.tick(now);
-                own.tick(now);
+                control_node.tick(now);
             }
             let purge = Publication::Purge { purge: Purge::object(object), age: Duration::ZERO };
-            let frames = published(&mut own, now, purge);
-            assert!(!frames.is_empty(), "life {incarnation}: {object} was not sent");
-            let publisher = own.status(now).identity;
-            let taken = member.counters().accepted;
+            let batches = published_batches(&mut control_node, now, purge);
+            assert!(!batches.is_empty(), "incarnation {incarnation}: purge of {object} was not sent");
+            let publisher = control_node.status(now).identity;
+            let accepted_before = member.counters().accepted;
             parent_heartbeat(&mut member, now, Vec::new());
-            for frame in frames {
-                for out in member.on_message(now, publisher, node_address(0), frame) {
+            for message in batches {
+                for out in member.on_message(now, publisher, node_address(0), message) {
                     match out {
                         Output::Send { to, message } if to == node_address(0) => {
-                            drop(own.on_message(now, identity("me"), node_address(7), message))
+                            drop(control_node.on_message(now, identity("me"), node_address(7), message))
                         }
                         _ => {}
                     }
                 }
             }
             member.tick(now);
-            assert!(member.counters().accepted > taken, "life {incarnation}: {object} was not taken");
+            assert!(
+                member.counters().accepted > accepted_before,
+                "incarnation {incarnation}: purge of {object} was not accepted"
+            );
         }
     }
 }
 
-/// Its own clock is impossible: it publishes under an incarnation that all accept, and above which others can continue.
+/// A control node starts with an impossible clock. It publishes under an incarnation that all nodes accept and that
+/// leaves greater ones for its successors.
 #[test]
 fn accepts_control_node_with_clock_far_ahead_and_its_successor() {
     for incarnation in [1 << 42, (1 << 43) - 1, u64::MAX] {
-        let (mut member, mut ahead) = (placed_member(), control_of(0, incarnation));
+        let (mut member, mut ahead) = (placed_member(), new_control_node_with_incarnation(0, incarnation));
         let publications = [
             Publication::Purge { purge: Purge::object(1), age: Duration::ZERO },
             Publication::Setting { host: "h".to_owned(), desired: DesiredState::Gone },
         ];
         for (now, publication) in [ms(100), ms(700)].into_iter().zip(publications) {
-            let taken = member.counters().accepted;
-            for frame in published(&mut ahead, now, publication) {
-                member.on_message(now, identity("parent"), node_address(1), frame);
+            let accepted_before = member.counters().accepted;
+            for message in published_batches(&mut ahead, now, publication) {
+                member.on_message(now, identity("parent"), node_address(1), message);
             }
-            assert!(member.counters().accepted > taken, "life {incarnation}");
+            assert!(member.counters().accepted > accepted_before, "incarnation {incarnation}");
         }
         assert_eq!(member.status(ms(700)).desired.len(), 1);
-        // The next incarnation has the right clock again: it is told to continue above.
+        // The next incarnation has the right clock again: the member tells it to continue above the impossible one.
         let outputs = member.on_message(ms(800), identity(&control_name(0)), node_address(0), Message::Leave);
         let notice = outputs.iter().find_map(|out| match out {
             Output::Send { message: message @ Message::SupersededIncarnation { .. }, .. } => {
@@ -247,14 +262,19 @@
             }
             _ => None,
         });
-        let mut next = control(0);
-        let outputs = next.on_message(ms(200), identity("me"), node_address(7), notice.expect("told"));
+        let mut next = new_control_node(0);
+        let outputs = next.on_message(
+            ms(200),
+            identity("me"),
+            node_address(7),
+            notice.expect("a notice of the later incarnation"),
+        );
         assert!(outputs.iter().any(|out| matches!(out, Output::IncarnationSuperseded { .. })), "{outputs:?}");
     }
 }
 
-fn setting(host: &str, at: u64) -> HostSetting {
-    let timestamp = HybridTimestamp { unix_ms: at, control: 1 };
+fn setting(host: &str, unix_ms: u64) -> HostSetting {
+    let timestamp = HybridTimestamp { unix_ms, control: 1 };
     HostSetting {
         host: host.to_owned(),
         desired: DesiredState::Gone,
@@ -263,21 +283,22 @@
     }
 }
 
-/// One message has a setting with an impossible timestamp. What the control node publishes later is still accepted.
+/// One message has a setting with an impossible timestamp. Members must still accept the settings that the control node
+/// publishes later.
 #[test]
 fn absurd_timestamp_in_one_message_does_not_block_later_settings() {
-    for timestamp in [1 << 41, (1 << 42) - 1, 1 << 42, (1 << 42) + 1, 1 << 43, u64::MAX] {
-        let (mut member, mut own) = (placed_member(), control(0));
+    for unix_ms in [1 << 41, (1 << 42) - 1, 1 << 42, (1 << 42) + 1, 1 << 43, u64::MAX] {
+        let (mut member, mut control_node) = (placed_member(), new_control_node(0));
         let stream = StreamId {
             control: ControlId(1),
             kind: StreamKind::Configuration,
             incarnation: Incarnation(INCARNATION),
         };
-        let entries = vec![AgedEntry { age_ms: 0, entry: Entry::Setting(setting("poisoned", timestamp)) }];
-        let poison = Message::Batch { stream, first: SequenceNumber(1), entries };
-        own.on_message(ms(20), identity(&control_name(1)), node_address(1), poison);
-        let clock = HybridTimestamp { unix_ms: timestamp, control: 1 };
-        own.on_message(
+        let entries = vec![AgedEntry { age_ms: 0, entry: Entry::Setting(setting("impossible", unix_ms)) }];
+        let impossible_batch = Message::Batch { stream, first: SequenceNumber(1), entries };
+        control_node.on_message(ms(20), identity(&control_name(1)), node_address(1), impossible_batch);
+        let clock = HybridTimestamp { unix_ms, control: 1 };
+        control_node.on_message(
             ms(20),
             identity(&control_name(1)),
             node_address(1),
@@ -286,19 +307,24 @@
         for index in 0..3 {
             let setting =
                 Publication::Setting { host: format!("host-{index}"), desired: DesiredState::Draining };
-            for frame in published(&mut own, ms(100 + 600 * index), setting) {
-                member.on_message(ms(100 + 600 * index), identity(&control_name(0)), node_address(0), frame);
+            for message in published_batches(&mut control_node, ms(100 + 600 * index), setting) {
+                member.on_message(
+                    ms(100 + 600 * index),
+                    identity(&control_name(0)),
+                    node_address(0),
+                    message,
+                );
             }
         }
-        assert_eq!(member.status(ms(3000)).desired.len(), 3, "{timestamp}");
+        assert_eq!(member.status(ms(3000)).desired.len(), 3, "{unix_ms}");
     }
 }
 
-/// A setting that can't be stamped above the version it replaces isn't published: an entry that no node accepts would be a
-/// gap.
+/// A setting is not published if no timestamp is left above that of the version that it replaces: an entry that no node
+/// accepts would leave a gap in the stream.
 #[test]
 fn rejects_publication_of_setting_above_every_clock() {
-    let mut own = control(0);
+    let mut control_node = new_control_node(0);
     let stream = StreamId {
         control: ControlId(1),
         kind: StreamKind::Configuration,
@@ -308,55 +334,62 @@
         age_ms: 0,
         entry: Entry::Setting(setting("h", rockflow_dissemination::MAX_CLOCK_UNIX_MS)),
     }];
-    own.on_message(
+    control_node.on_message(
         ms(20),
         identity(&control_name(1)),
         node_address(1),
         Message::Batch { stream, first: SequenceNumber(1), entries },
     );
-    let not_taken = own.counters().entries_rejected;
-    let (ids, _) = own
+    let rejected_before = control_node.counters().entries_rejected;
+    let (ids, _) = control_node
         .publish(ms(30), vec![Publication::Setting { host: "h".to_owned(), desired: DesiredState::Listed }]);
-    assert_eq!((ids, own.counters().entries_rejected), (Vec::new(), not_taken + 1));
-    let (ids, _) =
-        own.publish(ms(30), vec![Publication::Setting { host: "g".to_owned(), desired: DesiredState::Gone }]);
+    assert_eq!((ids, control_node.counters().entries_rejected), (Vec::new(), rejected_before + 1));
+    let (ids, _) = control_node
+        .publish(ms(30), vec![Publication::Setting { host: "g".to_owned(), desired: DesiredState::Gone }]);
     assert_eq!(ids.len(), 1);
 }
 
-/// Messages that claim a further own stream arrive as fast as anybody sends them.
+/// Messages that claim ever later incarnations of the control node must not make it change its incarnation with each
+/// message.
 #[test]
-fn reincarnates_at_most_once_a_heartbeat() {
-    let mut own = control(0);
+fn changes_incarnation_at_most_once_per_heartbeat() {
+    let mut control_node = new_control_node(0);
     for object in 0..2000 {
         let purge = Publication::Purge { purge: Purge::object(object), age: Duration::ZERO };
-        own.publish(ms(20), vec![purge]);
+        control_node.publish(ms(20), vec![purge]);
     }
     let mut incarnations = 0;
-    for frame in 0..100 {
-        let named = purges_of(INCARNATION + 10 * frame + 5);
-        let outputs = own.on_message(ms(30 + frame), identity("m"), node_address(5), batch(named, 1, 0..1));
+    for index in 0..100 {
+        let named_stream = purge_stream(INCARNATION + 10 * index + 5);
+        let outputs = control_node.on_message(
+            ms(30 + index),
+            identity("m"),
+            node_address(5),
+            batch(named_stream, 1, 0..1),
+        );
         incarnations +=
             outputs.iter().filter(|out| matches!(out, Output::IncarnationSuperseded { .. })).count();
     }
     assert_eq!(incarnations, 1);
-    // The next heartbeat brings what it has not answered.
-    let named = purges_of(INCARNATION + 5000);
-    let outputs = own.on_message(ms(1000), identity("m"), node_address(5), batch(named, 1, 0..1));
+    // A claim that arrives after a heartbeat interval is answered again.
+    let named_stream = purge_stream(INCARNATION + 5000);
+    let outputs =
+        control_node.on_message(ms(1000), identity("m"), node_address(5), batch(named_stream, 1, 0..1));
     assert!(
         outputs.contains(&Output::IncarnationSuperseded { incarnation: Incarnation(INCARNATION + 5001) }),
         "{outputs:?}"
     );
 }
 
-/// Answers to joins are rate-limited, as they are ten times as large as the request.
+/// Answers to joins are rate-limited, as an answer is ten times as large as its request.
 #[test]
 fn join_answers_are_rate_limited() {
-    let mut own = control(0);
+    let mut control_node = new_control_node(0);
     let directory = Directory::parse(&csv(1, 3, &[&[9, 9, 9]])).expect("a directory");
-    own.set_directory(ms(10), directory);
+    control_node.set_directory(ms(10), directory);
     let mut bytes = 0;
     for _ in 0..50_000 {
-        for out in own.on_message(
+        for out in control_node.on_message(
             ms(20),
             identity("m-0-2-8"),
             node_address(9),
@@ -367,26 +400,29 @@
             }
         }
     }
-    // Ten seconds of half of 64 members' bytes.
+    // The burst: ten seconds of half of the bytes that 64 members may send.
     assert!((500_000..=1_920_000).contains(&bytes), "{bytes}");
-    assert!(own.counters().repair_requests_throttled > 0);
+    assert!(control_node.counters().repair_requests_throttled > 0);
 }
 
-/// The node's own next stream evicts another; that is counted as for a received stream.
+/// A stream evicted by a stream that the node publishes itself is counted like one evicted by a received stream.
 #[test]
 fn eviction_by_own_stream_is_counted() {
-    let mut own = control(0);
+    let mut control_node = new_control_node(0);
     for incarnation in 0..MAX_STREAMS as u64 {
-        let id = StreamId { control: ControlId(1), ..purges_of(INCARNATION + incarnation) };
-        own.on_message(
+        let id = StreamId { control: ControlId(1), ..purge_stream(INCARNATION + incarnation) };
+        control_node.on_message(
             ms(20),
             identity(&control_name(1)),
             node_address(1),
             batch(id, 1, incarnation..incarnation + 1),
         );
     }
-    assert_eq!(own.counters().streams_retired, 0);
+    assert_eq!(control_node.counters().streams_retired, 0);
     let purge = Publication::Purge { purge: Purge::object(1), age: Duration::ZERO };
-    let (ids, _) = own.publish(ms(30), vec![purge]);
-    assert_eq!((ids.len(), own.counters().streams_retired, own.counters().substitute_purges), (1, 1, 1));
+    let (ids, _) = control_node.publish(ms(30), vec![purge]);
+    assert_eq!(
+        (ids.len(), control_node.counters().streams_retired, control_node.counters().substitute_purges),
+        (1, 1, 1)
+    );
 }
