--- a/crates/rockflow-dissemination/src/directory.rs
+++ b/crates/rockflow-dissemination/src/directory.rs
@@ -131,7 +131,7 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directory {
-    /// Version of the directory; at least 1, and greater after each change.
+    /// Version of the directory, greater after each change; at least 1 if it was parsed.
     pub version: u64,
     /// The members in the order of the file; their positions in this list are their indices.
     pub members: Vec<DirectoryMember>,
--- a/crates/rockflow-dissemination/src/message.rs
+++ b/crates/rockflow-dissemination/src/message.rs
@@ -67,13 +67,13 @@
     Leave,
     /// Rejects an acknowledgement: the sender has no room for another child.
     Full,
-    /// From a parent to a child, or between control nodes: shows how recent the sender's contact with
-    /// the control nodes is, and how far the streams reach.
+    /// From a parent to a child, or between control nodes: shows how recent the sender's contact with the control nodes
+    /// is, and how far the streams reach.
     Heartbeat {
         /// Milliseconds since a control node sent the newest heartbeat that has reached the sender; 0 from a control
         /// node itself, `u32::MAX` if none has reached the sender.
         staleness_ms: u32,
-        /// Version of the directory.
+        /// Version of the directory that the sender knows; 0 if it knows none.
         directory_version: u64,
         /// Hash of the listing of the receiver's region.
         listing_hash: u32,
--- a/crates/rockflow-dissemination/src/stream/gap.rs
+++ b/crates/rockflow-dissemination/src/stream/gap.rs
@@ -20,7 +20,7 @@
 }
 
 impl GapTracker {
-    /// Time since which the oldest missing entry is known; `None` if no entry is missing.
+    /// Time at which the oldest missing entry became known; `None` if no entry is known to be missing.
     pub fn since(&self) -> Option<Duration> {
         self.steps.front().map(|step| step.since)
     }
--- a/crates/rockflow-dissemination/src/stream/mod.rs
+++ b/crates/rockflow-dissemination/src/stream/mod.rs
@@ -148,7 +148,7 @@
         !self.start_known || self.received < self.last
     }
 
-    /// Time since which the oldest missing entry is known; `None` if no entry is missing.
+    /// Time at which the oldest missing entry became known; `None` if no entry is known to be missing.
     pub fn gap_since(&self) -> Option<Duration> {
         self.gap.since()
     }
--- a/crates/rockflow-dissemination/src/streams.rs
+++ b/crates/rockflow-dissemination/src/streams.rs
@@ -70,8 +70,8 @@
         self.streams.len()
     }
 
-    /// The latest incarnation of a control node that is known here; ignores incarnations that no later one can follow.
-    /// `None` if none is known.
+    /// The latest known incarnation of a control node; `None` if none is known. Ignores incarnations that no later one
+    /// can follow.
     pub fn latest_incarnation(&self, control: ControlId) -> Option<Incarnation> {
         let ids = self.streams.keys().filter(|id| id.control == control);
         let held = ids.map(|id| id.incarnation).filter(|incarnation| !is_last_possible(*incarnation)).max();
@@ -128,7 +128,7 @@
         retired.into_iter().filter_map(|id| self.drop(id)).collect()
     }
 
-    /// Time since which a later incarnation of the same control node is known here; `None` if none is.
+    /// Time at which a later incarnation of the same control node became known here; `None` if none is known.
     fn superseded_since(&self, id: StreamId) -> Option<Duration> {
         let is_later = |other: &&Stream| {
             let other = other.id;
