--- a/crates/rockflow-dissemination/src/directory.rs
+++ b/crates/rockflow-dissemination/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: which members are expected, and where each of them stands in the tree.
+//! The directory of the expected members, and each member's position in the tree.
 
 use crate::identity::{NodeId, Peer};
 use crate::message::MAX_PARENTS;
@@ -7,118 +7,120 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Members of a directory. One with more is rejected as a whole.
+/// Maximum number of members in a directory. A directory with more is rejected as a whole.
 const MAX_MEMBERS: usize = 16_384;
-/// Regions of a directory, likewise.
+/// Maximum number of regions in a directory. A directory with more is rejected as a whole.
 const MAX_REGIONS: usize = 256;
-/// Children of one member, by place; the head of a site has as many fewer within its site as there are sites below it.
+/// Number of children that the tree gives one member. The head of a site, that is, its first member, has one child
+/// fewer within its site for each site below it.
 const CHILDREN_PER_MEMBER: usize = 3;
-/// Members before it in its site that are candidates for a member's parent.
+/// Number of members directly before a member in its site that are candidates for its parent.
 const MAX_PRECEDING_CANDIDATES: usize = 3;
-/// Sites below the head of a site, by place.
+/// Number of sites that the tree puts below a site.
 const CHILD_SITES_PER_SITE: usize = 2;
-/// Candidates that are left to control nodes, at least.
+/// Minimum number of parent candidates that are reserved for control nodes.
 const MIN_CONTROL_CANDIDATES: usize = 2;
 
-/// One member, as the operator lists it.
+/// One member as the operator lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryMember {
-    /// Its name.
+    /// Name of the member, unique in the directory.
     pub name: String,
-    /// Its region.
+    /// Name of the member's region.
     pub region: String,
-    /// Its site within the region.
+    /// Name of the member's site within the region.
     pub site: String,
-    /// Its zone; may be empty.
+    /// Name of the member's zone; may be empty.
     pub zone: String,
-    /// Its datagram address.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
 }
 
-/// Why a directory is not valid.
+/// A directory that is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {problem}")]
 pub struct DirectoryError {
-    /// The line, counted from 1.
+    /// The invalid line, counted from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// What is wrong with the line.
     pub problem: DirectoryProblem,
 }
 
 /// What is wrong with a directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DirectoryProblem {
-    /// The first line has no version.
-    #[error("no `version,` with a number from 1")]
+    /// The first line is not `version,` with a number of at least 1.
+    #[error("expected `version,N` with N of at least 1")]
     NoVersion,
-    /// A member's name is listed before.
-    #[error("a name that is there already")]
+    /// An earlier line has the same member name.
+    #[error("duplicate member name")]
     DuplicateName,
-    /// A member's address is listed before.
-    #[error("an address that is there already")]
+    /// An earlier line has the same address.
+    #[error("duplicate member address")]
     DuplicateAddress,
-    /// More members than a directory holds.
-    #[error("more members than a directory holds")]
+    /// There are more members than a directory may have.
+    #[error("more than {} members", MAX_MEMBERS)]
     TooManyMembers,
-    /// More members or regions than a directory holds.
-    #[error("more members or regions than a directory holds")]
+    /// There are more members or regions than a directory may have.
+    #[error("more than {} members or {} regions", MAX_MEMBERS, MAX_REGIONS)]
     TooManyMembersOrRegions,
-    /// More members than a region holds.
-    #[error("more members than a region holds")]
+    /// A region has more than [`MAX_SLOTS`] members.
+    #[error("more than {} members in one region", MAX_SLOTS)]
     TooManyInRegion,
     /// Two members have the same name.
-    #[error("a name twice")]
+    #[error("two members with the same name")]
     NameTwice,
     /// A line does not have the five fields.
-    #[error("not `name,region,site,zone,address`")]
+    #[error("expected `name,region,site,zone,address`")]
     WrongFields,
-    /// A field that must not be empty is.
-    #[error("an empty name, region or site")]
+    /// The name, region or site is empty.
+    #[error("empty name, region or site")]
     EmptyField,
-    /// A field is longer than [`MAX_NAME_BYTES`].
-    #[error("a name that is too long")]
+    /// A field is longer than [`MAX_NAME_BYTES`] bytes.
+    #[error("name, region, site or zone longer than {} bytes", MAX_NAME_BYTES)]
     FieldTooLong,
-    /// The address is not one with a port.
-    #[error("no address with a port")]
+    /// The last field is not an IP address with a port.
+    #[error("expected an IP address with a port")]
     BadAddress,
 }
 
-/// Where a member stands.
+/// A member's position in the tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Index of its region.
+    /// Index of the member's region.
     pub region: u16,
-    /// Its slot in the region.
+    /// The member's slot in the region.
     pub slot: u16,
-    /// Slots of the region.
+    /// Number of slots in the region.
     pub slots: u16,
-    /// Hash of the region's listing.
+    /// Hash of the region's listing, see [`Region::listing_hash`].
     pub listing_hash: u32,
-    /// Members above it, then control nodes, by preference.
+    /// Candidates for the member's parent, the preferred one first: members above it in the tree, then control nodes.
     pub parents: Vec<Peer>,
 }
 
-/// The members of a region in the order of their slots: by site, then within it.
+/// A region and its members in the order of their slots: by site, then within the site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Region {
-    /// Its name.
+    /// Name of the region.
     pub name: String,
-    /// Hash of all on which the places of the region depend; says by which listing slots are counted.
+    /// Hash of everything on which the positions in the region depend. It identifies the listing by which the slots are
+    /// numbered.
     pub listing_hash: u32,
-    /// Indices into the members of the directory, by slot.
+    /// For each slot, the index of its member in [`Directory::members`].
     pub order: Vec<usize>,
-    /// The slots at which the sites begin, and the number of slots.
-    sites: Vec<usize>,
+    /// The first slot of each site, and last the number of slots.
+    site_starts: Vec<usize>,
 }
 
-/// A member's region and slot.
+/// The region of a member and its slot there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct SlotPosition {
     region: u16,
     slot: u16,
 }
 
-/// All expected members, divided into regions.
+/// All expected members, grouped into regions.
 ///
 /// ```
 /// use rockflow_dissemination::Directory;
@@ -129,20 +131,20 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directory {
-    /// Grows with each change.
+    /// Version of the directory, greater after each change; at least 1 if it was parsed.
     pub version: u64,
-    /// The members in the order of the file.
+    /// The members in the order of the file; their positions in this list are their indices.
     pub members: Vec<DirectoryMember>,
     regions: Vec<Region>,
-    places: BTreeMap<NodeId, Place>,
+    positions: BTreeMap<NodeId, SlotPosition>,
 }
 
 impl Directory {
-    /// Reads a directory: a first line `version,N`, then `name,region,site,zone,address` for each member. Empty lines and
-    /// those that begin with `#` are skipped.
+    /// Parses a directory: a first line `version,N`, then `name,region,site,zone,address` for each member. Empty lines
+    /// and lines that begin with `#` are skipped.
     ///
     /// # Errors
-    /// The first line that is not valid.
+    /// Names the first line that is not valid, or the version line if the directory as a whole is not.
     pub fn parse(text: &str) -> Result<Directory, DirectoryError> {
         let lines = text.lines().map(str::trim).enumerate().map(|(index, line)| (index + 1, line));
         let mut lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
@@ -169,10 +171,10 @@
         Directory::of(version, members).map_err(|problem| DirectoryError { line: version_line, problem })
     }
 
-    /// A directory of these members.
+    /// Builds a directory of these members.
     ///
     /// # Errors
-    /// Too many members or regions, or two members of the same name.
+    /// Fails if there are too many members or regions, too many members in one region, or two members of the same name.
     pub fn of(version: u64, members: Vec<DirectoryMember>) -> Result<Directory, DirectoryProblem> {
         let mut by_region: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for (index, member) in members.iter().enumerate() {
@@ -185,52 +187,53 @@
             return Err(DirectoryProblem::TooManyInRegion);
         }
         let mut regions = Vec::new();
-        let mut places = BTreeMap::new();
-        for (number, (name, order)) in (0_u16..).zip(by_region) {
-            let region = build_region(number, name, order, &members);
+        let mut positions = BTreeMap::new();
+        for (region_index, (name, order)) in (0_u16..).zip(by_region) {
+            let region = build_region(region_index, name, order, &members);
             for (slot, index) in (0_u16..).zip(&region.order) {
-                let place = Place { region: number, slot };
-                if places.insert(NodeId::of(&members[*index].name), place).is_some() {
+                let position = SlotPosition { region: region_index, slot };
+                if positions.insert(NodeId::of(&members[*index].name), position).is_some() {
                     return Err(DirectoryProblem::NameTwice);
                 }
             }
             regions.push(region);
         }
-        Ok(Directory { version, members, regions, places })
+        Ok(Directory { version, members, regions, positions })
     }
 
-    /// The regions, by index.
+    /// The regions, ordered by their index.
     pub fn regions(&self) -> &[Region] {
         &self.regions
     }
 
-    /// The region of a member.
+    /// The region of a member; `None` if the directory does not list it.
     pub fn region_of(&self, node: NodeId) -> Option<&Region> {
-        let place = self.places.get(&node)?;
-        self.regions.get(usize::from(place.region))
+        let position = self.positions.get(&node)?;
+        self.regions.get(usize::from(position.region))
     }
 
-    /// The name of the member at a slot.
+    /// The name of the member at a slot of a region; `None` if there is no such slot.
     pub fn name(&self, region: u16, slot: u16) -> Option<&str> {
         let order = &self.regions.get(usize::from(region))?.order;
         order.get(usize::from(slot)).map(|index| self.members[*index].name.as_str())
     }
 
-    /// Where a member stands: the same at all control nodes that have the same directory and list of control nodes.
+    /// The position of a member in the tree; `None` if the directory does not list it. All control nodes that have the
+    /// same directory and the same list of control nodes give the same positions.
     pub fn place(&self, node: NodeId, control: &[Peer]) -> Option<Placement> {
-        let place = *self.places.get(&node)?;
-        let region = &self.regions[usize::from(place.region)];
-        let ancestors = region.ancestors(usize::from(place.slot));
-        let ancestors = ancestors.into_iter().map(|slot| self.peer(region.order[slot]));
+        let position = *self.positions.get(&node)?;
+        let region = &self.regions[usize::from(position.region)];
+        let ancestor_slots = region.ancestors(usize::from(position.slot));
+        let ancestors = ancestor_slots.into_iter().map(|slot| self.peer(region.order[slot]));
         let mut parents: Vec<Peer> = ancestors.take(MAX_PARENTS - MIN_CONTROL_CANDIDATES).collect();
         if !control.is_empty() {
-            let first = (NodeId::of(&region.name).0 % control.len() as u64) as usize;
-            let rotated = control.iter().cycle().skip(first).take(control.len());
+            let first_control = (NodeId::of(&region.name).0 % control.len() as u64) as usize;
+            let rotated = control.iter().cycle().skip(first_control).take(control.len());
             parents.extend(rotated.take(MAX_PARENTS - parents.len()).copied());
         }
         Some(Placement {
-            region: place.region,
-            slot: place.slot,
+            region: position.region,
+            slot: position.slot,
             slots: region.order.len() as u16,
             listing_hash: region.listing_hash,
             parents,
@@ -264,43 +267,43 @@
     Ok(DirectoryMember { name, region, site, zone, address })
 }
 
-/// Orders the members of a region by the hashes of their sites and names.
-fn build_region(number: u16, name: &str, mut order: Vec<usize>, members: &[DirectoryMember]) -> Region {
+/// Orders the members of a region by the hashes of their sites and names, and hashes the listing.
+fn build_region(region_index: u16, name: &str, mut order: Vec<usize>, members: &[DirectoryMember]) -> Region {
     let key = |index: usize| {
         let member = &members[index];
         (NodeId::of(&member.site), &member.site, NodeId::of(&member.name), &member.name)
     };
-    order.sort_by(|one, other| key(*one).cmp(&key(*other)));
-    let mut sites = Vec::new();
-    let mut hashed = format!("{number},{name}");
-    for (slot, index) in order.iter().enumerate() {
-        let member = &members[*index];
+    order.sort_by(|left, right| key(*left).cmp(&key(*right)));
+    let mut site_starts = Vec::new();
+    let mut listing = format!("{region_index},{name}");
+    for (slot, member_index) in order.iter().enumerate() {
+        let member = &members[*member_index];
         if slot == 0 || members[order[slot - 1]].site != member.site {
-            sites.push(slot);
+            site_starts.push(slot);
         }
-        hashed += &format!("\n{},{},{}", member.name, member.site, member.address);
+        listing += &format!("\n{},{},{}", member.name, member.site, member.address);
     }
-    sites.push(order.len());
-    let listing_hash = xxhash_rust::xxh3::xxh3_64(hashed.as_bytes()) as u32;
-    Region { name: name.to_owned(), listing_hash, order, sites }
+    site_starts.push(order.len());
+    let listing_hash = xxhash_rust::xxh3::xxh3_64(listing.as_bytes()) as u32;
+    Region { name: name.to_owned(), listing_hash, order, site_starts }
 }
 
 impl Region {
-    /// The slots above this one: the parent first, then the nearest.
+    /// The slots above this one: the parent first, then from the nearest to the farthest.
     fn ancestors(&self, slot: usize) -> Vec<usize> {
-        let mut site = self.sites.partition_point(|first| *first <= slot) - 1;
-        let head = self.sites[site];
+        let mut site = self.site_starts.partition_point(|start| *start <= slot) - 1;
+        let head = self.site_starts[site];
         let rank = slot - head;
         let mut ancestors = Vec::new();
         if rank > 0 {
             ancestors.push(head + self.parent_rank(site, rank));
-            ancestors.extend((1..=rank).take(MAX_PRECEDING_CANDIDATES).map(|back| slot - back));
+            ancestors.extend((1..=rank).take(MAX_PRECEDING_CANDIDATES).map(|distance| slot - distance));
         }
         while site > 0 {
             site = (site - 1) / CHILD_SITES_PER_SITE;
-            let head = self.sites[site];
+            let head = self.site_starts[site];
             ancestors.push(head);
-            if self.sites[site + 1] > head + 1 {
+            if self.site_starts[site + 1] > head + 1 {
                 ancestors.push(head + 1);
             }
         }
@@ -309,13 +312,13 @@
         ancestors
     }
 
-    /// The rank within its site of the parent of a member that is not the head.
+    /// The rank of a member's parent within their site. The head of a site has rank 0; `rank` is greater than 0.
     fn parent_rank(&self, site: usize, rank: usize) -> usize {
         let child_sites = (1..=CHILD_SITES_PER_SITE).map(|child| site * CHILD_SITES_PER_SITE + child);
-        let child_sites = child_sites.filter(|child| child + 1 < self.sites.len()).count();
-        let children_of_head = CHILDREN_PER_MEMBER - child_sites;
+        let child_site_count = child_sites.filter(|child| child + 1 < self.site_starts.len()).count();
+        let children_of_head = CHILDREN_PER_MEMBER - child_site_count;
         match rank.checked_sub(children_of_head + 1) {
-            Some(beyond) => 1 + beyond / CHILDREN_PER_MEMBER,
+            Some(beyond_head) => 1 + beyond_head / CHILDREN_PER_MEMBER,
             None => 0,
         }
     }
