--- a/crates/rockflow-transport/src/cluster/mod.rs
+++ b/crates/rockflow-transport/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! The transport of a cluster: what its datagrams hold, and the thread in which a member's state machine lives.
+//! Transport of a cluster: the codec of its datagrams, with the validation of received messages, and the thread that runs
+//! a member's state machine.
 
 pub mod frame;
 pub mod thread;
--- a/crates/rockflow-transport/src/dissemination/mod.rs
+++ b/crates/rockflow-transport/src/dissemination/mod.rs
@@ -1,4 +1,5 @@
-//! Dissemination on sockets: the format of its datagrams, their checks, and the thread in which a node runs.
+//! Transport of dissemination: the codec of its datagrams, the validation of received messages, and the thread that runs
+//! a node.
 
 pub mod frame;
 mod service;
--- a/crates/rockflow-transport/src/lib.rs
+++ b/crates/rockflow-transport/src/lib.rs
@@ -1,9 +1,10 @@
-//! Transport between dispatchers: datagrams with no outside protocol. `datagram` has what all of them share, `socket` what
-//! every thread with a socket does alike. `cluster` and `dissemination` say what their datagrams hold, validate what
-//! arrives, and run the thread in which their state machine lives.
+//! UDP transport between rockflow processes, in a private format. `datagram` has the header and checksum that all
+//! datagrams share, and `socket` the event loop of a thread that owns a UDP socket. `cluster` and `dissemination` each
+//! have a codec that encodes, decodes and validates their messages, and a thread that runs their state machine.
 //!
-//! The state machines decide everything; this package sends what they want sent, hands them what arrived and the time,
-//! and passes their other outputs to the dispatcher by a callback that must not wait.
+//! The protocols are in the state machines of `rockflow-cluster` and `rockflow-dissemination`. This package sends their
+//! messages, passes received messages and the time to them, and hands their other outputs to the process by a callback
+//! that must not block.
 
 pub mod datagram;
 pub mod socket;
