--- a/crates/rockflow-transport/src/datagram.rs
+++ b/crates/rockflow-transport/src/datagram.rs
@@ -1,13 +1,14 @@
-//! What all datagrams have in common: a header with magic bytes, version and fleet, a number of messages, and a checksum
-//! over all. What is between header and checksum is checked by the reader of the messages.
+//! The envelope that all datagrams share: a header with magic bytes, format version and fleet hash, then the sender and
+//! the messages, then a CRC-32 checksum over everything before it. This module checks header and checksum; the codecs in
+//! `cluster` and `dissemination` check the content between them.
 
 use serde::Serialize;
 
-/// Messages are packed into datagrams up to this size, so that an ordinary datagram is not fragmented.
+/// Messages are packed into datagrams of up to this many bytes, so that an ordinary datagram is not fragmented.
 pub const MAX_PACKED_BYTES: usize = 1400;
-/// The largest datagram, for one message that is larger by itself.
+/// Maximum size of a datagram in bytes. Only a datagram with a single large message exceeds [`MAX_PACKED_BYTES`].
 pub const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
-/// Messages in one datagram.
+/// Maximum number of messages in one datagram.
 pub const MAX_MESSAGES: usize = 64;
 
 const MAGIC_BYTES: usize = 2;
@@ -15,63 +16,63 @@
 const FLEET_BYTES: usize = 4;
 const HEADER_BYTES: usize = MAGIC_BYTES + VERSION_BYTES + FLEET_BYTES;
 const CHECKSUM_BYTES: usize = 4;
-/// Bytes of the number of messages, at most.
+/// Space reserved for the encoded number of messages.
 const MESSAGE_COUNT_BYTES: usize = 4;
 
-/// Why a datagram is rejected.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
-    /// Without the header's magic bytes, or too short.
-    #[error("no datagram of a fleet")]
+    /// It is shorter than a header and a checksum, or starts with other magic bytes.
+    #[error("too short, or not a datagram of this protocol")]
     Foreign,
-    /// The checksum does not match.
-    #[error("a checksum that does not fit")]
+    /// The checksum does not match the content.
+    #[error("checksum mismatch")]
     Checksum,
-    /// From a program that uses another version of the format.
-    #[error("version {0}, which is not spoken here")]
+    /// The sender uses this other version of the format.
+    #[error("unsupported format version {0}")]
     Version(u8),
-    /// From a fleet of another name, or configured with other members or another number of replicas.
-    #[error("another fleet, or other members or keepers were told there")]
+    /// The sender belongs to a fleet of another name, or is configured with other members or another number of replicas.
+    #[error("sent by another fleet, or configured with other members or another number of replicas")]
     OtherFleet,
-    /// It can't be decoded, or has bytes left over.
-    #[error("not to be read")]
+    /// The content can't be decoded, or bytes are left after the last message.
+    #[error("content can't be decoded")]
     Unreadable,
-    /// A value is out of its range, or names a member that does not exist.
-    #[error("out of range")]
+    /// A value is out of its range, or a member or control node does not exist.
+    #[error("value out of range")]
     OutOfRange,
     /// Larger than [`MAX_DATAGRAM_BYTES`].
-    #[error("larger than a datagram may be")]
+    #[error("larger than {} bytes", MAX_DATAGRAM_BYTES)]
     TooLarge,
-    /// A message has more of something than it may, or none where one is needed.
-    #[error("too many or too few of something")]
+    /// There are too many messages, or a list in a message has too many items, or none where one is required.
+    #[error("too many messages or list items, or an empty list")]
     WrongCount,
-    /// A name is empty or too long.
-    #[error("a name that is empty or too long")]
+    /// A host name is empty or too long.
+    #[error("host name empty or too long")]
     InvalidName,
-    /// An entry does not belong into its stream.
-    #[error("an entry of another kind than its stream")]
+    /// A purge in a stream of configuration, or a setting in a stream of purges.
+    #[error("entry of a kind that its stream does not carry")]
     WrongKind,
-    /// No node can be reached at an address, or it lies outside the addresses allowed.
-    #[error("an address that can't be one of the fleet")]
+    /// An address is not one of a single host and port, or is outside the loopback network where only that is allowed.
+    #[error("address unusable, or outside the allowed network")]
     InvalidAddress,
-    /// The sender has this node's name: a datagram sent back, or another process under the same name.
-    #[error("the own name as its sender")]
+    /// The sender has this node's name: a datagram was reflected, or another process runs under the same name.
+    #[error("sender uses this node's name")]
     OwnName,
 }
 
-/// The header of a datagram.
+/// The header that one kind of datagrams starts with in one fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Tells the kinds of datagrams apart.
+    /// Distinguishes datagrams of the cluster from those of dissemination, and both from foreign traffic.
     pub magic: [u8; MAGIC_BYTES],
-    /// Grows with every change of the format. Datagrams of another version are counted and ignored.
+    /// Version of the format, raised with every change. Datagrams of another version are counted and ignored.
     pub version: u8,
-    /// Hash of the fleet's name, and of what else has to be configured alike.
+    /// Hash of the fleet's name and of the configuration that all its processes must share.
     pub fleet: u32,
 }
 
 impl Header {
-    /// Checks header and checksum, and returns what is between them.
+    /// Checks header and checksum, and returns the content between them.
     ///
     /// # Errors
     /// The datagram is too large, foreign, damaged, or of another version or fleet.
@@ -82,7 +83,7 @@
         if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || bytes[..MAGIC_BYTES] != self.magic {
             return Err(DatagramError::Foreign);
         }
-        // Nothing else is known of another version, not even where its checksum is.
+        // Checked before the checksum, because another version may have its checksum elsewhere.
         let version = bytes[MAGIC_BYTES];
         if version != self.version {
             return Err(DatagramError::Version(version));
@@ -97,8 +98,8 @@
         Ok(&content[HEADER_BYTES..])
     }
 
-    /// Packs messages to one receiver into datagrams, in order. Also returns how many were left out because they don't
-    /// fit into a datagram by themselves. `sender` is written before the messages of each datagram.
+    /// Packs messages for one receiver into datagrams, in order, each with the encoded `sender` before its messages. A
+    /// message that does not fit into a datagram by itself is dropped; the second value is the number of those.
     pub fn pack<M: Serialize>(&self, sender: &[u8], messages: &[M]) -> (Vec<Vec<u8>>, usize) {
         let overhead = sender.len() + HEADER_BYTES + CHECKSUM_BYTES + MESSAGE_COUNT_BYTES;
         let mut datagrams = Vec::new();
@@ -126,6 +127,7 @@
         (datagrams, left_out)
     }
 
+    /// Encodes one datagram: header, sender, number of messages, messages and checksum.
     fn seal(&self, sender: &[u8], messages: &[Vec<u8>]) -> Vec<u8> {
         let mut bytes = self.magic.to_vec();
         bytes.push(self.version);
