--- a/crates/rockflow-transport/src/socket.rs
+++ b/crates/rockflow-transport/src/socket.rs
@@ -1,5 +1,5 @@
-//! What every thread with a socket does alike: it takes datagrams and commands, looks at the time, limits what is sent, and
-//! counts what is rejected. It decides nothing.
+//! The event loop of a thread that owns a UDP socket: it passes datagrams, commands and timers to a driver, limits the
+//! rate of sent bytes, and counts traffic and rejected datagrams.
 
 use crate::datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 use std::collections::BTreeMap;
@@ -12,49 +12,49 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-/// Datagrams taken from the socket, and commands taken, before time is looked at again.
+/// Maximum number of datagrams, and of commands, that are handled in one pass of the event loop before the timers.
 const MAX_AT_ONCE: usize = 64;
-/// Bytes that one process sends per second, at most.
+/// Refill rate of the token bucket that limits the bytes sent by one socket.
 const MAX_BYTES_PER_SECOND: f64 = 16.0 * 1024.0 * 1024.0;
-/// Seconds within which a burst may use them up.
+/// Size of the token bucket, as the time in which it refills from empty.
 const BURST_SECONDS: f64 = 0.25;
-/// The first rejected datagram of each kind is logged, and then one in so many.
+/// For each reason, the first rejected datagram is logged, and then one in this many.
 const REJECTED_PER_LOG_LINE: u64 = 1000;
-/// The longest wait where nothing is due.
+/// Maximum wait for a datagram or command while no timer is set.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 
-/// What was sent, received and rejected.
+/// Counters of a socket since its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Traffic {
-    /// Datagrams sent.
+    /// Datagrams passed to the operating system.
     pub frames_out: u64,
-    /// Bytes sent.
+    /// Bytes of those datagrams, without IP and UDP headers.
     pub bytes_out: u64,
-    /// Datagrams received.
+    /// Datagrams received, rejected ones included.
     pub frames_in: u64,
-    /// Bytes received.
+    /// Bytes of those datagrams, without IP and UDP headers.
     pub bytes_in: u64,
-    /// Datagrams dropped by the limit of the bytes sent per second.
+    /// Datagrams dropped by the limit of bytes sent per second.
     pub held_back: u64,
-    /// Messages too large for a datagram.
+    /// Messages dropped because they don't fit into a datagram.
     pub left_out: u64,
-    /// Datagrams rejected, by reason.
+    /// Received datagrams that were rejected, by reason.
     pub faults: BTreeMap<DatagramError, u64>,
 }
 
-/// A socket whose traffic is counted and limited.
+/// A UDP socket with counters and a limit of the bytes sent per second.
 pub struct DatagramSocket {
     socket: UdpSocket,
     start: Instant,
-    /// What was counted since the start.
+    /// Counters since the start.
     pub traffic: Traffic,
-    /// Bytes that may be sent now.
+    /// Fill level of the token bucket: the bytes that may be sent now.
     credit: f64,
     credit_updated_at: Duration,
 }
 
 impl DatagramSocket {
-    /// Time counts from now on.
+    /// Wraps a bound socket. [`DatagramSocket::now`] counts from this call.
     pub fn new(socket: UdpSocket) -> DatagramSocket {
         DatagramSocket {
             socket,
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Time since the start.
+    /// Time since the socket was created; the clock of the state machine on it.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Sends a datagram. One above the limit is dropped, so that dispatchers don't take the network from everything else;
-    /// the state machines send again what matters.
+    /// Sends a datagram, or drops it if it exceeds the rate limit, so that this traffic does not crowd out all else on
+    /// the network. The state machines repeat the messages that matter.
     pub fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.update_credit();
         if self.credit < bytes.len() as f64 {
@@ -79,14 +79,15 @@
             return;
         }
         self.credit -= bytes.len() as f64;
-        // A datagram that can't be sent is lost like any other.
+        // A datagram that can't be sent counts as lost on the network.
         if self.socket.try_send_to(bytes, to).is_ok() {
             self.traffic.frames_out += 1;
             self.traffic.bytes_out += bytes.len() as u64;
         }
     }
 
-    /// Sends what [`Header::pack`](crate::datagram::Header::pack) returns.
+    /// Sends the datagrams that [`Header::pack`](crate::datagram::Header::pack) returned, and counts the messages that
+    /// it dropped.
     pub fn send_packed(&mut self, to: SocketAddr, (datagrams, left_out): (Vec<Vec<u8>>, usize)) {
         self.traffic.left_out += left_out as u64;
         for datagram in &datagrams {
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Counts a datagram that is rejected, and logs some of them.
+    /// Counts a rejected datagram, and logs the first for each reason and some of the later ones.
     pub fn reject(&mut self, error: DatagramError, from: SocketAddr) {
         let count = self.traffic.faults.entry(error).or_default();
         *count += 1;
         if *count % REJECTED_PER_LOG_LINE == 1 {
-            warn!(%from, fault = %error, count, "datagram not taken");
+            warn!(%from, fault = %error, count, "datagram rejected");
         }
     }
 
@@ -112,28 +113,28 @@
     }
 }
 
-/// A state machine on its socket.
+/// A state machine and its socket, driven by [`run`].
 pub trait SocketDriver {
-    /// What its owner asks of it.
+    /// Commands that the rest of the process sends to it.
     type Command;
 
-    /// Its socket.
+    /// The socket that [`run`] reads from.
     fn socket(&mut self) -> &mut DatagramSocket;
-    /// A datagram was received.
+    /// Handles a received datagram.
     fn on_datagram(&mut self, bytes: &[u8], from: SocketAddr);
-    /// Its owner has sent a command.
+    /// Handles a command.
     fn on_command(&mut self, command: Self::Command);
-    /// When [`SocketDriver::tick`] is to be called; `None`: nothing is due.
+    /// When to call [`SocketDriver::tick`] next, by [`DatagramSocket::now`]. `None` if no timer is set.
     fn next_due(&self) -> Option<Duration>;
-    /// Does what time alone requires.
+    /// Runs the timers that are due.
     fn tick(&mut self);
-    /// Whether it has ended by itself.
+    /// Whether the state machine was stopped, which ends [`run`].
     fn has_ended(&self) -> bool {
         false
     }
 }
 
-/// Runs until the driver has ended, nobody holds a sender of commands, or the socket fails.
+/// Runs the event loop until the driver has ended, all senders of commands are dropped, or the socket fails.
 pub async fn run<D: SocketDriver>(driver: &mut D, commands: &mut mpsc::Receiver<D::Command>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     while !driver.has_ended() {
@@ -152,7 +153,7 @@
             },
             () = tokio::time::sleep(wait) => {}
         }
-        // What waits goes ahead of time: an answer that is here must not count as one that did not arrive.
+        // Datagrams and commands go before timers: a reply that has already arrived must not count as timed out.
         receive_waiting(driver, &mut buffer);
         for _ in 0..MAX_AT_ONCE {
             match commands.try_recv() {
@@ -167,6 +168,7 @@
     }
 }
 
+/// Passes pending datagrams to the driver, at most [`MAX_AT_ONCE`] of them.
 fn receive_waiting<D: SocketDriver>(driver: &mut D, buffer: &mut [u8]) {
     for _ in 0..MAX_AT_ONCE {
         match driver.socket().socket.try_recv_from(buffer) {
@@ -176,14 +178,15 @@
                 traffic.bytes_in += length as u64;
                 driver.on_datagram(&buffer[..length], from);
             }
-            // From a receiver that is not there, which says nothing about this socket.
+            // An ICMP reply to an earlier datagram whose receiver does not listen; this socket still works.
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
             Err(_) => break,
         }
     }
 }
 
-/// Binds a socket, so that the caller learns of an error, and starts the thread that uses it. Returns the socket's address.
+/// Binds a UDP socket and starts a thread that runs `run` on it. Returns the local address of the socket. The socket is
+/// bound before the thread starts, so that the caller gets the error if the address is in use.
 ///
 /// # Errors
 /// The socket can't be bound, or the thread or its runtime can't be started.
