--- a/crates/rockflow-transport/src/dissemination/frame.rs
+++ b/crates/rockflow-transport/src/dissemination/frame.rs
@@ -1,56 +1,57 @@
-//! What a datagram of dissemination holds: who sends it, and messages in the order of their sending.
+//! The codec of dissemination's datagrams. Each has the sender's identity and a sequence of messages.
 
 use crate::datagram::{DatagramError, Header, MAX_MESSAGES};
 use crate::dissemination::validate::{self, Limits};
 use rockflow_dissemination::{Identity, Message};
 use serde::de::DeserializeOwned;
 
-/// Version of the format.
+/// Version of the datagram format, raised with every change.
 pub const VERSION: u8 = 2;
 const MAGIC: [u8; 2] = [0x72, 0x64];
-/// The greatest incarnation that is accepted: Unix milliseconds in the year 2248. No node could continue above a greater
-/// one.
+/// Maximum incarnation of a received message: Unix milliseconds in the year 2248. A node whose incarnation is superseded
+/// continues under a greater one, which must be possible for every incarnation that is accepted.
 pub const MAX_INCARNATION: u64 = 1 << 43;
-/// The greatest sequence number that is accepted: more than any incarnation gives out.
+/// Maximum sequence number of a received message: more than one incarnation can assign.
 pub const MAX_NUMBER: u64 = 1 << 53;
-/// Parts of a table of settings.
+/// Maximum number of parts in which a table of settings is sent.
 pub const MAX_TABLE_PARTS: u16 = 4096;
 
-/// Which addresses a message may name.
+/// The addresses of nodes that a received message may contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressScope {
     /// Only addresses of the loopback interface.
     LoopbackOnly,
-    /// Any; for a trusted network.
+    /// All unicast addresses, for a trusted network.
     Any,
 }
 
-/// Encodes and decodes datagrams, and checks all that is received.
+/// Encodes datagrams, and decodes and validates received ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameCodec {
-    /// Hash of the fleet's name.
+    /// CRC-32 of the fleet's name, written into each header.
     fleet: u32,
     limits: Limits,
 }
 
-/// The content of a datagram.
+/// The decoded content of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The sender.
+    /// Node and incarnation that sent the datagram.
     pub from: Identity,
-    /// Its messages, in order.
+    /// The messages, in the order in which they were sent.
     pub messages: Vec<Message>,
 }
 
 impl FrameCodec {
-    /// The codec of a fleet with this name and this many control nodes.
+    /// Creates the codec of a fleet. Messages that name a control node with an id of `control_count` or more, or an
+    /// address outside `addresses`, are rejected.
     pub fn new(fleet: &str, control_count: usize, addresses: AddressScope) -> FrameCodec {
         let fleet = crc32fast::hash(fleet.as_bytes());
         FrameCodec { fleet, limits: Limits { control_count, addresses } }
     }
 
-    /// Packs messages to one receiver into datagrams, in order. Also returns how many were left out because they don't
-    /// fit into a datagram by themselves.
+    /// Packs messages for one receiver into datagrams, in order. A message that does not fit into a datagram by itself is
+    /// dropped; the second value is the number of those.
     ///
     /// # Panics
     /// Never: an identity can always be encoded.
@@ -59,10 +60,10 @@
         self.header().pack(&sender, messages)
     }
 
-    /// Reads a datagram and checks all of it.
+    /// Decodes a datagram and validates all its messages.
     ///
     /// # Errors
-    /// The first fault found; nothing of the datagram is used then.
+    /// The first error found. A datagram with an error is rejected as a whole.
     pub fn decode(&self, bytes: &[u8]) -> Result<Frame, DatagramError> {
         let content = self.header().open(bytes)?;
         let (from, rest) = take::<Identity>(content)?;
@@ -89,6 +90,7 @@
     }
 }
 
+/// Decodes a value, and returns it with the bytes after it.
 fn take<T: DeserializeOwned>(bytes: &[u8]) -> Result<(T, &[u8]), DatagramError> {
     postcard::take_from_bytes(bytes).map_err(|_| DatagramError::Unreadable)
 }
--- a/crates/rockflow-transport/src/dissemination/validate.rs
+++ b/crates/rockflow-transport/src/dissemination/validate.rs
@@ -1,4 +1,5 @@
-//! Checks of received messages: each count, number, name and address is within its limits before a node sees it.
+//! Validation of received messages: a node only gets messages in which each list length, number, name and address is
+//! within its limits.
 
 use crate::datagram::DatagramError;
 use crate::dissemination::frame::{AddressScope, MAX_INCARNATION, MAX_NUMBER, MAX_TABLE_PARTS};
@@ -12,7 +13,7 @@
 
 type Check = Result<(), DatagramError>;
 
-/// Limits that depend on the configuration.
+/// The limits that depend on the configuration, for checks of received messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Limits {
     pub control_count: usize,
@@ -20,7 +21,7 @@
 }
 
 impl Limits {
-    /// Whether a message may be accepted from its sender.
+    /// Checks all lists and values of a message.
     pub fn check(&self, message: &Message) -> Check {
         match message {
             Message::Join { .. } | Message::NotListed { .. } | Message::Leave | Message::Full => Ok(()),
@@ -81,14 +82,14 @@
         incarnation(stream.incarnation)
     }
 
-    /// The first number may be the one after the last: the log is empty then.
+    /// Checks the range of numbers in a sender's log. An empty log has a first number one above the last.
     fn tip(&self, tip: &StreamTip) -> Check {
         self.stream(&tip.stream)?;
         entry_number(tip.first)?;
         ensure(tip.last.0 <= MAX_NUMBER && tip.first <= tip.last.next(), DatagramError::OutOfRange)
     }
 
-    /// How far a stream is received or applied; 0: nothing of it.
+    /// Checks the last number that is received or applied of a stream. 0 means that none is.
     fn position(&self, stream: &StreamId, number: SequenceNumber) -> Check {
         self.stream(stream)?;
         ensure(number.0 <= MAX_NUMBER, DatagramError::OutOfRange)
@@ -128,6 +129,7 @@
         self.control(ControlId(timestamp.control))
     }
 
+    /// Checks that the address can be one of a node: unicast, with a port, and in the allowed scope.
     fn address(&self, address: SocketAddr) -> Check {
         let ip = address.ip();
         let is_reachable = address.port() > 0 && !ip.is_unspecified() && !ip.is_multicast();
@@ -136,11 +138,12 @@
     }
 }
 
-/// An incarnation above which a node could continue.
+/// Checks that an incarnation is at least 1 and at most [`MAX_INCARNATION`].
 pub(super) fn incarnation(incarnation: Incarnation) -> Check {
     ensure((1..=MAX_INCARNATION).contains(&incarnation.0), DatagramError::OutOfRange)
 }
 
+/// Checks the number of an entry. Numbers start at 1.
 fn entry_number(number: SequenceNumber) -> Check {
     ensure((1..=MAX_NUMBER).contains(&number.0), DatagramError::OutOfRange)
 }
@@ -155,7 +158,7 @@
     holds.then_some(()).ok_or(error)
 }
 
-/// Checks each of at most `max` items.
+/// Checks that there are at most `max` items, and each of them with `check`.
 fn each<T>(items: &[T], max: usize, check: impl Fn(&T) -> Check) -> Check {
     ensure(items.len() <= max, DatagramError::WrongCount)?;
     items.iter().try_for_each(check)
