--- a/crates/rockflow-transport/src/dissemination/service.rs
+++ b/crates/rockflow-transport/src/dissemination/service.rs
@@ -1,4 +1,5 @@
-//! The thread in which a node runs: its socket, its clock, and a mailbox of bounded size. It decides nothing.
+//! Runs a node of dissemination on a UDP socket, in a thread of its own or as a task. Commands arrive through a bounded
+//! channel, outputs leave through a callback.
 
 use crate::datagram::DatagramError;
 use crate::dissemination::frame::FrameCodec;
@@ -15,92 +16,93 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// Commands that may wait; further ones are rejected. More than a dispatcher can owe at a time, so that no confirmation
-/// is lost.
+/// Capacity of the command channel; commands beyond it are dropped. It exceeds the number of confirmations that a
+/// dispatcher can have outstanding, so that none of them is lost.
 const MAX_WAITING_COMMANDS: usize = 32_768;
-/// A control node that starts keeps the board's backlog for this long, while the streams of the others arrive, before it
-/// publishes it.
+/// How many heartbeats a starting control node waits before it publishes the notice board's backlog. Meanwhile it
+/// receives the streams of the other control nodes, which may have published those purges already.
 const SETTLING_HEARTBEATS: u32 = 8;
 
-/// How a node is started.
+/// Options for starting a node.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// The format of its datagrams.
+    /// Encodes and decodes the node's datagrams.
     pub codec: FrameCodec,
-    /// Its configuration.
+    /// Configuration of the node's state machine.
     pub config: NodeConfig,
-    /// At a control node only.
+    /// The fleet's members and their placement. Set at a control node; `None` elsewhere.
     pub directory: Option<Directory>,
-    /// Address of its socket.
+    /// Local address to bind the UDP socket to. Port 0 lets the operating system choose one.
     pub listen: SocketAddr,
-    /// Seed of all random draws.
+    /// Seed of the node's random number generator.
     pub seed: u64,
 }
 
-/// Called once, in the thread of the node; it must not block.
+/// Receives the result of a command. It is called in the thread of the node and must not block.
 pub type Reply<T> = Box<dyn FnOnce(T) + Send>;
 
-/// What the owner of a node asks of it.
+/// A command that the process sends to its node.
 pub enum Command {
-    /// The decisions have applied what was given under this token.
+    /// The decision logic (crate rockflow) has applied the output with this token.
     ConfirmApplied(ApplyToken),
-    /// A setting can't be applied.
+    /// The decision logic can't apply a setting.
     Reject {
-        /// The setting.
+        /// The entry that carries the setting.
         id: EntryId,
-        /// Why.
+        /// Why it can't be applied; control nodes report it.
         reason: RejectionReason,
     },
-    /// At control: the notice board announces a purge, which is published by the active control node.
+    /// For a control node: the notice board announces a purge. Only the active control node publishes it.
     PurgeNotice {
-        /// What is purged.
+        /// The objects to be purged.
         purge: Purge,
-        /// Time since the purge was made.
+        /// Time since the purge was requested.
         age: Duration,
-        /// Whether the board may have announced it before this control node started.
+        /// Whether the board may have announced it before this control node started, so that another control node may
+        /// have published it.
         backlog: bool,
     },
-    /// Publish these.
+    /// For a control node: publish purges and settings.
     Publish {
-        /// What to publish.
+        /// The purges and settings, in the order of their entries.
         publications: Vec<Publication>,
-        /// Receives the ids of the entries, or of those that replace them.
+        /// Receives the ids of the new entries, or of the entries that already replace them.
         reply: Reply<Vec<EntryId>>,
     },
-    /// At control: replace the directory.
+    /// For a control node: replace the directory.
     SetDirectory(Directory),
-    /// Report the state.
+    /// Report the state of the node and its socket.
     Status(Reply<TransportStatus>),
-    /// Leave, and end the thread.
+    /// Leave the fleet, and end the thread or task.
     Stop,
 }
 
 /// The state of a node and its socket.
 #[derive(Clone, Debug)]
 pub struct TransportStatus {
-    /// State of the node.
+    /// State of the node's state machine.
     pub node: NodeStatus,
-    /// What the node has counted.
+    /// Events at the node since it started.
     pub counters: Counters,
-    /// Datagrams sent, received and rejected.
+    /// Datagrams sent, received and rejected since the start.
     pub traffic: Traffic,
 }
 
-/// Sends commands to a node, from any thread.
+/// Sends commands to a node, from any thread. The node ends when its last handle is dropped.
 #[derive(Clone)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
-    /// The address of the node's socket.
+    /// Local address of the node's socket.
     pub listens_at: SocketAddr,
 }
 
-/// Sends commands from what the node itself hands out; it does not keep the node alive.
+/// A handle for the callback that receives the node's outputs. It does not keep the node running.
 #[derive(Clone)]
 pub struct WeakHandle(mpsc::WeakSender<Command>);
 
 impl Handle {
-    /// Starts the thread. `on_output` is called in it with every output of the node except what it sends; it must not
-    /// block.
+    /// Starts a thread that runs the node. It calls `on_output` for every output except the messages to be sent, which it
+    /// sends itself; the callback must not block.
     ///
     /// # Errors
     /// The socket can't be bound, or the thread can't be started.
@@ -116,11 +118,11 @@
         Ok(Handle { commands, listens_at })
     }
 
-    /// The same without a thread of its own, for many nodes that share one. The node lives as long as the returned future
-    /// is polled, within a runtime of tokio.
+    /// Like [`Handle::start`], but without a thread, so that many nodes can share one. The returned future runs the node and
+    /// has to be polled. This must be called within a tokio runtime.
     ///
     /// # Errors
-    /// The socket can't be bound.
+    /// The socket can't be bound or registered with the runtime.
     pub fn shared(
         options: NodeOptions,
         on_output: impl FnMut(&WeakHandle, Output) + Send + 'static,
@@ -135,19 +137,19 @@
         Ok((Handle { commands, listens_at }, node))
     }
 
-    /// Returns false where too many commands wait, or the thread has ended: the command is dropped.
+    /// Queues a command. Returns `false`, and drops the command, if the queue is full or the node has ended.
     pub fn send(&self, command: Command) -> bool {
         self.commands.try_send(command).is_ok()
     }
 
-    /// Whether the thread has ended.
+    /// Whether the node has stopped or failed, so that no command reaches it any more.
     pub fn has_ended(&self) -> bool {
         self.commands.is_closed()
     }
 }
 
 impl WeakHandle {
-    /// As [`Handle::send`].
+    /// Queues a command like [`Handle::send`]. Also returns `false` if the last [`Handle`] is dropped.
     pub fn send(&self, command: Command) -> bool {
         self.0.upgrade().is_some_and(|commands| commands.try_send(command).is_ok())
     }
@@ -166,20 +168,20 @@
     socket::run(&mut service, &mut mailbox).await;
 }
 
-/// The board's purges at a control node.
+/// Publishes the notice board's purges at a control node.
 struct BoardFeed {
     publisher: Publisher,
-    /// When to look next at what is to be published.
+    /// When to check next for purges to publish.
     due: Duration,
     interval: Duration,
 }
 
-/// Owns a node and its socket.
+/// The driver of a node and its socket.
 struct Service {
     codec: FrameCodec,
     identity: Identity,
     node: Node,
-    /// At a control node only.
+    /// `None` unless the node is a control node.
     feed: Option<BoardFeed>,
     socket: DatagramSocket,
     on_output: Box<dyn FnMut(Output) + Send>,
@@ -207,18 +209,18 @@
     }
 
     fn start(&mut self) {
-        info!(node = self.identity.node.0, incarnation = self.identity.incarnation.0, "dissemination");
+        info!(node = self.identity.node.0, incarnation = self.identity.incarnation.0, "dissemination starts");
         let outputs = self.node.start(self.socket.now());
         self.execute(outputs);
     }
 
-    /// Sends what is to be sent, packed by receiver, and passes the rest on.
+    /// Sends the messages, packed into datagrams by receiver, and passes the other outputs to the callback.
     fn execute(&mut self, outputs: Vec<Output>) {
         let mut messages: BTreeMap<SocketAddr, Vec<Message>> = BTreeMap::new();
         for output in outputs {
             match output {
                 Output::Send { to, message } => messages.entry(to).or_default().push(message),
-                // What is sent from now on is of the new incarnation.
+                // All messages of this call are sent below, under the new incarnation.
                 Output::IncarnationSuperseded { incarnation } => {
                     self.identity.incarnation = incarnation;
                     (self.on_output)(output);
@@ -235,7 +237,7 @@
         }
     }
 
-    /// What another control node has published need not be published here.
+    /// Tells the publisher which purges another control node has published, so that it does not publish them again.
     fn note_published(&mut self, output: &Output) {
         let (Some(feed), Output::Purge { purges, .. }) = (&mut self.feed, output) else { return };
         let now = self.socket.now();
@@ -282,7 +284,7 @@
     fn on_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         match self.codec.decode(bytes) {
             Ok(frame) if frame.from.node != self.identity.node => {
-                // Together, so that what results from one datagram leaves in one datagram to each receiver.
+                // Executed together, so that the replies to one datagram share a datagram for each receiver.
                 let mut outputs = Vec::new();
                 for message in frame.messages {
                     outputs.extend(self.node.on_message(self.socket.now(), frame.from, from, message));
@@ -345,7 +347,7 @@
 impl Drop for Service {
     fn drop(&mut self) {
         if !self.is_stopped {
-            warn!("the thread of dissemination ends without a stop");
+            warn!("dissemination ended without a stop command");
         }
     }
 }
