--- a/crates/rockflow-transport/src/cluster/frame.rs
+++ b/crates/rockflow-transport/src/cluster/frame.rs
@@ -1,5 +1,5 @@
-//! The datagrams of a cluster: a head with version, cluster and sender, messages in the order in which they were sent, and
-//! a checksum over all. What others send is validated here, strictly and once.
+//! The codec of a cluster's datagrams. Each has the sender's identity and a sequence of messages. Received messages are
+//! validated here, so that the state machine only gets those within all limits.
 
 use crate::datagram::Header;
 use rockflow_cluster::replica::MAX_TRANSFERRED_RECORDS;
@@ -10,36 +10,38 @@
 
 pub use crate::datagram::{DatagramError, MAX_DATAGRAM_BYTES, MAX_MESSAGES, MAX_PACKED_BYTES};
 
-/// The version of these datagrams.
+/// Version of the datagram format, raised with every change.
 pub const VERSION: u8 = 1;
-/// The first bytes of these datagrams.
+/// The first bytes of every datagram of a cluster.
 const MAGIC: [u8; 2] = [0x72, 0x66];
-/// The maximum number of started attempts of one request.
+/// Maximum number of started attempts in the progress of one request.
 pub const MAX_STARTED_ATTEMPTS: usize = 64;
-/// The maximum number of incarnations that go with a vote.
+/// Maximum number of incarnations of other replicas in a vote.
 pub const MAX_KNOWN_INCARNATIONS: usize = 16;
-/// The maximum size of an answer's entity tag, in bytes.
+/// Maximum size of an answer's entity tag, in bytes.
 pub const MAX_TAG_BYTES: usize = 256;
 
-/// What a datagram holds.
+/// The decoded content of a datagram. Its encoding is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The sender.
+    /// Member and incarnation that sent the datagram.
     pub from: Identity,
-    /// Its messages, in the order in which they were sent.
+    /// The messages, in the order in which they were sent.
     pub messages: Vec<Message>,
 }
 
-/// Packs messages to one peer into datagrams, in order. What does not fit even alone is left out, and counted.
+/// Packs messages for one member into datagrams, in order. A message that does not fit into a datagram by itself is
+/// dropped; the second value is the number of those.
 pub fn encode(config: &ClusterConfig, from: Identity, messages: &[Message]) -> (Vec<Vec<u8>>, usize) {
-    let from = postcard::to_stdvec(&from).expect("an identity is always written");
+    let from = postcard::to_stdvec(&from).expect("an identity can always be encoded");
     head(config).pack(&from, messages)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram and validates all its messages.
 ///
 /// # Errors
-/// If it is not whole, not of this version or cluster, or holds anything that is out of its bounds.
+/// The datagram is damaged, of another version or cluster, or contains a value outside its limits. It is rejected as a
+/// whole.
 pub fn decode(config: &ClusterConfig, bytes: &[u8]) -> Result<Frame, DatagramError> {
     let inner = head(config).open(bytes)?;
     let (frame, rest) = postcard::take_from_bytes::<Frame>(inner).map_err(|_| DatagramError::Unreadable)?;
@@ -57,7 +59,7 @@
     Header { magic: MAGIC, version: VERSION, fleet: config.digest() }
 }
 
-/// Checks that a message names members that exist, and holds no more than it may.
+/// Checks that a message refers only to configured members, and that its lists and values are within their limits.
 struct Validator<'a> {
     config: &'a ClusterConfig,
 }
