--- a/crates/rockflow-transport/src/cluster/thread.rs
+++ b/crates/rockflow-transport/src/cluster/thread.rs
@@ -1,5 +1,5 @@
-//! The thread in which a member's state machine lives: its socket, its clock, and a mailbox of bounded size. It decides
-//! nothing.
+//! The thread that runs a member's state machine on a UDP socket. Commands arrive through a bounded channel, outputs leave
+//! through a callback.
 
 use super::frame;
 use crate::datagram::DatagramError;
@@ -16,99 +16,102 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// The maximum number of commands that wait; more are rejected, and their requests are not covered.
+/// Capacity of the command channel. Commands beyond it are dropped, and their requests are not recorded at
+/// replicas.
 const MAX_QUEUED_COMMANDS: usize = 4096;
 
-/// What a member is started with.
+/// Options for starting a member.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The configuration of the cluster.
+    /// Configuration that all members share.
     pub config: ClusterConfig,
-    /// This member.
+    /// Id of this member.
     pub member: MemberId,
-    /// Where each member listens, by its id.
+    /// UDP address of each member, indexed by member id.
     pub addresses: Vec<SocketAddr>,
-    /// Where this member listens.
+    /// Local address to bind the UDP socket to.
     pub listen: SocketAddr,
-    /// This incarnation.
+    /// Incarnation of this member, greater than that of every earlier process of it.
     pub incarnation: Incarnation,
-    /// The seed of its random numbers.
+    /// Seed of the state machine's random number generator.
     pub seed: u64,
-    /// The cluster never ran before: nothing can have been forgotten.
+    /// Whether the cluster never ran before. The member then starts with no records to recover from others.
     pub is_new_cluster: bool,
 }
 
-/// What the dispatcher tells its member.
+/// A command that a dispatcher sends to its member.
 pub enum Command {
-    /// A request arrived.
+    /// A client's request arrived.
     RequestArrived {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// What is asked for.
+        /// The object that the request is for, and what a second execution of it would do.
         descriptor: RequestDescriptor,
-        /// How long its client waits.
+        /// Time until the client's deadline.
         left: Duration,
     },
-    /// An attempt of a covered request is wanted; [`Output::MaySend`] follows, or another output on the request.
+    /// The dispatcher wants to send an attempt of a request that needs a quorum. [`Output::MaySend`] follows, or another
+    /// output for the request.
     ProposeAttempt {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt within the request.
         attempt: u16,
-        /// The host that it goes to.
+        /// The host that the attempt is for.
         host: u64,
     },
-    /// The decisions have ended a request; for a covered one [`Output::FinalAnswer`] follows.
+    /// The decision logic (crate rockflow) has ended a request. If the request needs a quorum, [`Output::FinalAnswer`]
+    /// follows.
     RequestEnded {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// What a second execution would do.
+        /// What a second execution of the request would do.
         kind: EffectKind,
-        /// The final answer.
+        /// The answer for the client.
         answer: Answer,
     },
-    /// The client is gone.
+    /// A client disconnected and no longer waits for its answer.
     ClientDisconnected {
-        /// Its request.
+        /// Id of the client's request.
         request: RequestId,
     },
-    /// A graceful shutdown: open requests are handed over, and this incarnation leaves.
+    /// Graceful shutdown: hand the open requests over to other members, and leave the cluster.
     ShutDown,
-    /// Report the status. The callback runs in the member's thread and must not wait.
+    /// Report the status. The callback runs in the member's thread and must not block.
     ReportStatus(Box<dyn FnOnce(StatusReport) + Send>),
 }
 
-/// What a member knows and has counted.
+/// State and counters of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatusReport {
-    /// Its place in the cluster.
+    /// The member's view of the cluster, and its own health.
     pub membership: MembershipStatus,
-    /// The members that are present.
+    /// The members that are present, this one included.
     pub present: Vec<Identity>,
-    /// Its counters.
+    /// Counters of the state machine since this incarnation began.
     pub counts: Counts,
-    /// What it holds.
+    /// Numbers of records and open requests in memory.
     pub held: HeldCounts,
-    /// Whether it may vote on all that it can be asked.
+    /// Whether the records from before the last restart are recovered, so that this member may vote on every request.
     pub is_synchronized: bool,
-    /// Its datagrams.
+    /// Datagrams sent, received and rejected since the start.
     pub traffic: Traffic,
 }
 
-/// A handle on a member's thread, usable from any thread. The member ends with its last handle.
+/// Sends commands to a member, from any thread. The member's thread ends when its last handle is dropped.
 #[derive(Clone)]
 pub struct NodeHandle {
     commands: mpsc::Sender<Command>,
-    /// Where the member listens.
+    /// Local address of the member's socket.
     pub listens_at: SocketAddr,
 }
 
 impl NodeHandle {
-    /// Starts the thread. `on_output` is called in it with every output but those that it carries out itself, and must
-    /// not wait.
+    /// Starts the thread. It calls `on_output` for every output except messages to be sent and the restart under a greater
+    /// incarnation, which it handles itself; the callback must not block.
     ///
     /// # Errors
-    /// If the address can't be bound or the thread can't be started.
+    /// The socket can't be bound, or the thread can't be started.
     pub fn start(plan: Plan, on_output: impl FnMut(Output) + Send + 'static) -> io::Result<NodeHandle> {
         let (commands, mut queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let listens_at = socket::spawn("fleet", plan.listen, move |socket| {
@@ -121,13 +124,13 @@
         Ok(NodeHandle { commands, listens_at })
     }
 
-    /// Queues a command. False: too many wait, or the thread has ended, and nothing will come of it.
+    /// Queues a command. Returns `false`, and drops the command, if the queue is full or the thread has ended.
     pub fn send(&self, command: Command) -> bool {
         self.commands.try_send(command).is_ok()
     }
 }
 
-/// A node on its socket.
+/// The driver of a member's state machine and its socket.
 struct Carrier {
     plan: Plan,
     node: ClusterNode,
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Sends what is to be sent, packed by peer, and passes the rest on.
+    /// Sends the messages, packed into datagrams by receiver, restarts the state machine where it is superseded, and passes
+    /// the other outputs to the callback.
     fn apply(&mut self, outputs: Vec<Output>) {
         let mut messages: BTreeMap<MemberId, Vec<Message>> = BTreeMap::new();
         for output in outputs {
@@ -182,12 +186,13 @@
         }
     }
 
-    /// A later incarnation of this member is known: the requests of this one are not its own any more.
+    /// Replaces the state machine by one with empty memory and an incarnation above `later`. Another process of this member
+    /// ran as `later`, so the requests of the current incarnation are no longer its own.
     fn restart_above(&mut self, later: Incarnation) {
         warn!(
             incarnation = self.plan.incarnation.0,
             later = later.0,
-            "a later incarnation of this member is known: restarted above it"
+            "a later incarnation of this member is known; restarting with a greater one"
         );
         self.plan.incarnation = Incarnation(later.0 + 1);
         let identity = Identity { member: self.plan.member, incarnation: self.plan.incarnation };
@@ -200,7 +205,7 @@
     fn propose_attempt(&mut self, now: Duration, request: RequestId, attempt: u16, host: u64) -> Vec<Output> {
         let (permission, mut outputs) = self.node.propose_attempt(now, request, attempt, host);
         if permission == Permission::Immediate {
-            // A request that is not covered: the dispatcher goes on alone.
+            // The cluster has no record of this request, so the dispatcher proceeds without it.
             outputs.push(Output::QuorumUnavailable { request });
         }
         outputs
@@ -245,7 +250,7 @@
                     self.apply(outputs);
                 }
             }
-            // Its own, sent back, or that of another process under the same name: ignored.
+            // A reflected datagram, or one of another process that runs as the same member.
             Ok(_) => self.socket.reject(DatagramError::OutOfRange, from),
             Err(error) => self.socket.reject(error, from),
         }
