--- a/crates/rockflow-transport/src/dissemination/frame.rs
+++ b/crates/rockflow-transport/src/dissemination/frame.rs
@@ -12,9 +12,9 @@
 /// continues under a greater one, which must be possible for every incarnation that is accepted.
 pub const MAX_INCARNATION: u64 = 1 << 43;
 /// Maximum sequence number of a received message: more than one incarnation can assign.
-pub const MAX_NUMBER: u64 = 1 << 53;
+pub const MAX_SEQUENCE_NUMBER: u64 = 1 << 53;
 /// Maximum number of parts in which a table of settings is sent.
-pub const MAX_TABLE_PARTS: u16 = 4096;
+pub const MAX_SETTINGS_PARTS: u16 = 4096;
 
 /// The addresses of nodes that a received message may contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     pub fn decode(&self, bytes: &[u8]) -> Result<Frame, DatagramError> {
         let content = self.header().open(bytes)?;
         let (from, rest) = take::<Identity>(content)?;
-        validate::incarnation(from.incarnation)?;
+        validate::check_incarnation(from.incarnation)?;
         let (count, mut rest) = take::<usize>(rest)?;
         if count > MAX_MESSAGES {
             return Err(DatagramError::WrongCount);
--- a/crates/rockflow-transport/src/dissemination/service.rs
+++ b/crates/rockflow-transport/src/dissemination/service.rs
@@ -110,10 +110,10 @@
         options: NodeOptions,
         on_output: impl FnMut(&WeakHandle, Output) + Send + 'static,
     ) -> io::Result<Handle> {
-        let (commands, mailbox) = mpsc::channel(MAX_WAITING_COMMANDS);
-        let weak = WeakHandle(commands.downgrade());
+        let (commands, command_queue) = mpsc::channel(MAX_WAITING_COMMANDS);
+        let weak_handle = WeakHandle(commands.downgrade());
         let listens_at = socket::spawn("dissemination", options.listen, move |socket| {
-            Box::pin(run(options, DatagramSocket::new(socket), weak, mailbox, on_output))
+            Box::pin(run(options, DatagramSocket::new(socket), weak_handle, command_queue, on_output))
         })?;
         Ok(Handle { commands, listens_at })
     }
@@ -131,9 +131,11 @@
         socket.set_nonblocking(true)?;
         let listens_at = socket.local_addr()?;
         let socket = tokio::net::UdpSocket::from_std(socket)?;
-        let (commands, mailbox) = mpsc::channel(MAX_WAITING_COMMANDS);
-        let weak = WeakHandle(commands.downgrade());
-        let node = async move { run(options, DatagramSocket::new(socket), weak, mailbox, on_output).await };
+        let (commands, command_queue) = mpsc::channel(MAX_WAITING_COMMANDS);
+        let weak_handle = WeakHandle(commands.downgrade());
+        let node = async move {
+            run(options, DatagramSocket::new(socket), weak_handle, command_queue, on_output).await
+        };
         Ok((Handle { commands, listens_at }, node))
     }
 
@@ -158,21 +160,22 @@
 async fn run(
     options: NodeOptions,
     socket: DatagramSocket,
-    weak: WeakHandle,
-    mut mailbox: mpsc::Receiver<Command>,
+    weak_handle: WeakHandle,
+    mut command_queue: mpsc::Receiver<Command>,
     mut on_output: impl FnMut(&WeakHandle, Output) + Send + 'static,
 ) {
-    let on_output = Box::new(move |output| on_output(&weak, output));
+    let on_output = Box::new(move |output| on_output(&weak_handle, output));
     let mut service = Service::new(options, socket, on_output);
     service.start();
-    socket::run(&mut service, &mut mailbox).await;
+    socket::run(&mut service, &mut command_queue).await;
 }
 
 /// Publishes the notice board's purges at a control node.
 struct BoardFeed {
     publisher: Publisher,
     /// When to check next for purges to publish.
-    due: Duration,
+    next_check: Duration,
+    /// Time between two checks.
     interval: Duration,
 }
 
@@ -182,7 +185,7 @@
     identity: Identity,
     node: Node,
     /// `None` unless the node is a control node.
-    feed: Option<BoardFeed>,
+    board_feed: Option<BoardFeed>,
     socket: DatagramSocket,
     on_output: Box<dyn FnMut(Output) + Send>,
     is_stopped: bool,
@@ -198,14 +201,14 @@
         let interval = config.heartbeat_interval;
         let has_peers = config.control.len() > 1;
         let settling = if has_peers { interval * SETTLING_HEARTBEATS } else { Duration::ZERO };
-        let feed = config.control_id.map(|_| BoardFeed {
+        let board_feed = config.control_id.map(|_| BoardFeed {
             publisher: Publisher::new(config.purge_window).settling(settling),
-            due: socket.now(),
+            next_check: socket.now(),
             interval,
         });
         let identity = config.identity;
         let node = Node::new(config, directory, seed, socket.now());
-        Service { codec, identity, node, feed, socket, on_output, is_stopped: false }
+        Service { codec, identity, node, board_feed, socket, on_output, is_stopped: false }
     }
 
     fn start(&mut self) {
@@ -226,7 +229,7 @@
                     (self.on_output)(output);
                 }
                 other => {
-                    self.note_published(&other);
+                    self.record_published(&other);
                     (self.on_output)(other);
                 }
             }
@@ -238,27 +241,29 @@
     }
 
     /// Tells the publisher which purges another control node has published, so that it does not publish them again.
-    fn note_published(&mut self, output: &Output) {
-        let (Some(feed), Output::Purge { purges, .. }) = (&mut self.feed, output) else { return };
+    fn record_published(&mut self, output: &Output) {
+        let (Some(board_feed), Output::Purge { purges, .. }) = (&mut self.board_feed, output) else { return };
         let now = self.socket.now();
         for (purge, age) in purges {
-            feed.publisher.on_published(now, *purge, *age);
+            board_feed.publisher.on_published(now, *purge, *age);
         }
     }
 
     fn on_purge_notice(&mut self, now: Duration, purge: Purge, age: Duration, backlog: bool) {
-        let Some(feed) = &mut self.feed else { return };
+        let Some(board_feed) = &mut self.board_feed else { return };
         match backlog {
-            true => feed.publisher.on_backlog_notice(now, purge, age),
-            false => feed.publisher.on_purge_notice(now, purge, age),
+            true => board_feed.publisher.on_backlog_notice(now, purge, age),
+            false => board_feed.publisher.on_purge_notice(now, purge, age),
         }
-        feed.due = now;
+        board_feed.next_check = now;
     }
 
     fn publish_due(&mut self, now: Duration) {
-        let Some(feed) = self.feed.as_mut().filter(|feed| feed.due <= now) else { return };
-        feed.due = now + feed.interval;
-        let publications = feed.publisher.tick(now, self.node.publisher_role(now));
+        let Some(board_feed) = self.board_feed.as_mut().filter(|feed| feed.next_check <= now) else {
+            return;
+        };
+        board_feed.next_check = now + board_feed.interval;
+        let publications = board_feed.publisher.tick(now, self.node.publisher_role(now));
         if !publications.is_empty() {
             let (_, outputs) = self.node.publish(now, publications);
             self.execute(outputs);
@@ -327,7 +332,7 @@
 
     fn next_due(&self) -> Option<Duration> {
         let due = self.node.next_due();
-        Some(self.feed.as_ref().map_or(due, |feed| due.min(feed.due)))
+        Some(self.board_feed.as_ref().map_or(due, |feed| due.min(feed.next_check)))
     }
 
     fn tick(&mut self) {
--- a/crates/rockflow-transport/tests/dissemination_frames.rs
+++ b/crates/rockflow-transport/tests/dissemination_frames.rs
@@ -6,7 +6,7 @@
 use rockflow_dissemination::MAX_CLOCK_UNIX_MS;
 use rockflow_dissemination::*;
 use rockflow_transport::dissemination::frame::{
-    AddressScope, FrameCodec, MAX_INCARNATION, MAX_NUMBER, MAX_TABLE_PARTS, VERSION,
+    AddressScope, FrameCodec, MAX_INCARNATION, MAX_SEQUENCE_NUMBER, MAX_SETTINGS_PARTS, VERSION,
 };
 use rockflow_transport::DatagramError;
 use test_case::test_case;
@@ -144,7 +144,7 @@
             next: SequenceNumber(1),
             min_accepted_age_ms: None,
         },
-        Message::SettingsRequest { part: MAX_TABLE_PARTS - 1 },
+        Message::SettingsRequest { part: MAX_SETTINGS_PARTS - 1 },
         Message::RepairRequest { stream: stream(StreamKind::Purges), ranges: vec![] },
         settings(0, 1, MAX_SETTINGS_PER_PART),
         region_reports(MAX_REGION_REPORTS, 0),
@@ -222,7 +222,7 @@
 #[test_case(batch(StreamKind::Purges, 1, vec![purge(); MAX_BATCH_ENTRIES + 1]), DatagramError::WrongCount; "entries")]
 #[test_case(batch(StreamKind::Purges, 1, vec![]), DatagramError::WrongCount; "no entries")]
 #[test_case(batch(StreamKind::Purges, 0, vec![purge()]), DatagramError::OutOfRange; "number zero")]
-#[test_case(batch(StreamKind::Purges, MAX_NUMBER + 1, vec![purge()]), DatagramError::OutOfRange; "number without end")]
+#[test_case(batch(StreamKind::Purges, MAX_SEQUENCE_NUMBER + 1, vec![purge()]), DatagramError::OutOfRange; "number without end")]
 #[test_case(batch(StreamKind::Configuration, 1, vec![purge()]), DatagramError::WrongKind; "a purge among settings")]
 #[test_case(batch(StreamKind::Purges, 1, vec![setting_entry(setting("c1"))]), DatagramError::WrongKind; "a setting among purges")]
 #[test_case(batch_with_setting(|setting| setting.host.clear()), DatagramError::InvalidName; "no name")]
@@ -233,8 +233,8 @@
 #[test_case(batch_with_setting(|setting| setting.replaced = setting.timestamp), DatagramError::OutOfRange; "seen itself")]
 #[test_case(repair_request(2, 1), DatagramError::OutOfRange; "a range that ends before it begins")]
 #[test_case(repair_request(0, 1), DatagramError::OutOfRange; "a range from zero")]
-#[test_case(repair_request(1, MAX_NUMBER + 1), DatagramError::OutOfRange; "a range without end")]
-#[test_case(Message::SettingsRequest { part: MAX_TABLE_PARTS }, DatagramError::OutOfRange; "a part that there is not")]
+#[test_case(repair_request(1, MAX_SEQUENCE_NUMBER + 1), DatagramError::OutOfRange; "a range without end")]
+#[test_case(Message::SettingsRequest { part: MAX_SETTINGS_PARTS }, DatagramError::OutOfRange; "a part that there is not")]
 #[test_case(settings_with(|version| version.stream.kind = StreamKind::Purges), DatagramError::WrongKind; "a setting of a stream of purges")]
 #[test_case(settings_with(|version| version.number = SequenceNumber(0)), DatagramError::OutOfRange; "a setting of no number")]
 #[test_case(settings_with(|version| version.setting.host.clear()), DatagramError::InvalidName; "a setting of no host")]
@@ -253,7 +253,7 @@
 #[test_case(placement(0, 1, &["192.0.2.1:1"]), DatagramError::InvalidAddress; "an address outside")]
 #[test_case(settings(1, 1, 1), DatagramError::OutOfRange; "a part behind the last")]
 #[test_case(settings(0, 0, 1), DatagramError::OutOfRange; "no parts")]
-#[test_case(settings(0, MAX_TABLE_PARTS + 1, 1), DatagramError::OutOfRange; "parts")]
+#[test_case(settings(0, MAX_SETTINGS_PARTS + 1, 1), DatagramError::OutOfRange; "parts")]
 #[test_case(settings(0, 1, MAX_SETTINGS_PER_PART + 1), DatagramError::WrongCount; "settings")]
 #[test_case(region_reports(MAX_REGION_REPORTS + 1, 0), DatagramError::WrongCount; "rows")]
 #[test_case(region_reports(1, 2), DatagramError::OutOfRange; "a clock of nobody")]
@@ -262,7 +262,7 @@
 #[test_case(superseded(0, 0), DatagramError::OutOfRange; "no life")]
 #[test_case(superseded(0, MAX_INCARNATION + 1), DatagramError::OutOfRange; "a life without end")]
 #[test_case(Message::Acknowledgement { received: vec![position(1); MAX_STREAMS + 1], reports: vec![] }, DatagramError::WrongCount; "streams")]
-#[test_case(Message::Acknowledgement { received: vec![position(MAX_NUMBER + 1)], reports: vec![] }, DatagramError::OutOfRange; "has without end")]
+#[test_case(Message::Acknowledgement { received: vec![position(MAX_SEQUENCE_NUMBER + 1)], reports: vec![] }, DatagramError::OutOfRange; "has without end")]
 #[test_case(Message::Acknowledgement { received: vec![], reports: vec![SubtreeReport { slots: SlotSet(vec![]), ..report() }; MAX_REPORTS + 1] }, DatagramError::WrongCount; "reports")]
 #[test_case(acknowledgement_with(|report| report.slots.0.push(0)), DatagramError::WrongCount; "slots of a report")]
 #[test_case(acknowledgement_with(|report| report.applied.push(position(1))), DatagramError::WrongCount; "in force")]
