--- a/crates/rockflow-transport/src/cluster/frame.rs
+++ b/crates/rockflow-transport/src/cluster/frame.rs
@@ -34,7 +34,7 @@
 /// dropped; the second value is the number of those.
 pub fn encode(config: &ClusterConfig, from: Identity, messages: &[Message]) -> (Vec<Vec<u8>>, usize) {
     let from = postcard::to_stdvec(&from).expect("an identity can always be encoded");
-    head(config).pack(&from, messages)
+    header(config).pack(&from, messages)
 }
 
 /// Decodes a datagram and validates all its messages.
@@ -43,8 +43,8 @@
 /// The datagram is damaged, of another version or cluster, or contains a value outside its limits. It is rejected as a
 /// whole.
 pub fn decode(config: &ClusterConfig, bytes: &[u8]) -> Result<Frame, DatagramError> {
-    let inner = head(config).open(bytes)?;
-    let (frame, rest) = postcard::take_from_bytes::<Frame>(inner).map_err(|_| DatagramError::Unreadable)?;
+    let content = header(config).open(bytes)?;
+    let (frame, rest) = postcard::take_from_bytes::<Frame>(content).map_err(|_| DatagramError::Unreadable)?;
     if !rest.is_empty() {
         return Err(DatagramError::Unreadable);
     }
@@ -55,7 +55,7 @@
     is_valid.then_some(frame).ok_or(DatagramError::OutOfRange)
 }
 
-fn head(config: &ClusterConfig) -> Header {
+fn header(config: &ClusterConfig) -> Header {
     Header { magic: MAGIC, version: VERSION, fleet: config.digest() }
 }
 
@@ -90,8 +90,8 @@
         usize::from(identity.member.0) < self.config.members.len()
     }
 
-    fn accepts_step(&self, at: &Step) -> bool {
-        self.is_member(&at.ballot.identity)
+    fn accepts_step(&self, step: &Step) -> bool {
+        self.is_member(&step.ballot.identity)
     }
 
     fn accepts_answer(&self, answer: &Answer) -> bool {
--- a/crates/rockflow-transport/src/cluster/mod.rs
+++ b/crates/rockflow-transport/src/cluster/mod.rs
@@ -5,4 +5,4 @@
 pub mod thread;
 
 pub use frame::Frame;
-pub use thread::{Command, NodeHandle, Plan, StatusReport};
+pub use thread::{Command, NodeHandle, NodeOptions, StatusReport};
--- a/crates/rockflow-transport/src/cluster/thread.rs
+++ b/crates/rockflow-transport/src/cluster/thread.rs
@@ -22,7 +22,7 @@
 
 /// Options for starting a member.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct NodeOptions {
     /// Configuration that all members share.
     pub config: ClusterConfig,
     /// Id of this member.
@@ -112,13 +112,16 @@
     ///
     /// # Errors
     /// The socket can't be bound, or the thread can't be started.
-    pub fn start(plan: Plan, on_output: impl FnMut(Output) + Send + 'static) -> io::Result<NodeHandle> {
-        let (commands, mut queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
-        let listens_at = socket::spawn("fleet", plan.listen, move |socket| {
+    pub fn start(
+        options: NodeOptions,
+        on_output: impl FnMut(Output) + Send + 'static,
+    ) -> io::Result<NodeHandle> {
+        let (commands, mut command_queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let listens_at = socket::spawn("fleet", options.listen, move |socket| {
             Box::pin(async move {
-                let mut carrier = Carrier::new(plan, DatagramSocket::new(socket), Box::new(on_output));
-                carrier.join();
-                socket::run(&mut carrier, &mut queue).await;
+                let mut service = Service::new(options, DatagramSocket::new(socket), Box::new(on_output));
+                service.join();
+                socket::run(&mut service, &mut command_queue).await;
             })
         })?;
         Ok(NodeHandle { commands, listens_at })
@@ -131,26 +134,30 @@
 }
 
 /// The driver of a member's state machine and its socket.
-struct Carrier {
-    plan: Plan,
+struct Service {
+    options: NodeOptions,
     node: ClusterNode,
     socket: DatagramSocket,
     on_output: Box<dyn FnMut(Output) + Send>,
 }
 
-impl Carrier {
-    fn new(plan: Plan, socket: DatagramSocket, on_output: Box<dyn FnMut(Output) + Send>) -> Carrier {
-        let identity = Identity { member: plan.member, incarnation: plan.incarnation };
-        let config = plan.config.clone();
-        let node = ClusterNode::new(config, identity, plan.seed, plan.is_new_cluster, Duration::ZERO);
-        Carrier { plan, node, socket, on_output }
+impl Service {
+    fn new(
+        options: NodeOptions,
+        socket: DatagramSocket,
+        on_output: Box<dyn FnMut(Output) + Send>,
+    ) -> Service {
+        let identity = Identity { member: options.member, incarnation: options.incarnation };
+        let config = options.config.clone();
+        let node = ClusterNode::new(config, identity, options.seed, options.is_new_cluster, Duration::ZERO);
+        Service { options, node, socket, on_output }
     }
 
     fn join(&mut self) {
         info!(
-            member = self.plan.member.0,
-            incarnation = self.plan.incarnation.0,
-            members = self.plan.config.members.len(),
+            member = self.options.member.0,
+            incarnation = self.options.incarnation.0,
+            members = self.options.config.members.len(),
             "joining the cluster"
         );
         let outputs = self.node.join(self.socket.now());
@@ -175,29 +182,31 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => messages.entry(to).or_default().push(message),
-                Output::IncarnationSuperseded { incarnation } => self.restart_above(incarnation),
+                Output::IncarnationSuperseded { incarnation } => {
+                    self.restart_with_greater_incarnation(incarnation)
+                }
                 other => (self.on_output)(other),
             }
         }
         for (to, messages) in messages {
-            let Some(address) = self.plan.addresses.get(usize::from(to.0)) else { continue };
-            let packed = frame::encode(&self.plan.config, self.node.identity(), &messages);
+            let Some(address) = self.options.addresses.get(usize::from(to.0)) else { continue };
+            let packed = frame::encode(&self.options.config, self.node.identity(), &messages);
             self.socket.send_packed(*address, packed);
         }
     }
 
     /// Replaces the state machine by one with empty memory and an incarnation above `later`. Another process of this member
     /// ran as `later`, so the requests of the current incarnation are no longer its own.
-    fn restart_above(&mut self, later: Incarnation) {
+    fn restart_with_greater_incarnation(&mut self, later: Incarnation) {
         warn!(
-            incarnation = self.plan.incarnation.0,
+            incarnation = self.options.incarnation.0,
             later = later.0,
             "a later incarnation of this member is known; restarting with a greater one"
         );
-        self.plan.incarnation = Incarnation(later.0 + 1);
-        let identity = Identity { member: self.plan.member, incarnation: self.plan.incarnation };
+        self.options.incarnation = Incarnation(later.0 + 1);
+        let identity = Identity { member: self.options.member, incarnation: self.options.incarnation };
         let now = self.socket.now();
-        self.node = ClusterNode::new(self.plan.config.clone(), identity, self.plan.seed, false, now);
+        self.node = ClusterNode::new(self.options.config.clone(), identity, self.options.seed, false, now);
         let outputs = self.node.join(now);
         self.apply(outputs);
     }
@@ -226,7 +235,7 @@
     }
 }
 
-impl SocketDriver for Carrier {
+impl SocketDriver for Service {
     type Command = Command;
 
     fn socket(&mut self) -> &mut DatagramSocket {
@@ -243,8 +252,8 @@
     }
 
     fn on_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
-        match frame::decode(&self.plan.config, bytes) {
-            Ok(frame) if frame.from.member != self.plan.member => {
+        match frame::decode(&self.options.config, bytes) {
+            Ok(frame) if frame.from.member != self.options.member => {
                 for message in frame.messages {
                     let outputs = self.node.on_message(self.socket.now(), frame.from, message);
                     self.apply(outputs);
--- a/crates/rockflow-transport/tests/processes.rs
+++ b/crates/rockflow-transport/tests/processes.rs
@@ -3,7 +3,7 @@
 
 use rockflow_cluster::*;
 use rockflow_process_harness::{free_udp, Process, Signal, Start};
-use rockflow_transport::cluster::{Command, NodeHandle, Plan};
+use rockflow_transport::cluster::{Command, NodeHandle, NodeOptions};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
         (commands[0].parse().unwrap(), commands[1].parse().unwrap(), commands[2] == "first");
     let addresses: Vec<SocketAddr> = commands[3..].iter().map(|command| command.parse().unwrap()).collect();
     let listen = addresses[usize::from(me)];
-    let plan = Plan {
+    let plan = NodeOptions {
         config: config(),
         member: MemberId(me),
         addresses,
