--- a/crates/rockflow-transport/src/datagram.rs
+++ b/crates/rockflow-transport/src/datagram.rs
@@ -103,13 +103,13 @@
     pub fn pack<M: Serialize>(&self, sender: &[u8], messages: &[M]) -> (Vec<Vec<u8>>, usize) {
         let overhead = sender.len() + HEADER_BYTES + CHECKSUM_BYTES + MESSAGE_COUNT_BYTES;
         let mut datagrams = Vec::new();
-        let mut left_out = 0;
+        let mut oversized = 0;
         let mut packed: Vec<Vec<u8>> = Vec::new();
         let mut packed_bytes = 0;
         for message in messages {
             let encoded = postcard::to_stdvec(message).ok();
             let Some(bytes) = encoded.filter(|bytes| bytes.len() + overhead <= MAX_DATAGRAM_BYTES) else {
-                left_out += 1;
+                oversized += 1;
                 continue;
             };
             let is_full =
@@ -124,7 +124,7 @@
         if !packed.is_empty() {
             datagrams.push(self.seal(sender, &packed));
         }
-        (datagrams, left_out)
+        (datagrams, oversized)
     }
 
     /// Encodes one datagram: header, sender, number of messages, messages and checksum.
--- a/crates/rockflow-transport/src/socket.rs
+++ b/crates/rockflow-transport/src/socket.rs
@@ -13,7 +13,7 @@
 use tracing::warn;
 
 /// Maximum number of datagrams, and of commands, that are handled in one pass of the event loop before the timers.
-const MAX_AT_ONCE: usize = 64;
+const MAX_BATCH: usize = 64;
 /// Refill rate of the token bucket that limits the bytes sent by one socket.
 const MAX_BYTES_PER_SECOND: f64 = 16.0 * 1024.0 * 1024.0;
 /// Size of the token bucket, as the time in which it refills from empty.
@@ -35,9 +35,9 @@
     /// Bytes of those datagrams, without IP and UDP headers.
     pub bytes_in: u64,
     /// Datagrams dropped by the limit of bytes sent per second.
-    pub held_back: u64,
+    pub rate_limited: u64,
     /// Messages dropped because they don't fit into a datagram.
-    pub left_out: u64,
+    pub oversized: u64,
     /// Received datagrams that were rejected, by reason.
     pub faults: BTreeMap<DatagramError, u64>,
 }
@@ -49,8 +49,8 @@
     /// Counters since the start.
     pub traffic: Traffic,
     /// Fill level of the token bucket: the bytes that may be sent now.
-    credit: f64,
-    credit_updated_at: Duration,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
 impl DatagramSocket {
@@ -60,8 +60,8 @@
             socket,
             start: Instant::now(),
             traffic: Traffic::default(),
-            credit: MAX_BYTES_PER_SECOND * BURST_SECONDS,
-            credit_updated_at: Duration::ZERO,
+            tokens: MAX_BYTES_PER_SECOND * BURST_SECONDS,
+            refilled_at: Duration::ZERO,
         }
     }
 
@@ -73,12 +73,12 @@
     /// Sends a datagram, or drops it if it exceeds the rate limit, so that this traffic does not crowd out all else on
     /// the network. The state machines repeat the messages that matter.
     pub fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        self.update_credit();
-        if self.credit < bytes.len() as f64 {
-            self.traffic.held_back += 1;
+        self.refill();
+        if self.tokens < bytes.len() as f64 {
+            self.traffic.rate_limited += 1;
             return;
         }
-        self.credit -= bytes.len() as f64;
+        self.tokens -= bytes.len() as f64;
         // A datagram that can't be sent counts as lost on the network.
         if self.socket.try_send_to(bytes, to).is_ok() {
             self.traffic.frames_out += 1;
@@ -88,8 +88,8 @@
 
     /// Sends the datagrams that [`Header::pack`](crate::datagram::Header::pack) returned, and counts the messages that
     /// it dropped.
-    pub fn send_packed(&mut self, to: SocketAddr, (datagrams, left_out): (Vec<Vec<u8>>, usize)) {
-        self.traffic.left_out += left_out as u64;
+    pub fn send_packed(&mut self, to: SocketAddr, (datagrams, oversized): (Vec<Vec<u8>>, usize)) {
+        self.traffic.oversized += oversized as u64;
         for datagram in &datagrams {
             self.send(to, datagram);
         }
@@ -104,12 +104,12 @@
         }
     }
 
-    fn update_credit(&mut self) {
+    fn refill(&mut self) {
         let now = self.now();
-        let elapsed = now.saturating_sub(self.credit_updated_at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         let capacity = MAX_BYTES_PER_SECOND * BURST_SECONDS;
-        self.credit = (self.credit + elapsed * MAX_BYTES_PER_SECOND).min(capacity);
-        self.credit_updated_at = now;
+        self.tokens = (self.tokens + elapsed * MAX_BYTES_PER_SECOND).min(capacity);
+        self.refilled_at = now;
     }
 }
 
@@ -154,8 +154,8 @@
             () = tokio::time::sleep(wait) => {}
         }
         // Datagrams and commands go before timers: a reply that has already arrived must not count as timed out.
-        receive_waiting(driver, &mut buffer);
-        for _ in 0..MAX_AT_ONCE {
+        receive_pending(driver, &mut buffer);
+        for _ in 0..MAX_BATCH {
             match commands.try_recv() {
                 Ok(command) => driver.on_command(command),
                 Err(_) => break,
@@ -168,9 +168,9 @@
     }
 }
 
-/// Passes pending datagrams to the driver, at most [`MAX_AT_ONCE`] of them.
-fn receive_waiting<D: SocketDriver>(driver: &mut D, buffer: &mut [u8]) {
-    for _ in 0..MAX_AT_ONCE {
+/// Passes pending datagrams to the driver, at most [`MAX_BATCH`] of them.
+fn receive_pending<D: SocketDriver>(driver: &mut D, buffer: &mut [u8]) {
+    for _ in 0..MAX_BATCH {
         match driver.socket().socket.try_recv_from(buffer) {
             Ok((length, from)) => {
                 let traffic = &mut driver.socket().traffic;
@@ -196,7 +196,7 @@
 {
     let socket = std::net::UdpSocket::bind(listen)?;
     socket.set_nonblocking(true)?;
-    let listens_at = socket.local_addr()?;
+    let local_address = socket.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
     std::thread::Builder::new().name(name.to_string()).spawn(move || {
         runtime.block_on(async move {
@@ -206,5 +206,5 @@
             }
         });
     })?;
-    Ok(listens_at)
+    Ok(local_address)
 }
