--- a/crates/rockflow-transport/tests/processes.rs
+++ b/crates/rockflow-transport/tests/processes.rs
@@ -1,5 +1,6 @@
-//! Five real processes on loopback, killed, paused and restarted with empty memory. This program is the members too:
-//! started again with `MEMBER` set, it runs one, takes its dispatcher's commands as lines and prints what comes of them.
+//! Tests of a cluster of five processes on loopback, which are killed, paused and restarted with empty memory. Each member
+//! is this test program, started again with the environment variable `MEMBER`: it reads the commands of its dispatcher from
+//! stdin, one per line, and prints the outputs of its state machine to stdout.
 
 use rockflow_cluster::*;
 use rockflow_process_harness::{free_udp, Process, Signal, Start};
@@ -12,7 +13,8 @@
 use std::time::{Duration, Instant};
 
 const MEMBERS: usize = 5;
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for an expected output, and the time that every request has.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn config() -> ClusterConfig {
     ClusterConfig {
@@ -29,76 +31,86 @@
     RequestDescriptor { kind, class: 0, object: 1, part: 0, group: 0, size: 0 }
 }
 
-fn print(line: String) {
-    let mut out = std::io::stdout().lock();
-    writeln!(out, "{line}").and_then(|()| out.flush()).expect("the parent reads");
+fn print_line(line: String) {
+    let mut stdout = std::io::stdout().lock();
+    writeln!(stdout, "{line}").and_then(|()| stdout.flush()).expect("the parent process reads stdout");
 }
 
-/// What a member's process does; only that of a child. It is a test to the runner, and nothing without `MEMBER`.
-#[test]
-fn member() {
-    let Ok(spec) = std::env::var("MEMBER") else { return };
-    let commands: Vec<&str> = spec.split(' ').collect();
-    let (me, incarnation, first) =
-        (commands[0].parse().unwrap(), commands[1].parse().unwrap(), commands[2] == "first");
-    let addresses: Vec<SocketAddr> = commands[3..].iter().map(|command| command.parse().unwrap()).collect();
-    let listen = addresses[usize::from(me)];
-    let plan = NodeOptions {
-        config: config(),
-        member: MemberId(me),
-        addresses,
-        listen,
-        incarnation: Incarnation(incarnation),
-        seed: incarnation,
-        is_new_cluster: first,
-    };
-    let heard = |out: Output| match out {
-        Output::MaySend { request, .. } => print(format!("may-send {}", request.0)),
+/// Prints an output of the member's state machine as one line, in the form that the tests wait for.
+fn print_output(output: Output) {
+    match output {
+        Output::MaySend { request, .. } => print_line(format!("may-send {}", request.0)),
         Output::FinalAnswer { request, answer } => {
             let body = answer.body.map(|body| String::from_utf8(body).unwrap()).unwrap_or_default();
-            print(format!("final {} {:?} {body}", request.0, answer.outcome));
+            print_line(format!("final {} {:?} {body}", request.0, answer.outcome));
         }
-        Output::OwnedElsewhere { request } => print(format!("owned-elsewhere {}", request.0)),
-        Output::QuorumUnavailable { request } => print(format!("quorum-unavailable {}", request.0)),
-        Output::IdInUse { request } => print(format!("in-use {}", request.0)),
+        Output::OwnedElsewhere { request } => print_line(format!("owned-elsewhere {}", request.0)),
+        Output::QuorumUnavailable { request } => print_line(format!("quorum-unavailable {}", request.0)),
+        Output::IdInUse { request } => print_line(format!("in-use {}", request.0)),
         Output::TakeOver { request, started_attempts, .. } => {
-            print(format!("take-over {} {}", request.0, started_attempts.len()))
+            print_line(format!("take-over {} {}", request.0, started_attempts.len()))
         }
-        Output::MembershipChanged(change) => print(format!("changed {change:?}")),
+        Output::MembershipChanged(change) => print_line(format!("changed {change:?}")),
         Output::Send { .. } | Output::IncarnationSuperseded { .. } => {}
-    };
-    let link = NodeHandle::start(plan, heard).unwrap();
+    }
+}
+
+/// Reads the options of a member from `MEMBER`: its id, its incarnation, `first` or `again`, and the addresses of all
+/// members.
+fn member_options(spec: &str) -> NodeOptions {
+    let fields: Vec<&str> = spec.split(' ').collect();
+    let (id, incarnation) = (fields[0].parse().unwrap(), fields[1].parse().unwrap());
+    let addresses: Vec<SocketAddr> = fields[3..].iter().map(|address| address.parse().unwrap()).collect();
+    let listen = addresses[usize::from(id)];
+    NodeOptions {
+        config: config(),
+        member: MemberId(id),
+        addresses,
+        listen,
+        incarnation: Incarnation(incarnation),
+        seed: incarnation,
+        is_new_cluster: fields[2] == "first",
+    }
+}
+
+/// The main function of a member's process. In the test run itself, where `MEMBER` is not set, it does nothing.
+#[test]
+fn run_member_process() {
+    let Ok(spec) = std::env::var("MEMBER") else { return };
+    let member = NodeHandle::start(member_options(&spec), print_output).unwrap();
     for line in std::io::stdin().lock().lines() {
         let line = line.unwrap();
-        let commands: Vec<&str> = line.split(' ').collect();
-        let request = RequestId(commands.get(1).map_or(0, |command| command.parse().unwrap()));
-        let command = match commands[0] {
+        let words: Vec<&str> = line.split(' ').collect();
+        let request = RequestId(words.get(1).map_or(0, |id| id.parse().unwrap()));
+        let command = match words[0] {
             "request" => {
-                let kind = if commands[2] == "idempotency-key" {
+                let kind = if words[2] == "idempotency-key" {
                     EffectKind::IdempotencyKey
                 } else {
                     EffectKind::AtMostOnce
                 };
-                Command::RequestArrived { request, descriptor: descriptor(kind), left: PATIENCE }
+                Command::RequestArrived { request, descriptor: descriptor(kind), left: TIMEOUT }
             }
             "propose" => Command::ProposeAttempt { request, attempt: 0, host: 1 },
             "end" => {
-                let body = Some(commands[2].as_bytes().to_vec());
+                let body = Some(words[2].as_bytes().to_vec());
                 let answer = Answer { outcome: Outcome::Succeeded, tag: None, body };
                 Command::RequestEnded { request, kind: EffectKind::AtMostOnce, answer }
             }
             "stop" => Command::ShutDown,
-            _ => Command::ReportStatus(Box::new(|status_report| {
-                print(format!("present {} {}", status_report.present.len(), status_report.is_synchronized))
+            _ => Command::ReportStatus(Box::new(|status| {
+                print_line(format!("present {} {}", status.present.len(), status.is_synchronized))
             })),
         };
-        assert!(link.send(command));
+        assert!(member.send(command));
     }
 }
 
+/// A member's process, as seen by a test.
 struct Member {
     process: Process,
-    seen: Vec<String>,
+    /// Lines that were read from it, but not yet waited for.
+    unclaimed_lines: Vec<String>,
 }
 
 impl Member {
@@ -106,12 +118,12 @@
         self.process.write_line(line).unwrap();
     }
 
-    /// A client's request arrives.
+    /// Tells the member that a client's request arrived.
     fn request(&mut self, request: u128) {
         self.send_line(&format!("request {request} at-most-once"));
     }
 
-    /// It proposes an attempt of the request.
+    /// Makes the member propose an attempt of the request.
     fn propose(&mut self, request: u128) {
         self.send_line(&format!("propose {request}"));
     }
@@ -121,27 +133,27 @@
         self.propose(request);
     }
 
-    /// Reads up to a line that begins so, and returns it.
-    fn wait(&mut self, begins: &str) -> String {
-        let end = Instant::now() + PATIENCE;
-        if let Some(at) = self.seen.iter().position(|line| line.starts_with(begins)) {
-            return self.seen.remove(at);
+    /// Waits for a line with this prefix, and returns it.
+    fn wait(&mut self, prefix: &str) -> String {
+        let deadline = Instant::now() + TIMEOUT;
+        if let Some(index) = self.unclaimed_lines.iter().position(|line| line.starts_with(prefix)) {
+            return self.unclaimed_lines.remove(index);
         }
         loop {
-            match self.process.read_line_timeout(end.saturating_duration_since(Instant::now())) {
-                Ok(line) if line.starts_with(begins) => return line,
-                Ok(line) => self.seen.push(line),
-                Err(what) => panic!("no {begins:?}: {what}; came: {:?}", self.seen),
+            match self.process.read_line_timeout(deadline.saturating_duration_since(Instant::now())) {
+                Ok(line) if line.starts_with(prefix) => return line,
+                Ok(line) => self.unclaimed_lines.push(line),
+                Err(error) => panic!("no line {prefix:?}: {error}; other lines: {:?}", self.unclaimed_lines),
             }
         }
     }
 
-    /// Whether a line that begins so has arrived by now.
-    fn has(&mut self, begins: &str) -> bool {
+    /// Whether a line with this prefix has arrived by now.
+    fn has(&mut self, prefix: &str) -> bool {
         loop {
             match self.process.try_read_line() {
-                Ok(line) => self.seen.push(line),
-                Err(_) => return self.seen.iter().any(|line| line.starts_with(begins)),
+                Ok(line) => self.unclaimed_lines.push(line),
+                Err(_) => return self.unclaimed_lines.iter().any(|line| line.starts_with(prefix)),
             }
         }
     }
@@ -150,69 +162,70 @@
         self.process.signal(signal).unwrap();
     }
 
-    /// Until that many members are present, and it has recovered its records.
+    /// Waits until this many members are present, and this one has recovered its records.
     fn wait_until_settled(&mut self, present: usize) {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             self.send_line("status");
             if self.wait("present ") == format!("present {present} true") {
                 return;
             }
-            assert!(Instant::now() < end, "{:?}", self.seen);
+            assert!(Instant::now() < deadline, "{:?}", self.unclaimed_lines);
             match self.process.read_line_timeout(Duration::from_millis(50)) {
-                Ok(line) => self.seen.push(line),
+                Ok(line) => self.unclaimed_lines.push(line),
                 Err(RecvTimeoutError::Timeout) => {}
-                Err(what) => panic!("{what}"),
+                Err(error) => panic!("{error}"),
             }
         }
     }
 }
 
-/// One cluster at a time: between the choice of a port and the start of its member nobody else may take it.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by each test, so that one cluster runs at a time: otherwise another test could take a port between its choice and
+/// the start of the member that uses it.
+static CLUSTER_LOCK: Mutex<()> = Mutex::new(());
 
 struct TestCluster {
-    _alone: MutexGuard<'static, ()>,
+    _lock: MutexGuard<'static, ()>,
     addresses: Vec<SocketAddr>,
     members: BTreeMap<usize, Member>,
 }
 
 impl TestCluster {
     fn start() -> TestCluster {
-        let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+        let lock = CLUSTER_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
         let addresses = free_udp(MEMBERS).unwrap();
-        let mut cluster = TestCluster { _alone: alone, addresses, members: BTreeMap::new() };
-        (0..MEMBERS).for_each(|at| cluster.member(at, 1, true));
-        (0..MEMBERS).for_each(|at| cluster.on(at).wait_until_settled(MEMBERS));
+        let mut cluster = TestCluster { _lock: lock, addresses, members: BTreeMap::new() };
+        (0..MEMBERS).for_each(|id| cluster.start_member(id, 1, true));
+        (0..MEMBERS).for_each(|id| cluster.member(id).wait_until_settled(MEMBERS));
         cluster
     }
 
-    fn member(&mut self, at: usize, incarnation: u64, first: bool) {
+    fn start_member(&mut self, id: usize, incarnation: u64, is_new_cluster: bool) {
         let addresses: Vec<_> = self.addresses.iter().map(ToString::to_string).collect();
-        let first = if first { "first" } else { "again" };
+        let first = if is_new_cluster { "first" } else { "again" };
         let process = Start::of(std::env::current_exe().unwrap())
-            .args(["--exact", "member", "--nocapture"])
-            .env("MEMBER", format!("{at} {incarnation} {first} {}", addresses.join(" ")))
+            .args(["--exact", "run_member_process", "--nocapture"])
+            .env("MEMBER", format!("{id} {incarnation} {first} {}", addresses.join(" ")))
             .with_pipes()
             .start()
             .unwrap();
-        self.members.insert(at, Member { process, seen: Vec::new() });
+        self.members.insert(id, Member { process, unclaimed_lines: Vec::new() });
     }
 
-    fn on(&mut self, at: usize) -> &mut Member {
-        self.members.get_mut(&at).unwrap()
+    fn member(&mut self, id: usize) -> &mut Member {
+        self.members.get_mut(&id).unwrap()
     }
 
-    fn kill(&mut self, at: usize) {
-        self.members.remove(&at).unwrap().process.kill();
+    fn kill(&mut self, id: usize) {
+        self.members.remove(&id).unwrap().process.kill();
     }
 }
 
-/// The members in the order of a request's replicas, then the others.
-fn ranked(request: u128) -> Vec<usize> {
+/// All members: first the replicas of a request, in their order, then the others.
+fn members_by_rank(request: u128) -> Vec<usize> {
     let mut ids: Vec<usize> =
         config().replicas_of(RequestId(request)).iter().map(|id| usize::from(id.0)).collect();
-    let others: Vec<_> = (0..MEMBERS).filter(|at| !ids.contains(at)).collect();
+    let others: Vec<_> = (0..MEMBERS).filter(|id| !ids.contains(id)).collect();
     ids.extend(others);
     ids
 }
@@ -221,69 +234,68 @@
 fn attempt_that_may_have_executed_is_never_repeated() {
     let mut cluster = TestCluster::start();
     let request = 11;
-    let rank = ranked(request);
-    // The owner is a replica of the request too: the case with the fewest replicas left.
-    let (owner, other) = (rank[0], rank[4]);
-    cluster.on(owner).request_and_propose(request);
-    cluster.on(owner).wait(&format!("may-send {request}"));
+    let ranked = members_by_rank(request);
+    // The owner is also a replica, so that its loss leaves the fewest replicas.
+    let (owner, other) = (ranked[0], ranked[4]);
+    cluster.member(owner).request_and_propose(request);
+    cluster.member(owner).wait(&format!("may-send {request}"));
     cluster.kill(owner);
-    // Asked again before anybody has noticed the loss.
-    cluster.on(other).request_and_propose(request);
-    let line = cluster.on(other).wait(&format!("final {request}"));
+    // The client retries before any member has detected the loss.
+    cluster.member(other).request_and_propose(request);
+    let line = cluster.member(other).wait(&format!("final {request}"));
     assert_eq!(line, format!("final {request} Failed "));
-    // And a third time, elsewhere, after the end: the same answer.
-    cluster.on(rank[3]).request_and_propose(request);
-    assert_eq!(cluster.on(rank[3]).wait(&format!("final {request}")), line);
-    for at in 0..MEMBERS {
-        assert!(at == owner || !cluster.on(at).has(&format!("may-send {request}")), "n{at}");
+    // A retry at another member after the request has ended gets the same answer.
+    cluster.member(ranked[3]).request_and_propose(request);
+    assert_eq!(cluster.member(ranked[3]).wait(&format!("final {request}")), line);
+    for id in 0..MEMBERS {
+        assert!(id == owner || !cluster.member(id).has(&format!("may-send {request}")), "n{id}");
     }
 }
 
 #[test]
-fn unstarted_request_runs_once_where_the_client_asks_again() {
+fn unstarted_request_of_a_killed_owner_runs_once_at_the_retry() {
     let mut cluster = TestCluster::start();
     let request = 12;
-    let rank = ranked(request);
-    cluster.on(rank[4]).request(request);
-    cluster.kill(rank[4]);
-    cluster.on(rank[3]).request_and_propose(request);
-    cluster.on(rank[3]).wait(&format!("may-send {request}"));
-    cluster.on(rank[3]).send_line(&format!("end {request} done"));
+    let ranked = members_by_rank(request);
+    cluster.member(ranked[4]).request(request);
+    cluster.kill(ranked[4]);
+    cluster.member(ranked[3]).request_and_propose(request);
+    cluster.member(ranked[3]).wait(&format!("may-send {request}"));
+    cluster.member(ranked[3]).send_line(&format!("end {request} done"));
     assert_eq!(
-        cluster.on(rank[3]).wait(&format!("final {request}")),
+        cluster.member(ranked[3]).wait(&format!("final {request}")),
         format!("final {request} Succeeded done")
     );
 }
 
 #[test]
-fn one_id_at_two_dispatchers_runs_once_and_both_get_the_answer() {
+fn request_at_two_dispatchers_runs_once_and_both_get_the_answer() {
     let mut cluster = TestCluster::start();
     for request in 20..30 {
-        let rank = ranked(request);
-        let two = [rank[3], rank[4]];
-        for at in two {
-            cluster.on(at).request_and_propose(request);
+        let ranked = members_by_rank(request);
+        let dispatchers = [ranked[3], ranked[4]];
+        for id in dispatchers {
+            cluster.member(id).request_and_propose(request);
         }
-        // Whoever may send ends it; the other gets the answer.
-        let end = Instant::now() + PATIENCE;
-        let runs = loop {
-            let let_to: Vec<_> =
-                two.into_iter().filter(|at| cluster.on(*at).has(&format!("may-send {request}"))).collect();
-            if !let_to.is_empty() {
-                break let_to;
+        // The dispatcher that may send the attempt ends the request; the other one gets its answer.
+        let deadline = Instant::now() + TIMEOUT;
+        let permitted = loop {
+            let permitted: Vec<_> = dispatchers
+                .into_iter()
+                .filter(|id| cluster.member(*id).has(&format!("may-send {request}")))
+                .collect();
+            if !permitted.is_empty() {
+                break permitted;
             }
-            assert!(Instant::now() < end, "request {request}: nobody may begin");
+            assert!(Instant::now() < deadline, "request {request}: no dispatcher may send an attempt");
             std::thread::yield_now();
         };
-        assert_eq!(runs.len(), 1, "request {request}");
-        cluster.on(runs[0]).send_line(&format!("end {request} by-{}", runs[0]));
-        for at in two {
-            let line = cluster.on(at).wait(&format!("final {request}"));
-            assert_eq!(
-                line,
-                format!("final {request} Succeeded by-{}", runs[0]),
-                "request {request} at n{at}"
-            );
+        assert_eq!(permitted.len(), 1, "request {request}");
+        let owner = permitted[0];
+        cluster.member(owner).send_line(&format!("end {request} by-{owner}"));
+        for id in dispatchers {
+            let line = cluster.member(id).wait(&format!("final {request}"));
+            assert_eq!(line, format!("final {request} Succeeded by-{owner}"), "request {request} at n{id}");
         }
     }
 }
@@ -292,63 +304,64 @@
 fn owner_that_resumes_after_a_long_pause_gives_no_second_answer() {
     let mut cluster = TestCluster::start();
     let request = 13;
-    let rank = ranked(request);
-    let owner = rank[4];
-    cluster.on(owner).request_and_propose(request);
-    cluster.on(owner).wait(&format!("may-send {request}"));
-    cluster.on(owner).signal(Signal::SIGSTOP);
-    // Longer than any suspicion: the first of its replicas takes it for lost, and ends the request.
-    cluster.on(rank[0]).wait("changed Lost");
-    cluster.on(rank[3]).request_and_propose(request);
-    let line = cluster.on(rank[3]).wait(&format!("final {request}"));
+    let ranked = members_by_rank(request);
+    let owner = ranked[4];
+    cluster.member(owner).request_and_propose(request);
+    cluster.member(owner).wait(&format!("may-send {request}"));
+    cluster.member(owner).signal(Signal::SIGSTOP);
+    // The pause exceeds the suspicion timeout: the request's first replica declares the owner lost and takes over.
+    cluster.member(ranked[0]).wait("changed Lost");
+    cluster.member(ranked[3]).request_and_propose(request);
+    let line = cluster.member(ranked[3]).wait(&format!("final {request}"));
     assert_eq!(line, format!("final {request} Failed "));
-    // It resumes in the middle of its work, and its host's answer is there.
-    cluster.on(owner).signal(Signal::SIGCONT);
-    cluster.on(owner).send_line(&format!("end {request} late"));
-    cluster.on(owner).wait_until_settled(MEMBERS);
-    assert!(!cluster.on(owner).has(&format!("final {request} Succeeded")));
-    cluster.on(rank[2]).request_and_propose(request);
-    assert_eq!(cluster.on(rank[2]).wait(&format!("final {request}")), line);
+    // The owner resumes, and its host's answer arrives late.
+    cluster.member(owner).signal(Signal::SIGCONT);
+    cluster.member(owner).send_line(&format!("end {request} late"));
+    cluster.member(owner).wait_until_settled(MEMBERS);
+    assert!(!cluster.member(owner).has(&format!("final {request} Succeeded")));
+    cluster.member(ranked[2]).request_and_propose(request);
+    assert_eq!(cluster.member(ranked[2]).wait(&format!("final {request}")), line);
 }
 
 #[test]
-fn rolling_restart_forgets_no_record() {
+fn rolling_restart_loses_no_record() {
     let mut cluster = TestCluster::start();
     let request = 14;
-    let rank = ranked(request);
-    cluster.on(rank[4]).request_and_propose(request);
-    cluster.on(rank[4]).wait(&format!("may-send {request}"));
-    cluster.on(rank[4]).send_line(&format!("end {request} once"));
-    let line = cluster.on(rank[4]).wait(&format!("final {request}"));
-    for at in 0..MEMBERS {
-        cluster.kill(at);
-        cluster.member(at, 2, false);
-        cluster.on(at).wait_until_settled(MEMBERS);
+    let ranked = members_by_rank(request);
+    cluster.member(ranked[4]).request_and_propose(request);
+    cluster.member(ranked[4]).wait(&format!("may-send {request}"));
+    cluster.member(ranked[4]).send_line(&format!("end {request} once"));
+    let line = cluster.member(ranked[4]).wait(&format!("final {request}"));
+    for id in 0..MEMBERS {
+        cluster.kill(id);
+        cluster.start_member(id, 2, false);
+        cluster.member(id).wait_until_settled(MEMBERS);
     }
-    cluster.on(rank[3]).request_and_propose(request);
-    assert_eq!(cluster.on(rank[3]).wait(&format!("final {request}")), line);
+    cluster.member(ranked[3]).request_and_propose(request);
+    assert_eq!(cluster.member(ranked[3]).wait(&format!("final {request}")), line);
 }
 
 #[test]
 fn graceful_shutdown_hands_over_open_requests() {
     let mut cluster = TestCluster::start();
-    let (fresh, started) = (15, 16);
-    // One that is a replica of neither request.
-    let owner =
-        (0..MEMBERS).find(|at| !ranked(fresh)[..3].contains(at) && !ranked(started)[..3].contains(at));
-    let owner = owner.expect("a request each of which somebody is no replica");
-    for request in [fresh, started] {
-        cluster.on(owner).request(request);
+    let (unstarted, started) = (15, 16);
+    // A member that is a replica of neither request.
+    let owner = (0..MEMBERS).find(|id| {
+        !members_by_rank(unstarted)[..3].contains(id) && !members_by_rank(started)[..3].contains(id)
+    });
+    let owner = owner.expect("a member that is a replica of neither request");
+    for request in [unstarted, started] {
+        cluster.member(owner).request(request);
     }
-    cluster.on(owner).propose(started);
-    cluster.on(owner).wait(&format!("may-send {started}"));
-    cluster.on(owner).send_line("stop");
-    // What was not started is to run elsewhere; what may have executed is ended there, and only that.
-    cluster.on(ranked(fresh)[0]).wait(&format!("take-over {fresh} 0"));
-    for at in (0..MEMBERS).filter(|at| *at != owner) {
-        cluster.on(at).wait("changed Lost");
+    cluster.member(owner).propose(started);
+    cluster.member(owner).wait(&format!("may-send {started}"));
+    cluster.member(owner).send_line("stop");
+    // The request without an attempt may run at another member; the one that may have executed fails there.
+    cluster.member(members_by_rank(unstarted)[0]).wait(&format!("take-over {unstarted} 0"));
+    for id in (0..MEMBERS).filter(|id| *id != owner) {
+        cluster.member(id).wait("changed Lost");
     }
-    let other = ranked(started).into_iter().rev().find(|at| *at != owner).expect("another");
-    cluster.on(other).request_and_propose(started);
-    assert_eq!(cluster.on(other).wait(&format!("final {started}")), format!("final {started} Failed "));
+    let other = members_by_rank(started).into_iter().rev().find(|id| *id != owner).expect("another member");
+    cluster.member(other).request_and_propose(started);
+    assert_eq!(cluster.member(other).wait(&format!("final {started}")), format!("final {started} Failed "));
 }
