--- a/crates/rockflow-transport/tests/dissemination_frames.rs
+++ b/crates/rockflow-transport/tests/dissemination_frames.rs
@@ -1,8 +1,9 @@
-//! Datagrams from other nodes are checked where they are decoded: only complete ones of this version and fleet, with all
-//! values in range, are accepted; none causes a panic, and nothing of a rejected one is used.
+//! Encoding, decoding and validation of dissemination's datagrams. Only complete datagrams of this version and fleet, with
+//! all values within their limits, are accepted, and no received bytes cause a panic.
 
-mod spoiled;
+mod malformed;
 
+use malformed::Malformed;
 use rockflow_dissemination::MAX_CLOCK_UNIX_MS;
 use rockflow_dissemination::*;
 use rockflow_transport::dissemination::frame::{
@@ -11,6 +12,9 @@
 use rockflow_transport::DatagramError;
 use test_case::test_case;
 
+/// Position of the format version, after the magic bytes.
+const VERSION_INDEX: usize = 2;
+
 fn codec() -> FrameCodec {
     FrameCodec::new("fleet", 2, AddressScope::LoopbackOnly)
 }
@@ -27,8 +31,8 @@
     AgedEntry { age_ms: 3, entry: Entry::Purge(Purge::object(77)) }
 }
 
-fn timestamp(at: u64) -> HybridTimestamp {
-    HybridTimestamp { unix_ms: at, control: 1 }
+fn timestamp(unix_ms: u64) -> HybridTimestamp {
+    HybridTimestamp { unix_ms, control: 1 }
 }
 
 fn setting(host: &str) -> HostSetting {
@@ -88,7 +92,7 @@
 
 fn placement(slot: u16, slots: u16, parents: &[&str]) -> Message {
     let node = NodeId::of("parent");
-    let parents = parents.iter().map(|at| Peer { node, address: at.parse().unwrap() }).collect();
+    let parents = parents.iter().map(|address| Peer { node, address: address.parse().unwrap() }).collect();
     Message::Placement { directory_version: 1, listing_hash: 2, region: 3, slot, slots, parents }
 }
 
@@ -111,23 +115,24 @@
 }
 
 fn region_reports(count: usize, control: u8) -> Message {
-    let row = RegionReport { report: report(), age_ms: 1 };
+    let region_report = RegionReport { report: report(), age_ms: 1 };
     Message::RegionReports {
         directory_version: 1,
         clock: HybridTimestamp { unix_ms: 9, control },
-        reports: vec![row; count],
+        reports: vec![region_report; count],
     }
 }
 
-fn region_reports_with_clock(at: u64) -> Message {
-    Message::RegionReports { directory_version: 1, clock: timestamp(at), reports: vec![] }
+fn region_reports_with_clock(unix_ms: u64) -> Message {
+    Message::RegionReports { directory_version: 1, clock: timestamp(unix_ms), reports: vec![] }
 }
 
 fn superseded(control: u8, incarnation: u64) -> Message {
     Message::SupersededIncarnation { control: ControlId(control), incarnation: Incarnation(incarnation) }
 }
 
-fn one_of_each() -> Vec<Message> {
+/// At least one valid message of each kind, with values at their limits.
+fn messages_of_each_kind() -> Vec<Message> {
     vec![
         Message::Join { directory_version: 0 },
         placement(0, 1, &["127.0.0.1:7500", "[::1]:7500"]),
@@ -156,7 +161,7 @@
     ]
 }
 
-fn sealed(message: &Message) -> Vec<u8> {
+fn encode_one(message: &Message) -> Vec<u8> {
     let (mut frames, left_out) = codec().encode(sender(), std::slice::from_ref(message));
     assert_eq!((frames.len(), left_out), (1, 0));
     frames.remove(0)
@@ -164,8 +169,9 @@
 
 #[test]
 fn every_message_decodes_to_what_was_encoded() {
-    for message in one_of_each() {
-        let frame = codec().decode(&sealed(&message)).unwrap_or_else(|what| panic!("{message:?}: {what}"));
+    for message in messages_of_each_kind() {
+        let frame =
+            codec().decode(&encode_one(&message)).unwrap_or_else(|error| panic!("{message:?}: {error}"));
         assert_eq!((frame.from, frame.messages), (sender(), vec![message]));
     }
 }
@@ -175,36 +181,41 @@
     let messages: Vec<_> = (1..200).map(|first| batch(StreamKind::Purges, first, vec![purge(); 9])).collect();
     let (frames, left_out) = codec().encode(sender(), &messages);
     assert!(frames.len() > 4 && frames.iter().all(|bytes| bytes.len() <= 1400), "{}", frames.len());
-    let read: Vec<_> =
-        frames.iter().flat_map(|bytes| codec().decode(bytes).expect("a frame").messages).collect();
-    assert_eq!((read, left_out), (messages, 0));
+    let decoded: Vec<_> =
+        frames.iter().flat_map(|bytes| codec().decode(bytes).expect("a valid datagram").messages).collect();
+    assert_eq!((decoded, left_out), (messages, 0));
 }
 
 #[test]
 fn rejects_another_version_or_fleet() {
-    let bytes = sealed(&Message::Leave);
-    let mut other = bytes.clone();
-    other[2] = VERSION + 1;
-    assert_eq!(codec().decode(&other), Err(DatagramError::Version(VERSION + 1)));
+    let bytes = encode_one(&Message::Leave);
+    let mut other_version = bytes.clone();
+    other_version[VERSION_INDEX] = VERSION + 1;
+    assert_eq!(codec().decode(&other_version), Err(DatagramError::Version(VERSION + 1)));
     assert_eq!(
         FrameCodec::new("other", 2, AddressScope::LoopbackOnly).decode(&bytes),
         Err(DatagramError::OtherFleet)
     );
-    // A datagram of the cluster.
-    let mut other = bytes;
-    other[1] = 0x66;
-    assert_eq!(codec().decode(&other), Err(DatagramError::Foreign));
+    // The second magic byte of a cluster's datagrams.
+    let mut cluster_datagram = bytes;
+    cluster_datagram[1] = 0x66;
+    assert_eq!(codec().decode(&cluster_datagram), Err(DatagramError::Foreign));
 }
 
 #[test]
-fn rejects_incomplete_datagram() {
-    let whole = sealed(&batch(StreamKind::Purges, 1, vec![purge(); 3]));
-    for (how, bytes, error) in spoiled::not_whole(&whole) {
-        assert_eq!(codec().decode(&bytes), Err(error), "{how}");
+fn rejects_malformed_datagrams() {
+    let valid = encode_one(&batch(StreamKind::Purges, 1, vec![purge(); 3]));
+    for Malformed { name, bytes, error } in malformed::malformed_variants(&valid) {
+        assert_eq!(codec().decode(&bytes), Err(error), "{name}");
     }
-    let mut less = whole;
-    less.remove(less.len() - 5);
-    assert_eq!(codec().decode(&spoiled::resealed(less)), Err(DatagramError::Unreadable), "less in it");
+    let mut truncated_content = valid;
+    // The last byte before the checksum of four bytes.
+    truncated_content.remove(truncated_content.len() - 5);
+    assert_eq!(
+        codec().decode(&malformed::with_valid_checksum(truncated_content)),
+        Err(DatagramError::Unreadable),
+        "truncated content with a valid checksum"
+    );
 }
 
 fn acknowledgement_with(change: fn(&mut SubtreeReport)) -> Message {
@@ -219,72 +230,72 @@
     batch(StreamKind::Configuration, 1, vec![setting_entry(setting)])
 }
 
-#[test_case(batch(StreamKind::Purges, 1, vec![purge(); MAX_BATCH_ENTRIES + 1]), DatagramError::WrongCount; "entries")]
+#[test_case(batch(StreamKind::Purges, 1, vec![purge(); MAX_BATCH_ENTRIES + 1]), DatagramError::WrongCount; "too many entries")]
 #[test_case(batch(StreamKind::Purges, 1, vec![]), DatagramError::WrongCount; "no entries")]
 #[test_case(batch(StreamKind::Purges, 0, vec![purge()]), DatagramError::OutOfRange; "number zero")]
-#[test_case(batch(StreamKind::Purges, MAX_SEQUENCE_NUMBER + 1, vec![purge()]), DatagramError::OutOfRange; "number without end")]
-#[test_case(batch(StreamKind::Configuration, 1, vec![purge()]), DatagramError::WrongKind; "a purge among settings")]
-#[test_case(batch(StreamKind::Purges, 1, vec![setting_entry(setting("c1"))]), DatagramError::WrongKind; "a setting among purges")]
-#[test_case(batch_with_setting(|setting| setting.host.clear()), DatagramError::InvalidName; "no name")]
-#[test_case(batch_with_setting(|setting| setting.host = "h".repeat(MAX_NAME_BYTES + 1)), DatagramError::InvalidName; "a long name")]
-#[test_case(batch_with_setting(|setting| setting.timestamp = timestamp(MAX_CLOCK_UNIX_MS + 1)), DatagramError::OutOfRange; "a clock without end")]
-#[test_case(batch_with_setting(|setting| setting.timestamp.control = 2), DatagramError::OutOfRange; "a stamp of nobody")]
-#[test_case(batch_with_setting(|setting| setting.replaced.control = 2), DatagramError::OutOfRange; "seen of nobody")]
-#[test_case(batch_with_setting(|setting| setting.replaced = setting.timestamp), DatagramError::OutOfRange; "seen itself")]
-#[test_case(repair_request(2, 1), DatagramError::OutOfRange; "a range that ends before it begins")]
-#[test_case(repair_request(0, 1), DatagramError::OutOfRange; "a range from zero")]
-#[test_case(repair_request(1, MAX_SEQUENCE_NUMBER + 1), DatagramError::OutOfRange; "a range without end")]
-#[test_case(Message::SettingsRequest { part: MAX_SETTINGS_PARTS }, DatagramError::OutOfRange; "a part that there is not")]
-#[test_case(settings_with(|version| version.stream.kind = StreamKind::Purges), DatagramError::WrongKind; "a setting of a stream of purges")]
-#[test_case(settings_with(|version| version.number = SequenceNumber(0)), DatagramError::OutOfRange; "a setting of no number")]
-#[test_case(settings_with(|version| version.setting.host.clear()), DatagramError::InvalidName; "a setting of no host")]
-#[test_case(Message::RepairRequest { stream: stream(StreamKind::Purges), ranges: vec![(SequenceNumber(1), SequenceNumber(1)); MAX_RANGES + 1] }, DatagramError::WrongCount; "ranges")]
-#[test_case(heartbeat(MAX_TIPS + 1, 1, 1), DatagramError::WrongCount; "tips")]
-#[test_case(heartbeat(1, 3, 1), DatagramError::OutOfRange; "a tip before its first")]
-#[test_case(heartbeat(1, 0, 1), DatagramError::OutOfRange; "a tip from zero")]
-#[test_case(heartbeat(1, 1, u64::MAX), DatagramError::OutOfRange; "a tip without end")]
-#[test_case(placement(1, 1, &[]), DatagramError::OutOfRange; "a slot behind the last")]
+#[test_case(batch(StreamKind::Purges, MAX_SEQUENCE_NUMBER + 1, vec![purge()]), DatagramError::OutOfRange; "number above the maximum")]
+#[test_case(batch(StreamKind::Configuration, 1, vec![purge()]), DatagramError::WrongKind; "purge in a configuration stream")]
+#[test_case(batch(StreamKind::Purges, 1, vec![setting_entry(setting("c1"))]), DatagramError::WrongKind; "setting in a stream of purges")]
+#[test_case(batch_with_setting(|setting| setting.host.clear()), DatagramError::InvalidName; "empty host name")]
+#[test_case(batch_with_setting(|setting| setting.host = "h".repeat(MAX_NAME_BYTES + 1)), DatagramError::InvalidName; "host name too long")]
+#[test_case(batch_with_setting(|setting| setting.timestamp = timestamp(MAX_CLOCK_UNIX_MS + 1)), DatagramError::OutOfRange; "timestamp above the maximum")]
+#[test_case(batch_with_setting(|setting| setting.timestamp.control = 2), DatagramError::OutOfRange; "timestamp of an unknown control node")]
+#[test_case(batch_with_setting(|setting| setting.replaced.control = 2), DatagramError::OutOfRange; "replaced timestamp of an unknown control node")]
+#[test_case(batch_with_setting(|setting| setting.replaced = setting.timestamp), DatagramError::OutOfRange; "replaced timestamp not earlier")]
+#[test_case(repair_request(2, 1), DatagramError::OutOfRange; "range that ends before it starts")]
+#[test_case(repair_request(0, 1), DatagramError::OutOfRange; "range from zero")]
+#[test_case(repair_request(1, MAX_SEQUENCE_NUMBER + 1), DatagramError::OutOfRange; "range above the maximum")]
+#[test_case(Message::SettingsRequest { part: MAX_SETTINGS_PARTS }, DatagramError::OutOfRange; "requested part above the maximum")]
+#[test_case(settings_with(|version| version.stream.kind = StreamKind::Purges), DatagramError::WrongKind; "settings part with a stream of purges")]
+#[test_case(settings_with(|version| version.number = SequenceNumber(0)), DatagramError::OutOfRange; "setting with number zero")]
+#[test_case(settings_with(|version| version.setting.host.clear()), DatagramError::InvalidName; "setting with an empty host name")]
+#[test_case(Message::RepairRequest { stream: stream(StreamKind::Purges), ranges: vec![(SequenceNumber(1), SequenceNumber(1)); MAX_RANGES + 1] }, DatagramError::WrongCount; "too many ranges")]
+#[test_case(heartbeat(MAX_TIPS + 1, 1, 1), DatagramError::WrongCount; "too many tips")]
+#[test_case(heartbeat(1, 3, 1), DatagramError::OutOfRange; "tip with its last number before its first")]
+#[test_case(heartbeat(1, 0, 1), DatagramError::OutOfRange; "tip from zero")]
+#[test_case(heartbeat(1, 1, u64::MAX), DatagramError::OutOfRange; "tip above the maximum")]
+#[test_case(placement(1, 1, &[]), DatagramError::OutOfRange; "slot above the last")]
 #[test_case(placement(0, 0, &[]), DatagramError::OutOfRange; "no slots")]
-#[test_case(placement(0, MAX_SLOTS as u16 + 1, &[]), DatagramError::OutOfRange; "slots")]
-#[test_case(placement(0, 1, &["127.0.0.1:1"; MAX_PARENTS + 1]), DatagramError::WrongCount; "parents")]
+#[test_case(placement(0, MAX_SLOTS as u16 + 1, &[]), DatagramError::OutOfRange; "too many slots")]
+#[test_case(placement(0, 1, &["127.0.0.1:1"; MAX_PARENTS + 1]), DatagramError::WrongCount; "too many parents")]
 #[test_case(placement(0, 1, &["127.0.0.1:0"]), DatagramError::InvalidAddress; "no port")]
-#[test_case(placement(0, 1, &["0.0.0.0:1"]), DatagramError::InvalidAddress; "no address")]
-#[test_case(placement(0, 1, &["224.0.0.1:1"]), DatagramError::InvalidAddress; "an address of many")]
-#[test_case(placement(0, 1, &["192.0.2.1:1"]), DatagramError::InvalidAddress; "an address outside")]
-#[test_case(settings(1, 1, 1), DatagramError::OutOfRange; "a part behind the last")]
+#[test_case(placement(0, 1, &["0.0.0.0:1"]), DatagramError::InvalidAddress; "unspecified address")]
+#[test_case(placement(0, 1, &["224.0.0.1:1"]), DatagramError::InvalidAddress; "multicast address")]
+#[test_case(placement(0, 1, &["192.0.2.1:1"]), DatagramError::InvalidAddress; "address outside loopback")]
+#[test_case(settings(1, 1, 1), DatagramError::OutOfRange; "part above the last")]
 #[test_case(settings(0, 0, 1), DatagramError::OutOfRange; "no parts")]
-#[test_case(settings(0, MAX_SETTINGS_PARTS + 1, 1), DatagramError::OutOfRange; "parts")]
-#[test_case(settings(0, 1, MAX_SETTINGS_PER_PART + 1), DatagramError::WrongCount; "settings")]
-#[test_case(region_reports(MAX_REGION_REPORTS + 1, 0), DatagramError::WrongCount; "rows")]
-#[test_case(region_reports(1, 2), DatagramError::OutOfRange; "a clock of nobody")]
-#[test_case(region_reports_with_clock(MAX_CLOCK_UNIX_MS + 1), DatagramError::OutOfRange; "a clock of rows without end")]
-#[test_case(superseded(2, 1), DatagramError::OutOfRange; "a control node that there is not")]
-#[test_case(superseded(0, 0), DatagramError::OutOfRange; "no life")]
-#[test_case(superseded(0, MAX_INCARNATION + 1), DatagramError::OutOfRange; "a life without end")]
-#[test_case(Message::Acknowledgement { received: vec![position(1); MAX_STREAMS + 1], reports: vec![] }, DatagramError::WrongCount; "streams")]
-#[test_case(Message::Acknowledgement { received: vec![position(MAX_SEQUENCE_NUMBER + 1)], reports: vec![] }, DatagramError::OutOfRange; "has without end")]
-#[test_case(Message::Acknowledgement { received: vec![], reports: vec![SubtreeReport { slots: SlotSet(vec![]), ..report() }; MAX_REPORTS + 1] }, DatagramError::WrongCount; "reports")]
-#[test_case(acknowledgement_with(|report| report.slots.0.push(0)), DatagramError::WrongCount; "slots of a report")]
-#[test_case(acknowledgement_with(|report| report.applied.push(position(1))), DatagramError::WrongCount; "in force")]
-#[test_case(acknowledgement_with(|report| report.lagging.push(report.lagging[0])), DatagramError::WrongCount; "behind")]
-#[test_case(acknowledgement_with(|report| report.lagging[0].0 = MAX_SLOTS as u16), DatagramError::OutOfRange; "behind at a slot that there is not")]
-#[test_case(acknowledgement_with(|report| report.rejected.push(report.rejected[0])), DatagramError::WrongCount; "refused")]
-#[test_case(acknowledgement_with(|report| report.rejected[0].0.kind = StreamKind::Purges), DatagramError::WrongKind; "a purge refused")]
-#[test_case(acknowledgement_with(|report| report.rejected[0].3 = MAX_SLOTS as u16 + 1), DatagramError::OutOfRange; "refused by more than there are")]
-#[test_case(acknowledgement_with(|report| report.applied[0].0.control = ControlId(2)), DatagramError::OutOfRange; "a stream of nobody")]
-#[test_case(acknowledgement_with(|report| report.applied[0].0.incarnation = Incarnation(0)), DatagramError::OutOfRange; "a stream of no life")]
+#[test_case(settings(0, MAX_SETTINGS_PARTS + 1, 1), DatagramError::OutOfRange; "too many parts")]
+#[test_case(settings(0, 1, MAX_SETTINGS_PER_PART + 1), DatagramError::WrongCount; "too many settings")]
+#[test_case(region_reports(MAX_REGION_REPORTS + 1, 0), DatagramError::WrongCount; "too many region reports")]
+#[test_case(region_reports(1, 2), DatagramError::OutOfRange; "clock of an unknown control node")]
+#[test_case(region_reports_with_clock(MAX_CLOCK_UNIX_MS + 1), DatagramError::OutOfRange; "clock above the maximum")]
+#[test_case(superseded(2, 1), DatagramError::OutOfRange; "superseded unknown control node")]
+#[test_case(superseded(0, 0), DatagramError::OutOfRange; "incarnation zero")]
+#[test_case(superseded(0, MAX_INCARNATION + 1), DatagramError::OutOfRange; "incarnation above the maximum")]
+#[test_case(Message::Acknowledgement { received: vec![position(1); MAX_STREAMS + 1], reports: vec![] }, DatagramError::WrongCount; "too many streams")]
+#[test_case(Message::Acknowledgement { received: vec![position(MAX_SEQUENCE_NUMBER + 1)], reports: vec![] }, DatagramError::OutOfRange; "received number above the maximum")]
+#[test_case(Message::Acknowledgement { received: vec![], reports: vec![SubtreeReport { slots: SlotSet(vec![]), ..report() }; MAX_REPORTS + 1] }, DatagramError::WrongCount; "too many subtree reports")]
+#[test_case(acknowledgement_with(|report| report.slots.0.push(0)), DatagramError::WrongCount; "slot set too long")]
+#[test_case(acknowledgement_with(|report| report.applied.push(position(1))), DatagramError::WrongCount; "too many applied positions")]
+#[test_case(acknowledgement_with(|report| report.lagging.push(report.lagging[0])), DatagramError::WrongCount; "too many lagging slots")]
+#[test_case(acknowledgement_with(|report| report.lagging[0].0 = MAX_SLOTS as u16), DatagramError::OutOfRange; "lagging slot above the maximum")]
+#[test_case(acknowledgement_with(|report| report.rejected.push(report.rejected[0])), DatagramError::WrongCount; "too many rejected settings")]
+#[test_case(acknowledgement_with(|report| report.rejected[0].0.kind = StreamKind::Purges), DatagramError::WrongKind; "rejected purge")]
+#[test_case(acknowledgement_with(|report| report.rejected[0].3 = MAX_SLOTS as u16 + 1), DatagramError::OutOfRange; "rejected by more members than the maximum")]
+#[test_case(acknowledgement_with(|report| report.applied[0].0.control = ControlId(2)), DatagramError::OutOfRange; "stream of an unknown control node")]
+#[test_case(acknowledgement_with(|report| report.applied[0].0.incarnation = Incarnation(0)), DatagramError::OutOfRange; "stream of incarnation zero")]
 fn rejects_values_out_of_range(message: Message, error: DatagramError) {
-    assert_eq!(codec().decode(&sealed(&message)), Err(error));
+    assert_eq!(codec().decode(&encode_one(&message)), Err(error));
 }
 
 #[test]
-fn accepts_addresses_outside_the_loopback_where_allowed() {
-    let bytes = sealed(&placement(0, 1, &["192.0.2.1:1"]));
+fn accepts_non_loopback_addresses_where_allowed() {
+    let bytes = encode_one(&placement(0, 1, &["192.0.2.1:1"]));
     assert!(FrameCodec::new("fleet", 2, AddressScope::Any).decode(&bytes).is_ok());
 }
 
 #[test]
-fn no_datagram_causes_a_panic() {
-    let good: Vec<_> = one_of_each().iter().map(sealed).collect();
-    spoiled::none_makes_it_panic(&good, |bytes| codec().decode(bytes).is_ok());
+fn malformed_datagrams_never_panic() {
+    let valid: Vec<_> = messages_of_each_kind().iter().map(encode_one).collect();
+    malformed::assert_decode_never_panics(&valid, |bytes| codec().decode(bytes).is_ok());
 }
--- a/crates/rockflow-transport/tests/frames.rs
+++ b/crates/rockflow-transport/tests/frames.rs
@@ -1,12 +1,18 @@
-//! What other members send is validated where it is read: only what is whole, of this version and of this cluster, and
-//! within its bounds, is accepted, and nothing makes the reader panic.
+//! Encoding, decoding and validation of a cluster's datagrams. Only complete datagrams of this version and cluster, with
+//! all values within their limits, are accepted, and no received bytes cause a panic.
 
-mod spoiled;
+mod malformed;
 
+use malformed::Malformed;
 use rockflow_cluster::*;
 use rockflow_transport::cluster::frame::{decode, encode, DatagramError, MAX_DATAGRAM_BYTES, VERSION};
 use std::time::Duration;
 
+/// Position of the format version, after the magic bytes.
+const VERSION_INDEX: usize = 2;
+/// Position of the sender's member id, after the header.
+const SENDER_MEMBER_INDEX: usize = 7;
+
 fn config() -> ClusterConfig {
     ClusterConfig {
         members: ["a", "b", "c"].map(str::to_string).to_vec(),
@@ -26,10 +32,10 @@
     RequestDescriptor { kind: EffectKind::IdempotencyKey, class: 1, object: 2, part: 3, group: 4, size: 5 }
 }
 
-fn write(body: usize) -> Message {
+fn write(body_bytes: usize) -> Message {
     let ballot = Ballot::first(identity(1), 1);
     let answer =
-        Answer { outcome: Outcome::Succeeded, tag: Some("t".to_string()), body: Some(vec![7; body]) };
+        Answer { outcome: Outcome::Succeeded, tag: Some("t".to_string()), body: Some(vec![7; body_bytes]) };
     let progress = RequestProgress {
         started_attempts: vec![StartedAttempt { ballot, attempt: 0, host: 9 }],
         answer: Some((ballot, answer)),
@@ -38,22 +44,25 @@
     Message::Write { at, descriptor: descriptor(), progress, left: Duration::from_millis(1500) }
 }
 
-fn sealed(messages: &[Message]) -> Vec<u8> {
+/// Encodes messages that fit into one datagram.
+fn encode_one(messages: &[Message]) -> Vec<u8> {
     let (mut frames, left_out) = encode(&config(), identity(1), messages);
     assert_eq!((frames.len(), left_out), (1, 0));
     frames.remove(0)
 }
 
 #[test]
-fn packed_messages_are_read_as_they_were_sent() {
+fn packed_messages_decode_to_what_was_encoded() {
     let messages: Vec<_> = (0..40).map(|n| write(n * 10)).collect();
     let (frames, left_out) = encode(&config(), identity(1), &messages);
     assert!(frames.len() > 4 && frames.iter().all(|bytes| bytes.len() <= 1400), "{}", frames.len());
-    let read = frames.iter().map(|bytes| decode(&config(), bytes).unwrap());
-    let read: Vec<_> =
-        read.inspect(|frame| assert_eq!(frame.from, identity(1))).flat_map(|frame| frame.messages).collect();
-    assert_eq!((read, left_out), (messages, 0));
-    // One that fits number datagram costs itself alone.
+    let decoded = frames.iter().map(|bytes| decode(&config(), bytes).unwrap());
+    let decoded: Vec<_> = decoded
+        .inspect(|frame| assert_eq!(frame.from, identity(1)))
+        .flat_map(|frame| frame.messages)
+        .collect();
+    assert_eq!((decoded, left_out), (messages, 0));
+    // A message that fits into no datagram is dropped, and the others are sent.
     let large = Message::Swim(vec![0; MAX_DATAGRAM_BYTES]);
     let (frames, left_out) = encode(&config(), identity(1), &[write(1), large, write(2)]);
     assert_eq!((frames.len(), left_out), (1, 1));
@@ -61,36 +70,37 @@
 
 #[test]
 fn rejects_another_version_or_cluster() {
-    let bytes = sealed(&[write(1)]);
-    let mut other = bytes.clone();
-    other[2] = VERSION + 1;
-    assert_eq!(decode(&config(), &other), Err(DatagramError::Version(VERSION + 1)));
-    let more = ClusterConfig { members: ["a", "b", "c", "d"].map(str::to_string).to_vec(), ..config() };
-    assert_eq!(decode(&more, &bytes), Err(DatagramError::OtherFleet));
+    let bytes = encode_one(&[write(1)]);
+    let mut other_version = bytes.clone();
+    other_version[VERSION_INDEX] = VERSION + 1;
+    assert_eq!(decode(&config(), &other_version), Err(DatagramError::Version(VERSION + 1)));
+    let more_members =
+        ClusterConfig { members: ["a", "b", "c", "d"].map(str::to_string).to_vec(), ..config() };
+    assert_eq!(decode(&more_members, &bytes), Err(DatagramError::OtherFleet));
     assert_eq!(decode(&ClusterConfig { replicas: 1, ..config() }, &bytes), Err(DatagramError::OtherFleet));
 }
 
 #[test]
-fn rejects_incomplete_datagram() {
-    let whole = sealed(&[write(1)]);
-    for (how, bytes, fault) in spoiled::not_whole(&whole) {
-        assert_eq!(decode(&config(), &bytes), Err(fault), "{how}");
+fn rejects_malformed_datagrams() {
+    let valid = encode_one(&[write(1)]);
+    for Malformed { name, bytes, error } in malformed::malformed_variants(&valid) {
+        assert_eq!(decode(&config(), &bytes), Err(error), "{name}");
     }
-    let mut nobody = whole;
-    nobody[7] = 3;
+    let mut unknown_sender = valid;
+    unknown_sender[SENDER_MEMBER_INDEX] = 3;
     assert_eq!(
-        decode(&config(), &spoiled::resealed(nobody)),
+        decode(&config(), &malformed::with_valid_checksum(unknown_sender)),
         Err(DatagramError::OutOfRange),
-        "a member that there is not"
+        "sender is not a configured member"
     );
 }
 
 #[test]
-fn rejects_values_past_their_caps() {
-    let within = sealed(&[write(1024)]);
-    assert!(decode(&config(), &within).is_ok());
-    let over = sealed(&[write(1025)]);
-    assert_eq!(decode(&config(), &over), Err(DatagramError::OutOfRange));
+fn rejects_values_above_their_limits() {
+    let largest_body = encode_one(&[write(1024)]);
+    assert!(decode(&config(), &largest_body).is_ok());
+    let body_too_large = encode_one(&[write(1025)]);
+    assert_eq!(decode(&config(), &body_too_large), Err(DatagramError::OutOfRange));
     let transfer = |records: usize, part: u16| {
         let record = Record {
             descriptor: None,
@@ -102,7 +112,7 @@
             TransferredRecord { request, record, left: Duration::ZERO, retained_for: Duration::ZERO }
         };
         let records = (0..records).map(transferred).collect();
-        sealed(&[Message::StateTransfer(StateTransfer {
+        encode_one(&[Message::StateTransfer(StateTransfer {
             identity: identity(2),
             number: 1,
             part,
@@ -118,10 +128,10 @@
 
 #[test]
 fn malformed_datagrams_never_panic() {
-    let good = sealed(&[
+    let valid = encode_one(&[
         write(20),
         Message::AwaitAnswer { request: RequestId(3), descriptor: descriptor() },
         write(3),
     ]);
-    spoiled::none_makes_it_panic(&[good], |bytes| decode(&config(), bytes).is_ok());
+    malformed::assert_decode_never_panics(&[valid], |bytes| decode(&config(), bytes).is_ok());
 }
