--- a/crates/rockflow-transport/tests/dissemination_wire_format.rs
+++ b/crates/rockflow-transport/tests/dissemination_wire_format.rs
@@ -1,5 +1,5 @@
-//! Literal bytes of every message of dissemination and of the frame around it. A field or variant that changes its place
-//! fails here: the encoding carries order and no names.
+//! Literal bytes of every message of dissemination and of the datagram around it, which nodes of other releases must be able
+//! to decode. A field or variant that changes its position fails here: the encoding has order, but no names.
 
 use rockflow_dissemination::*;
 use rockflow_transport::dissemination::frame::{AddressScope, Frame, FrameCodec};
@@ -68,11 +68,11 @@
 }
 
 fn acknowledgement() -> Message {
-    let has = vec![
+    let received = vec![
         (stream(StreamKind::Purges), SequenceNumber(301)),
         (stream(StreamKind::Configuration), SequenceNumber(8)),
     ];
-    Message::Acknowledgement { received: has, reports: vec![report()] }
+    Message::Acknowledgement { received, reports: vec![report()] }
 }
 
 fn heartbeat() -> Message {
@@ -122,7 +122,7 @@
     }
 }
 
-fn want_settings() -> Message {
+fn settings_request() -> Message {
     Message::SettingsRequest { part: 130 }
 }
 
@@ -169,22 +169,22 @@
 }
 
 #[test_case(join(), "00e724"; "join")]
-#[test_case(placement(), "01e724effdb6f70f0305d80402baf4fedbe5bfa4aa79007f000001cc3ad6d1f0fdfe8ea39a280100000000000000000000000000000001cd3a"; "near")]
-#[test_case(not_listed(), "02e824"; "unknown")]
-#[test_case(acknowledgement(), "03020100fbd095ffbc31ad020101fbd095ffbc31080103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109"; "ack")]
+#[test_case(placement(), "01e724effdb6f70f0305d80402baf4fedbe5bfa4aa79007f000001cc3ad6d1f0fdfe8ea39a280100000000000000000000000000000001cd3a"; "placement")]
+#[test_case(not_listed(), "02e824"; "not listed")]
+#[test_case(acknowledgement(), "03020100fbd095ffbc31ad020101fbd095ffbc31080103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109"; "acknowledgement")]
 #[test_case(Message::Leave, "04"; "leave")]
 #[test_case(Message::Full, "05"; "full")]
-#[test_case(heartbeat(), "06fa01e724effdb6f70f020100fbd095ffbc3102ad020101fbd095ffbc31010801fe95b7f50d"; "pulse")]
+#[test_case(heartbeat(), "06fa01e724effdb6f70f020100fbd095ffbc3102ad020101fbd095ffbc31010801fe95b7f50d"; "heartbeat")]
 #[test_case(batch_of_purges(), "070100fbd095ffbc31ab0203dc0b00000807060504030201dc0b00014ddc0b0002"; "batch of purges")]
 #[test_case(batch_of_settings(), "070101fbd095ffbc31060328010263310095d695ffbc3101c8d395ffbc310228010263320195d695ffbc3101c8d395ffbc310228010263330295d695ffbc3101c8d395ffbc3102"; "batch of settings")]
-#[test_case(repair_request(), "080100fbd095ffbc31020a0cac02ad02"; "ask")]
+#[test_case(repair_request(), "080100fbd095ffbc31020a0cac02ad02"; "repair request")]
 #[test_case(snapshot(), "090100fbd095ffbc31fa0101a846"; "snapshot")]
-#[test_case(want_settings(), "0a8201"; "want settings")]
-#[test_case(settings(), "0bfe95b7f50d028201020101fbd095ffbc31070263310195d695ffbc3101c8d395ffbc31020101fbd095ffbc31080263320295d695ffbc3101c8d395ffbc3102"; "settings")]
-#[test_case(region_reports(), "0ce724e7d795ffbc31020103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109ee05"; "rows")]
-#[test_case(superseded(), "0d02fcd095ffbc31"; "outlived")]
+#[test_case(settings_request(), "0a8201"; "settings request")]
+#[test_case(settings(), "0bfe95b7f50d028201020101fbd095ffbc31070263310195d695ffbc3101c8d395ffbc31020101fbd095ffbc31080263320295d695ffbc3101c8d395ffbc3102"; "settings part")]
+#[test_case(region_reports(), "0ce724e7d795ffbc31020103effdb6f70f025a81020100fbd095ffbc31ac020101fbd095ffbc3107010b0100fbd095ffbc31a202020101fbd095ffbc310500020101fbd095ffbc31060109ee05"; "region reports")]
+#[test_case(superseded(), "0d02fcd095ffbc31"; "superseded incarnation")]
 #[test_case(Message::Probe, "0e"; "probe")]
-#[test_case(probe_reply(), "0ffb01"; "fresh")]
+#[test_case(probe_reply(), "0ffb01"; "probe reply")]
 fn message_has_its_literal_bytes(message: Message, literal: &str) {
     assert_eq!(hex(&postcard::to_stdvec(&message).unwrap()), literal);
     assert_eq!(postcard::from_bytes::<Message>(&bytes(literal)).unwrap(), message);
