--- a/crates/rockflow-transport/src/cluster/thread.rs
+++ b/crates/rockflow-transport/src/cluster/thread.rs
@@ -16,8 +16,7 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// Capacity of the command channel. Commands beyond it are dropped, and their requests are not recorded at
-/// replicas.
+/// Capacity of the command channel. Commands beyond it are dropped, and their requests are not recorded at replicas.
 const MAX_QUEUED_COMMANDS: usize = 4096;
 
 /// Options for starting a member.
--- a/crates/rockflow-transport/src/datagram.rs
+++ b/crates/rockflow-transport/src/datagram.rs
@@ -52,7 +52,8 @@
     /// A purge in a stream of configuration, or a setting in a stream of purges.
     #[error("entry of a kind that its stream does not carry")]
     WrongKind,
-    /// An address is not one of a single host and port, or is outside the loopback network where only that is allowed.
+    /// An address is unspecified, multicast or without a port, or it is not a loopback address where only those are
+    /// allowed.
     #[error("address unusable, or outside the allowed network")]
     InvalidAddress,
     /// The sender has this node's name: a datagram was reflected, or another process runs under the same name.
--- a/crates/rockflow-transport/src/dissemination/frame.rs
+++ b/crates/rockflow-transport/src/dissemination/frame.rs
@@ -7,6 +7,7 @@
 
 /// Version of the datagram format, raised with every change.
 pub const VERSION: u8 = 2;
+/// The first bytes of every datagram of dissemination.
 const MAGIC: [u8; 2] = [0x72, 0x64];
 /// Maximum incarnation of a received message: Unix milliseconds in the year 2248. A node whose incarnation is superseded
 /// continues under a greater one, which must be possible for every incarnation that is accepted.
--- a/crates/rockflow-transport/src/dissemination/service.rs
+++ b/crates/rockflow-transport/src/dissemination/service.rs
@@ -23,7 +23,7 @@
 /// receives the streams of the other control nodes, which may have published those purges already.
 const SETTLING_HEARTBEATS: u32 = 8;
 
-/// Options for starting a node.
+/// Options for starting a node of dissemination.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
     /// Encodes and decodes the node's datagrams.
@@ -52,7 +52,7 @@
         /// Why it can't be applied; control nodes report it.
         reason: RejectionReason,
     },
-    /// For a control node: the notice board announces a purge. Only the active control node publishes it.
+    /// For a control node: the notice board announces a purge, which the active control node publishes.
     PurgeNotice {
         /// The objects to be purged.
         purge: Purge,
