--- a/crates/rockflow-transport/tests/cluster_wire_format.rs
+++ b/crates/rockflow-transport/tests/cluster_wire_format.rs
@@ -109,7 +109,7 @@
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len()).step_by(2).map(|index| u8::from_str_radix(&hex[index..index + 2], 16).unwrap()).collect()
 }
 
 #[test_case(swim(), "72660173858f7101ac02010003010203e0586c45"; "swim")]
@@ -132,9 +132,9 @@
 #[test_case(superseded(), "72660173858f7101ac02010aad029e2716a3"; "incarnation superseded")]
 #[test_case(hand_over(), "72660173858f7101ac02010bef9bafcdf8acd19181deb7de9af1d9a2a302010bbafe010311d49619010001ac0201010901020209820100010274310102abcd0201b996879f"; "hand over")]
 fn message_has_its_literal_bytes(message: Message, expected: &str) {
-    let (frames, left_out) = encode(&config(), SENDER, std::slice::from_ref(&message));
-    assert_eq!((frames.len(), left_out), (1, 0));
-    assert_eq!(hex(&frames[0]), expected);
+    let (datagrams, oversized) = encode(&config(), SENDER, std::slice::from_ref(&message));
+    assert_eq!((datagrams.len(), oversized), (1, 0));
+    assert_eq!(hex(&datagrams[0]), expected);
     assert_eq!(decode(&config(), &bytes(expected)), Ok(Frame { from: SENDER, messages: vec![message] }));
 }
 
@@ -143,8 +143,8 @@
     let expected =
         "72660173858f7101ac02030501ac020509ef9bafcdf8acd19181deb7de9af1d9a2a30202020982010aad029c73c878";
     let messages = vec![request_state_transfer(), drop_record(), superseded()];
-    let (frames, left_out) = encode(&config(), SENDER, &messages);
-    assert_eq!((frames.len(), left_out), (1, 0));
-    assert_eq!(hex(&frames[0]), expected);
+    let (datagrams, oversized) = encode(&config(), SENDER, &messages);
+    assert_eq!((datagrams.len(), oversized), (1, 0));
+    assert_eq!(hex(&datagrams[0]), expected);
     assert_eq!(decode(&config(), &bytes(expected)), Ok(Frame { from: SENDER, messages }));
 }
--- a/crates/rockflow-transport/tests/dissemination_frames.rs
+++ b/crates/rockflow-transport/tests/dissemination_frames.rs
@@ -162,9 +162,9 @@
 }
 
 fn encode_one(message: &Message) -> Vec<u8> {
-    let (mut frames, left_out) = codec().encode(sender(), std::slice::from_ref(message));
-    assert_eq!((frames.len(), left_out), (1, 0));
-    frames.remove(0)
+    let (mut datagrams, oversized) = codec().encode(sender(), std::slice::from_ref(message));
+    assert_eq!((datagrams.len(), oversized), (1, 0));
+    datagrams.remove(0)
 }
 
 #[test]
@@ -179,11 +179,13 @@
 #[test]
 fn packs_messages_by_size_and_in_order() {
     let messages: Vec<_> = (1..200).map(|first| batch(StreamKind::Purges, first, vec![purge(); 9])).collect();
-    let (frames, left_out) = codec().encode(sender(), &messages);
-    assert!(frames.len() > 4 && frames.iter().all(|bytes| bytes.len() <= 1400), "{}", frames.len());
-    let decoded: Vec<_> =
-        frames.iter().flat_map(|bytes| codec().decode(bytes).expect("a valid datagram").messages).collect();
-    assert_eq!((decoded, left_out), (messages, 0));
+    let (datagrams, oversized) = codec().encode(sender(), &messages);
+    assert!(datagrams.len() > 4 && datagrams.iter().all(|bytes| bytes.len() <= 1400), "{}", datagrams.len());
+    let decoded: Vec<_> = datagrams
+        .iter()
+        .flat_map(|bytes| codec().decode(bytes).expect("a valid datagram").messages)
+        .collect();
+    assert_eq!((decoded, oversized), (messages, 0));
 }
 
 #[test]
--- a/crates/rockflow-transport/tests/dissemination_wire_format.rs
+++ b/crates/rockflow-transport/tests/dissemination_wire_format.rs
@@ -165,7 +165,7 @@
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len()).step_by(2).map(|index| u8::from_str_radix(&hex[index..index + 2], 16).unwrap()).collect()
 }
 
 #[test_case(join(), "00e724"; "join")]
--- a/crates/rockflow-transport/tests/frames.rs
+++ b/crates/rockflow-transport/tests/frames.rs
@@ -46,26 +46,26 @@
 
 /// Encodes messages that fit into one datagram.
 fn encode_one(messages: &[Message]) -> Vec<u8> {
-    let (mut frames, left_out) = encode(&config(), identity(1), messages);
-    assert_eq!((frames.len(), left_out), (1, 0));
-    frames.remove(0)
+    let (mut datagrams, oversized) = encode(&config(), identity(1), messages);
+    assert_eq!((datagrams.len(), oversized), (1, 0));
+    datagrams.remove(0)
 }
 
 #[test]
 fn packed_messages_decode_to_what_was_encoded() {
     let messages: Vec<_> = (0..40).map(|n| write(n * 10)).collect();
-    let (frames, left_out) = encode(&config(), identity(1), &messages);
-    assert!(frames.len() > 4 && frames.iter().all(|bytes| bytes.len() <= 1400), "{}", frames.len());
-    let decoded = frames.iter().map(|bytes| decode(&config(), bytes).unwrap());
+    let (datagrams, oversized) = encode(&config(), identity(1), &messages);
+    assert!(datagrams.len() > 4 && datagrams.iter().all(|bytes| bytes.len() <= 1400), "{}", datagrams.len());
+    let decoded = datagrams.iter().map(|bytes| decode(&config(), bytes).unwrap());
     let decoded: Vec<_> = decoded
         .inspect(|frame| assert_eq!(frame.from, identity(1)))
         .flat_map(|frame| frame.messages)
         .collect();
-    assert_eq!((decoded, left_out), (messages, 0));
+    assert_eq!((decoded, oversized), (messages, 0));
     // A message that fits into no datagram is dropped, and the others are sent.
     let large = Message::Swim(vec![0; MAX_DATAGRAM_BYTES]);
-    let (frames, left_out) = encode(&config(), identity(1), &[write(1), large, write(2)]);
-    assert_eq!((frames.len(), left_out), (1, 1));
+    let (datagrams, oversized) = encode(&config(), identity(1), &[write(1), large, write(2)]);
+    assert_eq!((datagrams.len(), oversized), (1, 1));
 }
 
 #[test]
