--- a/crates/rockflow-transport/src/dissemination/service.rs
+++ b/crates/rockflow-transport/src/dissemination/service.rs
@@ -1,4 +1,5 @@
-//! The thread in which a node runs: its socket, its clock, and a mailbox of bounded size. It decides nothing.
+//! Runs a node of dissemination on a UDP socket, in a thread of its own or as a task. Commands arrive through a bounded
+//! channel, outputs leave through a callback.
 
 use crate::datagram::DatagramError;
 use crate::dissemination::frame::FrameCodec;
@@ -15,92 +16,93 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// Commands that may wait; further ones are rejected. More than a dispatcher can owe at a time, so that no confirmation
-/// is lost.
+/// Capacity of the command channel; commands beyond it are dropped. It exceeds the number of confirmations that a
+/// dispatcher can have outstanding, so that none of them is lost.
 const MAX_WAITING_COMMANDS: usize = 32_768;
-/// A control node that starts keeps the board's backlog for this long, while the streams of the others arrive, before it
-/// publishes it.
+/// How many heartbeats a starting control node waits before it publishes the notice board's backlog. Meanwhile it
+/// receives the streams of the other control nodes, which may have published those purges already.
 const SETTLING_HEARTBEATS: u32 = 8;
 
-/// How a node is started.
+/// Options for starting a node of dissemination.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// The format of its datagrams.
+    /// Encodes and decodes the node's datagrams.
     pub codec: FrameCodec,
-    /// Its configuration.
+    /// Configuration of the node's state machine.
     pub config: NodeConfig,
-    /// At a control node only.
+    /// The fleet's members and their placement. Set at a control node; `None` elsewhere.
     pub directory: Option<Directory>,
-    /// Address of its socket.
+    /// Local address to bind the UDP socket to. Port 0 lets the operating system choose one.
     pub listen: SocketAddr,
-    /// Seed of all random draws.
+    /// Seed of the node's random number generator.
     pub seed: u64,
 }
 
-/// Called once, in the thread of the node; it must not block.
+/// Receives the result of a command. It is called in the thread of the node and must not block.
 pub type Reply<T> = Box<dyn FnOnce(T) + Send>;
 
-/// What the owner of a node asks of it.
+/// A command that the process sends to its node.
 pub enum Command {
-    /// The decisions have applied what was given under this token.
+    /// The decision logic (crate rockflow) has applied the output with this token.
     ConfirmApplied(ApplyToken),
-    /// A setting can't be applied.
+    /// The decision logic can't apply a setting.
     Reject {
-        /// The setting.
+        /// The entry that carries the setting.
         id: EntryId,
-        /// Why.
+        /// Why it can't be applied; control nodes report it.
         reason: RejectionReason,
     },
-    /// At control: the notice board announces a purge, which is published by the active control node.
+    /// For a control node: the notice board announces a purge, which the active control node publishes.
     PurgeNotice {
-        /// What is purged.
+        /// The objects to be purged.
         purge: Purge,
-        /// Time since the purge was made.
+        /// Time since the purge was requested.
         age: Duration,
-        /// Whether the board may have announced it before this control node started.
+        /// Whether the board may have announced it before this control node started, so that another control node may
+        /// have published it.
         backlog: bool,
     },
-    /// Publish these.
+    /// For a control node: publish purges and settings.
     Publish {
-        /// What to publish.
+        /// The purges and settings, in the order of their entries.
         publications: Vec<Publication>,
-        /// Receives the ids of the entries, or of those that replace them.
+        /// Receives the ids of the new entries, or of the entries that already replace them.
         reply: Reply<Vec<EntryId>>,
     },
-    /// At control: replace the directory.
+    /// For a control node: replace the directory.
     SetDirectory(Directory),
-    /// Report the state.
+    /// Report the state of the node and its socket.
     Status(Reply<TransportStatus>),
-    /// Leave, and end the thread.
+    /// Leave the fleet, and end the thread or task.
     Stop,
 }
 
 /// The state of a node and its socket.
 #[derive(Clone, Debug)]
 pub struct TransportStatus {
-    /// State of the node.
+    /// State of the node's state machine.
     pub node: NodeStatus,
-    /// What the node has counted.
+    /// Events at the node since it started.
     pub counters: Counters,
-    /// Datagrams sent, received and rejected.
+    /// Datagrams sent, received and rejected since the start.
     pub traffic: Traffic,
 }
 
-/// Sends commands to a node, from any thread.
+/// Sends commands to a node, from any thread. The node ends when its last handle is dropped.
 #[derive(Clone)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
-    /// The address of the node's socket.
+    /// Local address of the node's socket.
     pub listens_at: SocketAddr,
 }
 
-/// Sends commands from what the node itself hands out; it does not keep the node alive.
+/// A handle for the callback that receives the node's outputs. It does not keep the node running.
 #[derive(Clone)]
 pub struct WeakHandle(mpsc::WeakSender<Command>);
 
 impl Handle {
-    /// Starts the thread. `on_output` is called in it with every output of the node except what it sends; it must not
-    /// block.
+    /// Starts a thread that runs the node. It calls `on_output` for every output except the messages to be sent, which it
+    /// sends itself; the callback must not block.
     ///
     /// # Errors
     /// The socket can't be bound, or the thread can't be started.
@@ -108,19 +110,19 @@
         options: NodeOptions,
         on_output: impl FnMut(&WeakHandle, Output) + Send + 'static,
     ) -> io::Result<Handle> {
-        let (commands, mailbox) = mpsc::channel(MAX_WAITING_COMMANDS);
-        let weak = WeakHandle(commands.downgrade());
+        let (commands, command_queue) = mpsc::channel(MAX_WAITING_COMMANDS);
+        let weak_handle = WeakHandle(commands.downgrade());
         let listens_at = socket::spawn("dissemination", options.listen, move |socket| {
-            Box::pin(run(options, DatagramSocket::new(socket), weak, mailbox, on_output))
+            Box::pin(run(options, DatagramSocket::new(socket), weak_handle, command_queue, on_output))
         })?;
         Ok(Handle { commands, listens_at })
     }
 
-    /// The same without a thread of its own, for many nodes that share one. The node lives as long as the returned future
-    /// is polled, within a runtime of tokio.
+    /// Like [`Handle::start`], but without a thread, so that many nodes can share one. The returned future runs the node and
+    /// has to be polled. This must be called within a tokio runtime.
     ///
     /// # Errors
-    /// The socket can't be bound.
+    /// The socket can't be bound or registered with the runtime.
     pub fn shared(
         options: NodeOptions,
         on_output: impl FnMut(&WeakHandle, Output) + Send + 'static,
@@ -129,25 +131,27 @@
         socket.set_nonblocking(true)?;
         let listens_at = socket.local_addr()?;
         let socket = tokio::net::UdpSocket::from_std(socket)?;
-        let (commands, mailbox) = mpsc::channel(MAX_WAITING_COMMANDS);
-        let weak = WeakHandle(commands.downgrade());
-        let node = async move { run(options, DatagramSocket::new(socket), weak, mailbox, on_output).await };
+        let (commands, command_queue) = mpsc::channel(MAX_WAITING_COMMANDS);
+        let weak_handle = WeakHandle(commands.downgrade());
+        let node = async move {
+            run(options, DatagramSocket::new(socket), weak_handle, command_queue, on_output).await
+        };
         Ok((Handle { commands, listens_at }, node))
     }
 
-    /// Returns false where too many commands wait, or the thread has ended: the command is dropped.
+    /// Queues a command. Returns `false`, and drops the command, if the queue is full or the node has ended.
     pub fn send(&self, command: Command) -> bool {
         self.commands.try_send(command).is_ok()
     }
 
-    /// Whether the thread has ended.
+    /// Whether the node has stopped or failed, so that no command reaches it any more.
     pub fn has_ended(&self) -> bool {
         self.commands.is_closed()
     }
 }
 
 impl WeakHandle {
-    /// As [`Handle::send`].
+    /// Queues a command like [`Handle::send`]. Also returns `false` if the last [`Handle`] is dropped.
     pub fn send(&self, command: Command) -> bool {
         self.0.upgrade().is_some_and(|commands| commands.try_send(command).is_ok())
     }
@@ -156,31 +160,32 @@
 async fn run(
     options: NodeOptions,
     socket: DatagramSocket,
-    weak: WeakHandle,
-    mut mailbox: mpsc::Receiver<Command>,
+    weak_handle: WeakHandle,
+    mut command_queue: mpsc::Receiver<Command>,
     mut on_output: impl FnMut(&WeakHandle, Output) + Send + 'static,
 ) {
-    let on_output = Box::new(move |output| on_output(&weak, output));
+    let on_output = Box::new(move |output| on_output(&weak_handle, output));
     let mut service = Service::new(options, socket, on_output);
     service.start();
-    socket::run(&mut service, &mut mailbox).await;
+    socket::run(&mut service, &mut command_queue).await;
 }
 
-/// The board's purges at a control node.
+/// Publishes the notice board's purges at a control node.
 struct BoardFeed {
     publisher: Publisher,
-    /// When to look next at what is to be published.
-    due: Duration,
+    /// When to check next for purges to publish.
+    next_check: Duration,
+    /// Time between two checks.
     interval: Duration,
 }
 
-/// Owns a node and its socket.
+/// The driver of a node and its socket.
 struct Service {
     codec: FrameCodec,
     identity: Identity,
     node: Node,
-    /// At a control node only.
-    feed: Option<BoardFeed>,
+    /// `None` unless the node is a control node.
+    board_feed: Option<BoardFeed>,
     socket: DatagramSocket,
     on_output: Box<dyn FnMut(Output) + Send>,
     is_stopped: bool,
@@ -196,35 +201,35 @@
         let interval = config.heartbeat_interval;
         let has_peers = config.control.len() > 1;
         let settling = if has_peers { interval * SETTLING_HEARTBEATS } else { Duration::ZERO };
-        let feed = config.control_id.map(|_| BoardFeed {
+        let board_feed = config.control_id.map(|_| BoardFeed {
             publisher: Publisher::new(config.purge_window).settling(settling),
-            due: socket.now(),
+            next_check: socket.now(),
             interval,
         });
         let identity = config.identity;
         let node = Node::new(config, directory, seed, socket.now());
-        Service { codec, identity, node, feed, socket, on_output, is_stopped: false }
+        Service { codec, identity, node, board_feed, socket, on_output, is_stopped: false }
     }
 
     fn start(&mut self) {
-        info!(node = self.identity.node.0, incarnation = self.identity.incarnation.0, "dissemination");
+        info!(node = self.identity.node.0, incarnation = self.identity.incarnation.0, "dissemination starts");
         let outputs = self.node.start(self.socket.now());
         self.execute(outputs);
     }
 
-    /// Sends what is to be sent, packed by receiver, and passes the rest on.
+    /// Sends the messages, packed into datagrams by receiver, and passes the other outputs to the callback.
     fn execute(&mut self, outputs: Vec<Output>) {
         let mut messages: BTreeMap<SocketAddr, Vec<Message>> = BTreeMap::new();
         for output in outputs {
             match output {
                 Output::Send { to, message } => messages.entry(to).or_default().push(message),
-                // What is sent from now on is of the new incarnation.
+                // All messages of this call are sent below, under the new incarnation.
                 Output::IncarnationSuperseded { incarnation } => {
                     self.identity.incarnation = incarnation;
                     (self.on_output)(output);
                 }
                 other => {
-                    self.note_published(&other);
+                    self.record_published(&other);
                     (self.on_output)(other);
                 }
             }
@@ -235,28 +240,30 @@
         }
     }
 
-    /// What another control node has published need not be published here.
-    fn note_published(&mut self, output: &Output) {
-        let (Some(feed), Output::Purge { purges, .. }) = (&mut self.feed, output) else { return };
+    /// Tells the publisher which purges another control node has published, so that it does not publish them again.
+    fn record_published(&mut self, output: &Output) {
+        let (Some(board_feed), Output::Purge { purges, .. }) = (&mut self.board_feed, output) else { return };
         let now = self.socket.now();
         for (purge, age) in purges {
-            feed.publisher.on_published(now, *purge, *age);
+            board_feed.publisher.on_published(now, *purge, *age);
         }
     }
 
     fn on_purge_notice(&mut self, now: Duration, purge: Purge, age: Duration, backlog: bool) {
-        let Some(feed) = &mut self.feed else { return };
+        let Some(board_feed) = &mut self.board_feed else { return };
         match backlog {
-            true => feed.publisher.on_backlog_notice(now, purge, age),
-            false => feed.publisher.on_purge_notice(now, purge, age),
+            true => board_feed.publisher.on_backlog_notice(now, purge, age),
+            false => board_feed.publisher.on_purge_notice(now, purge, age),
         }
-        feed.due = now;
+        board_feed.next_check = now;
     }
 
     fn publish_due(&mut self, now: Duration) {
-        let Some(feed) = self.feed.as_mut().filter(|feed| feed.due <= now) else { return };
-        feed.due = now + feed.interval;
-        let publications = feed.publisher.tick(now, self.node.publisher_role(now));
+        let Some(board_feed) = self.board_feed.as_mut().filter(|feed| feed.next_check <= now) else {
+            return;
+        };
+        board_feed.next_check = now + board_feed.interval;
+        let publications = board_feed.publisher.tick(now, self.node.publisher_role(now));
         if !publications.is_empty() {
             let (_, outputs) = self.node.publish(now, publications);
             self.execute(outputs);
@@ -282,7 +289,7 @@
     fn on_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         match self.codec.decode(bytes) {
             Ok(frame) if frame.from.node != self.identity.node => {
-                // Together, so that what results from one datagram leaves in one datagram to each receiver.
+                // Executed together, so that the replies to one datagram share a datagram for each receiver.
                 let mut outputs = Vec::new();
                 for message in frame.messages {
                     outputs.extend(self.node.on_message(self.socket.now(), frame.from, from, message));
@@ -325,7 +332,7 @@
 
     fn next_due(&self) -> Option<Duration> {
         let due = self.node.next_due();
-        Some(self.feed.as_ref().map_or(due, |feed| due.min(feed.due)))
+        Some(self.board_feed.as_ref().map_or(due, |feed| due.min(feed.next_check)))
     }
 
     fn tick(&mut self) {
@@ -345,7 +352,7 @@
 impl Drop for Service {
     fn drop(&mut self) {
         if !self.is_stopped {
-            warn!("the thread of dissemination ends without a stop");
+            warn!("dissemination ended without a stop command");
         }
     }
 }
