--- a/crates/rockflow-dissemination/tests/directory_changes.rs
+++ b/crates/rockflow-dissemination/tests/directory_changes.rs
@@ -19,7 +19,7 @@
     for control in 0..3 {
         let (now, directory) = (fleet.now, fleet.directory.clone());
         let outputs = fleet.nodes[control].node.set_directory(now, directory);
-        fleet.take(control, outputs);
+        fleet.handle_outputs(control, outputs);
     }
     fleet.run(s(20));
     fleet.directory = Directory::parse(&csv(3, 3, regions)).expect("a directory");
@@ -53,7 +53,7 @@
             settings_digest: None,
         };
         let outputs = fleet.nodes[index].node.on_message(now, me, parent.address, pulse);
-        fleet.take(index, outputs);
+        fleet.handle_outputs(index, outputs);
     }
     fleet.run(s(10));
     let before = joins(&fleet);
--- a/crates/rockflow-dissemination/tests/faults_and_moves.rs
+++ b/crates/rockflow-dissemination/tests/faults_and_moves.rs
@@ -30,22 +30,22 @@
 fn unconfirmed_entry_is_not_replicated_to_all() {
     let mut fleet = settled(31);
     let member = fleet.index("m-0-1-1");
-    fleet.nodes[member].done.withholds = true;
+    fleet.nodes[member].caller.withholds_confirmations = true;
     let first = fleet.purge(0, 1);
     fleet.run(s(1));
     let second = fleet.purge(0, 2);
     fleet.run(s(6));
-    assert_eq!(fleet.times(member, 2), 1);
+    assert_eq!(fleet.purge_count(member, 2), 1);
     assert!(!fleet.everywhere(0, first));
     let behind = fleet.control(0).lagging;
     assert!(behind.contains(&("m-0-1-1".to_owned(), first.0, SequenceNumber(0))), "{behind:?}");
     // The later one first: nothing is applied without a gap yet.
-    let tokens = std::mem::take(&mut fleet.nodes[member].done.tokens);
+    let tokens = std::mem::take(&mut fleet.nodes[member].caller.unconfirmed_tokens);
     for token in tokens.into_iter().rev() {
         assert!(!fleet.everywhere(0, first));
         let now = fleet.now;
         let outputs = fleet.nodes[member].node.confirm_applied(now, token);
-        fleet.take(member, outputs);
+        fleet.handle_outputs(member, outputs);
     }
     fleet.run(s(4));
     assert!(fleet.everywhere(0, second));
@@ -55,20 +55,20 @@
 fn reports_replication_of_entry_that_the_log_has_dropped() {
     let mut fleet = settled(33);
     let member = fleet.index("m-0-1-1");
-    fleet.nodes[member].done.withholds = true;
+    fleet.nodes[member].caller.withholds_confirmations = true;
     let id = fleet.purge(0, 1);
     // Past the window and the quarter of it for which a log holds purges longer.
     fleet.run(s(15));
-    fleet.nodes[member].done.withholds = false;
-    for token in std::mem::take(&mut fleet.nodes[member].done.tokens) {
+    fleet.nodes[member].caller.withholds_confirmations = false;
+    for token in std::mem::take(&mut fleet.nodes[member].caller.unconfirmed_tokens) {
         let now = fleet.now;
         let outputs = fleet.nodes[member].node.confirm_applied(now, token);
-        fleet.take(member, outputs);
+        fleet.handle_outputs(member, outputs);
     }
     fleet.run(s(6));
     for control in 0..3 {
         assert!(fleet.everywhere(control, id), "control {control} does not know it");
-        let said = &fleet.nodes[control].done.replicated;
+        let said = &fleet.nodes[control].caller.replicated;
         assert!(
             said.iter().any(|(stream, number, ..)| (*stream, *number) == id),
             "control {control}: {said:?}"
@@ -82,9 +82,9 @@
     let head = fleet.members().max_by_key(|index| fleet.status(*index).children).expect("one");
     let changes = fleet.counters(head).parent_changes;
     let control = fleet.counters(0).process_pauses;
-    fleet.stop(head);
+    fleet.pause(head);
     fleet.run(s(60));
-    fleet.wake(head);
+    fleet.resume(head);
     assert_eq!(fleet.counters(head).process_pauses, 1);
     let stale = fleet.status(head).staleness.expect("heard");
     assert!(stale > s(50), "an old pulse isn't passed as fresh: {stale:?}");
@@ -100,13 +100,13 @@
 #[test]
 fn paused_control_node_reports_nothing_by_old_reports() {
     let mut fleet = settled(33);
-    fleet.stop(1);
+    fleet.pause(1);
     let id = fleet.purge(0, 1);
     let member = fleet.index("m-0-0-1");
     fleet.run(ms(100));
     fleet.kill(member);
     fleet.run(s(60));
-    fleet.wake(1);
+    fleet.resume(1);
     assert_eq!(
         fleet.nodes[1].node.publisher_role(fleet.now),
         PublisherRole::Standby,
@@ -122,7 +122,8 @@
     let mut fleet = settled(34);
     let leaf = fleet.index("m-0-0-4");
     // Only the leaf receives it before all control nodes stop.
-    fleet.eats = Some(Box::new(move |_, to, message| to != leaf && matches!(message, Message::Batch { .. })));
+    fleet.drop_rule =
+        Some(Box::new(move |_, to, message| to != leaf && matches!(message, Message::Batch { .. })));
     let stream =
         StreamId { control: ControlId(0), kind: StreamKind::Purges, incarnation: Incarnation(INCARNATION) };
     let entries = vec![AgedEntry { age_ms: 0, entry: Entry::Purge(Purge::object(9)) }];
@@ -133,20 +134,20 @@
     for control in 0..3 {
         fleet.kill(control);
     }
-    fleet.take(leaf, outputs);
+    fleet.handle_outputs(leaf, outputs);
     fleet.run(ms(100));
-    fleet.eats = None;
+    fleet.drop_rule = None;
     fleet.run(s(30));
     for index in fleet.members().filter(|index| fleet.nodes[*index].name.starts_with("m-0")) {
-        assert_eq!(fleet.times(index, 9), 1, "{}", fleet.nodes[index].name);
+        assert_eq!(fleet.purge_count(index, 9), 1, "{}", fleet.nodes[index].name);
     }
 }
 
 #[test]
 fn settings_return_to_control_nodes_that_have_all_restarted() {
     let mut fleet = settled(35);
-    fleet.want(0, "a", DesiredState::Gone);
-    fleet.want(1, "b", DesiredState::Draining);
+    fleet.set_desired_state(0, "a", DesiredState::Gone);
+    fleet.set_desired_state(1, "b", DesiredState::Draining);
     fleet.run(s(5));
     for control in 0..3 {
         fleet.restart(control, INCARNATION + 100_000);
@@ -155,10 +156,10 @@
     for index in 0..fleet.nodes.len() {
         assert_eq!(fleet.status(index).desired.len(), 2, "{}", fleet.nodes[index].name);
     }
-    let id = fleet.want(0, "a", DesiredState::Listed);
+    let id = fleet.set_desired_state(0, "a", DesiredState::Listed);
     fleet.run(s(5));
     assert!(fleet.everywhere(0, id));
-    assert!(fleet.members().all(|index| fleet.nodes[index].done.settings.len() == 1));
+    assert!(fleet.members().all(|index| fleet.nodes[index].caller.settings.len() == 1));
 }
 
 #[test]
@@ -169,7 +170,7 @@
     for control in 0..3 {
         let now = fleet.now;
         let outputs = fleet.nodes[control].node.set_directory(now, directory.clone());
-        fleet.take(control, outputs);
+        fleet.handle_outputs(control, outputs);
     }
     fleet.run(s(12));
     let id = fleet.purge(2, 1);
@@ -193,7 +194,7 @@
     assert_eq!(ids.last().map(|id| id.1), Some(SequenceNumber(MAX_UNSENT_PUBLICATIONS + 1)));
     fleet.run(s(60));
     for index in fleet.members() {
-        assert!(fleet.nodes[index].done.floors >= 1);
+        assert!(fleet.nodes[index].caller.full_purges >= 1);
         for object in (0..20_000).step_by(997) {
             assert!(fleet.covered(index, object, at), "{object} at {}", fleet.nodes[index].name);
         }
--- a/crates/rockflow-dissemination/tests/fleet.rs
+++ b/crates/rockflow-dissemination/tests/fleet.rs
@@ -28,13 +28,13 @@
     let id = fleet.purge(0, 7);
     fleet.run(s(3));
     for index in fleet.members() {
-        assert_eq!(fleet.times(index, 7), 1, "{}", fleet.nodes[index].name);
-        assert_eq!(fleet.nodes[index].done.floors, 0);
+        assert_eq!(fleet.purge_count(index, 7), 1, "{}", fleet.nodes[index].name);
+        assert_eq!(fleet.nodes[index].caller.full_purges, 0);
     }
     for control in 0..3 {
         assert!(fleet.everywhere(control, id), "{control}");
     }
-    let replicated = &fleet.nodes[0].done.replicated;
+    let replicated = &fleet.nodes[0].caller.replicated;
     assert_eq!(replicated.len(), 1);
     assert!(replicated[0].2 < s(3), "{:?}", replicated[0].2);
     assert!(fleet.largest <= 1400, "{}", fleet.largest);
@@ -46,7 +46,7 @@
 fn applies_each_purge_once_despite_loss_duplicates_and_reordering(seed: u64, loss: f64) {
     let mut fleet = settled(seed);
     fleet.loss = loss;
-    fleet.doubled = 0.2;
+    fleet.duplication = 0.2;
     fleet.delay = (5, 900);
     let mut published = Vec::new();
     for object in 0..60 {
@@ -59,7 +59,7 @@
     fleet.run(s(15));
     for (object, id, at) in published {
         for index in fleet.members() {
-            assert!(fleet.times(index, object) <= 1, "{object} twice at {}", fleet.nodes[index].name);
+            assert!(fleet.purge_count(index, object) <= 1, "{object} twice at {}", fleet.nodes[index].name);
             assert!(fleet.covered(index, object, at), "{object} not at {}", fleet.nodes[index].name);
         }
         assert!(fleet.everywhere(0, id));
@@ -79,8 +79,8 @@
     let id = fleet.purge(1, 5);
     fleet.run(s(8));
     for index in fleet.members().filter(|index| *index != head) {
-        assert_eq!(fleet.times(index, 5), 1, "{}", fleet.nodes[index].name);
-        assert_eq!(fleet.nodes[index].done.floors, 0);
+        assert_eq!(fleet.purge_count(index, 5), 1, "{}", fleet.nodes[index].name);
+        assert_eq!(fleet.nodes[index].caller.full_purges, 0);
     }
     assert!(!fleet.everywhere(1, id), "one is missing");
     let control = fleet.control(1);
@@ -100,14 +100,14 @@
     let mut fleet = settled(22);
     fleet.purge(0, 1);
     fleet.run(s(2));
-    fleet.eats = Some(Box::new(|_, _, message| matches!(message, Message::Batch { .. })));
+    fleet.drop_rule = Some(Box::new(|_, _, message| matches!(message, Message::Batch { .. })));
     fleet.purge(0, 2);
     fleet.run(ms(600));
-    fleet.eats = None;
+    fleet.drop_rule = None;
     fleet.run(s(3));
     for index in fleet.members() {
-        assert_eq!((fleet.times(index, 1), fleet.times(index, 2)), (1, 1));
-        assert_eq!(fleet.nodes[index].done.floors, 0);
+        assert_eq!((fleet.purge_count(index, 1), fleet.purge_count(index, 2)), (1, 1));
+        assert_eq!(fleet.nodes[index].caller.full_purges, 0);
     }
 }
 
@@ -115,22 +115,22 @@
 fn applies_entries_ahead_of_a_gap() {
     let mut fleet = settled(23);
     let mut batches = 0;
-    fleet.eats = Some(Box::new(move |from, _, message| {
+    fleet.drop_rule = Some(Box::new(move |from, _, message| {
         let batch = from == 0 && matches!(message, Message::Batch { .. });
         batches += u64::from(batch);
         batch && batches <= 4
     }));
     fleet.purge(0, 1);
     fleet.run(ms(520));
-    fleet.eats = Some(Box::new(|_, _, message| matches!(message, Message::RepairRequest { .. })));
+    fleet.drop_rule = Some(Box::new(|_, _, message| matches!(message, Message::RepairRequest { .. })));
     fleet.purge(0, 2);
     fleet.run(ms(1000));
     let member = fleet.members().next().expect("one");
-    assert_eq!((fleet.times(member, 1), fleet.times(member, 2)), (0, 1));
+    assert_eq!((fleet.purge_count(member, 1), fleet.purge_count(member, 2)), (0, 1));
     assert_eq!(fleet.status(member).streams[0].applied, SequenceNumber(0));
-    fleet.eats = None;
+    fleet.drop_rule = None;
     fleet.run(s(3));
-    assert_eq!((fleet.times(member, 1), fleet.times(member, 2)), (1, 1));
+    assert_eq!((fleet.purge_count(member, 1), fleet.purge_count(member, 2)), (1, 1));
     assert_eq!(fleet.status(member).streams[0].applied, SequenceNumber(2));
 }
 
@@ -139,16 +139,16 @@
     let mut fleet = settled(24);
     let member = fleet.index("m-1-0-2");
     // No batch reaches it, but the heartbeats do.
-    fleet.eats = Some(Box::new(move |_, to, message| {
+    fleet.drop_rule = Some(Box::new(move |_, to, message| {
         to == member && matches!(message, Message::Batch { .. } | Message::Snapshot { .. })
     }));
     let at = fleet.now;
     let id = fleet.purge(0, 1);
     fleet.run(s(4));
     assert!(!fleet.everywhere(0, id));
-    assert_eq!(fleet.nodes[member].done.floors, 0);
+    assert_eq!(fleet.nodes[member].caller.full_purges, 0);
     fleet.run(s(4));
-    assert_eq!(fleet.nodes[member].done.floors, 1);
+    assert_eq!(fleet.nodes[member].caller.full_purges, 1);
     assert!(fleet.covered(member, 1, at));
     assert!(fleet.everywhere(0, id));
 }
@@ -163,10 +163,10 @@
     let member = fleet.index("m-0-0-1");
     fleet.restart(member, INCARNATION + 100_000);
     fleet.run(s(4));
-    let done = &fleet.nodes[member].done;
-    let purges = done.purges.len();
+    let caller = &fleet.nodes[member].caller;
+    let purges = caller.purges.len();
     assert!((5..=14).contains(&purges), "{purges}");
-    assert_eq!(done.floors, 0, "what is before the log binds nobody");
+    assert_eq!(caller.full_purges, 0, "what is before the log binds nobody");
     assert_eq!(fleet.status(member).streams[0].applied, SequenceNumber(40));
 }
 
@@ -187,11 +187,11 @@
     }
     fleet.cut.clear();
     fleet.run(s(45));
-    let purges = fleet.nodes[member].done.purges.clone();
+    let purges = fleet.nodes[member].caller.purges.clone();
     for (object, at) in published {
         assert!(fleet.covered(member, object, at), "{object}: {purges:?}");
     }
-    assert!(fleet.nodes[member].done.floors >= 1);
+    assert!(fleet.nodes[member].caller.full_purges >= 1);
 }
 
 #[test]
@@ -202,17 +202,17 @@
     fleet.restart(0, INCARNATION - 1_000_000);
     fleet.purge(0, 2);
     fleet.run(s(10));
-    assert!(!fleet.nodes[0].done.outlived.is_empty());
+    assert!(!fleet.nodes[0].caller.superseded_by.is_empty());
     let incarnation = fleet.nodes[0].config.identity.incarnation;
     assert!(incarnation > Incarnation(INCARNATION));
     let id = fleet.purge(0, 3);
     assert_eq!(id.0.incarnation, incarnation);
     fleet.run(s(5));
     for index in fleet.members() {
-        assert_eq!(fleet.times(index, 1), 1);
-        assert!(fleet.times(index, 2) >= 1, "{}", fleet.nodes[index].name);
-        assert_eq!(fleet.times(index, 3), 1);
-        assert_eq!(fleet.nodes[index].done.floors, 0);
+        assert_eq!(fleet.purge_count(index, 1), 1);
+        assert!(fleet.purge_count(index, 2) >= 1, "{}", fleet.nodes[index].name);
+        assert_eq!(fleet.purge_count(index, 3), 1);
+        assert_eq!(fleet.nodes[index].caller.full_purges, 0);
     }
     assert!(fleet.everywhere(0, id) && fleet.everywhere(2, id));
 }
@@ -221,9 +221,9 @@
 fn more_cautious_of_concurrent_settings_wins() {
     let mut fleet = settled(28);
     // All before the next heartbeat, by which the control nodes learn of it.
-    fleet.want(0, "a", DesiredState::Gone);
-    fleet.want(1, "a", DesiredState::Draining);
-    fleet.want(1, "b", DesiredState::Draining);
+    fleet.set_desired_state(0, "a", DesiredState::Gone);
+    fleet.set_desired_state(1, "a", DesiredState::Draining);
+    fleet.set_desired_state(1, "b", DesiredState::Draining);
     fleet.run(s(8));
     for index in 0..fleet.nodes.len() {
         let desired = fleet.status(index).desired;
@@ -231,10 +231,10 @@
         assert_eq!(desired.get("b"), Some(&DesiredState::Draining));
         assert_eq!(fleet.status(index).concurrent_settings.len(), 2, "both are shown");
     }
-    let id = fleet.want(2, "a", DesiredState::Listed);
+    let id = fleet.set_desired_state(2, "a", DesiredState::Listed);
     fleet.run(s(5));
     for index in fleet.members() {
-        assert_eq!(fleet.nodes[index].done.settings.get("a"), None);
+        assert_eq!(fleet.nodes[index].caller.settings.get("a"), None);
         assert!(fleet.status(index).concurrent_settings.is_empty());
     }
     assert!(fleet.everywhere(2, id));
@@ -244,8 +244,8 @@
 fn rejected_setting_does_not_block_and_is_retried() {
     let mut fleet = settled(29);
     let member = fleet.index("m-1-0-0");
-    fleet.nodes[member].done.refuse.insert("a".to_owned());
-    let id = fleet.want(0, "a", DesiredState::Gone);
+    fleet.nodes[member].caller.rejected_hosts.insert("a".to_owned());
+    let id = fleet.set_desired_state(0, "a", DesiredState::Gone);
     fleet.run(s(5));
     assert!(fleet.everywhere(0, id));
     assert_eq!(fleet.status(member).rejected, [(id.0, id.1, RejectionReason::LastOne)]);
@@ -254,12 +254,12 @@
         assert_eq!(refused, [(id.0, id.1, RejectionReason::LastOne, 1)], "{control}");
     }
     let other = fleet.index("m-1-0-1");
-    assert_eq!(fleet.nodes[other].done.settings.get("a"), Some(&DesiredState::Gone));
+    assert_eq!(fleet.nodes[other].caller.settings.get("a"), Some(&DesiredState::Gone));
 
-    fleet.nodes[member].done.refuse.clear();
-    fleet.want(0, "b", DesiredState::Draining);
+    fleet.nodes[member].caller.rejected_hosts.clear();
+    fleet.set_desired_state(0, "b", DesiredState::Draining);
     fleet.run(s(5));
     assert!(fleet.status(member).rejected.is_empty());
-    assert_eq!(fleet.nodes[member].done.settings.get("a"), Some(&DesiredState::Gone));
+    assert_eq!(fleet.nodes[member].caller.settings.get("a"), Some(&DesiredState::Gone));
     assert!(fleet.control(0).rejected.is_empty());
 }
--- a/crates/rockflow-dissemination/tests/publishing.rs
+++ b/crates/rockflow-dissemination/tests/publishing.rs
@@ -199,10 +199,10 @@
     }
     for host in ["a", "b", "c"] {
         fleet.run(s(1));
-        fleet.want(0, host, DesiredState::Draining);
+        fleet.set_desired_state(0, host, DesiredState::Draining);
         fleet.run(CHANGE);
         for index in fleet.members() {
-            let desired = fleet.nodes[index].done.settings.get(host);
+            let desired = fleet.nodes[index].caller.settings.get(host);
             assert_eq!(desired, Some(&DesiredState::Draining), "{host} at {}", fleet.nodes[index].name);
         }
     }
--- a/crates/rockflow-dissemination/tests/settings_tables.rs
+++ b/crates/rockflow-dissemination/tests/settings_tables.rs
@@ -38,7 +38,7 @@
     let mut fleet = Fleet::new(3, &[&[5, 3], &[4]], 80);
     fleet.run(s(6));
     for index in 0..HOSTS {
-        fleet.want(index % 3, &host(index), DesiredState::Draining);
+        fleet.set_desired_state(index % 3, &host(index), DesiredState::Draining);
     }
     fleet.run(s(60));
     assert_eq!(fleet.status(fleet.controls).desired.len(), HOSTS);
--- a/crates/rockflow-dissemination/tests/support/fleet.rs
+++ b/crates/rockflow-dissemination/tests/support/fleet.rs
@@ -10,23 +10,23 @@
 pub const TWO_REGIONS: &[&[usize]] = &[&[5, 3], &[4]];
 
 /// Whether a message from one node to another is lost.
-pub type Eats = Box<dyn FnMut(usize, usize, &Message) -> bool>;
+pub type DropRule = Box<dyn FnMut(usize, usize, &Message) -> bool>;
 
 type Frame = std::cmp::Reverse<(Duration, u64, usize, usize, u64, bool)>;
 
 /// What a node's caller has applied.
 #[derive(Default)]
-pub struct Done {
+pub struct Caller {
     pub purges: Vec<(Purge, Duration, Duration)>,
-    pub floors: usize,
+    pub full_purges: usize,
     pub settings: BTreeMap<String, DesiredState>,
-    pub configured: usize,
+    pub configure_outputs: usize,
     pub replicated: Vec<(StreamId, SequenceNumber, Duration, Duration)>,
-    pub outlived: Vec<Incarnation>,
-    pub refuse: BTreeSet<String>,
+    pub superseded_by: Vec<Incarnation>,
+    pub rejected_hosts: BTreeSet<String>,
     /// Tokens are not confirmed until the test does.
-    pub withholds: bool,
-    pub tokens: Vec<ApplyToken>,
+    pub withholds_confirmations: bool,
+    pub unconfirmed_tokens: Vec<ApplyToken>,
 }
 
 pub struct Member {
@@ -37,7 +37,7 @@
     /// Paused: messages wait unread.
     pub stopped: bool,
     pub unread: Vec<(Identity, SocketAddr, Message)>,
-    pub done: Done,
+    pub caller: Caller,
     pub unix_offset: i64,
 }
 
@@ -51,11 +51,11 @@
     serial: u64,
     pub chance: oorandom::Rand64,
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     pub delay: (u64, u64),
     pub cut: BTreeSet<(usize, usize)>,
     /// Messages to be lost.
-    pub eats: Option<Eats>,
+    pub drop_rule: Option<DropRule>,
     pub bytes: usize,
     pub largest: usize,
     pub published: BTreeMap<EntryId, Duration>,
@@ -105,10 +105,10 @@
             serial: 0,
             chance: oorandom::Rand64::new(u128::from(seed)),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay: (5, 30),
             cut: BTreeSet::new(),
-            eats: None,
+            drop_rule: None,
             bytes: 0,
             largest: 0,
             published: BTreeMap::new(),
@@ -139,13 +139,13 @@
                 up: true,
                 stopped: false,
                 unread: Vec::new(),
-                done: Done::default(),
+                caller: Caller::default(),
                 unix_offset: 0,
             });
         }
         for index in 0..fleet.nodes.len() {
             let outputs = fleet.nodes[index].node.start(Duration::ZERO);
-            fleet.take(index, outputs);
+            fleet.handle_outputs(index, outputs);
         }
         fleet
     }
@@ -158,27 +158,28 @@
         self.controls..self.nodes.len()
     }
 
-    pub fn take(&mut self, index: usize, outputs: Vec<Output>) {
+    pub fn handle_outputs(&mut self, index: usize, outputs: Vec<Output>) {
         for out in outputs {
             match out {
                 Output::Send { to, message } => self.send(index, to, message),
                 Output::Purge { purges, token } => {
                     let now = self.now;
-                    let done = &mut self.nodes[index].done;
-                    done.floors += purges.iter().filter(|(purge, _)| *purge == Purge::Everything).count();
-                    done.purges.extend(purges.into_iter().map(|(purge, age)| (purge, age, now)));
+                    let caller = &mut self.nodes[index].caller;
+                    caller.full_purges +=
+                        purges.iter().filter(|(purge, _)| *purge == Purge::Everything).count();
+                    caller.purges.extend(purges.into_iter().map(|(purge, age)| (purge, age, now)));
                     self.confirm(index, token);
                 }
                 Output::Configure { settings, changed, token } => {
-                    let done = &mut self.nodes[index].done;
-                    done.configured += 1;
-                    done.settings = settings;
+                    let caller = &mut self.nodes[index].caller;
+                    caller.configure_outputs += 1;
+                    caller.settings = settings;
                     for (id, host) in changed {
-                        if self.nodes[index].done.refuse.contains(&host) {
-                            self.nodes[index].done.settings.remove(&host);
+                        if self.nodes[index].caller.rejected_hosts.contains(&host) {
+                            self.nodes[index].caller.settings.remove(&host);
                             let outputs =
                                 self.nodes[index].node.reject(self.now, id, RejectionReason::LastOne);
-                            self.take(index, outputs);
+                            self.handle_outputs(index, outputs);
                         }
                     }
                     self.confirm(index, token);
@@ -186,23 +187,23 @@
                 Output::ReplicatedToAll { stream, number, after } => {
                     let now = self.now;
                     self.check_everywhere(stream, number);
-                    self.nodes[index].done.replicated.push((stream, number, after, now));
+                    self.nodes[index].caller.replicated.push((stream, number, after, now));
                 }
                 Output::IncarnationSuperseded { incarnation } => {
                     self.nodes[index].config.identity.incarnation = incarnation;
-                    self.nodes[index].done.outlived.push(incarnation);
+                    self.nodes[index].caller.superseded_by.push(incarnation);
                 }
             }
         }
     }
 
     fn confirm(&mut self, index: usize, token: ApplyToken) {
-        if self.nodes[index].done.withholds {
-            self.nodes[index].done.tokens.push(token);
+        if self.nodes[index].caller.withholds_confirmations {
+            self.nodes[index].caller.unconfirmed_tokens.push(token);
             return;
         }
         let outputs = self.nodes[index].node.confirm_applied(self.now, token);
-        self.take(index, outputs);
+        self.handle_outputs(index, outputs);
     }
 
     /// What is reported as replicated is applied by each member's own status; where that has retired the stream, by what it has
@@ -235,11 +236,11 @@
         self.bytes += size;
         self.largest = self.largest.max(size);
         let Some(to) = (0..self.nodes.len()).find(|index| address(*index) == to) else { return };
-        let eaten = self.eats.as_mut().is_some_and(|eats| eats(from, to, &message));
+        let eaten = self.drop_rule.as_mut().is_some_and(|drop_rule| drop_rule(from, to, &message));
         if eaten || self.cut.contains(&(from.min(to), from.max(to))) {
             return;
         }
-        let copies = 1 + usize::from(self.chance.rand_float() < self.doubled);
+        let copies = 1 + usize::from(self.chance.rand_float() < self.duplication);
         for _ in 0..copies {
             if self.chance.rand_float() < self.loss {
                 continue;
@@ -272,7 +273,7 @@
                 let outputs = self.nodes[index].node.tick(self.now);
                 let due = self.nodes[index].node.next_due();
                 assert!(due > self.now, "{} doesn't rest", self.nodes[index].name);
-                self.take(index, outputs);
+                self.handle_outputs(index, outputs);
             }
         }
         self.now = until;
@@ -287,12 +288,12 @@
             return;
         }
         let outputs = self.nodes[to].node.on_message(self.now, identity, address(from), message);
-        self.take(to, outputs);
+        self.handle_outputs(to, outputs);
     }
 
     pub fn publish(&mut self, index: usize, what: Vec<Publication>) -> Vec<EntryId> {
         let (ids, outputs) = self.nodes[index].node.publish(self.now, what);
-        self.take(index, outputs);
+        self.handle_outputs(index, outputs);
         for id in &ids {
             self.published.insert(*id, self.now);
         }
@@ -306,7 +307,7 @@
         id
     }
 
-    pub fn want(&mut self, index: usize, host: &str, desired: DesiredState) -> EntryId {
+    pub fn set_desired_state(&mut self, index: usize, host: &str, desired: DesiredState) -> EntryId {
         self.publish(index, vec![Publication::Setting { host: host.to_owned(), desired }])[0]
     }
 
@@ -325,21 +326,21 @@
         member.config = config;
         member.up = true;
         member.stopped = false;
-        member.done = Done::default();
+        member.caller = Caller::default();
         let outputs = self.nodes[index].node.start(self.now);
-        self.take(index, outputs);
+        self.handle_outputs(index, outputs);
     }
 
-    pub fn stop(&mut self, index: usize) {
+    pub fn pause(&mut self, index: usize) {
         self.nodes[index].stopped = true;
     }
 
     /// Resumes a paused process: what waited unread is read at once.
-    pub fn wake(&mut self, index: usize) {
+    pub fn resume(&mut self, index: usize) {
         self.nodes[index].stopped = false;
         for (identity, at, message) in std::mem::take(&mut self.nodes[index].unread) {
             let outputs = self.nodes[index].node.on_message(self.now, identity, at, message);
-            self.take(index, outputs);
+            self.handle_outputs(index, outputs);
         }
     }
 
@@ -356,18 +357,18 @@
     }
 
     /// How often a member has applied the purge of an object.
-    pub fn times(&self, index: usize, object: u64) -> usize {
-        let purges = &self.nodes[index].done.purges;
+    pub fn purge_count(&self, index: usize, object: u64) -> usize {
+        let purges = &self.nodes[index].caller.purges;
         purges.iter().filter(|(purge, ..)| *purge == Purge::object(object)).count()
     }
 
     /// Whether a purge was applied once, or covered by a purge of everything.
     pub fn covered(&self, index: usize, object: u64, published: Duration) -> bool {
-        let purges = &self.nodes[index].done.purges;
+        let purges = &self.nodes[index].caller.purges;
         let full_purge = |(purge, age, at): &(Purge, Duration, Duration)| {
             *purge == Purge::Everything && at.saturating_sub(*age) >= published
         };
-        self.times(index, object) == 1 || purges.iter().any(full_purge)
+        self.purge_count(index, object) == 1 || purges.iter().any(full_purge)
     }
 
     pub fn everywhere(&self, index: usize, id: EntryId) -> bool {
