--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -1,52 +1,55 @@
-//! Which purges of the notice board a control node publishes, so that another one takes over where it has failed.
+//! Decides which of the purges announced by discovery's notice board a control node publishes. All control nodes receive
+//! the notices, so that another one takes over if the active one has failed.
 
 use crate::entry::Purge;
 use crate::output::Publication;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Purges received from the board and not seen published. When full, a purge of everything replaces all of them.
+/// Most purges that wait to be published or to be seen published. When full, a purge of everything replaces all of them.
 pub const MAX_PENDING_PURGES: usize = 16_384;
-/// Notices of one purge that wait; the latest of them cover those before.
+/// Most waiting notices of one purge. When full, the earliest is dropped, as the publication of a later one covers it.
 pub const MAX_NOTICES_PER_PURGE: usize = 8;
-/// Purges seen published within the window. When full, all are forgotten: some may be published twice, which is
-/// harmless.
+/// Most purges that are remembered as published within the window. When full, all are forgotten: some may then be
+/// published twice, which is harmless.
 pub const MAX_PUBLISHED_PURGES: usize = 16_384;
-/// The clocks of control nodes, from which the age of a purge is computed, may differ by this part of the window.
+/// The clocks of control nodes, from which the age of a purge is computed, may differ by the purge window divided by this
+/// number.
 const CLOCK_SKEW_DIVISOR: i128 = 4;
-/// A purge that no active control node has published within this part of the window is overdue.
+/// A purge is overdue if no control node has published it within the purge window divided by this number, counted from
+/// the receipt of its notice.
 const OVERDUE_DIVISOR: i128 = 2;
-/// A purge of the backlog may be younger by this much than its age says, where a clock is wrong.
+/// If a clock is wrong, a purge of the backlog may be younger than its stated age by up to this much.
 pub const BACKLOG_AGE_UNCERTAINTY: Duration = Duration::from_secs(7);
 
 /// Whether a control node publishes purges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublisherRole {
-    /// It publishes.
+    /// It publishes each purge as soon as the board announces it.
     Active,
-    /// Another one does; this one publishes what is overdue.
+    /// Another control node is active; this one publishes only purges that are overdue.
     Standby,
 }
 
-/// Microseconds since the origin of the node's time; negative before it.
+/// Microseconds since the origin of the node's time; negative for earlier times.
 type Micros = i128;
 
-/// Whether a notice was part of what the board repeats to a control node that starts.
+/// Whether a notice is new, or is one of those that the board repeats to a control node that starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NoticeOrigin {
     New,
-    /// The purge may have been published long before.
+    /// Repeated: the purge may have been published long before.
     Backlog,
 }
 
-/// One notice of the board.
+/// An announcement of one purge by the board.
 #[derive(Clone, Copy, Debug)]
 struct Notice {
     /// When the purge was made.
     created: Micros,
     received: Micros,
     origin: NoticeOrigin,
-    /// A purge that was seen published may be this one.
+    /// Whether a publication was matched with this notice, which may have been of this very purge.
     is_matched: bool,
 }
 
@@ -55,10 +58,10 @@
         self.origin == NoticeOrigin::Backlog
     }
 
-    /// Whether the purge was surely made by then.
-    fn is_covered(&self, by: Micros) -> bool {
+    /// Whether a publication of a purge made at `published` covers this one, as this one was certainly made no later.
+    fn is_covered(&self, published: Micros) -> bool {
         let uncertainty = if self.is_backlog() { as_micros(BACKLOG_AGE_UNCERTAINTY) } else { 0 };
-        self.created + uncertainty <= by
+        self.created + uncertainty <= published
     }
 
     /// Whether the purge was older than the window when its notice was received.
@@ -67,27 +70,29 @@
     }
 }
 
+/// The publications of one purge, which may have been made and published several times.
 #[derive(Clone, Copy, Debug)]
 struct PublishedPurge {
-    /// The latest time at which a published purge was made.
+    /// When the latest of the published purges was made.
     created: Micros,
-    /// Publications that match no notice received so far.
+    /// Number of publications that have not matched any notice received so far.
     unmatched: u32,
 }
 
-/// Owns the board's notices within the purge window.
+/// Keeps the board's notices within the purge window, and decides which of them this control node publishes.
 ///
-/// The active control node publishes them at once. The others keep them until they see them published, and publish them
-/// when they become active before that, or when half the window has passed: the active node may have restarted, and not
-/// have received them.
+/// The active control node publishes a purge as soon as it is announced. A standby node keeps the notice until it sees
+/// the purge published. It publishes the purge itself if it becomes active before that, or if half the window has passed:
+/// the active node may have restarted, and not have received the notice.
 ///
-/// A publication covers every notice that is not later. For a standby node it also matches one notice that is later by
-/// less than clocks may differ: one for one, so that a second purge of the same objects is not taken for the first. The
-/// active node does not rely on such matches.
+/// A publication covers every notice of a purge that was made no later. At a standby node it also matches one notice of
+/// a purge that seems to have been made later, by less than clocks may differ. Each publication matches only one notice,
+/// so that a second purge of the same objects is not mistaken for the first. The active node does not rely on matches.
 ///
-/// A control node that starts receives the backlog. It keeps it for the settling time, also if it is active, while the
-/// streams bring what was published, and relies on matches there. Notices of the backlog that are past the window are
-/// kept only to be matched, so that their publications do not match later notices.
+/// A control node that starts receives the backlog: notices that the board repeats. It waits for the settling time before
+/// it publishes any of them, even if it is active, while the streams bring what was published. It relies on matches for
+/// the backlog. Backlog notices that are past the window are kept only to be matched, so that their publications do not
+/// match later notices.
 #[derive(Clone, Debug)]
 pub struct Publisher {
     window: Micros,
@@ -97,7 +102,7 @@
 }
 
 impl Publisher {
-    /// Without a settling time.
+    /// Creates a publisher without a settling time. `window` is the purge window.
     pub fn new(window: Duration) -> Publisher {
         Publisher {
             window: as_micros(window),
@@ -107,22 +112,22 @@
         }
     }
 
-    /// With a settling time, for which a backlog waits for what the streams bring.
+    /// Sets the settling time, for which backlog notices wait until the streams have brought what was published.
     pub fn settling(self, settling: Duration) -> Publisher {
         Publisher { settling: as_micros(settling), ..self }
     }
 
-    /// The board announces a purge that was made `age` ago.
+    /// Handles a new notice of the board, for a purge that was made `age` ago.
     pub fn on_purge_notice(&mut self, now: Duration, purge: Purge, age: Duration) {
         self.insert(now, purge, age, NoticeOrigin::New);
     }
 
-    /// The board repeats a purge that was made `age` ago by the board's clock.
+    /// Handles a notice that the board repeats, for a purge that was made `age` ago by the board's clock.
     pub fn on_backlog_notice(&mut self, now: Duration, purge: Purge, age: Duration) {
         self.insert(now, purge, age, NoticeOrigin::Backlog);
     }
 
-    /// Another control node has published a purge that was made `age` ago.
+    /// Records that another control node has published a purge that was made `age` ago.
     pub fn on_published(&mut self, now: Duration, purge: Purge, age: Duration) {
         let created = as_micros(now) - as_micros(age);
         if self.published.len() >= MAX_PUBLISHED_PURGES && !self.published.contains_key(&purge) {
@@ -142,7 +147,7 @@
         }
     }
 
-    /// What is to be published now; at a standby node only what the active one has had the time for.
+    /// Returns the purges to publish now; at a standby node, only those that the active one should have published by now.
     pub fn tick(&mut self, now: Duration, role: PublisherRole) -> Vec<Publication> {
         let skew = self.window / CLOCK_SKEW_DIVISOR;
         let oldest = as_micros(now) - self.window;
@@ -160,7 +165,7 @@
         due.into_iter().map(|(purge, created)| self.publish(now, purge, created)).collect()
     }
 
-    /// Notices that wait and purges seen published.
+    /// Number of waiting notices and of purges that are remembered as published.
     pub fn entry_count(&self) -> usize {
         self.pending.values().map(Vec::len).sum::<usize>() + self.published.len()
     }
@@ -175,9 +180,9 @@
         }
         if self.pending.len() >= MAX_PENDING_PURGES && !self.pending.contains_key(&purge) {
             if !is_expired {
-                let all =
+                let full_purge =
                     Notice { created: received, received, origin: NoticeOrigin::New, is_matched: false };
-                self.pending = BTreeMap::from([(Purge::Everything, vec![all])]);
+                self.pending = BTreeMap::from([(Purge::Everything, vec![full_purge])]);
             }
             return;
         }
@@ -190,19 +195,21 @@
         }
     }
 
-    /// No publication matches a notice of an older purge.
+    /// Notices of purges made before this time are not kept, as no publication can match them.
     fn oldest_match(&self, now: Duration) -> Micros {
         let skew = self.window / CLOCK_SKEW_DIVISOR;
         as_micros(now) - self.window - skew - as_micros(BACKLOG_AGE_UNCERTAINTY)
     }
 
+    /// Whether a publication that was seen covers the notice.
     fn is_published(&self, purge: Purge, notice: &Notice) -> bool {
-        let is_covered =
-            |by: &Purge| self.published.get(by).is_some_and(|published| notice.is_covered(published.created));
+        let is_covered = |purge: &Purge| {
+            self.published.get(purge).is_some_and(|published| notice.is_covered(published.created))
+        };
         is_covered(&purge) || is_covered(&Purge::Everything)
     }
 
-    /// Matches a new notice with a publication that has matched none. Returns whether there is one.
+    /// Matches a new notice with a publication that has not matched another notice. Returns whether there is one.
     fn match_published(&mut self, purge: Purge, created: Micros) -> bool {
         let earliest = created - self.window / CLOCK_SKEW_DIVISOR;
         match self.published.get_mut(&purge) {
@@ -214,12 +221,13 @@
         }
     }
 
-    /// Removes the notices that a publication covers, or else matches one that it may be. Returns whether there was one.
+    /// Removes the notices that a publication covers. If there are none, matches the publication with one notice of what
+    /// may be the same purge. Returns whether the publication has covered or matched a notice.
     fn match_notice(&mut self, purge: Purge, created: Micros) -> bool {
         let Some(notices) = self.pending.get_mut(&purge) else { return false };
-        let before = notices.len();
+        let previous_count = notices.len();
         notices.retain(|notice| !notice.is_covered(created));
-        let has_covered = notices.len() < before;
+        let has_covered = notices.len() < previous_count;
         if notices.is_empty() {
             self.pending.remove(&purge);
             return has_covered;
@@ -238,7 +246,8 @@
         }
     }
 
-    /// Drops notices that need not be published any more. One that nobody has published is kept however old it becomes.
+    /// Drops notices that no longer have to be published. A notice that no control node has published is kept, however
+    /// old its purge becomes.
     fn expire_notices(&mut self, now: Duration, role: PublisherRole) {
         let window = self.window;
         let oldest = as_micros(now) - window;
@@ -256,22 +265,24 @@
         self.pending.retain(|_, notices| !notices.is_empty());
     }
 
+    /// Whether a purge is to be published now.
     fn is_due(&self, now: Duration, notice: &Notice, role: PublisherRole) -> bool {
         if notice.was_expired(self.window) {
             return false;
         }
-        let overdue = as_micros(now) - self.window / OVERDUE_DIVISOR;
-        let settled = as_micros(now) - self.settling;
+        let overdue_if_received_by = as_micros(now) - self.window / OVERDUE_DIVISOR;
+        let settled_if_received_by = as_micros(now) - self.settling;
         let is_due_here = match (role, notice.origin) {
             (PublisherRole::Standby, _) => false,
             (PublisherRole::Active, NoticeOrigin::New) => true,
             (PublisherRole::Active, NoticeOrigin::Backlog) => {
-                !notice.is_matched && notice.received <= settled
+                !notice.is_matched && notice.received <= settled_if_received_by
             }
         };
-        is_due_here || (!notice.is_matched && notice.received <= overdue)
+        is_due_here || (!notice.is_matched && notice.received <= overdue_if_received_by)
     }
 
+    /// Remembers a purge as published, and returns it with its age.
     fn publish(&mut self, now: Duration, purge: Purge, created: Micros) -> Publication {
         self.record_published(purge, created);
         let age = Duration::from_micros(u64::try_from(as_micros(now) - created).unwrap_or(0));
