--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -19,12 +19,12 @@
 
 /// A stream's entries that have come to be applied by all since the last look.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Convergence {
+pub(crate) struct ReplicatedEntries {
     pub stream: StreamId,
     /// The last number that was applied by all before.
-    pub before: SequenceNumber,
+    pub previous_last: SequenceNumber,
     /// The last number that is now.
-    pub to: SequenceNumber,
+    pub last: SequenceNumber,
 }
 
 /// A region by all reports.
@@ -43,7 +43,7 @@
     /// the directory. A region that the directory doesn't list is not kept.
     reports: BTreeMap<(ControlId, u16), (SubtreeReport, Timestamp)>,
     /// The last number that is applied by all.
-    numbers: BTreeMap<StreamId, SequenceNumber>,
+    replicated_to_all: BTreeMap<StreamId, SequenceNumber>,
 }
 
 impl ConvergenceTracker {
@@ -82,8 +82,8 @@
     }
 
     /// The last number of each stream that is applied by all.
-    pub fn numbers(&self) -> &BTreeMap<StreamId, SequenceNumber> {
-        &self.numbers
+    pub fn replicated_to_all(&self) -> &BTreeMap<StreamId, SequenceNumber> {
+        &self.replicated_to_all
     }
 
     /// Merges all reports of a region, those received here and by the other control nodes.
@@ -113,13 +113,13 @@
         directory: &Directory,
         direct: &[SubtreeReport],
         lag: LagOf,
-    ) -> Vec<Convergence> {
+    ) -> Vec<ReplicatedEntries> {
         let mut advanced = Vec::new();
-        for (stream, to) in self.applied_by_all(directory, direct, lag).unwrap_or_default() {
-            let before = self.numbers.get(&stream).copied().unwrap_or_default();
-            if to > before {
-                self.numbers.insert(stream, to);
-                advanced.push(Convergence { stream, before, to });
+        for (stream, last) in self.applied_by_all(directory, direct, lag).unwrap_or_default() {
+            let previous_last = self.replicated_to_all.get(&stream).copied().unwrap_or_default();
+            if last > previous_last {
+                self.replicated_to_all.insert(stream, last);
+                advanced.push(ReplicatedEntries { stream, previous_last, last });
             }
         }
         advanced
@@ -127,7 +127,7 @@
 
     /// Forgets streams that are not held any more.
     pub fn retain_streams(&mut self, is_held: impl Fn(StreamId) -> bool) {
-        self.numbers.retain(|stream, _| is_held(*stream));
+        self.replicated_to_all.retain(|stream, _| is_held(*stream));
     }
 
     fn applied_by_all(
--- a/crates/rockflow-dissemination/src/node/control.rs
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -2,7 +2,7 @@
 //! all.
 
 use super::{Node, Sender};
-use crate::convergence::{split_into_messages, Convergence};
+use crate::convergence::{split_into_messages, ReplicatedEntries};
 use crate::directory::Directory;
 use crate::encoded_size;
 use crate::entry::SequenceNumber;
@@ -177,27 +177,28 @@
         control.convergence.expire(now, self.config.heartbeat_interval * REPORT_TTL_HEARTBEATS);
         if let Some(directory) = &control.directory {
             let lag = |id, number| self.lag(id, number);
-            for converged in control.convergence.advance(directory, &direct, &lag) {
-                self.emit_replicated(now, converged);
+            for entries in control.convergence.advance(directory, &direct, &lag) {
+                self.emit_replicated(now, entries);
             }
         }
         control.convergence.retain_streams(|id| self.streams.get(id).is_some());
         self.control = Some(control);
     }
 
-    fn emit_replicated(&mut self, now: Duration, converged: Convergence) {
-        let Convergence { stream: id, before, to } = converged;
+    fn emit_replicated(&mut self, now: Duration, entries: ReplicatedEntries) {
+        let ReplicatedEntries { stream: id, previous_last, last } = entries;
         let Some(stream) = self.streams.get(id) else { return };
-        let first = before.next().max(SequenceNumber(to.0.saturating_sub(MAX_REPLICATED_OUTPUTS - 1)));
-        for number in (first.0..=to.0).map(SequenceNumber) {
+        let first =
+            previous_last.next().max(SequenceNumber(last.0.saturating_sub(MAX_REPLICATED_OUTPUTS - 1)));
+        for number in (first.0..=last.0).map(SequenceNumber) {
             if let Some(entry) = stream.get(number) {
                 let after = entry.timestamp.age(now);
                 self.outputs.push(Output::ReplicatedToAll { stream: id, number, after });
             }
         }
         // The log has dropped it: the newest entry that was dropped gives the least time that it can have taken.
-        if let Some(dropped) = stream.newest_dropped().filter(|_| stream.get(to).is_none()) {
-            self.outputs.push(Output::ReplicatedToAll { stream: id, number: to, after: dropped.age(now) });
+        if let Some(dropped) = stream.newest_dropped().filter(|_| stream.get(last).is_none()) {
+            self.outputs.push(Output::ReplicatedToAll { stream: id, number: last, after: dropped.age(now) });
         }
     }
 }
--- a/crates/rockflow-dissemination/src/node/status.rs
+++ b/crates/rockflow-dissemination/src/node/status.rs
@@ -69,7 +69,7 @@
         let control = self.control.as_ref()?;
         let mut status = ControlStatus {
             directory: control.directory_version(),
-            replicated_to_all: control.convergence.numbers().clone(),
+            replicated_to_all: control.convergence.replicated_to_all().clone(),
             is_publishing: control.is_publishing(now),
             ..ControlStatus::default()
         };
