--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -1,4 +1,4 @@
-//! Replication to all: what every listed member has applied, by the members' own reports.
+//! Determines which entries all listed members have applied, from the reports of the members.
 
 use crate::counters::Counters;
 use crate::directory::Directory;
@@ -10,44 +10,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of region reports in one message.
+/// Most bytes of region reports in one message, as estimated by the sizes below.
 const MAX_MESSAGE_BYTES: usize = 1200;
-/// Bytes of a region report without its slots and streams, about.
+/// Approximate bytes of a region report without its slots and streams.
 const REPORT_BYTES: usize = 32;
-/// Bytes of one stream and number in a region report, about.
+/// Approximate bytes of one stream with its number in a region report.
 const REPORTED_STREAM_BYTES: usize = 14;
 
-/// A stream's entries that have come to be applied by all since the last look.
+/// The entries of a stream that all members turn out to have applied since the previous check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplicatedEntries {
     pub stream: StreamId,
-    /// The last number that was applied by all before.
+    /// The number up to which all members had applied the stream before.
     pub previous_last: SequenceNumber,
-    /// The last number that is now.
+    /// The number up to which they have applied it now.
     pub last: SequenceNumber,
 }
 
-/// A region by all reports.
+/// The state of a region according to all reports.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RegionStatus {
-    /// Members that are present.
+    /// Number of members that have reported.
     pub present: usize,
-    /// The merged report; `None`: nobody has reported.
+    /// The merged report; `None` if no member has reported.
     pub report: Option<SubtreeReport>,
 }
 
-/// Owns what other control nodes report, and what is known to be applied by all.
+/// Keeps the region reports of the other control nodes, and how far all members have applied each stream.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ConvergenceTracker {
-    /// By the control node that received them, and region: bounded by the number of control nodes and the regions of
-    /// the directory. A region that the directory doesn't list is not kept.
+    /// Each report with the time at which its oldest part was received, by the control node that has sent it and the
+    /// index of the region. Bounded by the number of control nodes and of regions in the directory, as reports of other
+    /// regions are not kept.
     reports: BTreeMap<(ControlId, u16), (SubtreeReport, Timestamp)>,
-    /// The last number that is applied by all.
+    /// The number up to which all members have applied each stream.
     replicated_to_all: BTreeMap<StreamId, SequenceNumber>,
 }
 
 impl ConvergenceTracker {
-    /// Takes the report of one region from another control node.
+    /// Stores the report of one region from another control node. A report that does not use the current listing of the
+    /// region is dropped.
     pub fn insert(
         &mut self,
         now: Duration,
@@ -71,22 +73,23 @@
         self.reports.retain(|_, (_, received)| received.age(now) <= ttl);
     }
 
-    /// Drops all reports: this process did not run for a while, or the directory has changed.
+    /// Drops all reports, after a pause of this process or a change of the directory.
     pub fn clear_reports(&mut self) {
         self.reports.clear();
     }
 
-    /// The number of reports that are held.
+    /// Number of stored reports.
     pub fn report_count(&self) -> usize {
         self.reports.len()
     }
 
-    /// The last number of each stream that is applied by all.
+    /// The number up to which all members have applied each stream.
     pub fn replicated_to_all(&self) -> &BTreeMap<StreamId, SequenceNumber> {
         &self.replicated_to_all
     }
 
-    /// Merges all reports of a region, those received here and by the other control nodes.
+    /// Merges all reports of a region: `direct`, those that this control node received from its children, and those of
+    /// the other control nodes.
     pub fn region_status(
         &self,
         region: u16,
@@ -107,7 +110,8 @@
         RegionStatus { present, report }
     }
 
-    /// Returns the streams that have advanced at all members; none while a listed member is missing.
+    /// Returns the entries that all members have applied since the previous call; none while the reports lack a listed
+    /// member.
     pub fn advance(
         &mut self,
         directory: &Directory,
@@ -125,11 +129,13 @@
         advanced
     }
 
-    /// Forgets streams that are not held any more.
+    /// Forgets the streams that the node no longer holds.
     pub fn retain_streams(&mut self, is_held: impl Fn(StreamId) -> bool) {
         self.replicated_to_all.retain(|stream, _| is_held(*stream));
     }
 
+    /// The number up to which all members have applied each stream that all regions report; `None` while the reports
+    /// lack a listed member.
     fn applied_by_all(
         &self,
         directory: &Directory,
@@ -156,7 +162,7 @@
     }
 }
 
-/// Divides region reports into as few messages as hold them.
+/// Divides region reports into groups that each fit into one message.
 pub(crate) fn split_into_messages(reports: Vec<RegionReport>) -> Vec<Vec<RegionReport>> {
     let mut messages: Vec<Vec<RegionReport>> = Vec::new();
     let mut bytes = 0;
