--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -1,4 +1,5 @@
-//! What only a control node keeps: its own streams, its clock, the directory, and what is replicated to all.
+//! State that only a control node has: its own streams, its clock, the directory, and which entries all members have
+//! applied.
 
 use crate::config::NodeConfig;
 use crate::convergence::ConvergenceTracker;
@@ -12,25 +13,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Publications are sent at this part of a member's bytes per second, as each member passes them on.
+/// Publications are sent at the configured bytes per second divided by this number, as each member has to forward them
+/// to its children.
 const PUBLISH_RATE_DIVISOR: u32 = 6;
-/// Settings have this part of the publications' rate to themselves.
+/// Settings have a share of their own: the rate of publications divided by this number.
 const SETTINGS_RATE_DIVISOR: u32 = 6;
-/// Unused credit of it is kept for this long.
+/// Unused credit for publications accumulates for at most this long.
 const PUBLISH_BURST: Duration = Duration::from_secs(30);
-/// A control node that is silent for this long is not counted on.
+/// A control node counts as failed if nothing was received from it for more than this many heartbeat intervals.
 const CONTROL_TIMEOUT_HEARTBEATS: u32 = 6;
 
+/// The state that a control node has in addition to that of a member.
 pub(crate) struct Control {
     pub id: ControlId,
     pub publications: Publications,
     pub directory: Option<Directory>,
     pub convergence: ConvergenceTracker,
+    /// When the next heartbeat and region reports are due.
     pub heartbeat_due: Duration,
+    /// All control nodes, this one included, by index.
     peers: Vec<Peer>,
     heartbeat_interval: Duration,
     clock: HybridClock,
-    /// When each control node was last received from.
+    /// When the last message of each control node was received, by index.
     last_received: Vec<Duration>,
 }
 
@@ -51,22 +56,22 @@
         }
     }
 
-    /// The own stream of this kind, of the current incarnation.
+    /// This control node's stream of a kind, in its current incarnation.
     pub fn stream(&self, kind: StreamKind) -> StreamId {
         StreamId { control: self.id, kind, incarnation: self.publications.incarnation }
     }
 
-    /// Whether this node publishes the stream.
+    /// Whether this node publishes the stream, in its current incarnation.
     pub fn is_own(&self, id: StreamId) -> bool {
         id.control == self.id && id.incarnation == self.publications.incarnation
     }
 
-    /// Version of the directory; 0: there is none.
+    /// Version of the directory; 0 if there is none.
     pub fn directory_version(&self) -> u64 {
         self.directory.as_ref().map_or(0, |directory| directory.version)
     }
 
-    /// The hash of the listing by which a member's slots are counted; 0: it is not listed.
+    /// Hash of the listing of a member's region; 0 if the directory doesn't list the member.
     pub fn listing_hash_for(&self, node: NodeId) -> u32 {
         let region = self.directory.as_ref().and_then(|directory| directory.region_of(node));
         region.map_or(0, |region| region.listing_hash)
@@ -79,23 +84,25 @@
         region.is_some_and(|region| region.listing_hash == report.listing_hash)
     }
 
-    /// The clock as it is announced to the other control nodes.
+    /// The latest value of the hybrid clock, as announced to the other control nodes.
     pub fn clock(&self) -> HybridTimestamp {
         HybridTimestamp { unix_ms: self.clock.latest_unix_ms, control: self.id.0 }
     }
 
-    /// Takes note of the Unix time in milliseconds of another clock.
+    /// Raises the hybrid clock to that of another node, in Unix milliseconds, if the other is ahead.
     pub fn observe_clock(&mut self, unix_ms: u64) {
         self.clock.observe(unix_ms);
     }
 
-    /// A timestamp above all that were made here, and above the version that it replaces.
+    /// Makes a timestamp that is greater than all timestamps made here before, and than `replaced`, the timestamp of the
+    /// setting that is replaced.
     pub fn next_timestamp(&mut self, now: Duration, replaced: HybridTimestamp) -> HybridTimestamp {
         let unix_ms = self.clock.advance(now).max(replaced.unix_ms.saturating_add(1));
         HybridTimestamp { unix_ms, control: self.id.0 }
     }
 
-    /// This process did not run for this long: the other control nodes' silence meanwhile says nothing.
+    /// Adjusts to a pause of this process: the silence of other control nodes meanwhile does not make them count as
+    /// failed, and their reports are dropped as outdated.
     pub fn shift_timers(&mut self, pause: Duration) {
         for last_received in &mut self.last_received {
             *last_received = last_received.saturating_add(pause);
@@ -103,19 +110,20 @@
         self.convergence.clear_reports();
     }
 
-    /// A message of the control node with this index was received.
+    /// Records that a message of the control node with this index was received.
     pub fn on_message_from(&mut self, index: usize, now: Duration) {
         if let Some(last_received) = self.last_received.get_mut(index) {
             *last_received = (*last_received).max(now);
         }
     }
 
-    /// Whether this control node publishes purges: it is the first by index that is alive.
+    /// Whether this control node publishes purges: none with a lower index is alive.
     pub fn is_publishing(&self, now: Duration) -> bool {
         (0..usize::from(self.id.0)).all(|index| !self.is_alive(now, index))
     }
 
-    /// In rotation: whoever advertised the entries, their publisher, and the other control nodes.
+    /// Chooses the node to ask for missing entries, in rotation over the attempts: the node that advertised them, their
+    /// publisher, and the other control nodes in turn.
     pub fn repair_target(
         &self,
         id: StreamId,
@@ -145,15 +153,16 @@
 
 /// The state of a control node's own streams.
 pub(crate) struct Publications {
-    /// Above every incarnation of this control node that is known elsewhere.
+    /// Incarnation of the streams that are published now. It is raised above any later incarnation of this control node
+    /// that other nodes turn out to know.
     pub incarnation: Incarnation,
-    /// The last number that was sent, by kind.
+    /// The last number that was sent, by kind of stream.
     last_sent: BTreeMap<StreamKind, SequenceNumber>,
-    /// The last own purge that a stream tip has advertised.
+    /// The last purge of this control node's stream that a tip has advertised.
     pub last_advertised_purge: SequenceNumber,
-    /// For all publications.
+    /// Limits the bytes of all publications.
     pub budget: TokenBucket,
-    /// The share of settings.
+    /// Limits the bytes of settings that are sent even if purges have used up `budget`.
     pub settings_budget: TokenBucket,
     /// When a greater incarnation was last chosen.
     reincarnated_at: Option<Duration>,
@@ -174,17 +183,17 @@
         }
     }
 
-    /// The last number of its stream of that kind that was sent.
+    /// The last number of the stream of this kind that was sent; 0 if none was.
     pub fn last_sent(&self, kind: StreamKind) -> SequenceNumber {
         self.last_sent.get(&kind).copied().unwrap_or_default()
     }
 
-    /// Records the last number of its stream of that kind that was sent.
+    /// Records the last number of the stream of this kind that was sent.
     pub fn set_last_sent(&mut self, kind: StreamKind, number: SequenceNumber) {
         self.last_sent.insert(kind, number);
     }
 
-    /// Continues under a greater incarnation, at most once a heartbeat interval. Returns whether it does.
+    /// Switches to a greater incarnation, at most once per heartbeat interval. Returns whether it has.
     pub fn reincarnate(&mut self, now: Duration, incarnation: Incarnation) -> bool {
         if self.reincarnated_at.is_some_and(|at| now < at + self.heartbeat_interval) {
             return false;
@@ -197,25 +206,26 @@
     }
 }
 
-/// A hybrid logical clock.
+/// A hybrid logical clock: it follows the Unix time in milliseconds, and never falls behind a value that it has made or
+/// observed.
 struct HybridClock {
     /// Unix milliseconds at the start of this process, by its own clock.
     started_unix_ms: u64,
-    /// The same moment as the node's callers count time.
+    /// The same moment in the time of the node's calls.
     started_at: Duration,
     /// The greatest value made or observed.
     latest_unix_ms: u64,
 }
 
 impl HybridClock {
-    /// Takes another node's clock, unless it is beyond what any clock shows.
+    /// Raises the clock to that of another node, unless that is later than any plausible time.
     fn observe(&mut self, unix_ms: u64) {
         if unix_ms <= MAX_TRUSTED_CLOCK_UNIX_MS {
             self.latest_unix_ms = self.latest_unix_ms.max(unix_ms);
         }
     }
 
-    /// The next value: the time, or one above the greatest before.
+    /// Makes the next value: the current time, or one above the greatest value so far if that is later.
     fn advance(&mut self, now: Duration) -> u64 {
         let elapsed = u64::try_from(now.saturating_sub(self.started_at).as_millis()).unwrap_or(u64::MAX);
         let time = self.started_unix_ms.saturating_add(elapsed);
--- a/crates/rockflow-dissemination/src/node/control.rs
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -1,5 +1,5 @@
-//! The tasks of a control node: it places members, exchanges reports with the others, and knows what is replicated to
-//! all.
+//! Tasks of a control node: it assigns members their places in the tree, exchanges region reports with the other control
+//! nodes, and determines which entries all members have applied.
 
 use super::{Node, Sender};
 use crate::convergence::{split_into_messages, ReplicatedEntries};
@@ -16,13 +16,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A region's report counts for this long.
+/// A region report from another control node expires after this many heartbeat intervals.
 const REPORT_TTL_HEARTBEATS: u32 = 10;
-/// Entries of a stream that are reported as replicated at a time: of more, the last ones.
+/// Most entries of a stream that are reported as replicated at a time. If there are more, only the last ones are.
 const MAX_REPLICATED_OUTPUTS: u64 = 128;
 
 impl Node {
-    /// Whether this node publishes purges: it is the first control node by index that is alive.
+    /// Active if this is the control node with the lowest index of those that are alive; standby otherwise, and at a
+    /// member.
     pub fn publisher_role(&self, now: Duration) -> PublisherRole {
         match &self.control {
             Some(control) if control.is_publishing(now) => PublisherRole::Active,
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Replaces the directory. Members are placed by it at once, and learn of it by the heartbeats.
+    /// Replaces the directory of a control node. It applies to all placements from now on; members learn of the change
+    /// from the heartbeats.
     pub fn set_directory(&mut self, now: Duration, directory: Directory) -> Vec<Output> {
         let now = self.advance_clock(now);
         if let Some(control) = &mut self.control {
@@ -40,12 +42,12 @@
         self.flush(now, None)
     }
 
-    /// Index of a node in the list of control nodes.
+    /// Index of a node in the configured list of control nodes; `None` if it is a member.
     pub(super) fn control_index(&self, node: NodeId) -> Option<usize> {
         self.config.control.iter().position(|peer| peer.node == node)
     }
 
-    /// Of the other control nodes; none at a member.
+    /// Addresses of the other control nodes; empty at a member.
     pub(super) fn other_control_addresses(&self) -> Vec<SocketAddr> {
         if self.control.is_none() {
             return Vec::new();
@@ -54,7 +56,8 @@
         others.map(|peer| peer.address).collect()
     }
 
-    /// Where the sender is a control node, it is alive; if a later incarnation of it is known here, it is notified.
+    /// If the sender is a control node, records that it is alive, and notifies it if a later incarnation of it is known
+    /// here.
     pub(super) fn on_control_message(&mut self, now: Duration, sender: Sender) {
         let Some(index) = self.control_index(sender.identity.node) else { return };
         if let Some(control) = &mut self.control {
@@ -67,6 +70,7 @@
         }
     }
 
+    /// Does a control node's periodic work, once per heartbeat interval.
     pub(super) fn control_tick(&mut self, now: Duration) {
         match &mut self.control {
             Some(control) if now >= control.heartbeat_due => {
@@ -80,7 +84,7 @@
         self.update_convergence(now);
     }
 
-    /// A node asks for its place.
+    /// Answers a node that asks for its place in the tree.
     pub(super) fn on_join(&mut self, now: Duration, sender: Sender) {
         let Some(directory) = self.control.as_ref().and_then(|control| control.directory.as_ref()) else {
             self.counters.unexpected_messages += 1;
@@ -106,7 +110,7 @@
         self.send(sender.address, answer);
     }
 
-    /// Another control node reports the regions that report to it.
+    /// Stores the reports of regions whose members report to another control node, and observes its clock.
     pub(super) fn on_region_reports(
         &mut self,
         now: Duration,
@@ -129,13 +133,13 @@
         }
     }
 
-    /// The children's reports, merged by region and listing.
+    /// Reports of this node's children, merged by region and listing.
     pub(super) fn direct_reports(&self) -> Vec<SubtreeReport> {
         let lag = |id, number| self.lag(id, number);
         subtree_report::merge(self.children.reports(), &lag, usize::MAX).0
     }
 
-    /// The same, each with the age of the oldest report in it.
+    /// [`Node::direct_reports`], each with the age of the oldest report that was merged into it.
     fn aged_direct_reports(&self, now: Duration) -> Vec<RegionReport> {
         let mut oldest: BTreeMap<(u16, u32), Duration> = BTreeMap::new();
         for child in self.children.iter() {
@@ -153,6 +157,7 @@
         self.direct_reports().into_iter().map(with_age).collect()
     }
 
+    /// Sends the reports of the children to the other control nodes.
     fn send_region_reports(&mut self, now: Duration) {
         let Some(control) = &self.control else { return };
         let (clock, directory_version) = (control.clock(), control.directory_version());
@@ -160,7 +165,7 @@
         reports.retain(|region| control.is_current_listing(&region.report));
         let mut messages = split_into_messages(reports);
         if messages.is_empty() {
-            // The clock is announced even where no member has reported.
+            // The clock is announced even if no member has reported.
             messages.push(Vec::new());
         }
         for to in self.other_control_addresses() {
@@ -171,6 +176,7 @@
         }
     }
 
+    /// Reports the entries that all members have applied since the previous update.
     fn update_convergence(&mut self, now: Duration) {
         let direct = self.direct_reports();
         let Some(mut control) = self.control.take() else { return };
@@ -196,7 +202,8 @@
                 self.outputs.push(Output::ReplicatedToAll { stream: id, number, after });
             }
         }
-        // The log has dropped it: the newest entry that was dropped gives the least time that it can have taken.
+        // The log no longer holds the last of these entries. The age of the newest entry that was dropped is a lower
+        // bound for the time that its replication took.
         if let Some(dropped) = stream.newest_dropped().filter(|_| stream.get(last).is_none()) {
             self.outputs.push(Output::ReplicatedToAll { stream: id, number: last, after: dropped.age(now) });
         }
