--- a/crates/rockflow-dissemination/src/node/anti_entropy.rs
+++ b/crates/rockflow-dissemination/src/node/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: missing entries are requested and repaired, gaps that nobody closes are abandoned, and superseded
-//! streams are retired.
+//! Anti-entropy: requests missing entries, answers such requests, abandons gaps that no other node can close, and
+//! retires the streams of superseded incarnations.
 
 use super::{Node, Sender};
 use crate::encoded_size;
@@ -10,17 +10,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Messages that answer one repair request. The rest is requested again.
+/// Most messages sent in answer to one repair request. The other node requests what is still missing again.
 const MAX_REPAIR_MESSAGES: usize = 16;
-/// A superseded configuration stream is retired after it was quiet for this long.
+/// The configuration stream of a superseded incarnation is retired after this many heartbeat intervals without a new
+/// entry.
 const CONFIGURATION_RETIRE_HEARTBEATS: u32 = 120;
-/// A gap open for this part of the purge window is given up as soon as one node reports that its log begins later.
+/// A gap that has been open for the purge window divided by this number is skipped as soon as a single node reports
+/// that its log begins after it.
 const LONG_GAP_DIVISOR: u32 = 4;
-/// A gap open for this part of the purge window is abandoned.
+/// A gap in a purge stream that has been open for the purge window divided by this number is abandoned.
 const ABANDON_GAP_DIVISOR: u32 = 2;
 
 impl Node {
-    /// Requests what is missing, where it is due.
+    /// Sends the repair requests that are due.
     pub(super) fn request_repairs(&mut self, now: Duration) {
         let is_due = |stream: &&Stream| stream.repair_due().is_some_and(|due| due <= now);
         let due: Vec<StreamId> = self.streams.iter().filter(is_due).map(|stream| stream.id).collect();
@@ -32,14 +34,15 @@
     fn request_repair(&mut self, now: Duration, id: StreamId) {
         let Some(stream) = self.streams.get_mut(id) else { return };
         let repair = stream.next_repair(now, self.config.heartbeat_interval);
-        if let Some(to) = self.repair_target(id, repair.advertised_by, repair.attempt as usize) {
+        if let Some(target) = self.repair_target(id, repair.advertised_by, repair.attempt as usize) {
             self.counters.repair_requests_sent += 1;
-            self.send(to, Message::RepairRequest { stream: id, ranges: repair.ranges });
+            self.send(target, Message::RepairRequest { stream: id, ranges: repair.ranges });
         }
     }
 
-    /// In rotation: the parent; whoever advertised the entries, or another candidate from the nearest on; a candidate
-    /// from the last on, as control nodes hold more.
+    /// Chooses the node to ask for missing entries, in rotation over the attempts: first the parent; then the node that
+    /// advertised the entries, or else a candidate counted from the nearest; then a candidate counted from the last, as
+    /// control nodes come last and hold more entries.
     fn repair_target(
         &self,
         id: StreamId,
@@ -62,6 +65,7 @@
         }
     }
 
+    /// Answers with the requested entries that the log still holds, and with a snapshot if it begins after some of them.
     pub(super) fn on_repair_request(
         &mut self,
         now: Duration,
@@ -94,8 +98,8 @@
         }
     }
 
-    /// A node's log begins at `next`. A purge of everything, or the table of settings, replaces what is missing
-    /// before it.
+    /// Handles another node's report that its log begins at `next`. If entries before `next` are missing here, a purge
+    /// of everything replaces purges, and the settings table replaces settings.
     pub(super) fn on_snapshot(
         &mut self,
         now: Duration,
@@ -116,11 +120,11 @@
             }
             return;
         }
-        // Another node may hold what this one doesn't: a narrow gap is requested elsewhere first.
+        // Another node may still hold the missing entries: a narrow gap is first requested from others.
         let is_wide = stream.last().0.saturating_sub(stream.received().0) > MAX_REPAIRABLE_GAP;
-        let is_long =
+        let is_long_open =
             stream.gap_since().is_some_and(|since| now.saturating_sub(since) >= window / LONG_GAP_DIVISOR);
-        if stream.start_known && stream.lacks_before(next) && !is_wide && !is_long {
+        if stream.start_known && stream.lacks_before(next) && !is_wide && !is_long_open {
             return;
         }
         let min_accepted = min_accepted_age_ms.map(|age| Timestamp::ms_ago(now, age));
@@ -135,7 +139,8 @@
         }
         match min_accepted {
             Some(timestamp) => self.substitute_full_purge(timestamp),
-            // What was missed is older than the window, and so may be what this node has served since it started.
+            // All missed purges are older than the window. A node that has run for longer than the window may still
+            // serve objects that it stored before those purges.
             None if id.kind == StreamKind::Purges && self.clock.uptime(now) > window => {
                 self.substitute_full_purge(Timestamp::ago(now, window));
             }
@@ -143,25 +148,28 @@
         }
     }
 
-    /// Abandons gaps of purges that nobody has closed: a purge of everything replaces them.
+    /// Abandons gaps in purge streams that have been open for too long. A purge of everything replaces the missing
+    /// entries.
     pub(super) fn abandon_gaps(&mut self, now: Duration) {
         let wait = self.config.purge_window / ABANDON_GAP_DIVISOR;
-        let mut has_lost = false;
+        let mut has_lost_entries = false;
         for stream in self.streams.iter_mut().filter(|stream| stream.id.kind == StreamKind::Purges) {
             if stream.gap_since().is_some_and(|since| now.saturating_sub(since) >= wait) {
-                has_lost |= stream.abandon_gap(now, wait);
+                has_lost_entries |= stream.abandon_gap(now, wait);
                 stream.update_gap(now, self.config.heartbeat_interval / 2);
                 self.apply_queue.touch(stream.id);
             }
         }
-        if has_lost {
+        if has_lost_entries {
             self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
         }
     }
 
+    /// Drops the streams of superseded incarnations that have been quiet for long enough.
     pub(super) fn retire_streams(&mut self, now: Duration) {
-        let configuration = self.config.heartbeat_interval * CONFIGURATION_RETIRE_HEARTBEATS;
-        for retired in self.streams.retire_superseded(now, self.config.purge_window, configuration) {
+        let configuration_quiet_time = self.config.heartbeat_interval * CONFIGURATION_RETIRE_HEARTBEATS;
+        for retired in self.streams.retire_superseded(now, self.config.purge_window, configuration_quiet_time)
+        {
             self.counters.streams_retired += 1;
             self.cover_dropped_stream(now, &retired);
         }
