--- a/crates/rockflow-dissemination/src/node/acknowledgements.rs
+++ b/crates/rockflow-dissemination/src/node/acknowledgements.rs
@@ -1,4 +1,5 @@
-//! Acknowledgements up the tree.
+//! Acknowledgements, which travel up the tree: a member reports to its parent which entries it has received, and which
+//! its subtree has applied.
 
 use super::heartbeats::TipSource;
 use super::{Node, Sender};
@@ -11,13 +12,14 @@
 use std::time::Duration;
 
 impl Node {
+    /// Sends a member's acknowledgement when it is due.
     pub(super) fn ack_tick(&mut self, now: Duration) {
         if self.control.is_none() && now >= self.acks.due() {
             self.send_acknowledgement(now);
         }
     }
 
-    /// Tells the parent what was received here, and what is applied in this subtree.
+    /// Sends an acknowledgement to the parent, if there is one, and schedules the next.
     pub(super) fn send_acknowledgement(&mut self, now: Duration) {
         self.acks.on_sent(now);
         if let Some(parent) = self.subscription.parent() {
@@ -26,6 +28,7 @@
         }
     }
 
+    /// Builds an acknowledgement. It covers the streams that changed recently and a few others in rotation.
     pub(super) fn acknowledgement(&mut self, now: Duration) -> Message {
         let advertised = self.streams_to_advertise(now, MAX_STREAMS);
         let streams = advertised.into_iter().filter_map(|id| self.streams.get(id));
@@ -35,11 +38,13 @@
         Message::Acknowledgement { received, reports }
     }
 
-    /// How far a number is behind the last that is known here of its stream.
+    /// How many entries `number` is behind the last known number of its stream; 0 for a stream that this node does not
+    /// hold.
     pub(super) fn lag(&self, id: StreamId, number: SequenceNumber) -> u64 {
         self.streams.get(id).map_or(0, |stream| stream.last().0.saturating_sub(number.0))
     }
 
+    /// Handles a child's acknowledgement. Its sender becomes or stays a child, if there is room.
     pub(super) fn on_acknowledgement(
         &mut self,
         now: Duration,
@@ -48,6 +53,7 @@
         reports: Vec<SubtreeReport>,
     ) {
         let Sender { identity: from, address } = sender;
+        // After a pause of this process, a message may have waited unread until its reports were outdated.
         let reports = if self.clock.is_unreliable(now) { Vec::new() } else { reports };
         match self.children.on_acknowledgement(now, from, address, reports) {
             AckOutcome::Full => {
@@ -61,12 +67,14 @@
             AckOutcome::Known { changed: false } => {}
         }
         for (stream, last) in received.into_iter().take(MAX_STREAMS) {
-            // The message doesn't say where the child's log begins; only a log that holds nothing is known to.
+            // The message doesn't say at which number the child's log begins. With 2 as the first number, the tip does
+            // not show that the log reaches back to the start of the stream.
             let first = SequenceNumber(2).min(last);
             self.on_tip(now, address, StreamTip { stream, first, last }, TipSource::Other);
         }
     }
 
+    /// Sends a heartbeat to a new child, so that it learns the stream tips without waiting for the next one.
     fn welcome_child(&mut self, now: Duration, child: Sender) {
         let listing_hash = match &self.control {
             Some(control) => control.listing_hash_for(child.identity.node),
@@ -77,20 +85,22 @@
         self.acks.request();
     }
 
-    /// The reports of this node and its children, and how many had no room.
+    /// Merges this node's report with those of its children. Also returns how many reports were left out because the
+    /// message has no room for them.
     fn subtree_reports(&self) -> (Vec<SubtreeReport>, u64) {
         let own = self.own_report();
-        let all = own.iter().chain(self.children.reports());
-        subtree_report::merge(all, &|id, number| self.lag(id, number), MAX_REPORTS)
+        let reports = own.iter().chain(self.children.reports());
+        subtree_report::merge(reports, &|id, number| self.lag(id, number), MAX_REPORTS)
     }
 
+    /// What this node itself has applied; `None` without a place in the tree.
     fn own_report(&self) -> Option<SubtreeReport> {
         let place = self.join.place()?;
         let mut slots = SlotSet::default();
         slots.set(place.slot);
-        let known = || self.streams.iter().filter(|stream| stream.start_known);
-        let applied = known().map(|stream| (stream.id, stream.applied)).collect();
-        let lagging = known().filter(|stream| stream.applied < stream.last());
+        let started_streams = || self.streams.iter().filter(|stream| stream.start_known);
+        let applied = started_streams().map(|stream| (stream.id, stream.applied)).collect();
+        let lagging = started_streams().filter(|stream| stream.applied < stream.last());
         let lagging = lagging.map(|stream| (place.slot, stream.id, stream.applied)).collect();
         let rejected = self.quarantined.iter().map(|((stream, number), reason)| (stream, number, reason, 1));
         let rejected = rejected.take(MAX_REJECTED).collect();
--- a/crates/rockflow-dissemination/src/node/heartbeats.rs
+++ b/crates/rockflow-dissemination/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats down the tree and between control nodes.
+//! Heartbeats, which travel down the tree and between control nodes.
 
 use super::{Node, Sender};
 use crate::entry::StreamId;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A stream that advanced within this time is in every heartbeat and acknowledgement.
+/// A stream that advanced within this many heartbeat intervals is in every heartbeat and acknowledgement.
 const RECENT_STREAM_HEARTBEATS: u32 = 20;
-/// Other streams in each heartbeat and acknowledgement, in rotation.
+/// Number of other streams in each heartbeat and acknowledgement, in rotation.
 const ROTATED_STREAMS_PER_MESSAGE: usize = 2;
 
-/// The fields of [`Message::Heartbeat`].
+/// The fields of a [`Message::Heartbeat`], with the same meaning.
 pub(super) struct Heartbeat {
     pub staleness_ms: u32,
     pub directory_version: u64,
@@ -24,38 +24,39 @@
     pub settings_digest: Option<u32>,
 }
 
-/// Whether the sender of a stream tip would know how far the stream reaches.
+/// Whether the sender of a stream tip can be expected to know how far the stream reaches at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TipSource {
-    /// A parent or a control node.
+    /// It can: a parent or a control node.
     Upstream,
-    /// A child, or a message that may have waited for long.
+    /// It can't: a child, or the sender of a message that may have waited unread for long.
     Other,
 }
 
 impl Node {
+    /// Handles a heartbeat: a control node accepts those of other control nodes, a member those of its parent.
     pub(super) fn on_heartbeat(&mut self, now: Duration, sender: Sender, heartbeat: Heartbeat) {
         let Sender { identity: from, address } = sender;
-        let is_timed = !self.clock.is_unreliable(now);
+        let has_reliable_age = !self.clock.is_unreliable(now);
         let is_control = self.control.is_some();
         if is_control && self.control_index(from.node).is_none() {
             self.counters.unexpected_messages += 1;
             return;
         }
-        if !is_control && !is_timed {
+        if !is_control && !has_reliable_age {
             self.subscription.on_untimed_heartbeat(now, from.node, address);
         }
-        if !is_control && is_timed && !self.on_parent_heartbeat(now, sender, heartbeat.staleness_ms) {
+        if !is_control && has_reliable_age && !self.on_parent_heartbeat(now, sender, heartbeat.staleness_ms) {
             return;
         }
-        let source = if is_timed { TipSource::Upstream } else { TipSource::Other };
+        let source = if has_reliable_age { TipSource::Upstream } else { TipSource::Other };
         for tip in heartbeat.tips.into_iter().take(MAX_TIPS) {
             self.on_tip(now, address, tip, source);
         }
-        if let (Some(digest), true) = (heartbeat.settings_digest, is_timed) {
+        if let (Some(digest), true) = (heartbeat.settings_digest, has_reliable_age) {
             self.compare_digest(now, sender, digest);
         }
-        if !is_control && is_timed {
+        if !is_control && has_reliable_age {
             self.on_parent_listing(now, heartbeat.directory_version, heartbeat.listing_hash);
             if self.heartbeats.may_forward(now) {
                 self.send_heartbeats(now);
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Returns false where the sender is not the parent.
+    /// Renews the contact with the parent. Returns false if the sender is not the parent; it is then notified that this
+    /// node does not follow it.
     fn on_parent_heartbeat(&mut self, now: Duration, sender: Sender, staleness_ms: u32) -> bool {
         let made_at = Timestamp::ms_ago(now, staleness_ms);
         match self.subscription.on_heartbeat(now, sender.identity.node, sender.address, made_at) {
@@ -79,14 +81,15 @@
         true
     }
 
-    /// Sends a heartbeat where the parent sends none that could be passed on.
+    /// Sends a member's heartbeat if it is due because the parent has sent none that could be passed on.
     pub(super) fn heartbeat_tick(&mut self, now: Duration) {
         if self.control.is_none() && now >= self.heartbeats.member_due() {
             self.send_heartbeats(now);
         }
     }
 
-    /// Milliseconds since a control node sent the heartbeat on which this node's rest; `u32::MAX`: none was received.
+    /// Milliseconds since a control node made the newest heartbeat that has reached this node; 0 at a control node,
+    /// `u32::MAX` if none was received.
     pub(super) fn staleness_ms(&self, now: Duration) -> u32 {
         match self.control {
             Some(_) => 0,
@@ -94,7 +97,7 @@
         }
     }
 
-    /// A heartbeat for one receiver, whose slots are counted by `listing_hash`.
+    /// Builds a heartbeat. `listing_hash` identifies the listing of the receiver's region.
     pub(super) fn heartbeat_message(&mut self, now: Duration, listing_hash: u32) -> Message {
         self.note_tips_advertised();
         let directory_version = match &self.control {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// To all children, and from a control node to the others.
+    /// Sends a heartbeat to all children and, at a control node, to the other control nodes.
     pub(super) fn send_heartbeats(&mut self, now: Duration) {
         self.heartbeats.on_sent(now);
         let children: Vec<(Identity, SocketAddr)> =
@@ -130,12 +133,13 @@
         }
     }
 
-    /// At most `max` streams: those that advanced recently, and a few of the others in rotation.
+    /// The streams to name in the next heartbeat or acknowledgement, at most `max`: those that advanced recently, and a
+    /// few of the others in rotation.
     pub(super) fn streams_to_advertise(&self, now: Duration, max: usize) -> Vec<StreamId> {
-        let span = self.config.heartbeat_interval * RECENT_STREAM_HEARTBEATS;
+        let recent_span = self.config.heartbeat_interval * RECENT_STREAM_HEARTBEATS;
         let known = self.streams.iter().filter(|stream| stream.start_known && stream.last().0 > 0);
         let (recent, quiet): (Vec<_>, Vec<_>) =
-            known.partition(|stream| now.saturating_sub(stream.last_advanced) <= span);
+            known.partition(|stream| now.saturating_sub(stream.last_advanced) <= recent_span);
         let rotation = self.heartbeats.sent();
         let first_quiet = rotation.wrapping_mul(ROTATED_STREAMS_PER_MESSAGE) % quiet.len().max(1);
         let quiet_count = ROTATED_STREAMS_PER_MESSAGE.min(quiet.len());
@@ -146,6 +150,7 @@
         recent.chain(quiet).map(|stream| stream.id).collect()
     }
 
+    /// Tips of the streams to advertise in a heartbeat.
     fn tips(&self, now: Duration) -> Vec<StreamTip> {
         let advertised = self.streams_to_advertise(now, MAX_TIPS);
         advertised.into_iter().filter_map(|id| self.streams.get(id)).map(|stream| stream.tip()).collect()
