--- a/crates/rockflow-dissemination/src/node/ingest.rs
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -1,4 +1,4 @@
-//! Entries, settings and stream tips as they are received.
+//! Handles received entries, settings and stream tips.
 
 use super::heartbeats::TipSource;
 use super::Node;
@@ -13,16 +13,16 @@
 use std::time::Duration;
 
 impl Node {
-    /// Whether a stream is this control node's own, of its current incarnation.
+    /// Whether this node publishes the stream, in its current incarnation; false at a member.
     pub(super) fn is_own(&self, id: StreamId) -> bool {
         self.control.as_ref().is_some_and(|control| control.is_own(id))
     }
 
-    /// Makes sure that a stream is held. Returns false where nothing of it is accepted.
+    /// Adds a stream that isn't held yet. Returns false if the stream is not accepted, and none of its entries are.
     pub(super) fn admit_stream(&mut self, now: Duration, id: StreamId) -> bool {
         let (admission, evicted) = self.streams.admit(now, id);
         if let Some(evicted) = evicted {
-            // It is evicted before its time: there may be more of it than was advertised here.
+            // A stream that is evicted for lack of room may have entries that were never advertised to this node.
             self.counters.streams_retired += 1;
             if evicted.id.kind == StreamKind::Purges {
                 self.substitute_full_purge(Timestamp::ago(now, Duration::ZERO));
@@ -34,8 +34,9 @@
         matches!(admission, StreamAdmission::Held | StreamAdmission::New)
     }
 
-    /// A stream is dropped. A purge of everything replaces what is missing of it, or may be: that is where nobody
-    /// has advertised how far it reaches since this node is in contact with control.
+    /// Covers the entries of a dropped purge stream that are missing here, or may be, by a purge of everything. Entries
+    /// may be missing if no parent or control node has advertised the stream's end since this node regained contact
+    /// with control.
     pub(super) fn cover_dropped_stream(&mut self, now: Duration, dropped: &Stream) {
         let end_is_known = dropped.last_advertised >= self.contact.since();
         if dropped.id.kind == StreamKind::Purges && (dropped.has_gap() || !end_is_known) {
@@ -43,11 +44,12 @@
         }
     }
 
-    /// Nothing older than this is to be served.
+    /// Queues a purge of everything in place of lost purges: nothing stored before `timestamp` may be served afterwards.
     pub(super) fn substitute_full_purge(&mut self, timestamp: Timestamp) {
         self.apply_queue.push_substitute_purge(timestamp, &mut self.counters);
     }
 
+    /// Handles consecutive entries of a stream, the first of which has the number `first`.
     pub(super) fn on_batch(
         &mut self,
         now: Duration,
@@ -84,7 +86,8 @@
         self.apply_queue.touch(id);
     }
 
-    /// Returns whether the stream has such an entry, accepted or not.
+    /// Adds an entry to the log of its stream, and queues a new one to be forwarded and applied. Returns false if the
+    /// stream is not held, or if the number or the kind of the entry is invalid.
     fn insert_entry(
         &mut self,
         now: Duration,
@@ -123,6 +126,7 @@
         outcome != InsertOutcome::Invalid
     }
 
+    /// Queues an entry to be applied by the caller.
     fn queue_entry(&mut self, stream: StreamId, number: SequenceNumber, timestamp: Timestamp, entry: Entry) {
         match entry {
             Entry::Purge(purge) => self.apply_queue.push_purge(purge, timestamp),
@@ -130,7 +134,8 @@
         }
     }
 
-    /// Takes one version of a setting, by whichever message it came.
+    /// Adds one version of a host's setting to the settings table, whether it was received in a batch, received as part
+    /// of a table, or published here.
     pub(super) fn insert_setting(&mut self, version: SettingVersion) {
         let id = (version.stream, version.number);
         let host = version.setting.host.clone();
@@ -156,7 +161,7 @@
         }
     }
 
-    /// A node says how far a stream reaches.
+    /// Handles another node's tip, which tells how far a stream reaches.
     pub(super) fn on_tip(&mut self, now: Duration, from: SocketAddr, tip: StreamTip, source: TipSource) {
         let id = tip.stream;
         self.on_own_stream_advertised(now, id, tip.last);
@@ -172,8 +177,9 @@
             stream.last_advertised = now;
         }
         stream.observe_last(now, tip.last, Some(from));
-        let wait = if stream.start_known { self.config.heartbeat_interval / 2 } else { Duration::ZERO };
-        stream.update_gap(now, wait);
+        let repair_delay =
+            if stream.start_known { self.config.heartbeat_interval / 2 } else { Duration::ZERO };
+        stream.update_gap(now, repair_delay);
         self.apply_queue.touch(id);
     }
 }
