--- a/crates/rockflow-dissemination/src/node/join.rs
+++ b/crates/rockflow-dissemination/src/node/join.rs
@@ -1,4 +1,4 @@
-//! How a member gets its place in the tree and follows a parent.
+//! How a member obtains its place in the tree and chooses the parent that it follows.
 
 use super::{Node, Sender};
 use crate::directory::Placement;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Node {
-    /// Asks for a place, probes other candidates, and changes the parent, as time requires.
+    /// Does what is due at a member: asks for a place, probes other candidates, and changes the parent.
     pub(super) fn drive_subscription(&mut self, now: Duration) {
         if self.control.is_some() {
             return;
@@ -27,7 +27,8 @@
         self.apply_subscription_change(now, change);
     }
 
-    /// Answers a node whose parent is suspect, where there is room for it and something was received from control.
+    /// Answers a node that suspects its parent to have failed, if there is room for another child and a control node's
+    /// heartbeat has been received.
     pub(super) fn on_probe(&mut self, now: Duration, sender: Sender) {
         let staleness_ms = self.staleness_ms(now);
         if staleness_ms < u32::MAX && self.children.has_room_for(sender.identity.node) {
@@ -35,6 +36,7 @@
         }
     }
 
+    /// Handles the answer of a candidate that was probed.
     pub(super) fn on_probe_reply(&mut self, now: Duration, sender: Sender, staleness_ms: u32) {
         if self.clock.is_unreliable(now) {
             return;
@@ -44,14 +46,14 @@
         self.apply_subscription_change(now, change);
     }
 
-    /// A candidate has no room for another child.
+    /// Handles the answer of a candidate that has no room for another child.
     pub(super) fn on_full(&mut self, now: Duration, sender: Sender) {
         let random = self.random_fraction();
         let change = self.subscription.on_full(now, sender.identity.node, sender.address, random);
         self.apply_subscription_change(now, change);
     }
 
-    /// A control node has answered with a place.
+    /// Handles the place in the tree that a control node has assigned to this member.
     pub(super) fn on_placement(
         &mut self,
         now: Duration,
@@ -74,7 +76,8 @@
         self.set_candidates(now, candidates);
     }
 
-    /// The directory doesn't list this node: it follows control nodes, and no report counts it.
+    /// Handles the answer that the directory doesn't list this node. The node then follows control nodes directly, and no
+    /// report includes it.
     pub(super) fn on_not_listed(&mut self, now: Duration, from: Identity, directory_version: u64) {
         if !self.accepts_join_answer(from, directory_version) {
             return;
@@ -93,7 +96,8 @@
         }
     }
 
-    /// The parent's heartbeat names the directory and the region's listing by which it goes.
+    /// Handles the directory version and the hash of the region's listing in the parent's heartbeat. If they show that
+    /// this member's place has changed, it soon asks for its place again.
     pub(super) fn on_parent_listing(&mut self, now: Duration, directory_version: u64, listing_hash: u32) {
         if self.join.on_parent_listing(now, Listing { directory_version, listing_hash }) {
             let random = self.random_fraction();
@@ -101,7 +105,7 @@
         }
     }
 
-    /// Another parent is followed: it is notified at once, and the previous one too.
+    /// Notifies the new parent by an acknowledgement at once, and the previous parent that this node has left it.
     pub(super) fn on_parent_changed(&mut self, now: Duration, previous: Option<ParentCandidate>) {
         self.counters.parent_changes += 1;
         self.table_sync.clear_mismatches();
@@ -111,13 +115,15 @@
         self.send_acknowledgement(now);
     }
 
+    /// Asks one control node for a place. A member without any candidates follows the seeds once each control node has
+    /// been asked twice without an answer.
     fn ask_for_place(&mut self, now: Duration) {
         let random = self.random_fraction();
         self.join.on_attempt(now, random);
         let attempts = self.join.attempts();
         let count = self.config.control.len();
         if count > 0 {
-            // Each node starts with another control node, so that they don't all ask the first.
+            // The node id determines which control node is asked first, so that members don't all ask the same one.
             let index = (self.config.identity.node.0 as usize).wrapping_add(attempts) % count;
             let directory_version = self.join.directory_version();
             self.send(self.config.control[index].address, Message::Join { directory_version });
@@ -130,6 +136,7 @@
         }
     }
 
+    /// Whether an answer comes from a control node, and from a directory that is recent enough.
     fn accepts_join_answer(&mut self, from: Identity, directory_version: u64) -> bool {
         if self.control.is_some() || !self.is_control_node(from.node) {
             self.counters.unexpected_messages += 1;
@@ -138,6 +145,7 @@
         self.join.accepts(directory_version)
     }
 
+    /// Replaces the candidates for the parent. Notifies the parents concerned if the parent changes by it.
     fn set_candidates(&mut self, now: Duration, candidates: Vec<ParentCandidate>) {
         let before = self.subscription.parent();
         let is_control =
@@ -154,6 +162,7 @@
             SubscriptionChange::Stay => {}
             SubscriptionChange::Switched { previous } => self.on_parent_changed(now, Some(previous)),
             SubscriptionChange::TryFirst(first) => {
+                // A heartbeat in answer shows that the first candidate is back.
                 let message = self.acknowledgement(now);
                 self.send(first.address, message);
             }
