--- a/crates/rockflow-dissemination/src/node/flush.rs
+++ b/crates/rockflow-dissemination/src/node/flush.rs
@@ -1,16 +1,17 @@
-//! The end of each call: what it has brought is forwarded, handed to the caller, and counted as applied.
+//! The end of each call: new entries are forwarded to the children and returned to the caller, and the numbers up to
+//! which streams are applied are updated.
 
 use super::Node;
 use crate::output::Output;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A log keeps purges for the purge window and this part of it more.
+/// A log keeps purges for the purge window plus the window divided by this number.
 const LOG_MARGIN_DIVISOR: u32 = 4;
 
 impl Node {
-    /// Finishes a call: returns its outputs, and sets when the next tick is due. `except` has brought the entries and
-    /// doesn't get them back.
+    /// Finishes a call: returns its outputs, and sets when the next tick is due. New entries are not sent to `except`,
+    /// the node that they came from.
     pub(super) fn flush(&mut self, now: Duration, except: Option<SocketAddr>) -> Vec<Output> {
         self.forward_new_entries(now, except);
         self.trim_streams(now);
--- a/crates/rockflow-dissemination/src/node/mod.rs
+++ b/crates/rockflow-dissemination/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A node: one state machine, driven by messages of other nodes, requests of its caller, and time. Each part of its
-//! state is owned by a type of its own; the modules below this one have the steps that involve several of them.
+//! A node: a state machine driven by messages from other nodes, requests of its caller, and time. Each part of its state
+//! has its own type; the submodules implement the steps that involve several parts.
 
 mod acknowledgements;
 mod anti_entropy;
@@ -41,15 +41,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A child counts as present for this long after its acknowledgement.
+/// A child counts as present for this many heartbeat intervals after its last acknowledgement.
 const CHILD_TTL_HEARTBEATS: u32 = 10;
-/// The shortest heartbeat interval; a shorter one is raised to it.
+/// The shortest heartbeat interval; a shorter one in the configuration is raised to it.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A member or control node, without I/O.
 ///
-/// Time is the duration since any one origin, the same for all calls. A call with an earlier time than the one before
-/// counts as made at the same time. Each call returns what is to be done, in this order.
+/// All times are durations since one arbitrary origin. A call with an earlier time than the previous call is treated as
+/// made at the time of the previous call. The caller carries out the outputs of each call in the order returned.
 pub struct Node {
     config: NodeConfig,
     /// The only source of randomness.
@@ -65,17 +65,19 @@
     subscription: ParentSubscription,
     join: JoinState,
     contact: Contact,
-    /// At a control node.
+    /// State that only a control node has; `None` at a member.
     control: Option<Control>,
     rate_limits: RateLimits,
     heartbeats: HeartbeatSchedule,
     acks: AckSchedule,
+    /// Set by [`Node::stop`]; later calls have no effect.
     stopped: bool,
     counters: Counters,
+    /// Outputs of the current call, returned at its end.
     outputs: Vec<Output>,
 }
 
-/// Who has sent a message.
+/// The sender of the message that is being handled.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     identity: Identity,
@@ -83,9 +85,10 @@
 }
 
 impl Node {
-    /// A node that has not started.
+    /// Creates a node that has not started.
     ///
-    /// `directory` is for a control node, where there is one yet. All random draws come from `seed`.
+    /// `directory` is used at a control node only, which can also start without one. `seed` determines all random
+    /// choices of the node.
     pub fn new(mut config: NodeConfig, directory: Option<Directory>, seed: u64, now: Duration) -> Node {
         config.control.truncate(MAX_CONTROL);
         config.heartbeat_interval = config.heartbeat_interval.max(MIN_HEARTBEAT_INTERVAL);
@@ -119,13 +122,14 @@
         }
     }
 
-    /// Starts the node; to be called once, before all else.
+    /// Starts the node. Must be called once, before any other method.
     pub fn start(&mut self, now: Duration) -> Vec<Output> {
         self.clock.next_tick = now;
         self.tick(now)
     }
 
-    /// Takes a message. Its decoder has checked its bounds, and its sender is known.
+    /// Handles a message. The caller has checked the limits of its contents while decoding it, and has identified its
+    /// sender.
     pub fn on_message(
         &mut self,
         now: Duration,
@@ -144,7 +148,7 @@
         self.flush(now, Some(address))
     }
 
-    /// Does what time alone requires; to be called at [`Node::next_due`] or later.
+    /// Does the work that is due, such as heartbeats, repair requests and timeouts. To be called at [`Node::next_due`].
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
         let now = self.advance_clock(now);
         if self.stopped {
@@ -166,12 +170,13 @@
         self.flush(now, None)
     }
 
-    /// When [`Node::tick`] is to be called at the latest.
+    /// When [`Node::tick`] is to be called next. Each call of another method may change it.
     pub fn next_due(&self) -> Duration {
         self.clock.next_tick
     }
 
-    /// The caller has applied what it was given under this token: all purges, and the settings that it did not reject.
+    /// Confirms that the caller has applied the output with this token: all of its purges, or all of its settings except
+    /// those that it rejected.
     pub fn confirm_applied(&mut self, now: Duration, token: ApplyToken) -> Vec<Output> {
         let now = self.advance_clock(now);
         if self.apply_queue.confirm(token) {
@@ -180,7 +185,8 @@
         self.flush(now, None)
     }
 
-    /// The caller can't apply a setting. It is quarantined, reported, and given again when another setting changes.
+    /// Reports that the caller can't apply a setting. The setting is quarantined, reported to the control nodes, and
+    /// returned again when another setting changes.
     pub fn reject(&mut self, now: Duration, id: EntryId, reason: RejectionReason) -> Vec<Output> {
         let now = self.advance_clock(now);
         if let Some(host) = self.settings.host_of(id) {
@@ -192,7 +198,7 @@
         self.flush(now, None)
     }
 
-    /// Leaves the tree. Later calls do nothing.
+    /// Leaves the tree. Later calls have no effect.
     pub fn stop(&mut self, now: Duration) -> Vec<Output> {
         self.advance_clock(now);
         if let Some(parent) = self.subscription.parent() {
@@ -203,11 +209,12 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// What was counted since the node was created.
+    /// Counters since the node was created.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
+    /// Calls the handler of a message.
     fn dispatch(&mut self, now: Duration, sender: Sender, message: Message) {
         let Sender { identity: from, address } = sender;
         match message {
@@ -258,13 +265,13 @@
         self.outputs.push(Output::Send { to, message });
     }
 
-    /// A random number from 0 to 1.
+    /// A random number from 0 to below 1.
     fn random_fraction(&mut self) -> f64 {
         self.rng.rand_float()
     }
 
-    /// Takes the time of a call. Where it shows that this process did not run for a while, silence meanwhile is not
-    /// taken for a loss.
+    /// Advances the clock to the time of a call, and returns the time that the call uses. If this process did not run for
+    /// a while, its timers are shifted, so that other nodes are not considered failed because of the pause.
     fn advance_clock(&mut self, now: Duration) -> Duration {
         let advance = self.clock.advance(now);
         if let Some(pause) = advance.pause {
--- a/crates/rockflow-dissemination/src/node/status.rs
+++ b/crates/rockflow-dissemination/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The status report of a node.
+//! Builds the status report of a node.
 
 use super::Node;
 use crate::directory::{Directory, Region};
@@ -44,16 +44,16 @@
         }
     }
 
-    /// How much the node holds, to be compared with the limits.
+    /// Sizes of the node's tables and queues, to compare them with their limits.
     pub fn resource_usage(&self) -> ResourceUsage {
-        let longest = |kind| {
+        let longest_log = |kind| {
             let streams = self.streams.iter().filter(|stream| stream.id.kind == kind);
             streams.map(|stream| stream.entry_count()).max().unwrap_or(0)
         };
         ResourceUsage {
             streams: self.streams.len(),
-            purge_log_entries: longest(StreamKind::Purges),
-            configuration_log_entries: longest(StreamKind::Configuration),
+            purge_log_entries: longest_log(StreamKind::Purges),
+            configuration_log_entries: longest_log(StreamKind::Configuration),
             children: self.children.len(),
             reports: self.children.reports().count(),
             region_reports: self.control.as_ref().map_or(0, |control| control.convergence.report_count()),
@@ -65,6 +65,7 @@
         }
     }
 
+    /// What a control node knows of the members; `None` at a member.
     fn control_status(&self, now: Duration) -> Option<ControlStatus> {
         let control = self.control.as_ref()?;
         let mut status = ControlStatus {
@@ -86,7 +87,8 @@
         Some(status)
     }
 
-    /// Adds the names of missing and lagging members of a region, as far as there is room, and its rejected settings.
+    /// Adds a region's missing members, lagging members and rejected settings to the status, each list up to
+    /// [`MAX_LISTED_NAMES`].
     fn add_region(
         &self,
         status: &mut ControlStatus,
@@ -121,6 +123,7 @@
     }
 }
 
+/// The report of a region of which no member has reported.
 fn empty_report(index: u16, region: &Region) -> SubtreeReport {
     SubtreeReport {
         region: index,
