--- a/crates/rockflow-dissemination/src/node/publishing.rs
+++ b/crates/rockflow-dissemination/src/node/publishing.rs
@@ -1,5 +1,5 @@
-//! A control node's own streams: entries are numbered, sent with the heartbeats, and continued under a greater
-//! incarnation where a later one is known elsewhere.
+//! Publishing at a control node: entries are numbered and sent with the heartbeats. If another node knows a later
+//! incarnation of this control node, its streams continue under a greater one.
 
 use super::Node;
 use crate::encoded_size;
@@ -12,26 +12,29 @@
 use crate::timestamp::Timestamp;
 use std::time::Duration;
 
-/// Purges that wait to be sent. When full, a purge of everything replaces further ones, until there is room. Settings
-/// wait as long as their log holds them; after that the table of settings replaces them.
+/// Most purges that wait to be sent. Beyond that, a purge of everything replaces further ones until there is room.
+/// Settings wait as long as their log holds them; after that, other nodes receive them with the settings table.
 pub const MAX_UNSENT_PUBLICATIONS: u64 = 16_383;
-/// Batches of one kind that are sent with one heartbeat.
+/// Most batches of one stream that are sent under one allowance with each heartbeat.
 const MAX_PUBLISH_BATCHES: usize = 16;
 
-/// By which budget publications are sent. All of them count against the common one.
+/// Which budget limits what is sent. All bytes sent are charged to the common budget, whichever the allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SendAllowance {
     /// While the common budget has credit.
     Common,
     /// While more than half of the common budget is left.
     Surplus,
-    /// While the settings' own share has credit, also where purges have used up the common budget.
+    /// While the settings' own share has credit, even if purges have used up the common budget.
     SettingsShare,
 }
 
 impl Node {
-    /// Numbers what is to be published, each entry in its stream, in the order given. It is sent with the next
-    /// heartbeat. Returns the ids of the entries, or of those that replace them; a member publishes nothing.
+    /// Appends publications to the streams of this control node in the order given. They are sent with the next
+    /// heartbeat, as far as the budgets allow.
+    ///
+    /// Returns the id of the entry for each publication that is accepted. Purges beyond [`MAX_UNSENT_PUBLICATIONS`]
+    /// have the id of the purge of everything that replaces them. A member publishes nothing.
     pub fn publish(&mut self, now: Duration, publications: Vec<Publication>) -> (Vec<EntryId>, Vec<Output>) {
         let now = self.advance_clock(now);
         let mut ids = Vec::new();
@@ -43,7 +46,8 @@
         (ids, self.flush(now, None))
     }
 
-    /// The next stream tips advertise all that is published, also what waits to be sent.
+    /// Records that the stream tips in the next message advertise all published purges, including those that still wait
+    /// to be sent.
     pub(super) fn note_tips_advertised(&mut self) {
         let Some(control) = &mut self.control else { return };
         if let Some(stream) = self.streams.get(control.stream(StreamKind::Purges)) {
@@ -51,15 +55,17 @@
         }
     }
 
-    /// Sends what is published, as far as the budgets allow: settings by their own share first, so that they don't wait
-    /// behind a burst of purges; then purges; then more settings, as long as half of the budget is left to purges.
+    /// Sends published entries as far as the budgets allow: first settings within their own share, so that they don't
+    /// wait behind a burst of purges; then purges; then more settings, while more than half of the common budget is left
+    /// for purges.
     pub(super) fn send_publications(&mut self, now: Duration) {
         self.send_publications_of(now, StreamKind::Configuration, SendAllowance::SettingsShare);
         self.send_publications_of(now, StreamKind::Purges, SendAllowance::Common);
         self.send_publications_of(now, StreamKind::Configuration, SendAllowance::Surplus);
     }
 
-    /// A later incarnation of a control node is known elsewhere.
+    /// Handles another node's message that it knows a later incarnation of a control node. If that is this node, its
+    /// streams continue under a greater incarnation.
     pub(super) fn on_superseded(&mut self, now: Duration, id: ControlId, incarnation: Incarnation) {
         let Some(control) = self.control.as_ref().filter(|control| control.id == id) else { return };
         if incarnation > control.publications.incarnation && incarnation.0 < MAX_CLOCK_UNIX_MS {
@@ -67,14 +73,15 @@
         }
     }
 
-    /// A stream is advertised by another node. Where it is this control node's, of a later incarnation or longer than
-    /// what was published, that was published by an incarnation whose state is lost.
+    /// Checks whether a stream that another node advertises is this control node's, but has a later incarnation or more
+    /// entries than it has published. An earlier process of this node has then published them and its state is lost, so
+    /// that the streams have to continue under a greater incarnation.
     pub(super) fn on_own_stream_advertised(&mut self, now: Duration, id: StreamId, last: SequenceNumber) {
         let Some(control) = self.control.as_ref().filter(|control| control.id == id.control) else { return };
-        let own = control.publications.incarnation;
+        let own_incarnation = control.publications.incarnation;
         let published = self.streams.get(id).map(|stream| stream.received()).unwrap_or_default();
-        let is_longer = id.incarnation == own && last > published && last.0 != u64::MAX;
-        if (id.incarnation > own || is_longer) && id.incarnation.0 < MAX_CLOCK_UNIX_MS {
+        let is_longer = id.incarnation == own_incarnation && last > published && last.0 != u64::MAX;
+        if (id.incarnation > own_incarnation || is_longer) && id.incarnation.0 < MAX_CLOCK_UNIX_MS {
             self.reincarnate(now, Incarnation(id.incarnation.0 + 1));
         }
     }
@@ -95,7 +102,7 @@
     fn publish_setting(&mut self, now: Duration, setting: HostSetting) -> Option<EntryId> {
         let is_valid_name = !setting.host.is_empty() && setting.host.len() <= MAX_NAME_BYTES;
         if !is_valid_name || setting.timestamp.unix_ms > MAX_CLOCK_UNIX_MS {
-            // An entry that no node accepts would be a gap in the stream.
+            // Other nodes would reject the entry, and its number would be a gap in the stream.
             self.counters.entries_rejected += 1;
             return None;
         }
@@ -105,6 +112,7 @@
         Some(id)
     }
 
+    /// Appends a purge, or folds it into a purge of everything if too many purges wait to be sent.
     fn publish_purge(&mut self, now: Duration, purge: Purge, age: Duration) -> Option<EntryId> {
         let control = self.control.as_ref()?;
         let id = control.stream(StreamKind::Purges);
@@ -118,7 +126,8 @@
         let everything = Entry::Purge(Purge::Everything);
         let stream = self.streams.get_mut(id)?;
         let is_full_purge = stream.get(last).is_some_and(|held| held.entry == everything);
-        // A node to which its number was advertised may have requested and applied it, and would not apply it again.
+        // The last entry may stand for this purge too if its number was not advertised yet. Otherwise another node may
+        // have requested and applied the entry already, and would not apply it again.
         if is_full_purge && last > last_advertised {
             stream.refresh_timestamp(now, last);
             return Some((id, last));
@@ -126,6 +135,7 @@
         self.append(now, StreamKind::Purges, Timestamp::ago(now, Duration::ZERO), everything)
     }
 
+    /// Appends an entry to this control node's stream of that kind. `None` if the stream is not accepted.
     fn append(
         &mut self,
         now: Duration,
@@ -143,6 +153,7 @@
         Some((id, number))
     }
 
+    /// Sends the entries of one stream that have not been sent, as far as the allowance permits.
     fn send_publications_of(&mut self, now: Duration, kind: StreamKind, allowance: SendAllowance) {
         let Some(control) = &mut self.control else { return };
         let Some(stream) = self.streams.get(control.stream(kind)) else { return };
@@ -180,17 +191,18 @@
         }
     }
 
-    /// Continues this node's streams under a greater incarnation, with what the one before published within the purge
-    /// window.
+    /// Continues this node's streams under a greater incarnation. The entries that were published under the previous one
+    /// within the purge window are published again.
     fn reincarnate(&mut self, now: Duration, incarnation: Incarnation) {
         let Some(control) = &mut self.control else { return };
-        let before = [StreamKind::Purges, StreamKind::Configuration].map(|kind| control.stream(kind));
+        let previous_streams =
+            [StreamKind::Purges, StreamKind::Configuration].map(|kind| control.stream(kind));
         if !control.publications.reincarnate(now, incarnation) {
             return;
         }
         self.config.identity.incarnation = incarnation;
         self.outputs.push(Output::IncarnationSuperseded { incarnation });
-        for id in before {
+        for id in previous_streams {
             let window = self.config.purge_window;
             let entries =
                 self.streams.get(id).map(|stream| stream.entries_within(now, window)).unwrap_or_default();
