--- a/crates/rockflow-dissemination/src/node/settings_exchange.rs
+++ b/crates/rockflow-dissemination/src/node/settings_exchange.rs
@@ -1,4 +1,4 @@
-//! Exchange of whole tables of settings with nodes whose digest differs.
+//! Exchange of whole settings tables with nodes whose digest of the settings differs.
 
 use super::{Node, Sender};
 use crate::encoded_size;
@@ -11,11 +11,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A configuration gap that is open for longer than this does not keep digests from being compared.
+/// Digests are not compared while a configuration stream has a gap, unless the gap has been open for this many heartbeat
+/// intervals.
 const OLD_GAP_HEARTBEATS: u32 = 8;
 
 impl Node {
-    /// Compares the digest of a node whose table may be requested with this node's.
+    /// Compares the settings digest of a parent or control node with this node's. If they differ, waits, requests the
+    /// other node's table, or sends it this node's table.
     pub(super) fn compare_digest(&mut self, now: Duration, sender: Sender, digest: u32) {
         let Sender { identity: from, address } = sender;
         if digest == self.settings.digest() {
@@ -35,6 +37,7 @@
         }
     }
 
+    /// Whether settings are missing that a repair may still bring soon.
     fn has_recent_configuration_gap(&self, now: Duration) -> bool {
         let limit = self.config.heartbeat_interval * OLD_GAP_HEARTBEATS;
         self.streams
@@ -43,11 +46,13 @@
             .any(|stream| stream.gap_since().is_some_and(|since| now.saturating_sub(since) < limit))
     }
 
+    /// Answers a request for the settings table with a few parts, starting with `part`.
     pub(super) fn on_settings_request(&mut self, now: Duration, from: SocketAddr, part: u16) {
         self.send_settings_parts(now, from, part);
     }
 
-    /// Sends a few parts. Returns the part after them; `None`: the last one was among them.
+    /// Sends a few parts of the settings table, starting with `part`. Returns the part with which to continue, or `None`
+    /// if the last part was sent.
     fn send_settings_parts(&mut self, now: Duration, to: SocketAddr, part: u16) -> Option<u16> {
         if !self.rate_limits.tables.has_credit(now) {
             self.counters.repair_requests_throttled += 1;
@@ -65,6 +70,7 @@
         next
     }
 
+    /// Handles one part of another node's settings table. Requests further parts if this node is fetching the table.
     pub(super) fn on_settings_part(
         &mut self,
         now: Duration,
@@ -88,7 +94,7 @@
         }
     }
 
-    /// A whole table is here: streams continue after the entries that it replaces.
+    /// Continues streams after the entries that a completely fetched table replaces.
     fn on_table_fetched(&mut self, now: Duration, fetched: FetchedTable) {
         for (id, next) in fetched.skips {
             if let Some(stream) = self.streams.get_mut(id) {
