--- a/crates/rockflow-dissemination/tests/support/mod.rs
+++ b/crates/rockflow-dissemination/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests set up alike: single nodes, and a small fleet in virtual time.
+//! Shared test fixtures: single nodes, and a small fleet in virtual time.
 #![allow(dead_code, unused_imports, reason = "each test file uses its own part")]
 
 pub mod fleet;
@@ -11,13 +11,15 @@
 
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 pub const PURGE_WINDOW: Duration = Duration::from_millis(8700);
-/// Unix milliseconds at the start of every process, unless a test says otherwise.
+/// Incarnation of every process unless a test sets another: Unix milliseconds at its start.
 pub const INCARNATION: u64 = 1_800_000_000_000;
 
-pub fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+/// A duration in milliseconds.
+pub fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-pub fn s(s: u64) -> Duration {
-    Duration::from_secs(s)
+/// A duration in seconds.
+pub fn s(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
--- a/crates/rockflow-dissemination/tests/support/node.rs
+++ b/crates/rockflow-dissemination/tests/support/node.rs
@@ -1,24 +1,26 @@
-//! One node alone, whose neighbours the test plays.
+//! A single node, to which a test sends the messages of its neighbours.
 
 use super::{ms, HEARTBEAT_INTERVAL, INCARNATION, PURGE_WINDOW};
 use rockflow_dissemination::*;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Of the first control node (0), the parent (1), and others.
+/// Address of a neighbour: 0 is the first control node and 1 the parent; further ones are up to the test.
 pub fn node_address(index: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, index], 7000))
 }
 
+/// Name of a control node by its index.
 pub fn control_name(index: usize) -> String {
     format!("control-{index}")
 }
 
+/// Identity of the process with this name, in its first incarnation.
 pub fn identity(name: &str) -> Identity {
     Identity { node: NodeId::of(name), incarnation: Incarnation(INCARNATION) }
 }
 
-/// A member called `me`, with one control node.
+/// Configuration of a member called `me`, with one control node.
 pub fn member_config() -> NodeConfig {
     NodeConfig {
         identity: identity("me"),
@@ -31,7 +33,7 @@
     }
 }
 
-/// Tells a member that it stands below `parent`.
+/// Sends a member its place in the tree, with `parent` as its only candidate for the parent.
 pub fn place_below_parent(node: &mut Node) -> Vec<Output> {
     let parents = vec![Peer { node: NodeId::of("parent"), address: node_address(1) }];
     let placement =
@@ -39,7 +41,7 @@
     node.on_message(ms(10), identity(&control_name(0)), node_address(0), placement)
 }
 
-/// A member that has started, and its place below `parent`.
+/// A member that has started and has its place below `parent`.
 pub fn placed_member() -> Node {
     let mut node = Node::new(member_config(), None, 1, Duration::ZERO);
     node.start(Duration::ZERO);
@@ -47,7 +49,7 @@
     node
 }
 
-/// A fresh heartbeat from `parent`.
+/// Sends a member a fresh heartbeat from `parent`.
 pub fn parent_heartbeat(node: &mut Node, now: Duration, tips: Vec<StreamTip>) -> Vec<Output> {
     let heartbeat = Message::Heartbeat {
         staleness_ms: 0,
