--- a/crates/rockflow-dissemination/tests/publishing.rs
+++ b/crates/rockflow-dissemination/tests/publishing.rs
@@ -1,4 +1,4 @@
-//! Publications of both kinds share one budget: neither waits for a flood of the other.
+//! Purges and settings share one budget for what is published: neither kind may wait for a flood of the other.
 
 mod support;
 
@@ -8,28 +8,32 @@
 use support::*;
 use test_case::test_case;
 
-/// Within this time a setting is to be applied everywhere.
-const CHANGE: Duration = Duration::from_secs(4);
+/// Every member has to apply a setting within this time.
+const SETTING_DEADLINE: Duration = Duration::from_secs(4);
 const BYTES_PER_SECOND: u64 = 6000;
-/// Publications use this part of the bytes per second, up to 30 s of it at once.
-const SHARE: u64 = 6;
-const AT_ONCE: u64 = 30;
+/// Publications are sent at the bytes per second divided by this number.
+const PUBLISH_RATE_DIVISOR: u64 = 6;
+/// Unused credit accumulates for at most this many seconds.
+const BURST_SECONDS: u64 = 30;
 
-/// One control node, and another that only receives.
-struct Alone {
+/// A single control node. A second one is configured, to which it sends, but does not run.
+struct SinglePublisher {
     now: Duration,
     node: Node,
-    names: u64,
+    /// Number of objects and hosts named so far, each of them once.
+    name_count: u64,
+    /// When each entry was published.
     published: BTreeMap<EntryId, Duration>,
-    /// How long each waited to be sent.
-    waited: BTreeMap<EntryId, Duration>,
+    /// How long each entry waited to be sent.
+    send_delays: BTreeMap<EntryId, Duration>,
+    /// Bytes of all batches sent.
     bytes: u64,
-    /// The last purge that its heartbeats have advertised.
+    /// The last purge that the heartbeats have advertised.
     advertised: SequenceNumber,
 }
 
-impl Alone {
-    fn new() -> Alone {
+impl SinglePublisher {
+    fn new() -> SinglePublisher {
         let peer = |index| Peer { node: NodeId::of(&control_name(index)), address: address(index) };
         let config = NodeConfig {
             identity: Identity { node: peer(0).node, incarnation: Incarnation(INCARNATION) },
@@ -42,8 +46,15 @@
         };
         let mut node = Node::new(config, None, 1, s(0));
         node.start(s(0));
-        let (published, waited) = (BTreeMap::new(), BTreeMap::new());
-        Alone { now: s(0), node, names: 0, published, waited, bytes: 0, advertised: SequenceNumber(0) }
+        SinglePublisher {
+            now: s(0),
+            node,
+            name_count: 0,
+            published: BTreeMap::new(),
+            send_delays: BTreeMap::new(),
+            bytes: 0,
+            advertised: SequenceNumber(0),
+        }
     }
 
     fn run(&mut self, span: Duration) {
@@ -51,12 +62,13 @@
         while self.node.next_due() <= until {
             self.now = self.now.max(self.node.next_due());
             let outputs = self.node.tick(self.now);
-            self.leave(outputs);
+            self.record_sent(outputs);
         }
         self.now = until;
     }
 
-    fn leave(&mut self, outputs: Vec<Output>) {
+    /// Records the batches and the advertised purges among the outputs.
+    fn record_sent(&mut self, outputs: Vec<Output>) {
         for out in outputs {
             let Output::Send { message, .. } = out else { continue };
             if let Message::Heartbeat { tips, .. } = &message {
@@ -68,139 +80,148 @@
             self.bytes += bytes;
             for number in first.0..first.0 + entries.len() as u64 {
                 let id = (stream, SequenceNumber(number));
-                let waited = self.now - self.published[&id];
-                assert!(self.waited.insert(id, waited).is_none(), "{id:?} left twice");
+                let send_delay = self.now - self.published[&id];
+                assert!(self.send_delays.insert(id, send_delay).is_none(), "{id:?} was sent twice");
             }
         }
     }
 
-    fn publish(&mut self, what: Vec<Publication>) -> Vec<EntryId> {
-        let (ids, outputs) = self.node.publish(self.now, what);
-        self.leave(outputs);
+    fn publish(&mut self, publications: Vec<Publication>) -> Vec<EntryId> {
+        let (ids, outputs) = self.node.publish(self.now, publications);
+        self.record_sent(outputs);
         self.published.extend(ids.iter().map(|id| (*id, self.now)));
         ids
     }
 
-    fn purges(&mut self, count: u64) -> Vec<EntryId> {
-        let first = self.names;
-        self.names += count;
+    /// Publishes purges of this many further objects.
+    fn publish_purges(&mut self, count: u64) -> Vec<EntryId> {
+        let first = self.name_count;
+        self.name_count += count;
         let purge = |object| Publication::Purge { purge: Purge::object(object), age: s(0) };
-        self.publish((first..self.names).map(purge).collect())
+        self.publish((first..self.name_count).map(purge).collect())
     }
 
-    fn changes(&mut self, count: u64) -> Vec<EntryId> {
-        let first = self.names;
-        self.names += count;
+    /// Publishes settings of this many further hosts.
+    fn publish_settings(&mut self, count: u64) -> Vec<EntryId> {
+        let first = self.name_count;
+        self.name_count += count;
         let setting =
             |host| Publication::Setting { host: format!("cache-{host:05}"), desired: DesiredState::Draining };
-        self.publish((first..self.names).map(setting).collect())
+        self.publish((first..self.name_count).map(setting).collect())
     }
 
-    fn waited(&self, ids: &[EntryId]) -> Duration {
-        let none = Duration::MAX;
-        ids.iter().map(|id| self.waited.get(id).copied().unwrap_or(none)).max().unwrap_or_default()
+    /// The longest time that one of these entries waited to be sent; the maximum if one was not sent.
+    fn longest_send_delay(&self, ids: &[EntryId]) -> Duration {
+        let delays = ids.iter().map(|id| self.send_delays.get(id).copied().unwrap_or(Duration::MAX));
+        delays.max().unwrap_or_default()
     }
 }
 
-#[test_case(4000, 0, 0; "four thousand at once")]
-#[test_case(16_000, 0, 0; "as many at once as wait")]
+#[test_case(4000, 0, 0; "4000 at once")]
+#[test_case(16_000, 0, 0; "almost as many at once as may wait")]
 #[test_case(0, 245, 60; "490 a second for 30 s")]
-fn setting_does_not_wait_for_a_burst_of_purges(at_once: u64, each_pulse: u64, pulses: u32) {
-    let mut alone = Alone::new();
-    alone.run(s(60));
-    alone.purges(at_once);
-    for _ in 0..pulses {
-        alone.purges(each_pulse);
-        alone.run(HEARTBEAT_INTERVAL);
+fn setting_does_not_wait_for_a_burst_of_purges(at_once: u64, per_heartbeat: u64, heartbeats: u32) {
+    let mut publisher = SinglePublisher::new();
+    publisher.run(s(60));
+    publisher.publish_purges(at_once);
+    for _ in 0..heartbeats {
+        publisher.publish_purges(per_heartbeat);
+        publisher.run(HEARTBEAT_INTERVAL);
     }
     for _ in 0..5 {
-        alone.run(s(1));
-        let change = alone.changes(1);
-        alone.run(CHANGE);
-        let waited = alone.waited(&change);
-        assert!(waited <= HEARTBEAT_INTERVAL, "the change waited {waited:?}");
+        publisher.run(s(1));
+        let setting = publisher.publish_settings(1);
+        publisher.run(SETTING_DEADLINE);
+        let delay = publisher.longest_send_delay(&setting);
+        assert!(delay <= HEARTBEAT_INTERVAL, "the setting waited {delay:?}");
     }
 }
 
-/// 49 purges a second, beside more settings than can be sent.
+/// 48 purges a second, along with more settings than can be sent.
 #[test_case(4096, 0; "all hosts at once")]
-#[test_case(1000, 50; "hosts without end")]
-fn purges_do_not_wait_for_a_flood_of_settings(at_once: u64, each_pulse: u64) {
-    let mut alone = Alone::new();
-    alone.run(s(60));
-    alone.changes(at_once);
+#[test_case(1000, 50; "more hosts at each heartbeat")]
+fn purges_do_not_wait_for_a_flood_of_settings(at_once: u64, per_heartbeat: u64) {
+    let mut publisher = SinglePublisher::new();
+    publisher.run(s(60));
+    publisher.publish_settings(at_once);
     let mut purges = Vec::new();
     for _ in 0..240 {
-        alone.changes(each_pulse);
-        purges.extend(alone.purges(24));
-        alone.run(HEARTBEAT_INTERVAL);
+        publisher.publish_settings(per_heartbeat);
+        purges.extend(publisher.publish_purges(24));
+        publisher.run(HEARTBEAT_INTERVAL);
     }
-    alone.run(PURGE_WINDOW);
-    let waited = alone.waited(&purges);
-    assert!(waited <= HEARTBEAT_INTERVAL * 4, "a purge waited {waited:?}");
+    publisher.run(PURGE_WINDOW);
+    let delay = publisher.longest_send_delay(&purges);
+    assert!(delay <= HEARTBEAT_INTERVAL * 4, "a purge waited {delay:?}");
 }
 
-/// Both at once, for long: what is sent stays within the budget, and both advance.
+/// During a long flood of both kinds, the bytes sent stay within the budget, and both streams advance.
 #[test]
 fn flood_of_both_stays_within_the_budget() {
-    let mut alone = Alone::new();
-    alone.run(s(60));
-    let mut span = 0;
+    let mut publisher = SinglePublisher::new();
+    publisher.run(s(60));
+    let mut heartbeats = 0;
     for _ in 0..240 {
-        alone.purges(245);
-        alone.changes(50);
-        alone.run(HEARTBEAT_INTERVAL);
-        span += 1;
-        let most = BYTES_PER_SECOND / SHARE * (AT_ONCE * 7 / 6 + span / 2 + 1) + 2 * 1400;
-        assert!(alone.bytes <= most, "{} bytes of {most} after {span} pulses", alone.bytes);
+        publisher.publish_purges(245);
+        publisher.publish_settings(50);
+        publisher.run(HEARTBEAT_INTERVAL);
+        heartbeats += 1;
+        let max_bytes =
+            BYTES_PER_SECOND / PUBLISH_RATE_DIVISOR * (BURST_SECONDS * 7 / 6 + heartbeats / 2 + 1) + 2 * 1400;
+        assert!(
+            publisher.bytes <= max_bytes,
+            "{} bytes of {max_bytes} after {heartbeats} heartbeats",
+            publisher.bytes
+        );
     }
-    let left = |kind| alone.waited.keys().filter(|(stream, _)| stream.kind == kind).count();
-    let all = (left(StreamKind::Purges), left(StreamKind::Configuration));
-    assert!(all.0 > 3000 && all.1 > 500, "{all:?}");
+    let sent = |kind| publisher.send_delays.keys().filter(|(stream, _)| stream.kind == kind).count();
+    let (purges, settings) = (sent(StreamKind::Purges), sent(StreamKind::Configuration));
+    assert!(purges > 3000 && settings > 500, "{purges} purges, {settings} settings");
 }
 
-/// A node to which a number was advertised may have requested and applied it: no later purge may be folded into it.
+/// A node to which a number was advertised may have requested and applied that entry. No later purge may be folded into
+/// it, as the node would not apply it again.
 #[test]
-fn folding_purge_was_not_advertised_before() {
-    let mut alone = Alone::new();
-    alone.run(s(60));
-    alone.purges(MAX_UNSENT_PUBLICATIONS);
+fn purge_is_not_folded_into_an_advertised_entry() {
+    let mut publisher = SinglePublisher::new();
+    publisher.run(s(60));
+    publisher.publish_purges(MAX_UNSENT_PUBLICATIONS);
     let mut folded = 0;
     for _ in 0..40 {
-        let ids = alone.purges(400);
+        let ids = publisher.publish_purges(400);
         folded += ids.iter().filter(|id| id.1 == ids[399].1).count();
         assert!(
-            ids.iter().all(|id| id.1 > alone.advertised),
-            "told up to {:?}, {:?}",
-            alone.advertised,
+            ids.iter().all(|id| id.1 > publisher.advertised),
+            "advertised up to {:?}, {:?}",
+            publisher.advertised,
             ids[399]
         );
-        alone.run(HEARTBEAT_INTERVAL / 2);
+        publisher.run(HEARTBEAT_INTERVAL / 2);
     }
     assert!(folded > 4000, "{folded}");
 }
 
-/// In a small fleet, a setting is applied at each member in time after a burst of purges.
-#[test_case(4000, 0, 0; "four thousand at once")]
+/// In a small fleet, each member applies a setting in time after a burst of purges.
+#[test_case(4000, 0, 0; "4000 at once")]
 #[test_case(0, 245, 60; "490 a second for 30 s")]
-fn setting_is_applied_in_time_behind_a_burst_of_purges(at_once: u64, each_pulse: u64, pulses: u32) {
+fn setting_is_applied_in_time_after_a_burst_of_purges(at_once: u64, per_heartbeat: u64, heartbeats: u32) {
     let mut fleet = Fleet::new(3, &[&[5, 3], &[4]], 41);
     fleet.run(s(60));
-    let mut names = 0;
-    let mut burst = |fleet: &mut Fleet, count: u64| {
+    let mut object_count = 0;
+    let mut publish_purges = |fleet: &mut Fleet, count: u64| {
         let purge = |object| Publication::Purge { purge: Purge::object(object), age: s(0) };
-        fleet.publish(0, (names..names + count).map(purge).collect());
-        names += count;
+        fleet.publish(0, (object_count..object_count + count).map(purge).collect());
+        object_count += count;
     };
-    burst(&mut fleet, at_once);
-    for _ in 0..pulses {
-        burst(&mut fleet, each_pulse);
+    publish_purges(&mut fleet, at_once);
+    for _ in 0..heartbeats {
+        publish_purges(&mut fleet, per_heartbeat);
         fleet.run(HEARTBEAT_INTERVAL);
     }
     for host in ["a", "b", "c"] {
         fleet.run(s(1));
         fleet.set_desired_state(0, host, DesiredState::Draining);
-        fleet.run(CHANGE);
+        fleet.run(SETTING_DEADLINE);
         for index in fleet.members() {
             let desired = fleet.nodes[index].caller.settings.get(host);
             assert_eq!(desired, Some(&DesiredState::Draining), "{host} at {}", fleet.nodes[index].name);
