--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -154,7 +154,7 @@
 /// The state of a control node's own streams.
 pub(crate) struct Publications {
     /// Incarnation of the streams that are published now. It is raised above any later incarnation of this control node
-    /// that other nodes turn out to know.
+    /// that other nodes report.
     pub incarnation: Incarnation,
     /// The last number that was sent, by kind of stream.
     last_sent: BTreeMap<StreamKind, SequenceNumber>,
@@ -211,7 +211,7 @@
 struct HybridClock {
     /// Unix milliseconds at the start of this process, by its own clock.
     started_unix_ms: u64,
-    /// The same moment in the time of the node's calls.
+    /// The same moment, as a duration since the origin of the node's time.
     started_at: Duration,
     /// The greatest value made or observed.
     latest_unix_ms: u64,
--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -17,7 +17,7 @@
 /// Approximate bytes of one stream with its number in a region report.
 const REPORTED_STREAM_BYTES: usize = 14;
 
-/// The entries of a stream that all members turn out to have applied since the previous check.
+/// Entries of a stream that all members have applied, and had not all applied at the previous check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplicatedEntries {
     pub stream: StreamId,
--- a/crates/rockflow-dissemination/src/node/acknowledgements.rs
+++ b/crates/rockflow-dissemination/src/node/acknowledgements.rs
@@ -67,8 +67,9 @@
             AckOutcome::Known { changed: false } => {}
         }
         for (stream, last) in received.into_iter().take(MAX_STREAMS) {
-            // The message doesn't say at which number the child's log begins. With 2 as the first number, the tip does
-            // not show that the log reaches back to the start of the stream.
+            // The message doesn't say at which number the child's log begins. A first number of 2 leaves open whether
+            // the log reaches back to the start of the stream. Only a child that has received no more than the first
+            // entry is assumed to have a log from the start.
             let first = SequenceNumber(2).min(last);
             self.on_tip(now, address, StreamTip { stream, first, last }, TipSource::Other);
         }
--- a/crates/rockflow-dissemination/src/node/anti_entropy.rs
+++ b/crates/rockflow-dissemination/src/node/anti_entropy.rs
@@ -120,11 +120,11 @@
             }
             return;
         }
-        // Another node may still hold the missing entries: a narrow gap is first requested from others.
+        // Another node may still hold the missing entries: a narrow and recent gap is first requested from others.
         let is_wide = stream.last().0.saturating_sub(stream.received().0) > MAX_REPAIRABLE_GAP;
-        let is_long_open =
+        let is_old =
             stream.gap_since().is_some_and(|since| now.saturating_sub(since) >= window / LONG_GAP_DIVISOR);
-        if stream.start_known && stream.lacks_before(next) && !is_wide && !is_long_open {
+        if stream.start_known && stream.lacks_before(next) && !is_wide && !is_old {
             return;
         }
         let min_accepted = min_accepted_age_ms.map(|age| Timestamp::ms_ago(now, age));
--- a/crates/rockflow-dissemination/src/node/heartbeats.rs
+++ b/crates/rockflow-dissemination/src/node/heartbeats.rs
@@ -27,9 +27,9 @@
 /// Whether the sender of a stream tip can be expected to know how far the stream reaches at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TipSource {
-    /// It can: a parent or a control node.
+    /// A parent or a control node, whose tip is up to date.
     Upstream,
-    /// It can't: a child, or the sender of a message that may have waited unread for long.
+    /// A child, or the sender of a message that may have waited unread for long, so that its tip may be outdated.
     Other,
 }
 
--- a/crates/rockflow-dissemination/src/node/ingest.rs
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -18,7 +18,7 @@
         self.control.as_ref().is_some_and(|control| control.is_own(id))
     }
 
-    /// Adds a stream that isn't held yet. Returns false if the stream is not accepted, and none of its entries are.
+    /// Adds a stream that isn't held yet. Returns false if the stream can't be held, so that its entries are rejected.
     pub(super) fn admit_stream(&mut self, now: Duration, id: StreamId) -> bool {
         let (admission, evicted) = self.streams.admit(now, id);
         if let Some(evicted) = evicted {
@@ -35,8 +35,8 @@
     }
 
     /// Covers the entries of a dropped purge stream that are missing here, or may be, by a purge of everything. Entries
-    /// may be missing if no parent or control node has advertised the stream's end since this node regained contact
-    /// with control.
+    /// may be missing if no parent or control node has advertised the stream's end since the current, unbroken contact
+    /// with control began.
     pub(super) fn cover_dropped_stream(&mut self, now: Duration, dropped: &Stream) {
         let end_is_known = dropped.last_advertised >= self.contact.since();
         if dropped.id.kind == StreamKind::Purges && (dropped.has_gap() || !end_is_known) {
--- a/crates/rockflow-dissemination/src/node/join.rs
+++ b/crates/rockflow-dissemination/src/node/join.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Whether an answer comes from a control node, and from a directory that is recent enough.
+    /// Whether an answer comes from a control node and is to be accepted. A few answers from an earlier directory than
+    /// that of the current place are ignored.
     fn accepts_join_answer(&mut self, from: Identity, directory_version: u64) -> bool {
         if self.control.is_some() || !self.is_control_node(from.node) {
             self.counters.unexpected_messages += 1;
--- a/crates/rockflow-dissemination/src/node/mod.rs
+++ b/crates/rockflow-dissemination/src/node/mod.rs
@@ -148,7 +148,8 @@
         self.flush(now, Some(address))
     }
 
-    /// Does the work that is due, such as heartbeats, repair requests and timeouts. To be called at [`Node::next_due`].
+    /// Does the work that is due, such as heartbeats, repair requests and timeouts. To be called at [`Node::next_due`] or
+    /// as soon as possible afterwards.
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
         let now = self.advance_clock(now);
         if self.stopped {
@@ -170,7 +171,7 @@
         self.flush(now, None)
     }
 
-    /// When [`Node::tick`] is to be called next. Each call of another method may change it.
+    /// When [`Node::tick`] is due. Each call of another method may change it.
     pub fn next_due(&self) -> Duration {
         self.clock.next_tick
     }
--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -13,8 +13,8 @@
 /// Most purges that are remembered as published within the window. When full, all are forgotten: some may then be
 /// published twice, which is harmless.
 pub const MAX_PUBLISHED_PURGES: usize = 16_384;
-/// The clocks of control nodes, from which the age of a purge is computed, may differ by the purge window divided by this
-/// number.
+/// The clocks of control nodes, from which the age of a purge is computed, may differ by up to the purge window divided by
+/// this number.
 const CLOCK_SKEW_DIVISOR: i128 = 4;
 /// A purge is overdue if no control node has published it within the purge window divided by this number, counted from
 /// the receipt of its notice.
@@ -47,6 +47,7 @@
 struct Notice {
     /// When the purge was made.
     created: Micros,
+    /// When the notice was received.
     received: Micros,
     origin: NoticeOrigin,
     /// Whether a publication was matched with this notice, which may have been of this very purge.
@@ -58,10 +59,11 @@
         self.origin == NoticeOrigin::Backlog
     }
 
-    /// Whether a publication of a purge made at `published` covers this one, as this one was certainly made no later.
-    fn is_covered(&self, published: Micros) -> bool {
+    /// Whether the publication of a purge made at `published_created` covers this one, which must certainly have been
+    /// made no later.
+    fn is_covered(&self, published_created: Micros) -> bool {
         let uncertainty = if self.is_backlog() { as_micros(BACKLOG_AGE_UNCERTAINTY) } else { 0 };
-        self.created + uncertainty <= published
+        self.created + uncertainty <= published_created
     }
 
     /// Whether the purge was older than the window when its notice was received.
@@ -95,9 +97,13 @@
 /// match later notices.
 #[derive(Clone, Debug)]
 pub struct Publisher {
+    /// The purge window.
     window: Micros,
+    /// How long a backlog notice waits before it is published.
     settling: Micros,
+    /// Notices that wait to be published or to be seen published, ordered by `created`.
     pending: BTreeMap<Purge, Vec<Notice>>,
+    /// Purges that this or another control node has published within the window.
     published: BTreeMap<Purge, PublishedPurge>,
 }
 
--- a/crates/rockflow-dissemination/tests/support/fleet.rs
+++ b/crates/rockflow-dissemination/tests/support/fleet.rs
@@ -60,6 +60,7 @@
     pub is_running: bool,
     /// Whether the process is paused, so that its messages wait in `unread`.
     pub is_paused: bool,
+    /// Waiting messages, each with the identity and the address of its sender.
     pub unread: Vec<(Identity, SocketAddr, Message)>,
     pub caller: Caller,
 }
@@ -87,8 +88,9 @@
     pub cut: BTreeSet<(usize, usize)>,
     /// Loses messages in addition to `loss` and `cut`.
     pub drop_rule: Option<DropRule>,
-    /// Bytes of all messages sent so far, and of the largest of them.
+    /// Bytes of all messages sent so far.
     pub bytes: usize,
+    /// Bytes of the largest message sent so far.
     pub largest_message_bytes: usize,
     /// When each entry was published.
     pub published: BTreeMap<EntryId, Duration>,
