--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -130,12 +130,17 @@
         advertised_by: Option<SocketAddr>,
         attempt: usize,
     ) -> Option<SocketAddr> {
-        let own = usize::from(self.id.0);
+        let own_index = usize::from(self.id.0);
         let publisher_index = usize::from(id.control.0);
-        let publisher = self.peers.get(publisher_index).filter(|_| publisher_index != own);
+        let publisher = self.peers.get(publisher_index).filter(|_| publisher_index != own_index);
         let publisher = publisher.map(|peer| peer.address);
-        let others: Vec<&Peer> =
-            self.peers.iter().enumerate().filter(|(index, _)| *index != own).map(|(_, peer)| peer).collect();
+        let others: Vec<&Peer> = self
+            .peers
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != own_index)
+            .map(|(_, peer)| peer)
+            .collect();
         let other = others.get((attempt / 3) % others.len().max(1)).map(|peer| peer.address);
         match attempt % 3 {
             0 => advertised_by.or(publisher),
--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -88,22 +88,23 @@
         &self.replicated_to_all
     }
 
-    /// Merges all reports of a region: `direct`, those that this control node received from its children, and those of
-    /// the other control nodes.
+    /// Merges all reports of a region: `direct_reports`, which this control node has received from its children, and those
+    /// of the other control nodes.
     pub fn region_status(
         &self,
         region: u16,
         directory: &Directory,
-        direct: &[SubtreeReport],
+        direct_reports: &[SubtreeReport],
         lag: LagOf,
     ) -> RegionStatus {
         let Some(listed) = directory.regions().get(usize::from(region)) else {
             return RegionStatus::default();
         };
-        let others = self.reports.values().map(|(report, _)| report);
-        let current =
+        let other_reports = self.reports.values().map(|(report, _)| report);
+        let is_current =
             |report: &&SubtreeReport| (report.region, report.listing_hash) == (region, listed.listing_hash);
-        let (mut merged, _) = subtree_report::merge(direct.iter().chain(others).filter(current), lag, 1);
+        let (mut merged, _) =
+            subtree_report::merge(direct_reports.iter().chain(other_reports).filter(is_current), lag, 1);
         let report = merged.pop();
         let slots = listed.order.len() as u16;
         let present = report.as_ref().map_or(0, |report| report.slots.present(slots));
@@ -115,11 +116,11 @@
     pub fn advance(
         &mut self,
         directory: &Directory,
-        direct: &[SubtreeReport],
+        direct_reports: &[SubtreeReport],
         lag: LagOf,
     ) -> Vec<ReplicatedEntries> {
         let mut advanced = Vec::new();
-        for (stream, last) in self.applied_by_all(directory, direct, lag).unwrap_or_default() {
+        for (stream, last) in self.applied_by_all(directory, direct_reports, lag).unwrap_or_default() {
             let previous_last = self.replicated_to_all.get(&stream).copied().unwrap_or_default();
             if last > previous_last {
                 self.replicated_to_all.insert(stream, last);
@@ -139,26 +140,26 @@
     fn applied_by_all(
         &self,
         directory: &Directory,
-        direct: &[SubtreeReport],
+        direct_reports: &[SubtreeReport],
         lag: LagOf,
     ) -> Option<BTreeMap<StreamId, SequenceNumber>> {
-        let mut by_all: Option<BTreeMap<StreamId, SequenceNumber>> = None;
+        let mut common: Option<BTreeMap<StreamId, SequenceNumber>> = None;
         for (region, listed) in (0_u16..).zip(directory.regions()) {
-            let status = self.region_status(region, directory, direct, lag);
+            let status = self.region_status(region, directory, direct_reports, lag);
             if status.present < listed.order.len() {
                 return None;
             }
             let applied = status.report.map(|report| report.applied).unwrap_or_default();
             let mut applied: BTreeMap<StreamId, SequenceNumber> = applied.into_iter().collect();
-            if let Some(others) = by_all {
+            if let Some(others) = common {
                 applied.retain(|stream, _| others.contains_key(stream));
                 for (stream, number) in &mut applied {
                     *number = others.get(stream).map_or(*number, |other| (*number).min(*other));
                 }
             }
-            by_all = Some(applied);
+            common = Some(applied);
         }
-        by_all
+        common
     }
 }
 
--- a/crates/rockflow-dissemination/src/node/acknowledgements.rs
+++ b/crates/rockflow-dissemination/src/node/acknowledgements.rs
@@ -62,7 +62,7 @@
                 return;
             }
             AckOutcome::Earlier => return,
-            AckOutcome::New => self.welcome_child(now, sender),
+            AckOutcome::New => self.on_new_child(now, sender),
             AckOutcome::Known { changed: true } => self.acks.request(),
             AckOutcome::Known { changed: false } => {}
         }
@@ -76,7 +76,7 @@
     }
 
     /// Sends a heartbeat to a new child, so that it learns the stream tips without waiting for the next one.
-    fn welcome_child(&mut self, now: Duration, child: Sender) {
+    fn on_new_child(&mut self, now: Duration, child: Sender) {
         let listing_hash = match &self.control {
             Some(control) => control.listing_hash_for(child.identity.node),
             None => self.join.parent_listing().listing_hash,
--- a/crates/rockflow-dissemination/src/node/control.rs
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -178,12 +178,12 @@
 
     /// Reports the entries that all members have applied since the previous update.
     fn update_convergence(&mut self, now: Duration) {
-        let direct = self.direct_reports();
+        let direct_reports = self.direct_reports();
         let Some(mut control) = self.control.take() else { return };
         control.convergence.expire(now, self.config.heartbeat_interval * REPORT_TTL_HEARTBEATS);
         if let Some(directory) = &control.directory {
             let lag = |id, number| self.lag(id, number);
-            for entries in control.convergence.advance(directory, &direct, &lag) {
+            for entries in control.convergence.advance(directory, &direct_reports, &lag) {
                 self.emit_replicated(now, entries);
             }
         }
--- a/crates/rockflow-dissemination/src/node/heartbeats.rs
+++ b/crates/rockflow-dissemination/src/node/heartbeats.rs
@@ -99,7 +99,7 @@
 
     /// Builds a heartbeat. `listing_hash` identifies the listing of the receiver's region.
     pub(super) fn heartbeat_message(&mut self, now: Duration, listing_hash: u32) -> Message {
-        self.note_tips_advertised();
+        self.record_tips_advertised();
         let directory_version = match &self.control {
             Some(control) => control.directory_version(),
             None => self.join.parent_listing().directory_version,
--- a/crates/rockflow-dissemination/src/node/ingest.rs
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -60,7 +60,7 @@
     ) {
         if first.0 > 0 && !entries.is_empty() {
             let last = first.0.saturating_add(entries.len() as u64 - 1);
-            self.on_own_stream_advertised(now, id, SequenceNumber(last));
+            self.check_own_stream_advertised(now, id, SequenceNumber(last));
         }
         if self.is_own(id) || first.0 == 0 || !self.admit_stream(now, id) {
             self.counters.entries_rejected += entries.len() as u64;
@@ -164,7 +164,7 @@
     /// Handles another node's tip, which tells how far a stream reaches.
     pub(super) fn on_tip(&mut self, now: Duration, from: SocketAddr, tip: StreamTip, source: TipSource) {
         let id = tip.stream;
-        self.on_own_stream_advertised(now, id, tip.last);
+        self.check_own_stream_advertised(now, id, tip.last);
         let is_valid = tip.last.0 > 0 && tip.last.0 < u64::MAX && tip.first <= tip.last.next();
         if self.is_own(id) || !is_valid || !self.admit_stream(now, id) {
             return;
--- a/crates/rockflow-dissemination/src/node/join.rs
+++ b/crates/rockflow-dissemination/src/node/join.rs
@@ -65,8 +65,8 @@
             return;
         }
         place.parents.truncate(MAX_PARENTS);
-        let own = self.config.identity.node;
-        let others = place.parents.iter().filter(|peer| peer.node != own);
+        let own_node = self.config.identity.node;
+        let others = place.parents.iter().filter(|peer| peer.node != own_node);
         let candidates: Vec<ParentCandidate> = others.map(|peer| ParentCandidate::from(*peer)).collect();
         let is_valid = place.slot < place.slots && usize::from(place.slots) <= MAX_SLOTS;
         let random = self.random_fraction();
@@ -148,12 +148,12 @@
 
     /// Replaces the candidates for the parent. Notifies the parents concerned if the parent changes by it.
     fn set_candidates(&mut self, now: Duration, candidates: Vec<ParentCandidate>) {
-        let before = self.subscription.parent();
+        let parent_before = self.subscription.parent();
         let is_control =
             |candidate: &ParentCandidate| candidate.node.is_some_and(|node| self.is_control_node(node));
         let ancestors = candidates.iter().filter(|candidate| !is_control(candidate)).count() as u32;
         let previous = self.subscription.set_candidates(now, candidates, ancestors);
-        if self.subscription.parent() != before {
+        if self.subscription.parent() != parent_before {
             self.on_parent_changed(now, previous);
         }
     }
--- a/crates/rockflow-dissemination/src/node/publishing.rs
+++ b/crates/rockflow-dissemination/src/node/publishing.rs
@@ -48,7 +48,7 @@
 
     /// Records that the stream tips in the next message advertise all published purges, including those that still wait
     /// to be sent.
-    pub(super) fn note_tips_advertised(&mut self) {
+    pub(super) fn record_tips_advertised(&mut self) {
         let Some(control) = &mut self.control else { return };
         if let Some(stream) = self.streams.get(control.stream(StreamKind::Purges)) {
             control.publications.last_advertised_purge = stream.received();
@@ -76,7 +76,7 @@
     /// Checks whether a stream that another node advertises is this control node's, but has a later incarnation or more
     /// entries than it has published. An earlier process of this node has then published them and its state is lost, so
     /// that the streams have to continue under a greater incarnation.
-    pub(super) fn on_own_stream_advertised(&mut self, now: Duration, id: StreamId, last: SequenceNumber) {
+    pub(super) fn check_own_stream_advertised(&mut self, now: Duration, id: StreamId, last: SequenceNumber) {
         let Some(control) = self.control.as_ref().filter(|control| control.id == id.control) else { return };
         let own_incarnation = control.publications.incarnation;
         let published = self.streams.get(id).map(|stream| stream.received()).unwrap_or_default();
--- a/crates/rockflow-dissemination/src/node/status.rs
+++ b/crates/rockflow-dissemination/src/node/status.rs
@@ -76,10 +76,10 @@
         };
         let Some(directory) = &control.directory else { return Some(status) };
         status.expected_members = directory.members.len();
-        let direct = self.direct_reports();
+        let direct_reports = self.direct_reports();
         let lag = |id, number| self.lag(id, number);
         for (index, region) in (0_u16..).zip(directory.regions()) {
-            let region_status = control.convergence.region_status(index, directory, &direct, &lag);
+            let region_status = control.convergence.region_status(index, directory, &direct_reports, &lag);
             status.present += region_status.present;
             let report = region_status.report.unwrap_or_else(|| empty_report(index, region));
             self.add_region(&mut status, directory, region, report);
--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -181,7 +181,7 @@
         let mut notice = Notice { created: received - as_micros(age), received, origin, is_matched: false };
         let is_expired = notice.was_expired(self.window);
         let is_ignored = is_expired && !notice.is_backlog();
-        if is_ignored || notice.created < self.oldest_match(now) || self.is_published(purge, &notice) {
+        if is_ignored || notice.created < self.oldest_matchable(now) || self.is_published(purge, &notice) {
             return;
         }
         if self.pending.len() >= MAX_PENDING_PURGES && !self.pending.contains_key(&purge) {
@@ -202,7 +202,7 @@
     }
 
     /// Notices of purges made before this time are not kept, as no publication can match them.
-    fn oldest_match(&self, now: Duration) -> Micros {
+    fn oldest_matchable(&self, now: Duration) -> Micros {
         let skew = self.window / CLOCK_SKEW_DIVISOR;
         as_micros(now) - self.window - skew - as_micros(BACKLOG_AGE_UNCERTAINTY)
     }
@@ -257,11 +257,11 @@
     fn expire_notices(&mut self, now: Duration, role: PublisherRole) {
         let window = self.window;
         let oldest = as_micros(now) - window;
-        let oldest_match = self.oldest_match(now);
+        let oldest_matchable = self.oldest_matchable(now);
         for notices in self.pending.values_mut() {
             notices.retain(|notice| {
                 if notice.was_expired(window) {
-                    return notice.created >= oldest_match;
+                    return notice.created >= oldest_matchable;
                 }
                 let relies_on_match = role == PublisherRole::Standby || notice.is_backlog();
                 let is_unpublished = !(notice.is_matched && relies_on_match);
@@ -301,6 +301,6 @@
     }
 }
 
-fn as_micros(span: Duration) -> Micros {
-    span.as_micros() as i128
+fn as_micros(duration: Duration) -> Micros {
+    duration.as_micros() as i128
 }
