--- a/crates/rockflow-dissemination/src/control.rs
+++ b/crates/rockflow-dissemination/src/control.rs
@@ -94,8 +94,8 @@
         self.clock.observe(unix_ms);
     }
 
-    /// Makes a timestamp that is greater than all timestamps made here before, and than `replaced`, the timestamp of the
-    /// setting that is replaced.
+    /// Makes a timestamp that is greater than all timestamps made here before, and than `replaced`, the timestamp of
+    /// the setting that is replaced.
     pub fn next_timestamp(&mut self, now: Duration, replaced: HybridTimestamp) -> HybridTimestamp {
         let unix_ms = self.clock.advance(now).max(replaced.unix_ms.saturating_add(1));
         HybridTimestamp { unix_ms, control: self.id.0 }
--- a/crates/rockflow-dissemination/src/convergence.rs
+++ b/crates/rockflow-dissemination/src/convergence.rs
@@ -88,8 +88,8 @@
         &self.replicated_to_all
     }
 
-    /// Merges all reports of a region: `direct_reports`, which this control node has received from its children, and those
-    /// of the other control nodes.
+    /// Merges all reports of a region: `direct_reports`, which this control node has received from its children, and
+    /// those of the other control nodes.
     pub fn region_status(
         &self,
         region: u16,
--- a/crates/rockflow-dissemination/src/node/anti_entropy.rs
+++ b/crates/rockflow-dissemination/src/node/anti_entropy.rs
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Answers with the requested entries that the log still holds, and with a snapshot if it begins after some of them.
+    /// Answers with the requested entries that the log still holds, and with a snapshot if it begins after some of
+    /// them.
     pub(super) fn on_repair_request(
         &mut self,
         now: Duration,
--- a/crates/rockflow-dissemination/src/node/control.rs
+++ b/crates/rockflow-dissemination/src/node/control.rs
@@ -1,5 +1,5 @@
-//! Tasks of a control node: it assigns members their places in the tree, exchanges region reports with the other control
-//! nodes, and determines which entries all members have applied.
+//! Tasks of a control node: it assigns members their places in the tree, exchanges region reports with the other
+//! control nodes, and determines which entries all members have applied.
 
 use super::{Node, Sender};
 use crate::convergence::{split_into_messages, ReplicatedEntries};
--- a/crates/rockflow-dissemination/src/node/ingest.rs
+++ b/crates/rockflow-dissemination/src/node/ingest.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Queues a purge of everything in place of lost purges: nothing stored before `timestamp` may be served afterwards.
+    /// Queues a purge of everything in place of lost purges: nothing stored before `timestamp` may be served
+    /// afterwards.
     pub(super) fn substitute_full_purge(&mut self, timestamp: Timestamp) {
         self.apply_queue.push_substitute_purge(timestamp, &mut self.counters);
     }
--- a/crates/rockflow-dissemination/src/node/join.rs
+++ b/crates/rockflow-dissemination/src/node/join.rs
@@ -76,8 +76,8 @@
         self.set_candidates(now, candidates);
     }
 
-    /// Handles the answer that the directory doesn't list this node. The node then follows control nodes directly, and no
-    /// report includes it.
+    /// Handles the answer that the directory doesn't list this node. The node then follows control nodes directly, and
+    /// no report includes it.
     pub(super) fn on_not_listed(&mut self, now: Duration, from: Identity, directory_version: u64) {
         if !self.accepts_join_answer(from, directory_version) {
             return;
--- a/crates/rockflow-dissemination/src/node/mod.rs
+++ b/crates/rockflow-dissemination/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A node: a state machine driven by messages from other nodes, requests of its caller, and time. Each part of its state
-//! has its own type; the submodules implement the steps that involve several parts.
+//! A node: a state machine driven by messages from other nodes, requests of its caller, and time. Each part of its
+//! state has its own type; the submodules implement the steps that involve several parts.
 
 mod acknowledgements;
 mod anti_entropy;
@@ -148,8 +148,8 @@
         self.flush(now, Some(address))
     }
 
-    /// Does the work that is due, such as heartbeats, repair requests and timeouts. To be called at [`Node::next_due`] or
-    /// as soon as possible afterwards.
+    /// Does the work that is due, such as heartbeats, repair requests and timeouts. To be called at [`Node::next_due`]
+    /// or as soon as possible afterwards.
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
         let now = self.advance_clock(now);
         if self.stopped {
@@ -176,8 +176,8 @@
         self.clock.next_tick
     }
 
-    /// Confirms that the caller has applied the output with this token: all of its purges, or all of its settings except
-    /// those that it rejected.
+    /// Confirms that the caller has applied the output with this token: all of its purges, or all of its settings
+    /// except those that it rejected.
     pub fn confirm_applied(&mut self, now: Duration, token: ApplyToken) -> Vec<Output> {
         let now = self.advance_clock(now);
         if self.apply_queue.confirm(token) {
@@ -271,8 +271,8 @@
         self.rng.rand_float()
     }
 
-    /// Advances the clock to the time of a call, and returns the time that the call uses. If this process did not run for
-    /// a while, its timers are shifted, so that other nodes are not considered failed because of the pause.
+    /// Advances the clock to the time of a call, and returns the time that the call uses. If this process did not run
+    /// for a while, its timers are shifted, so that other nodes are not considered failed because of the pause.
     fn advance_clock(&mut self, now: Duration) -> Duration {
         let advance = self.clock.advance(now);
         if let Some(pause) = advance.pause {
--- a/crates/rockflow-dissemination/src/node/publishing.rs
+++ b/crates/rockflow-dissemination/src/node/publishing.rs
@@ -56,8 +56,8 @@
     }
 
     /// Sends published entries as far as the budgets allow: first settings within their own share, so that they don't
-    /// wait behind a burst of purges; then purges; then more settings, while more than half of the common budget is left
-    /// for purges.
+    /// wait behind a burst of purges; then purges; then more settings, while more than half of the common budget is
+    /// left for purges.
     pub(super) fn send_publications(&mut self, now: Duration) {
         self.send_publications_of(now, StreamKind::Configuration, SendAllowance::SettingsShare);
         self.send_publications_of(now, StreamKind::Purges, SendAllowance::Common);
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Continues this node's streams under a greater incarnation. The entries that were published under the previous one
-    /// within the purge window are published again.
+    /// Continues this node's streams under a greater incarnation. The entries that were published under the previous
+    /// one within the purge window are published again.
     fn reincarnate(&mut self, now: Duration, incarnation: Incarnation) {
         let Some(control) = &mut self.control else { return };
         let previous_streams =
--- a/crates/rockflow-dissemination/src/node/settings_exchange.rs
+++ b/crates/rockflow-dissemination/src/node/settings_exchange.rs
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Digests are not compared while a configuration stream has a gap, unless the gap has been open for this many heartbeat
-/// intervals.
+/// Digests are not compared while a configuration stream has a gap, unless the gap has been open for this many
+/// heartbeat intervals.
 const OLD_GAP_HEARTBEATS: u32 = 8;
 
 impl Node {
@@ -51,8 +51,8 @@
         self.send_settings_parts(now, from, part);
     }
 
-    /// Sends a few parts of the settings table, starting with `part`. Returns the part with which to continue, or `None`
-    /// if the last part was sent.
+    /// Sends a few parts of the settings table, starting with `part`. Returns the part with which to continue, or
+    /// `None` if the last part was sent.
     fn send_settings_parts(&mut self, now: Duration, to: SocketAddr, part: u16) -> Option<u16> {
         if !self.rate_limits.tables.has_credit(now) {
             self.counters.repair_requests_throttled += 1;
--- a/crates/rockflow-dissemination/src/publisher.rs
+++ b/crates/rockflow-dissemination/src/publisher.rs
@@ -1,20 +1,21 @@
-//! Decides which of the purges announced by discovery's notice board a control node publishes. All control nodes receive
-//! the notices, so that another one takes over if the active one has failed.
+//! Decides which of the purges announced by discovery's notice board a control node publishes. All control nodes
+//! receive the notices, so that another one takes over if the active one has failed.
 
 use crate::entry::Purge;
 use crate::output::Publication;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Most purges that wait to be published or to be seen published. When full, a purge of everything replaces all of them.
+/// Most purges that wait to be published or to be seen published. When full, a purge of everything replaces all of
+/// them.
 pub const MAX_PENDING_PURGES: usize = 16_384;
 /// Most waiting notices of one purge. When full, the earliest is dropped, as the publication of a later one covers it.
 pub const MAX_NOTICES_PER_PURGE: usize = 8;
 /// Most purges that are remembered as published within the window. When full, all are forgotten: some may then be
 /// published twice, which is harmless.
 pub const MAX_PUBLISHED_PURGES: usize = 16_384;
-/// The clocks of control nodes, from which the age of a purge is computed, may differ by up to the purge window divided by
-/// this number.
+/// The clocks of control nodes, from which the age of a purge is computed, may differ by up to the purge window divided
+/// by this number.
 const CLOCK_SKEW_DIVISOR: i128 = 4;
 /// A purge is overdue if no control node has published it within the purge window divided by this number, counted from
 /// the receipt of its notice.
@@ -84,17 +85,18 @@
 /// Keeps the board's notices within the purge window, and decides which of them this control node publishes.
 ///
 /// The active control node publishes a purge as soon as it is announced. A standby node keeps the notice until it sees
-/// the purge published. It publishes the purge itself if it becomes active before that, or if half the window has passed:
-/// the active node may have restarted, and not have received the notice.
+/// the purge published. It publishes the purge itself if it becomes active before that, or if half the window has
+/// passed: the active node may have restarted, and not have received the notice.
 ///
 /// A publication covers every notice of a purge that was made no later. At a standby node it also matches one notice of
-/// a purge that seems to have been made later, by less than clocks may differ. Each publication matches only one notice,
-/// so that a second purge of the same objects is not mistaken for the first. The active node does not rely on matches.
+/// a purge that seems to have been made later, by less than clocks may differ. Each publication matches only one
+/// notice, so that a second purge of the same objects is not mistaken for the first. The active node does not rely on
+/// matches.
 ///
-/// A control node that starts receives the backlog: notices that the board repeats. It waits for the settling time before
-/// it publishes any of them, even if it is active, while the streams bring what was published. It relies on matches for
-/// the backlog. Backlog notices that are past the window are kept only to be matched, so that their publications do not
-/// match later notices.
+/// A control node that starts receives the backlog: notices that the board repeats. It waits for the settling time
+/// before it publishes any of them, even if it is active, while the streams bring what was published. It relies on
+/// matches for the backlog. Backlog notices that are past the window are kept only to be matched, so that their
+/// publications do not match later notices.
 #[derive(Clone, Debug)]
 pub struct Publisher {
     /// The purge window.
@@ -153,7 +155,8 @@
         }
     }
 
-    /// Returns the purges to publish now; at a standby node, only those that the active one should have published by now.
+    /// Returns the purges to publish now; at a standby node, only those that the active one should have published by
+    /// now.
     pub fn tick(&mut self, now: Duration, role: PublisherRole) -> Vec<Publication> {
         let skew = self.window / CLOCK_SKEW_DIVISOR;
         let oldest = as_micros(now) - self.window;
@@ -227,8 +230,8 @@
         }
     }
 
-    /// Removes the notices that a publication covers. If there are none, matches the publication with one notice of what
-    /// may be the same purge. Returns whether the publication has covered or matched a notice.
+    /// Removes the notices that a publication covers. If there are none, matches the publication with one notice of
+    /// what may be the same purge. Returns whether the publication has covered or matched a notice.
     fn match_notice(&mut self, purge: Purge, created: Micros) -> bool {
         let Some(notices) = self.pending.get_mut(&purge) else { return false };
         let previous_count = notices.len();
--- a/crates/rockflow-dissemination/tests/member.rs
+++ b/crates/rockflow-dissemination/tests/member.rs
@@ -179,8 +179,8 @@
     assert_eq!(node.status(now).parent, Some(Peer { node: NodeId::of("seed"), address: node_address(9) }));
 }
 
-/// Half of the control nodes may be unreachable. Joins must be frequent enough that three of them without an answer, the
-/// fourth, and what follows it all fit into the purge window.
+/// Half of the control nodes may be unreachable. Joins must be frequent enough that three of them without an answer,
+/// the fourth, and what follows it all fit into the purge window.
 #[test]
 fn member_without_place_joins_every_two_heartbeats() {
     let mut node = Node::new(config(), None, 1, Duration::ZERO);
@@ -326,8 +326,8 @@
     }
 }
 
-/// Counts the full purges at a member that receives a later incarnation of a control node after this silence. The end of
-/// the earlier stream was advertised before the silence.
+/// Counts the full purges at a member that receives a later incarnation of a control node after this silence. The end
+/// of the earlier stream was advertised before the silence.
 fn full_purges_after_a_later_incarnation(silence: Duration) -> u64 {
     let (mut node, mut now) = placed_member_with_heartbeat();
     let earlier_tip =
--- a/crates/rockflow-dissemination/tests/support/fleet.rs
+++ b/crates/rockflow-dissemination/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet in virtual time: its nodes, a network that loses, duplicates and reorders messages, and what the caller
-//! of each node has applied.
+//! A small fleet in virtual time: its nodes, a network that loses, duplicates and reorders messages, and what the
+//! caller of each node has applied.
 
 use super::{control_name, ms, s, HEARTBEAT_INTERVAL, INCARNATION, PURGE_WINDOW};
 use rockflow_dissemination::*;
@@ -244,8 +244,8 @@
         self.handle_outputs(index, outputs);
     }
 
-    /// Checks an entry that a control node reports as replicated to all: each running member must have applied it by its
-    /// own status. Where a member has retired the purge stream, the purges that its caller has applied decide.
+    /// Checks an entry that a control node reports as replicated to all: each running member must have applied it by
+    /// its own status. Where a member has retired the purge stream, the purges that its caller has applied decide.
     fn check_replicated_to_all(&self, stream: StreamId, number: SequenceNumber) {
         for index in self.members().filter(|index| self.nodes[*index].is_running) {
             let status = self.nodes[index].node.status(self.now);
