--- a/crates/rockflow-dissemination/src/apply_queue.rs
+++ b/crates/rockflow-dissemination/src/apply_queue.rs
@@ -1,4 +1,5 @@
-//! What the caller is to apply: purges and settings that wait to be handed over, and what it has not confirmed yet.
+//! The queue of purges and settings for the node's caller: those that wait to be handed over, and the tokens of those
+//! that were handed over and are not confirmed yet.
 
 use crate::apply_tokens::{ApplyToken, PendingTokens};
 use crate::counters::Counters;
@@ -11,23 +12,26 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Whether the caller applies and confirms what it is given.
+/// Whether the caller applies what it is handed and confirms it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Confirmation {
-    /// At a member.
+    /// At a member: an entry counts as applied once the caller has confirmed it.
     Required,
-    /// At a control node, which serves nothing.
+    /// At a control node, which serves no objects: an entry counts as applied once it is received.
     NotNeeded,
 }
 
-/// Work for the caller, in the order in which it was received.
+/// Purges and settings for the caller, each in the order in which they were received.
 #[derive(Clone, Debug)]
 pub(crate) struct ApplyQueue {
     confirmation: Confirmation,
+    /// Queued purges and when each was issued.
     purges: Vec<(Purge, Timestamp)>,
+    /// Entries that changed a setting, and the host of each.
     settings: Vec<(EntryId, String)>,
     pending_purges: PendingTokens,
     pending_settings: PendingTokens,
+    /// The token issued last, of either kind; 0 before the first.
     last_token: u64,
     /// Streams that may have advanced since the last flush.
     touched: BTreeSet<StreamId>,
@@ -47,13 +51,13 @@
         }
     }
 
-    /// Queues a purge that was issued then.
+    /// Queues a purge that was issued at `timestamp`.
     pub fn push_purge(&mut self, purge: Purge, timestamp: Timestamp) {
         self.purges.push((purge, timestamp));
     }
 
-    /// Stands for purges that are lost: everything older than `timestamp` is purged. At a control node, where nothing
-    /// is served, it is only counted.
+    /// Queues a purge of everything older than `timestamp`, in place of purges that were lost. At a control node, which
+    /// serves no objects, it is only counted.
     pub fn push_substitute_purge(&mut self, timestamp: Timestamp, counters: &mut Counters) {
         counters.substitute_purges += 1;
         if self.confirmation == Confirmation::Required {
@@ -61,43 +65,45 @@
         }
     }
 
-    /// Queues a new version of the setting of a host.
+    /// Queues a change of the host's setting by the entry `id`.
     pub fn push_setting(&mut self, id: EntryId, host: String) {
         self.settings.push((id, host));
     }
 
-    /// A stream has changed: what is applied of it is brought up to date with the next flush.
+    /// Marks a stream as changed, so that the next flush updates how far it is applied.
     pub fn touch(&mut self, stream: StreamId) {
         self.touched.insert(stream);
     }
 
-    /// The streams of what is queued.
+    /// Streams that may have advanced since the last flush.
     pub fn touched(&self) -> impl Iterator<Item = StreamId> + '_ {
         self.touched.iter().copied()
     }
 
-    /// Purges that wait to be handed over.
+    /// Number of tokens held for purges that were handed over.
     pub fn pending_purges(&self) -> usize {
         self.pending_purges.len()
     }
 
-    /// Settings that wait to be handed over.
+    /// Number of tokens held for settings that were handed over.
     pub fn pending_settings(&self) -> usize {
         self.pending_settings.len()
     }
 
-    /// The caller has applied what it was given under this token. True: settings up to it are judged.
+    /// Records that the caller has applied what it was handed under `token`. Returns whether this is a pending token of
+    /// settings; the caller has then accepted or rejected all settings up to it.
     pub fn confirm(&mut self, token: ApplyToken) -> bool {
         self.pending_purges.confirm(token);
         self.pending_settings.confirm_up_to(token)
     }
 
-    /// Takes note that the caller rejected an entry.
+    /// Records that the caller has rejected the setting of the entry `id`.
     pub fn on_rejected(&mut self, id: EntryId) {
         self.pending_settings.on_rejected(id);
     }
 
-    /// The purges that wait, under a new token.
+    /// Hands over the queued purges under a new token; `None` if there are none. At the limit of unconfirmed tokens,
+    /// one purge of everything replaces these purges and the unconfirmed ones.
     pub fn take_purges(
         &mut self,
         now: Duration,
@@ -123,7 +129,8 @@
         Some(Output::Purge { purges, token })
     }
 
-    /// The whole table under a new token, where a setting has changed.
+    /// Hands over the whole table under a new token if a setting has changed; otherwise `None`. The changed settings
+    /// include the quarantined ones that are retried.
     pub fn take_settings(
         &mut self,
         table: &SettingsTable,
@@ -151,8 +158,9 @@
         Some(Output::Configure { settings: table.desired_states(), changed, token })
     }
 
-    /// Brings up to date how far streams are applied: by what is confirmed, and by what is still pending. True: one
-    /// of them has advanced.
+    /// Updates how far the changed streams and those of confirmed tokens are applied. A changed stream with nothing
+    /// pending is applied as far as it is received; otherwise the newest pending token covers it. Returns whether any
+    /// stream has advanced.
     pub fn update_applied(&mut self, streams: &mut Streams) -> bool {
         let mut has_advanced = false;
         for id in std::mem::take(&mut self.touched) {
--- a/crates/rockflow-dissemination/src/apply_tokens.rs
+++ b/crates/rockflow-dissemination/src/apply_tokens.rs
@@ -1,34 +1,37 @@
-//! What the caller was given to apply and has not confirmed yet.
+//! Tokens by which the caller confirms the purges and settings that it was handed.
 
 use crate::entry::{EntryId, SequenceNumber, StreamId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Unconfirmed tokens of one kind. When full, all are replaced by one that covers them: a purge of everything, or the
-/// whole table of settings.
+/// Limit of tokens held for purges, and likewise for settings. At the limit one new token replaces them all: it hands
+/// over a purge of everything, or the whole table of settings.
 pub const MAX_PENDING_TOKENS: usize = 4096;
 
-/// Names what the caller is to confirm once its decisions have applied it. Later tokens are greater.
+/// Identifies purges or settings handed to the caller, which confirms the token once the decision logic has applied
+/// them. Later tokens are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ApplyToken(pub u64);
 
+/// A token handed to the caller, held until it and all earlier ones are confirmed.
 #[derive(Clone, Debug, Default)]
 struct PendingToken {
     is_confirmed: bool,
-    /// Settings to be judged. A token all of whose settings are rejected counts as confirmed.
+    /// Settings handed over under this token and not rejected so far. Once the last is rejected, the token counts as
+    /// confirmed.
     awaiting_result: BTreeSet<EntryId>,
-    /// How far streams are applied once this token and all before it are confirmed.
+    /// The number up to which each stream is applied once this token and all earlier ones are confirmed.
     covers: BTreeMap<StreamId, SequenceNumber>,
 }
 
-/// The unconfirmed tokens in the order of their issue. Streams are applied as far as the confirmed ones before the first
-/// unconfirmed one cover.
+/// Tokens of one kind in the order of issue. A stream counts as applied only as far as the tokens before the first
+/// unconfirmed one cover it, so a confirmed token is held as long as an earlier one is unconfirmed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingTokens {
     pending: BTreeMap<ApplyToken, PendingToken>,
 }
 
 impl PendingTokens {
-    /// Tokens that are not confirmed yet.
+    /// Number of tokens held, confirmed or not.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
@@ -38,32 +41,33 @@
         self.pending.len() >= MAX_PENDING_TOKENS
     }
 
-    /// Forgets every token.
+    /// Removes every token without counting it as confirmed.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
 
-    /// Adds a token, with the settings that are to be judged under it.
+    /// Adds a token under which these settings are handed over; none for a token of purges.
     pub fn issue(&mut self, token: ApplyToken, awaiting_result: BTreeSet<EntryId>) {
         let pending = PendingToken { is_confirmed: false, awaiting_result, covers: BTreeMap::new() };
         self.pending.insert(token, pending);
     }
 
-    /// The newest token covers a stream up to this number. Returns false where no token is pending.
+    /// Makes the newest token cover a stream up to the number `last`. Returns false if no token is held.
     pub fn extend(&mut self, stream: StreamId, to: SequenceNumber) -> bool {
         let Some(mut newest) = self.pending.last_entry() else { return false };
         newest.get_mut().covers.insert(stream, to);
         true
     }
 
-    /// The caller has applied what it was given under this token.
+    /// Records that the caller has applied what it was handed under `token`.
     pub fn confirm(&mut self, token: ApplyToken) {
         if let Some(pending) = self.pending.get_mut(&token) {
             pending.is_confirmed = true;
         }
     }
 
-    /// Confirms a token and all before it, where each includes what those before it did. Returns whether it was pending.
+    /// Confirms a token and all earlier ones, for a kind whose later tokens include what earlier ones handed over.
+    /// Returns whether the token was held.
     pub fn confirm_up_to(&mut self, token: ApplyToken) -> bool {
         if !self.pending.contains_key(&token) {
             return false;
@@ -74,7 +78,7 @@
         true
     }
 
-    /// The caller has rejected a setting.
+    /// Records that the caller has rejected the setting of the entry `id`.
     pub fn on_rejected(&mut self, id: EntryId) {
         for pending in self.pending.values_mut() {
             if pending.awaiting_result.remove(&id) && pending.awaiting_result.is_empty() {
@@ -83,7 +87,8 @@
         }
     }
 
-    /// Removes the confirmed tokens before the first unconfirmed one. Returns what they cover, in order.
+    /// Removes the confirmed tokens before the first unconfirmed one. Returns how far they cover streams, in order of
+    /// issue.
     pub fn take_confirmed(&mut self) -> Vec<(StreamId, SequenceNumber)> {
         let mut covered = Vec::new();
         while let Some(first) = self.pending.first_entry() {
