--- a/crates/rockflow-dissemination/src/children.rs
+++ b/crates/rockflow-dissemination/src/children.rs
@@ -1,4 +1,4 @@
-//! The nodes that follow this one, and what they report.
+//! The nodes that follow this one in the tree, and the reports of their subtrees.
 
 use crate::identity::{Identity, NodeId};
 use crate::message::MAX_REPORTS;
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Children of a member. A further one is answered with [`Message::Full`](crate::Message::Full), and follows its next
-/// candidate.
+/// Limit of children of a member. A further node is answered with [`Message::Full`](crate::Message::Full), and follows
+/// its next candidate.
 pub const MAX_CHILDREN: usize = 16;
-/// Children of a control node, likewise.
+/// Limit of children of a control node. A further node is answered in the same way.
 pub const MAX_CONTROL_CHILDREN: usize = 256;
 
 /// A node that follows this one.
@@ -20,34 +20,37 @@
     pub address: SocketAddr,
     /// When its last acknowledgement was received.
     pub last_received: Duration,
+    /// What its subtree has applied, by region and listing, as of that acknowledgement.
     pub reports: Vec<SubtreeReport>,
 }
 
-/// What became of an acknowledgement.
+/// Whether an acknowledgement was recorded, and what it changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AckOutcome {
-    /// From a new child, or a new incarnation of one.
+    /// Recorded, from a new child or a new incarnation of a child.
     New,
+    /// Recorded, from a child that was known.
     Known {
-        /// Whether its reports differ from those before.
+        /// Whether its reports differ from the previous ones.
         changed: bool,
     },
-    /// There is no room for another child.
+    /// Not recorded: there is no room for another child.
     Full,
-    /// From an earlier incarnation of a child.
+    /// Not recorded: it is from an earlier incarnation of a child.
     Earlier,
 }
 
-/// Owns the children and their last reports.
+/// Owns the children and their latest reports.
 #[derive(Clone, Debug)]
 pub(crate) struct Children {
     children: BTreeMap<NodeId, Child>,
     max_children: usize,
+    /// A child and its reports are kept for this long after its last acknowledgement.
     ttl: Duration,
 }
 
 impl Children {
-    /// A child is kept, and its reports count, for `ttl` after an acknowledgement.
+    /// No children yet. A child and its reports are kept for `ttl` after its last acknowledgement.
     pub fn new(max_children: usize, ttl: Duration) -> Children {
         Children { children: BTreeMap::new(), max_children, ttl }
     }
@@ -67,12 +70,12 @@
         self.children.values().map(|child| child.address).collect()
     }
 
-    /// The last report of each child that sent one.
+    /// The latest reports of all children; a child may report several regions or listings.
     pub fn reports(&self) -> impl Iterator<Item = &SubtreeReport> {
         self.children.values().flat_map(|child| &child.reports)
     }
 
-    /// Records the acknowledgement of a child.
+    /// Records an acknowledgement, whose sender becomes a child if there is room. Reports above the limits are cut off.
     pub fn on_acknowledgement(
         &mut self,
         now: Duration,
@@ -98,18 +101,18 @@
         outcome
     }
 
-    /// Whether an acknowledgement of this node would be accepted.
+    /// Whether `node` is a child already or there is room for it as a new one.
     pub fn has_room_for(&self, node: NodeId) -> bool {
         self.children.len() < self.max_children || self.children.contains_key(&node)
     }
 
-    /// Returns whether it was a child.
+    /// Removes a child that has left. Returns false, and changes nothing, if this incarnation is not a child.
     pub fn remove(&mut self, identity: Identity) -> bool {
         let is_child = self.children.get(&identity.node).is_some_and(|child| child.identity == identity);
         is_child && self.children.remove(&identity.node).is_some()
     }
 
-    /// Drops children that were silent for too long. Returns whether there were any.
+    /// Removes children whose last acknowledgement is too old. Returns whether there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
         let before = self.children.len();
         let ttl = self.ttl;
@@ -117,7 +120,7 @@
         self.children.len() < before
     }
 
-    /// The reports are too old to count; the children repeat them.
+    /// Drops all reports, as they may be out of date. The children send them again with their next acknowledgements.
     pub fn forget_reports(&mut self) {
         for child in self.children.values_mut() {
             child.reports.clear();
--- a/crates/rockflow-dissemination/src/forward_queue.rs
+++ b/crates/rockflow-dissemination/src/forward_queue.rs
@@ -1,4 +1,4 @@
-//! New entries that go on to the children.
+//! Entries that are to be forwarded to the children.
 
 use crate::entry::{AgedEntry, Entry, SequenceNumber, StreamId};
 use crate::message::Message;
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An entry whose number is held with another content; it is forwarded as it came.
+/// An entry that differs from the one in the log under the same number. As the log doesn't hold it, its content is
+/// queued.
 #[derive(Clone, Debug)]
 struct ConflictingEntry {
     stream: StreamId,
@@ -19,17 +20,18 @@
 /// Entries received since the last flush.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ForwardQueue {
+    /// Numbers of new entries, whose content is in the log.
     new: BTreeMap<StreamId, BTreeSet<SequenceNumber>>,
     conflicting: Vec<ConflictingEntry>,
 }
 
 impl ForwardQueue {
-    /// Queues a new entry for the children.
+    /// Queues a new entry, which the log of its stream holds.
     pub fn push_new(&mut self, stream: StreamId, number: SequenceNumber) {
         self.new.entry(stream).or_default().insert(number);
     }
 
-    /// Queues an entry that contradicts one they hold.
+    /// Queues an entry that differs from the one in the log under the same number.
     pub fn push_conflicting(
         &mut self,
         stream: StreamId,
@@ -40,7 +42,7 @@
         self.conflicting.push(ConflictingEntry { stream, number, timestamp, entry });
     }
 
-    /// The batches that carry what waits, which is empty afterwards.
+    /// Empties the queue. Returns the batches that carry its entries, with their ages at `now`.
     pub fn take_batches(&mut self, now: Duration, streams: &Streams) -> Vec<Message> {
         let mut batches = Vec::new();
         for (id, numbers) in std::mem::take(&mut self.new) {
@@ -57,7 +59,7 @@
     }
 }
 
-/// First and last of each run of consecutive numbers.
+/// The first and the last number of each run of consecutive numbers.
 fn consecutive_runs(numbers: BTreeSet<SequenceNumber>) -> Vec<(SequenceNumber, SequenceNumber)> {
     let mut runs: Vec<(SequenceNumber, SequenceNumber)> = Vec::new();
     for number in numbers {
