--- a/crates/rockflow-dissemination/src/settings_table.rs
+++ b/crates/rockflow-dissemination/src/settings_table.rs
@@ -1,4 +1,4 @@
-//! The settings of all hosts: the versions that hold, and which of concurrent ones wins.
+//! The table of the settings of all hosts: which versions are held, and which of concurrent versions wins.
 
 use crate::encoded_size;
 use crate::entry::EntryId;
@@ -8,34 +8,36 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hosts with a setting. When full, the earliest in state [`DesiredState::Listed`] is dropped; where there is none, the
-/// new one is rejected.
+/// Limit of hosts with a setting. At the limit a new host evicts the host in state [`DesiredState::Listed`] with the
+/// earliest timestamp; if there is none, the new host is rejected.
 pub const MAX_HOSTS: usize = 4096;
-/// Concurrent versions of one host. When full, the less cautious is dropped, and of equal ones the earlier.
+/// Limit of concurrent versions of one host. Beyond it the least cautious is dropped, and of equally cautious ones the
+/// earliest.
 const MAX_CONCURRENT_VERSIONS: usize = 4;
-/// Parts of the table that answer one request; the next ones are requested again.
+/// Parts of the table that are sent in answer to one request. The following parts take another request.
 pub const MAX_PARTS_AT_ONCE: usize = 16;
 
-/// What became of a version of a setting.
+/// What [`SettingsTable::insert`] did with a version of a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingOutcome {
-    /// It wins, or is kept beside the one that does.
+    /// The version is now held.
     Changed {
-        /// Another version is kept beside it.
+        /// Whether the host has other versions, which it does not replace.
         concurrent: bool,
     },
-    /// Held already, replaced by one that is held, or less cautious than the concurrent versions that are kept.
+    /// The version was held already, is replaced by one that is held, or is less cautious than as many concurrent
+    /// versions as are kept.
     Known,
-    /// Its timestamp is held with another content; both are kept.
+    /// A version with the same timestamp and another content is held; both are kept.
     Conflict,
     /// There is no room for another host.
     NoCapacity,
-    /// Its host name or its timestamp is out of range.
+    /// The host's name is empty or too long, or the timestamp is too far in the future.
     Invalid,
 }
 
-/// The table of settings. Versions of a host that no other one replaces are kept side by side, so that the same set of
-/// versions gives the same table in whichever order they are received.
+/// The settings of all hosts. Versions of a host's setting that don't replace each other are all kept, so that the same
+/// set of versions results in the same table in whichever order they are received.
 ///
 /// ```
 /// use rockflow_dissemination::{
@@ -60,18 +62,18 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SettingsTable {
-    /// By host; the winner first.
+    /// By host; the version that wins comes first.
     versions: BTreeMap<String, Vec<SettingVersion>>,
     /// Hosts in state [`DesiredState::Listed`], by their latest timestamp.
     listed: BTreeSet<(HybridTimestamp, String)>,
-    /// Over all versions of hosts that are in another state.
+    /// Digest of the versions of all hosts in another state than [`DesiredState::Listed`].
     digest: u32,
-    /// Over all versions.
+    /// Digest of all versions.
     table_digest: u32,
 }
 
 impl SettingsTable {
-    /// Hosts with a setting.
+    /// Number of hosts with a setting.
     pub fn len(&self) -> usize {
         self.versions.len()
     }
@@ -81,19 +83,19 @@
         self.versions.is_empty()
     }
 
-    /// Digest of the settings that matter, by which tables are compared: those of hosts that are in another state than
-    /// [`DesiredState::Listed`].
+    /// Digest by which nodes compare their tables. Hosts in state [`DesiredState::Listed`] are left out: they have no
+    /// override, and a full table evicts them.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// The latest timestamp held of a host, which a new version replaces.
+    /// The latest timestamp among the versions of a host, which a new version names as replaced. Zero if there is none.
     pub fn latest_timestamp(&self, host: &str) -> HybridTimestamp {
         let timestamps = self.of_host(host).iter().map(|version| version.setting.timestamp);
         timestamps.max().unwrap_or_default()
     }
 
-    /// Takes a version.
+    /// Adds a version, and drops those of the same host that it replaces.
     pub fn insert(&mut self, version: SettingVersion) -> SettingOutcome {
         let setting = &version.setting;
         let is_valid_name = (1..=MAX_NAME_BYTES).contains(&setting.host.len());
@@ -110,29 +112,29 @@
         self.replace_versions(version)
     }
 
-    /// The desired states of hosts, except [`DesiredState::Listed`].
+    /// The desired state of each host whose state is not [`DesiredState::Listed`].
     pub fn desired_states(&self) -> BTreeMap<String, DesiredState> {
         let all = self.versions.iter().map(|(host, versions)| (host.clone(), most_cautious(versions)));
         all.filter(|(_, desired)| *desired != DesiredState::Listed).collect()
     }
 
-    /// Whether this version of a host is held.
+    /// Whether the version of this host with the entry id `id` is held.
     pub fn holds(&self, host: &str, id: EntryId) -> bool {
         self.of_host(host).iter().any(|version| (version.stream, version.number) == id)
     }
 
-    /// The host of a version that is held.
+    /// The host of the version with the entry id `id`; `None` if it is not held.
     pub fn host_of(&self, id: EntryId) -> Option<String> {
         self.versions.keys().find(|host| self.holds(host, id)).cloned()
     }
 
-    /// Concurrent versions, at most `max`.
+    /// The versions of hosts that have more than one, at most `max` versions.
     pub fn concurrent(&self, max: usize) -> Vec<HostSetting> {
         let several = self.versions.values().filter(|versions| versions.len() > 1);
         several.flatten().map(|version| version.setting.clone()).take(max).collect()
     }
 
-    /// A few parts of the table, from this one on.
+    /// At most [`MAX_PARTS_AT_ONCE`] parts of the table as messages, starting with `first_part`.
     pub fn messages(&self, first_part: u16) -> Vec<Message> {
         let parts = self.parts();
         let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
@@ -150,7 +152,7 @@
         self.versions.get(host).map_or(&[], Vec::as_slice)
     }
 
-    /// Adds a version, and drops those of its host that it replaces.
+    /// Adds a valid version that is not held, for which there is room, and drops those that it replaces.
     fn replace_versions(&mut self, version: SettingVersion) -> SettingOutcome {
         let setting = version.setting.clone();
         let host = setting.host.clone();
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Drops the earliest host in state [`DesiredState::Listed`]. Returns whether there was one.
+    /// Removes the host in state [`DesiredState::Listed`] with the earliest timestamp. Returns false if there is none.
     fn evict_listed(&mut self) -> bool {
         let earliest = self.listed.pop_first();
         let evicted = earliest.and_then(|(_, host)| self.versions.remove(&host));
@@ -191,7 +193,7 @@
         evicted.is_some()
     }
 
-    /// All versions, divided into parts of a message's size; at least one.
+    /// All versions, divided into parts that each fit one message. An empty table has one empty part.
     fn parts(&self) -> Vec<Vec<&SettingVersion>> {
         let mut parts = vec![Vec::new()];
         let mut bytes = 0;
@@ -212,15 +214,17 @@
     }
 }
 
+/// Whether the publisher of `later` had received `earlier` or a later version when it published.
 fn replaces(later: &HostSetting, earlier: &HostSetting) -> bool {
     later.timestamp > earlier.timestamp && later.replaced >= earlier.timestamp
 }
 
+/// The desired state that wins among concurrent versions.
 fn most_cautious(versions: &[SettingVersion]) -> DesiredState {
     versions.iter().map(|version| version.setting.desired).max().unwrap_or(DesiredState::Listed)
 }
 
-/// A host's share of the digest.
+/// What a host's versions contribute to [`SettingsTable::digest`]; contributions are combined by XOR.
 fn digest_share(versions: &[SettingVersion]) -> u32 {
     match most_cautious(versions) {
         DesiredState::Listed => 0,
@@ -228,7 +232,7 @@
     }
 }
 
-/// A host's share of the table's digest.
+/// What a host's versions contribute to the digest of all versions; contributions are combined by XOR.
 fn table_digest_share(versions: &[SettingVersion]) -> u32 {
     versions.iter().fold(0, |digest, version| digest ^ setting_digest(&version.setting))
 }
