--- a/crates/rockflow-dissemination/src/subtree_report.rs
+++ b/crates/rockflow-dissemination/src/subtree_report.rs
@@ -1,4 +1,5 @@
-//! Which members of a region are present and what all of them have applied; reports are merged on the way to control.
+//! Reports of which members of a region are present and what all of them have applied. Nodes merge the reports of their
+//! children on the way to the control nodes.
 
 use crate::entry::{SequenceNumber, StreamId};
 use crate::message::MAX_STREAMS;
@@ -8,9 +9,9 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Lagging members in one report.
+/// Limit of entries for lagging members in one report.
 pub const MAX_LAGGING: usize = 4;
-/// Rejected settings in one report.
+/// Limit of rejected settings in one report.
 pub const MAX_REJECTED: usize = 4;
 
 /// Which members of a subtree are present in one region, and how far all of them have applied the streams.
@@ -18,30 +19,30 @@
 pub struct SubtreeReport {
     /// Index of the region.
     pub region: u16,
-    /// Hash of the region's listing, by which the slots are counted.
+    /// Hash of the region's listing, which assigns the slots to members.
     pub listing_hash: u32,
-    /// Members that are present.
+    /// Slots of the members that are present.
     pub slots: SlotSet,
-    /// The number up to which all of them have applied a stream, for every stream that all of them know. Always
-    /// complete, as the slots may differ from those of the previous report.
+    /// Every stream that all of these members know, and the number up to which all of them have applied it. Each report
+    /// has all such streams, not only changed ones, as its slots may differ from those of the previous report.
     pub applied: Vec<(StreamId, SequenceNumber)>,
-    /// The slots of those that lag most, and what they have applied.
+    /// The slots of the members that lag most, each with the stream and the number up to which it is applied.
     pub lagging: Vec<(u16, StreamId, SequenceNumber)>,
-    /// Settings that members reject: which, why, and how many members do.
+    /// Settings that members reject: the stream and number, the reason, and how many members reject it.
     pub rejected: Vec<(StreamId, SequenceNumber, RejectionReason, u16)>,
 }
 
-/// A region as reported to one control node directly, for the other control nodes.
+/// The report of a region that one control node has from its own children, as sent to the other control nodes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RegionReport {
     /// The merged report of the region.
     pub report: SubtreeReport,
-    /// Milliseconds since the oldest report in it was received.
+    /// Milliseconds since the oldest of the merged reports was received.
     pub age_ms: u32,
 }
 
 impl SubtreeReport {
-    /// Cuts off what is above the limits.
+    /// Truncates each list to its limit.
     pub(crate) fn truncate_to_limits(&mut self) {
         self.slots.0.truncate(MAX_SLOTS / SLOTS_PER_BYTE);
         self.applied.truncate(MAX_STREAMS);
@@ -63,6 +64,7 @@
         self.rejected = merge_rejected(&self.rejected, &other.rejected);
     }
 
+    /// Sorts the lagging members, the one that lags most first, and truncates the list to its limit.
     fn keep_most_lagging(&mut self, lag: LagOf) {
         self.lagging.sort_by_key(|(slot, stream, number)| (Reverse(lag(*stream, *number)), *slot, *stream));
         self.lagging.dedup_by_key(|(slot, stream, _)| (*slot, *stream));
@@ -70,11 +72,12 @@
     }
 }
 
-/// How far a number is behind the last one known of its stream.
+/// Returns how many entries a number is behind the last number known of its stream.
 pub(crate) type LagOf<'a> = &'a dyn Fn(StreamId, SequenceNumber) -> u64;
 
-/// Merges reports by region and listing, in the order they come. Also returns how many had no room: those of further
-/// listings after `max_reports`. Their members are left out, so that nothing counts as replicated to them.
+/// Merges reports of the same region and listing. Returns at most `max_reports`, in the order in which each region and
+/// listing first came, and the number of reports that are dropped for lack of room. The members of a dropped report are
+/// absent from the result, so nothing counts as replicated to them.
 pub(crate) fn merge<'a>(
     reports: impl Iterator<Item = &'a SubtreeReport>,
     lag: LagOf,
@@ -97,6 +100,7 @@
     (merged, dropped)
 }
 
+/// An element of [`SubtreeReport::rejected`].
 type RejectedSetting = (StreamId, SequenceNumber, RejectionReason, u16);
 
 /// Adds up the members that reject the same setting for the same reason.
