--- a/crates/rockflow-dissemination/src/table_sync.rs
+++ b/crates/rockflow-dissemination/src/table_sync.rs
@@ -1,5 +1,5 @@
-//! Fetching the whole table of settings: from a node whose digest differs, or whose log no longer holds the entries
-//! that led to it.
+//! Fetches the whole table of settings from another node: one whose digest differs, or one whose log no longer holds
+//! entries that are missing here.
 
 use crate::entry::{SequenceNumber, StreamId};
 use crate::identity::{Identity, Incarnation, NodeId};
@@ -8,23 +8,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A digest that differs for this long leads to a fetch.
+/// A node's table is fetched once its digest has differed for this long.
 const MISMATCH_PATIENCE_HEARTBEATS: u32 = 4;
-/// After a fetch that left the digest differing the next one waits for this time more.
+/// The extra time before the next fetch from a node whose digest still differed after a fetch.
 const FUTILE_FETCH_BACKOFF_HEARTBEATS: u32 = 16;
-/// That time doubles each time that all parts were sent in vain, at most this often.
+/// The extra time doubles each time that all parts of this node's table were sent to the other node and its digest
+/// still differs, at most this often.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// A request without an answer is repeated after this time.
+/// A request is repeated after this time without an answer.
 const FETCH_RETRY_HEARTBEATS: u32 = 2;
-/// Requests without an answer before a fetch is abandoned. What led to it leads to another.
+/// Repeated requests without an answer before a fetch is abandoned. If its cause persists, another fetch follows.
 const MAX_FETCH_ATTEMPTS: u32 = 8;
-/// Nodes whose digests are watched. When full, a further one isn't.
+/// Limit of nodes whose digests are watched. A further node's digest is ignored.
 const MAX_WATCHED_NODES: usize = 16;
 
-/// Which part of which table a message holds.
+/// Which part of which table a message carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TablePart {
-    /// Digest of the whole table.
+    /// Digest of the whole table; it changes when the sender's table does.
     pub digest: u32,
     /// Index of the part.
     pub part: u16,
@@ -32,36 +33,42 @@
     pub parts: u16,
 }
 
-/// A whole table has been fetched: streams may continue from these numbers.
+/// The result of fetching a whole table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FetchedTable {
+    /// Streams that may continue at this number, as the table replaces all entries before it.
     pub skips: BTreeMap<StreamId, SequenceNumber>,
 }
 
 /// What to do about a digest that differs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum MismatchAction {
+    /// Nothing for now.
     Wait,
-    /// Send this request.
+    /// Send this request to this address.
     Fetch(SocketAddr, Message),
-    /// The other node lacks something itself: send this node's table, from this part on.
+    /// The other node lacks settings that this node holds: send this node's table, starting with this part.
     Send(u16),
 }
 
-/// A request to be sent.
+/// A request to be sent, and the address to which it goes; `None` if nothing is to be sent.
 type Request = Option<(SocketAddr, Message)>;
 
-/// A fetch under way.
+/// The fetch that is under way.
 #[derive(Clone, Debug)]
 struct TableFetch {
     from: Identity,
     address: SocketAddr,
+    /// Digest of the table of which parts were received. `None` before the first part.
     digest: Option<u32>,
+    /// Number of parts of that table.
     parts: u16,
     received_parts: BTreeSet<u16>,
-    /// Streams that may continue from there once all parts are here.
+    /// Streams that may continue at this number once all parts are received.
     skips: BTreeMap<StreamId, SequenceNumber>,
+    /// When the request is repeated.
     due: Duration,
+    /// Repeated requests since a part was received.
     attempts: u32,
 }
 
@@ -69,16 +76,17 @@
 #[derive(Clone, Copy, Debug)]
 struct DigestMismatch {
     incarnation: Incarnation,
+    /// When the wait for the next step began; in the future after a futile fetch.
     since: Duration,
-    /// Its whole table was fetched: if the digest still differs, the node lacks something itself.
+    /// Whether its whole table was fetched. If the digest still differs then, that node lacks settings held here.
     is_fetched: bool,
-    /// The part that is sent to it next.
+    /// Part of this node's table that is sent to it next.
     next_part: u16,
-    /// How often all parts were sent to it.
+    /// How often all parts of this node's table were sent to it.
     rounds: u32,
 }
 
-/// A stream that may continue at `next` once the table of this node was fetched.
+/// A stream that may continue at `next` once the table of the node `from` is fetched.
 #[derive(Clone, Copy, Debug)]
 struct WaitingSkip {
     from: Identity,
@@ -86,33 +94,34 @@
     next: SequenceNumber,
 }
 
-/// Owns the digests that differ, and the one fetch that is under way.
+/// Owns the nodes whose digests differ, and the fetch that is under way, at most one.
 #[derive(Clone, Debug)]
 pub(crate) struct TableSync {
     heartbeat_interval: Duration,
     mismatches: BTreeMap<NodeId, DigestMismatch>,
+    /// Streams for which no fetch has been started.
     skips: BTreeMap<StreamId, WaitingSkip>,
     fetch: Option<TableFetch>,
 }
 
 impl TableSync {
-    /// Nothing to fetch.
+    /// No digest differs, and there is nothing to fetch.
     pub fn new(heartbeat_interval: Duration) -> TableSync {
         TableSync { heartbeat_interval, mismatches: BTreeMap::new(), skips: BTreeMap::new(), fetch: None }
     }
 
-    /// Another parent is followed: no digest is watched any more.
+    /// Stops watching all digests, as another parent is followed.
     pub fn clear_mismatches(&mut self) {
         self.mismatches.clear();
     }
 
-    /// A node's digest is equal.
+    /// Stops watching a node whose digest equals this node's.
     pub fn clear_mismatch(&mut self, node: NodeId) {
         self.mismatches.remove(&node);
     }
 
-    /// A fetch from this node has left the digest differing, and this node's table was sent up to the part `next`
-    /// (`None`: to its end). The next fetch waits longer.
+    /// Records that `node` had another digest even after its table was fetched, and that this node's table was sent
+    /// to it up to, but not including, the part `next` (`None`: to the end). Delays the next fetch from that node.
     pub fn record_futile_fetch(&mut self, now: Duration, node: NodeId, next: Option<u16>) {
         if let Some(mismatch) = self.mismatches.get_mut(&node) {
             mismatch.next_part = next.unwrap_or(0);
@@ -122,8 +131,9 @@
         }
     }
 
-    /// A node's digest differs, with no gap open. Its table is fetched; if the digest still differs as long after
-    /// that, this node's table has what the other lacks.
+    /// Handles a digest that differs although no recent gap explains it. If it differs for long enough, the other
+    /// node's table is fetched. If it differs for as long again after that, the other node lacks settings that this
+    /// node holds.
     pub fn on_mismatch(&mut self, now: Duration, from: Identity, address: SocketAddr) -> MismatchAction {
         let patience = self.heartbeat_interval * MISMATCH_PATIENCE_HEARTBEATS;
         let mismatch = self.watch(now, from).filter(|mismatch| now >= mismatch.since + patience);
@@ -138,7 +148,8 @@
         }
     }
 
-    /// A stream's log begins at `next` at this node: with its table the stream may continue from there.
+    /// Requests the table of the node `from`, whose log of the stream begins only at `next`. With that table the stream
+    /// may continue at `next`.
     pub fn request_skip(
         &mut self,
         now: Duration,
@@ -150,8 +161,9 @@
         self.start_fetch(now, from, address)
     }
 
-    /// A part was received, and its settings were taken. The next parts are requested once those that were sent
-    /// together, `parts_at_once` of them, are here.
+    /// Records that a part was received and its settings were added. Each request is answered with `parts_at_once`
+    /// parts; the next ones are requested when the last of those arrives. Also returns the result once all parts are
+    /// received.
     pub fn on_part(
         &mut self,
         now: Duration,
@@ -186,7 +198,7 @@
         (self.start_waiting_fetch(now), fetched)
     }
 
-    /// Repeats a request without an answer, or starts a fetch that waits.
+    /// Repeats a request that is not answered, or starts the next pending fetch.
     pub fn tick(&mut self, now: Duration) -> Request {
         let retry = self.heartbeat_interval * FETCH_RETRY_HEARTBEATS;
         let Some(fetch) = self.fetch.as_mut() else { return self.start_waiting_fetch(now) };
@@ -202,12 +214,12 @@
         Some((fetch.address, Message::SettingsRequest { part: fetch.next_part() }))
     }
 
-    /// When the next request is due.
+    /// When the request of the fetch under way is repeated; `None` without a fetch.
     pub fn next_due(&self) -> Option<Duration> {
         self.fetch.as_ref().map(|fetch| fetch.due)
     }
 
-    /// The mismatch of this node, of its current incarnation; `None`: no room to watch it.
+    /// The mismatch with this incarnation of a node, which is added if it is new. `None`: there is no room for it.
     fn watch(&mut self, now: Duration, node: Identity) -> Option<&mut DigestMismatch> {
         if self.mismatches.len() >= MAX_WATCHED_NODES && !self.mismatches.contains_key(&node.node) {
             return None;
@@ -226,6 +238,7 @@
         Some(mismatch)
     }
 
+    /// Starts a fetch, unless one is under way, and returns its first request.
     fn start_fetch(&mut self, now: Duration, from: Identity, address: SocketAddr) -> Request {
         if self.fetch.is_some() {
             return None;
@@ -247,6 +260,7 @@
         Some((address, Message::SettingsRequest { part: 0 }))
     }
 
+    /// Starts a fetch for the first stream that waits for a table.
     fn start_waiting_fetch(&mut self, now: Duration) -> Request {
         let skip = self.skips.values().next().copied()?;
         self.start_fetch(now, skip.from, skip.address)
@@ -254,7 +268,7 @@
 }
 
 impl TableFetch {
-    /// The first part that isn't here.
+    /// The lowest part that was not received.
     fn next_part(&self) -> u16 {
         let mut next = 0;
         for part in &self.received_parts {
