--- a/crates/rockflow-dissemination/src/apply_queue.rs
+++ b/crates/rockflow-dissemination/src/apply_queue.rs
@@ -144,16 +144,16 @@
         let token = self.next_token();
         let mut changed = std::mem::take(&mut self.settings);
         let retried = quarantined.retry_under(table, token);
-        let new: BTreeSet<EntryId> = changed.iter().map(|(id, _)| *id).collect();
-        changed.extend(retried.into_iter().filter(|(id, _)| !new.contains(id)));
+        let changed_ids: BTreeSet<EntryId> = changed.iter().map(|(id, _)| *id).collect();
+        changed.extend(retried.into_iter().filter(|(id, _)| !changed_ids.contains(id)));
         if self.confirmation == Confirmation::Required {
             if self.pending_settings.is_full() {
                 counters.token_overflows += 1;
                 self.pending_settings.clear();
                 self.touched.extend(streams.of_kind(StreamKind::Configuration));
             }
-            let awaiting_result = changed.iter().map(|(id, _)| *id).collect();
-            self.pending_settings.issue(token, awaiting_result);
+            let handed_over = changed.iter().map(|(id, _)| *id).collect();
+            self.pending_settings.issue(token, handed_over);
         }
         Some(Output::Configure { settings: table.desired_states(), changed, token })
     }
--- a/crates/rockflow-dissemination/src/apply_tokens.rs
+++ b/crates/rockflow-dissemination/src/apply_tokens.rs
@@ -18,7 +18,7 @@
     is_confirmed: bool,
     /// Settings handed over under this token and not rejected so far. Once the last is rejected, the token counts as
     /// confirmed.
-    awaiting_result: BTreeSet<EntryId>,
+    not_rejected: BTreeSet<EntryId>,
     /// The number up to which each stream is applied once this token and all earlier ones are confirmed.
     covers: BTreeMap<StreamId, SequenceNumber>,
 }
@@ -47,15 +47,15 @@
     }
 
     /// Adds a token under which these settings are handed over; none for a token of purges.
-    pub fn issue(&mut self, token: ApplyToken, awaiting_result: BTreeSet<EntryId>) {
-        let pending = PendingToken { is_confirmed: false, awaiting_result, covers: BTreeMap::new() };
+    pub fn issue(&mut self, token: ApplyToken, settings: BTreeSet<EntryId>) {
+        let pending = PendingToken { is_confirmed: false, not_rejected: settings, covers: BTreeMap::new() };
         self.pending.insert(token, pending);
     }
 
     /// Makes the newest token cover a stream up to the number `last`. Returns false if no token is held.
-    pub fn extend(&mut self, stream: StreamId, to: SequenceNumber) -> bool {
+    pub fn extend(&mut self, stream: StreamId, last: SequenceNumber) -> bool {
         let Some(mut newest) = self.pending.last_entry() else { return false };
-        newest.get_mut().covers.insert(stream, to);
+        newest.get_mut().covers.insert(stream, last);
         true
     }
 
@@ -81,7 +81,7 @@
     /// Records that the caller has rejected the setting of the entry `id`.
     pub fn on_rejected(&mut self, id: EntryId) {
         for pending in self.pending.values_mut() {
-            if pending.awaiting_result.remove(&id) && pending.awaiting_result.is_empty() {
+            if pending.not_rejected.remove(&id) && pending.not_rejected.is_empty() {
                 pending.is_confirmed = true;
             }
         }
--- a/crates/rockflow-dissemination/src/join.rs
+++ b/crates/rockflow-dissemination/src/join.rs
@@ -134,10 +134,10 @@
     /// anyway.
     pub fn on_parent_listing(&mut self, now: Duration, listing: Listing) -> bool {
         self.parent_listing = listing;
-        let own_hash = self.place.as_ref().map(|place| place.listing_hash);
+        let placed_by_hash = self.place.as_ref().map(|place| place.listing_hash);
         let is_newer = listing.directory_version > self.directory_version;
         let spread = self.heartbeat_interval * REJOIN_SPREAD_HEARTBEATS;
-        is_newer && own_hash != Some(listing.listing_hash) && self.due > now + spread
+        is_newer && placed_by_hash != Some(listing.listing_hash) && self.due > now + spread
     }
 
     /// Schedules the next join request at a random time soon. `random` is from 0 to 1.
--- a/crates/rockflow-dissemination/src/quarantine.rs
+++ b/crates/rockflow-dissemination/src/quarantine.rs
@@ -58,7 +58,8 @@
     /// Removes the settings that were retried under `token` or an earlier one, because the caller has confirmed them.
     /// One that it rejected again was inserted anew and stays.
     pub fn clear_retried(&mut self, token: ApplyToken) {
-        self.settings.retain(|_, quarantined| quarantined.retried_under.is_none_or(|given| given > token));
+        self.settings
+            .retain(|_, quarantined| quarantined.retried_under.is_none_or(|retried| retried > token));
     }
 
     /// Every quarantined setting and the reason of its rejection.
--- a/crates/rockflow-dissemination/src/settings_table.rs
+++ b/crates/rockflow-dissemination/src/settings_table.rs
@@ -91,7 +91,7 @@
 
     /// The latest timestamp among the versions of a host, which a new version names as replaced. Zero if there is none.
     pub fn latest_timestamp(&self, host: &str) -> HybridTimestamp {
-        let timestamps = self.of_host(host).iter().map(|version| version.setting.timestamp);
+        let timestamps = self.versions_of(host).iter().map(|version| version.setting.timestamp);
         timestamps.max().unwrap_or_default()
     }
 
@@ -102,7 +102,7 @@
         if !is_valid_name || setting.timestamp.unix_ms > MAX_CLOCK_UNIX_MS {
             return SettingOutcome::Invalid;
         }
-        let held = self.of_host(&setting.host);
+        let held = self.versions_of(&setting.host);
         if held.iter().any(|other| other.setting == *setting || replaces(&other.setting, setting)) {
             return SettingOutcome::Known;
         }
@@ -120,7 +120,7 @@
 
     /// Whether the version of this host with the entry id `id` is held.
     pub fn holds(&self, host: &str, id: EntryId) -> bool {
-        self.of_host(host).iter().any(|version| (version.stream, version.number) == id)
+        self.versions_of(host).iter().any(|version| (version.stream, version.number) == id)
     }
 
     /// The host of the version with the entry id `id`; `None` if it is not held.
@@ -130,8 +130,8 @@
 
     /// The versions of hosts that have more than one, at most `max` versions.
     pub fn concurrent(&self, max: usize) -> Vec<HostSetting> {
-        let several = self.versions.values().filter(|versions| versions.len() > 1);
-        several.flatten().map(|version| version.setting.clone()).take(max).collect()
+        let concurrent = self.versions.values().filter(|versions| versions.len() > 1);
+        concurrent.flatten().map(|version| version.setting.clone()).take(max).collect()
     }
 
     /// At most [`MAX_PARTS_AT_ONCE`] parts of the table as messages, starting with `first_part`.
@@ -148,7 +148,7 @@
         requested.map(message).collect()
     }
 
-    fn of_host(&self, host: &str) -> &[SettingVersion] {
+    fn versions_of(&self, host: &str) -> &[SettingVersion] {
         self.versions.get(host).map_or(&[], Vec::as_slice)
     }
 
--- a/crates/rockflow-dissemination/src/subtree_report.rs
+++ b/crates/rockflow-dissemination/src/subtree_report.rs
@@ -53,12 +53,11 @@
     /// Adds a report of the same region and listing.
     fn merge(&mut self, other: &SubtreeReport, lag: LagOf) {
         self.slots.union(&other.slots);
-        let others: BTreeMap<StreamId, SequenceNumber> = other.applied.iter().copied().collect();
-        let common = self
-            .applied
-            .iter()
-            .filter_map(|(stream, number)| others.get(stream).map(|other| (*stream, (*number).min(*other))));
-        self.applied = common.collect();
+        let other_applied: BTreeMap<StreamId, SequenceNumber> = other.applied.iter().copied().collect();
+        let applied_by_both = self.applied.iter().filter_map(|(stream, number)| {
+            other_applied.get(stream).map(|other_number| (*stream, (*number).min(*other_number)))
+        });
+        self.applied = applied_by_both.collect();
         self.lagging.extend(other.lagging.iter().copied());
         self.keep_most_lagging(lag);
         self.rejected = merge_rejected(&self.rejected, &other.rejected);
--- a/crates/rockflow-dissemination/src/table_sync.rs
+++ b/crates/rockflow-dissemination/src/table_sync.rs
@@ -88,7 +88,7 @@
 
 /// A stream that may continue at `next` once the table of the node `from` is fetched.
 #[derive(Clone, Copy, Debug)]
-struct WaitingSkip {
+struct PendingSkip {
     from: Identity,
     address: SocketAddr,
     next: SequenceNumber,
@@ -100,7 +100,7 @@
     heartbeat_interval: Duration,
     mismatches: BTreeMap<NodeId, DigestMismatch>,
     /// Streams for which no fetch has been started.
-    skips: BTreeMap<StreamId, WaitingSkip>,
+    skips: BTreeMap<StreamId, PendingSkip>,
     fetch: Option<TableFetch>,
 }
 
@@ -157,7 +157,7 @@
         address: SocketAddr,
         (stream, next): (StreamId, SequenceNumber),
     ) -> Request {
-        self.skips.insert(stream, WaitingSkip { from, address, next });
+        self.skips.insert(stream, PendingSkip { from, address, next });
         self.start_fetch(now, from, address)
     }
 
@@ -186,8 +186,9 @@
         fetch.due = now + retry;
         if fetch.received_parts.len() < usize::from(parts) {
             let next = fetch.next_part();
-            let is_round_over = next % parts_at_once.max(1) == 0 && next == part.saturating_add(1);
-            let request = is_round_over.then_some((fetch.address, Message::SettingsRequest { part: next }));
+            let is_answer_complete = next % parts_at_once.max(1) == 0 && next == part.saturating_add(1);
+            let request =
+                is_answer_complete.then_some((fetch.address, Message::SettingsRequest { part: next }));
             return (request, None);
         }
         let fetched = self.fetch.take().map(|fetch| FetchedTable { skips: fetch.skips });
@@ -195,19 +196,19 @@
             mismatch.is_fetched = true;
             mismatch.since = now;
         }
-        (self.start_waiting_fetch(now), fetched)
+        (self.start_pending_fetch(now), fetched)
     }
 
     /// Repeats a request that is not answered, or starts the next pending fetch.
     pub fn tick(&mut self, now: Duration) -> Request {
         let retry = self.heartbeat_interval * FETCH_RETRY_HEARTBEATS;
-        let Some(fetch) = self.fetch.as_mut() else { return self.start_waiting_fetch(now) };
+        let Some(fetch) = self.fetch.as_mut() else { return self.start_pending_fetch(now) };
         if now < fetch.due {
             return None;
         }
         if fetch.attempts >= MAX_FETCH_ATTEMPTS {
             self.fetch = None;
-            return self.start_waiting_fetch(now);
+            return self.start_pending_fetch(now);
         }
         fetch.attempts += 1;
         fetch.due = now + retry;
@@ -243,9 +244,9 @@
         if self.fetch.is_some() {
             return None;
         }
-        let of_node = self.skips.iter().filter(|(_, skip)| skip.from == from);
+        let from_node = self.skips.iter().filter(|(_, skip)| skip.from == from);
         let skips: BTreeMap<StreamId, SequenceNumber> =
-            of_node.map(|(stream, skip)| (*stream, skip.next)).collect();
+            from_node.map(|(stream, skip)| (*stream, skip.next)).collect();
         self.skips.retain(|stream, _| !skips.contains_key(stream));
         self.fetch = Some(TableFetch {
             from,
@@ -261,7 +262,7 @@
     }
 
     /// Starts a fetch for the first stream that waits for a table.
-    fn start_waiting_fetch(&mut self, now: Duration) -> Request {
+    fn start_pending_fetch(&mut self, now: Duration) -> Request {
         let skip = self.skips.values().next().copied()?;
         self.start_fetch(now, skip.from, skip.address)
     }
