--- a/crates/rockflow-dissemination/src/subscription.rs
+++ b/crates/rockflow-dissemination/src/subscription.rs
@@ -1,5 +1,9 @@
-//! A member's subscription to a parent: its candidates, when a parent is left for another, and the way back to the
-//! first.
+//! A member's subscription to a parent: which of its candidates it follows, when it leaves a parent for another, and
+//! how it returns to its first candidate.
+//!
+//! Control nodes send heartbeats, which parents forward down the tree. The age of a heartbeat is the time since a
+//! control node sent it (`made_at`). A parent is silent when no heartbeats arrive from it, and stale when those that
+//! arrive are too old.
 
 use crate::identity::{NodeId, Peer};
 use crate::timestamp::Timestamp;
@@ -7,42 +11,45 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A parent is left after this time without a heartbeat.
+/// A parent that has sent no heartbeat for this time is silent, and is left.
 const PARENT_TIMEOUT_HEARTBEATS: u32 = 3;
-/// A new parent answers at once: it is left after this time without any.
+/// The same for a new parent that has sent none yet, as it answers the first acknowledgement with one at once.
 const NEW_PARENT_TIMEOUT_HEARTBEATS: u32 = 2;
-/// A heartbeat is stale if the control node made it longer ago than this.
+/// A heartbeat of this age is stale.
 const STALE_AFTER_HEARTBEATS: u32 = 5;
-/// For this long a new parent's heartbeats may be stale, as it may have found its own parent just now.
+/// A new parent does not count as stale for this long, as it may have found its own parent only just now.
 const NEW_PARENT_GRACE_HEARTBEATS: u32 = 2;
-/// Candidates that are tried in their order; after them the last ones are tried first.
+/// Once this many candidates were tried in a round, the others are tried in reverse order of preference.
 const MAX_TRIED_IN_ORDER: usize = 2;
-/// A parent is suspect for this part of a heartbeat interval before it is abandoned: the round trip of a probe.
+/// A parent is suspect from one heartbeat interval divided by this before it is abandoned: long enough for the round
+/// trip of a probe.
 const SUSPECT_LEAD_DIVISOR: u32 = 2;
-/// Probes that follow each other at one heartbeat interval, before the interval grows.
+/// Probes that are sent one heartbeat interval apart. Later ones are further apart.
 const MAX_QUICK_PROBES: u32 = 4;
-/// Interval between later probes.
+/// Interval between probes after the quick ones.
 const SLOW_PROBE_INTERVAL_HEARTBEATS: u32 = 4;
-/// A reply to a probe counts for this long.
+/// A reply to a probe is used for this long after it is received.
 const PROBE_REPLY_TTL_HEARTBEATS: u32 = 2;
-/// A stale parent is left at most this much sooner, where another candidate replies that is fresh.
+/// A parent is left at most this long before it is stale, if another candidate replies with a much fresher heartbeat.
 const MAX_EARLY_SWITCH_HEARTBEATS: u32 = 2;
-/// A member with this many ancestors among its candidates does not leave sooner: one of them may be where the fault is,
-/// and their way around it serves this member too.
+/// A member with this many ancestors among its candidates does not leave a parent before it is stale: the fault may
+/// be at one of the ancestors, and the way around it that they find serves this member too. With fewer ancestors it
+/// leaves proportionally sooner.
 const MAX_ANCESTORS: u32 = 6;
-/// The nearest candidate is chosen whose heartbeat is at most this old. That includes candidates that have just lost the
-/// same parent: they find a way too, and not all members have to go to the last candidate.
+/// A lost parent is left for the nearest candidate whose heartbeat is at most this old. The limit admits candidates
+/// that have just lost the same parent: they will find another parent, and so not all members have to follow the last
+/// candidate.
 const FRESH_WITHIN_HEARTBEATS: u32 = 4;
-/// The same, to leave a parent that has not timed out and is not stale.
+/// The same limit for leaving a parent that is neither silent nor stale yet.
 const MUCH_FRESHER_WITHIN_HEARTBEATS: u32 = 2;
-/// The longest backoff after all candidates were tried.
+/// The longest backoff after a round in which all candidates were tried.
 const MAX_ROUND_BACKOFF_HEARTBEATS: u32 = 60;
-/// A member with another parent than the first candidate tries that one this often.
+/// Interval at which a member whose parent is not its first candidate tries the first candidate.
 const FAILBACK_INTERVAL_HEARTBEATS: u32 = 20;
-/// The resolution of deadlines that must have passed.
+/// Added to a deadline that takes effect only once it has passed.
 const TICK: Duration = Duration::from_millis(1);
 
-/// A node that may be followed. A seed is known by its address only.
+/// A node that this member may follow. The id of a seed is unknown until its first heartbeat is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ParentCandidate {
     pub node: Option<NodeId>,
@@ -50,7 +57,7 @@
 }
 
 impl ParentCandidate {
-    /// Whether it is this node: by its id, or by its address where that is not known.
+    /// Whether the candidate is the node with this id, or the one at this address if the candidate's id is unknown.
     pub fn is(&self, node: NodeId, address: SocketAddr) -> bool {
         match self.node {
             Some(own) => own == node,
@@ -65,70 +72,77 @@
     }
 }
 
-/// What is to be done about the parent.
+/// What is to be done about the parent after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubscriptionChange {
+    /// The parent is kept.
     Stay,
     /// Another parent is followed from now on; the previous one is to be notified.
-    Switched {
-        previous: ParentCandidate,
-    },
-    /// The first candidate is to be asked whether it is back.
+    Switched { previous: ParentCandidate },
+    /// The first candidate is to be sent an acknowledgement. If it is back, it answers with a heartbeat and is
+    /// followed.
     TryFirst(ParentCandidate),
 }
 
-/// From whom a heartbeat came.
+/// Whether the sender of a heartbeat is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatSource {
+    /// The parent.
     Parent,
-    /// The first candidate is back and is followed from now on; the previous parent is to be notified.
-    Preferred {
-        previous: ParentCandidate,
-    },
-    /// A node that is not followed; it is to be notified.
+    /// The first candidate, which is back and is followed from now on; the previous parent is to be notified.
+    Preferred { previous: ParentCandidate },
+    /// A node that is not followed, and is to be notified of that.
     Other,
 }
 
-/// How fresh another candidate is.
+/// The reply of a candidate to a probe.
 #[derive(Clone, Copy, Debug)]
 struct ProbeReply {
     received: Duration,
-    /// When a control node made the newest heartbeat that the candidate has received.
+    /// When a control node sent the newest heartbeat that the candidate has received.
     made_at: Timestamp,
 }
 
-/// Owns the candidates and what is known of them and of the parent.
+/// Owns the candidates, the choice of the parent among them, and the deadlines for leaving it.
 #[derive(Clone, Debug)]
 pub(crate) struct ParentSubscription {
     heartbeat_interval: Duration,
+    /// In order of preference.
     candidates: Vec<ParentCandidate>,
-    /// How many of the candidates are members, which stand above this one.
+    /// How many of the candidates are members rather than control nodes; they are above this member in the tree.
     ancestors: u32,
     parent_index: usize,
-    /// When the parent was last received from; later where this process did not run for a while.
+    /// When the latest heartbeat of the parent was received, or the parent was chosen; moved forward by the length of a
+    /// pause of this process.
     silent_since: Duration,
-    /// Since when the parent is followed.
+    /// When the parent was chosen.
     followed_since: Duration,
-    /// When the newest heartbeat from the parent becomes stale.
+    /// When the newest heartbeat of the parent becomes stale. `None`: there was none since the parent was chosen, or
+    /// since a pause of this process.
     stale_at: Option<Duration>,
+    /// Indices of the candidates that were tried in this round.
     tried: BTreeSet<usize>,
-    /// The candidate that was freshest of those tried.
+    /// When the newest heartbeat received in this round was sent by a control node, and the index of the candidate that
+    /// forwarded it.
     freshest_tried: Option<(Timestamp, usize)>,
+    /// Backoff after the latest round, before random jitter; zero after a fresh heartbeat.
     backoff: Duration,
-    /// Until then no parent is left, after all were tried.
+    /// The next round does not start before then, after a round in which all candidates were tried.
     hold_until: Duration,
+    /// When the first candidate is tried next, if it is not the parent.
     failback_due: Duration,
-    /// By candidate.
+    /// The latest replies by index of the candidate.
     probe_replies: BTreeMap<usize, ProbeReply>,
-    /// When the replies are to be looked at, as the parent is abandoned by then.
+    /// When the replies are evaluated: just after the time at which the parent is abandoned.
     reply_review_due: Option<Duration>,
-    /// Probes since a fresh heartbeat.
+    /// How often the candidates were probed since the latest fresh heartbeat or change of candidates.
     probes: u32,
+    /// The earliest time at which the candidates are probed again.
     probe_due: Duration,
 }
 
 impl ParentSubscription {
-    /// A member without a parent.
+    /// A member without candidates.
     pub fn new(heartbeat_interval: Duration, now: Duration) -> ParentSubscription {
         ParentSubscription {
             heartbeat_interval,
@@ -150,12 +164,12 @@
         }
     }
 
-    /// The parent that is followed.
+    /// The candidate that is followed; `None` without candidates.
     pub fn parent(&self) -> Option<ParentCandidate> {
         self.candidates.get(self.parent_index).copied()
     }
 
-    /// The parents that may be followed, the preferred one first.
+    /// The nodes that may be followed, in order of preference.
     pub fn candidates(&self) -> &[ParentCandidate] {
         &self.candidates
     }
@@ -165,8 +179,8 @@
         self.parent_index == 0
     }
 
-    /// Replaces the candidates, `ancestors` of which are members. The parent stays if it is among them, otherwise the
-    /// first is followed. Returns the parent that was left.
+    /// Replaces the candidates, `ancestors` of which are members. The parent is kept if it is among the new candidates,
+    /// otherwise the first one is followed. Returns the parent that was left, if any.
     pub fn set_candidates(
         &mut self,
         now: Duration,
@@ -198,14 +212,15 @@
         }
     }
 
-    /// This process did not run for a while: the silence meanwhile says nothing.
+    /// Discounts a pause of this process, in which it could not receive heartbeats: the parent does not count as
+    /// silent or stale for it.
     pub fn shift_timers(&mut self, pause: Duration) {
         self.silent_since = self.silent_since.saturating_add(pause);
         self.stale_at = None;
         self.probe_replies.clear();
     }
 
-    /// The candidates to probe now: all but the parent, while that is suspect.
+    /// Returns the candidates to be probed now: while the parent is suspect and a probe is due, all others.
     pub fn candidates_to_probe(&mut self, now: Duration) -> Vec<ParentCandidate> {
         if self.candidates.len() < 2 || now < self.suspect_at().max(self.probe_due) {
             return Vec::new();
@@ -217,7 +232,8 @@
         others.map(|(_, candidate)| *candidate).collect()
     }
 
-    /// A candidate has room, and its newest heartbeat was made at `made_at`.
+    /// Handles the reply to a probe from a node that has room for a child. `made_at` is when a control node sent the
+    /// newest heartbeat that the replying node has received.
     pub fn on_probe_reply(
         &mut self,
         now: Duration,
@@ -236,14 +252,15 @@
         SubscriptionChange::Stay
     }
 
-    /// A node has sent a heartbeat that may have waited for long: it is alive, but its freshness is not known.
+    /// Handles a heartbeat that may have waited unread, as after a pause of this process. It shows that the sender is
+    /// alive, but the age of the heartbeat is unknown.
     pub fn on_untimed_heartbeat(&mut self, now: Duration, node: NodeId, address: SocketAddr) {
         if self.parent().is_some_and(|parent| parent.is(node, address)) {
             self.silent_since = now;
         }
     }
 
-    /// A node has sent a heartbeat that rests on one that a control node made at `made_at`.
+    /// Handles a heartbeat from `node`, which is based on one that a control node sent at `made_at`.
     pub fn on_heartbeat(
         &mut self,
         now: Duration,
@@ -270,7 +287,8 @@
         }
     }
 
-    /// A node has no room for another child. If it is the parent, another is followed. `random` is from 0 to 1.
+    /// Handles the refusal of a node that has no room for another child. If it is the parent, another candidate is
+    /// followed. `random` is from 0 to 1.
     pub fn on_full(
         &mut self,
         now: Duration,
@@ -288,7 +306,8 @@
         }
     }
 
-    /// Leaves a parent that is silent or stale. `random` from 0 to 1 spreads the members' backoffs.
+    /// Leaves a parent that is silent or stale, or tries the first candidate again when that is due. `random`, from 0
+    /// to 1, spreads the members' backoffs.
     pub fn tick(&mut self, now: Duration, random: f64) -> SubscriptionChange {
         if self.candidates.is_empty() {
             return SubscriptionChange::Stay;
@@ -313,7 +332,8 @@
         SubscriptionChange::Stay
     }
 
-    /// When [`ParentSubscription::tick`] has something to do at the latest.
+    /// When [`ParentSubscription::tick`] and [`ParentSubscription::candidates_to_probe`] are to be called at the
+    /// latest. `None` without candidates.
     pub fn next_due(&self) -> Option<Duration> {
         self.parent()?;
         let deadlines = [
@@ -338,6 +358,7 @@
         self.stale_at.is_some_and(|at| now >= at)
     }
 
+    /// The time after which the parent is silent.
     fn timeout_at(&self) -> Duration {
         let timeout = match self.stale_at {
             Some(_) => PARENT_TIMEOUT_HEARTBEATS,
@@ -346,7 +367,8 @@
         self.silent_since + self.heartbeats(timeout)
     }
 
-    /// When the parent is abandoned for a candidate that has replied, unless its heartbeat arrives before.
+    /// The time after which the parent is left for a candidate that has replied to a probe, unless a heartbeat from the
+    /// parent postpones it.
     fn abandon_at(&self) -> Duration {
         let other_ancestors = MAX_ANCESTORS - self.ancestors.min(MAX_ANCESTORS);
         let sooner = self.heartbeats(MAX_EARLY_SWITCH_HEARTBEATS) * other_ancestors / MAX_ANCESTORS;
@@ -358,6 +380,7 @@
         }
     }
 
+    /// The time from which the other candidates are probed.
     fn suspect_at(&self) -> Duration {
         self.abandon_at().saturating_sub(self.heartbeat_interval / SUSPECT_LEAD_DIVISOR)
     }
@@ -375,7 +398,7 @@
         }
     }
 
-    /// Begins a new round over the candidates, without a backoff.
+    /// Starts a new round over the candidates, without a backoff.
     fn forget_round(&mut self) {
         self.tried.clear();
         self.freshest_tried = None;
@@ -392,8 +415,8 @@
         self.probe_replies.remove(&index);
     }
 
-    /// Follows the nearest candidate that has replied lately and is fresh; away from a silent parent also the freshest,
-    /// if it is not stale.
+    /// Follows the nearest candidate whose recent reply is fresh enough. If there is none and the parent is silent,
+    /// follows the freshest that has replied, unless it is stale. `None`: no candidate qualifies.
     fn switch_to_probed(&mut self, now: Duration) -> Option<SubscriptionChange> {
         let previous = self.parent()?;
         let reply_ttl = self.heartbeats(PROBE_REPLY_TTL_HEARTBEATS);
@@ -413,12 +436,14 @@
         Some(SubscriptionChange::Switched { previous })
     }
 
-    /// Follows the next candidate that was not tried; after all were, the freshest of them, and holds it for a while.
+    /// Follows the next candidate that was not tried in this round. After all were tried, follows the freshest of them
+    /// until a backoff is over.
     fn switch_to_next(&mut self, now: Duration, random: f64) -> SubscriptionChange {
         let Some(previous) = self.parent() else { return SubscriptionChange::Stay };
         self.tried.insert(self.parent_index);
         let mut untried = (0..self.candidates.len()).filter(|index| !self.tried.contains(index));
-        // Where the nearest two have failed, those between may all stand below the same fault: control nodes are last.
+        // After the two nearest candidates have failed, the next ones may all be below the same fault in the tree. The
+        // control nodes are the last candidates, so those are tried first.
         let next = if self.tried.len() < MAX_TRIED_IN_ORDER { untried.next() } else { untried.next_back() };
         let index = match next {
             Some(index) => index,
@@ -432,7 +457,8 @@
         SubscriptionChange::Switched { previous }
     }
 
-    /// All candidates were tried. Returns the freshest of them.
+    /// Ends a round in which all candidates were tried, and starts the backoff. Returns the index of the candidate
+    /// with the newest heartbeat, or of the first candidate if no heartbeat was received.
     fn end_round(&mut self, now: Duration, random: f64) -> usize {
         let longest = self.heartbeats(MAX_ROUND_BACKOFF_HEARTBEATS);
         self.backoff = (self.backoff * 2).clamp(self.heartbeat_interval, longest);
@@ -442,6 +468,7 @@
     }
 }
 
+/// Whether both candidates have the same known id.
 fn is_same_node(one: &ParentCandidate, other: &ParentCandidate) -> bool {
     one.node.is_some() && one.node == other.node
 }
