--- a/crates/rockflow-dissemination/src/subscription.rs
+++ b/crates/rockflow-dissemination/src/subscription.rs
@@ -35,7 +35,7 @@
 /// A member with this many ancestors among its candidates does not leave a parent before it is stale: the fault may
 /// be at one of the ancestors, and the way around it that they find serves this member too. With fewer ancestors it
 /// leaves proportionally sooner.
-const MAX_ANCESTORS: u32 = 6;
+const NO_EARLY_SWITCH_ANCESTORS: u32 = 6;
 /// A lost parent is left for the nearest candidate whose heartbeat is at most this old. The limit admits candidates
 /// that have just lost the same parent: they will find another parent, and so not all members have to follow the last
 /// candidate.
@@ -47,7 +47,7 @@
 /// Interval at which a member whose parent is not its first candidate tries the first candidate.
 const FAILBACK_INTERVAL_HEARTBEATS: u32 = 20;
 /// Added to a deadline that takes effect only once it has passed.
-const TICK: Duration = Duration::from_millis(1);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(1);
 
 /// A node that this member may follow. The id of a seed is unknown until its first heartbeat is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,9 +58,9 @@
 
 impl ParentCandidate {
     /// Whether the candidate is the node with this id, or the one at this address if the candidate's id is unknown.
-    pub fn is(&self, node: NodeId, address: SocketAddr) -> bool {
+    pub fn matches(&self, node: NodeId, address: SocketAddr) -> bool {
         match self.node {
-            Some(own) => own == node,
+            Some(id) => id == node,
             None => self.address == address,
         }
     }
@@ -128,7 +128,7 @@
     /// Backoff after the latest round, before random jitter; zero after a fresh heartbeat.
     backoff: Duration,
     /// The next round does not start before then, after a round in which all candidates were tried.
-    hold_until: Duration,
+    backoff_until: Duration,
     /// When the first candidate is tried next, if it is not the parent.
     failback_due: Duration,
     /// The latest replies by index of the candidate.
@@ -155,7 +155,7 @@
             tried: BTreeSet::new(),
             freshest_tried: None,
             backoff: Duration::ZERO,
-            hold_until: now,
+            backoff_until: now,
             failback_due: now,
             probe_replies: BTreeMap::new(),
             reply_review_due: None,
@@ -193,14 +193,14 @@
         let parent = self.parent();
         self.ancestors = ancestors;
         self.candidates = candidates;
-        self.hold_until = now;
+        self.backoff_until = now;
         self.probe_replies.clear();
         self.probe_due = now;
         self.failback_due = now + self.heartbeats(FAILBACK_INTERVAL_HEARTBEATS);
-        self.forget_round();
-        let same_node =
+        self.start_new_round();
+        let index_of =
             |parent: ParentCandidate| self.candidates.iter().position(|other| is_same_node(other, &parent));
-        match parent.and_then(same_node) {
+        match parent.and_then(index_of) {
             Some(index) => {
                 self.parent_index = index;
                 None
@@ -241,21 +241,21 @@
         address: SocketAddr,
         made_at: Timestamp,
     ) -> SubscriptionChange {
-        let index = self.candidates.iter().position(|candidate| candidate.is(node, address));
-        let is_awaited = |index: &usize| *index != self.parent_index && now >= self.suspect_at();
-        let Some(index) = index.filter(is_awaited) else { return SubscriptionChange::Stay };
+        let index = self.candidates.iter().position(|candidate| candidate.matches(node, address));
+        let is_useful = |index: &usize| *index != self.parent_index && now >= self.suspect_at();
+        let Some(index) = index.filter(is_useful) else { return SubscriptionChange::Stay };
         self.probe_replies.insert(index, ProbeReply { received: now, made_at });
         if now > self.abandon_at() {
             return self.switch_to_probed(now).unwrap_or(SubscriptionChange::Stay);
         }
-        self.reply_review_due = Some(self.abandon_at() + TICK);
+        self.reply_review_due = Some(self.abandon_at() + DEADLINE_MARGIN);
         SubscriptionChange::Stay
     }
 
     /// Handles a heartbeat that may have waited unread, as after a pause of this process. It shows that the sender is
     /// alive, but the age of the heartbeat is unknown.
     pub fn on_untimed_heartbeat(&mut self, now: Duration, node: NodeId, address: SocketAddr) {
-        if self.parent().is_some_and(|parent| parent.is(node, address)) {
+        if self.parent().is_some_and(|parent| parent.matches(node, address)) {
             self.silent_since = now;
         }
     }
@@ -271,16 +271,16 @@
         let stale_at = now + self.heartbeats(STALE_AFTER_HEARTBEATS).saturating_sub(made_at.age(now));
         let is_fresh = stale_at > now;
         let parent = self.parent();
-        if parent.is_some_and(|parent| parent.is(node, address)) {
+        if parent.is_some_and(|parent| parent.matches(node, address)) {
             self.on_parent_heartbeat(now, node, made_at, stale_at);
             return HeartbeatSource::Parent;
         }
-        let is_first = self.candidates.first().is_some_and(|first| first.is(node, address));
+        let is_first = self.candidates.first().is_some_and(|first| first.matches(node, address));
         match parent {
             Some(previous) if is_first && is_fresh => {
                 self.switch_to(now, 0);
                 self.stale_at = Some(stale_at);
-                self.forget_round();
+                self.start_new_round();
                 HeartbeatSource::Preferred { previous }
             }
             _ => HeartbeatSource::Other,
@@ -296,12 +296,12 @@
         address: SocketAddr,
         random: f64,
     ) -> SubscriptionChange {
-        if !self.parent().is_some_and(|parent| parent.is(node, address)) {
+        if !self.parent().is_some_and(|parent| parent.matches(node, address)) {
             return SubscriptionChange::Stay;
         }
         match self.switch_to_probed(now) {
             Some(change) => change,
-            None if now >= self.hold_until => self.switch_to_next(now, random),
+            None if now >= self.backoff_until => self.switch_to_next(now, random),
             None => SubscriptionChange::Stay,
         }
     }
@@ -319,7 +319,7 @@
                 return change;
             }
         }
-        if is_lost && now >= self.hold_until {
+        if is_lost && now >= self.backoff_until {
             let change = self.switch_to_next(now, random);
             if change != SubscriptionChange::Stay {
                 return change;
@@ -337,8 +337,8 @@
     pub fn next_due(&self) -> Option<Duration> {
         self.parent()?;
         let deadlines = [
-            Some(self.timeout_at().max(self.hold_until) + TICK),
-            self.stale_at.map(|at| at.max(self.hold_until)),
+            Some(self.timeout_at().max(self.backoff_until) + DEADLINE_MARGIN),
+            self.stale_at.map(|at| at.max(self.backoff_until)),
             (self.parent_index != 0).then_some(self.failback_due),
             (self.candidates.len() > 1).then(|| self.suspect_at().max(self.probe_due)),
             self.reply_review_due,
@@ -370,12 +370,13 @@
     /// The time after which the parent is left for a candidate that has replied to a probe, unless a heartbeat from the
     /// parent postpones it.
     fn abandon_at(&self) -> Duration {
-        let other_ancestors = MAX_ANCESTORS - self.ancestors.min(MAX_ANCESTORS);
-        let sooner = self.heartbeats(MAX_EARLY_SWITCH_HEARTBEATS) * other_ancestors / MAX_ANCESTORS;
+        let missing_ancestors = NO_EARLY_SWITCH_ANCESTORS - self.ancestors.min(NO_EARLY_SWITCH_ANCESTORS);
+        let early_by =
+            self.heartbeats(MAX_EARLY_SWITCH_HEARTBEATS) * missing_ancestors / NO_EARLY_SWITCH_ANCESTORS;
         let grace = self.followed_since + self.heartbeats(NEW_PARENT_GRACE_HEARTBEATS);
         let timeout = self.timeout_at();
         match self.stale_at {
-            Some(stale_at) => stale_at.saturating_sub(sooner).max(grace).min(timeout),
+            Some(stale_at) => stale_at.saturating_sub(early_by).max(grace).min(timeout),
             None => timeout,
         }
     }
@@ -391,7 +392,7 @@
         self.stale_at = self.stale_at.max(Some(stale_at.max(grace)));
         self.freshest_tried = self.freshest_tried.max(Some((made_at, self.parent_index)));
         if stale_at > now {
-            self.forget_round();
+            self.start_new_round();
         }
         if let Some(parent) = self.candidates.get_mut(self.parent_index) {
             parent.node = Some(node);
@@ -399,7 +400,7 @@
     }
 
     /// Starts a new round over the candidates, without a backoff.
-    fn forget_round(&mut self) {
+    fn start_new_round(&mut self) {
         self.tried.clear();
         self.freshest_tried = None;
         self.backoff = Duration::ZERO;
@@ -423,8 +424,8 @@
         self.probe_replies.retain(|_, reply| now.saturating_sub(reply.received) <= reply_ttl);
         let is_silent = self.is_silent(now);
         let is_lost = is_silent || self.is_stale(now);
-        let max_age = if is_lost { FRESH_WITHIN_HEARTBEATS } else { MUCH_FRESHER_WITHIN_HEARTBEATS };
-        let max_age = self.heartbeats(max_age);
+        let max_heartbeats = if is_lost { FRESH_WITHIN_HEARTBEATS } else { MUCH_FRESHER_WITHIN_HEARTBEATS };
+        let max_age = self.heartbeats(max_heartbeats);
         let stale_age = self.heartbeats(STALE_AFTER_HEARTBEATS);
         let nearest = self.probe_replies.iter().find(|(_, reply)| reply.made_at.age(now) <= max_age);
         let freshest = self.probe_replies.iter().max_by_key(|(_, reply)| reply.made_at);
@@ -460,9 +461,9 @@
     /// Ends a round in which all candidates were tried, and starts the backoff. Returns the index of the candidate
     /// with the newest heartbeat, or of the first candidate if no heartbeat was received.
     fn end_round(&mut self, now: Duration, random: f64) -> usize {
-        let longest = self.heartbeats(MAX_ROUND_BACKOFF_HEARTBEATS);
-        self.backoff = (self.backoff * 2).clamp(self.heartbeat_interval, longest);
-        self.hold_until = now + self.backoff.mul_f64(0.75 + random / 2.0);
+        let max_backoff = self.heartbeats(MAX_ROUND_BACKOFF_HEARTBEATS);
+        self.backoff = (self.backoff * 2).clamp(self.heartbeat_interval, max_backoff);
+        self.backoff_until = now + self.backoff.mul_f64(0.75 + random / 2.0);
         self.tried.clear();
         self.freshest_tried.take().map_or(0, |(_, index)| index)
     }
