--- a/crates/rockflow-dissemination/tests/subscription.rs
+++ b/crates/rockflow-dissemination/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! Which candidate a member follows when its parent fails: candidates that are present, gone, stale or full are played, each
-//! with the same round trip, and the time until a fresh one is followed is measured.
+//! Which candidate a member follows when its parent fails, and how long it takes to follow a fresh one. The tests
+//! simulate candidates that are fresh, gone, stale or full, all with the same transit time.
 
 use rockflow_dissemination::MAX_CHILDREN;
 use rockflow_dissemination::*;
@@ -7,18 +7,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
+use CandidateState::{Fresh, Full, Gone, Stale};
 
 const INCARNATION: u64 = 1_800_000_000_000;
-const HEARTBEAT_INTERVAL: u64 = 500;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// Transit time between any two nodes.
 const TRANSIT_MS: u64 = 50;
 
+/// How a candidate behaves from the fault on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Is {
+enum CandidateState {
+    /// Forwards fresh heartbeats and accepts the member as a child.
     Fresh,
+    /// Receives nothing and sends nothing.
     Gone,
-    /// Its heartbeats are stale since the fault.
+    /// Its heartbeats are based on one from before the fault.
     Stale,
+    /// Answers every acknowledgement with [`Message::Full`].
     Full,
 }
 
@@ -38,26 +43,34 @@
     SocketAddr::from(([10, 0, 1, index as u8], 7000))
 }
 
-struct Play {
-    node: Node,
+/// A message on its way between the member and a candidate.
+struct InTransit {
+    arrives_at: u64,
+    candidate: usize,
+    message: Message,
+}
+
+/// A member and its candidates in virtual time. All times are in milliseconds.
+struct Simulation {
+    member: Node,
     now: u64,
-    are: Vec<Is>,
-    /// When the fault begins; before, all are fresh.
+    states: Vec<CandidateState>,
+    /// When the fault begins; before, all candidates are fresh.
     fault_at: u64,
-    /// Messages in transit to the member.
-    coming: Vec<(u64, usize, Message)>,
-    /// Messages in transit to a candidate.
-    going: Vec<(u64, usize, Message)>,
-    /// Candidates of which the member is a child.
+    to_member: Vec<InTransit>,
+    to_candidates: Vec<InTransit>,
+    /// Candidates that have accepted the member as a child.
     parents: BTreeSet<usize>,
-    /// When another parent was followed, and which.
-    turns: Vec<(u64, usize)>,
+    /// When the member started to follow a candidate, and the candidate's index.
+    switches: Vec<(u64, usize)>,
+    /// When the member sent a probe, once for each candidate.
     probes: Vec<u64>,
+    /// A time at which all heartbeats are lost.
     lose_heartbeat_at: Option<u64>,
 }
 
-impl Play {
-    fn new(are: &[Is]) -> Play {
+impl Simulation {
+    fn new(states: &[CandidateState]) -> Simulation {
         let control =
             Peer { node: NodeId::of("control-0"), address: SocketAddr::from(([10, 0, 0, 1], 7000)) };
         let config = NodeConfig {
@@ -67,13 +80,13 @@
             seeds: Vec::new(),
             purge_window: ms(8700),
             bytes_per_second: 6000,
-            heartbeat_interval: ms(HEARTBEAT_INTERVAL),
+            heartbeat_interval: ms(HEARTBEAT_INTERVAL_MS),
         };
-        let mut node = Node::new(config, None, 1, Duration::ZERO);
-        node.start(Duration::ZERO);
+        let mut member = Node::new(config, None, 1, Duration::ZERO);
+        member.start(Duration::ZERO);
         let parents =
-            (0..are.len()).map(|index| Peer { node: candidate(index).node, address: address(index) });
-        let listing_hash = Message::Placement {
+            (0..states.len()).map(|index| Peer { node: candidate(index).node, address: address(index) });
+        let placement = Message::Placement {
             directory_version: 1,
             listing_hash: 7,
             region: 0,
@@ -81,50 +94,54 @@
             slots: 2,
             parents: parents.collect(),
         };
-        let outputs = node.on_message(Duration::ZERO, identity("control-0"), control.address, listing_hash);
-        let mut play = Play {
-            node,
+        let outputs = member.on_message(Duration::ZERO, identity("control-0"), control.address, placement);
+        let mut simulation = Simulation {
+            member,
             now: 0,
-            are: are.to_vec(),
+            states: states.to_vec(),
             fault_at: 10_000,
-            coming: Vec::new(),
-            going: Vec::new(),
+            to_member: Vec::new(),
+            to_candidates: Vec::new(),
             parents: BTreeSet::new(),
-            turns: Vec::new(),
+            switches: Vec::new(),
             probes: Vec::new(),
             lose_heartbeat_at: None,
         };
-        play.take(outputs);
-        play
+        simulation.handle_outputs(outputs);
+        simulation
     }
 
-    fn take(&mut self, outputs: Vec<Output>) {
-        for out in outputs {
-            let Output::Send { to, message } = out else { continue };
-            let Some(index) = (0..self.are.len()).find(|index| address(*index) == to) else { continue };
+    /// Sends the member's messages on their way, and records probes and a change of the parent.
+    fn handle_outputs(&mut self, outputs: Vec<Output>) {
+        for output in outputs {
+            let Output::Send { to, message } = output else { continue };
+            let Some(candidate) = (0..self.states.len()).find(|index| address(*index) == to) else {
+                continue;
+            };
             if matches!(message, Message::Probe) {
                 self.probes.push(self.now);
             }
-            self.going.push((self.now + TRANSIT_MS, index, message));
+            self.to_candidates.push(InTransit { arrives_at: self.now + TRANSIT_MS, candidate, message });
         }
-        let parent = self.node.status(ms(self.now)).parent.map(|parent| parent.address);
-        let parent = (0..self.are.len()).find(|index| Some(address(*index)) == parent);
-        if let Some(index) = parent.filter(|index| self.turns.last().map(|(_, last)| last) != Some(index)) {
-            self.turns.push((self.now, index));
+        let parent_address = self.member.status(ms(self.now)).parent.map(|parent| parent.address);
+        let parent = (0..self.states.len()).find(|index| Some(address(*index)) == parent_address);
+        let previous = self.switches.last().map(|(_, candidate)| *candidate);
+        if let Some(candidate) = parent.filter(|_| parent != previous) {
+            self.switches.push((self.now, candidate));
         }
     }
 
-    fn is(&self, index: usize) -> Is {
+    fn state(&self, index: usize) -> CandidateState {
         if self.now >= self.fault_at {
-            self.are[index]
+            self.states[index]
         } else {
-            Is::Fresh
+            Fresh
         }
     }
 
     fn staleness_ms(&self, index: usize) -> u32 {
-        match self.is(index) {
-            Is::Stale => (self.now - self.fault_at) as u32,
+        match self.state(index) {
+            Stale => (self.now - self.fault_at) as u32,
             _ => 10,
         }
     }
@@ -139,156 +156,172 @@
         }
     }
 
-    /// A candidate receives a message.
-    fn heard(&mut self, index: usize, message: Message) {
-        let is = self.is(index);
+    /// A candidate receives a message from the member, and may answer it.
+    fn on_candidate_message(&mut self, candidate: usize, message: Message) {
+        let state = self.state(candidate);
         let answer = match message {
-            _ if is == Is::Gone => return,
+            _ if state == Gone => return,
             Message::Acknowledgement { .. } => {
-                if is == Is::Full {
+                if state == Full {
                     Message::Full
-                } else if self.parents.insert(index) {
-                    self.heartbeat_of(index)
+                } else if self.parents.insert(candidate) {
+                    self.heartbeat_of(candidate)
                 } else {
                     return;
                 }
             }
             Message::Leave => {
-                self.parents.remove(&index);
+                self.parents.remove(&candidate);
                 return;
             }
-            Message::Probe if is != Is::Full => {
-                Message::ProbeReply { staleness_ms: self.staleness_ms(index) }
+            Message::Probe if state != Full => {
+                Message::ProbeReply { staleness_ms: self.staleness_ms(candidate) }
             }
             _ => return,
         };
-        self.coming.push((self.now + TRANSIT_MS, index, answer));
+        self.to_member.push(InTransit { arrives_at: self.now + TRANSIT_MS, candidate, message: answer });
     }
 
+    /// Advances the time in steps of one millisecond.
     fn run(&mut self, until: u64) {
         while self.now < until {
             self.now += 1;
             let now = self.now;
-            if now.is_multiple_of(HEARTBEAT_INTERVAL) && self.lose_heartbeat_at != Some(now) {
-                let pulsing =
-                    self.parents.iter().filter(|index| !matches!(self.is(**index), Is::Gone | Is::Full));
-                let pulses: Vec<_> =
-                    pulsing.map(|index| (now + TRANSIT_MS, *index, self.heartbeat_of(*index))).collect();
-                self.coming.extend(pulses);
+            if now.is_multiple_of(HEARTBEAT_INTERVAL_MS) && self.lose_heartbeat_at != Some(now) {
+                self.send_heartbeats();
             }
-            let due = |frames: &mut Vec<(u64, usize, Message)>| {
-                let (due, rest) = std::mem::take(frames).into_iter().partition(|(at, ..)| *at <= now);
-                *frames = rest;
-                due
-            };
-            let going: Vec<_> = due(&mut self.going);
-            going.into_iter().for_each(|(_, index, message)| self.heard(index, message));
-            let coming: Vec<_> = due(&mut self.coming);
-            for (_, index, message) in coming {
-                let outputs = self.node.on_message(ms(now), candidate(index), address(index), message);
-                self.take(outputs);
+            for InTransit { candidate, message, .. } in take_arrived(&mut self.to_candidates, now) {
+                self.on_candidate_message(candidate, message);
             }
-            if self.node.next_due() <= ms(now) {
-                let outputs = self.node.tick(ms(now));
-                self.take(outputs);
+            for InTransit { candidate: index, message, .. } in take_arrived(&mut self.to_member, now) {
+                let outputs = self.member.on_message(ms(now), candidate(index), address(index), message);
+                self.handle_outputs(outputs);
+            }
+            if self.member.next_due() <= ms(now) {
+                let outputs = self.member.tick(ms(now));
+                self.handle_outputs(outputs);
             }
         }
     }
 
-    /// How long after the fault a fresh candidate was followed for good.
-    fn found_after(&mut self, index: usize) -> u64 {
+    /// Sends a heartbeat from each parent that is fresh or stale.
+    fn send_heartbeats(&mut self) {
+        let senders = self.parents.iter().filter(|index| !matches!(self.state(**index), Gone | Full));
+        let heartbeats: Vec<InTransit> = senders
+            .map(|index| InTransit {
+                arrives_at: self.now + TRANSIT_MS,
+                candidate: *index,
+                message: self.heartbeat_of(*index),
+            })
+            .collect();
+        self.to_member.extend(heartbeats);
+    }
+
+    /// Runs a minute past the fault, and returns how many milliseconds after the fault the member started to follow the
+    /// candidate that it still follows at the end. Fails if that is not `expected`.
+    fn switch_delay(&mut self, expected: usize) -> u64 {
         self.run(self.fault_at + 60_000);
-        let (at, last) = *self.turns.last().expect("one is followed");
-        assert_eq!(last, index, "{:?}", self.turns);
-        at - self.fault_at
+        let (switched_at, last) = *self.switches.last().expect("the member follows a candidate");
+        assert_eq!(last, expected, "{:?}", self.switches);
+        switched_at - self.fault_at
     }
 }
 
-use Is::{Fresh, Full, Gone, Stale};
+/// Removes and returns the messages that have arrived by `now`.
+fn take_arrived(messages: &mut Vec<InTransit>, now: u64) -> Vec<InTransit> {
+    let (arrived, rest) = std::mem::take(messages).into_iter().partition(|message| message.arrives_at <= now);
+    *messages = rest;
+    arrived
+}
 
-/// However many candidates have failed, only the parent's timeout is waited for.
+/// However many candidates have failed, the member waits for no timeout but the parent's, as it probes all of them.
 #[test_case(&[Gone, Fresh], 1)]
 #[test_case(&[Gone, Gone, Gone, Gone, Fresh], 4)]
 #[test_case(&[Gone, Gone, Gone, Gone, Gone, Gone, Fresh, Gone], 6)]
 #[test_case(&[Gone, Full, Full, Gone, Full, Fresh], 5)]
-#[test_case(&[Gone, Stale, Gone, Full, Fresh, Gone, Gone], 1; "one that is stale since just now is as good as the member itself")]
-fn leaves_silent_parent_after_one_timeout(are: &[Is], to: usize) {
-    let mut play = Play::new(are);
-    play.run(play.fault_at);
-    assert_eq!(play.turns.len(), 1);
-    play.run(play.fault_at + 3 * HEARTBEAT_INTERVAL + 2 * TRANSIT_MS);
-    assert_eq!(play.turns.last().map(|(_, index)| *index), Some(to), "{:?}", play.turns);
-    assert_eq!(play.turns.len(), 2, "{:?}", play.turns);
+#[test_case(&[Gone, Stale, Gone, Full, Fresh, Gone, Gone], 1; "accepts a candidate that became stale when the parent failed")]
+fn leaves_silent_parent_after_one_timeout(states: &[CandidateState], to: usize) {
+    let mut simulation = Simulation::new(states);
+    simulation.run(simulation.fault_at);
+    assert_eq!(simulation.switches.len(), 1);
+    simulation.run(simulation.fault_at + 3 * HEARTBEAT_INTERVAL_MS + 2 * TRANSIT_MS);
+    let followed = simulation.switches.last().map(|(_, candidate)| *candidate);
+    assert_eq!(followed, Some(to), "{:?}", simulation.switches);
+    assert_eq!(simulation.switches.len(), 2, "{:?}", simulation.switches);
 }
 
 #[test_case(&[Stale, Fresh], 1)]
 #[test_case(&[Stale, Stale, Stale, Stale, Stale, Fresh], 5)]
 #[test_case(&[Stale, Stale, Gone, Stale, Full, Gone, Gone, Fresh], 7)]
-fn leaves_stale_parent_after_one_timeout(are: &[Is], to: usize) {
-    let mut play = Play::new(are);
-    let found = play.found_after(to);
-    assert!(found <= 6 * HEARTBEAT_INTERVAL + 2 * TRANSIT_MS, "{found} ms");
-    assert_eq!(play.turns.len(), 2, "{:?}", play.turns);
+fn leaves_stale_parent_after_one_timeout(states: &[CandidateState], to: usize) {
+    let mut simulation = Simulation::new(states);
+    let delay = simulation.switch_delay(to);
+    assert!(delay <= 6 * HEARTBEAT_INTERVAL_MS + 2 * TRANSIT_MS, "{delay} ms");
+    assert_eq!(simulation.switches.len(), 2, "{:?}", simulation.switches);
 }
 
-/// A silent parent, then a stale candidate, then the rest: at most two timeouts.
+/// The parent is silent and the next candidate is stale: the member waits for at most these two timeouts.
 #[test_case(&[Gone, Stale, Stale, Gone, Stale, Fresh], 5)]
-fn leaves_stale_candidate_as_soon_as_it_is_found_stale(are: &[Is], to: usize) {
-    let mut play = Play::new(are);
-    let found = play.found_after(to);
-    assert!(found <= 6 * HEARTBEAT_INTERVAL + 4 * TRANSIT_MS, "{found} ms");
-    assert!(play.turns.len() <= 3, "{:?}", play.turns);
+fn leaves_stale_candidate_as_soon_as_it_is_found_stale(states: &[CandidateState], to: usize) {
+    let mut simulation = Simulation::new(states);
+    let delay = simulation.switch_delay(to);
+    assert!(delay <= 6 * HEARTBEAT_INTERVAL_MS + 4 * TRANSIT_MS, "{delay} ms");
+    assert!(simulation.switches.len() <= 3, "{:?}", simulation.switches);
 }
 
 #[test]
-fn probes_nobody_without_a_fault() {
-    let mut play = Play::new(&[Fresh; 8]);
-    play.lose_heartbeat_at = Some(30_000);
-    play.run(120_000);
-    assert_eq!((play.probes.len(), play.turns.len()), (0, 1));
+fn sends_no_probes_when_one_heartbeat_is_lost() {
+    let mut simulation = Simulation::new(&[Fresh; 8]);
+    simulation.lose_heartbeat_at = Some(30_000);
+    simulation.run(120_000);
+    assert_eq!((simulation.probes.len(), simulation.switches.len()), (0, 1));
 }
 
 #[test]
 fn probes_are_bounded_without_replies() {
-    let mut play = Play::new(&[Gone; 8]);
-    play.run(play.fault_at + 600_000);
-    let minute =
-        play.probes.iter().filter(|at| **at > play.fault_at + 60_000 && **at <= play.fault_at + 120_000);
-    let minute = minute.count();
-    assert!(minute > 0 && minute <= 7 * 31, "{minute} probes in a minute");
+    let mut simulation = Simulation::new(&[Gone; 8]);
+    simulation.run(simulation.fault_at + 600_000);
+    let second_minute = simulation.fault_at + 60_001..=simulation.fault_at + 120_000;
+    let probes = simulation.probes.iter().filter(|at| second_minute.contains(at)).count();
+    assert!(probes > 0 && probes <= 7 * 31, "{probes} probes in a minute");
 }
 
-/// A returning candidate is found by the next probe, however long all were gone.
+/// A candidate that returns is found by the next probe, even if all candidates were gone for so long that the backoff
+/// is much longer.
 #[test]
 fn finds_returning_candidate_after_long_backoff() {
-    let mut play = Play::new(&[Gone; 8]);
-    play.run(play.fault_at + 300_000);
-    play.are[6] = Fresh;
-    let back = play.now;
-    play.run(back + 60_000);
-    let first = play.turns.iter().find(|(at, _)| *at > back).expect("it is followed");
-    assert_eq!(first.1, 6);
-    assert!(first.0 - back <= 5 * HEARTBEAT_INTERVAL, "{} ms", first.0 - back);
+    let mut simulation = Simulation::new(&[Gone; 8]);
+    simulation.run(simulation.fault_at + 300_000);
+    simulation.states[6] = Fresh;
+    let returned_at = simulation.now;
+    simulation.run(returned_at + 60_000);
+    let mut switches = simulation.switches.iter();
+    let (switched_at, candidate) = switches.find(|(at, _)| *at > returned_at).expect("a switch");
+    assert_eq!(*candidate, 6);
+    let delay = switched_at - returned_at;
+    assert!(delay <= 5 * HEARTBEAT_INTERVAL_MS, "{delay} ms");
 }
 
 #[test]
-fn full_or_stale_node_does_not_reply_to_probe() {
-    let mut play = Play::new(&[Fresh]);
-    let probe = |play: &mut Play, name: &str, port: u16| {
-        let at = SocketAddr::from(([10, 0, 2, 1], port));
-        let outputs = play.node.on_message(ms(play.now), identity(name), at, Message::Probe);
-        outputs
-            .into_iter()
-            .any(|out| matches!(out, Output::Send { to, message: Message::ProbeReply { .. } } if to == at))
+fn node_without_heartbeat_or_room_does_not_reply_to_probe() {
+    let mut simulation = Simulation::new(&[Fresh]);
+    let replies_to_probe = |simulation: &mut Simulation, name: &str, port: u16| {
+        let sender = SocketAddr::from(([10, 0, 2, 1], port));
+        let now = ms(simulation.now);
+        let outputs = simulation.member.on_message(now, identity(name), sender, Message::Probe);
+        outputs.into_iter().any(
+            |output| matches!(output, Output::Send { to, message: Message::ProbeReply { .. } } if to == sender),
+        )
     };
-    assert!(!probe(&mut play, "asks", 1), "it knows of no control");
-    play.run(2000);
-    assert!(probe(&mut play, "asks", 1));
+    assert!(!replies_to_probe(&mut simulation, "sender", 1), "it has received no heartbeat");
+    simulation.run(2000);
+    assert!(replies_to_probe(&mut simulation, "sender", 1));
     for child in 0..MAX_CHILDREN as u16 {
-        let at = SocketAddr::from(([10, 0, 2, 1], 100 + child));
+        let child_address = SocketAddr::from(([10, 0, 2, 1], 100 + child));
         let ack = Message::Acknowledgement { received: Vec::new(), reports: Vec::new() };
-        play.node.on_message(ms(play.now), identity(&format!("child-{child}")), at, ack);
+        let now = ms(simulation.now);
+        simulation.member.on_message(now, identity(&format!("child-{child}")), child_address, ack);
     }
-    assert!(!probe(&mut play, "asks", 1), "it is full");
-    assert!(probe(&mut play, "child-3", 103), "a child of its own has its place");
+    assert!(!replies_to_probe(&mut simulation, "sender", 1), "it is full");
+    assert!(replies_to_probe(&mut simulation, "child-3", 103), "a child does not need more room");
 }
