--- a/crates/rockflow-dissemination/tests/faults_and_moves.rs
+++ b/crates/rockflow-dissemination/tests/faults_and_moves.rs
@@ -1,4 +1,4 @@
-//! A small fleet whose nodes pause, stop, restart, or get more than they can hold.
+//! A small fleet whose nodes pause, stop, restart, move to other parents, or receive more than their limits.
 
 mod support;
 
@@ -7,21 +7,23 @@
 use support::*;
 use test_case::test_case;
 
+/// A member that keeps changing its parent is in the reports of several parents at once. It must count only once, so
+/// that no entry is reported as replicated to all while another member is missing.
 #[test]
-fn moved_member_does_not_count_for_a_missing_one() {
+fn moving_member_does_not_count_for_a_missing_one() {
     let mut fleet = settled(30);
-    let moves = fleet.index("m-0-0-4");
+    let moving = fleet.index("m-0-0-4");
     let missing = fleet.index("m-0-0-3");
     fleet.kill(missing);
-    // It changes its parents repeatedly, and several of them report it.
-    for turn in 0..12 {
-        let parent = fleet.status(moves).parent.expect("a parent").address;
-        let parent = (0..fleet.nodes.len()).find(|index| address(*index) == parent).expect("one");
-        fleet.cut = [(parent.min(moves), parent.max(moves))].into();
-        let id = fleet.purge(turn % 3, turn as u64);
+    for object in 0..12 {
+        let parent_address = fleet.status(moving).parent.expect("a parent").address;
+        let parent = (0..fleet.nodes.len()).find(|index| address(*index) == parent_address);
+        let parent = parent.expect("a node at the parent's address");
+        fleet.cut = [(parent.min(moving), parent.max(moving))].into();
+        let id = fleet.purge(object % 3, object as u64);
         fleet.run(s(2));
         for control in 0..3 {
-            assert!(!fleet.everywhere(control, id), "without {}", fleet.nodes[missing].name);
+            assert!(!fleet.everywhere(control, id), "{} is missing", fleet.nodes[missing].name);
         }
     }
 }
@@ -37,9 +39,9 @@
     fleet.run(s(6));
     assert_eq!(fleet.times(member, 2), 1);
     assert!(!fleet.everywhere(0, first));
-    let behind = fleet.control(0).lagging;
-    assert!(behind.contains(&("m-0-1-1".to_owned(), first.0, SequenceNumber(0))), "{behind:?}");
-    // The later one first: nothing is applied without a gap yet.
+    let lagging = fleet.control(0).lagging;
+    assert!(lagging.contains(&("m-0-1-1".to_owned(), first.0, SequenceNumber(0))), "{lagging:?}");
+    // The later token is confirmed first, which doesn't count as long as the earlier one is not confirmed.
     let tokens = std::mem::take(&mut fleet.nodes[member].done.tokens);
     for token in tokens.into_iter().rev() {
         assert!(!fleet.everywhere(0, first));
@@ -57,7 +59,7 @@
     let member = fleet.index("m-0-1-1");
     fleet.nodes[member].done.withholds = true;
     let id = fleet.purge(0, 1);
-    // Past the window and the quarter of it for which a log holds purges longer.
+    // The log holds purges for the purge window and a quarter of it more.
     fleet.run(s(15));
     fleet.nodes[member].done.withholds = false;
     for token in std::mem::take(&mut fleet.nodes[member].done.tokens) {
@@ -67,38 +69,40 @@
     }
     fleet.run(s(6));
     for control in 0..3 {
-        assert!(fleet.everywhere(control, id), "control {control} does not know it");
-        let said = &fleet.nodes[control].done.replicated;
+        assert!(fleet.everywhere(control, id), "not replicated to all at control {control}");
+        let replicated = &fleet.nodes[control].done.replicated;
         assert!(
-            said.iter().any(|(stream, number, ..)| (*stream, *number) == id),
-            "control {control}: {said:?}"
+            replicated.iter().any(|(stream, number, ..)| (*stream, *number) == id),
+            "control {control}: {replicated:?}"
         );
     }
 }
 
 #[test]
-fn paused_node_does_not_take_silence_for_a_loss() {
+fn paused_member_keeps_its_parent() {
     let mut fleet = settled(32);
-    let head = fleet.members().max_by_key(|index| fleet.status(*index).children).expect("one");
-    let changes = fleet.counters(head).parent_changes;
-    let control = fleet.counters(0).process_pauses;
-    fleet.stop(head);
+    let paused = fleet.members().max_by_key(|index| fleet.status(*index).children).expect("a member");
+    let parent_changes = fleet.counters(paused).parent_changes;
+    let control_pauses = fleet.counters(0).process_pauses;
+    fleet.stop(paused);
     fleet.run(s(60));
-    fleet.wake(head);
-    assert_eq!(fleet.counters(head).process_pauses, 1);
-    let stale = fleet.status(head).staleness.expect("heard");
-    assert!(stale > s(50), "an old pulse isn't passed as fresh: {stale:?}");
+    fleet.wake(paused);
+    assert_eq!(fleet.counters(paused).process_pauses, 1);
+    let staleness = fleet.status(paused).staleness.expect("a heartbeat was received");
+    assert!(staleness > s(50), "heartbeats from before the pause don't count as fresh: {staleness:?}");
     fleet.run(s(3));
-    assert_eq!(fleet.counters(head).parent_changes, changes, "it stays with its parent");
-    assert!(fleet.status(head).staleness.expect("heard") < s(1));
+    assert_eq!(fleet.counters(paused).parent_changes, parent_changes, "it keeps its parent");
+    assert!(fleet.status(paused).staleness.expect("a heartbeat was received") < s(1));
     fleet.run(s(25));
     assert!(fleet.members().all(|index| fleet.status(index).first_parent));
-    assert_eq!(fleet.counters(0).process_pauses, control);
+    assert_eq!(fleet.counters(0).process_pauses, control_pauses);
     assert_eq!(fleet.control(0).present, 12);
 }
 
+/// A member stops while a control node is paused. The control node must not count the reports from before its pause, in
+/// which that member is present.
 #[test]
-fn paused_control_node_reports_nothing_by_old_reports() {
+fn paused_control_node_ignores_reports_from_before_the_pause() {
     let mut fleet = settled(33);
     fleet.stop(1);
     let id = fleet.purge(0, 1);
@@ -110,7 +114,7 @@
     assert_eq!(
         fleet.nodes[1].node.publisher_role(fleet.now),
         PublisherRole::Standby,
-        "the first is alive as far as it knows"
+        "after its own pause it does not assume that the first control node is gone"
     );
     fleet.run(s(10));
     assert!(!fleet.everywhere(1, id));
@@ -118,10 +122,10 @@
 }
 
 #[test]
-fn entry_reaches_its_region_without_control() {
+fn entry_spreads_in_its_region_without_control_nodes() {
     let mut fleet = settled(34);
     let leaf = fleet.index("m-0-0-4");
-    // Only the leaf receives it before all control nodes stop.
+    // Only the leaf receives the entry before all control nodes stop.
     fleet.eats = Some(Box::new(move |_, to, message| to != leaf && matches!(message, Message::Batch { .. })));
     let stream =
         StreamId { control: ControlId(0), kind: StreamKind::Purges, incarnation: Incarnation(INCARNATION) };
@@ -143,7 +147,7 @@
 }
 
 #[test]
-fn settings_return_to_control_nodes_that_have_all_restarted() {
+fn control_nodes_recover_settings_after_all_have_restarted() {
     let mut fleet = settled(35);
     fleet.want(0, "a", DesiredState::Gone);
     fleet.want(1, "b", DesiredState::Draining);
@@ -181,12 +185,12 @@
 }
 
 #[test]
-fn publications_beyond_the_limit_fold_into_a_purge_of_everything() {
+fn publications_beyond_the_limit_are_replaced_by_a_purge_of_everything() {
     let mut fleet = settled(37);
-    let many =
+    let purges =
         (0..20_000).map(|object| Publication::Purge { purge: Purge::object(object), age: Duration::ZERO });
-    let at = fleet.now;
-    let ids = fleet.publish(0, many.collect());
+    let published_at = fleet.now;
+    let ids = fleet.publish(0, purges.collect());
     assert_eq!(ids.len(), 20_000);
     let counters = fleet.counters(0);
     assert_eq!(counters.publications_folded, 20_000 - MAX_UNSENT_PUBLICATIONS);
@@ -195,7 +199,8 @@
     for index in fleet.members() {
         assert!(fleet.nodes[index].done.floors >= 1);
         for object in (0..20_000).step_by(997) {
-            assert!(fleet.covered(index, object, at), "{object} at {}", fleet.nodes[index].name);
+            let is_purged = fleet.covered(index, object, published_at);
+            assert!(is_purged, "object {object} is not purged at {}", fleet.nodes[index].name);
         }
     }
     assert!(fleet.everywhere(0, ids[ids.len() - 1]));
@@ -204,7 +209,7 @@
 #[test_case(1)]
 #[test_case(2)]
 fn same_seed_gives_the_same_run(seed: u64) {
-    let course = |seed| {
+    let run = |seed| {
         let mut fleet = settled(seed);
         fleet.loss = 0.1;
         for object in 0..10 {
@@ -215,5 +220,5 @@
         let members = fleet.members().map(|index| (fleet.status(index), fleet.counters(index)));
         (members.collect::<Vec<_>>(), fleet.bytes)
     };
-    assert_eq!(course(seed), course(seed));
+    assert_eq!(run(seed), run(seed));
 }
