--- a/crates/rockflow-dissemination/src/subscription.rs
+++ b/crates/rockflow-dissemination/src/subscription.rs
@@ -36,9 +36,9 @@
 /// be at one of the ancestors, and the way around it that they find serves this member too. With fewer ancestors it
 /// leaves proportionally sooner.
 const NO_EARLY_SWITCH_ANCESTORS: u32 = 6;
-/// A lost parent is left for the nearest candidate whose heartbeat is at most this old. The limit admits candidates
-/// that have just lost the same parent: they will find another parent, and so not all members have to follow the last
-/// candidate.
+/// A parent that is silent or stale is left for the nearest candidate whose heartbeat is at most this old. The limit
+/// admits candidates that have just lost the same parent: they will find another parent, and so not all members have
+/// to follow the last candidate.
 const FRESH_WITHIN_HEARTBEATS: u32 = 4;
 /// The same limit for leaving a parent that is neither silent nor stale yet.
 const MUCH_FRESHER_WITHIN_HEARTBEATS: u32 = 2;
@@ -242,8 +242,8 @@
         made_at: Timestamp,
     ) -> SubscriptionChange {
         let index = self.candidates.iter().position(|candidate| candidate.matches(node, address));
-        let is_useful = |index: &usize| *index != self.parent_index && now >= self.suspect_at();
-        let Some(index) = index.filter(is_useful) else { return SubscriptionChange::Stay };
+        let is_awaited = |index: &usize| *index != self.parent_index && now >= self.suspect_at();
+        let Some(index) = index.filter(is_awaited) else { return SubscriptionChange::Stay };
         self.probe_replies.insert(index, ProbeReply { received: now, made_at });
         if now > self.abandon_at() {
             return self.switch_to_probed(now).unwrap_or(SubscriptionChange::Stay);
--- a/crates/rockflow-dissemination/src/table_sync.rs
+++ b/crates/rockflow-dissemination/src/table_sync.rs
@@ -261,7 +261,7 @@
         Some((address, Message::SettingsRequest { part: 0 }))
     }
 
-    /// Starts a fetch for the first stream that waits for a table.
+    /// Starts a fetch for the first stream that needs another node's table to continue.
     fn start_pending_fetch(&mut self, now: Duration) -> Request {
         let skip = self.skips.values().next().copied()?;
         self.start_fetch(now, skip.from, skip.address)
