--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -15,8 +15,7 @@
 use report::{log_output, log_summary};
 use rockflow::{GroupId, ObjectId};
 use rockflow_dispatcher::{Clock, ObservedPurge, Purge, PurgeFollower};
-use rockflow_dissemination as node;
-use rockflow_dissemination::Publication;
+use rockflow_dissemination::{EntryId, Publication, Purge as DisseminatedPurge};
 use rockflow_transport::dissemination::{Command, Handle};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
@@ -49,14 +48,14 @@
         published: PublishedOverrides::default(),
         overrides_are_pending: true,
         has_lost_purges: Arc::default(),
-        has_lagging_members: Arc::default(),
+        has_problems: Arc::default(),
     };
     let has_lost_purges = control.has_lost_purges.clone();
     let window = control.inputs.dissemination.purge_window;
     let follower = PurgeFollower::start(clock, &control.inputs.config, window, move |observed| {
         forward_purge(&handle, &has_lost_purges, &observed);
     });
-    let follower = follower.map_err(ControlError::NoticeBoard)?;
+    let follower = follower.map_err(ControlError::Discovery)?;
     control.run(source, signals, &follower)
 }
 
@@ -70,7 +69,7 @@
     /// Purges of the board were dropped: a purge of everything is to replace them.
     has_lost_purges: Arc<AtomicBool>,
     /// Whether the last summary named a member.
-    has_lagging_members: Arc<AtomicBool>,
+    has_problems: Arc<AtomicBool>,
 }
 
 impl Control {
@@ -97,8 +96,8 @@
             self.publish_overrides();
             if summarized_at.elapsed() >= SUMMARY_INTERVAL {
                 summarized_at = Instant::now();
-                let has_lagging_members = self.has_lagging_members.clone();
-                let reply = Box::new(move |status| log_summary(&status, &has_lagging_members));
+                let has_problems = self.has_problems.clone();
+                let reply = Box::new(move |status| log_summary(&status, &has_problems));
                 self.node.0.send(Command::Status(reply));
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -107,8 +106,11 @@
 
     /// Publishes a purge of everything in place of purges that were dropped.
     fn replace_lost_purges(&self) {
-        let everything =
-            Command::PurgeNotice { purge: node::Purge::Everything, age: Duration::ZERO, backlog: false };
+        let everything = Command::PurgeNotice {
+            purge: DisseminatedPurge::Everything,
+            age: Duration::ZERO,
+            backlog: false,
+        };
         if self.has_lost_purges.load(Ordering::Relaxed) && self.node.0.send(everything) {
             self.has_lost_purges.store(false, Ordering::Relaxed);
         }
@@ -138,9 +140,10 @@
 
     fn check_operator_file(&self, source: &Source) {
         match source.beside() {
-            Ok(read) => {
-                let has_changed = read.file().dissemination.as_ref() != Some(&self.inputs.dissemination)
-                    || read.file().control.as_ref() != Some(&self.inputs.files);
+            Ok(extensions) => {
+                let file = extensions.file();
+                let has_changed = file.dissemination.as_ref() != Some(&self.inputs.dissemination)
+                    || file.control.as_ref() != Some(&self.inputs.files);
                 if has_changed {
                     warn!("operator's file changed; restart to apply it");
                 }
@@ -153,18 +156,18 @@
     }
 
     fn reload_directory(&mut self) {
-        let before = &self.inputs.directory;
+        let current = &self.inputs.directory;
         match read_directory(&self.inputs.files.directory, &self.inputs.dissemination) {
-            Ok(read) if read == *before => {}
-            Ok(read) if read.version <= before.version => error!(
-                version = read.version,
-                in_force = before.version,
+            Ok(directory) if directory == *current => {}
+            Ok(directory) if directory.version <= current.version => error!(
+                version = directory.version,
+                in_force = current.version,
                 "the directory has changed and its version has not grown; not taken"
             ),
-            Ok(read) => {
-                info!(version = read.version, members = read.members.len(), "directory");
-                if self.node.0.send(Command::SetDirectory(read.clone())) {
-                    self.inputs.directory = read;
+            Ok(directory) => {
+                info!(version = directory.version, members = directory.members.len(), "directory");
+                if self.node.0.send(Command::SetDirectory(directory.clone())) {
+                    self.inputs.directory = directory;
                 }
             }
             Err(error) => error!(%error, "directory rejected; the previous one stays in effect"),
@@ -193,7 +196,7 @@
             }
             let publications = changes.into_iter();
             let publications = publications.map(|(host, desired)| Publication::Setting { host, desired });
-            let reply = Box::new(|ids: Vec<node::EntryId>| log_numbers(&ids));
+            let reply = Box::new(|ids: Vec<EntryId>| log_sequence_numbers(&ids));
             handle.send(Command::Publish { publications: publications.collect(), reply })
         });
         if !is_sent {
@@ -203,7 +206,7 @@
     }
 }
 
-fn log_numbers(ids: &[node::EntryId]) {
+fn log_sequence_numbers(ids: &[EntryId]) {
     if let (Some((_, first)), Some((_, last))) = (ids.first(), ids.last()) {
         info!(first = first.0, last = last.0, "settings numbered");
     }
@@ -221,10 +224,10 @@
     }
 }
 
-fn disseminated_purge(purge: &Purge) -> node::Purge {
+fn disseminated_purge(purge: &Purge) -> DisseminatedPurge {
     match (purge.object, purge.group) {
-        (Some(ObjectId(id)), _) => node::Purge::object(id),
-        (None, Some(GroupId(group))) => node::Purge::Group(group),
-        (None, None) => node::Purge::Everything,
+        (Some(ObjectId(id)), _) => DisseminatedPurge::object(id),
+        (None, Some(GroupId(group))) => DisseminatedPurge::Group(group),
+        (None, None) => DisseminatedPurge::Everything,
     }
 }
--- a/crates/rockflow-cli/src/control/error.rs
+++ b/crates/rockflow-cli/src/control/error.rs
@@ -40,7 +40,7 @@
     Start(#[source] io::Error),
     /// The notice board can't be followed.
     #[error("board: {0}")]
-    NoticeBoard(#[source] io::Error),
+    Discovery(#[source] io::Error),
     /// The node's thread has ended by itself.
     #[error("dissemination: its thread has ended")]
     NodeEnded,
--- a/crates/rockflow-cli/src/control/inputs.rs
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -21,10 +21,11 @@
     /// Reads and checks all of them.
     pub fn read(source: &Source) -> Result<ControlInputs, ControlError> {
         let config = source.read().map_err(|error| ControlError::Configuration(error.to_string()))?;
-        let beside = source.beside().map_err(|error| ControlError::Configuration(error.to_string()))?;
-        let dissemination = beside.file().dissemination.clone();
-        let dissemination = dissemination.ok_or(ControlError::MissingSection("dissemination"))?;
-        let files = beside.file().control.clone().ok_or(ControlError::MissingSection("control"))?;
+        let extensions = source.beside().map_err(|error| ControlError::Configuration(error.to_string()))?;
+        let file = extensions.file();
+        let dissemination =
+            file.dissemination.clone().ok_or(ControlError::MissingSection("dissemination"))?;
+        let files = file.control.clone().ok_or(ControlError::MissingSection("control"))?;
         check_own_address(&config.name, &dissemination)?;
         let directory = read_directory(&files.directory, &dissemination)?;
         let overrides = read_overrides(files.overrides.as_deref())?;
@@ -45,21 +46,25 @@
 
 /// Within a trusted network addresses may be translated on the way.
 fn check_own_address(name: &str, section: &DisseminationSection) -> Result<(), ControlError> {
-    let own = section.control.iter().find(|control| control.name == name);
-    let own = own.ok_or_else(|| ControlError::NotListed { name: name.to_owned() })?;
-    let is_same = section.listen.ip().is_unspecified() || section.listen == own.address;
-    if is_same || section.trusted_network {
+    let own_entry = section.control.iter().find(|control| control.name == name);
+    let own_entry = own_entry.ok_or_else(|| ControlError::NotListed { name: name.to_owned() })?;
+    let listens_there = section.listen.ip().is_unspecified() || section.listen == own_entry.address;
+    if listens_there || section.trusted_network {
         return Ok(());
     }
-    Err(ControlError::ListenMismatch { listen: section.listen, address: own.address, name: name.to_owned() })
+    Err(ControlError::ListenMismatch {
+        listen: section.listen,
+        address: own_entry.address,
+        name: name.to_owned(),
+    })
 }
 
 /// Reads the directory, whose addresses must be allowed by the section.
 pub(super) fn read_directory(path: &Path, section: &DisseminationSection) -> Result<Directory, ControlError> {
     let directory = Directory::parse(&read_file(path)?)
         .map_err(|source| ControlError::Directory { path: path.to_owned(), source })?;
-    let outside = directory.members.iter().find(|member| !member.address.ip().is_loopback());
-    match outside {
+    let beyond_loopback = directory.members.iter().find(|member| !member.address.ip().is_loopback());
+    match beyond_loopback {
         Some(member) if !section.trusted_network => Err(ControlError::OutsideLoopback {
             path: path.to_owned(),
             name: member.name.clone(),
--- a/crates/rockflow-cli/src/control/overrides.rs
+++ b/crates/rockflow-cli/src/control/overrides.rs
@@ -13,10 +13,10 @@
 
 impl PublishedOverrides {
     /// The desired states of the hosts whose override differs from the published one.
-    pub fn changes(&self, wanted: &HostOverrides) -> Vec<(String, DesiredState)> {
-        let changed = wanted.iter().filter(|(host, state)| self.0.get(*host) != Some(state));
+    pub fn changes(&self, overrides: &HostOverrides) -> Vec<(String, DesiredState)> {
+        let changed = overrides.iter().filter(|(host, state)| self.0.get(*host) != Some(state));
         let changed = changed.map(|(host, state)| (host.clone(), desired_state(*state)));
-        let withdrawn = self.0.keys().filter(|host| !wanted.contains_key(*host));
+        let withdrawn = self.0.keys().filter(|host| !overrides.contains_key(*host));
         let withdrawn = withdrawn.map(|host| (host.clone(), DesiredState::Listed));
         changed.chain(withdrawn).collect()
     }
@@ -24,13 +24,13 @@
     /// Publishes the changes by `send`. Returns false where `send` does: they are to be published later.
     pub fn publish(
         &mut self,
-        wanted: &HostOverrides,
+        overrides: &HostOverrides,
         send: impl FnOnce(Vec<(String, DesiredState)>) -> bool,
     ) -> bool {
-        let changes = self.changes(wanted);
+        let changes = self.changes(overrides);
         let is_sent = changes.is_empty() || send(changes);
         if is_sent {
-            self.0.clone_from(wanted);
+            self.0.clone_from(overrides);
         }
         is_sent
     }
--- a/crates/rockflow-cli/src/control/report.rs
+++ b/crates/rockflow-cli/src/control/report.rs
@@ -26,14 +26,14 @@
 
 /// Logs one line while a member is missing, lags, or rejects a setting, and one line when none does any more.
 /// `has_trouble` is whether the previous summary named a member.
-pub(super) fn log_summary(status: &TransportStatus, has_lagging_members: &AtomicBool) {
+pub(super) fn log_summary(status: &TransportStatus, has_problems: &AtomicBool) {
     let Some(control) = &status.node.control else { return };
-    let is_well = control.present >= control.expected_members
+    let is_converged = control.present >= control.expected_members
         && control.lagging.is_empty()
         && control.rejected.is_empty();
-    let had_lagging_members = has_lagging_members.swap(!is_well, Ordering::Relaxed);
-    if is_well {
-        if had_lagging_members {
+    let had_problems = has_problems.swap(!is_converged, Ordering::Relaxed);
+    if is_converged {
+        if had_problems {
             info!(told = control.expected_members, "all members are there and go by what was published");
         }
         return;
