--- a/crates/rockflow-cli/tests/control_ends.rs
+++ b/crates/rockflow-cli/tests/control_ends.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_control_process_without_its_machine_ends_with_an_error() {
+fn a_control_process_exits_with_an_error_when_its_dissemination_thread_ends() {
     let folder = std::env::temp_dir().join(format!("rockflow-ends-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let board = DiscoveryServer::start();
--- a/crates/rockflow-cli/tests/dissemination.rs
+++ b/crates/rockflow-cli/tests/dissemination.rs
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_purge_on_controls_board_reaches_dispatchers_whose_own_board_is_silent() {
+fn a_purge_from_control_reaches_dispatchers_whose_own_discovery_is_silent() {
     let fleet = Fleet::start(4, 1);
     let fronts: Vec<_> = fleet.members.iter().map(|(_, front)| *front).collect();
     // A mark without effect shows that all are there.
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_mark_of_control_drains_a_host_at_all_and_the_last_is_kept_apart() {
+fn an_override_drains_a_host_everywhere_and_is_rejected_for_the_last_cache() {
     let fleet = Fleet::start(3, 2);
     fleet.control.says(&["control name=\"c0\""]);
     fleet.marks("c1 = draining\n");
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_member_comes_by_the_directory_alone() {
+fn a_member_receives_entries_only_once_the_directory_lists_it() {
     let fleet = Fleet::start(2, 1);
     fleet.control.says(&["control name=\"c0\""]);
     fleet.marks("nobody = draining\n");
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn check_says_where_it_would_listen_and_names_each_fault() {
+fn check_prints_the_listen_address_and_every_error() {
     let (output, _) = check(None, &["check"], &section(at(7511), at(7500)));
     assert!(output.status.success(), "{output:?}");
     assert!(String::from_utf8(output.stdout).unwrap().contains("dissemination: at 127.0.0.1:7511"));
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_window_that_is_shorter_than_a_purge_binds_is_refused() {
+fn a_purge_window_shorter_than_the_effect_of_a_purge_is_rejected() {
     let short = section(at(7511), at(7500)).replace("8.7", "5.9");
     for arguments in [&["check"][..], &["serve"]] {
         let (output, _) = check(None, arguments, &short);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_control_process_needs_its_name_its_address_and_its_files() {
+fn control_check_validates_sections_name_address_and_files() {
     let folder = Folder::new();
     let members = folder.write("members.csv", "version,1\nd1,north,s1,z,127.0.0.1:7501\n");
     let control = format!("[control]\ndirectory = {}\n", members.display());
@@ -320,7 +320,7 @@
 
 /// Without the section nothing of it is there.
 #[test]
-fn without_the_section_there_is_no_thread_and_no_descriptor() {
+fn without_its_section_dissemination_uses_no_thread_or_descriptor() {
     let folder = Folder::new();
     let board = DiscoveryServer::start();
     let mut value: Value = serde_json::from_str(EXAMPLE).unwrap();
--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -1,9 +1,8 @@
 //! Dissemination among real processes under faults, one fleet at a time.
 #![cfg(feature = "dissemination")]
 
-mod rig;
+mod test_fleet;
 
-use rig::*;
 use rockflow_dissemination::{Directory, Identity, Incarnation, NodeId, Output, Peer};
 use rockflow_process_harness::datagrams::{MemberSet, PathConditions, Rule};
 use rockflow_process_harness::wait_until;
@@ -11,195 +10,212 @@
 use serde_json::json;
 use std::time::Duration;
 use test_case::test_case;
+use test_fleet::*;
 
 /// Guards against a sum that is short where a control node was killed at its first number: its next run begins there too.
 #[test]
-fn streams_of_each_run_of_a_control_node_add_up() {
+fn highest_numbers_add_up_over_the_incarnations_of_a_control_node() {
     let line = |incarnation: u64, number: u64| {
         format!(
             "INFO everywhere control=0 kind=Purges number={number} seconds=0.1 incarnation={incarnation}\n"
         )
     };
     let log: String = [line(7, 1), line(9, 1), line(9, 2), line(9, 5)].concat();
-    assert_eq!(tops(&log, "Purges").values().sum::<u64>(), 6);
-    assert!(tops(&log, "Configuration").is_empty());
+    assert_eq!(highest_replicated(&log, "Purges").values().sum::<u64>(), 6);
+    assert!(highest_replicated(&log, "Configuration").is_empty());
 }
 
 #[test]
-fn a_purge_is_heeded_by_what_every_client_is_served() {
-    let mut rig = Rig::start();
-    let number = rig.purge_heeded_by_all(1);
-    rig.everywhere(0..2);
+fn no_dispatcher_serves_a_purged_copy() {
+    let mut fleet = TestFleet::start();
+    let number = fleet.purge_and_wait_for_effect(1);
+    fleet.wait_until_replicated(0..2);
     // And not again with the next ones: the copies stay.
-    rig.purge(20);
-    rig.everywhere(0..2);
-    (0..MEMBERS).for_each(|member| assert_eq!(rig.served(member, number).as_deref(), Ok("copy 2")));
-    rig.each_once();
+    fleet.publish_purges(20);
+    fleet.wait_until_replicated(0..2);
+    (0..MEMBER_COUNT)
+        .for_each(|member| assert_eq!(fleet.request_object(member, number).as_deref(), Ok("copy 2")));
+    fleet.assert_no_purge_repeated();
 }
 
 #[test]
-fn who_passes_on_is_killed_in_a_burst_and_begins_with_nothing() {
-    let mut rig = Rig::start();
-    let head = rig.head();
-    rig.fill(0..MEMBERS, 120);
+fn a_relaying_member_killed_in_a_burst_restarts_without_state() {
+    let mut fleet = TestFleet::start();
+    let head = fleet.root_member();
+    fleet.fill_next_objects(0..MEMBER_COUNT, 120);
     for part in 0..4 {
-        rig.purge(30);
+        fleet.publish_purges(30);
         if part == 1 {
-            rig.fleet.members[head].kill();
+            fleet.processes.members[head].kill();
         }
-        std::thread::sleep(PULSE);
+        std::thread::sleep(HEARTBEAT_INTERVAL);
     }
-    let last = rig.purged;
-    for member in rig.others(head) {
+    let last = fleet.purged_objects;
+    for member in fleet.members_except(head) {
         // From before, amid and after its end.
-        [last - 100, last - 80, last - 60, last].into_iter().for_each(|number| rig.in_effect(member, number));
+        [last - 100, last - 80, last - 60, last]
+            .into_iter()
+            .for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    rig.fleet.start_member(head).unwrap();
-    assert!(wait_until(PATIENCE, || rig.fleet.members[head].is_ready()));
-    rig.everywhere(0..2);
+    fleet.processes.start_member(head).unwrap();
+    assert!(wait_until(WAIT_TIMEOUT, || fleet.processes.members[head].is_ready()));
+    fleet.wait_until_replicated(0..2);
     // What it missed and what is new: its host's copies are those from before the burst.
-    rig.in_effect(head, last);
-    rig.purge_heeded_by_all(1);
-    rig.everywhere(0..2);
-    rig.each_once();
+    fleet.wait_for_purge_effect(head, last);
+    fleet.purge_and_wait_for_effect(1);
+    fleet.wait_until_replicated(0..2);
+    fleet.assert_no_purge_repeated();
 }
 
 #[test]
-fn who_passes_on_begins_with_nothing_within_the_burst() {
-    let mut rig = Rig::start();
-    let head = rig.head();
-    rig.fill(0..MEMBERS, 120);
+fn a_relaying_member_restarts_without_state_during_a_burst() {
+    let mut fleet = TestFleet::start();
+    let head = fleet.root_member();
+    fleet.fill_next_objects(0..MEMBER_COUNT, 120);
     for part in 0..4 {
-        rig.purge(30);
+        fleet.publish_purges(30);
         match part {
-            1 => rig.fleet.members[head].kill(),
-            2 => rig.fleet.start_member(head).unwrap(),
-            _ => std::thread::sleep(PULSE),
+            1 => fleet.processes.members[head].kill(),
+            2 => fleet.processes.start_member(head).unwrap(),
+            _ => std::thread::sleep(HEARTBEAT_INTERVAL),
         }
     }
-    let last = rig.purged;
-    for member in rig.others(head) {
-        [last - 119, last - 80, last - 45, last].into_iter().for_each(|number| rig.in_effect(member, number));
+    let last = fleet.purged_objects;
+    for member in fleet.members_except(head) {
+        [last - 119, last - 80, last - 45, last]
+            .into_iter()
+            .for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    assert!(wait_until(PATIENCE, || rig.fleet.members[head].is_ready()), "{}", rig.logs());
-    rig.in_effect(head, last);
-    rig.everywhere(0..2);
-    rig.purge_heeded_by_all(1);
-    rig.everywhere(0..2);
-    rig.each_once();
+    assert!(wait_until(WAIT_TIMEOUT, || fleet.processes.members[head].is_ready()), "{}", fleet.logs());
+    fleet.wait_for_purge_effect(head, last);
+    fleet.wait_until_replicated(0..2);
+    fleet.purge_and_wait_for_effect(1);
+    fleet.wait_until_replicated(0..2);
+    fleet.assert_no_purge_repeated();
 }
 
 #[test]
-fn a_site_that_does_not_hear_goes_on_and_meets_the_others_again() {
-    let mut rig = Rig::start();
-    rig.fill(0..MEMBERS, 10);
-    let away = site(1);
-    let id = rig.cut(rig.rest(away.clone()), rig.who(away.clone()));
-    let number = rig.purge(10);
-    site(0).for_each(|member| rig.in_effect(member, number));
+fn a_site_that_receives_nothing_keeps_serving_and_catches_up() {
+    let mut fleet = TestFleet::start();
+    fleet.fill_next_objects(0..MEMBER_COUNT, 10);
+    let away = site_members(1);
+    let id = fleet.cut_paths(fleet.all_except(away.clone()), fleet.only_members(away.clone()));
+    let number = fleet.publish_purges(10);
+    site_members(0).for_each(|member| fleet.wait_for_purge_effect(member, number));
     for member in away.clone() {
-        assert_eq!(rig.served(member, number).as_deref(), Ok("copy 1"), "n{member} heard through the cut");
+        assert_eq!(
+            fleet.request_object(member, number).as_deref(),
+            Ok("copy 1"),
+            "n{member} heard through the cut"
+        );
     }
-    assert!(rig.said(0, "Purges") < number as u64, "{}", rig.logs());
-    rig.fleet.proxy.remove(id);
-    away.for_each(|member| rig.in_effect(member, number));
-    rig.everywhere(0..2);
-    rig.each_once();
+    assert!(fleet.replicated_entries(0, "Purges") < number as u64, "{}", fleet.logs());
+    fleet.processes.proxy.remove(id);
+    away.for_each(|member| fleet.wait_for_purge_effect(member, number));
+    fleet.wait_until_replicated(0..2);
+    fleet.assert_no_purge_repeated();
 }
 
 #[test]
-fn a_site_that_is_not_heard_is_not_said_to_have_it_and_meets_the_others_again() {
-    let mut rig = Rig::start();
-    let away = site(1);
-    let id = rig.cut(rig.who(away.clone()), rig.rest(away.clone()));
+fn a_site_that_cannot_send_is_not_reported_up_to_date_and_catches_up() {
+    let mut fleet = TestFleet::start();
+    let away = site_members(1);
+    let id = fleet.cut_paths(fleet.only_members(away.clone()), fleet.all_except(away.clone()));
     // Till nobody counts what they said before.
-    std::thread::sleep(LONG);
-    rig.fill(0..MEMBERS, 10);
-    let number = rig.purge(10);
-    site(0).for_each(|member| rig.in_effect(member, number));
-    assert!(rig.said(0, "Purges") < number as u64, "{}", rig.logs());
-    rig.fleet.proxy.remove(id);
-    away.for_each(|member| rig.in_effect(member, number));
-    rig.everywhere(0..2);
-    rig.each_once();
+    std::thread::sleep(STATE_EXPIRY);
+    fleet.fill_next_objects(0..MEMBER_COUNT, 10);
+    let number = fleet.publish_purges(10);
+    site_members(0).for_each(|member| fleet.wait_for_purge_effect(member, number));
+    assert!(fleet.replicated_entries(0, "Purges") < number as u64, "{}", fleet.logs());
+    fleet.processes.proxy.remove(id);
+    away.for_each(|member| fleet.wait_for_purge_effect(member, number));
+    fleet.wait_until_replicated(0..2);
+    fleet.assert_no_purge_repeated();
 }
 
 #[test]
-fn another_control_node_publishes_where_one_dies_in_a_burst() {
-    let mut rig = Rig::start();
-    rig.fill(0..MEMBERS, 90);
+fn another_control_node_takes_over_when_the_publisher_is_killed_in_a_burst() {
+    let mut fleet = TestFleet::start();
+    fleet.fill_next_objects(0..MEMBER_COUNT, 90);
     for part in 0..3 {
-        rig.purge(30);
+        fleet.publish_purges(30);
         if part == 1 {
-            rig.fleet.control[0].kill();
+            fleet.processes.control[0].kill();
         }
-        std::thread::sleep(PULSE);
+        std::thread::sleep(HEARTBEAT_INTERVAL);
     }
-    let last = rig.purged;
-    for member in 0..MEMBERS {
-        [last - 80, last - 45, last - 20, last].into_iter().for_each(|number| rig.in_effect(member, number));
+    let last = fleet.purged_objects;
+    for member in 0..MEMBER_COUNT {
+        [last - 80, last - 45, last - 20, last]
+            .into_iter()
+            .for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
     // It begins with nothing, and is the first again.
-    rig.fleet.start_control(0).unwrap();
-    rig.purge_heeded_by_all(5);
+    fleet.processes.start_control(0).unwrap();
+    fleet.purge_and_wait_for_effect(5);
 }
 
 #[test]
-fn of_six_control_nodes_the_publishing_one_dies_in_a_burst_and_then_the_next() {
-    let mut rig = Rig::with(Lay { control: 6, ..Lay::default() });
+fn two_of_six_control_nodes_are_killed_one_after_the_other_while_publishing() {
+    let mut fleet = TestFleet::start_with(FleetOptions { control_nodes: 6, ..FleetOptions::default() });
     for dies in 0..2 {
-        rig.fill(0..MEMBERS, 90);
+        fleet.fill_next_objects(0..MEMBER_COUNT, 90);
         for part in 0..3 {
-            rig.purge(30);
+            fleet.publish_purges(30);
             if part == 1 {
-                rig.fleet.control[dies].kill();
+                fleet.processes.control[dies].kill();
             }
-            std::thread::sleep(PULSE);
+            std::thread::sleep(HEARTBEAT_INTERVAL);
         }
-        let last = rig.purged;
-        for member in 0..MEMBERS {
+        let last = fleet.purged_objects;
+        for member in 0..MEMBER_COUNT {
             [last - 80, last - 45, last - 20, last]
                 .into_iter()
-                .for_each(|number| rig.in_effect(member, number));
+                .for_each(|number| fleet.wait_for_purge_effect(member, number));
         }
     }
     // Those that are left know it.
-    rig.everywhere(2..6);
-    (0..2).for_each(|place| rig.fleet.start_control(place).unwrap());
-    rig.purge_heeded_by_all(5);
-    rig.everywhere(2..6);
+    fleet.wait_until_replicated(2..6);
+    (0..2).for_each(|place| fleet.processes.start_control(place).unwrap());
+    fleet.purge_and_wait_for_effect(5);
+    fleet.wait_until_replicated(2..6);
 }
 
 #[test]
-fn of_two_control_nodes_that_disagree_the_more_careful_holds() {
-    let mut rig = Rig::start();
+fn the_stricter_of_two_conflicting_overrides_applies() {
+    let mut fleet = TestFleet::start();
     // Neither hears of the other's, also not by the members.
-    let ids = [rig.cut(MemberSet::One(0), MemberSet::One(1)), rig.cut(MemberSet::One(1), MemberSet::One(0))];
-    rig.mark_at(0, &[("c2", "draining")]);
-    rig.mark_at(1, &[("c2", "gone")]);
-    for member in 0..MEMBERS {
-        rig.state(member, "c2", "Gone");
+    let ids = [
+        fleet.cut_paths(MemberSet::One(0), MemberSet::One(1)),
+        fleet.cut_paths(MemberSet::One(1), MemberSet::One(0)),
+    ];
+    fleet.set_overrides_at(0, &[("c2", "draining")]);
+    fleet.set_overrides_at(1, &[("c2", "gone")]);
+    for member in 0..MEMBER_COUNT {
+        fleet.wait_for_state(member, "c2", "Gone");
     }
-    ids.into_iter().for_each(|id| rig.fleet.proxy.remove(id));
-    rig.purge_heeded_by_all(1);
-    for member in 0..MEMBERS {
-        let log = rig.fleet.members[member].log();
-        let last =
-            log.lines().rfind(|line| line.contains("effective") && field(line, "endpoint") == Some("\"c2\""));
-        assert_eq!(last.and_then(|line| field(line, "state")), Some("Gone"), "n{member}");
+    ids.into_iter().for_each(|id| fleet.processes.proxy.remove(id));
+    fleet.purge_and_wait_for_effect(1);
+    for member in 0..MEMBER_COUNT {
+        let log = fleet.processes.members[member].log();
+        let last = log
+            .lines()
+            .rfind(|line| line.contains("effective") && log_field(line, "endpoint") == Some("\"c2\""));
+        assert_eq!(last.and_then(|line| log_field(line, "state")), Some("Gone"), "n{member}");
     }
 }
 
 #[test]
-fn a_control_node_whose_clock_was_set_back_begins_above_its_earlier_life() {
-    let mut rig = Rig::lay(Lay::default());
+fn a_control_node_whose_clock_was_set_back_continues_above_its_earlier_incarnation() {
+    let mut fleet = TestFleet::prepare(FleetOptions::default());
     // Its earlier life, by a clock that was an hour ahead: played here, at its place behind the proxy.
     let peer = |place: usize| Peer {
-        node: NodeId::of(&rig.fleet.control[place].name),
-        address: rig.fleet.control_address(place),
+        node: NodeId::of(&fleet.processes.control[place].name),
+        address: fleet.processes.control_address(place),
     };
-    let ahead = now_ms() + 3_600_000;
-    let text = std::fs::read_to_string(rig.fleet.layout().folder.join("control-0.directory.csv")).unwrap();
+    let ahead = now_unix_ms() + 3_600_000;
+    let text =
+        std::fs::read_to_string(fleet.processes.layout().folder.join("control-0.directory.csv")).unwrap();
     let plan = NodeOptions {
         codec: FrameCodec::new("processes", 2, AddressScope::LoopbackOnly),
         config: rockflow_dissemination::NodeConfig {
@@ -207,12 +223,12 @@
             control_id: Some(rockflow_dissemination::ControlId(0)),
             control: (0..2).map(peer).collect(),
             seeds: Vec::new(),
-            purge_window: WINDOW,
+            purge_window: PURGE_WINDOW,
             bytes_per_second: 65_536,
-            heartbeat_interval: PULSE,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
         },
         directory: Some(Directory::parse(&text).unwrap()),
-        listen: rig.fleet.control[0].socket_address,
+        listen: fleet.processes.control[0].socket_address,
         seed: 1,
     };
     let (sender, said) = std::sync::mpsc::channel();
@@ -222,119 +238,141 @@
         }
     });
     let earlier = earlier.unwrap();
-    rig.fleet.start_control(1).unwrap();
-    rig.start_members();
+    fleet.processes.start_control(1).unwrap();
+    fleet.start_members();
     for number in 1..=3 {
         let purge = rockflow_dissemination::Purge::object(number);
         let publication = rockflow_dissemination::Publication::Purge { purge, age: Duration::ZERO };
         assert!(earlier.send(Command::Publish { publications: vec![publication], reply: Box::new(|_| {}) }));
     }
-    let all = std::iter::from_fn(|| said.recv_timeout(PATIENCE).ok()).any(|number| number.0 == 3);
-    assert!(all, "{}", rig.logs());
+    let all = std::iter::from_fn(|| said.recv_timeout(WAIT_TIMEOUT).ok()).any(|number| number.0 == 3);
+    assert!(all, "{}", fleet.logs());
     assert!(earlier.send(Command::Stop));
-    assert!(wait_until(PATIENCE, || earlier.has_ended()));
+    assert!(wait_until(WAIT_TIMEOUT, || earlier.has_ended()));
     // The real one, by a clock that is right: lower than its earlier life's.
-    rig.fleet.start_control(0).unwrap();
-    rig.fill(0..MEMBERS, 30);
-    let number = rig.purge(30);
-    for member in 0..MEMBERS {
-        [number - 29, number].into_iter().for_each(|number| rig.in_effect(member, number));
+    fleet.processes.start_control(0).unwrap();
+    fleet.fill_next_objects(0..MEMBER_COUNT, 30);
+    let number = fleet.publish_purges(30);
+    for member in 0..MEMBER_COUNT {
+        [number - 29, number].into_iter().for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    let outlived = || rig.fleet.control[0].log().contains("begun again above it");
-    assert!(wait_until(PATIENCE, outlived), "{}", rig.logs());
-    rig.mark(&[("c2", "draining")]);
-    (0..MEMBERS).for_each(|member| assert_eq!(rig.state(member, "c2", "Draining"), 1));
+    let outlived = || fleet.processes.control[0].log().contains("begun again above it");
+    assert!(wait_until(WAIT_TIMEOUT, outlived), "{}", fleet.logs());
+    fleet.set_overrides(&[("c2", "draining")]);
+    (0..MEMBER_COUNT).for_each(|member| assert_eq!(fleet.wait_for_state(member, "c2", "Draining"), 1));
 }
 
 #[test]
-fn a_control_node_that_begins_again_leaves_what_the_board_said_long_ago() {
-    let mut rig = Rig::lay(Lay { purge_window: Duration::from_secs_f64(8.7), ..Lay::default() });
+fn a_restarted_control_node_does_not_publish_expired_purges() {
+    let mut fleet = TestFleet::prepare(FleetOptions {
+        purge_window: Duration::from_secs_f64(8.7),
+        ..FleetOptions::default()
+    });
     for number in 0..300 {
-        rig.rev += 1;
-        let flush = json!({"asset": format!("old-{number}"), "ms": now_ms() - 180_000});
-        rig.board.publish(json!({"rev": rig.rev, "flush": flush}));
+        fleet.revision += 1;
+        let flush = json!({"asset": format!("old-{number}"), "ms": now_unix_ms() - 180_000});
+        fleet.control_discovery.publish(json!({"rev": fleet.revision, "flush": flush}));
     }
-    rig.start_all();
-    rig.fleet.control[1].kill();
-    rig.fleet.start_control(1).unwrap();
-    rig.purge_heeded_by_all(3);
-    rig.everywhere([0]);
-    let published = rig.said(0, "Purges");
+    fleet.start_all();
+    fleet.processes.control[1].kill();
+    fleet.processes.start_control(1).unwrap();
+    fleet.purge_and_wait_for_effect(3);
+    fleet.wait_until_replicated([0]);
+    let published = fleet.replicated_entries(0, "Purges");
     // Those that are new, and once more by the one that began again.
-    assert!(published <= 2 * rig.purged as u64, "{published} published, {} told", rig.purged);
+    assert!(
+        published <= 2 * fleet.purged_objects as u64,
+        "{published} published, {} told",
+        fleet.purged_objects
+    );
 }
 
 #[test]
-fn the_publishing_control_node_that_begins_again_publishes_nothing_twice() {
-    publishes_nothing_twice(0);
+fn a_restarted_publisher_publishes_no_purge_twice() {
+    check_no_purge_published_twice_after_restart(0);
 }
 
 #[test]
-fn another_control_node_that_begins_again_publishes_nothing_twice() {
-    publishes_nothing_twice(1);
+fn a_restarted_standby_control_node_publishes_no_purge_twice() {
+    check_no_purge_published_twice_after_restart(1);
 }
 
 /// The board tells a control node that begins again what was published seconds ago; nobody publishes it a second time.
-fn publishes_nothing_twice(which: usize) {
-    let mut rig = Rig::with(Lay { purge_window: Duration::from_secs_f64(8.7), ..Lay::default() });
+fn check_no_purge_published_twice_after_restart(which: usize) {
+    let mut fleet = TestFleet::start_with(FleetOptions {
+        purge_window: Duration::from_secs_f64(8.7),
+        ..FleetOptions::default()
+    });
     for _ in 0..50 {
-        rig.purge(2);
+        fleet.publish_purges(2);
         std::thread::sleep(Duration::from_millis(50));
     }
-    rig.everywhere(0..2);
+    fleet.wait_until_replicated(0..2);
     // The first of them are older than half the window by now, the last are not.
     std::thread::sleep(Duration::from_millis(2500));
-    rig.fleet.control[which].kill();
-    rig.fleet.start_control(which).unwrap();
+    fleet.processes.control[which].kill();
+    fleet.processes.start_control(which).unwrap();
     // Past half the window, after which any of them would say what it has not seen published.
     std::thread::sleep(Duration::from_secs(6));
-    rig.purge(1);
-    rig.everywhere([1 - which]);
-    assert_eq!(rig.said(1 - which, "Purges"), rig.purged as u64);
-    rig.each_once();
+    fleet.publish_purges(1);
+    fleet.wait_until_replicated([1 - which]);
+    assert_eq!(fleet.replicated_entries(1 - which, "Purges"), fleet.purged_objects as u64);
+    fleet.assert_no_purge_repeated();
 }
 
 #[test]
-fn a_version_that_names_a_host_already_gone_is_in_force_and_without_effect() {
-    let rig = Rig::start();
-    rig.mark(&[("left-long-ago", "draining")]);
-    assert!(wait_until(PATIENCE, || rig.said(0, "Configuration") >= 1), "{}", rig.logs());
-    rig.mark(&[("left-long-ago", "draining"), ("c2", "draining")]);
-    (0..MEMBERS).for_each(|member| assert_eq!(rig.state(member, "c2", "Draining"), 1));
-    assert!((0..MEMBERS).all(|member| effective(
-        &rig.fleet.members[member].log(),
+fn an_override_of_a_departed_host_is_replicated_and_has_no_effect() {
+    let fleet = TestFleet::start();
+    fleet.set_overrides(&[("left-long-ago", "draining")]);
+    assert!(
+        wait_until(WAIT_TIMEOUT, || fleet.replicated_entries(0, "Configuration") >= 1),
+        "{}",
+        fleet.logs()
+    );
+    fleet.set_overrides(&[("left-long-ago", "draining"), ("c2", "draining")]);
+    (0..MEMBER_COUNT).for_each(|member| assert_eq!(fleet.wait_for_state(member, "c2", "Draining"), 1));
+    assert!((0..MEMBER_COUNT).all(|member| count_effective_lines(
+        &fleet.processes.members[member].log(),
         "left-long-ago",
         "Draining"
     ) == 0));
 }
 
 #[test]
-fn a_version_that_some_refuse_is_kept_apart_there_and_the_others_go_on() {
+fn an_override_is_quarantined_where_it_is_rejected_and_applied_elsewhere() {
     // These have one cache alone.
     let one = &[1, 5];
-    let mut rig = Rig::with(Lay { one_cache: one, ..Lay::default() });
-    rig.mark(&[("c1", "gone")]);
-    for member in 0..MEMBERS {
+    let mut fleet =
+        TestFleet::start_with(FleetOptions { single_cache_members: one, ..FleetOptions::default() });
+    fleet.set_overrides(&[("c1", "gone")]);
+    for member in 0..MEMBER_COUNT {
         if one.contains(&member) {
-            let refused = || rig.fleet.members[member].log().contains("kept apart");
-            assert!(wait_until(PATIENCE, refused), "n{member}: {}", rig.logs());
+            let refused = || fleet.processes.members[member].log().contains("kept apart");
+            assert!(wait_until(WAIT_TIMEOUT, refused), "n{member}: {}", fleet.logs());
         } else {
-            assert_eq!(rig.state(member, "c1", "Gone"), 1, "n{member}");
+            assert_eq!(fleet.wait_for_state(member, "c1", "Gone"), 1, "n{member}");
         }
     }
     // Control says who refuses, and why.
-    let said = || rig.fleet.control.iter().any(|control| control.log().contains("LastOne at 2"));
-    assert!(wait_until(PATIENCE, said), "{}", rig.logs());
-    assert!(one.iter().all(|member| effective(&rig.fleet.members[*member].log(), "c1", "Gone") == 0));
+    let said = || fleet.processes.control.iter().any(|control| control.log().contains("LastOne at 2"));
+    assert!(wait_until(WAIT_TIMEOUT, said), "{}", fleet.logs());
+    assert!(one.iter().all(|member| count_effective_lines(
+        &fleet.processes.members[*member].log(),
+        "c1",
+        "Gone"
+    ) == 0));
     // What follows goes on.
-    rig.purge_heeded_by_all(1);
-    rig.mark(&[("c1", "gone"), ("p1", "draining")]);
-    rig.everywhere(0..2);
+    fleet.purge_and_wait_for_effect(1);
+    fleet.set_overrides(&[("c1", "gone"), ("p1", "draining")]);
+    fleet.wait_until_replicated(0..2);
 }
 
 #[test]
-fn lost_doubled_and_late_by_a_second_all_is_in_effect_and_once() {
-    let mut rig = Rig::with(Lay { pulse: Duration::from_millis(500), ..Lay::default() });
+fn every_purge_takes_effect_once_despite_lost_duplicated_and_late_datagrams() {
+    let mut fleet = TestFleet::start_with(FleetOptions {
+        heartbeat_interval: Duration::from_millis(500),
+        ..FleetOptions::default()
+    });
     let path = PathConditions {
         lost: 0.05,
         doubled: 0.05,
@@ -342,33 +380,34 @@
         jitter: Duration::from_millis(900),
         ..PathConditions::default()
     };
-    rig.fleet.proxy.add(Rule { from: MemberSet::All, to: MemberSet::All, path });
-    rig.mark(&[("c2", "draining")]);
-    rig.fill(0..MEMBERS, 40);
-    let number = rig.purge(40);
-    for member in 0..MEMBERS {
+    fleet.processes.proxy.add(Rule { from: MemberSet::All, to: MemberSet::All, path });
+    fleet.set_overrides(&[("c2", "draining")]);
+    fleet.fill_next_objects(0..MEMBER_COUNT, 40);
+    let number = fleet.publish_purges(40);
+    for member in 0..MEMBER_COUNT {
         // Each, while the purges bind.
-        (number - 39..=number).for_each(|number| rig.in_effect(member, number));
+        (number - 39..=number).for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    rig.everywhere(0..2);
-    rig.each_once();
-    (0..MEMBERS).for_each(|member| assert_eq!(rig.state(member, "c2", "Draining"), 1, "n{member}"));
-    let tally = rig.fleet.proxy.tally();
+    fleet.wait_until_replicated(0..2);
+    fleet.assert_no_purge_repeated();
+    (0..MEMBER_COUNT)
+        .for_each(|member| assert_eq!(fleet.wait_for_state(member, "c2", "Draining"), 1, "n{member}"));
+    let tally = fleet.processes.proxy.tally();
     assert!(tally.lost > 0 && tally.doubled > 0 && tally.late > 0 && tally.over == 0, "{tally:?}");
-    assert!(rig.hosts.iter().all(|host| host.attempt_count() > 0));
+    assert!(fleet.hosts.iter().all(|host| host.attempt_count() > 0));
 }
 
 /// Clocks a minute apart: the board's is behind, or ahead.
 #[test_case(-60_000; "behind")]
 #[test_case(60_000; "ahead")]
-fn purges_of_a_board_whose_clock_is_wrong_by_a_minute_are_heeded(wrong_ms: i64) {
-    let mut rig = Rig::start();
+fn purges_take_effect_when_the_clock_of_discovery_is_off_by_a_minute(wrong_ms: i64) {
+    let mut fleet = TestFleet::start();
     for _ in 0..3 {
-        rig.fill(0..MEMBERS, 10);
-        let last = rig.purge_made_at(10, || now_ms().saturating_add_signed(wrong_ms));
-        for member in 0..MEMBERS {
-            [last - 9, last].into_iter().for_each(|number| rig.in_effect(member, number));
+        fleet.fill_next_objects(0..MEMBER_COUNT, 10);
+        let last = fleet.publish_purges_dated_by(10, || now_unix_ms().saturating_add_signed(wrong_ms));
+        for member in 0..MEMBER_COUNT {
+            [last - 9, last].into_iter().for_each(|number| fleet.wait_for_purge_effect(member, number));
         }
     }
-    rig.everywhere(0..2);
+    fleet.wait_until_replicated(0..2);
 }
