--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -1,5 +1,6 @@
-//! `rockflow control`: a control node. It reads the notice board's purges, the directory of members and the operators'
-//! overrides, publishes them to the fleet, and logs what is replicated to all. It decides nothing.
+//! `rockflow control`: runs a control node. It follows the purges that discovery announces, reads the directory of
+//! members and the operators' overrides, publishes them to the dispatchers, and logs which entries all members have
+//! applied. It makes no routing decisions.
 
 mod error;
 mod inputs;
@@ -24,15 +25,16 @@
 use std::time::{Duration, Instant};
 use tracing::{error, info, warn};
 
-/// Interval at which signals, overrides and the node are looked at.
+/// Interval between checks for signals, for overrides to be published, and for the end of the node's thread.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval at which missing and lagging members are logged.
+/// Interval between summaries of missing and lagging members and of rejected settings.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Runs until a signal other than SIGHUP arrives.
+/// Runs a control node until a signal other than SIGHUP arrives. At SIGHUP it reads its files again.
 ///
 /// # Errors
-/// The control node can't start, or its thread has ended. Whoever started the process starts it again.
+/// If the control node can't start, or if its thread has ended. The process then exits with an error, and its
+/// supervisor is expected to restart it.
 pub fn run(source: &Source, signals: &mut Signals) -> Result<(), ControlError> {
     let inputs = ControlInputs::read(source)?;
     let clock = Clock::start();
@@ -59,16 +61,17 @@
     control.run(source, signals, &follower)
 }
 
-/// Owns the node and the inputs by which it runs.
+/// A running control node with its inputs and what it has published of them.
 struct Control {
     node: RunningNode,
     inputs: ControlInputs,
     published: PublishedOverrides,
-    /// Overrides were read that are not published yet.
+    /// Whether overrides were read that have not been passed to the node yet.
     overrides_are_pending: bool,
-    /// Purges of the board were dropped: a purge of everything is to replace them.
+    /// Whether purges from discovery were dropped, so that a purge of everything has to replace them. Set by the thread
+    /// that follows discovery.
     has_lost_purges: Arc<AtomicBool>,
-    /// Whether the last summary named a member.
+    /// Whether the last summary reported a missing or lagging member or a rejected setting. Set by the node's thread.
     has_problems: Arc<AtomicBool>,
 }
 
@@ -88,7 +91,7 @@
                 }
                 self.reload(source, follower);
             }
-            // Without its thread nothing is published or received, though the process seems to be there.
+            // Without this check the process would keep running while nothing is published or received.
             if self.node.0.has_ended() {
                 return Err(ControlError::NodeEnded);
             }
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Publishes a purge of everything in place of purges that were dropped.
+    /// Publishes a purge of everything if purges were dropped. If the mailbox is full, the next poll repeats it.
     fn replace_lost_purges(&self) {
         let everything = Command::PurgeNotice {
             purge: DisseminatedPurge::Everything,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Reads each input anew. One that is not valid keeps its previous state.
+    /// Reads all inputs again. An input that is not valid is logged, and its previous value stays in effect.
     fn reload(&mut self, source: &Source, follower: &PurgeFollower) {
         self.reload_configuration(source, follower);
         self.check_operator_file(source);
@@ -124,10 +127,15 @@
         self.reload_overrides();
     }
 
+    /// Applies a changed discovery address; other changes of the configuration take effect at the next start.
     fn reload_configuration(&mut self, source: &Source, follower: &PurgeFollower) {
         match source.read() {
             Ok(config) if config.discovery_address != self.inputs.config.discovery_address => {
-                info!(from = %self.inputs.config.discovery_address, to = %config.discovery_address, "discovery address changed");
+                info!(
+                    from = %self.inputs.config.discovery_address,
+                    to = %config.discovery_address,
+                    "discovery address changed"
+                );
                 follower.set_address(config.discovery_address);
                 self.inputs.config.discovery_address = config.discovery_address;
             }
@@ -138,6 +146,7 @@
         }
     }
 
+    /// Warns if the operator's file has changed, as its changes take effect only at the next start.
     fn check_operator_file(&self, source: &Source) {
         match source.beside() {
             Ok(extensions) => {
@@ -155,6 +164,7 @@
         }
     }
 
+    /// Passes a changed directory to the node. A changed directory is rejected if its version is not greater.
     fn reload_directory(&mut self) {
         let current = &self.inputs.directory;
         match read_directory(&self.inputs.files.directory, &self.inputs.dissemination) {
@@ -162,7 +172,7 @@
             Ok(directory) if directory.version <= current.version => error!(
                 version = directory.version,
                 in_force = current.version,
-                "the directory has changed and its version has not grown; not taken"
+                "directory rejected: its version has not grown; the previous one stays in effect"
             ),
             Ok(directory) => {
                 info!(version = directory.version, members = directory.members.len(), "directory");
@@ -174,6 +184,7 @@
         }
     }
 
+    /// Reads the overrides; the next poll publishes their changes.
     fn reload_overrides(&mut self) {
         match read_overrides(self.inputs.files.overrides.as_deref()) {
             Ok(overrides) => {
@@ -184,7 +195,8 @@
         }
     }
 
-    /// Publishes the overrides that differ from the published ones. If the mailbox is full, the next poll repeats it.
+    /// Publishes the overrides that differ from the published ones. If the node's mailbox is full, the next poll
+    /// repeats it.
     fn publish_overrides(&mut self) {
         if !self.overrides_are_pending {
             return;
@@ -194,8 +206,8 @@
             for (host, desired) in &changes {
                 info!(host, wanted = ?desired, "published");
             }
-            let publications = changes.into_iter();
-            let publications = publications.map(|(host, desired)| Publication::Setting { host, desired });
+            let publications =
+                changes.into_iter().map(|(host, desired)| Publication::Setting { host, desired });
             let reply = Box::new(|ids: Vec<EntryId>| log_sequence_numbers(&ids));
             handle.send(Command::Publish { publications: publications.collect(), reply })
         });
@@ -206,13 +218,15 @@
     }
 }
 
+/// Logs the first and last sequence number of the published settings, by which later log lines name them.
 fn log_sequence_numbers(ids: &[EntryId]) {
     if let (Some((_, first)), Some((_, last))) = (ids.first(), ids.last()) {
         info!(first = first.0, last = last.0, "settings numbered");
     }
 }
 
-/// Passes a purge of the board on to the node. If its mailbox is full, a purge of everything is to follow.
+/// Passes a purge from discovery on to the node. If the node's mailbox is full, the purge is dropped and a purge of
+/// everything is requested in its place.
 fn forward_purge(handle: &Handle, has_lost_purges: &AtomicBool, observed: &ObservedPurge) {
     let command = Command::PurgeNotice {
         purge: disseminated_purge(&observed.purge),
@@ -224,6 +238,8 @@
     }
 }
 
+/// Converts a purge as discovery announces it. An object takes precedence over a group; a purge with neither is a purge
+/// of everything.
 fn disseminated_purge(purge: &Purge) -> DisseminatedPurge {
     match (purge.object, purge.group) {
         (Some(ObjectId(id)), _) => DisseminatedPurge::object(id),
--- a/crates/rockflow-cli/src/control/inputs.rs
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -1,4 +1,4 @@
-//! What a control process reads: its configuration, the directory of members, and the operators' overrides.
+//! The inputs of a control process: its configuration, the directory of members, and the operators' overrides.
 
 use super::overrides::HostOverrides;
 use super::ControlError;
@@ -8,17 +8,19 @@
 use rockflow_operator_config::{parse_overrides, ControlSection, DisseminationSection};
 use std::path::Path;
 
-/// The inputs of a control process, checked as a whole.
+/// The inputs of a control process, each checked on its own and against the others.
 pub struct ControlInputs {
     pub(super) config: Config,
+    /// The section `[dissemination]` of the operator's file.
     pub(super) dissemination: DisseminationSection,
+    /// The section `[control]` of the operator's file: the paths of the directory and of the overrides.
     pub(super) files: ControlSection,
     pub(super) directory: Directory,
     pub(super) overrides: HostOverrides,
 }
 
 impl ControlInputs {
-    /// Reads and checks all of them.
+    /// Reads and checks all inputs; the first error ends it.
     pub fn read(source: &Source) -> Result<ControlInputs, ControlError> {
         let config = source.read().map_err(|error| ControlError::Configuration(error.to_string()))?;
         let extensions = source.beside().map_err(|error| ControlError::Configuration(error.to_string()))?;
@@ -32,7 +34,7 @@
         Ok(ControlInputs { config, dissemination, files, directory, overrides })
     }
 
-    /// A summary for the operator, line by line.
+    /// The lines that `rockflow control --check` prints.
     pub fn summary(&self) -> Vec<String> {
         let (name, listen) = (&self.config.name, self.dissemination.listen);
         let (members, version) = (self.directory.members.len(), self.directory.version);
@@ -44,7 +46,8 @@
     }
 }
 
-/// Within a trusted network addresses may be translated on the way.
+/// Checks that the process listens at the address at which the section lists it. In a trusted network the two may
+/// differ, as addresses may be translated on the way.
 fn check_own_address(name: &str, section: &DisseminationSection) -> Result<(), ControlError> {
     let own_entry = section.control.iter().find(|control| control.name == name);
     let own_entry = own_entry.ok_or_else(|| ControlError::NotListed { name: name.to_owned() })?;
@@ -59,7 +62,7 @@
     })
 }
 
-/// Reads the directory, whose addresses must be allowed by the section.
+/// Reads the directory of members. Unless the section declares a trusted network, all addresses have to be loopback.
 pub(super) fn read_directory(path: &Path, section: &DisseminationSection) -> Result<Directory, ControlError> {
     let directory = Directory::parse(&read_file(path)?)
         .map_err(|source| ControlError::Directory { path: path.to_owned(), source })?;
@@ -74,7 +77,7 @@
     }
 }
 
-/// Reads the operators' overrides; none without a file.
+/// Reads the operators' overrides. Without a path there are none.
 pub(super) fn read_overrides(path: Option<&Path>) -> Result<HostOverrides, ControlError> {
     let Some(path) = path else { return Ok(HostOverrides::new()) };
     parse_overrides(&path.display().to_string(), &read_file(path)?).map_err(|errors| {
--- a/crates/rockflow-cli/src/control/overrides.rs
+++ b/crates/rockflow-cli/src/control/overrides.rs
@@ -1,18 +1,20 @@
-//! Which of the operators' overrides of hosts have been published, and which are to be. Decides; does no I/O.
+//! Tracks which of the operators' overrides of hosts have been published, and finds those still to be published. Does
+//! no I/O.
 
 use rockflow_dissemination::DesiredState;
 use rockflow_operator_config::AdministrativeState;
 use std::collections::BTreeMap;
 
-/// The operators' overrides, by host.
+/// The operators' administrative overrides, by the host's name.
 pub type HostOverrides = BTreeMap<String, AdministrativeState>;
 
-/// The overrides that apply by what was published.
+/// The overrides that were published last.
 #[derive(Debug, Default)]
 pub struct PublishedOverrides(HostOverrides);
 
 impl PublishedOverrides {
-    /// The desired states of the hosts whose override differs from the published one.
+    /// The hosts whose override differs from the published one, each with its new desired state. A host whose override
+    /// was withdrawn gets the state `Listed`.
     pub fn changes(&self, overrides: &HostOverrides) -> Vec<(String, DesiredState)> {
         let changed = overrides.iter().filter(|(host, state)| self.0.get(*host) != Some(state));
         let changed = changed.map(|(host, state)| (host.clone(), desired_state(*state)));
@@ -21,7 +23,8 @@
         changed.chain(withdrawn).collect()
     }
 
-    /// Publishes the changes by `send`. Returns false where `send` does: they are to be published later.
+    /// Passes the changes to `send`, if there are any. If `send` returns false, nothing is recorded as published, and
+    /// this returns false: the caller has to try again later.
     pub fn publish(
         &mut self,
         overrides: &HostOverrides,
--- a/crates/rockflow-cli/src/control/report.rs
+++ b/crates/rockflow-cli/src/control/report.rs
@@ -1,11 +1,11 @@
-//! What a control node says in the log of entries and members.
+//! Log lines of a control node on replicated entries and on the state of members.
 
 use rockflow_dissemination::{Output, SequenceNumber, StreamId};
 use rockflow_transport::dissemination::TransportStatus;
 use std::sync::atomic::{AtomicBool, Ordering};
 use tracing::{info, warn};
 
-/// Logs what the node has found out.
+/// Logs the outputs that concern control: an entry that all members have applied, and a superseded incarnation.
 pub(super) fn log_output(output: Output) {
     match output {
         Output::ReplicatedToAll { stream, number, after } => info!(
@@ -18,14 +18,14 @@
         ),
         Output::IncarnationSuperseded { incarnation } => warn!(
             incarnation = incarnation.0,
-            "a later life of this control node was known; begun again above it"
+            "a later incarnation of this control node was known; begun again above it"
         ),
         Output::Send { .. } | Output::Purge { .. } | Output::Configure { .. } => {}
     }
 }
 
-/// Logs one line while a member is missing, lags, or rejects a setting, and one line when none does any more.
-/// `has_trouble` is whether the previous summary named a member.
+/// Logs a warning if a member is missing, lags, or rejects a setting, and one line when all of this is over.
+/// `has_problems` holds whether the previous summary was a warning, and is updated.
 pub(super) fn log_summary(status: &TransportStatus, has_problems: &AtomicBool) {
     let Some(control) = &status.node.control else { return };
     let is_converged = control.present >= control.expected_members
@@ -34,7 +34,10 @@
     let had_problems = has_problems.swap(!is_converged, Ordering::Relaxed);
     if is_converged {
         if had_problems {
-            info!(told = control.expected_members, "all members are there and go by what was published");
+            info!(
+                told = control.expected_members,
+                "all members are there and have applied what was published"
+            );
         }
         return;
     }
@@ -55,7 +58,7 @@
     );
 }
 
-/// An entry as it is named in the log.
+/// How the log names an entry: the kind of its stream, its control node, and its sequence number.
 fn entry_name(stream: &StreamId, number: SequenceNumber) -> String {
     format!("{:?}@{}/{}", stream.kind, stream.control.0, number.0)
 }
