--- a/crates/rockflow-cli/tests/control_overrides.rs
+++ b/crates/rockflow-cli/tests/control_overrides.rs
@@ -1,4 +1,4 @@
-//! Overrides that could not be sent to the node are published with the next attempt.
+//! Which overrides a control process publishes, also after the node did not accept them at first.
 #![cfg(feature = "dissemination")]
 
 #[path = "../src/control/overrides.rs"]
@@ -8,36 +8,39 @@
 use rockflow_dissemination::DesiredState;
 use rockflow_operator_config::AdministrativeState;
 
-fn overrides(pairs: &[(&str, AdministrativeState)]) -> HostOverrides {
-    pairs.iter().map(|(host, state)| (host.to_string(), *state)).collect()
+fn host_overrides(overrides: &[(&str, AdministrativeState)]) -> HostOverrides {
+    overrides.iter().map(|(host, state)| (host.to_string(), *state)).collect()
 }
 
-fn desired(pairs: &[(&str, DesiredState)]) -> Vec<(String, DesiredState)> {
-    pairs.iter().map(|(host, wanted)| (host.to_string(), *wanted)).collect()
+fn desired_states(states: &[(&str, DesiredState)]) -> Vec<(String, DesiredState)> {
+    states.iter().map(|(host, state)| (host.to_string(), *state)).collect()
 }
 
 #[test]
 fn unsent_changes_are_published_with_the_next_attempt() {
     let mut published = PublishedOverrides::default();
-    let first = overrides(&[("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
+    let first = host_overrides(&[("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
     assert!(published.publish(&first, |changes| {
-        assert_eq!(changes, desired(&[("c1", DesiredState::Draining), ("c2", DesiredState::Gone)]));
+        assert_eq!(changes, desired_states(&[("c1", DesiredState::Draining), ("c2", DesiredState::Gone)]));
         true
     }));
-    let next = overrides(&[("c1", AdministrativeState::Gone), ("c3", AdministrativeState::Draining)]);
-    let changes =
-        desired(&[("c1", DesiredState::Gone), ("c3", DesiredState::Draining), ("c2", DesiredState::Listed)]);
-    for has_room in [false, false, true] {
+    let next = host_overrides(&[("c1", AdministrativeState::Gone), ("c3", AdministrativeState::Draining)]);
+    let changes = desired_states(&[
+        ("c1", DesiredState::Gone),
+        ("c3", DesiredState::Draining),
+        ("c2", DesiredState::Listed),
+    ]);
+    for is_accepted in [false, false, true] {
         let mut attempted = Vec::new();
         let is_sent = published.publish(&next, |changes| {
             attempted = changes;
-            has_room
+            is_accepted
         });
-        assert_eq!((attempted, is_sent), (changes.clone(), has_room));
+        assert_eq!((attempted, is_sent), (changes.clone(), is_accepted));
     }
-    // What stays is not published again.
+    // Unchanged overrides are not published again.
     assert!(published.publish(&next, |changes| unreachable!("{changes:?}")));
-    // What is withdrawn before it could be sent is not published at all.
+    // Overrides that are withdrawn before they could be sent are never published.
     assert!(!published.publish(&first, |_| false));
     assert!(published.publish(&next, |changes| unreachable!("{changes:?}")));
 }
