--- a/crates/rockflow-cli/tests/test_fleet/mod.rs
+++ b/crates/rockflow-cli/tests/test_fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Dissemination among real processes: control nodes and seven dispatchers at two sites, each beside a host of its own
-//! whose copies are older than the purges. What is in effect is seen from outside: by what clients are served, and by the
-//! log. Waits are for conditions; a wait for a time stands only where a process is to be away for that long.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! A fleet of real processes for tests of dissemination: control nodes, and seven dispatchers at two sites. Each
+//! dispatcher has its own host, whose cached copies are older than the purges. Tests check which purges and overrides
+//! are in effect from outside, by the copies that clients are served and by the logs. They wait for conditions, and
+//! sleep for a fixed time only where a process has to be unreachable for that long.
+#![allow(dead_code, reason = "each test file uses other items")]
 
 use rockflow_dissemination::{Directory, NodeId};
 use rockflow_process_harness::datagrams::{MemberSet, PathConditions, Rule, RuleId};
@@ -14,30 +15,34 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// Longest wait for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Of the example: so long a purge binds, and so long its stream's entries are kept at the least.
+/// How long a purge is in effect in the example configuration, and for how long its entry is kept at least.
 pub const PURGE_WINDOW: Duration = Duration::from_secs(6);
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Members of the first and of the second site.
+/// Lines of each log in the message of a failed assertion.
+const LOG_TAIL_LINES: usize = 12;
+/// Numbers of dispatchers at the first and at the second site.
 const SITE_SIZES: [usize; 2] = [4, 3];
 pub const MEMBER_COUNT: usize = SITE_SIZES[0] + SITE_SIZES[1];
-/// So long nobody keeps a child, counts a report, or holds entries: past every wait there is.
+/// Longer than any timeout of dissemination: after this time without contact no node keeps a child or its report, or
+/// entries of purges.
 pub const STATE_EXPIRY: Duration = Duration::from_secs(9);
 
-/// One fleet at a time, so that none waits for another's share of the machine.
+/// Held by a fleet that must run alone, so that waits don't time out because other fleets use the processors.
 static EXCLUSIVE_FLEET: Mutex<()> = Mutex::new(());
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// What a fleet is laid out by.
+/// How a test fleet differs from the default.
 pub struct FleetOptions {
     pub control_nodes: usize,
     pub heartbeat_interval: Duration,
     pub purge_window: Duration,
-    /// Each site is a region of its own.
+    /// Whether each site is its own region; otherwise both sites are in one region.
     pub two_regions: bool,
-    /// Whether other fleets may run at the same time: for those that mostly wait.
+    /// Whether other fleets may run at the same time. For tests that mostly wait.
     pub runs_in_parallel: bool,
-    /// Dispatchers that know one cache alone, c1. The others know c2 beside it, and those of two regions c3 as well.
+    /// Dispatchers whose only cache is c1; the others also know c2. With two regions every dispatcher also knows c3.
     pub single_cache_members: &'static [usize],
 }
 
@@ -54,16 +59,20 @@
     }
 }
 
+/// A fleet with its servers and hosts. All of them stop when it is dropped.
 pub struct TestFleet {
     pub processes: Fleet,
+    /// The discovery server of the control nodes, which announces the purges.
     pub control_discovery: DiscoveryServer,
+    /// The discovery server of the dispatchers, which announces nothing.
     _member_discovery: DiscoveryServer,
-    /// By dispatcher: its first host, which answers.
+    /// The host of each dispatcher. It serves under all names that the dispatcher knows.
     pub hosts: Vec<Host>,
+    /// Revision of the last event of `control_discovery`.
     pub revision: u64,
-    /// Objects purged so far.
+    /// How many objects were purged so far. They are numbered from 1 in the order of their purges.
     pub purged_objects: usize,
-    /// How much each dispatcher had logged when all had settled.
+    /// Length of each dispatcher's log, in bytes, when the purge of the start was replicated to all.
     initial_log_lengths: Vec<usize>,
     _folder: TemporaryFolder,
     _exclusive: Option<MutexGuard<'static, ()>>,
@@ -75,8 +84,8 @@
 
 fn discovery_instance(name: &str, address: &str, machine_type: &str) -> Value {
     let zone = if machine_type == "box" { "shop" } else { "hub" };
-    json!({"instanceId": name, "hostPort": address, "zone": zone, "machineType": machine_type, "cell": 0, "lifecycle": "active",
-        "weight": 8, "startedAtMs": 0})
+    json!({"instanceId": name, "hostPort": address, "zone": zone, "machineType": machine_type, "cell": 0,
+        "lifecycle": "active", "weight": 8, "startedAtMs": 0})
 }
 
 fn member_places(two_regions: bool) -> Vec<Place> {
@@ -89,6 +98,7 @@
     (0..MEMBER_COUNT).map(place).collect()
 }
 
+/// The dispatchers of a site, 0 or 1.
 pub fn site_members(site: usize) -> Range<usize> {
     if site == 0 {
         0..SITE_SIZES[0]
@@ -97,39 +107,42 @@
     }
 }
 
+/// The object's id, as discovery and clients write it.
 pub fn object_id(number: usize) -> String {
     format!("{number:04x}")
 }
 
 impl TestFleet {
-    /// All run and serve, and what is published is in force everywhere.
+    /// Starts the default fleet. All processes are ready, and a first purge is replicated to all.
     pub fn start() -> TestFleet {
         TestFleet::start_with(FleetOptions::default())
     }
 
+    /// The same with other options.
     pub fn start_with(options: FleetOptions) -> TestFleet {
         let mut fleet = TestFleet::prepare(options);
         fleet.start_all();
         fleet
     }
 
+    /// Starts all processes, and waits until they are ready and a first purge is replicated to all.
     pub fn start_all(&mut self) {
-        (0..self.processes.control.len()).for_each(|place| self.processes.start_control(place).unwrap());
+        (0..self.processes.control.len()).for_each(|control| self.processes.start_control(control).unwrap());
         self.start_members();
         self.publish_purges(1);
         self.wait_until_replicated(0..self.processes.control.len());
         self.initial_log_lengths = self.processes.members.iter().map(|member| member.log().len()).collect();
     }
 
-    /// Till all of them serve.
+    /// Starts the dispatchers, and waits until all are ready.
     pub fn start_members(&mut self) {
-        (0..MEMBER_COUNT).for_each(|place| self.processes.start_member(place).unwrap());
+        (0..MEMBER_COUNT).for_each(|member| self.processes.start_member(member).unwrap());
         let ready =
             wait_until(WAIT_TIMEOUT, || self.processes.members.iter().all(|member| member.is_ready()));
         assert!(ready, "{}", self.logs());
     }
 
-    /// All but the processes.
+    /// Starts the servers and hosts and writes the files, but starts no process.
     pub fn prepare(options: FleetOptions) -> TestFleet {
         let FleetOptions {
             control_nodes,
@@ -143,25 +156,25 @@
             (!runs_in_parallel).then(|| EXCLUSIVE_FLEET.lock().unwrap_or_else(PoisonError::into_inner));
         let folder = TemporaryFolder::new("faults");
         let hosts: Vec<_> =
-            (0..MEMBER_COUNT).map(|at| Host::start(&format!("c1-{at}"), Duration::ZERO)).collect();
+            (0..MEMBER_COUNT).map(|member| Host::start(&format!("c1-{member}"), Duration::ZERO)).collect();
         hosts.iter().for_each(Host::enable_cache);
-        let known = |(at, host): (usize, &Host)| {
-            let own = host.address.to_string();
+        let known_hosts = |(member, host): (usize, &Host)| {
+            let address = host.address.to_string();
             let mut known = vec![
-                discovery_instance("c1", &own, "box"),
-                discovery_instance("p1", &own, "parent"),
-                discovery_instance("o1", &own, "origin"),
+                discovery_instance("c1", &address, "box"),
+                discovery_instance("p1", &address, "parent"),
+                discovery_instance("o1", &address, "origin"),
             ];
-            if !single_cache_members.contains(&at) {
-                // At the same address: it answers the same.
-                known.push(discovery_instance("c2", &own, "box"));
+            if !single_cache_members.contains(&member) {
+                // At the same address, so c1 and c2 serve the same copies.
+                known.push(discovery_instance("c2", &address, "box"));
             }
             if two_regions {
-                known.push(discovery_instance("c3", &own, "box"));
+                known.push(discovery_instance("c3", &address, "box"));
             }
             json!(known)
         };
-        let known = hosts.iter().enumerate().map(known).collect();
+        let known_hosts = hosts.iter().enumerate().map(known_hosts).collect();
         let (control_discovery, member_discovery) = (DiscoveryServer::start(), DiscoveryServer::start());
         let layout = Layout {
             program: env!("CARGO_BIN_EXE_rockflow").into(),
@@ -170,12 +183,12 @@
             members: member_places(two_regions),
             control_discovery: control_discovery.address,
             discovery: member_discovery.address,
-            hosts: known,
+            hosts: known_hosts,
             heartbeat_interval,
             purge_window,
             bytes_per_second: 65_536,
             seed: 34,
-            // What is in effect is a line of the log.
+            // At this level dispatchers log which purges and overrides are in effect.
             log_level: "debug",
         };
         let processes = Fleet::prepare(layout).unwrap();
@@ -192,12 +205,12 @@
         }
     }
 
-    /// The board tells of so many purges, of objects that were not purged before. Says how many there were by then.
+    /// Announces purges of the next `count` objects to the control nodes. Returns the number of the last object.
     pub fn publish_purges(&mut self, count: usize) -> usize {
         self.publish_purges_dated_by(count, now_unix_ms)
     }
 
-    /// The same by another clock than ours.
+    /// The same, with the purges dated by another clock, in Unix milliseconds.
     pub fn publish_purges_dated_by(&mut self, count: usize, clock: impl Fn() -> u64) -> usize {
         for _ in 0..count {
             self.purged_objects += 1;
@@ -208,8 +221,8 @@
         self.purged_objects
     }
 
-    /// Purges as many objects as that, of which every host has an older copy; till every client is served younger ones of
-    /// the first and of the last.
+    /// Fills the next `count` objects at every host and purges them. Waits until every dispatcher serves newer copies
+    /// of the first and the last of them, and returns the number of the last.
     pub fn purge_and_wait_for_effect(&mut self, count: usize) -> usize {
         self.fill_next_objects(0..MEMBER_COUNT, count);
         let last = self.publish_purges(count);
@@ -220,13 +233,17 @@
         last
     }
 
-    /// What a dispatcher's client is served of an object.
+    /// Requests an object from a dispatcher. Returns the body, `copy N`, where N is how often the host has filled the
+    /// object, or the whole answer if its status is not 200.
     pub fn request_object(&self, member: usize, number: usize) -> Result<String, String> {
-        let call = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
-        self.processes.members[member].serve(&object_id(number), call).map_err(|error| error.to_string())
+        let request_id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
+        self.processes.members[member]
+            .serve(&object_id(number), request_id)
+            .map_err(|error| error.to_string())
     }
 
-    /// Fills copies of the next so many objects at these dispatchers' hosts, so that they are older than a purge.
+    /// Fills first copies of the next `count` objects at these dispatchers' hosts, so that the copies are older than
+    /// the purges that follow.
     pub fn fill_next_objects(&self, members: impl IntoIterator<Item = usize>, count: usize) {
         for member in members {
             for number in self.purged_objects + 1..=self.purged_objects + count {
@@ -235,13 +252,14 @@
         }
     }
 
-    /// Till a dispatcher's client is served a copy that is younger than the purge. Asked within the time that it binds.
+    /// Waits until a dispatcher serves the second copy of a purged object. Call it while the purge is in effect: later
+    /// requests accept the first copy again.
     pub fn wait_for_purge_effect(&self, member: usize, number: usize) {
         self.wait_for_copy(member, number, 2);
     }
 
-    /// Till a dispatcher's client is served this copy of an object. A host that can't be reached at once on a machine
-    /// that is busy may be answered for with an error before.
+    /// Waits until a dispatcher serves this copy of an object. Errors before that are ignored, as on a busy machine a
+    /// dispatcher may fail to reach its host at first.
     pub fn wait_for_copy(&self, member: usize, number: usize, copy: usize) {
         let (wanted, mut last) = (format!("copy {copy}"), Err(String::new()));
         let served = wait_until(WAIT_TIMEOUT, || {
@@ -251,43 +269,45 @@
         assert!(served, "object {number} at n{member}: {last:?}, not {wanted}; {}", self.logs());
     }
 
-    /// Till these control nodes have said that the newest purge is in force everywhere: each line counts once for the
-    /// stream it names, and numbers of a stream that is said stand for those before.
+    /// Waits until each of these control nodes has logged that the last purge is replicated to all. A logged number of
+    /// a stream covers all lower numbers of that stream.
     pub fn wait_until_replicated(&self, control: impl IntoIterator<Item = usize> + Clone) {
-        let said = wait_until(WAIT_TIMEOUT, || {
+        let is_replicated = wait_until(WAIT_TIMEOUT, || {
             control
                 .clone()
                 .into_iter()
-                .all(|place| self.replicated_entries(place, "Purges") >= self.purged_objects as u64)
+                .all(|control| self.replicated_entries(control, "Purges") >= self.purged_objects as u64)
         });
-        assert!(said, "{} purges; {}", self.purged_objects, self.logs());
+        assert!(is_replicated, "{} purges; {}", self.purged_objects, self.logs());
     }
 
-    /// How many of a kind a control node has said to be in force everywhere, in all streams.
+    /// How many entries of a kind a control node has logged as replicated to all, over all streams.
     pub fn replicated_entries(&self, control: usize, kind: &str) -> u64 {
         highest_replicated(&self.processes.control[control].log(), kind).values().sum()
     }
 
-    /// Of each life of each dispatcher by its own word: no purge was in effect a second time. So it is where every
-    /// purge was published once; the one by which all settle may be published by two control nodes that have not heard
-    /// each other yet.
+    /// Asserts that each dispatcher has logged purges since the start, and none of its processes the same purge twice.
+    /// This holds where each purge is published once. The first purge is left out: both control nodes may publish it,
+    /// as they may not have heard from each other yet.
     pub fn assert_no_purge_repeated(&self) {
-        for (member, settled) in self.processes.members.iter().zip(&self.initial_log_lengths) {
-            let mut any = false;
-            for life in member.log()[*settled..].split("dissemination listens") {
+        for (member, initial_length) in self.processes.members.iter().zip(&self.initial_log_lengths) {
+            let mut has_purges = false;
+            for process_log in member.log()[*initial_length..].split("dissemination listens") {
                 let mut seen = BTreeSet::new();
-                let lines = life.lines().filter(|line| line.contains("purges in effect"));
+                let lines = process_log.lines().filter(|line| line.contains("purges in effect"));
                 let objects = lines.filter_map(|line| log_field(line, "objects"));
                 let objects =
                     objects.flat_map(|objects| objects.split(',')).filter(|object| !object.is_empty());
-                objects.for_each(|object| assert!(seen.insert(object), "{object} twice at {}", member.name));
-                any |= !seen.is_empty();
+                objects.for_each(|object| {
+                    assert!(seen.insert(object), "purge of {object} applied twice at {}", member.name)
+                });
+                has_purges |= !seen.is_empty();
             }
-            assert!(any, "{} has nothing in effect", member.name);
+            assert!(has_purges, "{} has logged no purge", member.name);
         }
     }
 
-    /// Nothing goes from these places in the proxy to those.
+    /// Drops all datagrams from one set of members to the other, until the rule is removed from the proxy.
     pub fn cut_paths(&self, from: MemberSet, to: MemberSet) -> RuleId {
         self.processes.proxy.add(Rule {
             from,
@@ -296,76 +316,80 @@
         })
     }
 
-    /// The head of all: whom most stand behind.
+    /// The dispatcher at the root of its region's tree, through which most others of the region receive entries.
     pub fn root_member(&self) -> usize {
         let text =
             std::fs::read_to_string(self.processes.layout().folder.join("control-0.directory.csv")).unwrap();
         let directory = Directory::parse(&text).unwrap();
-        let slot = |at: usize| directory.place(NodeId::of(&format!("n{at}")), &[]).unwrap().slot;
-        (0..MEMBER_COUNT).find(|at| slot(*at) == 0).unwrap()
+        let slot = |member: usize| directory.place(NodeId::of(&format!("n{member}")), &[]).unwrap().slot;
+        (0..MEMBER_COUNT).find(|member| slot(*member) == 0).unwrap()
     }
 
-    pub fn members_except(&self, than: usize) -> Vec<usize> {
-        (0..MEMBER_COUNT).filter(|at| *at != than).collect()
+    /// All dispatchers but one.
+    pub fn members_except(&self, excluded: usize) -> Vec<usize> {
+        (0..MEMBER_COUNT).filter(|member| *member != excluded).collect()
     }
 
+    /// The indices of these dispatchers in the proxy.
     pub fn proxy_indices(&self, members: impl IntoIterator<Item = usize>) -> Vec<usize> {
         members.into_iter().map(|member| self.processes.proxy_index(member)).collect()
     }
 
+    /// These dispatchers, as a set of the proxy's members.
     pub fn only_members(&self, members: impl IntoIterator<Item = usize>) -> MemberSet {
         MemberSet::only(self.processes.control.len() + MEMBER_COUNT, self.proxy_indices(members))
     }
 
-    /// All but these, control nodes too.
+    /// All control nodes, and all dispatchers but these.
     pub fn all_except(&self, members: impl IntoIterator<Item = usize>) -> MemberSet {
         MemberSet::all_except(self.processes.control.len() + MEMBER_COUNT, self.proxy_indices(members))
     }
 
-    /// Till a dispatcher's log has said that a host is in this state; how often it says so.
+    /// Waits until a dispatcher has logged this effective state of a host. Returns how often it has logged it.
     pub fn wait_for_state(&self, member: usize, host: &str, state: &str) -> usize {
-        let says = || count_effective_lines(&self.processes.members[member].log(), host, state);
-        assert!(wait_until(WAIT_TIMEOUT, || says() > 0), "n{member} {host} {state}: {}", self.logs());
-        says()
+        let count = || count_effective_lines(&self.processes.members[member].log(), host, state);
+        assert!(wait_until(WAIT_TIMEOUT, || count() > 0), "n{member} {host} {state}: {}", self.logs());
+        count()
     }
 
-    /// Marks for all control nodes, which read them.
-    pub fn set_overrides(&self, marks: &[(&str, &str)]) {
-        (0..self.processes.control.len()).for_each(|place| self.set_overrides_at(place, marks));
+    /// Writes the overrides of all control nodes, each with its host and state, and has the control nodes read them.
+    pub fn set_overrides(&self, overrides: &[(&str, &str)]) {
+        (0..self.processes.control.len()).for_each(|control| self.set_overrides_at(control, overrides));
     }
 
-    pub fn set_overrides_at(&self, control: usize, marks: &[(&str, &str)]) {
-        self.processes.write_overrides_at(control, marks).unwrap();
+    /// The same for one control node.
+    pub fn set_overrides_at(&self, control: usize, overrides: &[(&str, &str)]) {
+        self.processes.write_overrides_at(control, overrides).unwrap();
         self.processes.control[control].signal(Signal::SIGHUP).unwrap();
     }
 
-    /// The ends of all logs, for whoever reads why a test failed.
+    /// The last lines of every log, for the message of a failed assertion.
     pub fn logs(&self) -> String {
-        let all = self.processes.control.iter().chain(&self.processes.members);
+        let processes = self.processes.control.iter().chain(&self.processes.members);
         let tail = |text: &str| {
             let lines: Vec<_> = text.lines().collect();
-            lines[lines.len().saturating_sub(12)..].join("\n")
+            lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n")
         };
-        all.map(|member| format!("\n== {}\n{}", member.name, tail(&member.log()))).collect()
+        processes.map(|member| format!("\n== {}\n{}", member.name, tail(&member.log()))).collect()
     }
 }
 
-/// A field of a log line.
+/// The value of a field `name=value` of a log line.
 pub fn log_field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// A stream of one kind by the log: the control node that publishes it, and its incarnation.
+/// A stream as the log names it, within one kind: the control node that publishes it, and that node's incarnation.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoggedStream {
     pub control: String,
     pub incarnation: u64,
 }
 
-/// The highest number of a kind that is said to be everywhere, by stream. Each run of a control node has streams of its
-/// own, which number from 1.
+/// The highest number that a log reports as replicated to all, for each stream of a kind. Each process of a control
+/// node has its own streams, which number their entries from 1.
 pub fn highest_replicated(log: &str, kind: &str) -> BTreeMap<LoggedStream, u64> {
-    let mut tops = BTreeMap::new();
+    let mut highest = BTreeMap::new();
     let lines =
         log.lines().filter(|line| line.contains("everywhere") && log_field(line, "kind") == Some(kind));
     for line in lines {
@@ -376,17 +400,18 @@
             continue;
         };
         let stream = LoggedStream { control: control.to_string(), incarnation };
-        let top = tops.entry(stream).or_insert(number);
-        *top = number.max(*top);
+        let stream_highest = highest.entry(stream).or_insert(number);
+        *stream_highest = number.max(*stream_highest);
     }
-    tops
+    highest
 }
 
+/// How many lines of a log report this effective state of a host.
 pub fn count_effective_lines(log: &str, host: &str, state: &str) -> usize {
-    let says = |line: &&str| {
+    let is_match = |line: &&str| {
         line.contains("effective")
             && log_field(line, "endpoint") == Some(&format!("{host:?}"))
             && log_field(line, "state") == Some(state)
     };
-    log.lines().filter(says).count()
+    log.lines().filter(is_match).count()
 }
