--- a/crates/rockflow-cli/tests/dissemination_faults.rs
+++ b/crates/rockflow-cli/tests/dissemination_faults.rs
@@ -1,4 +1,5 @@
-//! Dissemination among real processes under faults, one fleet at a time.
+//! Dissemination among real processes under faults: killed processes, cut paths, lost and late datagrams, wrong clocks.
+//! The fleets run one at a time.
 #![cfg(feature = "dissemination")]
 
 mod test_fleet;
@@ -12,7 +13,8 @@
 use test_case::test_case;
 use test_fleet::*;
 
-/// Guards against a sum that is short where a control node was killed at its first number: its next run begins there too.
+/// A control node that was killed right after its first entry numbers the next one 1 as well. Guards against counting
+/// the two as one entry.
 #[test]
 fn highest_numbers_add_up_over_the_incarnations_of_a_control_node() {
     let line = |incarnation: u64, number: u64| {
@@ -30,7 +32,7 @@
     let mut fleet = TestFleet::start();
     let number = fleet.purge_and_wait_for_effect(1);
     fleet.wait_until_replicated(0..2);
-    // And not again with the next ones: the copies stay.
+    // Later purges are of other objects: the copies filled since the first purge stay.
     fleet.publish_purges(20);
     fleet.wait_until_replicated(0..2);
     (0..MEMBER_COUNT)
@@ -41,27 +43,27 @@
 #[test]
 fn a_relaying_member_killed_in_a_burst_restarts_without_state() {
     let mut fleet = TestFleet::start();
-    let head = fleet.root_member();
+    let root = fleet.root_member();
     fleet.fill_next_objects(0..MEMBER_COUNT, 120);
-    for part in 0..4 {
+    for batch in 0..4 {
         fleet.publish_purges(30);
-        if part == 1 {
-            fleet.processes.members[head].kill();
+        if batch == 1 {
+            fleet.processes.members[root].kill();
         }
         std::thread::sleep(HEARTBEAT_INTERVAL);
     }
     let last = fleet.purged_objects;
-    for member in fleet.members_except(head) {
-        // From before, amid and after its end.
+    for member in fleet.members_except(root) {
+        // Purges from before the kill, around it, and after it.
         [last - 100, last - 80, last - 60, last]
             .into_iter()
             .for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    fleet.processes.start_member(head).unwrap();
-    assert!(wait_until(WAIT_TIMEOUT, || fleet.processes.members[head].is_ready()));
+    fleet.processes.start_member(root).unwrap();
+    assert!(wait_until(WAIT_TIMEOUT, || fleet.processes.members[root].is_ready()));
     fleet.wait_until_replicated(0..2);
-    // What it missed and what is new: its host's copies are those from before the burst.
-    fleet.wait_for_purge_effect(head, last);
+    // The restarted member applies what it missed, and new purges. Its host still has the copies from before the burst.
+    fleet.wait_for_purge_effect(root, last);
     fleet.purge_and_wait_for_effect(1);
     fleet.wait_until_replicated(0..2);
     fleet.assert_no_purge_repeated();
@@ -70,24 +72,24 @@
 #[test]
 fn a_relaying_member_restarts_without_state_during_a_burst() {
     let mut fleet = TestFleet::start();
-    let head = fleet.root_member();
+    let root = fleet.root_member();
     fleet.fill_next_objects(0..MEMBER_COUNT, 120);
-    for part in 0..4 {
+    for batch in 0..4 {
         fleet.publish_purges(30);
-        match part {
-            1 => fleet.processes.members[head].kill(),
-            2 => fleet.processes.start_member(head).unwrap(),
+        match batch {
+            1 => fleet.processes.members[root].kill(),
+            2 => fleet.processes.start_member(root).unwrap(),
             _ => std::thread::sleep(HEARTBEAT_INTERVAL),
         }
     }
     let last = fleet.purged_objects;
-    for member in fleet.members_except(head) {
+    for member in fleet.members_except(root) {
         [last - 119, last - 80, last - 45, last]
             .into_iter()
             .for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    assert!(wait_until(WAIT_TIMEOUT, || fleet.processes.members[head].is_ready()), "{}", fleet.logs());
-    fleet.wait_for_purge_effect(head, last);
+    assert!(wait_until(WAIT_TIMEOUT, || fleet.processes.members[root].is_ready()), "{}", fleet.logs());
+    fleet.wait_for_purge_effect(root, last);
     fleet.wait_until_replicated(0..2);
     fleet.purge_and_wait_for_effect(1);
     fleet.wait_until_replicated(0..2);
@@ -98,20 +100,20 @@
 fn a_site_that_receives_nothing_keeps_serving_and_catches_up() {
     let mut fleet = TestFleet::start();
     fleet.fill_next_objects(0..MEMBER_COUNT, 10);
-    let away = site_members(1);
-    let id = fleet.cut_paths(fleet.all_except(away.clone()), fleet.only_members(away.clone()));
+    let cut_off = site_members(1);
+    let rule = fleet.cut_paths(fleet.all_except(cut_off.clone()), fleet.only_members(cut_off.clone()));
     let number = fleet.publish_purges(10);
     site_members(0).for_each(|member| fleet.wait_for_purge_effect(member, number));
-    for member in away.clone() {
+    for member in cut_off.clone() {
         assert_eq!(
             fleet.request_object(member, number).as_deref(),
             Ok("copy 1"),
-            "n{member} heard through the cut"
+            "n{member} received a purge over a cut path"
         );
     }
     assert!(fleet.replicated_entries(0, "Purges") < number as u64, "{}", fleet.logs());
-    fleet.processes.proxy.remove(id);
-    away.for_each(|member| fleet.wait_for_purge_effect(member, number));
+    fleet.processes.proxy.remove(rule);
+    cut_off.for_each(|member| fleet.wait_for_purge_effect(member, number));
     fleet.wait_until_replicated(0..2);
     fleet.assert_no_purge_repeated();
 }
@@ -119,16 +121,16 @@
 #[test]
 fn a_site_that_cannot_send_is_not_reported_up_to_date_and_catches_up() {
     let mut fleet = TestFleet::start();
-    let away = site_members(1);
-    let id = fleet.cut_paths(fleet.only_members(away.clone()), fleet.all_except(away.clone()));
-    // Till nobody counts what they said before.
+    let cut_off = site_members(1);
+    let rule = fleet.cut_paths(fleet.only_members(cut_off.clone()), fleet.all_except(cut_off.clone()));
+    // Until the reports that the site sent before have expired.
     std::thread::sleep(STATE_EXPIRY);
     fleet.fill_next_objects(0..MEMBER_COUNT, 10);
     let number = fleet.publish_purges(10);
     site_members(0).for_each(|member| fleet.wait_for_purge_effect(member, number));
     assert!(fleet.replicated_entries(0, "Purges") < number as u64, "{}", fleet.logs());
-    fleet.processes.proxy.remove(id);
-    away.for_each(|member| fleet.wait_for_purge_effect(member, number));
+    fleet.processes.proxy.remove(rule);
+    cut_off.for_each(|member| fleet.wait_for_purge_effect(member, number));
     fleet.wait_until_replicated(0..2);
     fleet.assert_no_purge_repeated();
 }
@@ -137,9 +139,9 @@
 fn another_control_node_takes_over_when_the_publisher_is_killed_in_a_burst() {
     let mut fleet = TestFleet::start();
     fleet.fill_next_objects(0..MEMBER_COUNT, 90);
-    for part in 0..3 {
+    for batch in 0..3 {
         fleet.publish_purges(30);
-        if part == 1 {
+        if batch == 1 {
             fleet.processes.control[0].kill();
         }
         std::thread::sleep(HEARTBEAT_INTERVAL);
@@ -150,7 +152,7 @@
             .into_iter()
             .for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    // It begins with nothing, and is the first again.
+    // The restarted control node has no state, and becomes the publisher again.
     fleet.processes.start_control(0).unwrap();
     fleet.purge_and_wait_for_effect(5);
 }
@@ -158,12 +160,12 @@
 #[test]
 fn two_of_six_control_nodes_are_killed_one_after_the_other_while_publishing() {
     let mut fleet = TestFleet::start_with(FleetOptions { control_nodes: 6, ..FleetOptions::default() });
-    for dies in 0..2 {
+    for killed in 0..2 {
         fleet.fill_next_objects(0..MEMBER_COUNT, 90);
-        for part in 0..3 {
+        for batch in 0..3 {
             fleet.publish_purges(30);
-            if part == 1 {
-                fleet.processes.control[dies].kill();
+            if batch == 1 {
+                fleet.processes.control[killed].kill();
             }
             std::thread::sleep(HEARTBEAT_INTERVAL);
         }
@@ -174,9 +176,9 @@
                 .for_each(|number| fleet.wait_for_purge_effect(member, number));
         }
     }
-    // Those that are left know it.
+    // The remaining control nodes know that the purges are replicated.
     fleet.wait_until_replicated(2..6);
-    (0..2).for_each(|place| fleet.processes.start_control(place).unwrap());
+    (0..2).for_each(|control| fleet.processes.start_control(control).unwrap());
     fleet.purge_and_wait_for_effect(5);
     fleet.wait_until_replicated(2..6);
 }
@@ -184,8 +186,8 @@
 #[test]
 fn the_stricter_of_two_conflicting_overrides_applies() {
     let mut fleet = TestFleet::start();
-    // Neither hears of the other's, also not by the members.
-    let ids = [
+    // The control nodes don't receive each other's datagrams, and members don't pass on one's overrides to the other.
+    let rules = [
         fleet.cut_paths(MemberSet::One(0), MemberSet::One(1)),
         fleet.cut_paths(MemberSet::One(1), MemberSet::One(0)),
     ];
@@ -194,7 +196,7 @@
     for member in 0..MEMBER_COUNT {
         fleet.wait_for_state(member, "c2", "Gone");
     }
-    ids.into_iter().for_each(|id| fleet.processes.proxy.remove(id));
+    rules.into_iter().for_each(|rule| fleet.processes.proxy.remove(rule));
     fleet.purge_and_wait_for_effect(1);
     for member in 0..MEMBER_COUNT {
         let log = fleet.processes.members[member].log();
@@ -208,18 +210,19 @@
 #[test]
 fn a_control_node_whose_clock_was_set_back_continues_above_its_earlier_incarnation() {
     let mut fleet = TestFleet::prepare(FleetOptions::default());
-    // Its earlier life, by a clock that was an hour ahead: played here, at its place behind the proxy.
-    let peer = |place: usize| Peer {
-        node: NodeId::of(&fleet.processes.control[place].name),
-        address: fleet.processes.control_address(place),
+    // The earlier incarnation of control node 0, whose clock was an hour ahead. It runs in this process, at the socket
+    // address of the control node behind the proxy.
+    let peer = |control: usize| Peer {
+        node: NodeId::of(&fleet.processes.control[control].name),
+        address: fleet.processes.control_address(control),
     };
-    let ahead = now_unix_ms() + 3_600_000;
+    let ahead_incarnation = Incarnation(now_unix_ms() + 3_600_000);
     let text =
         std::fs::read_to_string(fleet.processes.layout().folder.join("control-0.directory.csv")).unwrap();
-    let plan = NodeOptions {
+    let options = NodeOptions {
         codec: FrameCodec::new("processes", 2, AddressScope::LoopbackOnly),
         config: rockflow_dissemination::NodeConfig {
-            identity: Identity { node: peer(0).node, incarnation: Incarnation(ahead) },
+            identity: Identity { node: peer(0).node, incarnation: ahead_incarnation },
             control_id: Some(rockflow_dissemination::ControlId(0)),
             control: (0..2).map(peer).collect(),
             seeds: Vec::new(),
@@ -231,33 +234,36 @@
         listen: fleet.processes.control[0].socket_address,
         seed: 1,
     };
-    let (sender, said) = std::sync::mpsc::channel();
-    let earlier = Handle::start(plan, move |_, out| {
-        if let Output::ReplicatedToAll { number, .. } = out {
+    let (sender, replicated) = std::sync::mpsc::channel();
+    let earlier_node = Handle::start(options, move |_, output| {
+        if let Output::ReplicatedToAll { number, .. } = output {
             let _ = sender.send(number);
         }
     });
-    let earlier = earlier.unwrap();
+    let earlier_node = earlier_node.unwrap();
     fleet.processes.start_control(1).unwrap();
     fleet.start_members();
     for number in 1..=3 {
         let purge = rockflow_dissemination::Purge::object(number);
         let publication = rockflow_dissemination::Publication::Purge { purge, age: Duration::ZERO };
-        assert!(earlier.send(Command::Publish { publications: vec![publication], reply: Box::new(|_| {}) }));
+        assert!(
+            earlier_node.send(Command::Publish { publications: vec![publication], reply: Box::new(|_| {}) })
+        );
     }
-    let all = std::iter::from_fn(|| said.recv_timeout(WAIT_TIMEOUT).ok()).any(|number| number.0 == 3);
-    assert!(all, "{}", fleet.logs());
-    assert!(earlier.send(Command::Stop));
-    assert!(wait_until(WAIT_TIMEOUT, || earlier.has_ended()));
-    // The real one, by a clock that is right: lower than its earlier life's.
+    let all_replicated =
+        std::iter::from_fn(|| replicated.recv_timeout(WAIT_TIMEOUT).ok()).any(|number| number.0 == 3);
+    assert!(all_replicated, "{}", fleet.logs());
+    assert!(earlier_node.send(Command::Stop));
+    assert!(wait_until(WAIT_TIMEOUT, || earlier_node.has_ended()));
+    // The process of the control node has a correct clock, so its incarnation is at first lower than the earlier one.
     fleet.processes.start_control(0).unwrap();
     fleet.fill_next_objects(0..MEMBER_COUNT, 30);
     let number = fleet.publish_purges(30);
     for member in 0..MEMBER_COUNT {
         [number - 29, number].into_iter().for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
-    let outlived = || fleet.processes.control[0].log().contains("begun again above it");
-    assert!(wait_until(WAIT_TIMEOUT, outlived), "{}", fleet.logs());
+    let is_superseded = || fleet.processes.control[0].log().contains("begun again above it");
+    assert!(wait_until(WAIT_TIMEOUT, is_superseded), "{}", fleet.logs());
     fleet.set_overrides(&[("c2", "draining")]);
     (0..MEMBER_COUNT).for_each(|member| assert_eq!(fleet.wait_for_state(member, "c2", "Draining"), 1));
 }
@@ -279,10 +285,10 @@
     fleet.purge_and_wait_for_effect(3);
     fleet.wait_until_replicated([0]);
     let published = fleet.replicated_entries(0, "Purges");
-    // Those that are new, and once more by the one that began again.
+    // The new purges, each possibly published again by the restarted control node, but none of the 300 old ones.
     assert!(
         published <= 2 * fleet.purged_objects as u64,
-        "{published} published, {} told",
+        "{published} published, {} announced",
         fleet.purged_objects
     );
 }
@@ -297,8 +303,9 @@
     check_no_purge_published_twice_after_restart(1);
 }
 
-/// The board tells a control node that begins again what was published seconds ago; nobody publishes it a second time.
-fn check_no_purge_published_twice_after_restart(which: usize) {
+/// Discovery announces its recent purges to a restarted control node again. Checks that no control node publishes one
+/// of them a second time.
+fn check_no_purge_published_twice_after_restart(restarted: usize) {
     let mut fleet = TestFleet::start_with(FleetOptions {
         purge_window: Duration::from_secs_f64(8.7),
         ..FleetOptions::default()
@@ -308,15 +315,15 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     fleet.wait_until_replicated(0..2);
-    // The first of them are older than half the window by now, the last are not.
+    // Now the first purges are older than half the purge window, and the last are not.
     std::thread::sleep(Duration::from_millis(2500));
-    fleet.processes.control[which].kill();
-    fleet.processes.start_control(which).unwrap();
-    // Past half the window, after which any of them would say what it has not seen published.
+    fleet.processes.control[restarted].kill();
+    fleet.processes.start_control(restarted).unwrap();
+    // Past half the purge window: by then a control node would publish any purge that it has not seen published.
     std::thread::sleep(Duration::from_secs(6));
     fleet.publish_purges(1);
-    fleet.wait_until_replicated([1 - which]);
-    assert_eq!(fleet.replicated_entries(1 - which, "Purges"), fleet.purged_objects as u64);
+    fleet.wait_until_replicated([1 - restarted]);
+    assert_eq!(fleet.replicated_entries(1 - restarted, "Purges"), fleet.purged_objects as u64);
     fleet.assert_no_purge_repeated();
 }
 
@@ -340,28 +347,28 @@
 
 #[test]
 fn an_override_is_quarantined_where_it_is_rejected_and_applied_elsewhere() {
-    // These have one cache alone.
-    let one = &[1, 5];
+    // c1 is the only cache of these dispatchers.
+    let rejecting = &[1, 5];
     let mut fleet =
-        TestFleet::start_with(FleetOptions { single_cache_members: one, ..FleetOptions::default() });
+        TestFleet::start_with(FleetOptions { single_cache_members: rejecting, ..FleetOptions::default() });
     fleet.set_overrides(&[("c1", "gone")]);
     for member in 0..MEMBER_COUNT {
-        if one.contains(&member) {
-            let refused = || fleet.processes.members[member].log().contains("kept apart");
-            assert!(wait_until(WAIT_TIMEOUT, refused), "n{member}: {}", fleet.logs());
+        if rejecting.contains(&member) {
+            let is_rejected = || fleet.processes.members[member].log().contains("kept apart");
+            assert!(wait_until(WAIT_TIMEOUT, is_rejected), "n{member}: {}", fleet.logs());
         } else {
             assert_eq!(fleet.wait_for_state(member, "c1", "Gone"), 1, "n{member}");
         }
     }
-    // Control says who refuses, and why.
-    let said = || fleet.processes.control.iter().any(|control| control.log().contains("LastOne at 2"));
-    assert!(wait_until(WAIT_TIMEOUT, said), "{}", fleet.logs());
-    assert!(one.iter().all(|member| count_effective_lines(
+    // A control node logs the reason, and how many members reject the override.
+    let is_reported = || fleet.processes.control.iter().any(|control| control.log().contains("LastOne at 2"));
+    assert!(wait_until(WAIT_TIMEOUT, is_reported), "{}", fleet.logs());
+    assert!(rejecting.iter().all(|member| count_effective_lines(
         &fleet.processes.members[*member].log(),
         "c1",
         "Gone"
     ) == 0));
-    // What follows goes on.
+    // Later purges and overrides are replicated.
     fleet.purge_and_wait_for_effect(1);
     fleet.set_overrides(&[("c1", "gone"), ("p1", "draining")]);
     fleet.wait_until_replicated(0..2);
@@ -385,7 +392,7 @@
     fleet.fill_next_objects(0..MEMBER_COUNT, 40);
     let number = fleet.publish_purges(40);
     for member in 0..MEMBER_COUNT {
-        // Each, while the purges bind.
+        // Every purge, checked while it is in effect.
         (number - 39..=number).for_each(|number| fleet.wait_for_purge_effect(member, number));
     }
     fleet.wait_until_replicated(0..2);
@@ -397,14 +404,14 @@
     assert!(fleet.hosts.iter().all(|host| host.attempt_count() > 0));
 }
 
-/// Clocks a minute apart: the board's is behind, or ahead.
+/// The clock by which discovery dates purges is a minute behind or ahead of the dispatchers' clocks.
 #[test_case(-60_000; "behind")]
 #[test_case(60_000; "ahead")]
-fn purges_take_effect_when_the_clock_of_discovery_is_off_by_a_minute(wrong_ms: i64) {
+fn purges_take_effect_when_the_clock_of_discovery_is_off_by_a_minute(clock_error_ms: i64) {
     let mut fleet = TestFleet::start();
     for _ in 0..3 {
         fleet.fill_next_objects(0..MEMBER_COUNT, 10);
-        let last = fleet.publish_purges_dated_by(10, || now_unix_ms().saturating_add_signed(wrong_ms));
+        let last = fleet.publish_purges_dated_by(10, || now_unix_ms().saturating_add_signed(clock_error_ms));
         for member in 0..MEMBER_COUNT {
             [last - 9, last].into_iter().for_each(|number| fleet.wait_for_purge_effect(member, number));
         }
