--- a/crates/rockflow-management/src/access.rs
+++ b/crates/rockflow-management/src/access.rs
@@ -1,22 +1,22 @@
-//! Access rules (RFC 8341, section 3.4): who may read, change and call what. The first rule that fits decides,
-//! then the defaults. No rule restricts the owner, so that nobody can lock everybody out.
+//! Access rules (RFC 8341, section 3.4): which user may read, change or call what. The first matching rule decides;
+//! where none matches, the defaults do. No rule restricts the owner, so that nobody can lock everybody out.
 
 use crate::error::AccessRuleError;
 use rockflow_yang::{data, DataNode, DataTree, Path, PathStep, Pattern, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is done to a node.
+/// An operation that access rules permit or deny, on a node of the configuration or as a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Operation {
-    /// It is created.
+    /// Creates the node.
     Create,
-    /// It is read.
+    /// Reads the node.
     Read,
-    /// Its value changes.
+    /// Changes the node's value.
     Update,
-    /// It is deleted.
+    /// Deletes the node.
     Delete,
-    /// It is called.
+    /// Makes a call, such as `drain`.
     Exec,
 }
 
@@ -78,7 +78,7 @@
 struct Rule {
     groups: BTreeSet<String>,
     target: Target,
-    /// Empty: all.
+    /// The operations that the rule applies to; empty: all.
     operations: BTreeSet<Operation>,
     action: Action,
 }
@@ -105,7 +105,7 @@
     }
 }
 
-/// What holds where no rule fits.
+/// The actions taken where no rule matches.
 #[derive(Clone, Copy, Debug)]
 struct Defaults {
     read: Action,
@@ -120,7 +120,7 @@
     groups: BTreeMap<String, BTreeSet<String>>,
     rules: Vec<Rule>,
     defaults: Defaults,
-    /// The groups and rules themselves, which no default permits.
+    /// The subtree of groups and rules, to which the defaults grant no access.
     protected: Option<Pattern>,
 }
 
@@ -150,10 +150,10 @@
 ];
 
 impl Access {
-    /// Compiles the rules of a configuration. No rule restricts the owner.
+    /// Compiles the rules of a configuration. No rule restricts the owner; with `None`, every user is subject to them.
     ///
     /// # Errors
-    /// The first rule that can't be read.
+    /// The error of the first rule that can't be compiled.
     pub fn compile(
         schema: &Schema,
         configuration: &DataTree,
@@ -185,7 +185,7 @@
         })
     }
 
-    /// Whether the user may do that to the node.
+    /// Whether the user may perform the operation on the node at `path`.
     pub fn is_permitted(&self, user: &str, operation: Operation, path: &Path) -> bool {
         if self.is_owner(user) {
             return true;
@@ -215,7 +215,7 @@
         }
     }
 
-    /// The part of a tree that the user may read.
+    /// A copy of the tree with only the leaves that the user may read.
     pub fn readable(&self, schema: &Schema, user: &str, fields: &DataTree) -> DataTree {
         if self.is_owner(user) {
             return fields.clone();
@@ -229,6 +229,7 @@
     }
 
     fn applies(&self, rule: &Rule, user: &str, operation: Operation) -> bool {
+    /// Whether the rule covers the user and the operation; its target is checked separately.
         let has_user = |group: &String| {
             group == "all" || self.groups.get(group).is_some_and(|users| users.contains(user))
         };
@@ -237,7 +238,7 @@
     }
 }
 
-/// The entries of the list at that place of the model.
+/// The entries of the list that the model has under these nested names; empty where the tree has no such list.
 fn entries<'a>(schema: &Schema, fields: &'a DataTree, names: &[&str]) -> Vec<&'a DataTree> {
     let step = |length: usize| {
         let node = schema.find(&names[..length])?;
--- a/crates/rockflow-management/src/candidate.rs
+++ b/crates/rockflow-management/src/candidate.rs
@@ -1,4 +1,4 @@
-//! A session's candidate, and how it is laid over what other sessions have committed meanwhile.
+//! A session's candidate, and how it is rebased onto what other sessions have committed since it was begun.
 
 use crate::error::{ErrorTag, ManagementError};
 use crate::history::History;
@@ -7,11 +7,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An edited copy of running.
+/// A session's edited copy of running.
 pub(crate) struct Candidate {
+    /// The edited configuration.
     pub(crate) fields: DataTree,
     /// Running as it was when the first edit was made.
     base: Arc<DataTree>,
+    /// The number of the commit that made `base`.
     base_version: u64,
 }
 
@@ -20,8 +22,8 @@
         Candidate { fields: DataTree::new(), base, base_version }
     }
 
-    /// The candidate's changes on top of running as it is now; an error of the application tag `conflict` where
-    /// a commit since the first edit changed the same.
+    /// Applies the candidate's changes to `running`, the configuration in force. Fails with the application tag
+    /// `conflict` where a commit since the first edit changed the same nodes differently.
     pub(crate) fn rebase(
         &self,
         schema: &Schema,
@@ -56,8 +58,8 @@
     }
 }
 
-/// A path that both sides changed to different ends: the same leaf, or a list entry that one side deleted and in
-/// which the other set a value.
+/// A path where the two sets of changes conflict: both set the same leaf to different values, or one deletes a list
+/// entry in which the other sets a value.
 fn find_conflict<'a>(schema: &Schema, ours: &'a [Change], theirs: &'a [Change]) -> Option<&'a Path> {
     let theirs_by_path: BTreeMap<&Path, &Change> =
         theirs.iter().map(|change| (&change.path, change)).collect();
@@ -71,7 +73,7 @@
         .or_else(|| first_set_inside(theirs, &deleted_entries(schema, ours)))
 }
 
-/// The list entries that the changes delete: those whose key goes.
+/// The paths of the list entries that the changes delete: an entry is deleted when a key leaf of it is.
 fn deleted_entries<'a>(schema: &Schema, changes: &'a [Change]) -> Vec<&'a [PathStep]> {
     let deletes_key = |change: &&Change| {
         change.after.is_none() && change.path.node().is_some_and(|node| schema.is_key(node))
--- a/crates/rockflow-management/src/confirmed_commit.rs
+++ b/crates/rockflow-management/src/confirmed_commit.rs
@@ -6,19 +6,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time to confirm a commit in, where the request names none (RFC 6241, section 8.4.5.1).
+/// The time within which a commit has to be confirmed, where the request gives none (RFC 6241, section 8.4.5.1).
 pub const DEFAULT_CONFIRM_TIMEOUT: Duration = Duration::from_secs(600);
-/// The longest time that a request may name; a longer one is cut to it.
+/// The longest confirmation timeout; a request with a longer one gets this.
 pub(crate) const MAX_CONFIRM_TIMEOUT: Duration = Duration::from_secs(86_400);
-/// Bytes of a persist id.
+/// The longest persist id that is accepted, in bytes.
 const MAX_PERSIST_ID_BYTES: usize = 256;
 
-/// How a commit is made.
+/// The parameters of a commit request that concern its confirmation.
 #[derive(Clone, Debug, Default)]
 pub struct CommitOptions {
-    /// Reverted after this time unless confirmed; none: permanent at once.
+    /// The time after which the commit is reverted unless it is confirmed; `None`: the commit is permanent at once.
     pub confirm_timeout: Option<Duration>,
-    /// The id by which any session may confirm it; it then outlives its own session.
+    /// The id with which any session may confirm the commit. With it, the commit stays pending when the session that
+    /// made it ends.
     pub persist: Option<String>,
     /// The id of the pending commit that this one confirms or extends.
     pub persist_id: Option<String>,
@@ -33,27 +34,31 @@
     }
 }
 
-/// A confirmed commit that waits for its confirmation, as status reports show it.
+/// The pending confirmed commit, as status reports show it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingCommitInfo<'a> {
-    /// Who made it.
+    /// The operator who made the commit.
     pub author: &'a Operator,
-    /// The only session that may confirm it; none: any that knows its persist id.
+    /// The only session that may confirm the commit; `None`: any session that gives its persist id.
     pub session: Option<SessionId>,
-    /// When it is reverted, as Unix time.
+    /// When the commit is reverted unless it is confirmed, as Unix time.
     pub deadline: Duration,
 }
 
-/// A confirmed commit that waits for its confirmation.
+/// A confirmed commit that has not been confirmed yet.
 pub(crate) struct PendingCommit {
+    /// The only session that may confirm the commit; `None` where it has a persist id.
     pub(crate) session: Option<SessionId>,
+    /// The id with which any session may confirm the commit.
     pub(crate) persist: Option<String>,
     pub(crate) author: Operator,
+    /// The number of the commit.
     pub(crate) version: u64,
-    /// The configuration that returns unless it is confirmed.
+    /// The configuration that is restored unless the commit is confirmed.
     pub(crate) before: Arc<DataTree>,
-    /// The commit that made that configuration.
+    /// The number of the commit that made `before`.
     pub(crate) before_version: u64,
+    /// When the commit is reverted unless it is confirmed, as Unix time.
     pub(crate) deadline: Duration,
 }
 
@@ -62,12 +67,12 @@
         PendingCommitInfo { author: &self.author, session: self.session, deadline: self.deadline }
     }
 
-    /// The session that blocks others until it is confirmed.
+    /// The session that errors name as blocking others; [`SessionId::NONE`] where any session may confirm the commit.
     pub(crate) fn holder(&self) -> SessionId {
         self.session.unwrap_or(SessionId::NONE)
     }
 
-    /// Whether the session may confirm, extend or cancel it with the persist id that it gives.
+    /// Whether the session may confirm, extend or cancel the commit with the persist id that it gives.
     pub(crate) fn is_controlled_by(&self, session: SessionId, persist_id: Option<&str>) -> bool {
         match &self.persist {
             Some(persist) => persist_id == Some(persist.as_str()),
@@ -75,7 +80,7 @@
         }
     }
 
-    /// The error of a request that can't go on until it is confirmed.
+    /// The error for a request that is refused while the commit is pending.
     pub(crate) fn blocking_error(&self, tag: ErrorTag) -> ManagementError {
         let message = format!("commit {} of {} waits for its confirmation", self.version, self.author.user);
         ManagementError::new(tag, message).with_holder(self.holder())
--- a/crates/rockflow-management/src/datastore.rs
+++ b/crates/rockflow-management/src/datastore.rs
@@ -1,20 +1,20 @@
-//! The datastores (RFC 8342), and how edits of one are made.
+//! The datastores (RFC 8342), and the options of an edit.
 
 use rockflow_yang::DataTree;
 
 /// A configuration datastore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Datastore {
-    /// The configuration in force, which commits alone change.
+    /// The configuration in force, which only commits change.
     Running,
-    /// The session's own working copy.
+    /// The session's private working copy of running.
     Candidate,
-    /// The configuration of the next start, where it is separate from running.
+    /// The configuration that the next start begins with; equal to running under [`StartupMode::FollowsRunning`].
     Startup,
 }
 
 impl Datastore {
-    /// The name in protocols and messages.
+    /// The datastore's name in protocols and messages.
     pub fn name(self) -> &'static str {
         match self {
             Datastore::Running => "running",
@@ -24,41 +24,41 @@
     }
 }
 
-/// A whole configuration, by the datastore that holds it or as it was sent.
+/// Where a request takes a whole configuration from.
 #[derive(Clone, Debug)]
 pub enum ConfigSource {
-    /// What the datastore holds.
+    /// The contents of a datastore.
     Datastore(Datastore),
-    /// The tree that came with the request.
+    /// A configuration sent with the request.
     Inline(DataTree),
 }
 
-/// What the startup datastore is.
+/// Whether the startup datastore is separate from running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupMode {
-    /// A restart begins with the last commit; startup always equals running.
+    /// A restart begins with the last permanent commit; startup always equals running.
     FollowsRunning,
-    /// A restart begins with a startup configuration of its own.
+    /// A restart begins with the startup configuration, which is stored and edited separately.
     Separate,
 }
 
-/// What follows on an edit that fails (RFC 6241, section 7.2).
+/// What happens to the other edits of a request when one fails (RFC 6241, section 7.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ErrorOption {
-    /// The edits before it stay, those after it are not made.
+    /// The edits before the failed one are kept; those after it are not applied.
     #[default]
     Stop,
-    /// All other edits are made.
+    /// All other edits are applied.
     Continue,
-    /// None of the edits stays.
+    /// None of the edits is kept.
     Rollback,
 }
 
-/// Whether edits are made or only tried.
+/// Whether edits are applied or only tested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EditMode {
-    /// The datastore changes.
+    /// The edits change the datastore.
     Apply,
-    /// Errors are reported, and the datastore stays as it is.
+    /// Errors are reported, and the datastore does not change.
     TestOnly,
 }
--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -1,12 +1,12 @@
-//! Errors of the management side. A request is refused by a [`ManagementError`] in the terms of RFC 6241,
-//! appendix A, which servers of other protocols translate.
+//! Errors of the management side. A [`ManagementError`] describes a refused request in the terms of RFC 6241,
+//! appendix A; servers of other protocols translate it.
 
 use crate::session::SessionId;
 use rockflow_yang::{EditError, EditErrorKind, JsonError, Path, PathError};
 use std::fmt;
 use thiserror::Error;
 
-/// The kind of an error (RFC 6241, appendix A).
+/// The `error-tag` of an error (RFC 6241, appendix A).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorTag {
     /// Another session holds what the request needs.
@@ -35,7 +35,7 @@
     LockDenied,
     /// A limit of this server is reached.
     ResourceDenied,
-    /// A change could not be taken back.
+    /// A change could not be rolled back.
     RollbackFailed,
     /// Data to be created exists already.
     DataExists,
@@ -43,14 +43,14 @@
     DataMissing,
     /// The operation is not supported here.
     OperationNotSupported,
-    /// None of the other kinds fits.
+    /// The request failed for a reason that no other tag describes.
     OperationFailed,
-    /// A message could not be read.
+    /// A message could not be parsed.
     MalformedMessage,
 }
 
 impl ErrorTag {
-    /// The name in protocols and messages.
+    /// The tag's name in protocols and messages.
     pub fn name(self) -> &'static str {
         match self {
             ErrorTag::InUse => "in-use",
@@ -80,46 +80,47 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{}: {message}", .tag.name())]
 pub struct ManagementError {
-    /// The kind.
+    /// The kind of the error.
     pub tag: ErrorTag,
-    /// What went wrong, for a person.
+    /// A description of the error for operators.
     pub message: String,
-    /// The node that it is about.
+    /// The node that the error concerns, if any.
     pub path: Option<Path>,
-    /// A finer kind than the tag, such as `conflict`, `none-left` or `no-matches`.
+    /// The `error-app-tag`, which is more specific than the tag: `conflict`, `none-left` or `no-matches`, for example.
     pub app_tag: Option<&'static str>,
-    /// The session that is in the way; [`SessionId::NONE`] where that is no session of this server.
+    /// The session whose lock or pending commit blocks the request; [`SessionId::NONE`] where the holder is no session
+    /// of this server.
     pub holder: Option<SessionId>,
-    /// The name of the element or attribute that is wrong.
+    /// The name of the element or attribute that is missing, wrong or not expected.
     pub element: Option<String>,
 }
 
 impl ManagementError {
-    /// An error of that kind.
+    /// Creates an error with only a tag and a message.
     pub fn new(tag: ErrorTag, message: impl Into<String>) -> ManagementError {
         let message = message.into();
         ManagementError { tag, message, path: None, app_tag: None, holder: None, element: None }
     }
 
-    /// Names the node.
+    /// Adds the node that the error concerns.
     pub fn with_path(mut self, path: &Path) -> ManagementError {
         self.path = Some(path.clone());
         self
     }
 
-    /// Names the finer kind.
+    /// Adds the `error-app-tag`.
     pub fn with_app_tag(mut self, tag: &'static str) -> ManagementError {
         self.app_tag = Some(tag);
         self
     }
 
-    /// Names the session that is in the way.
+    /// Adds the session that blocks the request.
     pub fn with_holder(mut self, session: SessionId) -> ManagementError {
         self.holder = Some(session);
         self
     }
 
-    /// Names the element or attribute.
+    /// Adds the name of the element or attribute at fault.
     pub fn with_element(mut self, name: impl Into<String>) -> ManagementError {
         self.element = Some(name.into());
         self
@@ -140,7 +141,7 @@
 /// Why the access rules of a configuration can't be compiled.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum AccessRuleError {
-    /// The path of a rule can't be read.
+    /// The path of a rule can't be parsed.
     #[error("rule {rule}: {source}")]
     Path {
         /// The rule's number.
@@ -159,7 +160,7 @@
 /// Why a stored snapshot can't be read back.
 #[derive(Debug, Error)]
 pub enum RestoreError {
-    /// It is not JSON.
+    /// The payload is not valid JSON.
     #[error(transparent)]
     Syntax(#[from] serde_json::Error),
     /// A number is missing.
@@ -168,20 +169,20 @@
         /// The member of the JSON object.
         key: &'static str,
     },
-    /// A configuration can't be read by the model.
+    /// A configuration does not fit the model's schema.
     #[error("{key}: {source}")]
     Configuration {
         /// The member of the JSON object.
         key: &'static str,
-        /// What can't be read.
+        /// Why the configuration can't be read.
         source: JsonError,
     },
-    /// A configuration does not meet the model's constraints.
+    /// A configuration violates a constraint of the model.
     #[error("{key}: {source}")]
     Constraint {
         /// The member of the JSON object.
         key: &'static str,
-        /// What is not met.
+        /// The constraint that is violated.
         source: EditError,
     },
     /// The access rules can't be compiled.
@@ -189,19 +190,20 @@
     AccessRules(#[from] AccessRuleError),
 }
 
-/// What was left out or changed as a stored snapshot was read back.
+/// A difference between a stored snapshot and what was restored from it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RestoreWarning {
-    /// The history up to a commit that the model no longer knows was left out.
+    /// A commit of the history could not be read, for example because the model has changed. It and all earlier
+    /// commits were dropped.
     HistoryLeftOut {
-        /// The number of that commit, as JSON.
+        /// The number of the commit that could not be read, as JSON text.
         version: String,
     },
-    /// A confirmed commit was pending at the end of the process, and is reverted.
+    /// A confirmed commit was pending when the snapshot was written, and is reverted.
     UnconfirmedCommit {
         /// The number of the commit.
         version: u64,
-        /// Who made it.
+        /// The user who made the commit.
         author: String,
     },
 }
--- a/crates/rockflow-management/src/history.rs
+++ b/crates/rockflow-management/src/history.rs
@@ -1,32 +1,32 @@
-//! Past commits, the reconstruction of earlier configurations, and who set each value last.
+//! Past commits, the reconstruction of earlier configurations, and the last author of each value.
 
 use crate::session::Operator;
 use rockflow_yang::{data, Change, DataTree, Path, Schema};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Changes that the commits of the history may hold together; the oldest commits go first.
+/// The most changes that the retained commits may hold in total; above it the oldest commits are dropped.
 const MAX_HISTORY_CHANGES: usize = 100_000;
 
-/// One change of running.
+/// A commit: one change of the running configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Commit {
-    /// Its number; numbers only grow, and are not used twice.
+    /// The commit's number. Numbers only increase, and none is used twice.
     pub version: u64,
-    /// Who made it.
+    /// The operator who made the commit.
     pub operator: Operator,
-    /// When, as Unix time.
+    /// When the commit was made, as Unix time.
     pub time: Duration,
-    /// The operator's remark, or the dispatcher's, of a commit of its own.
+    /// A remark of the operator, or of the dispatcher on a commit that it made itself; may be empty.
     pub comment: String,
-    /// Each leaf that changed.
+    /// The leaves that changed, with their values before and after.
     pub changes: Vec<Change>,
 }
 
-/// Who set a value last, and when.
+/// The commit that last set a value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Origin {
-    /// The user.
+    /// The user who made the commit.
     pub author: String,
     /// The commit's number.
     pub version: u64,
@@ -34,8 +34,9 @@
     pub time: Duration,
 }
 
-/// The commits that are retained, oldest first, and the origin of each value in running.
+/// The retained commits and the origin of each value in running.
 pub(crate) struct History {
+    /// The retained commits, oldest first.
     commits: VecDeque<Commit>,
     origins: BTreeMap<Path, Origin>,
 }
@@ -53,7 +54,7 @@
         &self.origins
     }
 
-    /// The user of the newest commit.
+    /// The user who made the newest retained commit.
     pub(crate) fn last_author(&self) -> Option<&str> {
         self.commits.back().map(|commit| commit.operator.user.as_str())
     }
@@ -62,7 +63,7 @@
         self.commits.front().map(|commit| commit.version)
     }
 
-    /// The origin that is newest of all at or below the path.
+    /// The newest origin of the values at or below the path.
     pub(crate) fn last_origin(&self, path: &Path) -> Option<&Origin> {
         let below = self.origins.range(path.clone()..).take_while(|(at, _)| path.contains(at));
         below.map(|(_, origin)| origin).max_by_key(|origin| origin.version)
@@ -72,12 +73,13 @@
         self.commits.push_back(commit);
     }
 
-    /// Takes back the newest commit.
+    /// Removes the newest commit, which could not be stored.
     pub(crate) fn pop(&mut self) {
         self.commits.pop_back();
     }
 
-    /// Records the commit as the origin of the values that it set. Returns the origins before it.
+    /// Records the commit as the origin of the values that it set, and drops the origins of those that it deleted.
+    /// Returns all origins as they were before, for [`History::restore_origins`].
     pub(crate) fn record_origins(&mut self, commit: &Commit) -> BTreeMap<Path, Origin> {
         let before = self.origins.clone();
         for change in &commit.changes {
@@ -96,7 +98,8 @@
         self.origins = origins;
     }
 
-    /// Drops the oldest commits past the limit.
+    /// Drops the oldest commits while there are more than `max_commits`, or while they hold more than
+    /// [`MAX_HISTORY_CHANGES`] changes in total. The second limit never drops the newest commit.
     pub(crate) fn trim(&mut self, max_commits: usize) {
         let mut changes: usize = self.commits.iter().map(|commit| commit.changes.len()).sum();
         while self.commits.len() > max_commits || (changes > MAX_HISTORY_CHANGES && self.commits.len() > 1) {
@@ -104,7 +107,7 @@
         }
     }
 
-    /// The configuration as it was when that commit was in force; none where the history does not reach back.
+    /// Reconstructs the configuration as of commit `version`; `None` where the history does not reach back that far.
     pub(crate) fn configuration_at(
         &self,
         schema: &Schema,
@@ -126,7 +129,7 @@
     }
 }
 
-/// The changes that take these back.
+/// The changes that undo the given ones.
 fn inverse(changes: &[Change]) -> Vec<Change> {
     let inverted = changes.iter().map(|change| Change {
         path: change.path.clone(),
--- a/crates/rockflow-management/src/lib.rs
+++ b/crates/rockflow-management/src/lib.rs
@@ -1,8 +1,8 @@
 //! The management side of a dispatcher, without I/O: datastores, sessions, locks, commits, access rules and
 //! subscriptions.
 //!
-//! Time comes with each call as Unix time, counted on from the start of the dispatcher's clock. What has to last
-//! goes through the narrow trait [`SnapshotStorage`].
+//! The caller passes the time to each call, as Unix time that advances with the dispatcher's monotonic clock. State
+//! that has to survive a restart is written through the trait [`SnapshotStorage`].
 //!
 //! [`Management`] holds the datastores and sessions; [`Access`] is the compiled form of a configuration's access
 //! rules; [`Subscription`] decides what a subscriber is sent and when.
--- a/crates/rockflow-management/src/lock.rs
+++ b/crates/rockflow-management/src/lock.rs
@@ -1,4 +1,4 @@
-//! Locks: of a whole datastore (RFC 6241, section 7.5) and of parts of running (RFC 5717).
+//! Locks of whole datastores (RFC 6241, section 7.5) and partial locks of running (RFC 5717).
 
 use crate::datastore::Datastore;
 use crate::error::{ErrorTag, ManagementError};
@@ -7,26 +7,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Partial locks that all sessions may hold together.
+/// The most partial locks that all sessions together may hold.
 const MAX_PARTIAL_LOCKS: usize = 256;
 
 /// A lock of a whole datastore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LockInfo {
-    /// What is locked.
+    /// The datastore that is locked.
     pub datastore: Datastore,
-    /// Who holds the lock.
+    /// The session that holds the lock.
     pub session: SessionId,
-    /// When it was taken, as Unix time.
+    /// When the lock was acquired, as Unix time.
     pub since: Duration,
 }
 
 /// A partial lock as it was granted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartialLockGrant {
-    /// The number by which it is released.
+    /// The lock's number, which a request to release it gives.
     pub id: u32,
-    /// The nodes that it locks, with all below them.
+    /// The locked nodes; all nodes below them are locked too.
     pub nodes: Vec<Path>,
 }
 
@@ -51,17 +51,17 @@
         self.whole.values().copied()
     }
 
-    /// Who holds the lock of a whole datastore.
+    /// The session that holds the lock of the whole datastore.
     pub(crate) fn holder(&self, datastore: Datastore) -> Option<SessionId> {
         self.whole.get(&datastore).map(|lock| lock.session)
     }
 
-    /// Who holds the lock of a whole datastore, if that is not the session itself.
+    /// The session that holds the lock of the whole datastore, unless that is `session` itself.
     pub(crate) fn other_holder(&self, datastore: Datastore, session: SessionId) -> Option<SessionId> {
         self.holder(datastore).filter(|holder| *holder != session)
     }
 
-    /// Another session that holds any partial lock.
+    /// A session other than `session` that holds a partial lock, if there is one.
     pub(crate) fn other_partial_holder(&self, session: SessionId) -> Option<SessionId> {
         self.partial.values().map(|lock| lock.session).find(|holder| *holder != session)
     }
@@ -70,7 +70,7 @@
         self.whole.insert(datastore, LockInfo { datastore, session, since: now });
     }
 
-    /// Releases the lock of a whole datastore; an error where the session does not hold it.
+    /// Releases the lock of a whole datastore. Fails where the session does not hold it.
     pub(crate) fn release(
         &mut self,
         session: SessionId,
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Locks nodes of running, unless another session's partial lock overlaps them.
+    /// Locks nodes of running. Fails where another session's partial lock overlaps them, or where
+    /// [`MAX_PARTIAL_LOCKS`] are held already.
     pub(crate) fn insert_partial(
         &mut self,
         session: SessionId,
@@ -112,7 +113,7 @@
         Ok(PartialLockGrant { id, nodes })
     }
 
-    /// Releases a partial lock; an error where the session holds none of that number.
+    /// Releases a partial lock. Fails where the session holds none with that number.
     pub(crate) fn release_partial(&mut self, session: SessionId, id: u32) -> Result<(), ManagementError> {
         if self.partial.get(&id).is_none_or(|lock| lock.session != session) {
             let message = format!("no partial lock {id} of this session");
@@ -122,13 +123,13 @@
         Ok(())
     }
 
-    /// Releases all that a session holds.
+    /// Releases all locks that a session holds.
     pub(crate) fn release_all(&mut self, session: SessionId) {
         self.whole.retain(|_, lock| lock.session != session);
         self.partial.retain(|_, lock| lock.session != session);
     }
 
-    /// Whether the session may make these changes to running: an error where another's lock is in the way.
+    /// Fails where a lock of another session prevents the session from making these changes to running.
     pub(crate) fn check_changes(
         &self,
         schema: &Schema,
--- a/crates/rockflow-management/src/management.rs
+++ b/crates/rockflow-management/src/management.rs
@@ -1,9 +1,9 @@
 //! The datastores of one dispatcher with their sessions, locks and commits.
 //!
-//! There is one running configuration, which commits alone change. Each session has a candidate of its own, so
-//! that operators who edit at once never see each other's unfinished work; at its commit the later candidate is
-//! rebased on what running has become, and refused where both changed the same. A commit is durable before it
-//! comes into force, and in force before it is acknowledged.
+//! There is one running configuration, which only commits change. Each session has a private candidate, so that
+//! operators who edit at the same time never see each other's unfinished work. A commit rebases the candidate onto
+//! the running configuration, and is refused where another commit has changed the same nodes differently. A commit is
+//! durable before it takes effect, and in effect before it is acknowledged.
 
 mod commits;
 mod editing;
@@ -27,32 +27,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the datastores are set up with.
+/// The options that [`Management::restore`] sets the datastores up with.
 #[derive(Clone, Debug)]
 pub struct ManagementOptions {
     /// The model of all configurations.
     pub schema: Arc<Schema>,
-    /// The user whom no access rule restricts.
+    /// The user whom no access rule restricts; `None`: the rules apply to every user.
     pub owner: Option<String>,
-    /// What a restart begins with.
+    /// Whether a restart begins with the last permanent commit or with a separate startup configuration.
     pub startup: StartupMode,
 }
 
-/// The datastores as they come back at a start.
+/// The result of [`Management::restore`].
 pub struct Restored<S> {
-    /// The datastores.
+    /// The restored datastores.
     pub management: Management<S>,
-    /// What of the stored snapshot was left out or changed.
+    /// The differences between the stored snapshot and what was restored from it.
     pub warnings: Vec<RestoreWarning>,
 }
 
-/// The datastores, sessions, locks and commits of a dispatcher; `S` stores what must last.
+/// The datastores, sessions, locks and commits of a dispatcher. `S` stores what has to survive a restart.
 pub struct Management<S> {
     schema: Arc<Schema>,
     storage: S,
     running: Arc<DataTree>,
     startup: DataTree,
-    /// The commit in force.
+    /// The number of the commit in force.
     version: u64,
     /// The greatest number given to a commit, in force or not.
     last_used_version: u64,
@@ -69,10 +69,10 @@
 impl<S: SnapshotStorage> Management<S> {
     /// Sets the datastores up from the payload that was last stored, if any. `now` is Unix time, as in all calls.
     ///
-    /// A confirmed commit that was pending is reverted by a commit of the dispatcher's own.
+    /// A confirmed commit that was pending is reverted by a commit that the dispatcher itself makes.
     ///
     /// # Errors
-    /// Where the payload or its access rules can't be read: starting empty would silently drop overrides that
+    /// Fails where the payload or its access rules can't be read: starting empty would silently drop overrides that
     /// were acknowledged.
     pub fn restore(
         now: Duration,
@@ -114,12 +114,12 @@
         &self.schema
     }
 
-    /// Where snapshots are stored.
+    /// The storage of the snapshots.
     pub fn storage(&self) -> &S {
         &self.storage
     }
 
-    /// Where snapshots are stored, to be changed by tests.
+    /// The storage of the snapshots, mutable so that tests can make it fail.
     pub fn storage_mut(&mut self) -> &mut S {
         &mut self.storage
     }
@@ -144,12 +144,12 @@
         administrative_overrides(&self.schema, &self.running)
     }
 
-    /// Whether startup is a datastore of its own.
+    /// Whether the startup datastore is separate from running.
     pub fn has_separate_startup(&self) -> bool {
         self.startup_mode == StartupMode::Separate
     }
 
-    /// The configuration that a session sees under that name.
+    /// The contents of a datastore as the session sees them. A candidate without edits equals running.
     pub fn datastore(&self, session: SessionId, datastore: Datastore) -> &DataTree {
         match datastore {
             Datastore::Running => &self.running,
@@ -163,27 +163,27 @@
         }
     }
 
-    /// What has happened since the last call, oldest first.
+    /// Takes the notifications since the last call, oldest first.
     pub fn take_notifications(&mut self) -> Vec<Notification> {
         self.notifications.take()
     }
 
-    /// The commits that are retained, oldest first.
+    /// The retained commits, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Commit> {
         self.history.commits()
     }
 
-    /// The newest origin of all values at or below the path.
+    /// The newest origin of the values at or below the path.
     pub fn last_origin(&self, path: &Path) -> Option<&Origin> {
         self.history.last_origin(path)
     }
 
-    /// The confirmed commit that waits for its confirmation.
+    /// The confirmed commit that has not been confirmed yet, if there is one.
     pub fn pending_commit(&self) -> Option<PendingCommitInfo<'_>> {
         self.pending.as_ref().map(PendingCommit::info)
     }
 
-    /// A number of the `management` container, or the model's default.
+    /// The value of a numeric leaf of the `management` container, or else the model's default.
     fn setting(&self, name: &str) -> u64 {
         let names = ["router", "management", name];
         let configured = data::leaf_by_names(&self.schema, &self.running, &names).and_then(Scalar::as_u64);
@@ -192,8 +192,8 @@
     }
 }
 
-/// Drops the pending commit of a stored record, whose running is the configuration before it, and records that in
-/// the history.
+/// Drops the pending commit of a stored record and adds a commit to the history that says so. The record's `running`
+/// is the configuration before the pending commit already, so nothing else has to change.
 fn revert_pending(now: Duration, record: &mut Record) -> Option<RestoreWarning> {
     let pending = record.pending.take()?;
     let warning = RestoreWarning::UnconfirmedCommit { version: pending.version, author: pending.author };
@@ -209,8 +209,8 @@
     Some(warning)
 }
 
-/// Takes the startup configuration as running. The history describes commits of running, so it ends where the
-/// two differ.
+/// Replaces running with the startup configuration. Where the two differ, the history and origins no longer describe
+/// running and are cleared.
 fn restart_from_startup(record: &mut Record) {
     if record.startup == record.running {
         return;
--- a/crates/rockflow-management/src/management/commits.rs
+++ b/crates/rockflow-management/src/management/commits.rs
@@ -12,15 +12,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Characters of a commit's comment; the rest is cut.
+/// The longest comment of a commit, in characters; a longer one is truncated.
 const MAX_COMMENT_CHARS: usize = 1024;
 
-/// What a session's user must be permitted for a change of running.
+/// Which permissions a session's user needs for a change of running.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Authorization {
-    /// Each node that changes.
+    /// The permission for each node that changes.
     EachNode,
-    /// The call alone, which was checked before.
+    /// Only the permission to make the call, which has been checked already.
     CallOnly,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl ProposedChange {
-    /// A change that needs no confirmation, and the permission for each node.
+    /// A change that takes effect without a confirmation and needs the permission for each node.
     fn new(session: SessionId, configuration: DataTree, comment: &str) -> ProposedChange {
         ProposedChange {
             session,
@@ -47,11 +47,12 @@
 }
 
 impl<S: SnapshotStorage> Management<S> {
-    /// Commits the session's candidate. A pending confirmed commit that the session controls is confirmed by it,
-    /// or extended where this one is to be confirmed too. Returns the number of the commit in force.
+    /// Commits the session's candidate. A pending confirmed commit that the session controls is thereby confirmed, or
+    /// extended where `options` ask for a confirmation again. Returns the number of the commit in force.
     ///
     /// # Errors
-    /// Where another session is in the way, a rule or the model denies the change, or it can't be stored.
+    /// Fails where another session's lock, pending commit or conflicting change prevents it, where an access rule or
+    /// the model does not allow the change, or where it can't be stored.
     pub fn commit(
         &mut self,
         now: Duration,
@@ -71,11 +72,11 @@
         Ok(version)
     }
 
-    /// Changes running in one transaction, past any candidate, for protocols without one. Returns the number of
-    /// the commit in force.
+    /// Applies edits to running directly in one commit, for protocols without a candidate. Returns the number of the
+    /// commit in force.
     ///
     /// # Errors
-    /// As [`Management::commit`], and where another commit than `expected_version` is in force.
+    /// Fails as [`Management::commit`] does, and where `expected_version` is given and is not the commit in force.
     pub fn set(
         &mut self,
         now: Duration,
@@ -95,11 +96,12 @@
         self.apply_change(now, ProposedChange::new(id, configuration, comment), context)
     }
 
-    /// Sets the administrative override of an endpoint to these leaves, or removes it where there are none, in a
-    /// commit of its own. The permission to make the call is enough. Returns the number of the commit in force.
+    /// Replaces the administrative override of an endpoint with the given leaves, or removes it where `leaves` is
+    /// empty, in one commit. The user needs only the permission to make `call`. Returns the number of the commit in
+    /// force.
     ///
     /// # Errors
-    /// As [`Management::commit`], and [`ErrorTag::DataMissing`] where there is no override to remove.
+    /// Fails as [`Management::commit`] does, and with [`ErrorTag::DataMissing`] where there is no override to remove.
     pub fn set_override(
         &mut self,
         now: Duration,
@@ -124,11 +126,11 @@
         self.apply_change(now, change, context)
     }
 
-    /// Goes back to the configuration of an earlier commit, in a new one. Returns the number of the commit in
-    /// force.
+    /// Restores the configuration of an earlier commit by a new commit. Returns the number of the commit in force.
     ///
     /// # Errors
-    /// As [`Management::set`], and [`ErrorTag::DataMissing`] where the history does not reach back so far.
+    /// Fails as [`Management::set`] does, and with [`ErrorTag::DataMissing`] where the history does not reach back to
+    /// `version`.
     pub fn rollback(
         &mut self,
         now: Duration,
@@ -149,10 +151,10 @@
         self.apply_change(now, change, context)
     }
 
-    /// Cancels the pending confirmed commit, which is reverted.
+    /// Cancels and reverts the pending confirmed commit.
     ///
     /// # Errors
-    /// Where none is pending, or the session does not control it.
+    /// Fails where none is pending, or where the session may not confirm it.
     pub fn cancel_commit(
         &mut self,
         now: Duration,
@@ -168,12 +170,12 @@
         Ok(())
     }
 
-    /// The configuration as it was when that commit was in force; none where the history does not reach back.
+    /// Reconstructs the configuration as of commit `version`; `None` where the history does not reach back that far.
     pub fn configuration_at(&self, version: u64) -> Option<DataTree> {
         self.history.configuration_at(&self.schema, &self.running, self.version, version)
     }
 
-    /// An error where a confirmed commit is pending: the request would confirm it unasked.
+    /// Fails where a confirmed commit is pending, since the request would confirm it implicitly.
     fn check_none_pending(&self) -> Result<(), ManagementError> {
         match &self.pending {
             None => Ok(()),
@@ -181,7 +183,8 @@
         }
     }
 
-    /// An error where the session may not commit because of a pending commit (RFC 6241, section 8.4).
+    /// Fails where the session may not commit or cancel because of a pending commit (RFC 6241, section 8.4): another
+    /// session's, or one with another persist id. Also fails where a persist id is given and none is pending.
     fn check_controls_pending(&self, id: SessionId, persist_id: Option<&str>) -> Result<(), ManagementError> {
         match (&self.pending, persist_id) {
             (None, None) => Ok(()),
@@ -194,7 +197,7 @@
         }
     }
 
-    /// An error where another commit than the expected one is in force.
+    /// Fails where `expected` is given and another commit is in force.
     fn check_version(&self, expected: Option<u64>) -> Result<(), ManagementError> {
         if expected.is_none_or(|expected| expected == self.version) {
             return Ok(());
@@ -228,7 +231,8 @@
         Ok(configuration)
     }
 
-    /// Checks a change of running and makes it. Returns the number of the commit in force.
+    /// Checks a proposed configuration against locks, permissions and the model, and commits it. A permanent commit
+    /// that changes nothing while none is pending gets no number. Returns the number of the commit in force.
     fn apply_change(
         &mut self,
         now: Duration,
--- a/crates/rockflow-management/src/management/editing.rs
+++ b/crates/rockflow-management/src/management/editing.rs
@@ -16,7 +16,8 @@
     /// Edits the session's candidate, or startup where that is separate.
     ///
     /// # Errors
-    /// With [`ErrorOption::Continue`] one for each edit that failed, while the others are made; else the first.
+    /// With [`ErrorOption::Continue`], an error for each edit that failed, while the others are applied; otherwise the
+    /// error of the first edit that failed.
     pub fn edit_config(
         &mut self,
         id: SessionId,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Drops the session's candidate; it equals running again.
+    /// Discards the session's edits: its candidate equals running again.
     ///
     /// # Errors
     /// [`ErrorTag::AccessDenied`] where an access rule denies the call.
@@ -64,8 +65,8 @@
     /// Copies one whole configuration over another (RFC 6241, section 7.3).
     ///
     /// # Errors
-    /// [`ErrorTag::OperationNotSupported`] where the target is running, or startup that is not separate; those of
-    /// an edit else.
+    /// [`ErrorTag::OperationNotSupported`] where the target is running, or startup that is not separate;
+    /// [`ErrorTag::InvalidValue`] where source and target are the same; otherwise as [`Management::edit_config`].
     pub fn copy_config(
         &mut self,
         id: SessionId,
@@ -85,7 +86,7 @@
         self.edit_whole(id, target, Edit { path: Path::default(), op: EditOperation::Replace, value })
     }
 
-    /// Empties startup.
+    /// Deletes the contents of startup.
     ///
     /// # Errors
     /// [`ErrorTag::OperationNotSupported`] where startup is not separate.
@@ -98,10 +99,10 @@
         )
     }
 
-    /// Checks a whole configuration as a commit would.
+    /// Checks a whole configuration against the model, the access rules' syntax and the limits, as a commit does.
     ///
     /// # Errors
-    /// What a commit of it would be refused for.
+    /// The error that a commit of the configuration would fail with; locks and node permissions are not checked.
     pub fn validate(
         &self,
         now: Duration,
@@ -129,7 +130,7 @@
         validation::validate(&self.schema, now, &self.running, proposed, owner, context)
     }
 
-    /// An error where another session has locked the candidate.
+    /// Fails where another session has locked the candidate.
     pub(super) fn check_candidate_lock(&self, id: SessionId) -> Result<(), ManagementError> {
         match self.locks.other_holder(Datastore::Candidate, id) {
             Some(holder) => Err(in_use(holder, "candidate is locked")),
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The session's candidate on top of running as it is now.
+    /// The session's candidate, rebased onto running.
     pub(super) fn rebased_candidate(&self, id: SessionId) -> Result<DataTree, ManagementError> {
         match &self.sessions.get(id)?.candidate {
             Some(candidate) => candidate.rebase(&self.schema, &self.running, self.version, &self.history),
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Whether the user may make each of the changes, by what is done to its node (RFC 8341, section 3.4.5).
+    /// Fails where the user may not make one of the changes: creating, updating and deleting a node need separate
+    /// permissions (RFC 8341, section 3.4.5).
     pub(super) fn authorize_changes(&self, user: &str, changes: &[Change]) -> Result<(), ManagementError> {
         for change in changes {
             let operation = match (&change.before, &change.after) {
@@ -202,11 +204,12 @@
         let edited = self.edit_config(id, target, &[edit], ErrorOption::Rollback, EditMode::Apply);
         edited.map_err(|errors| {
             let first = errors.into_iter().next();
+    /// Applies one edit to a whole datastore; used by copies and deletions.
             first.unwrap_or_else(|| ManagementError::new(ErrorTag::OperationFailed, "failed"))
         })
     }
 
-    /// Makes one edit, or leaves the fields as they are.
+    /// Applies one edit that the user is permitted to make. On an error `fields` does not change.
     fn apply_authorized(
         &self,
         user: &str,
--- a/crates/rockflow-management/src/management/installation.rs
+++ b/crates/rockflow-management/src/management/installation.rs
@@ -1,4 +1,5 @@
-//! Putting commits in force: stored first, then installed, and reverted where a confirmed commit is not confirmed.
+//! Putting commits into force: each is stored first, then installed. A confirmed commit is reverted unless it is
+//! confirmed in time.
 
 use super::Management;
 use crate::access::Access;
@@ -14,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a commit holds until another one, or is reverted unless it is confirmed.
+/// Whether a commit is permanent, or is reverted unless it is confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finality {
     Final,
@@ -22,7 +23,7 @@
 }
 
 impl<S: SnapshotStorage> Management<S> {
-    /// Installs a commit for good, which confirms the pending one.
+    /// Installs a permanent commit, which also confirms a pending one.
     pub(super) fn install_permanent(
         &mut self,
         commit: Commit,
@@ -73,7 +74,7 @@
         Ok(())
     }
 
-    /// Reverts the pending confirmed commit, by a commit of the dispatcher's own.
+    /// Reverts the pending confirmed commit, if any, by a commit that the dispatcher itself makes.
     pub(super) fn revert_unconfirmed(&mut self, now: Duration, event: ConfirmedCommitEvent) {
         let Some(pending) = self.pending.take() else { return };
         let author = pending.author;
@@ -85,7 +86,8 @@
             changes: data::diff(&self.running, &pending.before),
         };
         if self.install(commit.clone(), pending.before.clone(), Finality::Final).is_err() {
-            // The configuration before is durable already, so that a failing disk must not keep it back.
+            // While a commit is pending, the stored snapshot holds the configuration before it, so the revert takes
+            // effect even when the disk fails.
             self.running = pending.before;
             self.version = commit.version;
             self.last_used_version = commit.version;
@@ -97,15 +99,15 @@
         self.notifications.push(Notification::ConfirmedCommit { event, operator: author });
     }
 
-    /// Stores what a restart is to come back with: the configuration in force or, while a commit waits for its
-    /// confirmation, the one before it.
+    /// Stores the snapshot that a restart restores: the configuration in force or, while a commit is pending, the one
+    /// before it.
     pub(super) fn save(&mut self) -> Result<(), ManagementError> {
         let payload = self.record().write(&self.schema);
         let saved = self.storage.save(&payload);
         saved.map_err(|error| ManagementError::new(ErrorTag::OperationFailed, error.to_string()))
     }
 
-    /// Stores a commit, then puts it in force; where it can't be stored, all stays as it was.
+    /// Stores a commit, then puts it into force. Where it can't be stored, the state before it is restored.
     fn install(
         &mut self,
         commit: Commit,
@@ -115,7 +117,7 @@
         let running_before = std::mem::replace(&mut self.running, configuration);
         let version_before = self.version;
         let origins_before = self.history.record_origins(&commit);
-        // A confirmation alone changes nothing, and is no commit to go back to.
+        // A bare confirmation changes nothing, so it gets no entry in the history to roll back to.
         let is_change = !commit.changes.is_empty();
         if is_change {
             self.version = commit.version;
@@ -129,7 +131,8 @@
             self.running = running_before;
             self.version = version_before;
             self.history.restore_origins(origins_before);
-            // `last_used_version` stays: the commit may have reached the disk.
+            // `last_used_version` is not reset: the commit may have reached the disk, so its number must not be used
+            // again.
             debug_assert!(finality == Finality::AwaitsConfirmation || self.pending.is_none());
             return Err(error);
         }
@@ -146,7 +149,7 @@
         self.history.trim(max_commits);
     }
 
-    /// Compiles the access rules of running; validation has ruled out an error.
+    /// Compiles the access rules of running. Compilation can't fail, since validation has compiled them before.
     fn refresh_access(&mut self) {
         if let Ok(access) = Access::compile(&self.schema, &self.running, self.owner.clone()) {
             self.access = access;
--- a/crates/rockflow-management/src/management/locking.rs
+++ b/crates/rockflow-management/src/management/locking.rs
@@ -1,4 +1,4 @@
-//! Locking and unlocking on a session's behalf.
+//! Requests of sessions to lock and unlock datastores and parts of running.
 
 use super::Management;
 use crate::access::Operation;
@@ -11,15 +11,15 @@
 use rockflow_yang::{data, Path, Pattern};
 use std::time::Duration;
 
-/// Nodes that one expression of a partial lock may select.
+/// The most nodes that one expression of a partial lock may select.
 const MAX_LOCKED_NODES: usize = 10_000;
 
 impl<S: SnapshotStorage> Management<S> {
     /// Locks a whole datastore.
     ///
     /// # Errors
-    /// [`ErrorTag::LockDenied`] where any session has locked it, or running in part, or where another session's
-    /// confirmed commit is pending.
+    /// [`ErrorTag::LockDenied`] where any session, including this one, has locked the datastore. For running also where
+    /// another session holds a partial lock, or where a confirmed commit is pending that is not bound to this session.
     pub fn lock(
         &mut self,
         now: Duration,
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Releases the lock of a whole datastore; that of the candidate also discards its changes.
+    /// Releases the lock of a whole datastore. Unlocking the candidate also discards the session's changes.
     ///
     /// # Errors
     /// [`ErrorTag::OperationFailed`] where the session does not hold it.
@@ -55,10 +55,11 @@
         Ok(())
     }
 
-    /// Locks the nodes that the patterns select in running now (RFC 5717).
+    /// Locks the nodes of running that the patterns select at the time of the call (RFC 5717).
     ///
     /// # Errors
-    /// Where they select nothing or too much, the user may not change a node, or another session is in the way.
+    /// Fails where the patterns select no node or too many, where the user may not change a selected node, or where a
+    /// lock or pending commit of another session prevents it.
     pub fn partial_lock(
         &mut self,
         id: SessionId,
@@ -85,13 +86,13 @@
     /// Releases a partial lock.
     ///
     /// # Errors
-    /// [`ErrorTag::InvalidValue`] where the session holds none of that number.
+    /// [`ErrorTag::InvalidValue`] where the session holds no partial lock with that number.
     pub fn partial_unlock(&mut self, id: SessionId, lock: u32) -> Result<(), ManagementError> {
         self.authorize_call(id, "partial-unlock")?;
         self.locks.release_partial(id, lock)
     }
 
-    /// The locks of whole datastores.
+    /// The locks of whole datastores that are held.
     pub fn locks(&self) -> impl Iterator<Item = LockInfo> + '_ {
         self.locks.iter()
     }
@@ -112,5 +113,6 @@
 
     fn pending_of_others(&self, id: SessionId) -> Option<&PendingCommit> {
         self.pending.as_ref().filter(|pending| pending.session != Some(id))
+    /// The pending commit, unless `id` is the only session that may confirm it.
     }
 }
--- a/crates/rockflow-management/src/management/session_control.rs
+++ b/crates/rockflow-management/src/management/session_control.rs
@@ -1,4 +1,4 @@
-//! Opening and ending sessions, and what is due by the clock.
+//! Opening and ending sessions, and the timers of idle sessions and pending commits.
 
 use super::Management;
 use crate::error::{ErrorTag, ManagementError};
@@ -11,7 +11,7 @@
     /// Opens a session.
     ///
     /// # Errors
-    /// [`ErrorTag::ResourceDenied`] where `most-sessions` of the configuration are open.
+    /// [`ErrorTag::ResourceDenied`] where as many sessions are open as the setting `most-sessions` allows.
     pub fn open_session(&mut self, now: Duration, operator: Operator) -> Result<SessionId, ManagementError> {
         let max_sessions = self.setting("most-sessions") as usize;
         if self.sessions.len() >= max_sessions {
@@ -23,7 +23,8 @@
         Ok(session)
     }
 
-    /// Ends a session and releases all that it holds; a pending commit that it alone could confirm is reverted.
+    /// Ends a session and releases its locks and candidate. A pending commit that only this session could confirm is
+    /// reverted.
     pub fn close_session(&mut self, now: Duration, id: SessionId, reason: SessionEndReason) {
         let Some(session) = self.sessions.remove(id) else { return };
         self.locks.release_all(id);
@@ -34,10 +35,11 @@
         self.notifications.push(Notification::SessionEnded { session: id, operator, reason });
     }
 
-    /// Ends another session on a session's behalf.
+    /// Ends session `victim` at the request of session `id`.
     ///
     /// # Errors
-    /// [`ErrorTag::InvalidValue`] where that is the session itself, or none of that number is open.
+    /// [`ErrorTag::AccessDenied`] where an access rule denies the call; [`ErrorTag::InvalidValue`] where both are the
+    /// same session, or `victim` is not open.
     pub fn kill_session(
         &mut self,
         now: Duration,
@@ -57,12 +59,12 @@
         Ok(())
     }
 
-    /// Restarts a session's idle limit, as it has sent a request.
+    /// Records that a session has sent a request, which restarts its idle timeout.
     pub fn record_activity(&mut self, now: Duration, id: SessionId) {
         self.sessions.record_activity(now, id);
     }
 
-    /// Sets how many subscriptions a session has; while it has any, the idle limit does not end it.
+    /// Sets the number of a session's subscriptions. A session with subscriptions has no idle timeout.
     pub fn set_subscription_count(&mut self, id: SessionId, count: usize) {
         self.sessions.set_subscription_count(id, count);
     }
@@ -72,15 +74,15 @@
         self.sessions.contains(id)
     }
 
-    /// The open sessions, by number.
+    /// The open sessions, in the order of their numbers.
     pub fn sessions(&self) -> impl Iterator<Item = SessionInfo> + '_ {
         self.sessions.iter()
     }
 
-    /// Whether a session's user may make the call.
+    /// Checks that a session's user may make the call.
     ///
     /// # Errors
-    /// [`ErrorTag::AccessDenied`] where an access rule denies it.
+    /// [`ErrorTag::AccessDenied`] where the access rules don't permit it.
     pub fn authorize_call(&self, id: SessionId, call: &str) -> Result<(), ManagementError> {
         let user = &self.sessions.get(id)?.operator.user;
         if self.access.is_call_permitted(user, call) {
@@ -89,15 +91,16 @@
         Err(ManagementError::new(ErrorTag::AccessDenied, format!("{user} may not call {call}")))
     }
 
-    /// When [`Management::on_tick`] has something to do: a confirmation or a silent session runs out.
+    /// When [`Management::on_tick`] has to be called next, as Unix time: the earliest deadline of a pending commit or
+    /// an idle session; `None` while there is neither.
     pub fn next_deadline(&self) -> Option<Duration> {
         let expiry = self.sessions.next_expiry(self.idle_limit());
         let confirmation = self.pending.as_ref().map(|pending| pending.deadline);
         expiry.into_iter().chain(confirmation).min()
     }
 
-    /// Reverts a commit that was not confirmed in time, and closes sessions that were silent for too long.
-    /// Returns those sessions.
+    /// Reverts a commit that was not confirmed in time, and closes the sessions whose idle timeout has expired. Returns
+    /// the closed sessions.
     pub fn on_tick(&mut self, now: Duration) -> Vec<SessionId> {
         if self.pending.as_ref().is_some_and(|pending| pending.deadline <= now) {
             self.revert_unconfirmed(now, ConfirmedCommitEvent::Timeout);
--- a/crates/rockflow-management/src/notification.rs
+++ b/crates/rockflow-management/src/notification.rs
@@ -1,59 +1,59 @@
-//! What happens to sessions and datastores, for the audit log and for subscribers.
+//! Events of sessions and datastores, for the audit log and for subscribers.
 
 use crate::history::Commit;
 use crate::session::{Operator, SessionEndReason, SessionId};
 use std::collections::VecDeque;
 
-/// Notifications that wait to be taken; past that the oldest is dropped.
+/// The most notifications that are queued; when the queue is full, the oldest is dropped.
 const MAX_NOTIFICATIONS: usize = 4096;
 
 /// An event of the management side.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// Running has changed.
+    /// A commit has changed running.
     Committed(Commit),
     /// A session was opened.
     SessionStarted {
-        /// Its number.
+        /// The number of the session.
         session: SessionId,
-        /// Who opened it.
+        /// The operator who opened the session.
         operator: Operator,
     },
     /// A session has ended.
     SessionEnded {
-        /// Its number.
+        /// The number of the session.
         session: SessionId,
-        /// Who had opened it.
+        /// The operator who had opened the session.
         operator: Operator,
-        /// Why it ended.
+        /// Why the session ended.
         reason: SessionEndReason,
     },
-    /// A confirmed commit has changed its state (RFC 6470).
+    /// The state of a confirmed commit has changed (RFC 6470).
     ConfirmedCommit {
-        /// What has become of it.
+        /// The change of state.
         event: ConfirmedCommitEvent,
-        /// Who did that, or made the commit.
+        /// The operator whose commit request caused the change; for a revert, the author of the reverted commit.
         operator: Operator,
     },
 }
 
-/// What becomes of a confirmed commit (RFC 6470, section 2.2).
+/// A change in the state of a confirmed commit (RFC 6470, section 2.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfirmedCommitEvent {
-    /// It was made, and waits for its confirmation.
+    /// The commit was made, and has to be confirmed.
     Start,
-    /// Its time to be confirmed was extended.
+    /// The time to confirm the commit was extended.
     Extend,
-    /// It was confirmed.
+    /// The commit was confirmed.
     Complete,
-    /// It was cancelled and reverted.
+    /// The commit was cancelled, or its session ended, and it was reverted.
     Cancel,
-    /// It was not confirmed in time and reverted.
+    /// The commit was not confirmed in time, and was reverted.
     Timeout,
 }
 
 impl ConfirmedCommitEvent {
-    /// The name in notifications and in the log.
+    /// The event's name in notifications and in the log.
     pub fn name(self) -> &'static str {
         match self {
             ConfirmedCommitEvent::Start => "start",
--- a/crates/rockflow-management/src/overrides.rs
+++ b/crates/rockflow-management/src/overrides.rs
@@ -1,14 +1,14 @@
-//! Operators' administrative overrides of endpoints (`marks` in the model), as a configuration holds them.
+//! Reads the operators' administrative overrides of endpoints (`marks` in the model) from a configuration.
 
 use crate::timestamp;
 use rockflow::Readiness;
 use rockflow_endpoints::{AdminOverride, AdminOverrides};
 use rockflow_yang::{data, DataNode, DataTree, NodeId, PathStep, Scalar, Schema};
 
-/// The list of the model that holds one entry an override.
+/// The nested names of the model's list of overrides.
 const OVERRIDE_LIST: [&str; 3] = ["router", "marks", "mark"];
 
-/// The overrides of a configuration, by endpoint.
+/// The overrides of a configuration, by the endpoint's name.
 pub fn administrative_overrides(schema: &Schema, configuration: &DataTree) -> AdminOverrides {
     let Some(leaves) = OverrideLeaves::find(schema) else { return AdminOverrides::new() };
     let Some(path) = list_path(schema) else { return AdminOverrides::new() };
@@ -25,6 +25,7 @@
     overrides
 }
 
+/// The leaves of a list entry that describe an override.
 struct OverrideLeaves {
     state: NodeId,
     expires: NodeId,
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -1,6 +1,6 @@
-//! What a restart comes back with: the configurations, the history and the origin of each value, as one JSON text
-//! that is the payload of a snapshot. Paths and values are written in the model's names, so that a later program
-//! reads what an earlier one wrote.
+//! The state that survives a restart: the configurations, the history and the origin of each value, as one JSON text
+//! that is the payload of a snapshot. Paths and values are written with the model's names, so that a later version of
+//! the program can read what an earlier one wrote.
 
 use crate::error::{RestoreError, RestoreWarning};
 use crate::history::{Commit, Origin};
@@ -10,41 +10,41 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The version of the payload's format, for the head of a snapshot.
+/// The version of the payload's format, which the header of a snapshot names.
 pub const FORMAT_VERSION: u16 = 1;
-/// The largest payload that is written and read, in bytes.
+/// The largest payload that is written or read, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
 /// A confirmed commit that was pending when the record was written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingRecord {
-    /// Its number.
+    /// The number of the commit.
     pub version: u64,
-    /// Who made it.
+    /// The user who made the commit.
     pub author: String,
 }
 
-/// All that is stored.
+/// The stored state of the datastores.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     /// The configuration in force or, while a commit is pending, the one before it.
     pub running: DataTree,
     /// The startup configuration; empty where it is not separate.
     pub startup: DataTree,
-    /// The commit that made `running`.
+    /// The number of the commit that made `running`.
     pub version: u64,
     /// The greatest number given to a commit, in force or not.
     pub last_used_version: u64,
-    /// The commit that is reverted by a restart.
+    /// The pending confirmed commit, which a restart reverts.
     pub pending: Option<PendingRecord>,
     /// Past commits, oldest first.
     pub history: VecDeque<Commit>,
-    /// Who set each value of `running`.
+    /// The commit that last set each value of `running`.
     pub origins: BTreeMap<Path, Origin>,
 }
 
 impl Record {
-    /// The record as a payload.
+    /// Encodes the record as the payload of a snapshot.
     pub fn write(&self, schema: &Schema) -> Vec<u8> {
         let pending = self.pending.as_ref().map(|pending| json!([pending.version, pending.author]));
         let history: Vec<_> = self.history.iter().map(|commit| write_commit(schema, commit)).collect();
@@ -62,10 +62,11 @@
         value.to_string().into_bytes()
     }
 
-    /// Reads a payload. Parts of the history that the model no longer knows are left out, with a warning.
+    /// Decodes a payload. Where a commit of the history can't be read, it and all earlier ones are dropped with a
+    /// warning.
     ///
     /// # Errors
-    /// Where a configuration or a number can't be read: half a configuration is none.
+    /// Fails where a configuration or a number can't be read, since a configuration must not be restored in part.
     pub fn read(schema: &Schema, payload: &[u8]) -> Result<(Record, Vec<RestoreWarning>), RestoreError> {
         let value: Value = serde_json::from_slice(payload)?;
         let mut record = Record {
@@ -81,7 +82,7 @@
             match read_commit(schema, entry) {
                 Some(commit) => record.history.push_back(commit),
                 None => {
-                    // Guards against a rollback that leaves out one of its steps.
+                    // A rollback undoes commits one by one from the newest, so it must not skip one in between.
                     warnings.push(RestoreWarning::HistoryLeftOut { version: entry["version"].to_string() });
                     record.history.clear();
                 }
--- a/crates/rockflow-management/src/session.rs
+++ b/crates/rockflow-management/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: who is connected, over which protocol, since when, and what a session holds.
+//! Sessions: the operator, protocol and start of each, and its candidate and idle timeout.
 
 use crate::candidate::Candidate;
 use crate::error::{ErrorTag, ManagementError};
@@ -10,11 +10,11 @@
 pub struct SessionId(pub u32);
 
 impl SessionId {
-    /// Stands for a lock holder that is no session of this server (RFC 6241, section 7.5).
+    /// The number that denotes a lock holder that is no session of this server (RFC 6241, section 7.5).
     pub const NONE: SessionId = SessionId(0);
 }
 
-/// The protocol by which an operator reaches the datastores.
+/// The protocol through which an operator accesses the datastores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// NETCONF over SSH (RFC 6242).
@@ -23,12 +23,12 @@
     NetconfTls,
     /// gNMI over gRPC with TLS.
     Gnmi,
-    /// The dispatcher itself.
+    /// No protocol: the dispatcher itself acts as the operator.
     System,
 }
 
 impl Protocol {
-    /// The name in the model, in stored snapshots and in the audit log.
+    /// The protocol's name in the model, in stored snapshots and in the audit log.
     pub fn name(self) -> &'static str {
         match self {
             Protocol::NetconfSsh => "netconf-ssh",
@@ -38,26 +38,26 @@
         }
     }
 
-    /// The protocol of that name; an unknown name is read as [`Protocol::System`].
+    /// The protocol with that name; [`Protocol::System`] where the name is unknown.
     pub fn from_name(name: &str) -> Protocol {
         let remote = [Protocol::NetconfSsh, Protocol::NetconfTls, Protocol::Gnmi];
         remote.into_iter().find(|protocol| protocol.name() == name).unwrap_or(Protocol::System)
     }
 }
 
-/// An authenticated user, and the way by which they are connected.
+/// An authenticated user, with the protocol and address of the connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
     /// The user's name, as the transport authenticated it.
     pub user: String,
     /// The protocol of the session.
     pub protocol: Protocol,
-    /// The address of the peer.
+    /// The client's address; `-` for the dispatcher itself.
     pub source: String,
 }
 
 impl Operator {
-    /// The author of changes that the dispatcher makes on its own, such as a reverted commit.
+    /// The author of changes that the dispatcher itself makes, such as reverting a commit.
     pub fn system() -> Operator {
         Operator { user: "rockflow".to_string(), protocol: Protocol::System, source: "-".to_string() }
     }
@@ -66,29 +66,29 @@
 /// An open session, as status reports show it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionInfo {
-    /// The session's number.
+    /// The number of the session.
     pub id: SessionId,
-    /// Who opened it.
+    /// The operator who opened the session.
     pub operator: Operator,
-    /// When it was opened, as Unix time.
+    /// When the session was opened, as Unix time.
     pub since: Duration,
 }
 
 /// Why a session ended, in the terms of RFC 6470.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionEndReason {
-    /// The client closed it.
+    /// The client closed the session.
     Closed,
-    /// Another session killed it.
+    /// Another session killed this one.
     Killed,
-    /// The connection ended without a close.
+    /// The connection ended without a request to close the session.
     Dropped,
-    /// It was silent for longer than the idle limit.
+    /// The session sent no request for the time of the idle limit.
     Timeout,
 }
 
 impl SessionEndReason {
-    /// The name in notifications and in the log.
+    /// The reason's name in notifications and in the log.
     pub fn name(self) -> &'static str {
         match self {
             SessionEndReason::Closed => "closed",
@@ -103,14 +103,16 @@
 pub(crate) struct Session {
     pub(crate) operator: Operator,
     since: Duration,
+    /// When the session sent its last request, as Unix time.
     last_active: Duration,
-    /// While it has any, it may be silent.
+    /// The number of its subscriptions; with any, the session has no idle timeout.
     subscriptions: usize,
-    /// The session's own candidate; none while it equals running.
+    /// The session's private candidate; `None` while it equals running.
     pub(crate) candidate: Option<Candidate>,
 }
 
 impl Session {
+    /// When the idle timeout ends the session, as Unix time; `None` while it has subscriptions.
     fn expiry(&self, idle_limit: Duration) -> Option<Duration> {
         (self.subscriptions == 0).then_some(self.last_active + idle_limit)
     }
@@ -155,7 +157,7 @@
         self.open.remove(&id)
     }
 
-    /// The session; an error where it has ended.
+    /// The session with that number. Fails where it has ended.
     pub(crate) fn get(&self, id: SessionId) -> Result<&Session, ManagementError> {
         let session = self.open.get(&id);
         session.ok_or_else(|| ManagementError::new(ErrorTag::OperationFailed, "the session has ended"))
@@ -177,12 +179,12 @@
         }
     }
 
-    /// When the first silent session is to be closed.
+    /// The earliest idle expiry of all sessions, as Unix time.
     pub(crate) fn next_expiry(&self, idle_limit: Duration) -> Option<Duration> {
         self.open.values().filter_map(|session| session.expiry(idle_limit)).min()
     }
 
-    /// The sessions that were silent for the idle limit.
+    /// The sessions whose idle timeout has expired.
     pub(crate) fn expired(&self, now: Duration, idle_limit: Duration) -> Vec<SessionId> {
         let is_expired = |session: &Session| session.expiry(idle_limit).is_some_and(|expiry| expiry <= now);
         self.open.iter().filter(|(_, session)| is_expired(session)).map(|(id, _)| *id).collect()
--- a/crates/rockflow-management/src/storage.rs
+++ b/crates/rockflow-management/src/storage.rs
@@ -1,14 +1,15 @@
-//! The narrow interface to durable storage.
+//! The interface to durable storage of snapshots.
 
 use rockflow_store::{Disk, SaveError, Store};
 
-/// Where a snapshot is stored. Once `save` has returned without an error, a restart comes back with the payload.
+/// Durable storage of one snapshot.
 pub trait SnapshotStorage {
-    /// Stores the payload in place of the one before.
+    /// Replaces the stored payload. Once this has returned without an error, a restart restores the new payload; after
+    /// an error it may restore either.
     fn save(&mut self, payload: &[u8]) -> Result<(), SaveError>;
 }
 
-/// Storage that lasts as long as the process: it stores nothing.
+/// Storage that keeps nothing, for a dispatcher whose datastores need not survive a restart.
 #[derive(Debug, Default)]
 pub struct VolatileStorage;
 
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -1,71 +1,75 @@
-//! Subscriptions to values, for every protocol alike: changes as they come, or a snapshot at intervals.
+//! Subscriptions to values, independent of the protocol: updates on change, or periodic snapshots.
 //!
-//! Of the changes that wait to be sent only the last one of each path is held, so that a slow reader costs no
-//! more than what it subscribes to; past [`MAX_WAITING`] paths it is sent a whole snapshot instead.
+//! Only the last unsent change of each path is kept, so that the memory for a slow reader is bounded by the number of
+//! paths that it subscribes to. When more than [`MAX_WAITING`] paths have unsent changes, they are replaced by one full
+//! snapshot.
 
 use rockflow_yang::{data, Change, DataTree, Path, Pattern, Scalar};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Paths whose changes may wait for a subscriber.
+/// The most paths with unsent changes that are kept for one subscriber.
 pub const MAX_WAITING: usize = 20_000;
 
-/// When a subscriber is sent something.
+/// When updates are sent to a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trigger {
-    /// When a value changes.
+    /// Sends an update when a value has changed.
     OnChange {
         /// The shortest time between two updates.
         dampening: Duration,
-        /// A whole snapshot is sent after this time without one.
+        /// The time after the last full snapshot at which another is sent; `None`: no snapshots but the first.
         heartbeat: Option<Duration>,
     },
-    /// At intervals.
+    /// Sends an update at fixed intervals.
     Periodic {
-        /// The interval.
+        /// The interval between updates.
         period: Duration,
-        /// Values that have not changed since the last update are left out, but for the heartbeat.
+        /// Whether updates leave out the values that have not changed since the last one.
         suppress: bool,
-        /// A whole snapshot is sent after this time without one.
+        /// The time after the last full snapshot at which another is sent although `suppress` is set; `None`: never.
         heartbeat: Option<Duration>,
     },
 }
 
-/// What is sent to a subscriber.
+/// The contents of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// All values of the subscription, as they are now.
+    /// A full snapshot: the current values of all selected leaves.
     Snapshot(BTreeMap<Path, Scalar>),
-    /// The values that have changed.
+    /// The values that have changed since the last update.
     Changes(BTreeMap<Path, ChangedValue>),
 }
 
 /// A value that has changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangedValue {
-    /// The new value; none: it was deleted.
+    /// The new value; `None`: the value was deleted.
     pub value: Option<Scalar>,
-    /// Earlier changes of the same path that were not sent.
+    /// The number of earlier changes of the same path that this one replaced before they were sent.
     pub coalesced: u32,
 }
 
-/// One subscription: what it selects, and what waits to be sent.
+/// A subscription, with the paths that it selects and the changes to be sent.
 #[derive(Debug)]
 pub struct Subscription {
     patterns: Vec<Pattern>,
     trigger: Trigger,
-    /// Changes that were not sent yet.
+    /// The last unsent change of each path; empty for a periodic subscription.
     waiting: BTreeMap<Path, ChangedValue>,
-    /// A whole snapshot is to be sent next.
+    /// Whether the next update is a full snapshot.
     needs_snapshot: bool,
-    /// The last values that were sent, where unchanged ones are left out.
+    /// The values as last sent; kept only where unchanged ones are left out.
     sent: BTreeMap<Path, Scalar>,
+    /// When the last update was due or sent, as Unix time; `None` before the first.
     last_update: Option<Duration>,
+    /// When the last full snapshot was sent, or the subscription was made, as Unix time.
     last_snapshot: Duration,
 }
 
 impl Subscription {
-    /// A subscription to what the patterns select. With `updates_only` no snapshot is sent at the start.
+    /// Creates a subscription to the leaves that the patterns select. With `updates_only` no snapshot is sent at the
+    /// start.
     pub fn new(patterns: Vec<Pattern>, trigger: Trigger, updates_only: bool, now: Duration) -> Self {
         Subscription {
             patterns,
@@ -78,12 +82,12 @@
         }
     }
 
-    /// Whether it is sent changes as they come.
+    /// Whether updates are sent when values change rather than periodically.
     pub fn is_on_change(&self) -> bool {
         matches!(self.trigger, Trigger::OnChange { .. })
     }
 
-    /// Takes in changes as they come; a periodic subscription needs none.
+    /// Records changes to be sent. A periodic subscription ignores them, since it reads the values when it is due.
     pub fn record_changes(&mut self, changes: &[Change]) {
         if !self.is_on_change() || self.needs_snapshot {
             return;
@@ -100,7 +104,7 @@
         }
     }
 
-    /// When an update is due; none: not before something changes.
+    /// When the next update is due, as Unix time; `None`: not before a selected value changes.
     pub fn next_due(&self) -> Option<Duration> {
         match self.trigger {
             Trigger::OnChange { dampening, heartbeat } => {
@@ -152,8 +156,9 @@
         }
     }
 
-    /// The time that counts as that of an update at `now`. Periods stay on their grid where one update was late;
-    /// after a longer break the grid begins anew, so that missed updates are not made up for.
+    /// The time from which the next period counts, after an update at `now`. An update that is late by less than one
+    /// period does not shift the schedule. After a longer delay the schedule restarts at `now`, so that missed updates
+    /// are skipped instead of being sent in a burst.
     fn update_time(&self, now: Duration) -> Duration {
         match (self.trigger, self.last_update) {
             (Trigger::Periodic { period, .. }, Some(last)) if now < last + 2 * period => last + period,
@@ -165,7 +170,7 @@
         heartbeat.is_some_and(|heartbeat| self.last_snapshot + heartbeat <= now)
     }
 
-    /// What differs from the values that were sent last; the new ones count as sent.
+    /// The differences between `values` and those last sent; `values` becomes the last sent.
     fn changes_since_sent(&mut self, values: BTreeMap<Path, Scalar>) -> BTreeMap<Path, ChangedValue> {
         let before = std::mem::replace(&mut self.sent, values.clone());
         let mut changes = BTreeMap::new();
--- a/crates/rockflow-management/src/validation.rs
+++ b/crates/rockflow-management/src/validation.rs
@@ -1,4 +1,4 @@
-//! What a configuration must meet before it comes into force.
+//! The checks that a configuration has to pass before a commit puts it into force.
 
 use crate::access::Access;
 use crate::error::{ErrorTag, ManagementError};
@@ -8,18 +8,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Values that a configuration may hold.
+/// The most values that a configuration may hold.
 pub(crate) const MAX_VALUES: usize = 100_000;
 
-/// What is known outside the datastores, for the checks of a commit.
+/// Information from outside the datastores that the checks of a commit need.
 #[derive(Clone, Debug, Default)]
 pub struct ValidationContext {
-    /// The endpoint list by name; empty: not known, so nothing is judged by it.
+    /// The endpoint list, by endpoint name. While the list is not known it is empty, and the check for the last
+    /// endpoint in service refuses nothing.
     pub endpoints: BTreeMap<String, ListedEndpoint>,
 }
 
-/// Checks a configuration against the model, the access rules' syntax, the size limit, and the rule that the
-/// last endpoint of its kind is not taken out of service.
+/// Checks a configuration against the model, the access rules' syntax, the size limit, and the rule that overrides
+/// must not take the last endpoint of a group out of service unless they force it.
 pub(crate) fn validate(
     schema: &Schema,
     now: Duration,
@@ -41,7 +42,7 @@
     Ok(())
 }
 
-/// An error where a configuration holds more values than allowed.
+/// Fails where a configuration holds more than [`MAX_VALUES`] values.
 pub(crate) fn check_size(fields: &DataTree) -> Result<(), ManagementError> {
     if data::count_values(fields) > MAX_VALUES {
         let message = format!("more than {MAX_VALUES} values");
