--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -149,8 +149,8 @@
         /// What is wrong with the path.
         source: Box<PathError>,
     },
-    /// A rule names both a path and a call.
-    #[error("rule {rule}: a path and a call exclude each other")]
+    /// A rule has both a path and a call as its target.
+    #[error("rule {rule}: path and rpc can't both be set")]
     PathAndCall {
         /// The rule's number.
         rule: String,
@@ -163,8 +163,8 @@
     /// The payload is not valid JSON.
     #[error(transparent)]
     Syntax(#[from] serde_json::Error),
-    /// A number is missing.
-    #[error("{key} is no number")]
+    /// A member is missing or not an unsigned integer.
+    #[error("{key} is missing or not an unsigned integer")]
     NotANumber {
         /// The member of the JSON object.
         key: &'static str,
--- a/crates/rockflow-management/src/lock.rs
+++ b/crates/rockflow-management/src/lock.rs
@@ -142,8 +142,8 @@
         for lock in self.partial.values().filter(|lock| lock.session != session) {
             let is_changed = |node: &Path| changes.iter().any(|change| paths_overlap(node, &change.path));
             if let Some(node) = lock.nodes.iter().find(|node| is_changed(node)) {
-                let what = format!("{} is locked", node.to_text(schema));
-                return Err(in_use(lock.session, &what).with_path(node));
+                let reason = format!("{} is locked", node.to_text(schema));
+                return Err(in_use(lock.session, &reason).with_path(node));
             }
         }
         Ok(())
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -78,7 +78,7 @@
         };
         record.pending = read_pending(&value, record.last_used_version);
         let mut warnings = Vec::new();
-        for entry in members(&value, "history") {
+        for entry in elements(&value, "history") {
             match read_commit(schema, entry) {
                 Some(commit) => record.history.push_back(commit),
                 None => {
@@ -88,7 +88,7 @@
                 }
             }
         }
-        record.origins = members(&value, "origins").filter_map(|entry| read_origin(schema, entry)).collect();
+        record.origins = elements(&value, "origins").filter_map(|entry| read_origin(schema, entry)).collect();
         Ok((record, warnings))
     }
 }
