--- a/crates/rockflow-management/src/access.rs
+++ b/crates/rockflow-management/src/access.rs
@@ -124,8 +124,9 @@
     protected: Option<Pattern>,
 }
 
-/// Calls that only read, or only concern the caller's own session or candidate: permitted where no rule fits.
-const HARMLESS_CALLS: [&str; 21] = [
+/// Calls permitted where no rule matches, whatever `exec-default` is: they need no permission of their own, as they
+/// only read, concern the caller's own session or locks, or change nodes that are authorized one by one.
+const DEFAULT_PERMITTED_CALLS: [&str; 21] = [
     "get",
     "get-config",
     "get-data",
@@ -190,8 +191,8 @@
         if self.is_owner(user) {
             return true;
         }
-        let fits = |rule: &&Rule| rule.target.includes_node(path) && self.applies(rule, user, operation);
-        if let Some(rule) = self.rules.iter().find(fits) {
+        let matches = |rule: &&Rule| rule.target.includes_node(path) && self.applies(rule, user, operation);
+        if let Some(rule) = self.rules.iter().find(matches) {
             return rule.action == Action::Permit;
         }
         let is_protected = self.protected.as_ref().is_some_and(|protected| protected.matches(path));
@@ -207,11 +208,11 @@
         if self.is_owner(user) {
             return true;
         }
-        let fits =
+        let matches =
             |rule: &&Rule| rule.target.includes_call(call) && self.applies(rule, user, Operation::Exec);
-        match self.rules.iter().find(fits) {
+        match self.rules.iter().find(matches) {
             Some(rule) => rule.action == Action::Permit,
-            None => self.defaults.exec == Action::Permit || HARMLESS_CALLS.contains(&call),
+            None => self.defaults.exec == Action::Permit || DEFAULT_PERMITTED_CALLS.contains(&call),
         }
     }
 
@@ -228,8 +229,8 @@
         self.owner.as_deref() == Some(user)
     }
 
-    fn applies(&self, rule: &Rule, user: &str, operation: Operation) -> bool {
     /// Whether the rule covers the user and the operation; its target is checked separately.
+    fn applies(&self, rule: &Rule, user: &str, operation: Operation) -> bool {
         let has_user = |group: &String| {
             group == "all" || self.groups.get(group).is_some_and(|users| users.contains(user))
         };
--- a/crates/rockflow-management/src/lock.rs
+++ b/crates/rockflow-management/src/lock.rs
@@ -150,19 +150,20 @@
     }
 }
 
-/// A lock that can't be had, because of another session.
-pub(crate) fn lock_denied(holder: SessionId, what: &str) -> ManagementError {
-    let message = format!("{what} by session {}", holder.0);
+/// The error for a lock that another session prevents. The message is `reason` followed by the holder's number.
+pub(crate) fn lock_denied(holder: SessionId, reason: &str) -> ManagementError {
+    let message = format!("{reason} by session {}", holder.0);
     ManagementError::new(ErrorTag::LockDenied, message).with_holder(holder)
 }
 
-/// A change that can't be made, because of another session's lock.
-pub(crate) fn in_use(holder: SessionId, what: &str) -> ManagementError {
-    let message = format!("{what} by session {}", holder.0);
+/// The error for a change that another session's lock prevents. The message is `reason` followed by the holder's
+/// number.
+pub(crate) fn in_use(holder: SessionId, reason: &str) -> ManagementError {
+    let message = format!("{reason} by session {}", holder.0);
     ManagementError::new(ErrorTag::InUse, message).with_holder(holder)
 }
 
-/// Whether one path is the other, or lies below it.
-pub(crate) fn paths_overlap(one: &Path, other: &Path) -> bool {
-    one.contains(other) || other.contains(one)
+/// Whether the paths are equal or one lies below the other.
+pub(crate) fn paths_overlap(left: &Path, right: &Path) -> bool {
+    left.contains(right) || right.contains(left)
 }
--- a/crates/rockflow-management/src/management/editing.rs
+++ b/crates/rockflow-management/src/management/editing.rs
@@ -26,9 +26,9 @@
         option: ErrorOption,
         mode: EditMode,
     ) -> Result<(), Vec<ManagementError>> {
-        let one = |error: ManagementError| vec![error];
-        self.check_editable(id, target).map_err(one)?;
-        let user = self.sessions.get(id).map_err(one)?.operator.user.clone();
+        let single = |error: ManagementError| vec![error];
+        self.check_editable(id, target).map_err(single)?;
+        let user = self.sessions.get(id).map_err(single)?.operator.user.clone();
         let before = self.datastore(id, target).clone();
         let mut after = before.clone();
         let mut errors = Vec::new();
@@ -40,10 +40,10 @@
                 }
             }
         }
-        validation::check_size(&after).map_err(one)?;
+        validation::check_size(&after).map_err(single)?;
         let is_kept = errors.is_empty() || option != ErrorOption::Rollback;
         if mode == EditMode::Apply && is_kept && after != before {
-            self.replace_datastore(id, target, after).map_err(one)?;
+            self.replace_datastore(id, target, after).map_err(single)?;
         }
         if errors.is_empty() {
             Ok(())
@@ -204,6 +204,7 @@
         }
     }
 
+    /// Applies one edit to a whole datastore; used by copies and deletions.
     fn edit_whole(&mut self, id: SessionId, target: Datastore, edit: Edit) -> Result<(), ManagementError> {
         let edited = self.edit_config(id, target, &[edit], ErrorOption::Rollback, EditMode::Apply);
         edited.map_err(|errors| {
--- a/crates/rockflow-management/src/management/locking.rs
+++ b/crates/rockflow-management/src/management/locking.rs
@@ -113,8 +113,8 @@
         Ok(nodes)
     }
 
+    /// The pending commit, unless `id` is the only session that may confirm it.
     fn pending_of_others(&self, id: SessionId) -> Option<&PendingCommit> {
         self.pending.as_ref().filter(|pending| pending.session != Some(id))
-    /// The pending commit, unless `id` is the only session that may confirm it.
     }
 }
--- a/crates/rockflow-management/src/record.rs
+++ b/crates/rockflow-management/src/record.rs
@@ -154,11 +154,11 @@
 fn read_change(schema: &Schema, change: &Value) -> Option<Change> {
     let path = Path::parse(schema, change.get(0)?.as_str()?).ok()?;
     let leaf_type = schema.type_of(path.node()?)?;
-    let side = |index: usize| match change.get(index)? {
+    let value_at = |index: usize| match change.get(index)? {
         Value::Null => Some(None),
         value => Some(Some(leaf_type.parse(value.as_str()?).ok()?)),
     };
-    let (before, after) = (side(1)?, side(2)?);
+    let (before, after) = (value_at(1)?, value_at(2)?);
     Some(Change { path, before, after })
 }
 
@@ -170,7 +170,8 @@
     Some((path, Origin { author, version: number(2), time }))
 }
 
-fn members<'a>(value: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
+/// The elements of the JSON array under the key; none where there is no array.
+fn elements<'a>(value: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
     value.get(key).and_then(Value::as_array).into_iter().flatten()
 }
 
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -120,8 +120,12 @@
         }
     }
 
-    /// The update that is due by now, if any; `present` gives the present values where they are needed.
-    pub fn take_update(&mut self, now: Duration, present: impl FnOnce() -> DataTree) -> Option<Update> {
+    /// Takes the update that is due by `now`, if any. `current_values` is called only where the update needs them.
+    pub fn take_update(
+        &mut self,
+        now: Duration,
+        current_values: impl FnOnce() -> DataTree,
+    ) -> Option<Update> {
         if self.next_due().is_none_or(|due| due > now) {
             return None;
         }
@@ -133,7 +137,7 @@
                     self.last_snapshot = now;
                     self.needs_snapshot = false;
                     self.waiting.clear();
-                    return Some(Update::Snapshot(self.selected_values(present())));
+                    return Some(Update::Snapshot(self.selected_values(current_values())));
                 }
                 Some(Update::Changes(std::mem::take(&mut self.waiting)))
             }
@@ -142,7 +146,7 @@
                     return None;
                 }
                 self.needs_snapshot = true;
-                let values = self.selected_values(present());
+                let values = self.selected_values(current_values());
                 if !suppress || is_first || self.is_heartbeat_due(now, heartbeat) {
                     self.last_snapshot = now;
                     if suppress {
@@ -189,7 +193,7 @@
         self.patterns.iter().any(|pattern| pattern.matches(path))
     }
 
-    fn selected_values(&self, present: DataTree) -> BTreeMap<Path, Scalar> {
-        data::leaves(&present).into_iter().filter(|(path, _)| self.selects(path)).collect()
+    fn selected_values(&self, tree: DataTree) -> BTreeMap<Path, Scalar> {
+        data::leaves(&tree).into_iter().filter(|(path, _)| self.selects(path)).collect()
     }
 }
--- a/crates/rockflow-management/src/validation.rs
+++ b/crates/rockflow-management/src/validation.rs
@@ -35,8 +35,8 @@
         .map_err(|error| ManagementError::new(ErrorTag::InvalidValue, error.to_string()))?;
     let before = administrative_overrides(schema, running);
     let after = administrative_overrides(schema, proposed);
-    if let Some(what) = find_emptied_group(&context.endpoints, &before, &after, now) {
-        let message = format!("{what}; with force it is done all the same");
+    if let Some(problem) = find_emptied_group(&context.endpoints, &before, &after, now) {
+        let message = format!("{problem}; with force it is done all the same");
         return Err(ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("none-left"));
     }
     Ok(())
