--- a/crates/rockflow-management/tests/stored_snapshot.rs
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -1,7 +1,7 @@
-//! A snapshot file as an earlier program wrote it: it is read back whole, value by value, and the same commits
-//! write the same bytes.
+//! Guards the stored format with a snapshot file that an earlier version of the program wrote: every value in it must
+//! be read back, and the same commits must write the same bytes.
 //!
-//! `fixtures/config.00000000000000000009` was written by the program at 6b9cfcc; it never changes.
+//! `fixtures/config.00000000000000000009` was written by the version of commit 6b9cfcc, and must never be changed.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod common;
@@ -18,7 +18,8 @@
 const FIXTURE: &[u8] = include_bytes!("fixtures/config.00000000000000000009");
 const FIXTURE_NAME: &str = "config.00000000000000000009";
 const FIXTURE_GENERATION: u64 = 9;
-const HEAD_BYTES: usize = 36;
+/// The length of the header, which precedes the payload.
+const HEADER_BYTES: usize = 36;
 const START: Duration = Duration::from_millis(1_780_000_000_123);
 
 fn seconds_after_start(seconds: u64) -> Duration {
@@ -50,8 +51,9 @@
     }})
 }
 
-/// Startup written by itself, four commits over three protocols, and a fifth that waits for its confirmation.
-fn commit_everything(schema: &Arc<Schema>) -> DiskManagement {
+/// Repeats the requests that the fixture was written with: commits over three protocols, an edit of startup, a
+/// confirmed commit that times out, and one that is still pending.
+fn repeat_fixture_requests(schema: &Arc<Schema>) -> DiskManagement {
     let store = open_store(FaultyDisk::default()).store;
     let options = ManagementOptions {
         schema: schema.clone(),
@@ -90,7 +92,7 @@
     let gone = [("state", Scalar::text("gone"))];
     datastores.set_override(seconds_after_start(4), root, "drain", "c3", &gone, &context).unwrap();
     datastores.set_override(seconds_after_start(5), root, "undrain", "c2", &[], &context).unwrap();
-    // A confirmed commit that runs out, so that one commit is the dispatcher's own.
+    // This confirmed commit times out, so the dispatcher itself makes the commit that reverts it.
     let confirmed = CommitOptions {
         confirm_timeout: Some(Duration::from_secs(5)),
         persist: Some("p".into()),
@@ -102,7 +104,7 @@
         .unwrap();
     datastores.commit(seconds_after_start(6), ana, &confirmed, "", &context).unwrap();
     datastores.on_tick(seconds_after_start(11));
-    // And one that is pending as the last snapshot is written.
+    // This confirmed commit is still pending when the last snapshot is written.
     let fifth = [override_edit(schema, "c5", &json!({"state": "gone"}))];
     datastores
         .edit_config(ana, Datastore::Candidate, &fifth, ErrorOption::Rollback, EditMode::Apply)
@@ -122,20 +124,20 @@
 }
 
 fn read_record(schema: &Schema) -> record::Record {
-    let (record, complaints) = record::Record::read(schema, &read_fixture().payload).unwrap();
-    assert_eq!(complaints, Vec::<RestoreWarning>::new());
+    let (record, warnings) = record::Record::read(schema, &read_fixture().payload).unwrap();
+    assert_eq!(warnings, Vec::<RestoreWarning>::new());
     record
 }
 
-/// A commit as `version user protocol source milliseconds "comment"`, then each change as the model's text.
+/// A commit as a line `version user protocol source milliseconds "comment"`, followed by a line for each change.
 fn commit_lines(schema: &Schema, commit: &Commit) -> Vec<String> {
-    let who = &commit.operator;
-    let head = format!(
+    let operator = &commit.operator;
+    let first_line = format!(
         "{} {} {} {} {} {:?}",
         commit.version,
-        who.user,
-        who.protocol.name(),
-        who.source,
+        operator.user,
+        operator.protocol.name(),
+        operator.source,
         commit.time.as_millis(),
         commit.comment
     );
@@ -143,7 +145,7 @@
     let change = |change: &rockflow_yang::Change| {
         format!("  {} {} -> {}", change.path.to_text(schema), value(&change.before), value(&change.after))
     };
-    std::iter::once(head).chain(commit.changes.iter().map(change)).collect()
+    std::iter::once(first_line).chain(commit.changes.iter().map(change)).collect()
 }
 
 const HISTORY: &str = r#"1 root netconf-tls 192.0.2.1:5000 1780000001123 "access for operators"
@@ -193,20 +195,20 @@
 /rockflow-router:router/rockflow-access:access/rule[number='1']/action root 1 1780000001123";
 
 #[test]
-fn holds_head_of_snapshot_by_its_bytes() {
-    let head: [u8; HEAD_BYTES] = [
+fn snapshot_header_has_the_expected_bytes() {
+    let header: [u8; HEADER_BYTES] = [
         b'r', b'o', b'c', b'k', b'f', b'l', b'o', b'w', // magic
-        1, 0, // form of the file
-        1, 0, // version of the payload
+        1, 0, // format version of the file
+        1, 0, // format version of the payload
         9, 0, 0, 0, 0, 0, 0, 0, // generation
-        0xae, 0x11, 0, 0, 0, 0, 0, 0, // bytes of payload
+        0xae, 0x11, 0, 0, 0, 0, 0, 0, // length of the payload in bytes
         4, 91, 111, 54, // CRC-32 of the payload
-        224, 142, 110, 216, // CRC-32 of all before
+        224, 142, 110, 216, // CRC-32 of the preceding header bytes
     ];
-    assert_eq!(FIXTURE[..HEAD_BYTES], head);
-    let found = read_fixture();
-    assert_eq!((found.generation, found.payload_format), (FIXTURE_GENERATION, 1));
-    assert_eq!(found.payload, FIXTURE[HEAD_BYTES..]);
+    assert_eq!(FIXTURE[..HEADER_BYTES], header);
+    let snapshot = read_fixture();
+    assert_eq!((snapshot.generation, snapshot.payload_format), (FIXTURE_GENERATION, 1));
+    assert_eq!(snapshot.payload, FIXTURE[HEADER_BYTES..]);
 }
 
 #[test]
@@ -214,8 +216,8 @@
     let schema = Schema::published();
     let record = read_record(&schema);
     assert_eq!((record.version, record.last_used_version), (7, 8));
-    let trial = record.pending.as_ref().unwrap();
-    assert_eq!((trial.version, trial.author.as_str()), (8, "ana"));
+    let pending = record.pending.as_ref().unwrap();
+    assert_eq!((pending.version, pending.author.as_str()), (8, "ana"));
     let mut running = access_rules();
     running["rockflow-router:router"]["marks"] = json!({"mark": [
         {"host": "c1", "state": "draining", "reason": "disk swapped", "force": true},
@@ -241,9 +243,9 @@
     let payload = read_record(&schema).write(&schema);
     assert_eq!(
         String::from_utf8(payload.clone()).unwrap(),
-        std::str::from_utf8(&FIXTURE[HEAD_BYTES..]).unwrap()
+        std::str::from_utf8(&FIXTURE[HEADER_BYTES..]).unwrap()
     );
-    // The next after generation 8, so that the whole file is the same.
+    // With generation 8 on the disk the next save writes generation 9, so the whole file can be compared.
     let mut disk = FaultyDisk::default();
     disk.plant("config.00000000000000000008", b"");
     let mut store = open_store(disk).store;
@@ -253,7 +255,7 @@
 
 #[test]
 fn writes_same_bytes_for_the_same_commits() {
-    let datastores = commit_everything(&Arc::new(Schema::published()));
+    let datastores = repeat_fixture_requests(&Arc::new(Schema::published()));
     assert_eq!(datastores.storage().disk().bytes(FIXTURE_NAME), Some(FIXTURE));
 }
 
@@ -276,7 +278,7 @@
 }
 
 #[test]
-fn restart_from_stored_startup_takes_it_in_place_of_running() {
+fn restart_with_separate_startup_begins_with_the_stored_startup() {
     let Restored { management, .. } = restart(&Arc::new(Schema::published()), StartupMode::Separate);
     assert_eq!(management.administrative_overrides().into_keys().collect::<Vec<_>>(), ["c0"]);
     assert_eq!((management.version(), management.history().count()), (10, 0));
