--- a/crates/rockflow-management/tests/authorization.rs
+++ b/crates/rockflow-management/tests/authorization.rs
@@ -1,4 +1,4 @@
-//! Each operation on each subtree, tried as each group: one table.
+//! Checks a table of which user may perform which operation on which node, and make which call.
 
 use rockflow_management::{Access, Operation};
 use rockflow_yang::{json, NodeScope, Path, Schema};
@@ -30,7 +30,8 @@
 const CALLS: [&str; 8] =
     ["get", "edit-config", "commit", "drain", "undrain", "rollback", "kill-session", "delete-config"];
 
-/// By user: what is permitted of create, read, update and delete on each path, then of each call.
+/// For each user: the permitted operations on each of [`PATHS`] (`c`reate, `r`ead, `u`pdate, `d`elete; `-` where one is
+/// denied), then the permitted calls of [`CALLS`].
 const TABLE: [(&str, [&str; 6], &str); 7] = [
     (
         "root",
@@ -62,15 +63,15 @@
         (Operation::Delete, 'd'),
     ];
     for (user, rights, calls) in TABLE {
-        for (text, wanted) in PATHS.into_iter().zip(rights) {
+        for (text, expected) in PATHS.into_iter().zip(rights) {
             let path = Path::parse(&schema, text).unwrap();
             let letter =
                 |(operation, letter)| if access.is_permitted(user, operation, &path) { letter } else { '-' };
-            let found: String = operations.map(letter).iter().collect();
-            assert_eq!(found, wanted, "{user} {text}");
+            let actual: String = operations.map(letter).iter().collect();
+            assert_eq!(actual, expected, "{user} {text}");
         }
-        let found: Vec<_> = CALLS.into_iter().filter(|call| access.is_call_permitted(user, call)).collect();
-        assert_eq!(found.join(" "), calls, "{user}");
+        let actual: Vec<_> = CALLS.into_iter().filter(|call| access.is_call_permitted(user, call)).collect();
+        assert_eq!(actual.join(" "), calls, "{user}");
     }
 }
 
--- a/crates/rockflow-management/tests/common/mod.rs
+++ b/crates/rockflow-management/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Datastores on a disk in memory.
+//! Opens datastores on a simulated disk.
 
 use rockflow_management::{record, Management, ManagementOptions, StartupMode};
 use rockflow_store::faulty::FaultyDisk;
@@ -9,12 +9,12 @@
 
 pub type DiskManagement = Management<Store<FaultyDisk>>;
 
-/// The snapshots on the disk, under the names and formats of the program.
+/// Opens the snapshots on the disk, with the file name and format version that dispatchers use.
 pub fn open_store(disk: FaultyDisk) -> Opened<FaultyDisk> {
     Store::open(disk, "config", record::FORMAT_VERSION, record::MAX_PAYLOAD_BYTES).unwrap()
 }
 
-/// The datastores that a process finds at its start; a snapshot that can't be read is skipped.
+/// Restores the datastores from the disk as a start of the process does. Skips a snapshot that can't be read.
 pub fn restore(schema: &Arc<Schema>, disk: FaultyDisk, owner: &str, now: Duration) -> DiskManagement {
     let Opened { store, snapshot, .. } = open_store(disk);
     let payload = snapshot.map(|snapshot| snapshot.payload);
--- a/crates/rockflow-management/tests/literal_names.rs
+++ b/crates/rockflow-management/tests/literal_names.rs
@@ -1,4 +1,4 @@
-//! Names that go onto the wire, into snapshots or into the log, by their literal text.
+//! Checks the literal text of names that appear on the wire, in snapshots or in the log.
 
 use rockflow_management::{ConfirmedCommitEvent, Datastore, Protocol, SessionEndReason};
 
--- a/crates/rockflow-management/tests/timestamps.rs
+++ b/crates/rockflow-management/tests/timestamps.rs
@@ -1,4 +1,4 @@
-//! Dates and times as text.
+//! Parsing and formatting of RFC 3339 timestamps.
 
 use rockflow_management::timestamp::{format, parse};
 use std::time::Duration;
