--- a/crates/rockflow-management/tests/scenarios.rs
+++ b/crates/rockflow-management/tests/scenarios.rs
@@ -1,26 +1,27 @@
-//! Plays a scenario against the datastores, on a virtual clock and a disk in memory. A line is a session and what
-//! it does, or one of:
+//! Runs scenario files against the datastores, on a virtual clock and a simulated disk. Each line of a file names a
+//! session and the request that it makes, or is one of the lines without a session:
 //!
-//!     host NAME cache|parent|origin LOCATION [draining]   an entry of the endpoint list
-//!     rules JSON                       what the owner commits under /router/access, ahead of the rest
-//!     a opens [USER]                   a session; the user has the session's name unless one is given
-//!     a marks HOST [gone] [force] [reason=WORD] [expires=SECONDS]    edits its candidate
-//!     a unmarks HOST                   likewise; no error where there is no override
-//!     a edits OP PATH [JSON]           any other edit of its candidate
+//!     host NAME cache|parent|origin LOCATION [draining]   adds an entry to the endpoint list
+//!     rules JSON                       the owner replaces /router/access, in a session that ends at once
+//!     a opens [USER]                   opens session a; the user is named like the session unless one is given
+//!     a marks HOST [gone] [force] [reason=WORD] [expires=SECONDS]    sets an override in the candidate
+//!     a unmarks HOST                   removes an override from the candidate; no error where there is none
+//!     a edits OP PATH [JSON]           makes any other edit of the candidate
 //!     a commits [within=S] [persist=ID] [id=ID]
 //!     a cancels [id=ID] | a discards | a validates | a closes | a kills b
-//!     a follows                        has a subscription from now on
-//!     a locks|unlocks running|candidate|startup | a holds PATH | a frees NUMBER
-//!     a sets OP PATH [JSON] [expected=N]      one transaction on running
+//!     a subscribes                     has a subscription from now on
+//!     a locks|unlocks running|candidate|startup
+//!     a partially-locks PATH | a partially-unlocks NUMBER
+//!     a sets OP PATH [JSON] [expected=N]      changes running in one transaction
 //!     a drains HOST [force] | a undrains HOST | a rolls-back N [expected=N]
-//!     after SECONDS                    time passes, and what is due happens
-//!     restart                          the process dies; what it synced is there
-//!     disk fails | disk works          the next saves
-//!     marked HOST=STATE ... | marked nothing     the overrides in running, in order of names
-//!     version N | pending USER | pending nobody
-//!     told WORD...                     a notification since the last such line holds all words
+//!     after SECONDS                    advances the clock and handles the deadlines that have passed
+//!     restart                          restarts the process after a crash that loses all unsynced data
+//!     disk fails | disk works          whether the next saves fail or succeed
+//!     marked HOST=STATE ... | marked nothing     checks the overrides in running, in the order of host names
+//!     version N | pending USER | pending nobody  checks the commit in force, or who made the pending commit
+//!     notified WORD...                 checks that a notification since the last such line contains all words
 //!
-//! `! TAG WORD...` at a line's end: it fails with that tag, and its message and finer tag hold the words.
+//! A line that ends in `! TAG WORD...` must fail with that tag, and the debug text of the error must contain all words.
 
 #[allow(dead_code)] // Each test file uses a part of it.
 mod common;
@@ -52,7 +53,7 @@
     restore(schema, disk, "owner", START)
 }
 
-fn op(name: &str) -> EditOperation {
+fn edit_operation(name: &str) -> EditOperation {
     match name {
         "merge" => EditOperation::Merge,
         "replace" => EditOperation::Replace,
@@ -67,10 +68,10 @@
     fn edit(&self, words: &[&str]) -> Edit {
         let path = Path::parse(&self.schema, words[1]).unwrap();
         let node = path.node().unwrap();
-        let whole = path.0.last().unwrap().keys.is_empty();
+        let is_keyless = path.0.last().unwrap().keys.is_empty();
         let value = words.get(2).filter(|word| !word.contains('=')).map(|text| {
             let value: Value = serde_json::from_str(text).unwrap();
-            if whole {
+            if is_keyless {
                 json::read_data(&self.schema, node, &value, NodeScope::ConfigAndState).unwrap()
             } else {
                 DataNode::Container(
@@ -78,7 +79,7 @@
                 )
             }
         });
-        Edit { path, op: op(words[0]), value }
+        Edit { path, op: edit_operation(words[0]), value }
     }
 
     fn override_edits(&self, host: &str, words: &[&str]) -> Vec<Edit> {
@@ -99,18 +100,18 @@
         vec![self.edit(&["merge", &path, &leaves])]
     }
 
-    fn perform(&mut self, who: &str, what: &str, words: &[&str]) -> Result<(), ManagementError> {
+    fn perform(&mut self, session: &str, request: &str, words: &[&str]) -> Result<(), ManagementError> {
         let now = self.now;
         let option = |name: &str| words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
         let number = |name: &str| option(name).map(|word| word.parse::<u64>().unwrap());
-        if what == "opens" {
-            let user = words.first().unwrap_or(&who).to_string();
-            let who_is = Operator { user, protocol: Protocol::NetconfSsh, source: "127.0.0.1".into() };
-            let id = self.management.open_session(now, who_is)?;
-            self.sessions.insert(who.into(), id);
+        if request == "opens" {
+            let user = words.first().unwrap_or(&session).to_string();
+            let operator = Operator { user, protocol: Protocol::NetconfSsh, source: "127.0.0.1".into() };
+            let id = self.management.open_session(now, operator)?;
+            self.sessions.insert(session.into(), id);
             return Ok(());
         }
-        let id = self.sessions[who];
+        let id = self.sessions[session];
         self.management.record_activity(now, id);
         let parse_datastore = |word: &str| match word {
             "running" => Datastore::Running,
@@ -118,16 +119,16 @@
             _ => Datastore::Candidate,
         };
         let edit = |scenario: &mut Scenario, edits: &[Edit]| {
-            let made = scenario.management.edit_config(
+            let result = scenario.management.edit_config(
                 id,
                 Datastore::Candidate,
                 edits,
                 ErrorOption::Rollback,
                 EditMode::Apply,
             );
-            made.map_err(|faults| faults[0].clone())
+            result.map_err(|errors| errors[0].clone())
         };
-        match what {
+        match request {
             "marks" => edit(self, &self.override_edits(words[0], &words[1..])),
             "unmarks" => {
                 let path = format!("/router/marks/mark[host='{}']", words[0]);
@@ -143,7 +144,7 @@
                 self.management.commit(now, id, &confirm, "", &self.context).map(|_| ())
             }
             "cancels" => self.management.cancel_commit(now, id, option("id")),
-            "follows" => {
+            "subscribes" => {
                 self.management.set_subscription_count(id, 1);
                 Ok(())
             }
@@ -159,11 +160,11 @@
             "kills" => self.management.kill_session(now, id, self.sessions[words[0]]),
             "locks" => self.management.lock(now, id, parse_datastore(words[0])),
             "unlocks" => self.management.unlock(id, parse_datastore(words[0])),
-            "holds" => {
+            "partially-locks" => {
                 let pattern = Pattern::parse(&self.schema, words[0]).unwrap();
                 self.management.partial_lock(id, &[pattern]).map(|_| ())
             }
-            "frees" => self.management.partial_unlock(id, words[0].parse().unwrap()),
+            "partially-unlocks" => self.management.partial_unlock(id, words[0].parse().unwrap()),
             "sets" => {
                 let edits = [self.edit(words)];
                 self.management.set(now, id, &edits, number("expected"), "", &self.context).map(|_| ())
@@ -200,11 +201,11 @@
             }
             ["rules", ..] => {
                 let rules = line.trim_start_matches("rules ");
-                self.run_line("ruler opens owner");
+                self.run_line("rules-session opens owner");
                 let edit = self.edit(&["replace", "/router/access", rules]);
-                let id = self.sessions["ruler"];
+                let id = self.sessions["rules-session"];
                 self.management.set(self.now, id, &[edit], None, "", &self.context).unwrap();
-                self.run_line("ruler closes");
+                self.run_line("rules-session closes");
             }
             ["after", seconds] => {
                 self.now += Duration::from_secs(seconds.parse().unwrap());
@@ -243,24 +244,24 @@
                 let actual = actual.map_or("nobody", |pending| pending.author.user.as_str());
                 assert_eq!(actual, *user);
             }
-            ["told", expected @ ..] => {
+            ["notified", expected @ ..] => {
                 let taken = self.management.take_notifications();
-                self.notifications.extend(taken.iter().map(|notice| format!("{notice:?}")));
-                let matches_all = |notice: &String| expected.iter().all(|word| notice.contains(word));
+                self.notifications.extend(taken.iter().map(|notification| format!("{notification:?}")));
+                let matches_all = |text: &String| expected.iter().all(|word| text.contains(word));
                 assert!(self.notifications.iter().any(matches_all), "{:#?}", self.notifications);
                 self.notifications.clear();
             }
-            [who, what, rest @ ..] => {
-                let ended = self.perform(who, what, rest);
-                match (ended, error) {
+            [session, request, rest @ ..] => {
+                let result = self.perform(session, request, rest);
+                match (result, error) {
                     (Ok(()), None) => {}
-                    (Err(found), Some(wanted)) => {
-                        let mut wanted = wanted.split_whitespace();
-                        assert_eq!(Some(found.tag.name()), wanted.next(), "{found:?}");
-                        let text = format!("{found:?}");
-                        assert!(wanted.all(|word| text.contains(word)), "{text}");
+                    (Err(error), Some(expected)) => {
+                        let mut expected_words = expected.split_whitespace();
+                        assert_eq!(Some(error.tag.name()), expected_words.next(), "{error:?}");
+                        let text = format!("{error:?}");
+                        assert!(expected_words.all(|word| text.contains(word)), "{text}");
                     }
-                    (ended, wanted) => panic!("{ended:?}, wanted {wanted:?}"),
+                    (result, expected) => panic!("{result:?}, expected {expected:?}"),
                 }
             }
             other => panic!("{other:?}"),
