--- a/crates/rockflow-management/src/management/commits.rs
+++ b/crates/rockflow-management/src/management/commits.rs
@@ -231,8 +231,8 @@
         Ok(configuration)
     }
 
-    /// Checks a proposed configuration against locks, permissions and the model, and commits it. A permanent commit
-    /// that changes nothing while none is pending gets no number. Returns the number of the commit in force.
+    /// Checks a proposed configuration against locks, permissions and the model, and commits it. A commit that
+    /// changes nothing gets no number, but can confirm or extend a pending one. Returns the number of the commit in force.
     fn apply_change(
         &mut self,
         now: Duration,
--- a/crates/rockflow-management/src/management/editing.rs
+++ b/crates/rockflow-management/src/management/editing.rs
@@ -105,7 +105,8 @@
     /// Checks a whole configuration against the model, the access rules' syntax and the limits, as a commit does.
     ///
     /// # Errors
-    /// The error that a commit of the configuration would fail with; locks and node permissions are not checked.
+    /// The error that a commit of the configuration would fail with. Locks, a pending commit and the permissions for
+    /// nodes are not checked.
     pub fn validate(
         &self,
         now: Duration,
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -18,7 +18,7 @@
     OnChange {
         /// The shortest time between two updates.
         dampening: Duration,
-        /// The time after the last full snapshot at which another is sent; `None`: no snapshots but the first.
+        /// The time after the last full snapshot at which another is sent; `None`: no periodic snapshots.
         heartbeat: Option<Duration>,
     },
     /// Sends an update at fixed intervals.
