--- a/crates/rockflow-management/src/lock.rs
+++ b/crates/rockflow-management/src/lock.rs
@@ -37,23 +37,23 @@
 
 /// All locks that sessions hold.
 pub(crate) struct Locks {
-    whole: BTreeMap<Datastore, LockInfo>,
-    partial: BTreeMap<u32, PartialLock>,
+    datastore_locks: BTreeMap<Datastore, LockInfo>,
+    partial_locks: BTreeMap<u32, PartialLock>,
     next_partial_id: u32,
 }
 
 impl Locks {
     pub(crate) fn new() -> Locks {
-        Locks { whole: BTreeMap::new(), partial: BTreeMap::new(), next_partial_id: 1 }
+        Locks { datastore_locks: BTreeMap::new(), partial_locks: BTreeMap::new(), next_partial_id: 1 }
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = LockInfo> + '_ {
-        self.whole.values().copied()
+        self.datastore_locks.values().copied()
     }
 
     /// The session that holds the lock of the whole datastore.
     pub(crate) fn holder(&self, datastore: Datastore) -> Option<SessionId> {
-        self.whole.get(&datastore).map(|lock| lock.session)
+        self.datastore_locks.get(&datastore).map(|lock| lock.session)
     }
 
     /// The session that holds the lock of the whole datastore, unless that is `session` itself.
@@ -63,11 +63,11 @@
 
     /// A session other than `session` that holds a partial lock, if there is one.
     pub(crate) fn other_partial_holder(&self, session: SessionId) -> Option<SessionId> {
-        self.partial.values().map(|lock| lock.session).find(|holder| *holder != session)
+        self.partial_locks.values().map(|lock| lock.session).find(|holder| *holder != session)
     }
 
     pub(crate) fn insert(&mut self, now: Duration, session: SessionId, datastore: Datastore) {
-        self.whole.insert(datastore, LockInfo { datastore, session, since: now });
+        self.datastore_locks.insert(datastore, LockInfo { datastore, session, since: now });
     }
 
     /// Releases the lock of a whole datastore. Fails where the session does not hold it.
@@ -79,7 +79,7 @@
         let name = datastore.name();
         match self.holder(datastore) {
             Some(holder) if holder == session => {
-                self.whole.remove(&datastore);
+                self.datastore_locks.remove(&datastore);
                 Ok(())
             }
             Some(holder) => {
@@ -100,33 +100,33 @@
         let overlaps = |other: &PartialLock| {
             other.nodes.iter().any(|locked| nodes.iter().any(|wanted| paths_overlap(wanted, locked)))
         };
-        let blocking = self.partial.values().find(|other| other.session != session && overlaps(other));
+        let blocking = self.partial_locks.values().find(|other| other.session != session && overlaps(other));
         if let Some(other) = blocking {
             return Err(lock_denied(other.session, "locked"));
         }
-        if self.partial.len() >= MAX_PARTIAL_LOCKS {
+        if self.partial_locks.len() >= MAX_PARTIAL_LOCKS {
             return Err(ManagementError::new(ErrorTag::ResourceDenied, "too many partial locks"));
         }
         let id = self.next_partial_id;
         self.next_partial_id += 1;
-        self.partial.insert(id, PartialLock { session, nodes: nodes.clone() });
+        self.partial_locks.insert(id, PartialLock { session, nodes: nodes.clone() });
         Ok(PartialLockGrant { id, nodes })
     }
 
     /// Releases a partial lock. Fails where the session holds none with that number.
     pub(crate) fn release_partial(&mut self, session: SessionId, id: u32) -> Result<(), ManagementError> {
-        if self.partial.get(&id).is_none_or(|lock| lock.session != session) {
+        if self.partial_locks.get(&id).is_none_or(|lock| lock.session != session) {
             let message = format!("no partial lock {id} of this session");
             return Err(ManagementError::new(ErrorTag::InvalidValue, message));
         }
-        self.partial.remove(&id);
+        self.partial_locks.remove(&id);
         Ok(())
     }
 
     /// Releases all locks that a session holds.
     pub(crate) fn release_all(&mut self, session: SessionId) {
-        self.whole.retain(|_, lock| lock.session != session);
-        self.partial.retain(|_, lock| lock.session != session);
+        self.datastore_locks.retain(|_, lock| lock.session != session);
+        self.partial_locks.retain(|_, lock| lock.session != session);
     }
 
     /// Fails where a lock of another session prevents the session from making these changes to running.
@@ -139,7 +139,7 @@
         if let Some(holder) = self.other_holder(Datastore::Running, session) {
             return Err(in_use(holder, "running is locked"));
         }
-        for lock in self.partial.values().filter(|lock| lock.session != session) {
+        for lock in self.partial_locks.values().filter(|lock| lock.session != session) {
             let is_changed = |node: &Path| changes.iter().any(|change| paths_overlap(node, &change.path));
             if let Some(node) = lock.nodes.iter().find(|node| is_changed(node)) {
                 let reason = format!("{} is locked", node.to_text(schema));
--- a/crates/rockflow-management/src/management/commits.rs
+++ b/crates/rockflow-management/src/management/commits.rs
@@ -232,7 +232,8 @@
     }
 
     /// Checks a proposed configuration against locks, permissions and the model, and commits it. A commit that
-    /// changes nothing gets no number, but can confirm or extend a pending one. Returns the number of the commit in force.
+    /// changes nothing gets no number, but can confirm or extend a pending one. Returns the number of the commit in
+    /// force.
     fn apply_change(
         &mut self,
         now: Duration,
--- a/crates/rockflow-management/src/management/editing.rs
+++ b/crates/rockflow-management/src/management/editing.rs
@@ -86,7 +86,7 @@
         };
         self.check_copy_target(id, target)?;
         let value = Some(DataNode::Container(fields));
-        self.edit_whole(id, target, Edit { path: Path::default(), op: EditOperation::Replace, value })
+        self.edit_root(id, target, Edit { path: Path::default(), op: EditOperation::Replace, value })
     }
 
     /// Deletes the contents of startup.
@@ -95,7 +95,7 @@
     /// [`ErrorTag::OperationNotSupported`] where startup is not separate.
     pub fn delete_startup(&mut self, id: SessionId) -> Result<(), ManagementError> {
         self.authorize_call(id, "delete-config")?;
-        self.edit_whole(
+        self.edit_root(
             id,
             Datastore::Startup,
             Edit { path: Path::default(), op: EditOperation::Remove, value: None },
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Applies one edit to a whole datastore; used by copies and deletions.
-    fn edit_whole(&mut self, id: SessionId, target: Datastore, edit: Edit) -> Result<(), ManagementError> {
+    /// Applies one edit to the root of a datastore, for requests that replace or delete all of it.
+    fn edit_root(&mut self, id: SessionId, target: Datastore, edit: Edit) -> Result<(), ManagementError> {
         let edited = self.edit_config(id, target, &[edit], ErrorOption::Rollback, EditMode::Apply);
         edited.map_err(|errors| {
             let first = errors.into_iter().next();
--- a/crates/rockflow-management/src/subscription.rs
+++ b/crates/rockflow-management/src/subscription.rs
@@ -1,15 +1,15 @@
 //! Subscriptions to values, independent of the protocol: updates on change, or periodic snapshots.
 //!
 //! Only the last unsent change of each path is kept, so that the memory for a slow reader is bounded by the number of
-//! paths that it subscribes to. When more than [`MAX_WAITING`] paths have unsent changes, they are replaced by one full
-//! snapshot.
+//! paths that it subscribes to. When more than [`MAX_UNSENT_CHANGES`] paths have unsent changes, these are replaced by
+//! one full snapshot.
 
 use rockflow_yang::{data, Change, DataTree, Path, Pattern, Scalar};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// The most paths with unsent changes that are kept for one subscriber.
-pub const MAX_WAITING: usize = 20_000;
+pub const MAX_UNSENT_CHANGES: usize = 20_000;
 
 /// When updates are sent to a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,7 +56,7 @@
     patterns: Vec<Pattern>,
     trigger: Trigger,
     /// The last unsent change of each path; empty for a periodic subscription.
-    waiting: BTreeMap<Path, ChangedValue>,
+    unsent: BTreeMap<Path, ChangedValue>,
     /// Whether the next update is a full snapshot.
     needs_snapshot: bool,
     /// The values as last sent; kept only where unchanged ones are left out.
@@ -74,7 +74,7 @@
         Subscription {
             patterns,
             trigger,
-            waiting: BTreeMap::new(),
+            unsent: BTreeMap::new(),
             needs_snapshot: !updates_only,
             sent: BTreeMap::new(),
             last_update: None,
@@ -94,12 +94,12 @@
         }
         let selected: Vec<_> = changes.iter().filter(|change| self.selects(&change.path)).collect();
         for change in selected {
-            let coalesced = self.waiting.get(&change.path).map_or(0, |earlier| earlier.coalesced + 1);
+            let coalesced = self.unsent.get(&change.path).map_or(0, |earlier| earlier.coalesced + 1);
             let changed = ChangedValue { value: change.after.clone(), coalesced };
-            self.waiting.insert(change.path.clone(), changed);
+            self.unsent.insert(change.path.clone(), changed);
         }
-        if self.waiting.len() > MAX_WAITING {
-            self.waiting.clear();
+        if self.unsent.len() > MAX_UNSENT_CHANGES {
+            self.unsent.clear();
             self.needs_snapshot = true;
         }
     }
@@ -109,7 +109,7 @@
         match self.trigger {
             Trigger::OnChange { dampening, heartbeat } => {
                 let earliest = self.last_update.map_or(Duration::ZERO, |last| last + dampening);
-                let has_update = self.needs_snapshot || !self.waiting.is_empty();
+                let has_update = self.needs_snapshot || !self.unsent.is_empty();
                 let update = has_update.then_some(earliest);
                 let snapshot = heartbeat.map(|heartbeat| self.last_snapshot + heartbeat);
                 update.into_iter().chain(snapshot).min()
@@ -136,10 +136,10 @@
                 if self.needs_snapshot || self.is_heartbeat_due(now, heartbeat) {
                     self.last_snapshot = now;
                     self.needs_snapshot = false;
-                    self.waiting.clear();
+                    self.unsent.clear();
                     return Some(Update::Snapshot(self.selected_values(current_values())));
                 }
-                Some(Update::Changes(std::mem::take(&mut self.waiting)))
+                Some(Update::Changes(std::mem::take(&mut self.unsent)))
             }
             Trigger::Periodic { suppress, heartbeat, .. } => {
                 if is_first && !self.needs_snapshot {
--- a/crates/rockflow-management/tests/subscriptions.rs
+++ b/crates/rockflow-management/tests/subscriptions.rs
@@ -71,8 +71,8 @@
     let schema = Schema::published();
     let mut subscription = on_change_subscription(&schema, 10, None);
     subscription.take_update(at(0), DataTree::new);
-    let max_waiting = rockflow_management::subscription::MAX_WAITING;
-    for start in (0..max_waiting + 10).step_by(1000) {
+    let max_unsent = rockflow_management::subscription::MAX_UNSENT_CHANGES;
+    for start in (0..max_unsent + 10).step_by(1000) {
         let names: Vec<_> = (start..start + 1000).map(|number| format!("c{number}")).collect();
         let marks: Vec<_> = names.iter().map(|name| (name.as_str(), "a")).collect();
         subscription.record_changes(&data::diff(&DataTree::new(), &overrides(&schema, &marks)));
