--- a/crates/rockflow-management/src/lock.rs
+++ b/crates/rockflow-management/src/lock.rs
@@ -1,4 +1,4 @@
-//! Locks: of a whole datastore (RFC 6241, section 7.5) and of parts of running (RFC 5717).
+//! Locks of whole datastores (RFC 6241, section 7.5) and partial locks of running (RFC 5717).
 
 use crate::datastore::Datastore;
 use crate::error::{ErrorTag, ManagementError};
@@ -7,26 +7,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Partial locks that all sessions may hold together.
+/// The most partial locks that all sessions together may hold.
 const MAX_PARTIAL_LOCKS: usize = 256;
 
 /// A lock of a whole datastore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LockInfo {
-    /// What is locked.
+    /// The datastore that is locked.
     pub datastore: Datastore,
-    /// Who holds the lock.
+    /// The session that holds the lock.
     pub session: SessionId,
-    /// When it was taken, as Unix time.
+    /// When the lock was acquired, as Unix time.
     pub since: Duration,
 }
 
 /// A partial lock as it was granted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartialLockGrant {
-    /// The number by which it is released.
+    /// The lock's number, which a request to release it gives.
     pub id: u32,
-    /// The nodes that it locks, with all below them.
+    /// The locked nodes; all nodes below them are locked too.
     pub nodes: Vec<Path>,
 }
 
@@ -37,40 +37,40 @@
 
 /// All locks that sessions hold.
 pub(crate) struct Locks {
-    whole: BTreeMap<Datastore, LockInfo>,
-    partial: BTreeMap<u32, PartialLock>,
+    datastore_locks: BTreeMap<Datastore, LockInfo>,
+    partial_locks: BTreeMap<u32, PartialLock>,
     next_partial_id: u32,
 }
 
 impl Locks {
     pub(crate) fn new() -> Locks {
-        Locks { whole: BTreeMap::new(), partial: BTreeMap::new(), next_partial_id: 1 }
+        Locks { datastore_locks: BTreeMap::new(), partial_locks: BTreeMap::new(), next_partial_id: 1 }
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = LockInfo> + '_ {
-        self.whole.values().copied()
+        self.datastore_locks.values().copied()
     }
 
-    /// Who holds the lock of a whole datastore.
+    /// The session that holds the lock of the whole datastore.
     pub(crate) fn holder(&self, datastore: Datastore) -> Option<SessionId> {
-        self.whole.get(&datastore).map(|lock| lock.session)
+        self.datastore_locks.get(&datastore).map(|lock| lock.session)
     }
 
-    /// Who holds the lock of a whole datastore, if that is not the session itself.
+    /// The session that holds the lock of the whole datastore, unless that is `session` itself.
     pub(crate) fn other_holder(&self, datastore: Datastore, session: SessionId) -> Option<SessionId> {
         self.holder(datastore).filter(|holder| *holder != session)
     }
 
-    /// Another session that holds any partial lock.
+    /// A session other than `session` that holds a partial lock, if there is one.
     pub(crate) fn other_partial_holder(&self, session: SessionId) -> Option<SessionId> {
-        self.partial.values().map(|lock| lock.session).find(|holder| *holder != session)
+        self.partial_locks.values().map(|lock| lock.session).find(|holder| *holder != session)
     }
 
     pub(crate) fn insert(&mut self, now: Duration, session: SessionId, datastore: Datastore) {
-        self.whole.insert(datastore, LockInfo { datastore, session, since: now });
+        self.datastore_locks.insert(datastore, LockInfo { datastore, session, since: now });
     }
 
-    /// Releases the lock of a whole datastore; an error where the session does not hold it.
+    /// Releases the lock of a whole datastore. Fails where the session does not hold it.
     pub(crate) fn release(
         &mut self,
         session: SessionId,
@@ -79,7 +79,7 @@
         let name = datastore.name();
         match self.holder(datastore) {
             Some(holder) if holder == session => {
-                self.whole.remove(&datastore);
+                self.datastore_locks.remove(&datastore);
                 Ok(())
             }
             Some(holder) => {
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Locks nodes of running, unless another session's partial lock overlaps them.
+    /// Locks nodes of running. Fails where another session's partial lock overlaps them, or where
+    /// [`MAX_PARTIAL_LOCKS`] are held already.
     pub(crate) fn insert_partial(
         &mut self,
         session: SessionId,
@@ -99,36 +100,36 @@
         let overlaps = |other: &PartialLock| {
             other.nodes.iter().any(|locked| nodes.iter().any(|wanted| paths_overlap(wanted, locked)))
         };
-        let blocking = self.partial.values().find(|other| other.session != session && overlaps(other));
+        let blocking = self.partial_locks.values().find(|other| other.session != session && overlaps(other));
         if let Some(other) = blocking {
             return Err(lock_denied(other.session, "locked"));
         }
-        if self.partial.len() >= MAX_PARTIAL_LOCKS {
+        if self.partial_locks.len() >= MAX_PARTIAL_LOCKS {
             return Err(ManagementError::new(ErrorTag::ResourceDenied, "too many partial locks"));
         }
         let id = self.next_partial_id;
         self.next_partial_id += 1;
-        self.partial.insert(id, PartialLock { session, nodes: nodes.clone() });
+        self.partial_locks.insert(id, PartialLock { session, nodes: nodes.clone() });
         Ok(PartialLockGrant { id, nodes })
     }
 
-    /// Releases a partial lock; an error where the session holds none of that number.
+    /// Releases a partial lock. Fails where the session holds none with that number.
     pub(crate) fn release_partial(&mut self, session: SessionId, id: u32) -> Result<(), ManagementError> {
-        if self.partial.get(&id).is_none_or(|lock| lock.session != session) {
+        if self.partial_locks.get(&id).is_none_or(|lock| lock.session != session) {
             let message = format!("no partial lock {id} of this session");
             return Err(ManagementError::new(ErrorTag::InvalidValue, message));
         }
-        self.partial.remove(&id);
+        self.partial_locks.remove(&id);
         Ok(())
     }
 
-    /// Releases all that a session holds.
+    /// Releases all locks that a session holds.
     pub(crate) fn release_all(&mut self, session: SessionId) {
-        self.whole.retain(|_, lock| lock.session != session);
-        self.partial.retain(|_, lock| lock.session != session);
+        self.datastore_locks.retain(|_, lock| lock.session != session);
+        self.partial_locks.retain(|_, lock| lock.session != session);
     }
 
-    /// Whether the session may make these changes to running: an error where another's lock is in the way.
+    /// Fails where a lock of another session prevents the session from making these changes to running.
     pub(crate) fn check_changes(
         &self,
         schema: &Schema,
@@ -138,30 +139,31 @@
         if let Some(holder) = self.other_holder(Datastore::Running, session) {
             return Err(in_use(holder, "running is locked"));
         }
-        for lock in self.partial.values().filter(|lock| lock.session != session) {
+        for lock in self.partial_locks.values().filter(|lock| lock.session != session) {
             let is_changed = |node: &Path| changes.iter().any(|change| paths_overlap(node, &change.path));
             if let Some(node) = lock.nodes.iter().find(|node| is_changed(node)) {
-                let what = format!("{} is locked", node.to_text(schema));
-                return Err(in_use(lock.session, &what).with_path(node));
+                let reason = format!("{} is locked", node.to_text(schema));
+                return Err(in_use(lock.session, &reason).with_path(node));
             }
         }
         Ok(())
     }
 }
 
-/// A lock that can't be had, because of another session.
-pub(crate) fn lock_denied(holder: SessionId, what: &str) -> ManagementError {
-    let message = format!("{what} by session {}", holder.0);
+/// The error for a lock that another session prevents. The message is `reason` followed by the holder's number.
+pub(crate) fn lock_denied(holder: SessionId, reason: &str) -> ManagementError {
+    let message = format!("{reason} by session {}", holder.0);
     ManagementError::new(ErrorTag::LockDenied, message).with_holder(holder)
 }
 
-/// A change that can't be made, because of another session's lock.
-pub(crate) fn in_use(holder: SessionId, what: &str) -> ManagementError {
-    let message = format!("{what} by session {}", holder.0);
+/// The error for a change that another session's lock prevents. The message is `reason` followed by the holder's
+/// number.
+pub(crate) fn in_use(holder: SessionId, reason: &str) -> ManagementError {
+    let message = format!("{reason} by session {}", holder.0);
     ManagementError::new(ErrorTag::InUse, message).with_holder(holder)
 }
 
-/// Whether one path is the other, or lies below it.
-pub(crate) fn paths_overlap(one: &Path, other: &Path) -> bool {
-    one.contains(other) || other.contains(one)
+/// Whether the paths are equal or one lies below the other.
+pub(crate) fn paths_overlap(left: &Path, right: &Path) -> bool {
+    left.contains(right) || right.contains(left)
 }
--- a/crates/rockflow-management/src/management/editing.rs
+++ b/crates/rockflow-management/src/management/editing.rs
@@ -16,7 +16,8 @@
     /// Edits the session's candidate, or startup where that is separate.
     ///
     /// # Errors
-    /// With [`ErrorOption::Continue`] one for each edit that failed, while the others are made; else the first.
+    /// With [`ErrorOption::Continue`], an error for each edit that failed, while the others are applied; otherwise the
+    /// error of the first edit that failed.
     pub fn edit_config(
         &mut self,
         id: SessionId,
@@ -25,9 +26,9 @@
         option: ErrorOption,
         mode: EditMode,
     ) -> Result<(), Vec<ManagementError>> {
-        let one = |error: ManagementError| vec![error];
-        self.check_editable(id, target).map_err(one)?;
-        let user = self.sessions.get(id).map_err(one)?.operator.user.clone();
+        let single = |error: ManagementError| vec![error];
+        self.check_editable(id, target).map_err(single)?;
+        let user = self.sessions.get(id).map_err(single)?.operator.user.clone();
         let before = self.datastore(id, target).clone();
         let mut after = before.clone();
         let mut errors = Vec::new();
@@ -39,10 +40,10 @@
                 }
             }
         }
-        validation::check_size(&after).map_err(one)?;
+        validation::check_size(&after).map_err(single)?;
         let is_kept = errors.is_empty() || option != ErrorOption::Rollback;
         if mode == EditMode::Apply && is_kept && after != before {
-            self.replace_datastore(id, target, after).map_err(one)?;
+            self.replace_datastore(id, target, after).map_err(single)?;
         }
         if errors.is_empty() {
             Ok(())
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Drops the session's candidate; it equals running again.
+    /// Discards the session's edits: its candidate equals running again.
     ///
     /// # Errors
     /// [`ErrorTag::AccessDenied`] where an access rule denies the call.
@@ -64,8 +65,8 @@
     /// Copies one whole configuration over another (RFC 6241, section 7.3).
     ///
     /// # Errors
-    /// [`ErrorTag::OperationNotSupported`] where the target is running, or startup that is not separate; those of
-    /// an edit else.
+    /// [`ErrorTag::OperationNotSupported`] where the target is running, or startup that is not separate;
+    /// [`ErrorTag::InvalidValue`] where source and target are the same; otherwise as [`Management::edit_config`].
     pub fn copy_config(
         &mut self,
         id: SessionId,
@@ -75,33 +76,37 @@
         self.authorize_call(id, "copy-config")?;
         let fields = match source {
             ConfigSource::Datastore(source) if source == target => {
-                return Err(ManagementError::new(ErrorTag::InvalidValue, "copied onto itself"));
+                return Err(ManagementError::new(
+                    ErrorTag::InvalidValue,
+                    "source and target are the same datastore",
+                ));
             }
             ConfigSource::Datastore(source) => self.datastore(id, source).clone(),
             ConfigSource::Inline(fields) => fields,
         };
         self.check_copy_target(id, target)?;
         let value = Some(DataNode::Container(fields));
-        self.edit_whole(id, target, Edit { path: Path::default(), op: EditOperation::Replace, value })
+        self.edit_root(id, target, Edit { path: Path::default(), op: EditOperation::Replace, value })
     }
 
-    /// Empties startup.
+    /// Deletes the contents of startup.
     ///
     /// # Errors
     /// [`ErrorTag::OperationNotSupported`] where startup is not separate.
     pub fn delete_startup(&mut self, id: SessionId) -> Result<(), ManagementError> {
         self.authorize_call(id, "delete-config")?;
-        self.edit_whole(
+        self.edit_root(
             id,
             Datastore::Startup,
             Edit { path: Path::default(), op: EditOperation::Remove, value: None },
         )
     }
 
-    /// Checks a whole configuration as a commit would.
+    /// Checks a whole configuration against the model, the access rules' syntax and the limits, as a commit does.
     ///
     /// # Errors
-    /// What a commit of it would be refused for.
+    /// The error that a commit of the configuration would fail with. Locks, a pending commit and the permissions for
+    /// nodes are not checked.
     pub fn validate(
         &self,
         now: Duration,
@@ -129,7 +134,7 @@
         validation::validate(&self.schema, now, &self.running, proposed, owner, context)
     }
 
-    /// An error where another session has locked the candidate.
+    /// Fails where another session has locked the candidate.
     pub(super) fn check_candidate_lock(&self, id: SessionId) -> Result<(), ManagementError> {
         match self.locks.other_holder(Datastore::Candidate, id) {
             Some(holder) => Err(in_use(holder, "candidate is locked")),
@@ -137,7 +142,7 @@
         }
     }
 
-    /// The session's candidate on top of running as it is now.
+    /// The session's candidate, rebased onto running.
     pub(super) fn rebased_candidate(&self, id: SessionId) -> Result<DataTree, ManagementError> {
         match &self.sessions.get(id)?.candidate {
             Some(candidate) => candidate.rebase(&self.schema, &self.running, self.version, &self.history),
@@ -151,7 +156,8 @@
         }
     }
 
-    /// Whether the user may make each of the changes, by what is done to its node (RFC 8341, section 3.4.5).
+    /// Fails where the user may not make one of the changes: creating, updating and deleting a node need separate
+    /// permissions (RFC 8341, section 3.4.5).
     pub(super) fn authorize_changes(&self, user: &str, changes: &[Change]) -> Result<(), ManagementError> {
         for change in changes {
             let operation = match (&change.before, &change.after) {
@@ -174,7 +180,8 @@
             Datastore::Candidate => self.check_candidate_lock(id),
             Datastore::Startup if self.has_separate_startup() => Ok(()),
             _ => {
-                let message = "only the candidate is edited, then committed";
+                let name = target.name();
+                let message = format!("{name} can't be edited directly; edit the candidate and commit it");
                 Err(ManagementError::new(ErrorTag::OperationNotSupported, message))
             }
         }
@@ -183,9 +190,9 @@
     fn check_copy_target(&self, id: SessionId, target: Datastore) -> Result<(), ManagementError> {
         let not_supported = |message: &str| ManagementError::new(ErrorTag::OperationNotSupported, message);
         match target {
-            Datastore::Running => Err(not_supported("running is changed by commits alone")),
+            Datastore::Running => Err(not_supported("running can be changed only by commits")),
             Datastore::Startup if !self.has_separate_startup() => {
-                Err(not_supported("startup follows each commit"))
+                Err(not_supported("startup always equals running and can't be written"))
             }
             Datastore::Startup => match self.locks.other_holder(target, id) {
                 Some(holder) => {
@@ -198,15 +205,16 @@
         }
     }
 
-    fn edit_whole(&mut self, id: SessionId, target: Datastore, edit: Edit) -> Result<(), ManagementError> {
+    /// Applies one edit to the root of a datastore, for requests that replace or delete all of it.
+    fn edit_root(&mut self, id: SessionId, target: Datastore, edit: Edit) -> Result<(), ManagementError> {
         let edited = self.edit_config(id, target, &[edit], ErrorOption::Rollback, EditMode::Apply);
         edited.map_err(|errors| {
             let first = errors.into_iter().next();
-            first.unwrap_or_else(|| ManagementError::new(ErrorTag::OperationFailed, "failed"))
+            first.unwrap_or_else(|| ManagementError::new(ErrorTag::OperationFailed, "the edit failed"))
         })
     }
 
-    /// Makes one edit, or leaves the fields as they are.
+    /// Applies one edit that the user is permitted to make. On an error `fields` does not change.
     fn apply_authorized(
         &self,
         user: &str,
