--- a/crates/rockflow-benchmarks/src/main.rs
+++ b/crates/rockflow-benchmarks/src/main.rs
@@ -116,7 +116,8 @@
         }
         Command::Soak { seed, runs, parallel } => {
             let program = Program { path: command_line.rockflow, arguments: Vec::new() };
-            let reports = soak::play(&program, (seed..seed + runs).map(Plan::from_seed).collect(), parallel);
+            let reports =
+                soak::run_plans(&program, (seed..seed + runs).map(Plan::from_seed).collect(), parallel);
             soak::print_table(&reports);
             reports.iter().all(|report| report.violations.is_empty())
         }
--- a/crates/rockflow-benchmarks/src/soak/mod.rs
+++ b/crates/rockflow-benchmarks/src/soak/mod.rs
@@ -36,7 +36,7 @@
 ///
 /// # Panics
 /// If a run can't be set up: a port, a file or a process is missing.
-pub fn play(program: &Program, plans: Vec<Plan>, parallel: usize) -> Vec<RunReport> {
+pub fn run_plans(program: &Program, plans: Vec<Plan>, parallel: usize) -> Vec<RunReport> {
     let queue: Arc<Mutex<VecDeque<(usize, Plan)>>> =
         Arc::new(Mutex::new(plans.into_iter().enumerate().collect()));
     let workers: Vec<_> = (0..parallel.max(1))
@@ -46,7 +46,7 @@
                 let next = || queue.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
                 let mut reports = Vec::new();
                 while let Some((number, plan)) = next() {
-                    reports.push((number, run::play(&program, &plan)));
+                    reports.push((number, run::run(&program, &plan)));
                 }
                 reports
             })
--- a/crates/rockflow-benchmarks/src/soak/report.rs
+++ b/crates/rockflow-benchmarks/src/soak/report.rs
@@ -10,7 +10,7 @@
 /// the slack that the rules leave.
 const STARVED_LATENESS: Duration = Duration::from_millis(25);
 /// Time lines of one run.
-const MAX_TIME_LINES: usize = 3;
+const MAX_TIMELINES: usize = 3;
 /// The log is shown from so long before the first moment to so long behind the last.
 const LOG_MARGIN: Duration = Duration::from_millis(100);
 const MAX_LOG_LINES: usize = 20;
@@ -31,7 +31,7 @@
     /// The rules that were broken.
     pub violations: Vec<Violation>,
     /// The time lines of the first of them.
-    pub time_lines: Vec<String>,
+    pub timelines: Vec<String>,
     /// How late the rig's own clock was at worst.
     pub greatest_lateness: Duration,
     /// The longest that the program had something to answer and was given no processor.
@@ -51,7 +51,7 @@
             };
             *ends.entry(kind).or_insert(0) += 1;
         }
-        let shown = ledger.violations.iter().take(MAX_TIME_LINES);
+        let shown = ledger.violations.iter().take(MAX_TIMELINES);
         RunReport {
             seed: plan.seed,
             is_crowd: plan.is_crowd,
@@ -59,7 +59,7 @@
             requests_after_term: ledger.requests.values().filter(|request| request.is_after_term).count(),
             ends,
             violations: ledger.violations.clone(),
-            time_lines: shown.map(|violation| time_line(plan, ledger, log, violation)).collect(),
+            timelines: shown.map(|violation| timeline(plan, ledger, log, violation)).collect(),
             greatest_lateness: ledger.greatest_lateness,
             longest_starvation: ledger.longest_starvation,
             ended_after,
@@ -72,13 +72,13 @@
     }
 
     /// Whether a rule was broken.
-    pub fn has_violated(&self, rule: Rule) -> bool {
+    pub fn has_violation(&self, rule: Rule) -> bool {
         self.violations.iter().any(|violation| violation.rule == rule)
     }
 }
 
 /// One line of what client, hosts, signals and the program's log say of a violation, in the order of time.
-fn time_line(plan: &Plan, ledger: &Ledger, log: &str, violation: &Violation) -> String {
+fn timeline(plan: &Plan, ledger: &Ledger, log: &str, violation: &Violation) -> String {
     let is_shown = |request: &Option<u64>| request.is_none() || *request == violation.request;
     let events = ledger.events.iter().filter(|event| is_shown(&event.request));
     let mut lines: Vec<(Duration, String)> = events
@@ -117,7 +117,7 @@
 
 /// Prints the time lines and the table of some runs.
 pub fn print_table(reports: &[RunReport]) {
-    for line in reports.iter().flat_map(|report| &report.time_lines) {
+    for line in reports.iter().flat_map(|report| &report.timelines) {
         println!("{line}");
     }
     println!("| runs | of these | requests | after SIGTERM | ends | violations | latest end |");
--- a/crates/rockflow-benchmarks/src/soak/run.rs
+++ b/crates/rockflow-benchmarks/src/soak/run.rs
@@ -36,9 +36,9 @@
 const KILL_AT_LOAD_PART: f64 = 0.4;
 
 /// Plays a run to its end.
-pub(super) fn play(program: &Program, plan: &Plan) -> RunReport {
+pub(super) fn run(program: &Program, plan: &Plan) -> RunReport {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async { Run::prepare(program, plan).await.play().await })
+    LocalSet::new().block_on(&runtime, async { Run::prepare(program, plan).await.run().await })
 }
 
 /// The peers of a run, and the program between them.
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn play(self) -> RunReport {
+    async fn run(self) -> RunReport {
         let clock = spawn_local(watch_clock(self.ledger.clone()));
         self.start_program();
         let is_ready = self.await_start().await;
@@ -101,7 +101,7 @@
         let starvation = spawn_local(watch_program(self.ledger.clone(), self.address, self.process_id()));
         let clients = self.start_clients(&context);
         if self.plan.ending != Ending::WhileStarting && is_ready {
-            self.play_load().await;
+            self.run_load().await;
         }
         let ended_after = self.stop_program(&context).await;
         self.await_clients(clients).await;
@@ -184,7 +184,7 @@
     }
 
     /// The time of load, with what happens in it and on into the stop.
-    async fn play_load(&self) {
+    async fn run_load(&self) {
         let plan = self.plan;
         spawn_local(issue_purges(
             self.discovery.clone(),
--- a/crates/rockflow-benchmarks/tests/wrong_dispatchers.rs
+++ b/crates/rockflow-benchmarks/tests/wrong_dispatchers.rs
@@ -20,7 +20,7 @@
 fn wrong_dispatcher_is_reported(fault: &str, rule: Rule) {
     let path = env!("CARGO_BIN_EXE_rockflow-benchmarks").into();
     let program = Program { path, arguments: vec!["wrong-dispatcher".to_string(), fault.to_string()] };
-    let reports = soak::play(&program, vec![Plan::without_faults(SEED)], 1);
-    assert!(reports[0].has_violated(rule), "{:?}", reports[0].violations);
-    assert!(!reports[0].time_lines.is_empty());
+    let reports = soak::run_plans(&program, vec![Plan::without_faults(SEED)], 1);
+    assert!(reports[0].has_violation(rule), "{:?}", reports[0].violations);
+    assert!(!reports[0].timelines.is_empty());
 }
--- a/crates/rockflow-cli/tests/soak.rs
+++ b/crates/rockflow-cli/tests/soak.rs
@@ -11,7 +11,7 @@
 #[test]
 fn rules_hold_in_a_short_soak() {
     let program = Program { path: env!("CARGO_BIN_EXE_rockflow").into(), arguments: Vec::new() };
-    let reports = soak::play(&program, SEEDS.map(Plan::from_seed).collect(), PARALLEL);
+    let reports = soak::run_plans(&program, SEEDS.map(Plan::from_seed).collect(), PARALLEL);
     soak::print_table(&reports);
     let mut judged = reports.iter().filter(|report| !report.is_starved()).peekable();
     assert!(judged.peek().is_some(), "the rig was late in every run");
--- a/crates/rockflow-process-harness/src/datagrams/mod.rs
+++ b/crates/rockflow-process-harness/src/datagrams/mod.rs
@@ -22,7 +22,7 @@
 use tokio::sync::oneshot;
 
 /// Datagrams that are delayed at once; more are dropped, and counted.
-pub const MAX_LATE: usize = 65_536;
+pub const MAX_DELAYED_DATAGRAMS: usize = 65_536;
 
 /// A proxy in front of members, with a thread of its own, which stops when the handle is dropped.
 pub struct Proxy {
--- a/crates/rockflow-process-harness/src/datagrams/state.rs
+++ b/crates/rockflow-process-harness/src/datagrams/state.rs
@@ -2,7 +2,7 @@
 
 use super::counts::{Tally, TrafficCounts};
 use super::rules::{PathConditions, Rule, RuleId};
-use super::MAX_LATE;
+use super::MAX_DELAYED_DATAGRAMS;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -116,7 +116,7 @@
     }
 
     fn delay(&mut self, from: usize, to: usize, bytes: &[u8], path: &PathConditions) {
-        if self.delayed.len() >= MAX_LATE {
+        if self.delayed.len() >= MAX_DELAYED_DATAGRAMS {
             self.tally.over += 1;
             return;
         }
