--- a/crates/rockflow-process-harness/src/datagrams/carrier.rs
+++ b/crates/rockflow-process-harness/src/datagrams/carrier.rs
@@ -1,4 +1,4 @@
-//! The proxy's thread: receives datagrams at the fronts, and delivers them.
+//! Receives datagrams at the fronts and delivers them, in the thread of the proxy.
 
 use super::state::{lock, ProxyState, SharedState};
 use std::collections::HashMap;
@@ -9,25 +9,26 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{oneshot, Notify};
 
-/// Datagrams that are read from one front before the others have their turn.
+/// Datagrams that are read from one front before the tasks of the other fronts run.
 const MAX_BATCH: usize = 32;
-/// The largest datagram that is carried.
+/// The size of the receive buffer, and so of the largest datagram that is carried whole.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Owns the fronts, and carries what arrives there.
+/// Owns the sockets of the fronts, and carries the datagrams that arrive there.
 pub(super) struct Carrier {
     fronts: Vec<UdpSocket>,
-    /// The members' own addresses.
+    /// The addresses of the members' own sockets, by index.
     members: Vec<SocketAddr>,
-    /// The members' indices by their own address.
+    /// The index of each member by the address of its own socket.
     indices: HashMap<SocketAddr, usize>,
     state: SharedState,
-    /// Notified when a datagram was delayed.
+    /// Notified when a datagram was queued for later delivery.
     delayed: Notify,
 }
 
 impl Carrier {
-    /// A carrier for members with the given addresses and non-blocking fronts. Needs the runtime that it will run on.
+    /// Creates a carrier for the members at the given addresses. The fronts must be non-blocking. Must be called within the
+    /// runtime on which the carrier will run.
     pub(super) fn new(
         fronts: Vec<std::net::UdpSocket>,
         members: Vec<SocketAddr>,
@@ -38,7 +39,7 @@
         Ok(Carrier { fronts, members, indices, state, delayed: Notify::new() })
     }
 
-    /// Carries datagrams till stopped.
+    /// Carries datagrams until `stopped` resolves.
     pub(super) async fn run(self, stopped: oneshot::Receiver<()>) {
         let carrier = Arc::new(self);
         for front in 0..carrier.fronts.len() {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Carries all that arrives at one front.
+    /// Carries the datagrams that arrive at the front of the member `to`.
     async fn receive(self: Arc<Self>, to: usize) {
         let socket = &self.fronts[to];
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -61,7 +62,8 @@
             for _ in 0..MAX_BATCH {
                 match socket.try_recv_from(&mut buffer) {
                     Ok((length, from)) => self.carry(from, to, &buffer[..length]),
-                    // An earlier datagram from this front reached a member that does not listen just now.
+                    // The socket reports that an earlier datagram sent from this front went to a port at which no member
+                    // listened. Datagrams that wait to be received are not affected.
                     Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                     Err(_) => break,
                 }
@@ -70,6 +72,7 @@
         }
     }
 
+    /// Counts a datagram and applies the rules of its path to it.
     fn carry(&self, from: SocketAddr, to: usize, bytes: &[u8]) {
         let mut state = lock(&self.state);
         let Some(from) = self.indices.get(&from).copied() else {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Sends a datagram to its receiver, from the sender's front.
+    /// Sends a datagram to its receiver from the front of its sender.
     fn deliver(&self, state: &mut ProxyState, from: usize, to: usize, bytes: &[u8]) {
         match self.fronts[from].try_send_to(bytes, self.members[to]) {
             Ok(_) => {
@@ -99,6 +102,7 @@
         }
     }
 
+    /// Delivers delayed datagrams when they are due. Never returns.
     async fn deliver_delayed(&self) {
         loop {
             let next_due = self.deliver_due();
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Delivers what is due, and returns when the next one will be.
+    /// Delivers the datagrams that are due, and returns when the next one will be; `None` if none is delayed.
     fn deliver_due(&self) -> Option<Instant> {
         let mut state = lock(&self.state);
         let now = Instant::now();
--- a/crates/rockflow-process-harness/src/datagrams/counts.rs
+++ b/crates/rockflow-process-harness/src/datagrams/counts.rs
@@ -1,6 +1,6 @@
-//! What a proxy counts.
+//! Counters of a proxy, by member and over all paths.
 
-/// The datagrams that a member sent, before any fault, and that reached it.
+/// The datagrams that a member sent, counted before any fault is applied, and the datagrams that reached it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
     /// Datagrams sent.
@@ -13,23 +13,23 @@
     pub bytes_in: u64,
 }
 
-/// What became of the datagrams, over all paths.
+/// The outcomes of all datagrams over all paths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Sent on to their receiver.
+    /// Copies that were sent on to their receiver.
     pub carried: u64,
-    /// Lost at random.
+    /// Dropped at random, by the share of a rule.
     pub lost: u64,
-    /// Dropped on a path that is cut.
+    /// Dropped because a rule cuts their path.
     pub cut: u64,
-    /// Carried twice.
+    /// Datagrams that were duplicated at random.
     pub doubled: u64,
-    /// Delayed.
+    /// Copies that were queued for later delivery.
     pub late: u64,
-    /// Dropped because the queue of delayed datagrams was full.
+    /// Copies that were dropped because the queue of delayed datagrams was full.
     pub over: u64,
-    /// Dropped because their sender is no member.
+    /// Dropped because their source is not the address of a member.
     pub foreign: u64,
-    /// Not accepted by the receiver's socket.
+    /// Copies that could not be sent to their receiver.
     pub refused: u64,
 }
--- a/crates/rockflow-process-harness/src/datagrams/mod.rs
+++ b/crates/rockflow-process-harness/src/datagrams/mod.rs
@@ -1,9 +1,9 @@
-//! A proxy for datagrams between known members, with faults.
+//! A proxy that carries datagrams between known members and injects faults.
 //!
-//! Each member has a socket of the proxy, its front. Others send to the front in place of the member, and what arrives
-//! there from a member's own socket is delivered from the sender's front. So an answer to a datagram's source passes
-//! through the proxy too, and one socket a member serves both directions. What comes from no member's socket is counted
-//! and dropped.
+//! The proxy has one socket for each member, which is called the member's front. Other members send to the front instead of
+//! to the member. The proxy delivers a datagram from the front of its sender, so that a reply to the source address passes
+//! through the proxy as well, and one socket for each member serves both directions. Datagrams whose source is not the
+//! socket of a member are counted and dropped.
 
 mod carrier;
 mod counts;
@@ -21,10 +21,10 @@
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// Datagrams that are delayed at once; more are dropped, and counted.
+/// The most datagrams that wait for delayed delivery at once. Further ones are dropped and counted in [`Tally::over`].
 pub const MAX_DELAYED_DATAGRAMS: usize = 65_536;
 
-/// A proxy in front of members, with a thread of its own, which stops when the handle is dropped.
+/// A running proxy, whose thread stops when the handle is dropped.
 pub struct Proxy {
     fronts: Vec<SocketAddr>,
     state: SharedState,
@@ -33,11 +33,11 @@
 }
 
 impl Proxy {
-    /// Starts a proxy for members that receive at, and send from, the given addresses. `seed` is that of the random
-    /// faults.
+    /// Starts a proxy for members whose sockets have the given addresses. Members are identified by their index in
+    /// `members`; `seed` determines the random faults.
     ///
     /// # Errors
-    /// If a socket, the runtime or the thread can't be made.
+    /// If a socket, the runtime or the thread can't be created.
     pub fn start(members: &[SocketAddr], seed: u64) -> io::Result<Proxy> {
         let mut sockets = Vec::new();
         for _ in members {
@@ -53,13 +53,13 @@
         let thread = std::thread::Builder::new().name("proxy".to_string()).spawn(move || {
             runtime.block_on(async move {
                 let carrier = Carrier::new(sockets, members, thread_state);
-                carrier.expect("sockets that do not block").run(stopped).await;
+                carrier.expect("sockets registered with the runtime").run(stopped).await;
             });
         })?;
         Ok(Proxy { fronts, state, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// The address at which others reach a member.
+    /// The address at which other members reach a member through the proxy.
     ///
     /// # Panics
     /// If there is no such member.
@@ -67,17 +67,17 @@
         self.fronts[member]
     }
 
-    /// Adds a rule, which applies from now on beside the earlier ones.
+    /// Adds a rule, which applies from now on in addition to the earlier ones.
     pub fn add(&self, rule: Rule) -> RuleId {
         lock(&self.state).add_rule(rule)
     }
 
-    /// Removes a rule. Datagrams that it delayed stay delayed.
+    /// Removes a rule. Datagrams that it has delayed keep their delay. Does nothing if the rule has been removed already.
     pub fn remove(&self, id: RuleId) {
         lock(&self.state).remove_rule(id);
     }
 
-    /// The traffic of a member so far.
+    /// The traffic of a member since the proxy started.
     ///
     /// # Panics
     /// If there is no such member.
@@ -85,12 +85,12 @@
         lock(&self.state).traffic[member]
     }
 
-    /// The traffic of all members so far, by index.
+    /// The traffic of all members since the proxy started, by index.
     pub fn traffic_of_all(&self) -> Vec<TrafficCounts> {
         lock(&self.state).traffic.clone()
     }
 
-    /// What became of all datagrams so far.
+    /// The outcomes of all datagrams since the proxy started.
     pub fn tally(&self) -> Tally {
         lock(&self.state).tally
     }
--- a/crates/rockflow-process-harness/src/datagrams/rules.rs
+++ b/crates/rockflow-process-harness/src/datagrams/rules.rs
@@ -1,25 +1,25 @@
-//! Rules: between which members a path has which conditions.
+//! Rules that give the paths between members their conditions: loss, duplication, delay or a cut.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The conditions of a path. By default every datagram is carried at once.
+/// The conditions of a path in one direction. By default every datagram is carried exactly once, without delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PathConditions {
-    /// Whether all datagrams are dropped.
+    /// Drops all datagrams.
     pub cut: bool,
-    /// The share of datagrams that are lost, 0 to 1.
+    /// The probability that a datagram is dropped, 0 to 1.
     pub lost: f64,
-    /// The share of datagrams that are carried twice, 0 to 1.
+    /// The probability that a datagram is carried twice, 0 to 1.
     pub doubled: f64,
-    /// The delay of every datagram.
+    /// The fixed delay of every datagram.
     pub late: Duration,
-    /// The greatest random delay on top, by which one datagram may overtake another.
+    /// The upper limit of a random delay that is added to the fixed one. Datagrams may overtake each other by it.
     pub jitter: Duration,
 }
 
 impl PathConditions {
-    /// Both conditions on one path.
+    /// The conditions of a path to which both rules apply: probabilities combine as independent events, delays add up.
     pub(super) fn combine(self, other: &PathConditions) -> PathConditions {
         PathConditions {
             cut: self.cut || other.cut,
@@ -38,12 +38,12 @@
     All,
     /// A single member.
     One(usize),
-    /// The members at whose index the value is `true`.
+    /// The members whose index in the vector holds `true`; a member past its end is not in the set.
     Some(Arc<Vec<bool>>),
 }
 
 impl MemberSet {
-    /// These of `count` members.
+    /// The given members, out of `count`.
     ///
     /// # Panics
     /// If an index is not below `count`.
@@ -55,7 +55,7 @@
         MemberSet::Some(Arc::new(included))
     }
 
-    /// All of `count` members but these.
+    /// All members but the given ones, out of `count`.
     ///
     /// # Panics
     /// If an index is not below `count`.
@@ -67,11 +67,11 @@
         MemberSet::Some(Arc::new(included))
     }
 
-    /// Whether a member is in the set.
+    /// Whether the member with this index is in the set.
     pub(super) fn contains(&self, member: usize) -> bool {
         match self {
             MemberSet::All => true,
-            MemberSet::One(one) => *one == member,
+            MemberSet::One(index) => *index == member,
             MemberSet::Some(included) => included.get(member).copied().unwrap_or(false),
         }
     }
@@ -80,14 +80,14 @@
 /// The conditions of the paths from one set of members to another, in that direction only.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// The senders.
+    /// The members whose datagrams the rule applies to.
     pub from: MemberSet,
-    /// The receivers.
+    /// The members to which those datagrams are addressed.
     pub to: MemberSet,
-    /// The conditions.
+    /// The conditions that the rule adds to those of other rules.
     pub path: PathConditions,
 }
 
-/// Identifies a rule of a proxy.
+/// Identifies a rule within its proxy. Ids are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RuleId(pub(super) u64);
--- a/crates/rockflow-process-harness/src/datagrams/state.rs
+++ b/crates/rockflow-process-harness/src/datagrams/state.rs
@@ -1,4 +1,4 @@
-//! The state of a proxy: rules, counts and delayed datagrams.
+//! The state of a proxy: its rules, its counters and the delayed datagrams.
 
 use super::counts::{Tally, TrafficCounts};
 use super::rules::{PathConditions, Rule, RuleId};
@@ -8,32 +8,35 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// The state as the proxy's handle and its thread share it.
+/// The state that the handle of the proxy shares with its thread.
 pub(super) type SharedState = Arc<Mutex<ProxyState>>;
 
-/// Locks the state. No lock is held across a wait.
+/// Locks the state. Callers release the lock before they wait for anything.
 pub(super) fn lock(state: &SharedState) -> MutexGuard<'_, ProxyState> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A datagram that waits for its time.
+/// A datagram that is queued for later delivery.
 ///
-/// The order of the fields is the order of delivery: by time, then by arrival.
+/// The derived order is the order of delivery: by due time, then by arrival. It depends on the order of the fields.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DelayedDatagram {
     pub(super) due: Instant,
+    /// Counts delayed datagrams in the order of their arrival.
     sequence: u64,
     pub(super) from: usize,
     pub(super) to: usize,
     pub(super) bytes: Vec<u8>,
 }
 
+/// The rules, counters and queue of a proxy.
 pub(super) struct ProxyState {
     rules: BTreeMap<RuleId, Rule>,
     last_rule_id: u64,
-    /// Counts by member.
+    /// The traffic of each member, by index.
     pub(super) traffic: Vec<TrafficCounts>,
     pub(super) tally: Tally,
+    /// The delayed datagrams, the earliest due first.
     delayed: BinaryHeap<Reverse<DelayedDatagram>>,
     last_sequence: u64,
     rng: oorandom::Rand64,
@@ -67,19 +70,19 @@
         self.delayed.len()
     }
 
-    /// When the next delayed datagram is due.
+    /// When the next delayed datagram is due; `None` if none is delayed.
     pub(super) fn next_due(&self) -> Option<Instant> {
         self.delayed.peek().map(|Reverse(datagram)| datagram.due)
     }
 
-    /// Removes the next delayed datagram that is due.
+    /// Removes and returns the next delayed datagram if it is due by `now`.
     pub(super) fn pop_due(&mut self, now: Instant) -> Option<DelayedDatagram> {
         self.next_due().filter(|due| *due <= now)?;
         self.delayed.pop().map(|Reverse(datagram)| datagram)
     }
 
-    /// Applies the conditions of its path to a datagram: queues it if it is delayed, and returns how many copies are to
-    /// be delivered at once.
+    /// Applies the conditions of the path to a datagram: drops, duplicates or queues it. Returns how many copies the caller
+    /// must deliver immediately.
     pub(super) fn apply_conditions(&mut self, from: usize, to: usize, bytes: &[u8]) -> usize {
         let path = self.conditions(from, to);
         if path.cut {
@@ -104,17 +107,19 @@
         0
     }
 
-    /// The conditions of all rules for a path together.
+    /// The combined conditions of all rules that apply to a path.
     fn conditions(&self, from: usize, to: usize) -> PathConditions {
         let rules = self.rules.values().filter(|rule| rule.from.contains(from) && rule.to.contains(to));
         rules.fold(PathConditions::default(), |path, rule| path.combine(&rule.path))
     }
 
-    /// Whether an event of that probability happens. No number is drawn for one that can't.
+    /// Draws whether an event of the given probability happens. Probability 0 draws no random number, so that a rule without
+    /// random faults does not shift the sequence of the others.
     fn draw(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.rand_float() < probability
     }
 
+    /// Queues a copy of a datagram with the delay of its path, or drops it if the queue is full.
     fn delay(&mut self, from: usize, to: usize, bytes: &[u8], path: &PathConditions) {
         if self.delayed.len() >= MAX_DELAYED_DATAGRAMS {
             self.tally.over += 1;
