--- a/crates/rockflow-process-harness/src/fleet/layout.rs
+++ b/crates/rockflow-process-harness/src/fleet/layout.rs
@@ -5,44 +5,44 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A dispatcher's name and location.
+/// The name and location of a dispatcher, as the directory lists them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// The dispatcher's name.
+    /// The name, unique in the fleet, which the files of the dispatcher carry too.
     pub name: String,
-    /// Its region.
+    /// The region, which holds one or more sites.
     pub region: String,
-    /// Its site.
+    /// The site, which holds one or more zones.
     pub site: String,
-    /// Its zone.
+    /// The zone, the smallest unit of location.
     pub zone: String,
 }
 
-/// What a fleet consists of.
+/// The members, files and settings of a fleet.
 pub struct Layout {
-    /// The `rockflow` program.
+    /// The path of the `rockflow` program.
     pub program: PathBuf,
-    /// Where files and logs are written. It is left there.
+    /// The existing folder in which files and logs are written. The fleet does not remove it.
     pub folder: PathBuf,
-    /// How many control nodes there are.
+    /// The number of control nodes.
     pub control: usize,
-    /// The dispatchers.
+    /// The dispatchers. The index in this list identifies a dispatcher in all methods of the fleet.
     pub members: Vec<Place>,
-    /// The discovery server of the control nodes.
+    /// The address of the discovery server that the control nodes follow.
     pub control_discovery: SocketAddr,
-    /// The discovery server of the dispatchers.
+    /// The address of the discovery server that the dispatchers follow.
     pub discovery: SocketAddr,
-    /// By dispatcher, the hosts that it knows at its start, as the discovery protocol lists them. A dispatcher beyond the
-    /// end knows those of the example configuration.
+    /// For each dispatcher, the list of hosts in its configuration, in the format of the discovery protocol. A dispatcher
+    /// past the end of this vector keeps the hosts of the example configuration.
     pub hosts: Vec<Value>,
-    /// The interval between heartbeats.
+    /// The interval between heartbeats of dissemination.
     pub heartbeat_interval: Duration,
-    /// How long purges are kept.
+    /// How long dissemination keeps a purge.
     pub purge_window: Duration,
-    /// The rate limit of dissemination.
+    /// The rate limit of the dissemination traffic of one process.
     pub bytes_per_second: u32,
     /// The seed of the proxy's random faults.
     pub seed: u64,
-    /// The least severe level that dispatchers log.
+    /// The log level of the dispatchers. Control nodes always log at `info`.
     pub log_level: &'static str,
 }
--- a/crates/rockflow-process-harness/src/fleet/member.rs
+++ b/crates/rockflow-process-harness/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One process of a fleet.
+//! One process of a fleet, a control node or a dispatcher, with its addresses and files.
 
 use super::layout::Layout;
 use crate::{free_tcp, Process, Signal, Start};
@@ -9,50 +9,53 @@
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether a process is started with its operator's file, which turns dissemination on.
+/// Whether a process is started with its operator file, which turns dissemination on.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Dissemination {
     On,
     Off,
 }
 
-/// Why a client was not served an object.
+/// The reason why a request for an object failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The connection failed or ended early.
+    /// The connection failed or ended before a whole answer came.
     #[error("no answer")]
     NoAnswer,
-    /// The whole answer, whose status is not 200.
+    /// The status was not 200; holds the whole answer.
     #[error("{0}")]
     Status(String),
 }
 
 /// A control node or dispatcher of a fleet.
 pub struct Member {
-    /// Its name.
+    /// The name, which its files and the directory carry.
     pub name: String,
-    /// Where it receives and sends datagrams, behind the proxy.
+    /// The address of its own socket for datagrams, which others reach through the proxy only.
     pub socket_address: SocketAddr,
-    /// Where clients reach it, if it is a dispatcher.
+    /// The TCP address at which a dispatcher serves clients; unused by a control node.
     pub address: SocketAddr,
-    /// Its process, while it runs.
+    /// The process; `None` before the first start and after [`Member::kill`].
     pub process: Option<Process>,
+    /// The path of the JSON configuration.
     pub(super) config: PathBuf,
+    /// The path of the operator file.
     pub(super) operator: PathBuf,
     log: PathBuf,
+    /// The command of the program: `control` or `serve`.
     pub(super) command: &'static str,
     log_level: &'static str,
 }
 
 impl Member {
-    /// A member that is not started yet, at a free port.
+    /// Creates a member that is not started yet, and chooses a free TCP port for it.
     pub(super) fn new(
         layout: &Layout,
         name: &str,
         command: &'static str,
         socket_address: SocketAddr,
     ) -> io::Result<Member> {
-        let file = |kind: &str| layout.folder.join(format!("{name}.{kind}"));
+        let file = |extension: &str| layout.folder.join(format!("{name}.{extension}"));
         Ok(Member {
             name: name.to_string(),
             socket_address,
@@ -66,7 +69,7 @@
         })
     }
 
-    /// Starts its process.
+    /// Starts the process. An earlier one that still runs is killed once the new one has started.
     pub(super) fn start(&mut self, program: &Path, dissemination: Dissemination) -> io::Result<()> {
         let start = Start::of(program).args([self.command, "--log", self.log_level, "--config"]);
         let start = start.arg(&self.config).log(&self.log);
@@ -78,39 +81,39 @@
         Ok(())
     }
 
-    /// Kills its process.
+    /// Kills the process. Does nothing if there is none.
     pub fn kill(&mut self) {
         self.process = None;
     }
 
-    /// Sends a signal to its process.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// If it does not run, or if the signal can't be sent.
+    /// If the process does not run, or if the signal can't be sent.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
-        let gone = || io::Error::new(io::ErrorKind::NotFound, "it does not run");
-        self.process.as_ref().ok_or_else(gone)?.signal(signal)
+        let not_running = || io::Error::new(io::ErrorKind::NotFound, format!("{} does not run", self.name));
+        self.process.as_ref().ok_or_else(not_running)?.signal(signal)
     }
 
-    /// The content of its log file, that of its earlier processes included.
+    /// The content of the log file, including what earlier processes of this member wrote; empty if it can't be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// The path of its log file.
+    /// The path of the log file, which exists once the member was started.
     pub fn log_path(&self) -> &Path {
         &self.log
     }
 
-    /// Whether it answers that it is ready.
+    /// Whether the member answers its health check with status 200.
     pub fn is_ready(&self) -> bool {
         self.get("/_health", &[]).is_some_and(|answer| answer.starts_with("HTTP/1.1 200 "))
     }
 
-    /// Requests an object of the first request class as a client, and returns the body of the answer.
+    /// Requests an object of the class `pages` as a client, with `call` as the request id, and returns the body.
     ///
     /// # Errors
-    /// If there is no answer, or none with status 200.
+    /// If no whole answer came, or if its status is not 200.
     pub fn serve(&self, object: &str, call: u64) -> Result<String, ServeError> {
         let call = format!("{call:016x}");
         let headers = [("X-Call-Id", call.as_str()), ("X-Group", "1"), ("X-Patience-Ms", "4000")];
@@ -121,6 +124,7 @@
         }
     }
 
+    /// Sends a GET request on a new connection and returns the whole answer; `None` if the connection fails or times out.
     fn get(&self, path: &str, headers: &[(&str, &str)]) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.address, REQUEST_TIMEOUT).ok()?;
         stream.set_read_timeout(Some(REQUEST_TIMEOUT)).ok()?;
