--- a/crates/rockflow-process-harness/src/lib.rs
+++ b/crates/rockflow-process-harness/src/lib.rs
@@ -1,6 +1,7 @@
-//! Starts, faults, measures and stops processes for tests and benchmarks, and faults the datagrams between them.
+//! Starts, signals, measures and stops processes for tests and benchmarks, and injects faults into the datagrams between
+//! them.
 //!
-//! Everything is on loopback. A process that was started here is killed when its handle is dropped.
+//! All sockets are bound to loopback addresses. Dropping the handle of a process kills the process.
 
 pub mod datagrams;
 mod fleet;
--- a/crates/rockflow-process-harness/src/process.rs
+++ b/crates/rockflow-process-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process: its start, its lines, signals and its end.
+//! Starts a child process, exchanges lines with it, signals it and waits for its exit.
 
 use crate::usage::Usage;
 use nix::sys::signal::kill;
@@ -12,10 +12,10 @@
 
 pub use nix::sys::signal::Signal;
 
-/// Lines of output that wait to be read; at the limit the process blocks on its output.
+/// Lines of output that are buffered until they are read. At the limit the pipe fills and the process blocks on writing.
 const MAX_QUEUED_LINES: usize = 65_536;
 
-/// A process to be started. By default its input is empty, its output is dropped, and its stderr is this process's.
+/// Builder of a [`Process`]. By default stdin is empty, stdout is discarded, and stderr is inherited from this process.
 pub struct Start {
     command: Command,
     log: Option<PathBuf>,
@@ -23,42 +23,42 @@
 }
 
 impl Start {
-    /// A program to start, without arguments.
+    /// Creates a builder for `program` without arguments.
     pub fn of(program: impl AsRef<OsStr>) -> Start {
         Start { command: Command::new(program), log: None, has_pipes: false }
     }
 
-    /// Adds an argument.
+    /// Appends an argument.
     pub fn arg(mut self, arg: impl AsRef<OsStr>) -> Start {
         self.command.arg(arg);
         self
     }
 
-    /// Adds arguments.
+    /// Appends arguments in order.
     pub fn args<A: AsRef<OsStr>>(mut self, args: impl IntoIterator<Item = A>) -> Start {
         self.command.args(args);
         self
     }
 
-    /// Sets a variable of its environment.
+    /// Sets an environment variable of the process.
     pub fn env(mut self, name: &str, value: impl Into<OsString>) -> Start {
         self.command.env(name, value.into());
         self
     }
 
-    /// Removes a variable from its environment.
+    /// Removes an environment variable that the process would inherit.
     pub fn env_remove(mut self, name: &str) -> Start {
         self.command.env_remove(name);
         self
     }
 
-    /// Appends its stderr to a file, after what an earlier process wrote there.
+    /// Appends stderr to a file, which keeps what an earlier process wrote there.
     pub fn log(mut self, path: impl Into<PathBuf>) -> Start {
         self.log = Some(path.into());
         self
     }
 
-    /// Connects its input and output to pipes, which carry lines.
+    /// Connects stdin and stdout to pipes, which carry lines of UTF-8 text.
     pub fn with_pipes(mut self) -> Start {
         self.has_pipes = true;
         self
@@ -67,7 +67,7 @@
     /// Starts the process.
     ///
     /// # Errors
-    /// If the log can't be opened or the process can't be started.
+    /// If the log file can't be opened or the process can't be started.
     pub fn start(mut self) -> io::Result<Process> {
         if let Some(path) = &self.log {
             self.command.stderr(std::fs::OpenOptions::new().create(true).append(true).open(path)?);
@@ -78,119 +78,123 @@
             self.command.stdin(Stdio::null()).stdout(Stdio::null());
         }
         let mut child = self.command.spawn()?;
-        let input = child.stdin.take();
-        let lines = child.stdout.take().map(|output| {
-            let (sender, lines) = sync_channel(MAX_QUEUED_LINES);
-            let output = BufReader::new(output).lines().map_while(Result::ok);
-            std::thread::spawn(move || output.map(|line| sender.send(line)).all(|sent| sent.is_ok()));
-            lines
+        let stdin = child.stdin.take();
+        let stdout_lines = child.stdout.take().map(|stdout| {
+            let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
+            let lines = BufReader::new(stdout).lines().map_while(Result::ok);
+            std::thread::spawn(move || lines.map(|line| sender.send(line)).all(|sent| sent.is_ok()));
+            receiver
         });
-        Ok(Process { child, input, lines, log: self.log, ended: None })
+        Ok(Process { child, stdin, stdout_lines, log: self.log, exit_status: None })
     }
 }
 
-/// A started process, which is killed when dropped.
+/// A started process, which is killed when the handle is dropped.
 pub struct Process {
     child: Child,
-    input: Option<ChildStdin>,
-    lines: Option<Receiver<String>>,
+    /// The pipe to the process; `None` without pipes.
+    stdin: Option<ChildStdin>,
+    /// Lines that a thread reads from the process; `None` without pipes.
+    stdout_lines: Option<Receiver<String>>,
     log: Option<PathBuf>,
-    ended: Option<ExitStatus>,
+    /// The exit status, once the exit has been observed and the process id is free for reuse.
+    exit_status: Option<ExitStatus>,
 }
 
 impl Process {
-    /// Its process id.
+    /// The process id, which the system may reuse once the exit has been observed.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How it ended, if it has.
+    /// The exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
-        if self.ended.is_none() {
-            self.ended = self.child.try_wait().ok().flatten();
+        if self.exit_status.is_none() {
+            self.exit_status = self.child.try_wait().ok().flatten();
         }
-        self.ended
+        self.exit_status
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// If the signal can't be sent, or if its end has been observed: its id may be another process's by then.
+    /// If the signal can't be sent, or if the exit has been observed: the id may belong to another process by then.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
-        if self.ended.is_some() {
-            return Err(io::Error::new(io::ErrorKind::NotFound, "the process has ended"));
+        if self.exit_status.is_some() {
+            return Err(io::Error::new(io::ErrorKind::NotFound, "the process has exited"));
         }
         let id = i32::try_from(self.id()).map_err(io::Error::other)?;
         Ok(kill(Pid::from_raw(id), signal)?)
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process with SIGKILL and waits for its exit. Does nothing if it has exited.
     pub fn kill(&mut self) {
         if self.exit_status().is_none() {
             let _ = self.child.kill();
-            self.ended = self.child.wait().ok();
+            self.exit_status = self.child.wait().ok();
         }
     }
 
-    /// Waits till it ends by itself.
+    /// Waits until the process exits by itself.
     ///
     /// # Errors
-    /// If it can't be waited for.
+    /// If the system can't wait for the process.
     pub fn wait(&mut self) -> io::Result<ExitStatus> {
-        match self.ended {
+        match self.exit_status {
             Some(status) => Ok(status),
             None => {
                 let status = self.child.wait()?;
-                self.ended = Some(status);
+                self.exit_status = Some(status);
                 Ok(status)
             }
         }
     }
 
-    /// Waits for its end, at most for `timeout`, and returns how it ended if it has.
+    /// Waits up to `timeout` for the exit and returns the exit status; `None` if the process still runs then.
     pub fn wait_timeout(&mut self, timeout: Duration) -> Option<ExitStatus> {
         crate::wait_until(timeout, || self.exit_status().is_some());
-        self.ended
+        self.exit_status
     }
 
-    /// Writes a line to its input.
+    /// Writes a line to stdin of the process.
     ///
     /// # Errors
-    /// If it was started without pipes, or if its input is closed.
+    /// If the process was started without pipes, or if it has closed its stdin.
     pub fn write_line(&mut self, line: &str) -> io::Result<()> {
-        let input = self.input.as_mut().ok_or_else(|| io::Error::other("nothing is told to this process"))?;
-        writeln!(input, "{line}")
+        let stdin =
+            self.stdin.as_mut().ok_or_else(|| io::Error::other("the process was started without pipes"))?;
+        writeln!(stdin, "{line}")
     }
 
-    /// Reads the next line of its output, and waits for it at most for `timeout`.
+    /// Reads the next line of stdout, and waits for it up to `timeout`.
     ///
     /// # Errors
-    /// If there was none in time, if its output is closed, or if it was started without pipes.
+    /// `Timeout` if no line came in time; `Disconnected` if stdout is closed or the process was started without pipes.
     pub fn read_line_timeout(&self, timeout: Duration) -> Result<String, RecvTimeoutError> {
-        self.lines.as_ref().ok_or(RecvTimeoutError::Disconnected)?.recv_timeout(timeout)
+        self.stdout_lines.as_ref().ok_or(RecvTimeoutError::Disconnected)?.recv_timeout(timeout)
     }
 
-    /// Reads the next line of its output without waiting.
+    /// Reads the next line of stdout without waiting.
     ///
     /// # Errors
-    /// If there is none yet, if its output is closed, or if it was started without pipes.
+    /// `Empty` if no line has come yet; `Disconnected` if stdout is closed or the process was started without pipes.
     pub fn try_read_line(&self) -> Result<String, TryRecvError> {
-        self.lines.as_ref().ok_or(TryRecvError::Disconnected)?.try_recv()
+        self.stdout_lines.as_ref().ok_or(TryRecvError::Disconnected)?.try_recv()
     }
 
-    /// The content of its log file, that of earlier processes included; empty without one.
+    /// The content of the log file, including what earlier processes wrote; empty if there is no log file.
     pub fn log(&self) -> String {
         self.log_path().and_then(|path| std::fs::read_to_string(path).ok()).unwrap_or_default()
     }
 
-    /// The path of its log file.
+    /// The path of the log file; `None` if stderr is inherited.
     pub fn log_path(&self) -> Option<&Path> {
         self.log.as_deref()
     }
 
-    /// The resources that it uses; `None` once its end has been observed.
+    /// The resources that the process uses; `None` once its exit has been observed.
     pub fn usage(&self) -> Option<Usage> {
-        Usage::of(self.id()).filter(|_| self.ended.is_none())
+        Usage::of(self.id()).filter(|_| self.exit_status.is_none())
     }
 }
 
