--- a/crates/rockflow-test-servers/src/load/client.rs
+++ b/crates/rockflow-test-servers/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One client of a load.
+//! One client of a load, which sends requests on a kept-alive connection.
 
 use super::response::Response;
 use super::{LoadPhase, LoadSummary, Progress};
@@ -10,16 +10,18 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Objects that are requested, by number from 0.
+/// The number of objects that clients request at random.
 const OBJECTS: u64 = 400;
-/// A request without a whole answer after this long counts as unanswered.
+/// A request that has no whole answer after this long counts as unanswered.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// The pause after a failed connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a stopped client waits for a second answer that must not come.
+/// How long a stopped client watches for a second answer, which is an error.
 const SECOND_ANSWER_WAIT: Duration = Duration::from_millis(20);
 
-/// Sends one request after another, and keeps its connection between them.
+/// A client that sends one request after another, and keeps its connection between them if the server does.
 pub(super) struct Client {
+    /// The index of the client in the counts of `progress`.
     number: usize,
     address: SocketAddr,
     pause: Duration,
@@ -30,7 +32,7 @@
 }
 
 impl Client {
-    /// A client that is not connected yet. `number` is its place in the counts of `progress`.
+    /// Creates a client that is not connected yet. `number` is its index in the counts of `progress`.
     pub(super) fn new(
         number: usize,
         address: SocketAddr,
@@ -42,7 +44,7 @@
         Client { number, address, pause, rng, progress, connection: None, summary: LoadSummary::default() }
     }
 
-    /// Sends requests till `stopped` is true, and returns what became of them.
+    /// Sends requests until `stopped` holds true, and returns their outcomes.
     pub(super) async fn run(mut self, stopped: watch::Receiver<bool>) -> LoadSummary {
         while !*stopped.borrow() {
             let Ok(stream) = self.connect().await else {
@@ -55,7 +57,7 @@
         self.summary
     }
 
-    /// The open connection, or a new one.
+    /// Takes the kept connection, or opens a new one.
     async fn connect(&mut self) -> io::Result<TcpStream> {
         if let Some(stream) = self.connection.take() {
             return Ok(stream);
@@ -65,7 +67,8 @@
         Ok(stream)
     }
 
-    /// Sends one request, waits for its answer and then for the pause between requests.
+    /// Sends one request, waits for its answer, and then pauses for a random time around `pause`. Drops the connection if it
+    /// fails or the server closes it.
     async fn send_request(&mut self, mut stream: TcpStream) {
         let (random, object) = (self.rng.rand_u64(), self.rng.rand_range(0..OBJECTS));
         let phase = self.progress.borrow().phase;
@@ -76,7 +79,7 @@
         );
         let sent_at = Instant::now();
         if stream.write_all(request.as_bytes()).await.is_err() {
-            // The server closed an idle connection meanwhile: the next request takes a new one.
+            // The server has closed the idle connection. The request was not sent; the next one opens a new connection.
             return;
         }
         let response = tokio::time::timeout(ANSWER_TIMEOUT, Response::read(&mut stream)).await;
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Counts a request that has ended, if its phase still runs.
+    /// Counts a finished request as succeeded or not, if its phase is still the current one.
     fn record_progress(&self, phase: LoadPhase, response: Option<&Response>) {
         let is_served = response.is_some_and(|response| matches!(response.status, 200 | 304));
         self.progress.send_modify(|progress| {
@@ -107,7 +110,7 @@
         });
     }
 
-    /// Counts a second answer that came after the last one was read.
+    /// Counts a second answer to the last request as a duplicate, if one arrives on the kept connection.
     async fn check_for_second_answer(&mut self) {
         let Some(mut stream) = self.connection.take() else { return };
         let mut buffer = [0; 64];
--- a/crates/rockflow-test-servers/src/load/response.rs
+++ b/crates/rockflow-test-servers/src/load/response.rs
@@ -1,24 +1,26 @@
-//! Reading a dispatcher's answers.
+//! Reads the answers of a dispatcher from a connection.
 
 use std::io;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
+/// The initial size of the buffer, which grows with the answer.
 const BUFFER_BYTES: usize = 512;
 
-/// One whole answer.
+/// A whole answer, whose body is not kept.
 pub(super) struct Response {
     pub(super) status: u16,
-    /// Whether more bytes came with the answer than belong to it.
+    /// Whether bytes were read past the end of the answer.
     pub(super) has_trailing_bytes: bool,
+    /// Whether the answer announces that the server closes the connection.
     pub(super) closes_connection: bool,
 }
 
 impl Response {
-    /// Reads an answer with its body.
+    /// Reads an answer with its body, whose length is that of `Content-Length`, or 0 without one.
     ///
     /// # Errors
-    /// If the connection fails or ends before the answer does, or if the answer has no status.
+    /// If the connection fails or closes before the end of the answer, or if the answer has no status.
     pub(super) async fn read(stream: &mut TcpStream) -> io::Result<Response> {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         let head_length = loop {
@@ -44,7 +46,10 @@
     }
 }
 
-/// Appends what has arrived; an error at the stream's end.
+/// Waits for bytes and appends them to `buffer`.
+///
+/// # Errors
+/// If the connection fails, and `UnexpectedEof` if it is closed.
 async fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<()> {
     match stream.read_buf(buffer).await? {
         0 => Err(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/rockflow-test-servers/src/load/summary.rs
+++ b/crates/rockflow-test-servers/src/load/summary.rs
@@ -1,31 +1,31 @@
-//! The counts and latencies of a load's requests.
+//! Counts the requests of a load by outcome, with their latencies.
 
 use std::time::Duration;
 
-/// What became of a load's requests.
+/// The outcomes and latencies of the requests of a load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadSummary {
-    /// Answered with 200 or 304.
+    /// Requests answered with status 200 or 304.
     pub succeeded: u64,
-    /// Answered with 429 or 503: load was shed.
+    /// Requests answered with status 429 or 503, by which the dispatcher sheds load.
     pub rejected: u64,
-    /// Answered with any other status.
+    /// Requests answered with any other status.
     pub failed: u64,
-    /// Sent, and not answered in whole.
+    /// Requests that were sent and got no whole answer.
     pub unanswered: u64,
-    /// Answered more than once.
+    /// Requests behind whose answer more bytes came, which would be a second answer.
     pub duplicated: u64,
     /// The latency of each answered request, in microseconds.
     pub latencies_us: Vec<u32>,
 }
 
 impl LoadSummary {
-    /// The number of answered requests.
+    /// The number of requests that got a whole answer, whatever its status.
     pub fn answered(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
 
-    /// The latency within which the given share (0 to 1) of the answers came; zero without answers.
+    /// The latency within which the given share (0 to 1) of the answers arrived; zero if there are no answers.
     pub fn latency_percentile(&self, share: f64) -> Duration {
         let mut latencies = self.latencies_us.clone();
         latencies.sort_unstable();
@@ -34,7 +34,7 @@
         Duration::from_micros(latencies.get(index).copied().unwrap_or(0).into())
     }
 
-    /// Adds the requests of another summary.
+    /// Adds the counts and latencies of another summary.
     pub(super) fn add(&mut self, other: LoadSummary) {
         self.succeeded += other.succeeded;
         self.rejected += other.rejected;
@@ -44,7 +44,7 @@
         self.latencies_us.extend(other.latencies_us);
     }
 
-    /// Counts an answered request.
+    /// Counts an answered request by its status.
     pub(super) fn record_answer(&mut self, status: u16, latency: Duration) {
         match status {
             200 | 304 => self.succeeded += 1,
