--- a/crates/rockflow-test-servers/src/discovery.rs
+++ b/crates/rockflow-test-servers/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery service: a stream of numbered server-sent events, which a client resumes after the last one it received.
+//! A discovery service that sends numbered server-sent events. A client that reconnects resumes after the last event that it
+//! received.
 
 use crate::runtime::{bind_loopback, spawn_thread};
 use serde_json::Value;
@@ -9,25 +10,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A comment is sent after this long without an event.
+/// A comment is sent on a stream when there has been no event for this long, as a sign that the connection is alive.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// A request's head that grows beyond this closes the connection.
+/// The largest request head; a connection whose request exceeds it is closed.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const READ_BYTES: usize = 1024;
 
-/// All events so far; `None` once the server has stopped.
+/// All events since the server started; `None` once it has stopped.
 type EventLog = Option<Vec<Event>>;
 
-/// An event as it is written to the stream.
+/// An event with its revision and the text that is written to the stream.
 #[derive(Clone)]
 struct Event {
     revision: u64,
     text: Arc<str>,
 }
 
-/// A discovery server, which stops when dropped.
+/// A running discovery server, which stops when the handle is dropped.
 pub struct DiscoveryServer {
-    /// Where it listens.
+    /// The address at which the server listens.
     pub address: SocketAddr,
     events: watch::Sender<EventLog>,
 }
@@ -36,17 +37,17 @@
     /// Starts a server that has no events yet.
     ///
     /// # Panics
-    /// If it can't listen or start its thread.
+    /// If the server can't listen or its thread can't be started.
     pub fn start() -> DiscoveryServer {
         let (listener, address) = bind_loopback();
-        let (events, log) = watch::channel(Some(Vec::new()));
+        let (events, event_log) = watch::channel(Some(Vec::new()));
         spawn_thread("discovery", async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
-            let mut stopped = log.clone();
+            let mut stopped = event_log.clone();
             loop {
                 tokio::select! {
                     Ok((stream, _)) = listener.accept() => {
-                        tokio::spawn(serve(stream, log.clone()));
+                        tokio::spawn(serve(stream, event_log.clone()));
                     }
                     _ = stopped.wait_for(Option::is_none) => return,
                 }
@@ -55,13 +56,13 @@
         DiscoveryServer { address, events }
     }
 
-    /// Sends an event to all clients, those that connect later included. Its `rev` must be greater than that of every
-    /// earlier event.
+    /// Sends an event to all clients, including those that connect later. The `rev` of the event must be greater than that
+    /// of every earlier event.
     pub fn publish(&self, event: Value) {
         let revision = event["rev"].as_u64().unwrap_or(0);
         let text: Arc<str> = format!("id: {revision}\ndata: {event}\n\n").into();
-        self.events.send_modify(|log| {
-            if let Some(events) = log {
+        self.events.send_modify(|event_log| {
+            if let Some(events) = event_log {
                 events.push(Event { revision, text });
             }
         });
@@ -74,16 +75,16 @@
     }
 }
 
-/// Answers one connection with all events after the last that its client received, till either side closes.
-async fn serve(mut stream: TcpStream, mut log: watch::Receiver<EventLog>) {
+/// Sends all events after the last one that the client received, until the server stops or the connection closes.
+async fn serve(mut stream: TcpStream, mut event_log: watch::Receiver<EventLog>) {
     let Some(mut last_revision) = read_last_event_id(&mut stream).await else { return };
     let head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     if stream.write_all(head).await.is_err() {
         return;
     }
     loop {
-        // Only the new events are copied, so that the cost of an event does not grow with the log.
-        let new_events = log.borrow_and_update().as_ref().map(|events| {
+        // Copies only the new events, so that the cost of an event does not grow with the length of the log.
+        let new_events = event_log.borrow_and_update().as_ref().map(|events| {
             let first = events.partition_point(|event| event.revision <= last_revision);
             events[first..].to_vec()
         });
@@ -94,14 +95,15 @@
                 return;
             }
         }
-        let changed = tokio::time::timeout(KEEP_ALIVE_INTERVAL, log.changed()).await;
+        let changed = tokio::time::timeout(KEEP_ALIVE_INTERVAL, event_log.changed()).await;
         if changed.is_err() && stream.write_all(b":\n\n").await.is_err() {
             return;
         }
     }
 }
 
-/// Reads a request's head and returns its `Last-Event-ID`, 0 if it has none; `None` if the head does not end.
+/// Reads a request head and returns its `Last-Event-ID`, or 0 without a valid one. Returns `None` if the head is too large or
+/// the connection closes before its end.
 async fn read_last_event_id(stream: &mut TcpStream) -> Option<u64> {
     let mut head = Vec::new();
     let mut buffer = [0; READ_BYTES];
--- a/crates/rockflow-test-servers/src/host.rs
+++ b/crates/rockflow-test-servers/src/host.rs
@@ -1,4 +1,4 @@
-//! A cache host, parent or origin: it answers each attempt after a delay, and records what it received.
+//! A cache host, parent or origin that answers each attempt after a fixed delay and records the attempts.
 
 use crate::runtime::{bind_loopback, spawn_thread};
 use std::collections::HashMap;
@@ -11,52 +11,52 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Answers of one connection that wait to be written.
+/// The most answers of one connection that wait to be written.
 const MAX_QUEUED_ANSWERS: usize = 1024;
-/// The answer of a host without a cache, behind the attempt's id.
+/// What a host without a cache answers to every attempt. The attempt's id precedes it.
 const UNCACHED_ANSWER: &str = "data ver=t1,note=warm 5\r\nbytes\r\n";
 
-/// An attempt as a host received it.
+/// An attempt that a host received, with the fields of its request line.
 #[derive(Clone, Debug)]
 pub struct RecordedAttempt {
-    /// When it was received.
+    /// The time at which the host received the attempt.
     pub received_at: Instant,
-    /// The id of the client's request.
+    /// The id of the client's request, which all attempts for that request share.
     pub request_id: String,
-    /// The source that a miss would be filled from.
+    /// The host from which the receiver would fill a missing object; `None` if the attempt names none.
     pub source: Option<String>,
-    /// The object that was requested.
+    /// The name of the requested object.
     pub object: String,
-    /// The greatest age of an acceptable copy, in milliseconds.
+    /// The greatest age of a copy that may be served, in milliseconds; `None` if any age is acceptable.
     pub max_age_ms: Option<f64>,
 }
 
-/// A host, which stops when dropped.
+/// A running host, which stops when the handle is dropped.
 pub struct Host {
-    /// Its name.
+    /// The name of the host, which its thread carries too.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the host listens.
     pub address: SocketAddr,
     state: Arc<HostState>,
     stop: watch::Sender<bool>,
 }
 
 impl Host {
-    /// Starts a host that answers each attempt after `delay`, records attempts, and has no cache.
+    /// Starts a host that answers each attempt after `delay`. At first it records attempts and has no cache.
     ///
     /// # Panics
-    /// If it can't listen or start its thread.
+    /// If the host can't listen or its thread can't be started.
     pub fn start(name: &str, delay: Duration) -> Host {
         let (listener, address) = bind_loopback();
         let state = Arc::new(HostState::new(delay));
         let (stop, mut stopped) = watch::channel(false);
-        let serving = state.clone();
+        let server_state = state.clone();
         spawn_thread(name, async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
             loop {
                 tokio::select! {
                     Ok((stream, _)) = listener.accept() => {
-                        tokio::spawn(serve(stream, serving.clone()));
+                        tokio::spawn(serve(stream, server_state.clone()));
                     }
                     _ = stopped.changed() => return,
                 }
@@ -65,23 +65,23 @@
         Host { name: name.to_string(), address, state, stop }
     }
 
-    /// How many attempts it has received, recorded or not.
+    /// The number of attempts received so far, whether or not they were recorded.
     pub fn attempt_count(&self) -> u64 {
         self.state.attempt_count.load(Ordering::Relaxed)
     }
 
-    /// Removes and returns the recorded attempts, in the order in which they were received.
+    /// Removes and returns the recorded attempts, in the order in which they arrived.
     pub fn take_attempts(&self) -> Vec<RecordedAttempt> {
         std::mem::take(&mut *lock(&self.state.attempts))
     }
 
-    /// From now on it caches a copy of each object, fills it anew where it is older than an attempt accepts, and answers
-    /// with the copy's number.
+    /// Gives the host a cache with one copy of each object. A copy that is older than an attempt accepts is replaced by a new
+    /// one. Answers contain the number of the copy, which counts up from 1 for each object.
     pub fn enable_cache(&self) {
         lock(&self.state.copies).get_or_insert_default();
     }
 
-    /// From now on attempts are only counted, so that memory stays small in a long run.
+    /// Makes the host count attempts without recording them, so that memory does not grow in a long run.
     pub fn stop_recording(&self) {
         self.state.is_recording.store(false, Ordering::Relaxed);
     }
@@ -93,17 +93,17 @@
     }
 }
 
-/// What a host's handle and its connections share.
+/// The state that the handle of a host shares with its connections.
 struct HostState {
     delay: Duration,
     is_recording: AtomicBool,
     attempts: Mutex<Vec<RecordedAttempt>>,
     attempt_count: AtomicU64,
-    /// Cached copies by object; `None` for a host without a cache.
+    /// The cached copies by object; `None` if the host has no cache.
     copies: Mutex<Option<HashMap<String, CachedCopy>>>,
 }
 
-/// A copy that a host has cached.
+/// A copy of an object in the cache of a host.
 #[derive(Clone, Copy)]
 struct CachedCopy {
     number: u64,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Records an attempt and returns its answer, without the attempt's id.
+    /// Counts an attempt, records it if recording is on, and returns the answer without the attempt's id.
     fn on_attempt(&self, request_id: &str, fields: &str) -> String {
         self.attempt_count.fetch_add(1, Ordering::Relaxed);
         let field = |prefix: &str| fields.split(',').find_map(|field| field.strip_prefix(prefix));
@@ -141,6 +141,7 @@
         answer
     }
 
+    /// The answer to an attempt for an object, for which the cache is updated if there is one.
     fn answer(&self, object: &str, max_age_ms: Option<f64>) -> String {
         let mut copies = lock(&self.copies);
         let Some(copies) = copies.as_mut() else { return UNCACHED_ANSWER.to_string() };
@@ -160,7 +161,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Answers the attempts and health checks of one connection, each when its delay is over.
+/// Answers the attempts and health checks of one connection. Each attempt is answered after the delay, independently of the
+/// others; a health check is answered at once.
 async fn serve(stream: TcpStream, state: Arc<HostState>) {
     let _ = stream.set_nodelay(true);
     let (read_half, write_half) = stream.into_split();
@@ -186,6 +188,7 @@
     }
 }
 
+/// Writes queued answers until the connection fails or all senders are dropped.
 async fn write_answers(mut write_half: OwnedWriteHalf, mut queue: mpsc::Receiver<String>) {
     while let Some(answer) = queue.recv().await {
         if write_half.write_all(answer.as_bytes()).await.is_err() {
--- a/crates/rockflow-test-servers/src/site.rs
+++ b/crates/rockflow-test-servers/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site round a dispatcher: hosts, and the discovery server that announces them.
+//! A small site for one dispatcher: hosts, and a discovery server that announces them.
 
 use crate::discovery::DiscoveryServer;
 use crate::host::Host;
@@ -7,18 +7,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The hosts of a site with their discovery server. All stop when it is dropped.
+/// The hosts of a site and their discovery server. All stop when the site is dropped.
 pub struct Site {
-    /// The server that announces the hosts.
+    /// The discovery server that announces the hosts to the dispatcher.
     pub discovery: DiscoveryServer,
     /// The hosts by name: caches `c1`, `c2`, ..., parents `p1`, `p2`, ..., and the origin `o1`.
     pub hosts: BTreeMap<String, Host>,
+    /// The role of each host by its name: `cache`, `parent` or `origin`.
     roles: BTreeMap<String, &'static str>,
     revision: u64,
 }
 
 impl Site {
-    /// Starts so many caches and parents and one origin, each of which answers after `delay`.
+    /// Starts the given number of caches and parents, and one origin. Each host answers after `delay`.
     ///
     /// # Panics
     /// If a server can't be started.
@@ -35,60 +36,63 @@
         Site { discovery: DiscoveryServer::start(), hosts, roles, revision: 1 }
     }
 
-    /// The JSON configuration of a dispatcher of this site that listens at a free port, made from an example.
+    /// Makes the JSON configuration of a dispatcher of this site from an example. The dispatcher listens at a port that the
+    /// system chooses, and knows all hosts of the site.
     ///
     /// # Panics
-    /// If the example is no JSON.
+    /// If the example is not valid JSON.
     pub fn configuration_json(&self, example: &str) -> Value {
-        let mut value: Value = serde_json::from_str(example).expect("an example");
+        let mut value: Value = serde_json::from_str(example).expect("an example in JSON");
         value["board"] = json!(self.discovery.address.to_string());
         value["listen"] = json!("127.0.0.1:0");
         value["known"]["notices"][0]["pool"]["instances"] = json!(self.all_instances());
         value
     }
 
-    /// The same configuration, parsed.
+    /// Makes the configuration of [`Site::configuration_json`] and parses it.
     ///
     /// # Panics
-    /// If the example is no valid configuration.
+    /// If the example is not a valid configuration.
     pub fn dispatcher_config(&self, example: &str) -> Config {
         Config::parse(&self.configuration_json(example).to_string()).expect("a configuration")
     }
 
-    /// Announces a host's lifecycle, in the protocol's words: `active`, `leaving` or `left`.
+    /// Announces the lifecycle of a host, which is `active`, `leaving` or `left` in the discovery protocol.
     pub fn announce(&mut self, name: &str, lifecycle: &str) {
         let instances = [self.instance(name, lifecycle)];
         self.publish_pool(json!({"instances": instances}));
     }
 
-    /// Announces that a host started at a time, in Unix milliseconds.
+    /// Announces an active host that started at `unix_ms`, in milliseconds since the Unix epoch.
     pub fn announce_started(&mut self, name: &str, unix_ms: u64) {
         let mut instance = self.instance(name, "active");
         instance["startedAtMs"] = json!(unix_ms);
         self.publish_pool(json!({"instances": [instance]}));
     }
 
-    /// Announces the whole list of hosts, all active, in place of what was announced before.
+    /// Announces the complete list of hosts, all active, which replaces all earlier announcements.
     pub fn announce_all(&mut self) {
         let instances = self.all_instances();
         self.publish_pool(json!({"reset": true, "instances": instances}));
     }
 
-    /// The revision of the last announcement.
+    /// The revision of the last announcement; 1, that of the example configuration, before the first.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Publishes a change of the hosts under the next revision.
     fn publish_pool(&mut self, pool: Value) {
         self.revision += 1;
         self.discovery.publish(json!({"rev": self.revision, "pool": pool}));
     }
 
+    /// The entries of all hosts, as active.
     fn all_instances(&self) -> Vec<Value> {
         self.roles.keys().map(|name| self.instance(name, "active")).collect()
     }
 
-    /// A host's entry as the discovery service writes it.
+    /// The entry of a host in the format of the discovery protocol.
     fn instance(&self, name: &str, lifecycle: &str) -> Value {
         let role = self.roles[name];
         let (zone, machine_type) = match role {
