--- a/crates/rockflow-test-servers/src/keys.rs
+++ b/crates/rockflow-test-servers/src/keys.rs
@@ -1,4 +1,4 @@
-//! SSH keys, and X.509 certificates signed by an authority of the test's own.
+//! SSH keys, and X.509 certificates that are signed by a certificate authority created for a test.
 
 use crate::folder::TemporaryFolder;
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, SanType};
@@ -6,17 +6,17 @@
 use russh::keys::ssh_key::LineEnding;
 use russh::keys::{Algorithm, PrivateKey};
 
-/// Permission bits of every file that is written here.
+/// The permission bits of every credential file.
 const FILE_MODE: u32 = 0o600;
 /// The seed of [`host_key`].
 const HOST_KEY_SEED: u64 = 1;
 
-/// The SSH host key that [`TemporaryFolder::write_credentials`] writes.
+/// The SSH host key that [`TemporaryFolder::write_credentials`] writes, which is the same in every test.
 pub fn host_key() -> PrivateKey {
     ssh_key(HOST_KEY_SEED)
 }
 
-/// An Ed25519 SSH key, the same for the same seed.
+/// An Ed25519 SSH key that is derived from the seed alone.
 pub fn ssh_key(seed: u64) -> PrivateKey {
     let mut bytes = [0; 32];
     let mut rng = oorandom::Rand64::new(u128::from(seed) + 1);
@@ -28,17 +28,18 @@
     key
 }
 
-/// The settings of an operator's file that name the files of [`TemporaryFolder::write_credentials`], one on each line.
+/// Lines of an operator file that name the files of [`TemporaryFolder::write_credentials`], one setting on each line.
 pub struct OperatorSettings {
-    /// Those of the SSH server.
+    /// The settings of the SSH server: its host key and the folder of the users' public keys.
     pub ssh: String,
-    /// Those of the TLS server.
+    /// The settings of the TLS server: its certificate, its key and the authority that signs client certificates.
     pub tls: String,
 }
 
 impl TemporaryFolder {
-    /// Writes what the management of a dispatcher reads: an SSH host key, the users' public keys, a TLS server's
-    /// certificate and key, and the certificate of the authority that signs clients, which is returned.
+    /// Writes the credentials that the management service of a dispatcher reads: an SSH host key, the users' public keys, a
+    /// TLS server certificate with its key, and the certificate of a new authority. Returns that authority, which signs
+    /// client certificates.
     ///
     /// # Panics
     /// If a file can't be written.
@@ -49,14 +50,14 @@
         self.write("server.key", &server.key, FILE_MODE);
         self.write("ca.pem", &authority.certificate, FILE_MODE);
         self.write("host", &private_key_text(&host_key()), FILE_MODE);
-        std::fs::create_dir_all(self.file("users")).expect("a folder");
+        std::fs::create_dir_all(self.file("users")).expect("a folder for users");
         for (user, key) in users {
             self.write(&format!("users/{user}"), &public_key_text(key), FILE_MODE);
         }
         authority
     }
 
-    /// The settings by which a dispatcher finds those files.
+    /// The settings by which a dispatcher finds the files of [`TemporaryFolder::write_credentials`].
     pub fn operator_settings(&self) -> OperatorSettings {
         let path = |name: &str| self.file(name).display().to_string();
         let (host, users) = (path("host"), path("users"));
@@ -68,7 +69,7 @@
     }
 }
 
-/// A private key in OpenSSH's format.
+/// Encodes a private key in the OpenSSH format.
 ///
 /// # Panics
 /// If the key can't be encoded.
@@ -76,7 +77,7 @@
     key.to_openssh(LineEnding::LF).expect("a key").to_string()
 }
 
-/// A key's public half, as a line of OpenSSH's `authorized_keys`.
+/// Encodes the public key that belongs to a private key, as a line of an OpenSSH `authorized_keys` file.
 ///
 /// # Panics
 /// If the key can't be encoded.
@@ -84,18 +85,18 @@
     key.public_key().to_openssh().expect("a key")
 }
 
-/// A certificate with its private key, both in PEM.
+/// A certificate with its private key, both in PEM format.
 pub struct CertifiedKey {
-    /// The certificate.
+    /// The certificate, without that of its authority.
     pub certificate: String,
-    /// The private key.
+    /// The private key, in PKCS#8.
     pub key: String,
 }
 
 /// A certificate authority, which signs certificates of servers and clients.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
-    /// Its own certificate, in PEM.
+    /// The self-signed certificate of the authority, in PEM format.
     pub certificate: String,
 }
 
@@ -103,7 +104,7 @@
     /// Creates an authority with a new key and the given common name.
     ///
     /// # Panics
-    /// If the key or the certificate can't be made.
+    /// If the key or the certificate can't be created.
     pub fn new(name: &str) -> Authority {
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -116,23 +117,24 @@
     /// Issues a certificate for a server at `localhost` and 127.0.0.1.
     ///
     /// # Panics
-    /// If it can't be made.
+    /// If the certificate can't be created.
     pub fn issue_server(&self) -> CertifiedKey {
         let mut params = CertificateParams::new(vec!["localhost".to_string()]).expect("parameters");
         params.subject_alt_names.push(SanType::IpAddress("127.0.0.1".parse().expect("an address")));
         self.sign(params)
     }
 
-    /// Issues a certificate for a client with the given common name.
+    /// Issues a certificate for a client with the given common name, which is the user name in management.
     ///
     /// # Panics
-    /// If it can't be made.
+    /// If the certificate can't be created.
     pub fn issue_client(&self, name: &str) -> CertifiedKey {
         let mut params = CertificateParams::new(Vec::new()).expect("parameters");
         params.distinguished_name.push(DnType::CommonName, name);
         self.sign(params)
     }
 
+    /// Signs a certificate with the given parameters for a new key.
     fn sign(&self, params: CertificateParams) -> CertifiedKey {
         let key = KeyPair::generate().expect("a key");
         let certificate = params.signed_by(&key, &self.issuer).expect("a certificate");
--- a/crates/rockflow-test-servers/src/lib.rs
+++ b/crates/rockflow-test-servers/src/lib.rs
@@ -1,8 +1,8 @@
-//! The peers of a dispatcher, played on loopback for tests and benchmarks: cache hosts and origins, a discovery service,
-//! clients under load, and the keys and certificates of managers.
+//! Stand-ins on loopback for the peers of a dispatcher, for tests and benchmarks: cache hosts, parents and origins, a
+//! discovery service, clients that generate load, and keys and certificates for management sessions.
 //!
-//! Each server runs in a thread of its own, at a port that the operating system chooses, and stops when its handle is
-//! dropped. Failures to set one up panic.
+//! Each server runs in its own thread, at a port that the operating system chooses, and stops when its handle is dropped.
+//! A server that can't be set up panics.
 
 pub mod keys;
 pub mod memory;
--- a/crates/rockflow-test-servers/src/memory.rs
+++ b/crates/rockflow-test-servers/src/memory.rs
@@ -1,28 +1,28 @@
-//! An allocator that counts the bytes in use, for tests that bound them.
+//! An allocator that counts the bytes in use, for tests that check a memory limit.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The system's allocator with a count of the bytes in use, to be a test's `#[global_allocator]`.
+/// The system allocator with a count of the bytes in use. A test installs it as its `#[global_allocator]`.
 pub struct CountingAllocator {
     in_use: AtomicUsize,
     peak: AtomicUsize,
 }
 
 impl CountingAllocator {
-    /// An allocator that has nothing in use.
+    /// Creates an allocator with no bytes in use.
     pub const fn new() -> CountingAllocator {
         CountingAllocator { in_use: AtomicUsize::new(0), peak: AtomicUsize::new(0) }
     }
 
-    /// Resets the peak to the bytes in use now, and returns them.
+    /// Resets the peak to the number of bytes in use now, and returns that number.
     pub fn reset_peak(&self) -> usize {
         let in_use = self.in_use.load(Ordering::Relaxed);
         self.peak.store(in_use, Ordering::Relaxed);
         in_use
     }
 
-    /// The most bytes that were in use at once since the last reset.
+    /// The greatest number of bytes in use at once since the last reset.
     pub fn peak(&self) -> usize {
         self.peak.load(Ordering::Relaxed)
     }
@@ -34,7 +34,7 @@
     }
 }
 
-// SAFETY: every call is passed on to the system's allocator unchanged.
+// SAFETY: every call is passed on to the system allocator with its arguments unchanged.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let in_use = self.in_use.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
--- a/crates/rockflow-test-servers/src/runtime.rs
+++ b/crates/rockflow-test-servers/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What every server of this package needs to run: a listener on loopback, and a thread with an async runtime.
+//! Sets up what every server of this package needs: a listener on loopback and a thread with an async runtime.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
@@ -7,12 +7,12 @@
 /// Binds a non-blocking listener to a free port of 127.0.0.1, and returns it with its address.
 pub(crate) fn bind_loopback() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.set_nonblocking(true).expect("nonblocking");
+    listener.set_nonblocking(true).expect("a non-blocking listener");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// Runs a future to its end in a new thread, on a single-threaded runtime.
+/// Runs a future to completion in a new thread with the given name, on a single-threaded runtime.
 pub(crate) fn spawn_thread<F>(name: &str, future: F) -> JoinHandle<()>
 where
     F: Future<Output = ()> + Send + 'static,
