--- a/crates/rockflow-benchmarks/src/drains.rs
+++ b/crates/rockflow-benchmarks/src/drains.rs
@@ -1,4 +1,4 @@
-//! Drains under load: how long after the reply the last new attempt reaches the drained cache.
+//! Measures drains under load: how long after the reply to a drain the last attempt reaches the drained cache.
 
 use crate::process::{Dispatcher, Management};
 use crate::Rows;
@@ -9,27 +9,30 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// The caches of the site, which are drained in turn.
 const CACHES: usize = 4;
 const PARENTS: usize = 2;
-/// How long a host takes to answer.
+/// The delay after which a host answers an attempt.
 const HOST_DELAY: Duration = Duration::from_millis(2);
+/// The seed of the clients' random numbers.
 const LOAD_SEED: u64 = 7;
-/// Load that runs before the first drain.
+/// How long the load runs before the first drain.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// How long attempts are awaited after a drain.
+/// How long a drained cache is watched for attempts after the reply. The wait after an undrain is half as long.
 const SETTLE_TIME: Duration = Duration::from_millis(60);
-/// The longest time from the reply to the last attempt that is allowed at all.
+/// The limit for the time from the reply to the last attempt, for every drain.
 const MAX_LAST_ATTEMPT: Duration = Duration::from_secs(2);
-/// The longest that is allowed for 99 of 100 drains.
+/// The limit for the 99th percentile of the time from the reply to the last attempt.
 const MAX_P99_LAST_ATTEMPT: Duration = Duration::from_millis(100);
 
-/// A management session, over which hosts are drained.
+/// A management session that drains and undrains hosts.
 enum Session {
     Netconf(Box<netconf::Client>),
     Gnmi(gnmi::Client),
 }
 
 impl Session {
+    /// Opens a session over `netconf` or `gnmi`.
     async fn open(protocol: &str, dispatcher: &Dispatcher) -> Session {
         match protocol {
             "netconf" => Session::Netconf(Box::new(dispatcher.netconf().await)),
@@ -58,14 +61,15 @@
     }
 }
 
-/// What the drains over one protocol showed.
+/// The results of the drains over one protocol.
 struct DrainFigures {
-    /// For each drain, how long after the reply the last attempt came; sorted.
+    /// For each drain, the time from the reply to the last attempt at the drained cache; zero without such an attempt. Sorted.
     last_attempts: Vec<Duration>,
-    /// For each drain, how long the reply took; sorted.
+    /// For each drain, the time from the command to its reply. Sorted.
     reply_times: Vec<Duration>,
-    /// Attempts that came after the reply, over all drains.
+    /// The number of attempts that came after the reply, over all drains.
     late_attempts: usize,
+    /// The outcomes of the client requests during all drains.
     load: LoadSummary,
 }
 
@@ -93,12 +97,10 @@
     }
 }
 
-/// Measures so many drains over each protocol and prints the table. Returns whether all figures are within their limits.
+/// Measures `drains` drains over each protocol and prints the table. Returns whether all results are within their limits.
 pub async fn run(program: &Path, drains: usize, clients: usize, rows: &mut Rows) -> bool {
-    println!(
-        "{drains} drains over each protocol, {clients} clients that ask without a pause, {CACHES} caches"
-    );
-    println!("| protocol | legs at a drained cache after the reply | last, p50 | p99 | greatest | took, p50 | answered | dismissed | lost | doubled |");
+    println!("{drains} drains over each protocol, {clients} clients without a pause, {CACHES} caches");
+    println!("| protocol | attempts at a drained cache after the reply | last attempt, p50 | p99 | max | reply time, p50 | answered | rejected | unanswered | answered twice |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut is_within_limits = true;
     for protocol in ["netconf", "gnmi"] {
@@ -109,6 +111,7 @@
     is_within_limits
 }
 
+/// Measures the drains over one protocol, in a new site with a new dispatcher.
 async fn measure(
     protocol: &str,
     program: &Path,
@@ -134,13 +137,15 @@
         reply_times.push(reply_time);
         tokio::time::sleep(SETTLE_TIME).await;
         let attempts = cache.take_attempts().into_iter();
-        let late: Vec<Duration> =
+        let delays_after_reply: Vec<Duration> =
             attempts.filter_map(|attempt| attempt.received_at.checked_duration_since(replied_at)).collect();
-        late_attempts += late.len();
-        let last = late.into_iter().max().unwrap_or_default();
-        rows.write(&json!({"protocol": protocol, "drain": number, "last_us": last.as_micros() as u64,
-            "took_us": reply_time.as_micros() as u64}));
-        last_attempts.push(last);
+        late_attempts += delays_after_reply.len();
+        let last_attempt = delays_after_reply.into_iter().max().unwrap_or_default();
+        rows.write(
+            &json!({"protocol": protocol, "drain": number, "last_us": last_attempt.as_micros() as u64,
+            "took_us": reply_time.as_micros() as u64}),
+        );
+        last_attempts.push(last_attempt);
         session.undrain(&schema, &host).await.expect("an undrain");
         tokio::time::sleep(SETTLE_TIME / 2).await;
     }
@@ -150,7 +155,10 @@
     DrainFigures { last_attempts, reply_times, late_attempts, load }
 }
 
-/// The value within which the given share (0 to 1) of sorted values lies.
+/// The smallest value that is not exceeded by the given share (above 0, to 1) of the sorted values.
+///
+/// # Panics
+/// If there are no values.
 fn percentile(sorted: &[Duration], share: f64) -> Duration {
     let rank = (sorted.len() as f64 * share).ceil() as usize;
     sorted[(rank - 1).min(sorted.len() - 1)]
