--- a/crates/rockflow-benchmarks/src/cost.rs
+++ b/crates/rockflow-benchmarks/src/cost.rs
@@ -1,4 +1,5 @@
-//! The cost of management: rounds with it off, on and idle, and on with subscribers, as ratios to off in the same round.
+//! Measures the cost of management. Each round runs the dispatcher with management off, on and idle, and on with subscribers;
+//! throughput and latency are compared with the run without management of the same round.
 
 use crate::process::{Dispatcher, Management};
 use crate::Rows;
@@ -11,43 +12,47 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a dispatcher runs before it is measured.
+/// How long a dispatcher runs without load before its idle usage is measured.
 const WARM_UP: Duration = Duration::from_millis(700);
-/// The interval at which subscribers receive samples.
+/// The interval at which each subscriber receives samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Sessions that are allowed beside those of the subscribers.
+/// Management sessions that are allowed in addition to those of the subscribers.
 const SPARE_SESSIONS: usize = 8;
-/// The most sessions that the model allows.
+/// The upper limit of `most-sessions` in the YANG model.
 const MAX_SESSIONS: usize = 256;
 const KIB_PER_MIB: f64 = 1024.0;
 
-/// What is measured, and for how long.
+/// The options of the `cost` command.
 pub struct CostOptions {
+    /// The program to measure.
     pub program: PathBuf,
-    /// An earlier program, measured without management.
+    /// An earlier version of the program, which is measured without management; `None` to measure the current one only.
     pub before: Option<PathBuf>,
+    /// How many times every variant is measured.
     pub rounds: usize,
-    /// The length of one measurement.
+    /// The duration of the load in one measurement, in seconds.
     pub seconds: f64,
+    /// Clients that send requests without a pause.
     pub clients: usize,
+    /// gNMI subscribers in the variant that has them.
     pub subscribers: usize,
 }
 
-/// The variants that are compared.
+/// A way to run the dispatcher. All variants are compared with [`Variant::Off`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    /// Without management.
+    /// The program without management.
     Off,
-    /// With management that nobody uses.
+    /// The program with management to which no client is connected.
     Idle,
-    /// With management and its subscribers.
+    /// The program with management and subscribers.
     Subscribers,
-    /// The earlier program, without management.
+    /// The earlier version of the program, without management.
     Before,
 }
 
 impl Variant {
-    /// Its name in the table and the rows.
+    /// The name of the variant in the table and in the rows.
     fn name(self) -> &'static str {
         match self {
             Variant::Off => "off",
@@ -65,19 +70,20 @@
     }
 }
 
-/// The figures of one variant in one round.
+/// The results of one variant in one round.
 struct Measurement {
     requests_per_second: f64,
+    /// The 99th percentile of the latency.
     p99: Duration,
-    /// Before the load.
+    /// Resource usage before the load.
     idle: Usage,
-    /// Under load.
+    /// Resource usage at the end of the load.
     busy: Usage,
-    /// Messages that all subscribers together received.
+    /// The rate of messages to all subscribers together.
     messages_per_second: f64,
 }
 
-/// Measures all variants in turn, round by round, and prints the table.
+/// Measures every variant once in each round, and prints the table of medians.
 pub async fn run(options: &CostOptions, rows: &mut Rows) {
     let CostOptions { rounds, seconds, clients, subscribers, .. } = *options;
     let mut variants = vec![Variant::Off, Variant::Idle, Variant::Subscribers];
@@ -88,24 +94,25 @@
     let mut measurements: Vec<Vec<Measurement>> = variants.iter().map(|_| Vec::new()).collect();
     for round in 0..rounds {
         for (index, variant) in variants.iter().enumerate() {
-            let found = measure(options, *variant, round as u64 + 1).await;
-            rows.write(&json!({"round": round, "kind": variant.name(), "queries_a_second": found.requests_per_second,
-                "p99_us": found.p99.as_micros() as u64, "idle_rss_kb": found.idle.rss_kb, "busy_rss_kb": found.busy.rss_kb,
-                "threads": found.busy.threads, "idle_descriptors": found.idle.descriptors,
-                "told_a_second": found.messages_per_second}));
-            measurements[index].push(found);
+            let measurement = measure(options, *variant, round as u64 + 1).await;
+            rows.write(&json!({"round": round, "kind": variant.name(), "queries_a_second": measurement.requests_per_second,
+                "p99_us": measurement.p99.as_micros() as u64, "idle_rss_kb": measurement.idle.rss_kb,
+                "busy_rss_kb": measurement.busy.rss_kb, "threads": measurement.busy.threads,
+                "idle_descriptors": measurement.idle.descriptors, "told_a_second": measurement.messages_per_second}));
+            measurements[index].push(measurement);
         }
     }
-    println!("| kind | queries, ratio to off | p99, ratio to off | memory idle, MB | busy, MB | threads | descriptors idle | told a second |");
+    println!("| kind | requests per second, ratio to off | p99, ratio to off | idle memory, MiB | busy memory, MiB | threads | idle descriptors | messages per second |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (variant, found) in variants.iter().zip(&measurements) {
-        print_row(*variant, found, &measurements[0]);
+    for (variant, measured) in variants.iter().zip(&measurements) {
+        print_row(*variant, measured, &measurements[0]);
     }
 }
 
+/// Starts a dispatcher in the given variant, puts it under load and measures it.
 async fn measure(options: &CostOptions, variant: Variant, seed: u64) -> Measurement {
-    let earlier = options.before.as_ref().filter(|_| variant == Variant::Before);
-    let program = earlier.unwrap_or(&options.program);
+    let earlier_program = options.before.as_ref().filter(|_| variant == Variant::Before);
+    let program = earlier_program.unwrap_or(&options.program);
     let site = Site::start(4, 2, Duration::from_millis(1));
     for host in site.hosts.values() {
         host.stop_recording();
@@ -124,20 +131,20 @@
     let busy = dispatcher.usage();
     let received = messages.load(Ordering::Relaxed) - messages_before;
     let messages_per_second = received as f64 / started_at.elapsed().as_secs_f64();
-    // `stop` blocks, and the subscribers must go on reading meanwhile.
+    // `stop` blocks its thread, while the subscribers on this runtime must go on reading.
     let summary = tokio::task::spawn_blocking(move || load.stop()).await.expect("a summary");
     let requests_per_second = summary.answered() as f64 / started_at.elapsed().as_secs_f64();
     let p99 = summary.latency_percentile(0.99);
     Measurement { requests_per_second, p99, idle, busy, messages_per_second }
 }
 
-/// Starts subscribers to the state of all hosts, which count their messages.
+/// Starts subscribers to the state of all hosts, which add the messages that they receive to `messages`.
 async fn subscribe(dispatcher: &Dispatcher, subscribers: usize, messages: &Arc<AtomicU64>) {
     let schema = Schema::published();
     let max_sessions = json!((subscribers + SPARE_SESSIONS).clamp(1, MAX_SESSIONS));
     let mut root = dispatcher.gnmi().await;
     let path = "/router/management/most-sessions";
-    root.set(&schema, &[], &[], &[(path, max_sessions)]).await.expect("a set");
+    root.set(&schema, &[], &[], &[(path, max_sessions)]).await.expect("a new limit of sessions");
     let paths = ["/router/state/hosts/host".to_string()];
     for _ in 0..subscribers {
         let mut client = dispatcher.gnmi().await;
@@ -153,25 +160,27 @@
     }
 }
 
-/// Prints the medians of a variant; `off` are the measurements without management, round by round.
-fn print_row(variant: Variant, found: &[Measurement], off: &[Measurement]) {
-    let ratio = |value: &dyn Fn(&Measurement) -> f64| {
-        median(found.iter().zip(off).map(|(one, off)| value(one) / value(off)).collect())
+/// Prints the medians over all rounds of a variant. `off` are the measurements without management of the same rounds.
+fn print_row(variant: Variant, measurements: &[Measurement], off: &[Measurement]) {
+    let median_ratio = |figure: &dyn Fn(&Measurement) -> f64| {
+        let pairs = measurements.iter().zip(off);
+        median(pairs.map(|(measured, off)| figure(measured) / figure(off)).collect())
     };
-    let middle = |value: &dyn Fn(&Measurement) -> f64| median(found.iter().map(value).collect());
+    let median_of = |figure: &dyn Fn(&Measurement) -> f64| median(measurements.iter().map(figure).collect());
     println!(
         "| {} | {:.3} | {:.3} | {:.1} | {:.1} | {} | {} | {:.0} |",
         variant.name(),
-        ratio(&|one| one.requests_per_second),
-        ratio(&|one| one.p99.as_secs_f64()),
-        middle(&|one| one.idle.rss_kb as f64 / KIB_PER_MIB),
-        middle(&|one| one.busy.rss_kb as f64 / KIB_PER_MIB),
-        middle(&|one| one.busy.threads as f64),
-        middle(&|one| one.idle.descriptors as f64),
-        middle(&|one| one.messages_per_second),
+        median_ratio(&|measured| measured.requests_per_second),
+        median_ratio(&|measured| measured.p99.as_secs_f64()),
+        median_of(&|measured| measured.idle.rss_kb as f64 / KIB_PER_MIB),
+        median_of(&|measured| measured.busy.rss_kb as f64 / KIB_PER_MIB),
+        median_of(&|measured| measured.busy.threads as f64),
+        median_of(&|measured| measured.idle.descriptors as f64),
+        median_of(&|measured| measured.messages_per_second),
     );
 }
 
+/// The median, or the higher of the two middle values of an even number.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values[values.len() / 2]
