--- a/crates/rockflow-benchmarks/src/lib.rs
+++ b/crates/rockflow-benchmarks/src/lib.rs
@@ -1,3 +1,4 @@
-//! Measurements of a dispatcher among test servers, and the soak that plays round its process and checks it at the sockets.
+//! The soak test of a dispatcher process among faulty peers, which checks the rules of the service at the sockets. The
+//! benchmarks themselves are in the binary of this package.
 
 pub mod soak;
--- a/crates/rockflow-benchmarks/src/main.rs
+++ b/crates/rockflow-benchmarks/src/main.rs
@@ -1,5 +1,5 @@
-//! Benchmarks of a dispatcher among test servers. Each prints a table, and writes its rows to a file as JSON lines if one
-//! is named.
+//! Benchmarks and the soak test of a dispatcher among test servers. Each prints a table; a benchmark also writes its
+//! measurements as JSON lines to the file that `--rows` names.
 
 mod cost;
 mod drains;
@@ -16,10 +16,10 @@
 #[derive(Parser)]
 #[command(name = "rockflow-benchmarks")]
 struct CommandLine {
-    /// The program that is measured
+    /// The rockflow program to measure
     #[arg(long, default_value = "target/release/rockflow", global = true)]
     rockflow: PathBuf,
-    /// Rows go here too, as JSON lines
+    /// File for the measurements, one JSON object on each line
     #[arg(long, global = true)]
     rows: Option<PathBuf>,
     #[command(subcommand)]
@@ -28,14 +28,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// How long after a drain's reply the last attempt goes to the drained cache, over NETCONF and gNMI
+    /// Measure how long after the reply to a drain the drained cache still receives attempts, over NETCONF and gNMI
     Drains {
         #[arg(long, default_value_t = 200)]
         drains: usize,
         #[arg(long, default_value_t = 40)]
         clients: usize,
     },
-    /// What management costs: off, on and idle, on with subscribers
+    /// Measure the cost of management: off, on and idle, on with subscribers
     Cost {
         #[arg(long, default_value_t = 3)]
         rounds: usize,
@@ -45,22 +45,22 @@
         clients: usize,
         #[arg(long, default_value_t = 50)]
         subscribers: usize,
-        /// An earlier program, measured beside this one without management
+        /// Earlier version of the program, measured without management for comparison
         #[arg(long)]
         before: Option<PathBuf>,
     },
-    /// Stops and restarts of a dispatcher among faulty peers, each answer checked; fails on a broken rule
+    /// Stop and restart dispatchers among faulty peers and check each answer; fails if a rule is violated
     Soak {
-        /// The first seed; each run has the next one
+        /// Seed of the first run; each further run has the next seed
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 50)]
         runs: u64,
-        /// Runs at once
+        /// Number of runs in progress at the same time
         #[arg(long, default_value_t = 3)]
         parallel: usize,
     },
-    /// A dispatcher that breaks one rule, for the tests of the soak
+    /// Run a dispatcher that violates one rule, for the tests of the soak
     #[command(hide = true)]
     WrongDispatcher {
         #[arg(value_enum)]
@@ -72,20 +72,20 @@
 
 #[derive(Subcommand)]
 enum WrongDispatcherCommand {
-    /// Serves as `rockflow serve` does
+    /// Serve like `rockflow serve`
     Serve {
         #[arg(long)]
         config: PathBuf,
     },
 }
 
-/// The file for rows, if there is one.
+/// The output file for measurements, if the command line names one.
 pub struct Rows {
     file: Option<std::fs::File>,
 }
 
 impl Rows {
-    /// Writes a row as a line of JSON. Errors are ignored.
+    /// Writes a row as one line of JSON. Does nothing without a file, and ignores write errors.
     pub fn write(&mut self, row: &Value) {
         if let Some(file) = &mut self.file {
             let _ = writeln!(file, "{row}");
@@ -95,10 +95,11 @@
 
 fn main() -> ExitCode {
     let command_line = CommandLine::parse();
-    let file = command_line.rows.as_ref().map(|path| std::fs::File::create(path).expect("a file for rows"));
+    let file =
+        command_line.rows.as_ref().map(|path| std::fs::File::create(path).expect("a new file for rows"));
     let mut rows = Rows { file };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let is_within_limits = match command_line.command {
+    let has_passed = match command_line.command {
         Command::Drains { drains, clients } => {
             runtime.block_on(drains::run(&command_line.rockflow, drains, clients, &mut rows))
         }
@@ -125,7 +126,7 @@
             return wrong_dispatcher::serve(fault, &config);
         }
     };
-    if is_within_limits {
+    if has_passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/rockflow-benchmarks/src/process.rs
+++ b/crates/rockflow-benchmarks/src/process.rs
@@ -1,4 +1,4 @@
-//! A dispatcher as a process of its own, so that its resources can be measured.
+//! Runs a dispatcher as a separate process, so that its resource usage can be measured.
 
 use rockflow_management_client::{gnmi, netconf};
 use rockflow_process_harness::{free_tcp, Process, Start, Usage};
@@ -10,49 +10,55 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const EXAMPLE: &str = include_str!("../../../deploy/example.json");
+/// The configuration from which that of the dispatcher is made.
+const EXAMPLE_CONFIG: &str = include_str!("../../../deploy/example.json");
 
-/// The seed of the user's SSH key.
+/// The seed of the SSH key of the user `root`.
 const USER_KEY_SEED: u64 = 2;
-/// How often a connection to a new process is tried, and the pause between two attempts.
+/// How many times a connection to a new process is tried before the start fails.
 const MAX_CONNECT_ATTEMPTS: usize = 500;
+/// The pause after a failed connection to a new process.
 const CONNECT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Whether a dispatcher is started with its management, all protocols included.
+/// Whether a dispatcher is started with management over NETCONF and gNMI.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Management {
     On,
     Off,
 }
 
-/// A running dispatcher, which is killed when dropped.
+/// A running dispatcher process, which is killed when the handle is dropped.
 pub struct Dispatcher {
     process: Process,
-    /// Where clients reach it.
+    /// The address at which it serves clients.
     pub address: SocketAddr,
+    /// The address of NETCONF over SSH.
     ssh: SocketAddr,
+    /// The address of gNMI.
     gnmi: SocketAddr,
+    /// Signs the certificates of management clients.
     authority: keys::Authority,
+    /// Holds the files of the process, and is removed with the handle.
     _folder: TemporaryFolder,
 }
 
 impl Dispatcher {
-    /// Starts a program as the dispatcher of a site, and waits till it listens.
+    /// Starts a program as the dispatcher of a site, and waits until it accepts connections.
     ///
     /// # Panics
-    /// If it does not listen in time.
+    /// If the process can't be started or does not listen in time.
     pub async fn start(program: &Path, site: &Site, management: Management) -> Dispatcher {
         let folder = TemporaryFolder::new("measured");
         let port = || free_tcp().expect("a port");
         let (address, ssh, gnmi) = (port(), port(), port());
-        let mut value = site.configuration_json(EXAMPLE);
+        let mut value = site.configuration_json(EXAMPLE_CONFIG);
         value["listen"] = serde_json::json!(address.to_string());
         let config = folder.write("config.json", &value.to_string(), 0o600);
         let authority = folder.write_credentials(&[("root", keys::ssh_key(USER_KEY_SEED))]);
-        let keys::OperatorSettings { ssh: by_ssh, tls: by_tls } = folder.operator_settings();
+        let keys::OperatorSettings { ssh: ssh_settings, tls: tls_settings } = folder.operator_settings();
         let operator = format!(
-            "[management]\nowner = root\nstore = {}\n[netconf]\nssh = {ssh}\n{by_ssh}[gnmi]\nlisten = {gnmi}\n\
-             {by_tls}subscribers = 200\n",
+            "[management]\nowner = root\nstore = {}\n[netconf]\nssh = {ssh}\n{ssh_settings}[gnmi]\nlisten = {gnmi}\n\
+             {tls_settings}subscribers = 200\n",
             folder.file("store").display(),
         );
         let operator = folder.write("rockflow.ini", &operator, 0o600);
@@ -72,20 +78,26 @@
         panic!("the program does not listen: {}", dispatcher.log());
     }
 
-    /// What it has logged.
+    /// The log of the process so far.
     pub fn log(&self) -> String {
         self.process.log()
     }
 
-    /// Opens a NETCONF session over SSH.
+    /// Opens a NETCONF session over SSH as the user `root`.
+    ///
+    /// # Panics
+    /// If the session can't be opened.
     pub async fn netconf(&self) -> netconf::Client {
-        let host = keys::host_key().public_key().clone();
-        let client =
-            netconf::Client::ssh(&self.ssh.to_string(), "root", keys::ssh_key(USER_KEY_SEED), host).await;
-        client.expect("a session")
+        let host_key = keys::host_key().public_key().clone();
+        let user_key = keys::ssh_key(USER_KEY_SEED);
+        let client = netconf::Client::ssh(&self.ssh.to_string(), "root", user_key, host_key).await;
+        client.expect("a NETCONF session")
     }
 
-    /// Connects a gNMI client over TLS.
+    /// Connects a gNMI client over TLS as the user `root`.
+    ///
+    /// # Panics
+    /// If the connection fails.
     pub async fn gnmi(&self) -> gnmi::Client {
         let keys::CertifiedKey { certificate, key } = self.authority.issue_client("root");
         let mut roots = rustls::RootCertStore::empty();
@@ -98,11 +110,11 @@
         let config = rustls::ClientConfig::builder_with_provider(provider);
         let config = config.with_safe_default_protocol_versions().expect("versions");
         let config = config.with_root_certificates(roots).with_client_auth_cert(vec![chain], key);
-        let config = Arc::new(config.expect("a client"));
-        gnmi::Client::connect(&self.gnmi.to_string(), "localhost", config).await.expect("a connection")
+        let config = Arc::new(config.expect("a TLS client configuration"));
+        gnmi::Client::connect(&self.gnmi.to_string(), "localhost", config).await.expect("a gNMI connection")
     }
 
-    /// The resources that it uses.
+    /// The resources that the process uses; all zero once its exit has been observed.
     pub fn usage(&self) -> Usage {
         self.process.usage().unwrap_or_default()
     }
