--- a/crates/rockflow-benchmarks/src/soak/host.rs
+++ b/crates/rockflow-benchmarks/src/soak/host.rs
@@ -1,4 +1,4 @@
-//! A host of a run: it answers by its profile, and records what it received.
+//! A host of a run, which answers attempts as its profile says and records them in the ledger.
 
 use super::answer::encode_copy;
 use super::ledger::{unix_now, ReceivedAttempt, SharedLedger};
@@ -13,30 +13,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// The longest padding of a copy.
+/// The longest padding of a large copy.
 const MAX_PADDING_BYTES: u64 = 60_000;
-/// Answers that wait to be written on a connection.
+/// The most answers of one connection that wait to be written.
 const MAX_QUEUED_ANSWERS: usize = 1024;
 
-/// What a host writes for an attempt.
+/// What a host writes in reply to an attempt or health check.
 enum Reply {
+    /// Bytes that may hold no, one or several answers.
     Bytes(Vec<u8>),
-    /// These bytes, then the connection is reset.
+    /// Bytes after which the connection is reset.
     Reset(Vec<u8>),
 }
 
-/// A host of a run, whose tasks end with the run.
+/// A host of a run. Its tasks end with the run.
 pub(super) struct Host {
     name: String,
     profile: HostProfile,
     ledger: SharedLedger,
     rng: RefCell<Random>,
-    /// When the origin gave out the copy that is held, by object.
+    /// The creation time of the cached copy of each object, in Unix milliseconds.
     copies: RefCell<HashMap<String, u64>>,
 }
 
 impl Host {
-    /// Starts a host, and returns where it listens.
+    /// Starts a host and returns the address at which it listens.
     pub(super) async fn start(
         name: &str,
         profile: HostProfile,
@@ -60,6 +61,7 @@
         address
     }
 
+    /// Reads attempts and health checks from one connection until it is closed. Health checks are always answered well.
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         if self.profile == HostProfile::Resetting && self.rng.borrow_mut().chance(0.1) {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Records an attempt and answers it once its delay is over.
+    /// Records an attempt, and queues the reply after a delay.
     fn on_attempt(&self, id: &str, fields: &str, replies: &mpsc::Sender<Reply>) {
         let field =
             |name: &str| fields.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='));
@@ -106,6 +108,7 @@
         });
     }
 
+    /// The status of the answer, which is `data` unless the profile refuses the attempt.
     fn choose_status(&self) -> &'static str {
         let mut rng = self.rng.borrow_mut();
         let statuses = ["absent", "full", "failed", "moot"];
@@ -115,6 +118,7 @@
         "data"
     }
 
+    /// The delay of the reply to an attempt.
     fn choose_delay(&self) -> Duration {
         let mut rng = self.rng.borrow_mut();
         Duration::from_millis(match self.profile {
@@ -123,7 +127,7 @@
         })
     }
 
-    /// What is written for an attempt; none: nothing.
+    /// The reply to an attempt, with the fault of the profile if one is drawn; `None` to leave the attempt unanswered.
     fn reply(&self, id: &str, status: &str, object: &str, max_age_ms: Option<&str>) -> Option<Reply> {
         if status != "data" {
             return Some(Reply::Bytes(format!("{id} {status} - 0\r\n\r\n").into_bytes()));
@@ -133,27 +137,27 @@
         let answer = [head.as_bytes(), &body, b"\r\n"].concat();
         let mut rng = self.rng.borrow_mut();
         let has_fault = rng.chance(0.4);
-        let cut = rng.between(0, answer.len() as u64 - 1) as usize;
+        let split = rng.between(0, answer.len() as u64 - 1) as usize;
         match self.profile {
             HostProfile::Hanging if has_fault => None,
-            HostProfile::Resetting if has_fault => Some(Reply::Reset(answer[..cut].to_vec())),
-            // Good, and gone at once.
+            HostProfile::Resetting if has_fault => Some(Reply::Reset(answer[..split].to_vec())),
+            // A whole answer, after which the connection is reset.
             HostProfile::Resetting if rng.chance(0.2) => Some(Reply::Reset(answer)),
             HostProfile::SendingExtraAnswers if has_fault => {
                 Some(Reply::Bytes([&answer[..], &answer[..]].concat()))
             }
             HostProfile::SendingExtraAnswers if rng.chance(0.3) => {
-                let ahead = b"ffffffffffffffff data ver=t9 3\r\nxxx\r\n";
-                Some(Reply::Bytes([&ahead[..], &answer[..]].concat()))
+                let unrequested = b"ffffffffffffffff data ver=t9 3\r\nxxx\r\n";
+                Some(Reply::Bytes([&unrequested[..], &answer[..]].concat()))
             }
             HostProfile::Corrupting if has_fault => {
-                Some(Reply::Bytes(corrupt(&answer, cut, rng.between(0, 2))))
+                Some(Reply::Bytes(corrupt(&answer, split, rng.between(0, 2))))
             }
             _ => Some(Reply::Bytes(answer)),
         }
     }
 
-    /// The copy that is held, or a new one where it is older than accepted.
+    /// The body of an answer: the cached copy, which is replaced by a new one first if it is older than `max_age_ms`.
     fn copy_of(&self, object: &str, max_age_ms: Option<&str>) -> Vec<u8> {
         let now_ms = unix_now().as_millis() as u64;
         let max_age_ms: Option<u64> = max_age_ms.and_then(|age| age.parse().ok());
@@ -169,11 +173,11 @@
     }
 }
 
-/// An answer that can't be read as it is.
-fn corrupt(answer: &[u8], cut: usize, kind: u64) -> Vec<u8> {
+/// Makes an answer that can't be parsed: noise, the start of the answer, or the answer with an invalid status.
+fn corrupt(answer: &[u8], split: usize, kind: u64) -> Vec<u8> {
     match kind {
         0 => b"noise that is no answer\r\n".to_vec(),
-        1 => answer[..cut].to_vec(),
+        1 => answer[..split].to_vec(),
         _ => {
             let text = String::from_utf8_lossy(answer).replacen(" data ", " data_ ", 1);
             text.into_bytes()
@@ -181,6 +185,7 @@
     }
 }
 
+/// Writes queued replies until the connection fails or a reply resets it.
 async fn write_replies(mut write_half: OwnedWriteHalf, mut queue: mpsc::Receiver<Reply>) {
     while let Some(reply) = queue.recv().await {
         match reply {
@@ -192,7 +197,7 @@
             Reply::Reset(bytes) => {
                 let _ = write_half.write_all(&bytes).await;
                 let _ = socket2::SockRef::from(write_half.as_ref()).set_linger(Some(Duration::ZERO));
-                // What was written leaves first, then the reset by the close of both halves.
+                // The shutdown sends the bytes that were written; closing both halves then resets the connection.
                 let _ = socket2::SockRef::from(write_half.as_ref()).shutdown(std::net::Shutdown::Both);
                 return;
             }
@@ -200,6 +205,7 @@
     }
 }
 
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
