--- a/crates/rockflow-benchmarks/src/soak/plan.rs
+++ b/crates/rockflow-benchmarks/src/soak/plan.rs
@@ -1,79 +1,85 @@
-//! What a run does, decided by its seed alone.
+//! The plan of a run, which is determined by its seed alone.
 
 use rockflow_process_harness::Signal;
 use std::time::Duration;
 
-/// The longest deadline of the example's classes counts as this at most, and the kill comes so much later.
+/// The longest deadline of the classes in the example configuration, as far as it delays the kill: longer deadlines
+/// count as this one.
 const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// The time from the longest counted deadline to the kill.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The kill at its earliest, counted from the first SIGTERM.
+/// When the program is killed if it still runs, counted from the first SIGTERM. This is the earliest time at which the
+/// service allows the kill.
 pub(super) const KILL_AFTER: Duration = LONGEST_COUNTED_DEADLINE.saturating_add(KILL_MARGIN);
-/// Descriptors that the configuration allows: of many, and so few that a crowd can take more than a third.
+/// The limit of descriptors in the configuration of a run without too many clients.
 const MANY_DESCRIPTORS: usize = 1024;
+/// A limit of descriptors of which the clients of a crowd take more than a third.
 const FEW_DESCRIPTORS: usize = 160;
 
-/// How a host behaves.
+/// The behaviour of a host in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HostProfile {
     /// Answers within milliseconds.
     Healthy,
-    /// Answers late.
+    /// Answers with a delay of up to several hundred milliseconds.
     Slow,
     /// Leaves many attempts unanswered.
     Hanging,
     /// Resets connections, before and in the middle of answers.
     Resetting,
-    /// Answers twice, or with an answer that nobody asked for.
+    /// Sends answers twice, or answers for ids that were not requested.
     SendingExtraAnswers,
-    /// Answers with what can't be read, or breaks off.
+    /// Sends answers that can't be parsed or are incomplete.
     Corrupting,
-    /// Answers `full`, `absent`, `failed` or `moot`.
+    /// Answers many attempts with `full`, `absent`, `failed` or `moot`.
     Refusing,
 }
 
-/// What becomes of the discovery service in a run.
+/// The fault of the discovery service in a run. The timelines show the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DiscoveryFault {
+    /// No fault.
     None,
-    /// It says nothing more on open streams from then on.
+    /// Open streams send nothing more but stay open.
     Silent,
-    /// It breaks off in the middle of its next event.
+    /// The stream that sends the next event closes in the middle of it.
     BreaksOff,
-    /// Another address, by a new configuration and SIGHUP.
+    /// The service moves to another address, of which the dispatcher learns by a new configuration and SIGHUP.
     Moves,
 }
 
-/// How the program ends.
+/// How the program is stopped in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// SIGTERM, and the kill at its earliest.
+    /// SIGTERM after the load, and a kill if the program still runs after the longest allowed time.
     Graceful,
-    /// SIGTERM as soon as it listens.
+    /// SIGTERM as soon as the program listens, and the kill as in `Graceful`.
     WhileStarting,
-    /// Killed outright and started again at the same address at once, then SIGTERM.
+    /// A kill during the load, an immediate restart at the same address, and then as in `Graceful`.
     KilledAndRestarted,
 }
 
-/// A signal, and when it is sent, counted from the first SIGTERM.
+/// A signal with its time, counted from the first SIGTERM.
 pub(super) struct TimedSignal {
     pub(super) at: Duration,
     pub(super) signal: Signal,
 }
 
-/// What a run does.
+/// The plan of a run.
 pub struct Plan {
-    /// The seed that decided it.
+    /// The seed that determines the plan and the random numbers of clients and hosts.
     pub seed: u64,
     pub(super) clients: usize,
+    /// The limit of descriptors in the configuration.
     pub(super) descriptors: usize,
-    /// More connections than a third of the descriptors.
+    /// Whether the run has more clients than a third of the descriptors, so that new connections may be closed unread.
     pub(super) is_crowd: bool,
-    /// From the first request to the first SIGTERM.
+    /// The time from the first request to the first SIGTERM.
     pub(super) load_time: Duration,
     pub(super) ending: Ending,
     /// Further signals after the first SIGTERM.
     pub(super) signals: Vec<TimedSignal>,
-    /// New connections come for so long after SIGTERM.
+    /// How long after the first SIGTERM clients still open new connections.
     pub(super) connects_after_term: Duration,
     pub(super) caches: Vec<HostProfile>,
     pub(super) parent: HostProfile,
@@ -83,16 +89,16 @@
     pub(super) discovery_fault_at: Duration,
     /// When the last cache begins to drain, counted from the first request.
     pub(super) drain_at: Duration,
-    /// When the cold cache joins.
+    /// When a new cache, which is empty, joins; counted from the first request.
     pub(super) cold_cache_joins_at: Duration,
-    /// Between two purges.
+    /// The time between two purges.
     pub(super) purge_interval: Duration,
     /// Whether the class `notices` may be executed at most once.
     pub(super) is_at_most_once: bool,
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn from_seed(seed: u64) -> Plan {
         let mut rng = Random::new(seed);
         let is_crowd = rng.chance(0.25);
@@ -123,7 +129,7 @@
                 _ => DiscoveryFault::None,
             },
             discovery_fault_at: rng.random_part_of(load_time),
-            // About the moment of the stop, or long before.
+            // Drain and join happen at any time of the load, or up to 600 ms later, when the program is being stopped.
             drain_at: rng.random_part_of(load_time + Duration::from_millis(600)),
             cold_cache_joins_at: rng.random_part_of(load_time + Duration::from_millis(600)),
             purge_interval: Duration::from_millis(rng.between(30, 200)),
@@ -131,7 +137,7 @@
         }
     }
 
-    /// A run without faults of its own: what it reports is the program's doing.
+    /// A plan in which no peer is faulty, so that every violation in the report is caused by the program.
     pub fn without_faults(seed: u64) -> Plan {
         Plan {
             clients: 12,
@@ -152,6 +158,7 @@
     }
 }
 
+/// Draws one of the profiles, all with the same probability.
 fn random_profile(rng: &mut Random) -> HostProfile {
     let profiles = [
         HostProfile::Healthy,
@@ -165,7 +172,7 @@
     profiles[rng.between(0, profiles.len() as u64 - 1) as usize]
 }
 
-/// Up to four signals between the first SIGTERM and the end.
+/// Draws up to four signals within 1.5 s after the first SIGTERM, in the order of their times.
 fn random_signals(rng: &mut Random) -> Vec<TimedSignal> {
     let kinds = [Signal::SIGHUP, Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP];
     let count = rng.between(0, kinds.len() as u64) as usize;
@@ -176,7 +183,7 @@
     signals
 }
 
-/// Random numbers of a run.
+/// A generator of random numbers for plans, clients and hosts.
 pub(super) struct Random(oorandom::Rand64);
 
 impl Random {
@@ -184,11 +191,12 @@
         Random(oorandom::Rand64::new(u128::from(seed)))
     }
 
-    /// A number between two, both included.
+    /// A number from `low` to `high`, both included.
     pub(super) fn between(&mut self, low: u64, high: u64) -> u64 {
         self.0.rand_range(low..high + 1)
     }
 
+    /// Draws whether an event of the given probability happens.
     pub(super) fn chance(&mut self, probability: f64) -> bool {
         self.0.rand_float() < probability
     }
@@ -197,6 +205,7 @@
         self.0.rand_u64()
     }
 
+    /// A random duration from zero to `span`.
     fn random_part_of(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.0.rand_float())
     }
