--- a/crates/rockflow-benchmarks/src/soak/mod.rs
+++ b/crates/rockflow-benchmarks/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A soak of a dispatcher's process: seeded clients, hosts, discovery events and signals round it, each answer and attempt
-//! checked by the peers.
+//! A soak test of a dispatcher process. Clients, hosts, discovery events and signals act on it as a seeded plan says,
+//! and the peers check each answer and attempt.
 //!
-//! A run is replayed by its seed: the seed decides the plan, while the moments at which things cross are those of the
-//! machine.
+//! The seed determines the plan of a run, so that a run can be repeated. The exact timing of concurrent events depends
+//! on the machine and is not repeated.
 
 mod answer;
 mod check;
@@ -23,19 +23,20 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The program under test, and how its `serve` command is started.
+/// The program under test, with the arguments by which its `serve` command is started.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// Path of the executable.
+    /// The path of the executable.
     pub path: PathBuf,
-    /// Arguments before `serve`.
+    /// The arguments before `serve`; none for rockflow itself.
     pub arguments: Vec<String>,
 }
 
-/// Plays the plans, so many at once, and returns their reports in the order of the plans.
+/// Runs the plans, at most `parallel` of them at once and at least one, and returns their reports in the order of the
+/// plans.
 ///
 /// # Panics
-/// If a run can't be set up: a port, a file or a process is missing.
+/// If a run can't be set up because a port, a file or the process can't be created.
 pub fn run_plans(program: &Program, plans: Vec<Plan>, parallel: usize) -> Vec<RunReport> {
     let queue: Arc<Mutex<VecDeque<(usize, Plan)>>> =
         Arc::new(Mutex::new(plans.into_iter().enumerate().collect()));
@@ -43,9 +44,9 @@
         .map(|_| {
             let (queue, program) = (queue.clone(), program.clone());
             std::thread::spawn(move || {
-                let next = || queue.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
+                let next_plan = || queue.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
                 let mut reports = Vec::new();
-                while let Some((number, plan)) = next() {
+                while let Some((number, plan)) = next_plan() {
                     reports.push((number, run::run(&program, &plan)));
                 }
                 reports
--- a/crates/rockflow-benchmarks/src/soak/run.rs
+++ b/crates/rockflow-benchmarks/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run: the peers, the program, its signals, and the checks at its end.
+//! Runs one plan: starts the peers and the program, sends the signals, and checks the records at the end.
 
 use super::check::{check_ledger, Rule, DRAIN_GRACE};
 use super::client::{Client, ClientContext, OBJECTS};
@@ -19,44 +19,50 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-const EXAMPLE: &str = include_str!("../../../../deploy/example.json");
-/// Number of the event in the example's snapshot.
+/// The configuration from which that of the program is made.
+const EXAMPLE_CONFIG: &str = include_str!("../../../../deploy/example.json");
+/// The revision of the event in the snapshot of the example configuration.
 const FIRST_REVISION: u64 = 1;
-/// A program that has not begun to serve by then is reported.
+/// A program that does not serve within this time after its start is reported.
 const START_LIMIT: Duration = Duration::from_secs(20);
-/// How long clients may take to end once the program has.
+/// How long clients may take to finish once the program has exited.
 const CLIENT_LIMIT: Duration = Duration::from_secs(8);
+/// How often the start and the exit of the program are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The wait by which the rig measures how late its own clock is.
+/// The length of the sleeps by which the soak measures how late its own timers fire.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the program is asked for its health, and the space for the answer.
+/// The pause between two health checks of the program.
 const HEALTH_INTERVAL: Duration = Duration::from_millis(10);
+/// The size of the buffer for the answer to a health check.
 const HEALTH_ANSWER_BYTES: usize = 512;
-/// The program is killed and restarted at this part of the load.
-const KILL_AT_LOAD_PART: f64 = 0.4;
+/// The share of the load time after which the program is killed and restarted.
+const KILL_AT_LOAD_SHARE: f64 = 0.4;
 
-/// Plays a run to its end.
+/// Runs a plan to its end and returns the report.
 pub(super) fn run(program: &Program, plan: &Plan) -> RunReport {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async { Run::prepare(program, plan).await.run().await })
 }
 
-/// The peers of a run, and the program between them.
+/// A run in progress, with its peers and the program.
 struct Run<'a> {
     program: &'a Program,
     plan: &'a Plan,
     ledger: SharedLedger,
     discovery: Rc<Discovery>,
-    /// Where the program listens, and where discovery does.
+    /// The address at which the program serves clients.
     address: SocketAddr,
+    /// The address of the discovery service that the configuration names.
     discovery_address: Cell<SocketAddr>,
-    /// By name.
+    /// The names and addresses of the hosts.
     hosts: Vec<(String, SocketAddr)>,
     folder: TemporaryFolder,
+    /// The program; `None` before its first start.
     process: RefCell<Option<Process>>,
 }
 
 impl<'a> Run<'a> {
+    /// Starts the peers of a run, but not the program.
     async fn prepare(program: &'a Program, plan: &'a Plan) -> Run<'a> {
         let ledger = Ledger::shared();
         let discovery = Discovery::new(FIRST_REVISION + 1, ledger.clone());
@@ -86,8 +92,9 @@
         }
     }
 
+    /// Runs the plan: starts the program, puts it under load, stops it and checks the records.
     async fn run(self) -> RunReport {
-        let clock = spawn_local(measure_own_lateness(self.ledger.clone()));
+        let lateness_task = spawn_local(measure_own_lateness(self.ledger.clone()));
         self.start_program();
         let is_ready = self.await_start().await;
         let context = Rc::new(ClientContext {
@@ -98,7 +105,7 @@
             connects_until: Cell::new(None),
             sends_until: Cell::new(None),
         });
-        let starvation =
+        let starvation_task =
             spawn_local(measure_starvation(self.ledger.clone(), self.address, self.process_id()));
         let clients = self.start_clients(&context);
         if self.plan.ending != Ending::WhileStarting && is_ready {
@@ -106,8 +113,8 @@
         }
         let ended_after = self.stop_program(&context).await;
         self.await_clients(clients).await;
-        clock.abort();
-        starvation.abort();
+        lateness_task.abort();
+        starvation_task.abort();
         check_ledger(&mut self.ledger.borrow_mut());
         let log = self.process.borrow().as_ref().map(Process::log).unwrap_or_default();
         if let Some(line) = log.lines().find(|line| line.contains("panicked")) {
@@ -117,6 +124,7 @@
         RunReport::new(self.plan, &ledger, &log, ended_after)
     }
 
+    /// Starts the program with the current configuration, appending to the same log at each start.
     fn start_program(&self) {
         let path = self.write_config();
         let start =
@@ -126,13 +134,14 @@
         *self.process.borrow_mut() = Some(process);
     }
 
+    /// The process id of the program; 0 before its first start.
     fn process_id(&self) -> u32 {
         self.process.borrow().as_ref().map(Process::id).unwrap_or_default()
     }
 
-    /// Writes the configuration as it is now, and returns its path.
+    /// Writes the configuration with the current address and events of discovery, and returns its path.
     fn write_config(&self) -> std::path::PathBuf {
-        let mut value: Value = serde_json::from_str(EXAMPLE).expect("an example");
+        let mut value: Value = serde_json::from_str(EXAMPLE_CONFIG).expect("an example");
         value["listen"] = json!(self.address.to_string());
         value["board"] = json!(self.discovery_address.get().to_string());
         value["limits"]["sockets"] = json!(self.plan.descriptors);
@@ -140,8 +149,8 @@
         if self.plan.is_at_most_once {
             value["settings"]["grades"][1]["repeat"] = json!("at_most_once");
         }
-        let listed = self.hosts.iter().filter(|(name, _)| name != "cold");
-        let instances: Vec<_> = listed.map(|(name, _)| self.instance(name, "active")).collect();
+        let initial_hosts = self.hosts.iter().filter(|(name, _)| name != "cold");
+        let instances: Vec<_> = initial_hosts.map(|(name, _)| self.instance(name, "active")).collect();
         value["known"]["notices"][0]["pool"]["instances"] = json!(instances);
         let (revision, events) = self.discovery.snapshot();
         value["known"]["rev"] = json!(revision);
@@ -149,7 +158,7 @@
         self.folder.write("config.json", &value.to_string(), 0o600)
     }
 
-    /// A host's entry as the discovery service writes it.
+    /// The entry of a host in the format of the discovery protocol.
     fn instance(&self, name: &str, lifecycle: &str) -> Value {
         let address =
             self.hosts.iter().find(|(host, _)| host == name).map(|(_, address)| address.to_string());
@@ -163,10 +172,11 @@
             "lifecycle": lifecycle, "weight": 16, "startedAtMs": started_at_ms})
     }
 
-    /// Waits till the program serves, or, where it is stopped while it starts, till it listens.
+    /// Waits until the program is healthy, or, if the plan stops it while it starts, until it accepts a connection.
+    /// Reports a violation and returns false if that takes too long.
     async fn await_start(&self) -> bool {
-        let end = Instant::now() + START_LIMIT;
-        while Instant::now() < end {
+        let deadline = Instant::now() + START_LIMIT;
+        while Instant::now() < deadline {
             if let Ok(mut stream) = TcpStream::connect(self.address).await {
                 if self.plan.ending == Ending::WhileStarting || is_healthy(&mut stream).await {
                     return true;
@@ -174,17 +184,19 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        self.ledger.borrow_mut().report_violation(Rule::Exit, None, "not ready in time");
+        self.ledger.borrow_mut().report_violation(Rule::Exit, None, "the program was not ready in time");
         false
     }
 
+    /// Starts the clients, each with a seed of its own.
     fn start_clients(&self, context: &Rc<ClientContext>) -> Vec<JoinHandle<()>> {
         let mut rng = Random::new(self.plan.seed ^ 0x5eed);
         let start = |_| spawn_local(Client::new(context.clone(), rng.random_u64()).run());
         (0..self.plan.clients).map(start).collect()
     }
 
-    /// The time of load, with what happens in it and on into the stop.
+    /// Waits for the load time, while purges, a drain, a joining cache and the faults of the plan happen. Purges, the
+    /// drain and the join may go on while the program is stopped.
     async fn run_load(&self) {
         let plan = self.plan;
         spawn_local(issue_purges(
@@ -193,9 +205,9 @@
             plan.purge_interval,
             plan.seed,
         ));
-        let drained = format!("c{}", plan.caches.len());
+        let drained_host = format!("c{}", plan.caches.len());
         for (at, instance) in [
-            (plan.drain_at, self.instance(&drained, "leaving")),
+            (plan.drain_at, self.instance(&drained_host, "leaving")),
             (plan.cold_cache_joins_at, self.instance("cold", "active")),
         ] {
             let discovery = self.discovery.clone();
@@ -204,22 +216,23 @@
                 discovery.announce(instance);
             });
         }
-        let started = Instant::now();
+        let started_at = Instant::now();
         let mut events = vec![(plan.discovery_fault_at, LoadEvent::DiscoveryFault)];
         if plan.ending == Ending::KilledAndRestarted {
-            events.push((plan.load_time.mul_f64(KILL_AT_LOAD_PART), LoadEvent::Kill));
+            events.push((plan.load_time.mul_f64(KILL_AT_LOAD_SHARE), LoadEvent::Kill));
         }
         events.sort_by_key(|(at, _)| *at);
         for (at, event) in events {
-            tokio::time::sleep(at.saturating_sub(started.elapsed())).await;
+            tokio::time::sleep(at.saturating_sub(started_at.elapsed())).await;
             match event {
                 LoadEvent::DiscoveryFault => self.inject_discovery_fault().await,
                 LoadEvent::Kill => self.kill_and_restart(),
             }
         }
-        tokio::time::sleep(plan.load_time.saturating_sub(started.elapsed())).await;
+        tokio::time::sleep(plan.load_time.saturating_sub(started_at.elapsed())).await;
     }
 
+    /// Injects the discovery fault of the plan.
     async fn inject_discovery_fault(&self) {
         match self.plan.discovery {
             DiscoveryFault::None => {}
@@ -234,18 +247,20 @@
         self.ledger.borrow_mut().add_event(None, format!("discovery: {:?}", self.plan.discovery));
     }
 
+    /// Kills the program, and starts it again at the same address.
     fn kill_and_restart(&self) {
         if let Some(process) = self.process.borrow_mut().as_mut() {
             process.kill();
         }
         let mut ledger = self.ledger.borrow_mut();
         ledger.killed_at = Some(Instant::now());
-        ledger.add_event(None, "killed, and started again");
+        ledger.add_event(None, "program killed and started again");
         drop(ledger);
         self.start_program();
         spawn_local(measure_starvation(self.ledger.clone(), self.address, self.process_id()));
     }
 
+    /// Sends a signal to the program and records it.
     fn signal(&self, signal: Signal) {
         self.ledger.borrow_mut().add_event(None, format!("signal {signal}"));
         if let Some(process) = self.process.borrow().as_ref() {
@@ -253,7 +268,8 @@
         }
     }
 
-    /// Sends SIGTERM and the signals behind it, and kills the program at the earliest. Returns when it ended by itself.
+    /// Sends SIGTERM and the further signals of the plan, and kills the program if it still runs at the end. Returns
+    /// how long after SIGTERM the program exited by itself; `None` if it was killed.
     async fn stop_program(&self, context: &ClientContext) -> Option<Duration> {
         let term_at = Instant::now();
         self.ledger.borrow_mut().term_at = Some(term_at);
@@ -267,87 +283,98 @@
                     self.ledger.borrow_mut().report_violation(
                         Rule::Exit,
                         None,
-                        format!("ended with {status}"),
+                        format!("the program exited with {status}"),
                     );
                 }
                 context.sends_until.set(Some(Instant::now()));
                 return Some(term_at.elapsed());
             }
-            if let Some(due) = signals.next_if(|timed| timed.at <= term_at.elapsed()) {
-                self.signal(due.signal);
+            if let Some(due_signal) = signals.next_if(|timed| timed.at <= term_at.elapsed()) {
+                self.signal(due_signal.signal);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        self.ledger.borrow_mut().report_violation(Rule::Exit, None, "had not ended by the kill");
+        self.ledger.borrow_mut().report_violation(
+            Rule::Exit,
+            None,
+            "the program still ran when the kill was due",
+        );
         if let Some(process) = self.process.borrow_mut().as_mut() {
             process.kill();
         }
         None
     }
 
+    /// Waits for the clients to finish, up to a limit for all of them together.
     async fn await_clients(&self, clients: Vec<JoinHandle<()>>) {
-        let end = tokio::time::Instant::now() + CLIENT_LIMIT;
+        let deadline = tokio::time::Instant::now() + CLIENT_LIMIT;
         for client in clients {
-            let _ = tokio::time::timeout_at(end, client).await;
+            let _ = tokio::time::timeout_at(deadline, client).await;
         }
     }
 }
 
-/// What happens during the load.
+/// A scheduled fault during the load.
 enum LoadEvent {
+    /// The discovery fault of the plan.
     DiscoveryFault,
+    /// A kill and restart of the program.
     Kill,
 }
 
+/// Whether the program answers a health check on this connection with status 200.
 async fn is_healthy(stream: &mut TcpStream) -> bool {
     let mut answer = String::new();
     let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").await;
     sent.is_ok() && stream.read_to_string(&mut answer).await.is_ok() && answer.starts_with("HTTP/1.1 200 ")
 }
 
+/// Announces purges of random objects, one in each interval. Never returns.
 async fn issue_purges(discovery: Rc<Discovery>, ledger: SharedLedger, interval: Duration, seed: u64) {
     let mut rng = Random::new(seed ^ 0xf1u64);
     loop {
         tokio::time::sleep(interval).await;
         let object = format!("{:04x}", rng.between(0, OBJECTS - 1));
         let issued_at_ms = unix_now().as_millis() as u64;
-        let mut open = ledger.borrow_mut();
-        let number = open.purges.len();
-        open.purges.push(IssuedPurge { object: object.clone(), issued_at_ms, notified_at: None });
-        drop(open);
+        let mut records = ledger.borrow_mut();
+        let number = records.purges.len();
+        records.purges.push(IssuedPurge { object: object.clone(), issued_at_ms, notified_at: None });
+        drop(records);
         discovery.purge(number, &object, issued_at_ms);
     }
 }
 
-/// Measures how late the rig's own clock is: what a late rig sees is no evidence.
+/// Measures how late timers of the soak itself fire. What a soak with late timers observes proves nothing about the
+/// program. Never returns.
 async fn measure_own_lateness(ledger: SharedLedger) {
     loop {
-        let before = Instant::now();
+        let started_at = Instant::now();
         tokio::time::sleep(CLOCK_CHECK_INTERVAL).await;
-        let lateness = before.elapsed().saturating_sub(CLOCK_CHECK_INTERVAL);
+        let lateness = started_at.elapsed().saturating_sub(CLOCK_CHECK_INTERVAL);
         let mut ledger = ledger.borrow_mut();
         ledger.max_lateness = lateness.max(ledger.max_lateness);
     }
 }
 
-/// Asks for the program's health again and again, and records how long it took where the program used next to no processor
-/// time meanwhile: it had something to do and did not run, which the machine caused. Where it did run, it is to blame.
+/// Sends health checks to the program until its connection is closed, and records how long an answer took if the
+/// program used less than half of that time on a processor. Such a program had something to do and was not run, for
+/// which the machine is to blame. A slow answer for which the program did run is its own fault and is not recorded.
 async fn measure_starvation(ledger: SharedLedger, address: SocketAddr, id: u32) {
     let Ok(mut stream) = TcpStream::connect(address).await else { return };
     let mut answer = [0; HEALTH_ANSWER_BYTES];
     loop {
-        let (asked_at, used_before) = (Instant::now(), Usage::of(id).map(|usage| usage.cpu_time));
+        let (sent_at, cpu_time_before) = (Instant::now(), Usage::of(id).map(|usage| usage.cpu_time));
         if stream.write_all(b"GET /_health HTTP/1.1\r\n\r\n").await.is_err() {
             return;
         }
         if !matches!(stream.read(&mut answer).await, Ok(length) if length > 0) {
             return;
         }
-        let took = asked_at.elapsed();
-        let used = Usage::of(id).map(|usage| usage.cpu_time).zip(used_before);
-        let used = used.map_or(Duration::ZERO, |(after, before)| after.saturating_sub(before));
-        if used < took / 2 {
-            ledger.borrow_mut().on_starved(took);
+        let response_time = sent_at.elapsed();
+        let cpu_times = Usage::of(id).map(|usage| usage.cpu_time).zip(cpu_time_before);
+        let cpu_time = cpu_times.map_or(Duration::ZERO, |(after, before)| after.saturating_sub(before));
+        if cpu_time < response_time / 2 {
+            ledger.borrow_mut().on_starved(response_time);
         }
         tokio::time::sleep(HEALTH_INTERVAL).await;
     }
