--- a/crates/rockflow-benchmarks/tests/wrong_dispatchers.rs
+++ b/crates/rockflow-benchmarks/tests/wrong_dispatchers.rs
@@ -1,4 +1,4 @@
-//! Dispatchers that break one rule each: the soak reports each of them.
+//! Runs the soak with dispatchers that violate one rule each, and checks that it reports the violation.
 
 use rockflow_benchmarks::soak::{self, Plan, Program, Rule};
 use test_case::test_case;
@@ -17,7 +17,7 @@
 #[test_case("exits-with-error", Rule::Exit)]
 #[test_case("never-exits", Rule::Exit)]
 #[test_case("panics", Rule::Panic)]
-fn wrong_dispatcher_is_reported(fault: &str, rule: Rule) {
+fn soak_reports_violation_of_wrong_dispatcher(fault: &str, rule: Rule) {
     let path = env!("CARGO_BIN_EXE_rockflow-benchmarks").into();
     let program = Program { path, arguments: vec!["wrong-dispatcher".to_string(), fault.to_string()] };
     let reports = soak::run_plans(&program, vec![Plan::without_faults(SEED)], 1);
