--- a/crates/rockflow-benchmarks/src/cost.rs
+++ b/crates/rockflow-benchmarks/src/cost.rs
@@ -1,5 +1,5 @@
-//! Measures the cost of management. Each round runs the dispatcher with management off, on and idle, and on with subscribers;
-//! throughput and latency are compared with the run without management of the same round.
+//! Measures the cost of management. Each round runs the dispatcher with management off, on and idle, and on with
+//! subscribers; throughput and latency are compared with the run without management of the same round.
 
 use crate::process::{Dispatcher, Management};
 use crate::Rows;
@@ -95,7 +95,8 @@
     for round in 0..rounds {
         for (index, variant) in variants.iter().enumerate() {
             let measurement = measure(options, *variant, round as u64 + 1).await;
-            rows.write(&json!({"round": round, "kind": variant.name(), "queries_a_second": measurement.requests_per_second,
+            rows.write(&json!({"round": round, "kind": variant.name(),
+                "queries_a_second": measurement.requests_per_second,
                 "p99_us": measurement.p99.as_micros() as u64, "idle_rss_kb": measurement.idle.rss_kb,
                 "busy_rss_kb": measurement.busy.rss_kb, "threads": measurement.busy.threads,
                 "idle_descriptors": measurement.idle.descriptors, "told_a_second": measurement.messages_per_second}));
--- a/crates/rockflow-benchmarks/src/drains.rs
+++ b/crates/rockflow-benchmarks/src/drains.rs
@@ -63,7 +63,8 @@
 
 /// The results of the drains over one protocol.
 struct DrainFigures {
-    /// For each drain, the time from the reply to the last attempt at the drained cache; zero without such an attempt. Sorted.
+    /// For each drain, the time from the reply to the last attempt at the drained cache; zero without such an attempt.
+    /// Sorted.
     last_attempts: Vec<Duration>,
     /// For each drain, the time from the command to its reply. Sorted.
     reply_times: Vec<Duration>,
@@ -97,7 +98,8 @@
     }
 }
 
-/// Measures `drains` drains over each protocol and prints the table. Returns whether all results are within their limits.
+/// Measures `drains` drains over each protocol and prints the table. Returns whether all results are within their
+/// limits.
 pub async fn run(program: &Path, drains: usize, clients: usize, rows: &mut Rows) -> bool {
     println!("{drains} drains over each protocol, {clients} clients without a pause, {CACHES} caches");
     println!("| protocol | attempts at a drained cache after the reply | last attempt, p50 | p99 | max | reply time, p50 | answered | rejected | unanswered | answered twice |");
--- a/crates/rockflow-process-harness/src/datagrams/carrier.rs
+++ b/crates/rockflow-process-harness/src/datagrams/carrier.rs
@@ -27,8 +27,8 @@
 }
 
 impl Carrier {
-    /// Creates a carrier for the members at the given addresses. The fronts must be non-blocking. Must be called within the
-    /// runtime on which the carrier will run.
+    /// Creates a carrier for the members at the given addresses. The fronts must be non-blocking. Must be called within
+    /// the runtime on which the carrier will run.
     pub(super) fn new(
         fronts: Vec<std::net::UdpSocket>,
         members: Vec<SocketAddr>,
@@ -62,8 +62,8 @@
             for _ in 0..MAX_BATCH {
                 match socket.try_recv_from(&mut buffer) {
                     Ok((length, from)) => self.carry(from, to, &buffer[..length]),
-                    // The socket reports that an earlier datagram sent from this front went to a port at which no member
-                    // listened. Datagrams that wait to be received are not affected.
+                    // The socket reports that an earlier datagram sent from this front went to a port at which no
+                    // member listened. Datagrams that wait to be received are not affected.
                     Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                     Err(_) => break,
                 }
--- a/crates/rockflow-process-harness/src/datagrams/mod.rs
+++ b/crates/rockflow-process-harness/src/datagrams/mod.rs
@@ -1,9 +1,9 @@
 //! A proxy that carries datagrams between known members and injects faults.
 //!
-//! The proxy has one socket for each member, which is called the member's front. Other members send to the front instead of
-//! to the member. The proxy delivers a datagram from the front of its sender, so that a reply to the source address passes
-//! through the proxy as well, and one socket for each member serves both directions. Datagrams whose source is not the
-//! socket of a member are counted and dropped.
+//! The proxy has one socket for each member, which is called the member's front. Other members send to the front
+//! instead of to the member. The proxy delivers a datagram from the front of its sender, so that a reply to the source
+//! address passes through the proxy as well, and one socket for each member serves both directions. Datagrams whose
+//! source is not the socket of a member are counted and dropped.
 
 mod carrier;
 mod counts;
@@ -72,7 +72,8 @@
         lock(&self.state).add_rule(rule)
     }
 
-    /// Removes a rule. Datagrams that it has delayed keep their delay. Does nothing if the rule has been removed already.
+    /// Removes a rule. Datagrams that it has delayed keep their delay. Does nothing if the rule has been removed
+    /// already.
     pub fn remove(&self, id: RuleId) {
         lock(&self.state).remove_rule(id);
     }
--- a/crates/rockflow-process-harness/src/datagrams/state.rs
+++ b/crates/rockflow-process-harness/src/datagrams/state.rs
@@ -81,8 +81,8 @@
         self.delayed.pop().map(|Reverse(datagram)| datagram)
     }
 
-    /// Applies the conditions of the path to a datagram: drops, duplicates or queues it. Returns how many copies the caller
-    /// must deliver immediately.
+    /// Applies the conditions of the path to a datagram: drops, duplicates or queues it. Returns how many copies the
+    /// caller must deliver immediately.
     pub(super) fn apply_conditions(&mut self, from: usize, to: usize, bytes: &[u8]) -> usize {
         let path = self.conditions(from, to);
         if path.cut {
@@ -113,8 +113,8 @@
         rules.fold(PathConditions::default(), |path, rule| path.combine(&rule.path))
     }
 
-    /// Draws whether an event of the given probability happens. Probability 0 draws no random number, so that a rule without
-    /// random faults does not shift the sequence of the others.
+    /// Draws whether an event of the given probability happens. Probability 0 draws no random number, so that a rule
+    /// without random faults does not shift the sequence of the others.
     fn draw(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.rand_float() < probability
     }
--- a/crates/rockflow-process-harness/src/fleet/layout.rs
+++ b/crates/rockflow-process-harness/src/fleet/layout.rs
@@ -32,8 +32,8 @@
     pub control_discovery: SocketAddr,
     /// The address of the discovery server that the dispatchers follow.
     pub discovery: SocketAddr,
-    /// For each dispatcher, the list of hosts in its configuration, in the format of the discovery protocol. A dispatcher
-    /// past the end of this vector keeps the hosts of the example configuration.
+    /// For each dispatcher, the list of hosts in its configuration, in the format of the discovery protocol. A
+    /// dispatcher past the end of this vector keeps the hosts of the example configuration.
     pub hosts: Vec<Value>,
     /// The interval between heartbeats of dissemination.
     pub heartbeat_interval: Duration,
--- a/crates/rockflow-process-harness/src/fleet/member.rs
+++ b/crates/rockflow-process-harness/src/fleet/member.rs
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Sends a GET request on a new connection and returns the whole answer; `None` if the connection fails or times out.
+    /// Sends a GET request on a new connection and returns the whole answer; `None` if the connection fails or times
+    /// out.
     fn get(&self, path: &str, headers: &[(&str, &str)]) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.address, REQUEST_TIMEOUT).ok()?;
         stream.set_read_timeout(Some(REQUEST_TIMEOUT)).ok()?;
--- a/crates/rockflow-process-harness/src/fleet/mod.rs
+++ b/crates/rockflow-process-harness/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Runs the control nodes and dispatchers of one fleet as processes behind one datagram proxy, with their files and logs.
+//! Runs the control nodes and dispatchers of one fleet as processes behind one datagram proxy, with their files and
+//! logs.
 //!
-//! Every dispatcher of the layout has a front in the proxy and can be listed in the directory, even if its process is never
-//! started.
+//! Every dispatcher of the layout has a front in the proxy and can be listed in the directory, even if its process is
+//! never started.
 
 mod layout;
 mod member;
@@ -32,8 +33,9 @@
 }
 
 impl Fleet {
-    /// Chooses ports, starts the proxy and writes the files, but starts no process. The directory lists all dispatchers,
-    /// and there are no administrative overrides. In the proxy the control nodes come first, then the dispatchers.
+    /// Chooses ports, starts the proxy and writes the files, but starts no process. The directory lists all
+    /// dispatchers, and there are no administrative overrides. In the proxy the control nodes come first, then the
+    /// dispatchers.
     ///
     /// # Errors
     /// If there is no free port, or if a file can't be written.
@@ -136,8 +138,8 @@
         self.control.iter().try_for_each(|control| std::fs::write(self.directory_path(&control.name), &text))
     }
 
-    /// Writes administrative overrides, as pairs of a host and its state, to the file of every control node. A control node
-    /// rereads the file on SIGHUP.
+    /// Writes administrative overrides, as pairs of a host and its state, to the file of every control node. A control
+    /// node rereads the file on SIGHUP.
     ///
     /// # Errors
     /// If a file can't be written.
--- a/crates/rockflow-process-harness/src/lib.rs
+++ b/crates/rockflow-process-harness/src/lib.rs
@@ -1,5 +1,5 @@
-//! Starts, signals, measures and stops processes for tests and benchmarks, and injects faults into the datagrams between
-//! them.
+//! Starts, signals, measures and stops processes for tests and benchmarks, and injects faults into the datagrams
+//! between them.
 //!
 //! All sockets are bound to loopback addresses. Dropping the handle of a process kills the process.
 
--- a/crates/rockflow-process-harness/src/ports.rs
+++ b/crates/rockflow-process-harness/src/ports.rs
@@ -1,8 +1,8 @@
 //! Chooses free ports at a loopback address that differs from process to process.
 //!
 //! A chosen port is unbound until the program under test binds it. It must not be handed out again in the meantime: two
-//! dispatchers at one address would share its connections. So no port is chosen twice by one process, and another process
-//! that binds port 0 of 127.0.0.1 can't be assigned one, because the address differs.
+//! dispatchers at one address would share its connections. So no port is chosen twice by one process, and another
+//! process that binds port 0 of 127.0.0.1 can't be assigned one, because the address differs.
 
 use std::collections::BTreeSet;
 use std::io;
--- a/crates/rockflow-process-harness/src/process.rs
+++ b/crates/rockflow-process-harness/src/process.rs
@@ -12,7 +12,8 @@
 
 pub use nix::sys::signal::Signal;
 
-/// Lines of output that are buffered until they are read. At the limit the pipe fills and the process blocks on writing.
+/// Lines of output that are buffered until they are read. At the limit the pipe fills and the process blocks on
+/// writing.
 const MAX_QUEUED_LINES: usize = 65_536;
 
 /// Builder of a [`Process`]. By default stdin is empty, stdout is discarded, and stderr is inherited from this process.
--- a/crates/rockflow-test-servers/src/discovery.rs
+++ b/crates/rockflow-test-servers/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A discovery service that sends numbered server-sent events. A client that reconnects resumes after the last event that it
-//! received.
+//! A discovery service that sends numbered server-sent events. A client that reconnects resumes after the last event
+//! that it received.
 
 use crate::runtime::{bind_loopback, spawn_thread};
 use serde_json::Value;
@@ -56,8 +56,8 @@
         DiscoveryServer { address, events }
     }
 
-    /// Sends an event to all clients, including those that connect later. The `rev` of the event must be greater than that
-    /// of every earlier event.
+    /// Sends an event to all clients, including those that connect later. The `rev` of the event must be greater than
+    /// that of every earlier event.
     pub fn publish(&self, event: Value) {
         let revision = event["rev"].as_u64().unwrap_or(0);
         let text: Arc<str> = format!("id: {revision}\ndata: {event}\n\n").into();
@@ -102,8 +102,8 @@
     }
 }
 
-/// Reads a request head and returns its `Last-Event-ID`, or 0 without a valid one. Returns `None` if the head is too large or
-/// the connection closes before its end.
+/// Reads a request head and returns its `Last-Event-ID`, or 0 without a valid one. Returns `None` if the head is too
+/// large or the connection closes before its end.
 async fn read_last_event_id(stream: &mut TcpStream) -> Option<u64> {
     let mut head = Vec::new();
     let mut buffer = [0; READ_BYTES];
--- a/crates/rockflow-test-servers/src/folder.rs
+++ b/crates/rockflow-test-servers/src/folder.rs
@@ -8,7 +8,8 @@
 /// The number of the next folder, which makes the folder's name unique within the process.
 static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A new folder with mode 0700 in the system's temporary folder. It is removed with its content when the handle is dropped.
+/// A new folder with mode 0700 in the system's temporary folder. It is removed with its content when the handle is
+/// dropped.
 pub struct TemporaryFolder {
     path: PathBuf,
 }
--- a/crates/rockflow-test-servers/src/host.rs
+++ b/crates/rockflow-test-servers/src/host.rs
@@ -75,8 +75,8 @@
         std::mem::take(&mut *lock(&self.state.attempts))
     }
 
-    /// Gives the host a cache with one copy of each object. A copy that is older than an attempt accepts is replaced by a new
-    /// one. Answers contain the number of the copy, which counts up from 1 for each object.
+    /// Gives the host a cache with one copy of each object. A copy that is older than an attempt accepts is replaced by
+    /// a new one. Answers contain the number of the copy, which counts up from 1 for each object.
     pub fn enable_cache(&self) {
         lock(&self.state.copies).get_or_insert_default();
     }
@@ -161,8 +161,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Answers the attempts and health checks of one connection. Each attempt is answered after the delay, independently of the
-/// others; a health check is answered at once.
+/// Answers the attempts and health checks of one connection. Each attempt is answered after the delay, independently of
+/// the others; a health check is answered at once.
 async fn serve(stream: TcpStream, state: Arc<HostState>) {
     let _ = stream.set_nodelay(true);
     let (read_half, write_half) = stream.into_split();
--- a/crates/rockflow-test-servers/src/keys.rs
+++ b/crates/rockflow-test-servers/src/keys.rs
@@ -37,9 +37,9 @@
 }
 
 impl TemporaryFolder {
-    /// Writes the credentials that the management service of a dispatcher reads: an SSH host key, the users' public keys, a
-    /// TLS server certificate with its key, and the certificate of a new authority. Returns that authority, which signs
-    /// client certificates.
+    /// Writes the credentials that the management service of a dispatcher reads: an SSH host key, the users' public
+    /// keys, a TLS server certificate with its key, and the certificate of a new authority. Returns that authority,
+    /// which signs client certificates.
     ///
     /// # Panics
     /// If a file can't be written.
--- a/crates/rockflow-test-servers/src/lib.rs
+++ b/crates/rockflow-test-servers/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stand-ins on loopback for the peers of a dispatcher, for tests and benchmarks: cache hosts, parents and origins, a
 //! discovery service, clients that generate load, and keys and certificates for management sessions.
 //!
-//! Each server runs in its own thread, at a port that the operating system chooses, and stops when its handle is dropped.
-//! A server that can't be set up panics.
+//! Each server runs in its own thread, at a port that the operating system chooses, and stops when its handle is
+//! dropped. A server that can't be set up panics.
 
 pub mod keys;
 pub mod memory;
--- a/crates/rockflow-test-servers/src/load/client.rs
+++ b/crates/rockflow-test-servers/src/load/client.rs
@@ -67,8 +67,8 @@
         Ok(stream)
     }
 
-    /// Sends one request, waits for its answer, and then pauses for a random time around `pause`. Drops the connection if it
-    /// fails or the server closes it.
+    /// Sends one request, waits for its answer, and then pauses for a random time around `pause`. Drops the connection
+    /// if it fails or the server closes it.
     async fn send_request(&mut self, mut stream: TcpStream) {
         let (random, object) = (self.rng.rand_u64(), self.rng.rand_range(0..OBJECTS));
         let phase = self.progress.borrow().phase;
--- a/crates/rockflow-test-servers/src/load/mod.rs
+++ b/crates/rockflow-test-servers/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Generates load by clients, each of which has one request in flight at a time and checks that it gets exactly one answer.
+//! Generates load by clients, each of which has one request in flight at a time and checks that it gets exactly one
+//! answer.
 
 mod client;
 mod response;
@@ -24,8 +25,8 @@
 pub struct LoadPhase(u16);
 
 impl LoadPhase {
-    /// The phase of a request, from its hexadecimal id as clients send it and hosts record it; `None` if the text is not
-    /// such an id.
+    /// The phase of a request, from its hexadecimal id as clients send it and hosts record it; `None` if the text is
+    /// not such an id.
     pub fn from_request_id(id: &str) -> Option<LoadPhase> {
         let id = u64::from_str_radix(id, 16).ok()?;
         Some(LoadPhase((id >> PHASE_SHIFT) as u16))
@@ -74,8 +75,8 @@
 }
 
 impl Load {
-    /// Starts `clients` clients of the dispatcher at `address`. Between an answer and the next request a client waits for a
-    /// random time of 0.5 to 1.5 times `pause`. `seed` determines the objects, request ids and pauses.
+    /// Starts `clients` clients of the dispatcher at `address`. Between an answer and the next request a client waits
+    /// for a random time of 0.5 to 1.5 times `pause`. `seed` determines the objects, request ids and pauses.
     ///
     /// # Panics
     /// If the thread can't be started.
@@ -110,8 +111,8 @@
         phase
     }
 
-    /// Starts a new phase, and waits until each client has had `requests` requests succeed in it. Every request of earlier
-    /// phases has ended by then, because a client has one request in flight at a time.
+    /// Starts a new phase, and waits until each client has had `requests` requests succeed in it. Every request of
+    /// earlier phases has ended by then, because a client has one request in flight at a time.
     ///
     /// # Panics
     /// If the wait takes longer than `limit`, or if another phase is started in the meantime.
@@ -126,8 +127,8 @@
         phase
     }
 
-    /// Stops the clients, lets requests in flight finish, and returns the outcomes of all requests. Blocks the calling thread
-    /// until all clients have stopped.
+    /// Stops the clients, lets requests in flight finish, and returns the outcomes of all requests. Blocks the calling
+    /// thread until all clients have stopped.
     pub fn stop(mut self) -> LoadSummary {
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
--- a/crates/rockflow-test-servers/src/site.rs
+++ b/crates/rockflow-test-servers/src/site.rs
@@ -36,8 +36,8 @@
         Site { discovery: DiscoveryServer::start(), hosts, roles, revision: 1 }
     }
 
-    /// Makes the JSON configuration of a dispatcher of this site from an example. The dispatcher listens at a port that the
-    /// system chooses, and knows all hosts of the site.
+    /// Makes the JSON configuration of a dispatcher of this site from an example. The dispatcher listens at a port that
+    /// the system chooses, and knows all hosts of the site.
     ///
     /// # Panics
     /// If the example is not valid JSON.
