--- a/crates/rockflow-benchmarks/src/soak/plan.rs
+++ b/crates/rockflow-benchmarks/src/soak/plan.rs
@@ -16,6 +16,9 @@
 /// A limit of descriptors of which the clients of a crowd take more than a third.
 const FEW_DESCRIPTORS: usize = 160;
 
+/// How long after the load, while the program is being stopped, a drain or the join of a cache may still happen.
+const MAX_DELAY_AFTER_LOAD: Duration = Duration::from_millis(600);
+
 /// The behaviour of a host in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HostProfile {
@@ -129,9 +132,8 @@
                 _ => DiscoveryFault::None,
             },
             discovery_fault_at: rng.random_part_of(load_time),
-            // Drain and join happen at any time of the load, or up to 600 ms later, when the program is being stopped.
-            drain_at: rng.random_part_of(load_time + Duration::from_millis(600)),
-            cold_cache_joins_at: rng.random_part_of(load_time + Duration::from_millis(600)),
+            drain_at: rng.random_part_of(load_time + MAX_DELAY_AFTER_LOAD),
+            cold_cache_joins_at: rng.random_part_of(load_time + MAX_DELAY_AFTER_LOAD),
             purge_interval: Duration::from_millis(rng.between(30, 200)),
             is_at_most_once: rng.chance(0.5),
         }
--- a/crates/rockflow-benchmarks/src/soak/run.rs
+++ b/crates/rockflow-benchmarks/src/soak/run.rs
@@ -38,6 +38,11 @@
 /// The share of the load time after which the program is killed and restarted.
 const KILL_AT_LOAD_SHARE: f64 = 0.4;
 
+/// Makes the seeds of the clients differ from the seed of the plan.
+const CLIENT_SEED_SALT: u64 = 0x5eed;
+/// Makes the seed of the purged objects differ from the seed of the plan.
+const PURGE_SEED_SALT: u64 = 0xf1;
+
 /// Runs a plan to its end and returns the report.
 pub(super) fn run(program: &Program, plan: &Plan) -> RunReport {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -67,8 +72,9 @@
         let ledger = Ledger::shared();
         let discovery = Discovery::new(FIRST_REVISION + 1, ledger.clone());
         let mut profiles: Vec<(String, HostProfile)> = Vec::new();
-        profiles
-            .extend(plan.caches.iter().enumerate().map(|(at, profile)| (format!("c{}", at + 1), *profile)));
+        profiles.extend(
+            plan.caches.iter().enumerate().map(|(index, profile)| (format!("c{}", index + 1), *profile)),
+        );
         profiles.push(("p1".to_string(), plan.parent));
         profiles.push(("o1".to_string(), plan.origin));
         profiles.push(("cold".to_string(), HostProfile::Healthy));
@@ -126,9 +132,11 @@
 
     /// Starts the program with the current configuration, appending to the same log at each start.
     fn start_program(&self) {
-        let path = self.write_config();
-        let start =
-            Start::of(&self.program.path).args(&self.program.arguments).args(["serve", "--config"]).arg(path);
+        let config = self.write_config();
+        let start = Start::of(&self.program.path)
+            .args(&self.program.arguments)
+            .args(["serve", "--config"])
+            .arg(config);
         let start = start.env_remove("GW_LISTEN").env_remove("GW_NAME").env_remove("GW_CONFIG");
         let process = start.log(self.folder.file("log")).start().expect("the program starts");
         *self.process.borrow_mut() = Some(process);
@@ -188,9 +196,9 @@
         false
     }
 
-    /// Starts the clients, each with a seed of its own.
+    /// Starts the clients, each with a different seed.
     fn start_clients(&self, context: &Rc<ClientContext>) -> Vec<JoinHandle<()>> {
-        let mut rng = Random::new(self.plan.seed ^ 0x5eed);
+        let mut rng = Random::new(self.plan.seed ^ CLIENT_SEED_SALT);
         let start = |_| spawn_local(Client::new(context.clone(), rng.random_u64()).run());
         (0..self.plan.clients).map(start).collect()
     }
@@ -331,7 +339,7 @@
 
 /// Announces purges of random objects, one in each interval. Never returns.
 async fn issue_purges(discovery: Rc<Discovery>, ledger: SharedLedger, interval: Duration, seed: u64) {
-    let mut rng = Random::new(seed ^ 0xf1u64);
+    let mut rng = Random::new(seed ^ PURGE_SEED_SALT);
     loop {
         tokio::time::sleep(interval).await;
         let object = format!("{:04x}", rng.between(0, OBJECTS - 1));
