--- a/crates/rockflow-benchmarks/src/soak/answer.rs
+++ b/crates/rockflow-benchmarks/src/soak/answer.rs
@@ -7,7 +7,7 @@
 /// The buffer space that is reserved before each read.
 const READ_BYTES: usize = 4096;
 
-/// A whole answer of the dispatcher.
+/// A complete answer of the dispatcher.
 pub(super) struct Answer {
     pub(super) status: u16,
     /// Whether the answer announces that the dispatcher closes the connection.
@@ -18,7 +18,7 @@
 /// A client connection to the dispatcher, with the bytes that were read and not parsed yet.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
-    /// Bytes behind the last answer.
+    /// Bytes received after the last parsed answer.
     pub(super) unparsed: Vec<u8>,
     /// Whether an earlier answer was read from this connection.
     pub(super) has_carried_answer: bool,
@@ -89,7 +89,7 @@
     format!("object={object};born={created_at_ms};{}end", "x".repeat(padding)).into_bytes()
 }
 
-/// The creation time in a copy, in Unix milliseconds; `None` if the bytes are not a whole, unchanged copy of the
+/// The creation time in a copy, in Unix milliseconds; `None` if the bytes are not a complete, unchanged copy of the
 /// object.
 pub(super) fn decode_copy(object: &str, body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?;
--- a/crates/rockflow-benchmarks/src/soak/client.rs
+++ b/crates/rockflow-benchmarks/src/soak/client.rs
@@ -19,10 +19,11 @@
 pub(super) const OBJECTS: u64 = 60;
 /// How long a client goes on reading after its patience has run out, to tell a late answer from a missing one.
 const LATE_ANSWER_WINDOW: Duration = Duration::from_secs(1);
-/// How long a connection is watched for a second answer after bytes were sent behind a request. The dispatcher takes
-/// them for an incomplete request and gives it up after 2 s, so a wrong answer to them would come within this time.
+/// How long a connection is watched for a second answer after trailing bytes were sent with a request. The
+/// dispatcher takes them for an incomplete request and gives it up after 2 s, so that a second answer would come within
+/// this time.
 const SECOND_ANSWER_WINDOW: Duration = Duration::from_millis(2500);
-/// The most requests that are pipelined behind another one.
+/// The most requests that are pipelined after another one.
 const MAX_PIPELINED: u64 = 20;
 /// The longest patience of each pipelined request, where there are several.
 const MAX_PIPELINED_PATIENCE_MS: u64 = 300;
@@ -61,11 +62,11 @@
     InOnePiece,
     /// Sends the request in two pieces with a pause between them.
     InPieces,
-    /// Sends this many bytes that are not a request behind the request.
+    /// Sends this many bytes that are not a request after the request.
     TrailingBytes(usize),
-    /// Sends this many other requests behind the request.
+    /// Sends this many other requests after the request.
     Pipelined(u64),
-    /// Sends another request behind the request, and the end of the other one after a pause.
+    /// Sends another request after the request, and the end of the other one after a pause.
     PipelinedInPieces,
     /// Closes the connection after this time, whether or not an answer has come.
     Disconnects(Duration),
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Writes a request and everything that is sent behind it. Returns `None` if the connection was closed before.
+    /// Writes a request and everything that is sent after it. Returns `None` if the connection was closed before.
     async fn write_requests(
         &mut self,
         connection: &mut Connection,
@@ -276,7 +277,7 @@
         kept_connection
     }
 
-    /// Makes the requests that are sent behind another one.
+    /// Makes the requests that are sent after another one.
     fn following_requests(&mut self, behaviour: Behaviour) -> Vec<Request> {
         match behaviour {
             Behaviour::Pipelined(1) | Behaviour::PipelinedInPieces => vec![self.new_request()],
@@ -307,7 +308,7 @@
     /// Records the end of a pipelined request whose connection was closed with the answer before it.
     fn on_preceding_answer_closed(&self, behaviour: Behaviour, request: &Request, sent: SendRecord) {
         // The end of this request was sent after a pause, when the connection may have been closed already. The request
-        // is not lost, as a client has "one request at a time on a connection".
+        // does not count as lost, as a client may have only "one request at a time on a connection".
         if behaviour == Behaviour::PipelinedInPieces && !self.is_excused_by_kill(sent.at) {
             return self.record_end(request, RequestEnd::CrossedClose);
         }
@@ -425,7 +426,7 @@
         self.record_end(request, RequestEnd::Answered(answer.status));
     }
 
-    /// Checks that a body is a whole copy of the requested object and not older than a purge that is in effect.
+    /// Checks that a body is a complete copy of the requested object and not older than a purge that is in effect.
     fn check_copy(&self, request: &Request, body: &[u8], sent_at: Instant) {
         let Some(created_at_ms) = decode_copy(&request.object, body) else {
             let start = String::from_utf8_lossy(&body[..body.len().min(60)]).to_string();
--- a/crates/rockflow-benchmarks/src/soak/discovery.rs
+++ b/crates/rockflow-benchmarks/src/soak/discovery.rs
@@ -152,7 +152,7 @@
         events.get(index).map(|event| (index, event.text.clone()))
     }
 
-    /// Records that a whole event was written to a stream, and returns its revision. The time of the first write
+    /// Records that a complete event was written to a stream, and returns its revision. The time of the first write
     /// counts.
     fn on_event_written(&self, index: usize) -> u64 {
         let now = Instant::now();
--- a/crates/rockflow-benchmarks/src/soak/host.rs
+++ b/crates/rockflow-benchmarks/src/soak/host.rs
@@ -61,7 +61,8 @@
         address
     }
 
-    /// Reads attempts and health checks from one connection until it is closed. Health checks are always answered well.
+    /// Reads attempts and health checks from one connection until it is closed. Health checks are always answered as
+    /// healthy.
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         if self.profile == HostProfile::Resetting && self.rng.borrow_mut().chance(0.1) {
@@ -141,7 +142,7 @@
         match self.profile {
             HostProfile::Hanging if has_fault => None,
             HostProfile::Resetting if has_fault => Some(Reply::Reset(answer[..split].to_vec())),
-            // A whole answer, after which the connection is reset.
+            // A complete answer, after which the connection is reset.
             HostProfile::Resetting if rng.chance(0.2) => Some(Reply::Reset(answer)),
             HostProfile::SendingExtraAnswers if has_fault => {
                 Some(Reply::Bytes([&answer[..], &answer[..]].concat()))
--- a/crates/rockflow-benchmarks/src/soak/ledger.rs
+++ b/crates/rockflow-benchmarks/src/soak/ledger.rs
@@ -11,7 +11,7 @@
 /// How a request ended, as its client saw it. The report prints the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RequestEnd {
-    /// A whole answer with this status came.
+    /// A complete answer with this status came.
     Answered(u16),
     /// The dispatcher closed the connection while the request was on its way.
     CrossedClose,
@@ -25,7 +25,7 @@
     Lost,
 }
 
-/// A request that a client has sent whole.
+/// A request that a client has sent completely.
 pub(super) struct SentRequest {
     pub(super) id: u64,
     pub(super) is_at_most_once: bool,
@@ -54,14 +54,14 @@
     pub(super) object: String,
     /// The time of the purge, in Unix milliseconds. Copies created before it are purged.
     pub(super) issued_at_ms: u64,
-    /// When the whole event was first written to the dispatcher; `None` until then.
+    /// When the complete event was first written to the dispatcher; `None` until then.
     pub(super) notified_at: Option<Instant>,
 }
 
 /// An event of the timelines.
 pub(super) struct TimelineEvent {
     pub(super) at: Instant,
-    /// The id of the request that the event is about; `None` if the event concerns the whole run.
+    /// The id of the request that the event is about; `None` if the event concerns the run as a whole.
     pub(super) request: Option<u64>,
     pub(super) text: String,
 }
@@ -111,7 +111,7 @@
         }))
     }
 
-    /// Adds an event of the present moment to the timelines.
+    /// Adds an event with the current time to the timelines.
     pub(super) fn add_event(&mut self, request: Option<u64>, text: impl Into<String>) {
         if self.events.len() < MAX_EVENTS {
             self.events.push(TimelineEvent { at: Instant::now(), request, text: text.into() });
@@ -131,13 +131,13 @@
     }
 
     /// Records that the program took this long to answer a health check and hardly ran in that time.
-    pub(super) fn on_starved(&mut self, took: Duration) {
-        if took > self.longest_starvation {
-            self.longest_starvation = took;
+    pub(super) fn on_starved(&mut self, response_time: Duration) {
+        if response_time > self.longest_starvation {
+            self.longest_starvation = response_time;
             self.add_event(
                 None,
                 format!(
-                    "the program took {took:?} to answer a health check and got hardly any processor time"
+                    "the program took {response_time:?} to answer a health check and got hardly any processor time"
                 ),
             );
         }
--- a/crates/rockflow-benchmarks/src/soak/report.rs
+++ b/crates/rockflow-benchmarks/src/soak/report.rs
@@ -109,7 +109,7 @@
 }
 
 /// The time of a log line, counted from the start of the run, whose Unix time is `started_unix`; `None` if the line has
-/// no time. A log line holds the time of day in its columns 11 to 25.
+/// no time. A log line holds the time of day in its bytes 11 to 25.
 fn log_time(line: &str, started_unix: Duration) -> Option<Duration> {
     let mut parts = line.get(11..26)?.split(':');
     let mut part = || parts.next()?.parse::<f64>().ok();
@@ -155,13 +155,13 @@
     }
     let requests: usize = reports.iter().map(|report| report.requests).sum();
     let after_term: usize = reports.iter().map(|report| report.requests_after_term).sum();
-    let latest = reports.iter().filter_map(|report| report.ended_after).max().unwrap_or_default();
+    let latest_exit = reports.iter().filter_map(|report| report.ended_after).max().unwrap_or_default();
     println!(
         "| {} | {name} | {requests} | {after_term} | {} | {} | {:.2} s |",
         reports.len(),
         join(ends.iter().map(|(kind, count)| format!("{kind} {count}"))),
         join(rules.iter().map(|(rule, count)| format!("{rule} {count}"))),
-        latest.as_secs_f64()
+        latest_exit.as_secs_f64()
     );
 }
 
--- a/crates/rockflow-process-harness/src/datagrams/carrier.rs
+++ b/crates/rockflow-process-harness/src/datagrams/carrier.rs
@@ -11,7 +11,7 @@
 
 /// Datagrams that are read from one front before the tasks of the other fronts run.
 const MAX_BATCH: usize = 32;
-/// The size of the receive buffer, and so of the largest datagram that is carried whole.
+/// The size of the receive buffer, and so of the largest datagram that is carried without truncation.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Owns the sockets of the fronts, and carries the datagrams that arrive there.
--- a/crates/rockflow-process-harness/src/fleet/member.rs
+++ b/crates/rockflow-process-harness/src/fleet/member.rs
@@ -19,10 +19,10 @@
 /// The reason why a request for an object failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The connection failed or ended before a whole answer came.
+    /// The connection failed or ended before a complete answer came.
     #[error("no answer")]
     NoAnswer,
-    /// The status was not 200; holds the whole answer.
+    /// The status was not 200; holds the complete answer.
     #[error("{0}")]
     Status(String),
 }
@@ -113,7 +113,7 @@
     /// Requests an object of the class `pages` as a client, with `call` as the request id, and returns the body.
     ///
     /// # Errors
-    /// If no whole answer came, or if its status is not 200.
+    /// If no complete answer came, or if its status is not 200.
     pub fn serve(&self, object: &str, call: u64) -> Result<String, ServeError> {
         let call = format!("{call:016x}");
         let headers = [("X-Call-Id", call.as_str()), ("X-Group", "1"), ("X-Patience-Ms", "4000")];
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Sends a GET request on a new connection and returns the whole answer; `None` if the connection fails or times
+    /// Sends a GET request on a new connection and returns the complete answer; `None` if the connection fails or times
     /// out.
     fn get(&self, path: &str, headers: &[(&str, &str)]) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.address, REQUEST_TIMEOUT).ok()?;
--- a/crates/rockflow-process-harness/src/usage.rs
+++ b/crates/rockflow-process-harness/src/usage.rs
@@ -46,7 +46,7 @@
 fn cpu_time(path: &str) -> Option<Duration> {
     let stat = std::fs::read_to_string(path).ok()?;
     // The process name is in brackets and may itself hold brackets and spaces, so the fields are counted from the last
-    // closing bracket. The first one behind it is field 3 of the file.
+    // closing bracket. The first one after it is field 3 of the file.
     let (_, fields) = stat.rsplit_once(')')?;
     let ticks = fields
         .split_whitespace()
--- a/crates/rockflow-test-servers/src/load/client.rs
+++ b/crates/rockflow-test-servers/src/load/client.rs
@@ -12,7 +12,7 @@
 
 /// The number of objects that clients request at random.
 const OBJECTS: u64 = 400;
-/// A request that has no whole answer after this long counts as unanswered.
+/// A request that has no complete answer after this long counts as unanswered.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 /// The pause after a failed connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(10);
--- a/crates/rockflow-test-servers/src/load/response.rs
+++ b/crates/rockflow-test-servers/src/load/response.rs
@@ -7,7 +7,7 @@
 /// The initial size of the buffer, which grows with the answer.
 const BUFFER_BYTES: usize = 512;
 
-/// A whole answer, whose body is not kept.
+/// A complete answer, whose body is not kept.
 pub(super) struct Response {
     pub(super) status: u16,
     /// Whether bytes were read past the end of the answer.
--- a/crates/rockflow-test-servers/src/load/summary.rs
+++ b/crates/rockflow-test-servers/src/load/summary.rs
@@ -11,16 +11,16 @@
     pub rejected: u64,
     /// Requests answered with any other status.
     pub failed: u64,
-    /// Requests that were sent and got no whole answer.
+    /// Requests that were sent and got no complete answer.
     pub unanswered: u64,
-    /// Requests behind whose answer more bytes came, which would be a second answer.
+    /// Requests after whose answer more bytes arrived, which would be a second answer.
     pub duplicated: u64,
     /// The latency of each answered request, in microseconds.
     pub latencies_us: Vec<u32>,
 }
 
 impl LoadSummary {
-    /// The number of requests that got a whole answer, whatever its status.
+    /// The number of requests that got a complete answer, whatever its status.
     pub fn answered(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
