--- a/crates/rockflow-cluster/src/lib.rs
+++ b/crates/rockflow-cluster/src/lib.rs
@@ -1,14 +1,15 @@
-//! Dispatchers that know of each other, without I/O: who is a member, who owns which request, what its replicas record of
-//! it, and who completes it when its owner is lost. Time is passed in with each call, as a span since the start of the
-//! caller's clock.
+//! Cluster membership and replicated requests of dispatchers, without I/O: which members are present, which member owns
+//! a request, what its replicas record about it, and which member completes it if its owner is lost. Every call that
+//! depends on time takes the current time, as the span since the start of the caller's clock.
 //!
-//! Safety does not rest on clocks: an at-most-once request is never executed twice and no request gets two different
-//! final answers, whatever is lost, late, duplicated, paused or restarted with empty memory. Time decides only how soon
-//! another member takes over, and how long a record is retained.
+//! Safety does not depend on clocks: an at-most-once request is never executed twice and no request gets two different
+//! final answers, even if messages are lost, late or duplicated and members are paused or restart with empty memory.
+//! Time only determines how soon another member takes over and how long a record is retained.
 //!
-//! [`ClusterNode`] is a whole member. Inside it, [`Membership`] says who is present, [`Replica`] and [`OwnedRequest`] are
-//! the two sides of a record, [`Votes`] says which votes count where memory can be lost, and [`succession()`] what becomes
-//! of the request of a lost owner.
+//! [`ClusterNode`] is the state machine of one member. It combines [`Membership`], which tracks the members that are
+//! present; [`Replica`] and [`OwnedRequest`], the replica's and the owner's side of a record; [`Votes`], which counts
+//! the votes of members that can lose their memory; and [`succession()`], which decides how the successor of a lost
+//! owner proceeds with a request.
 
 pub mod config;
 pub mod identity;
