--- a/crates/rockflow-cluster/src/membership/mod.rs
+++ b/crates/rockflow-cluster/src/membership/mod.rs
@@ -1,6 +1,9 @@
-//! Which members are present: SWIM by `foca`, and what it leaves to its caller. Local health as in Lifeguard, so that a
-//! process that is slow or was paused does not take its own absence for that of others; incarnations, so that a process
-//! that restarts is known to have lost its memory; and silence, which tells whether it is this process that is cut off.
+//! Tracks which members are present, with the SWIM protocol of the library `foca` and three additions:
+//!
+//! - a local health score as in Lifeguard, so that a process that is slow or was paused does not declare others lost
+//!   because it was itself too late to collect their replies;
+//! - incarnations, which show that a process has restarted and lost its memory;
+//! - the time since frames were last received, which shows whether this process may be partitioned from the others.
 
 mod swim;
 
@@ -13,60 +16,60 @@
 use std::time::Duration;
 use swim::{probe_period, settings, SeededRng, SwimMember, PROBE_ROUND_TRIPS, SUSPECT_PERIODS};
 
-/// While no other member is present, all are announced to every this many probe periods.
+/// The interval, in probe periods, at which a member that sees no other member announces itself to all of them.
 const ALONE_ANNOUNCE_PERIODS: u32 = 4;
-/// The worst local health: a suspect then has this many times longer to answer, plus one.
+/// The maximum local health score. A suspect has one plus the score times as long to answer.
 const WORST_LOCAL_HEALTH: u32 = 8;
-/// Local health recovers by one every this many scheduled timers.
+/// The local health score improves by one when a probe is scheduled after a multiple of this many timers.
 const HEALTH_RECOVERY_TIMERS: u64 = 4;
-/// With nothing received from anybody for this many probe periods this process may be cut off.
+/// A member that has received nothing for this many probe periods may be partitioned.
 const SILENT_PERIODS: u32 = 8;
-/// The maximum number of pending timers; past it the library is at fault, and the oldest are kept.
+/// The maximum number of pending timers. Only a fault in the library reaches it; further timers are then dropped.
 const MAX_TIMERS: usize = 4096;
 
 /// A change in which members are present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member is present.
+    /// A member has become present.
     Up(Identity),
-    /// It was declared lost, or has left.
+    /// A member was declared lost, or has left.
     Lost(Identity),
-    /// Another incarnation of the member is present: what the earlier one held in memory is gone.
+    /// Another incarnation of a member has become present: whatever the earlier one held in memory is lost.
     Restarted {
         /// The earlier incarnation.
         from: Identity,
-        /// The present one.
+        /// The incarnation that is present now.
         to: Identity,
     },
 }
 
-/// What a member knows of its own place in the cluster.
+/// How a member sees the cluster and its own connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipStatus {
-    /// Grows with every change in which members are present.
+    /// Version of the set of present members; incremented by every change.
     pub view: u64,
-    /// Members that are present, this one included.
+    /// The number of present members, including this one.
     pub present: usize,
-    /// Members that are configured.
+    /// The number of configured members, including this one.
     pub configured: usize,
-    /// Other members from which something was received lately.
+    /// The number of other members from which a frame was received recently.
     pub recent_contacts: usize,
-    /// Nothing was received from anybody lately, or fewer than a majority of the configured members are present.
+    /// Whether no frame was received recently, or fewer than a majority of the configured members are present.
     pub possibly_partitioned: bool,
-    /// 0: well. The greater, the slower this process is, or the fewer of its probes are answered.
+    /// The local health score. 0 is healthy; it rises when this process runs late or its probes go unanswered.
     pub local_health: u32,
 }
 
-/// What the membership protocol wants done, and what it found.
+/// The result of a call to the membership protocol: messages to send and changes found.
 #[derive(Debug, Default)]
 pub struct MembershipOutput {
-    /// Messages to send.
+    /// Messages to send, each with its receiver.
     pub frames: Vec<(MemberId, Message)>,
-    /// Changes in which members are present.
+    /// Changes to the set of present members, in order.
     pub changes: Vec<Change>,
 }
 
-/// The membership protocol of one member.
+/// The state machine of the membership protocol at one member.
 pub struct Membership {
     config: ClusterConfig,
     identity: Identity,
@@ -79,15 +82,15 @@
     last_received: BTreeMap<MemberId, Duration>,
     view: u64,
     local_health: u32,
-    /// When this machine should be called next at the latest.
+    /// When the next timer was due at the end of the last call; a much later call means that the process was paused.
     expected_call: Option<Duration>,
     has_left: bool,
-    /// While no other member is present: when all are announced to again.
+    /// When to announce this member to all others again. Used only while no other member is present.
     next_announcement: Duration,
 }
 
 impl Membership {
-    /// A member that knows of nobody yet. `seed`: of its random numbers.
+    /// Creates a member that does not know yet which others are present. `seed` is that of its random numbers.
     pub fn new(config: ClusterConfig, identity: Identity, seed: u64, now: Duration) -> Membership {
         let member = SwimMember { identity, renewals: 0 };
         let rng = SeededRng(oorandom::Rand64::new(u128::from(seed)));
@@ -110,22 +113,22 @@
         }
     }
 
-    /// The time of a whole probe of one member.
+    /// The duration of one probe period.
     pub fn period(config: &ClusterConfig) -> Duration {
         probe_period(config)
     }
 
-    /// After this long without a frame a member is certainly declared lost, unless this process is slow itself.
+    /// The time after which a member that sends nothing is certainly declared lost, unless this process is slow itself.
     pub fn lost_after(config: &ClusterConfig) -> Duration {
         Membership::period(config) * (SUSPECT_PERIODS + config.members.len() as u32)
     }
 
-    /// Announces this member to all that are configured.
+    /// Announces this member to all other configured members.
     pub fn join(&mut self, now: Duration) -> MembershipOutput {
         self.next_announcement = now + Membership::period(&self.config) * ALONE_ANNOUNCE_PERIODS;
         let others: Vec<_> = self.config.ids().filter(|id| *id != self.identity.member).collect();
         for member in others {
-            // Its incarnation is not known yet; the address is what counts.
+            // The incarnation is not known yet; the library needs only the address here.
             let identity = Identity { member, incarnation: Incarnation(0) };
             let to = SwimMember { identity, renewals: 0 };
             let _ = self.swim.announce(to, &mut self.runtime);
@@ -133,31 +136,32 @@
         self.drain_runtime(now)
     }
 
-    /// The members that are present, this one included.
+    /// The incarnations that are present, including this one.
     pub fn present(&self) -> impl Iterator<Item = Identity> + '_ {
         self.present.values().copied()
     }
 
-    /// Whether this incarnation of a member is present.
+    /// Whether exactly this incarnation of a member is present.
     pub fn is_present(&self, identity: Identity) -> bool {
         self.present.get(&identity.member) == Some(&identity)
     }
 
-    /// The incarnation of a member that is present.
+    /// The present incarnation of a member, or `None` if the member is not present.
     pub fn incarnation_of(&self, member: MemberId) -> Option<Incarnation> {
         self.present.get(&member).map(|identity| identity.incarnation)
     }
 
-    /// How long no frame of any kind was received from a member. None: there never was one.
+    /// The time since the last frame of any kind from a member, or `None` if none was ever received.
     pub fn silence(&self, member: MemberId, now: Duration) -> Option<Duration> {
         self.last_received.get(&member).map(|at| now.saturating_sub(*at))
     }
 
-    /// What this member knows of its own place in the cluster.
+    /// How this member sees the cluster and its own connection to it.
     pub fn status(&self, now: Duration) -> MembershipStatus {
         let period = Membership::period(&self.config);
         let configured = self.config.members.len();
-        // In a large cluster a frame from any one member is rare, and only from none of them for long a sign.
+        // In a large cluster frames from any one member are rare, so the limit for a single member grows with the
+        // cluster. Only silence of all members indicates a partition.
         let recent = period * (SILENT_PERIODS + configured as u32);
         let others = || self.config.ids().filter(|id| *id != self.identity.member);
         let silences = || others().filter_map(|id| self.silence(id, now));
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Takes note of a frame of any kind, which shows that its sender lives.
+    /// Records that a frame of any kind was received from a member.
     pub fn record_contact(&mut self, from: MemberId, now: Duration) {
         self.last_received.insert(from, now);
     }
@@ -182,23 +186,24 @@
     /// Handles a datagram of the membership protocol.
     pub fn on_datagram(&mut self, now: Duration, bytes: &[u8]) -> MembershipOutput {
         self.compensate_for_pause(now);
-        // A malformed one costs this datagram alone.
+        // A malformed datagram is ignored.
         let _ = self.swim.handle_data(bytes, &mut self.runtime);
         self.drain_runtime(now)
     }
 
-    /// Runs the timers that are due. Datagrams that wait are to be handed in first.
+    /// Runs the timers that are due. The caller must pass in all received datagrams first; otherwise members whose
+    /// replies are among them may be declared lost.
     pub fn tick(&mut self, now: Duration) -> MembershipOutput {
         self.compensate_for_pause(now);
         for event in self.take_due_timers(now) {
             if let Timer::ChangeSuspectToDown { .. } = event {
-                // A probe of ours that was not answered: the fault may be ours.
+                // The suspect may not have answered because this process is slow.
                 self.worsen_health();
             }
             let _ = self.swim.handle_timer(event, &mut self.runtime);
         }
-        // Guards against a first announcement that is lost, and against a member that was cut off from all: the library
-        // waits to be contacted then.
+        // The library does not contact anybody once it knows of no other member. Announcing again covers a first
+        // announcement that was lost and a member that was partitioned from all others.
         if self.is_alone() && self.next_announcement <= now {
             return self.join(now);
         }
@@ -212,7 +217,7 @@
         [timer, announcement].into_iter().flatten().min()
     }
 
-    /// Tells the others that this incarnation ends by its own will.
+    /// Notifies the other members that this incarnation leaves the cluster. Only the first call has an effect.
     pub fn leave(&mut self, now: Duration) -> MembershipOutput {
         if self.has_left {
             return MembershipOutput::default();
@@ -238,8 +243,8 @@
         due
     }
 
-    /// Guards against a process that was paused, or got no time, and on waking takes the replies that it did not collect
-    /// for replies that nobody sent: what was due meanwhile is put off by as long as it was away.
+    /// Delays all timers by the time that this process was paused or not scheduled. Without this it would, on resuming,
+    /// treat replies that it has not read yet as missing and declare the senders lost.
     fn compensate_for_pause(&mut self, now: Duration) {
         let late = self.expected_call.map_or(Duration::ZERO, |by| now.saturating_sub(by));
         if late > self.config.round_trip.mul_f64(PROBE_ROUND_TRIPS) {
@@ -263,7 +268,7 @@
         let _ = self.swim.set_config(settings(&self.config, local_health));
     }
 
-    /// Takes what the library wants sent, scheduled and announced.
+    /// Collects the messages, timers and notifications that the library has queued.
     fn drain_runtime(&mut self, now: Duration) -> MembershipOutput {
         let mut output = MembershipOutput::default();
         while let Some((to, bytes)) = self.runtime.to_send() {
@@ -271,7 +276,7 @@
         }
         while let Some((after, event)) = self.runtime.to_schedule() {
             if let Timer::ProbeRandomMember(_) = event {
-                // A whole period went by as it should.
+                // A probe period has ended normally.
                 let recovers = self.timers_scheduled.is_multiple_of(HEALTH_RECOVERY_TIMERS);
                 self.set_health(self.local_health.saturating_sub(u32::from(recovers)));
             }
--- a/crates/rockflow-cluster/src/membership/swim.rs
+++ b/crates/rockflow-cluster/src/membership/swim.rs
@@ -1,4 +1,4 @@
-//! What the library of the membership protocol (SWIM, by `foca`) asks of its user: an identity, random numbers, settings.
+//! The identity, random numbers and settings that the SWIM library `foca` requires.
 
 use crate::config::ClusterConfig;
 use crate::identity::{Identity, MemberId};
@@ -7,25 +7,25 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The reply to a probe is waited for this many round trips.
+/// How long to wait for the reply to a direct probe, in round trips.
 pub(super) const PROBE_ROUND_TRIPS: f64 = 4.0;
-/// A whole probe period, with indirect probes, takes this many round trips.
+/// The probe period, which includes indirect probes, in round trips.
 const PERIOD_ROUND_TRIPS: f64 = 16.0;
-/// A suspect is declared lost after this many probe periods, times the local health.
+/// A suspect is declared lost after this many probe periods, multiplied by one plus the local health score.
 pub(super) const SUSPECT_PERIODS: u32 = 3;
-/// Members that are asked to probe on one's behalf.
+/// The number of members that are asked to probe a member that did not reply to a direct probe.
 const INDIRECT_PROBES: usize = 3;
-/// Updates are gossiped on their own every this many probe periods.
+/// The interval of gossip in addition to the updates sent with probes, in probe periods.
 const GOSSIP_PERIODS: u32 = 1;
-/// Joins are announced, also to lost members, every this many probe periods.
+/// The interval at which a member announces itself to another one, present or lost, in probe periods.
 const ANNOUNCE_PERIODS: u32 = 10;
 /// The maximum size of a datagram of the membership protocol, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1100;
-/// An update is passed on at least this many times.
+/// The minimum number of times that a member passes on an update.
 const MIN_TRANSMISSIONS: u8 = 5;
 
-/// A member as the library knows it: an incarnation, and how often it has come back after being declared lost, which
-/// is not to lose its memory.
+/// The identity that the library uses for a member: an incarnation, and the number of times that it has rejoined after
+/// being declared lost. Rejoining is no restart: the member keeps its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(super) struct SwimMember {
     pub identity: Identity,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The library's random numbers, from the configured seed.
+/// The library's source of random numbers, seeded by the caller.
 pub(super) struct SeededRng(pub oorandom::Rand64);
 
 impl rand_core::TryRng for SeededRng {
@@ -70,13 +70,13 @@
     }
 }
 
-/// The time of a whole probe.
+/// The duration of one probe period.
 pub(super) fn probe_period(config: &ClusterConfig) -> Duration {
     config.round_trip.mul_f64(PERIOD_ROUND_TRIPS)
 }
 
-/// The library's settings, as multiples of the configured round trip. The worse the local health, the longer a suspect
-/// has to answer.
+/// The library's settings, with times as multiples of the configured round trip. The higher the local health score, the
+/// longer a suspect has to answer.
 pub(super) fn settings(config: &ClusterConfig, local_health: u32) -> foca::Config {
     let period = probe_period(config);
     let at_least_one = |n: usize| NonZeroUsize::new(n.max(1)).expect("at least one");
