--- a/crates/rockflow-cluster/src/node/answers.rs
+++ b/crates/rockflow-cluster/src/node/answers.rs
@@ -1,11 +1,11 @@
-//! Final answers that are retained for clients that ask again.
+//! The final answers that a member retains for clients that send a request again.
 
 use crate::identity::RequestId;
 use crate::record::Answer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The maximum number of answers that are retained.
+/// The maximum number of answers that a member retains.
 const MAX_ANSWERS: usize = 4096;
 
 #[derive(Clone, Debug)]
@@ -22,12 +22,12 @@
 }
 
 impl AnswerCache {
-    /// The answer of a request.
+    /// The final answer of a request, or `None` if none is retained.
     pub fn get(&self, request: RequestId) -> Option<&Answer> {
         self.answers.get(&request).map(|retained| &retained.answer)
     }
 
-    /// Retains an answer until then; the one that expires first gives way where there are too many.
+    /// Retains an answer until `expires`. If there are too many, the one that expires first is removed.
     pub fn insert(&mut self, request: RequestId, answer: Answer, expires: Duration) {
         while self.answers.len() >= MAX_ANSWERS {
             let Some((at, oldest)) = self.expiry.pop_first() else { break };
@@ -40,7 +40,7 @@
         self.expiry.insert((expires, request));
     }
 
-    /// Drops what has expired.
+    /// Removes the answers that have expired.
     pub fn expire(&mut self, now: Duration) {
         while let Some((at, request)) = self.expiry.first().copied().filter(|(at, _)| *at <= now) {
             self.expiry.remove(&(at, request));
--- a/crates/rockflow-cluster/src/node/client.rs
+++ b/crates/rockflow-cluster/src/node/client.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher of a member tells it: requests that arrive, attempts that are wanted, requests that end.
+//! The calls from a member's own dispatcher: a request has arrived, an attempt is to be sent, a request has ended.
 
 use super::{
     ClusterNode, Output, PendingReport, Permission, Timer, MAX_OPEN_REQUESTS, MAX_PENDING_REPORTS,
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 impl ClusterNode {
-    /// A request arrived here under this id, and its client waits until `ends`. An idempotent one is reported to its
-    /// replicas later; for the others nothing is sent before their first attempt.
+    /// A client has sent a request to this dispatcher and waits until `ends`. An idempotent request is reported to its
+    /// replicas a little later; for others nothing is sent to the replicas before the first attempt.
     pub fn on_request(
         &mut self,
         now: Duration,
@@ -41,8 +41,8 @@
         self.take_outputs()
     }
 
-    /// An attempt is wanted. Where it may not be sent at once, [`Output::MaySend`] or another output on the request
-    /// follows.
+    /// The dispatcher wants to send an attempt to a host. If the permission is deferred, [`Output::MaySend`] or another
+    /// output about the request follows.
     pub fn propose_attempt(
         &mut self,
         now: Duration,
@@ -63,8 +63,8 @@
         (Permission::Deferred, self.take_outputs())
     }
 
-    /// The decisions have ended a request. Where its answer may not be given at once, [`Output::FinalAnswer`] follows, if
-    /// its time is not up before.
+    /// The decision logic has ended a request. If the permission to answer is deferred, [`Output::FinalAnswer`] follows
+    /// once a majority has recorded the answer, unless the deadline of the request passes first.
     pub fn on_request_ended(
         &mut self,
         now: Duration,
@@ -76,7 +76,7 @@
             return self.on_unrecorded_request_ended(now, request, kind, &answer);
         };
         let is_untouched = open.owned.progress().started_attempts.is_empty() && open.awaited_by.is_empty();
-        // Guards against retaining a rejection: nothing was executed, and a client that asks again is to be served.
+        // A rejection is not retained: nothing was executed, and a client that sends the request again must be served.
         if answer.outcome == Outcome::Rejected && is_untouched && open.owned.progress().answer.is_none() {
             self.open.remove(&request);
             return (Permission::Immediate, Vec::new());
@@ -91,7 +91,7 @@
         (Permission::Deferred, self.take_outputs())
     }
 
-    /// The client is gone, and no answer is owed here.
+    /// The client has disconnected, so this dispatcher no longer needs the answer.
     pub fn on_client_disconnected(&mut self, request: RequestId) {
         self.pending_reports.remove(&request);
         if let Some(open) = self.open.get_mut(&request) {
@@ -119,7 +119,7 @@
         kind: EffectKind,
         answer: &Answer,
     ) -> (Permission, Vec<Output>) {
-        // Guards against an answer that no majority has recorded, to a request that was given up meanwhile.
+        // The request is no longer open here, so no majority records its answer, and the answer must not be given.
         if kind.requires_quorum() && answer.outcome != Outcome::Rejected {
             return (Permission::Deferred, Vec::new());
         }
--- a/crates/rockflow-cluster/src/node/mod.rs
+++ b/crates/rockflow-cluster/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A member of a cluster put together: its membership, its replica, and the requests that it owns. One state machine,
-//! driven by its own dispatcher, the messages of others, and time.
+//! The state machine of one member of a cluster: its membership protocol, its replica, and the requests that it owns.
+//! Its inputs are calls from the member's own dispatcher, messages of other members, and time.
 
 mod answers;
 mod client;
@@ -19,145 +19,150 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-/// What is not voted on is sent again after this many round trips, and twice as late each time.
+/// The first wait for votes before a message is sent again, in round trips. The wait doubles each time.
 const RESEND_ROUND_TRIPS: f64 = 2.0;
-/// The longest wait before what is not voted on is sent again, in round trips.
+/// The maximum wait for votes before a message is sent again, in round trips.
 const MAX_RESEND_ROUND_TRIPS: f64 = 16.0;
-/// How often the wait for a state transfer is doubled at most.
+/// The maximum number of times that the wait for a state transfer is doubled.
 const MAX_STATE_REQUEST_DOUBLINGS: u32 = 8;
-/// Between the takeovers by the replicas of a lost owner, each after the one before it in rank, in round trips.
+/// The replicas of a lost owner's request try to take it over one after the other, in order of rank and this many round
+/// trips apart.
 const TAKEOVER_ROUND_TRIPS: f64 = 8.0;
-/// Records of idempotent requests are sent together after this many round trips: what ends before costs no frame.
+/// The delay before the records of idempotent requests are sent to their replicas, in round trips. No frame is sent
+/// for a request that ends earlier.
 const REPORT_ROUND_TRIPS: f64 = 4.0;
-/// The maximum number of idempotent requests that wait to be reported; more are not reported.
+/// The maximum number of idempotent requests that wait to be reported; further ones are not reported.
 const MAX_PENDING_REPORTS: usize = 4096;
-/// The maximum number of open requests; more are not covered.
+/// The maximum number of open requests. Further ones are not opened, so that replicas do not record their attempts.
 const MAX_OPEN_REQUESTS: usize = 16_384;
 /// The maximum number of members that wait for one request's answer.
 const MAX_AWAITING_MEMBERS: usize = 16;
 
-/// What a member wants done, or tells its dispatcher.
+/// An action or a notification for the dispatcher that runs the member.
 #[allow(clippy::large_enum_variant, reason = "the largest is the most frequent")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message.
+    /// Send a message to another member.
     Send {
-        /// The receiver.
+        /// The member to send to.
         to: MemberId,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// A majority knows of this attempt: it may be sent now, and not before.
+    /// A majority has recorded this attempt, so it may be sent now. It must not be sent earlier.
     MaySend {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The number of its attempt.
+        /// The number of the attempt, as it was proposed.
         attempt: u16,
     },
     /// The final answer of a request, to be given to its client.
     FinalAnswer {
-        /// The request.
+        /// The request that is answered.
         request: RequestId,
-        /// Its answer.
+        /// The final answer.
         answer: Answer,
     },
-    /// Another owns the request: no attempt of it is to be sent here. Its final answer comes, or its time runs out.
+    /// Another member owns the request, so no attempt of it may be sent here. [`Output::FinalAnswer`] follows unless
+    /// the deadline of the request passes first.
     OwnedElsewhere {
-        /// The request.
+        /// The request that another member owns.
         request: RequestId,
     },
-    /// The id is in use for another object.
+    /// The request id is in use with another descriptor, so the request is rejected.
     IdInUse {
-        /// The id.
+        /// The id that is in use.
         request: RequestId,
     },
-    /// No majority of its replicas can be had. Nothing of it was sent that was not permitted.
+    /// No majority of the replicas can vote, so the request is rejected. No attempt was sent without permission.
     QuorumUnavailable {
-        /// The request.
+        /// The request that is rejected.
         request: RequestId,
     },
-    /// The request of a lost owner is this member's: to be decided as one of its own, with what may have executed before.
+    /// This member has taken over the request of a lost owner and is to execute it like one of its own clients'
+    /// requests, taking into account the attempts that may have executed before.
     TakeOver {
-        /// The request.
+        /// The request that was taken over.
         request: RequestId,
-        /// What was asked for.
+        /// What the client asks for.
         descriptor: RequestDescriptor,
-        /// What may have executed.
+        /// The attempts that may have executed.
         started_attempts: Vec<StartedAttempt>,
-        /// It may be executed only where its idempotency key is known.
+        /// Whether it may be executed only if its idempotency key is known and covers the earlier attempts.
         requires_idempotency_key: bool,
     },
-    /// The members that are present changed.
+    /// The set of present members has changed.
     MembershipChanged(Change),
-    /// A later incarnation of this member is known: this one is to end, and another to begin above it with empty memory.
+    /// A later incarnation of this member is known. This one must end, and be replaced by one that is later than both
+    /// and begins with empty memory.
     IncarnationSuperseded {
         /// The later incarnation.
         incarnation: Incarnation,
     },
 }
 
-/// Counters, for status reports. Each only grows.
+/// Counters for status reports, since the incarnation began. Each only increases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Attempts that were proposed to a quorum.
+    /// Attempts that were proposed to a quorum before being sent.
     pub covered: u64,
-    /// Requests for which no quorum could be had.
+    /// Requests for which no majority of replicas could vote.
     pub quorum_unavailable: u64,
     /// Idempotent requests that were reported to their replicas.
     pub reported: u64,
-    /// Requests that another was found to own.
+    /// Requests that turned out to be owned by another member.
     pub owned_elsewhere: u64,
-    /// Takeovers that were begun.
+    /// Takeovers that this member began.
     pub takeovers: u64,
-    /// Takeovers that a majority granted.
+    /// Takeovers for which a majority promised this member's ballot.
     pub takeovers_won: u64,
-    /// Takeovers that another won.
+    /// Takeovers that failed because replicas had promised another member's ballot.
     pub takeovers_lost: u64,
     /// Requests that were executed after a takeover.
     pub run_again: u64,
-    /// Requests that failed after a takeover, as it was unknown what they did.
+    /// Requests that failed after a takeover because it was unknown whether they had already executed.
     pub failed_unknown: u64,
-    /// Requests that were abandoned after a takeover.
+    /// Requests that were abandoned after a takeover: nobody waited for them, or their deadline had passed.
     pub abandoned: u64,
     /// Requests that were answered from their record after a takeover.
     pub answered_from_record: u64,
 }
 
-/// What a member holds.
+/// The numbers of records and requests that a member currently holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldCounts {
-    /// Records held for others.
+    /// Records that the member holds as a replica.
     pub records: usize,
-    /// Requests that are owned, being taken over, or awaited here.
+    /// Requests that the member owns, is taking over, or awaits the answer of.
     pub open_requests: usize,
 }
 
-/// Whether the dispatcher may go on with a request at once.
+/// Whether the dispatcher may send an attempt or an answer at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// It may.
+    /// It may be sent now.
     Immediate,
-    /// It has to wait for an [`Output`] on the request.
+    /// The dispatcher must wait for an [`Output`] about the request.
     Deferred,
 }
 
-/// A request that is owned, being taken over, or awaited here.
+/// A request that this member owns, is taking over, or awaits the answer of.
 #[derive(Clone, Debug)]
 struct OpenRequest {
     owned: OwnedRequest,
     ends: Duration,
-    /// A client of this dispatcher waits for the answer.
+    /// Whether a client of this dispatcher waits for the answer.
     has_client: bool,
     /// Other members that wait for the answer.
     awaited_by: BTreeSet<MemberId>,
-    /// The wait before what is not voted on is sent again.
+    /// The current wait for votes before messages are sent again.
     resend_after: Duration,
-    /// The attempt that this dispatcher wants to send.
+    /// The last attempt that this dispatcher has proposed; `None` if there was none yet.
     proposed_attempt: Option<u16>,
     takeovers: u32,
 }
 
-/// What is due at a time.
+/// The work that a scheduled timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Resend(RequestId),
@@ -166,14 +171,15 @@
     RequestState,
 }
 
-/// An idempotent request whose record is still to be sent to its replicas.
+/// An idempotent request whose record has not been sent to its replicas yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingReport {
     descriptor: RequestDescriptor,
     ends: Duration,
 }
 
-/// One incarnation of a member. Every method that takes a time returns what is to be done, in order.
+/// The state machine of one incarnation of a member. Methods that return [`Output`]s return them in the order in which
+/// the caller must carry them out.
 pub struct ClusterNode {
     config: ClusterConfig,
     identity: Identity,
@@ -181,7 +187,7 @@
     replica: Replica,
     open: BTreeMap<RequestId, OpenRequest>,
     pending_reports: BTreeMap<RequestId, PendingReport>,
-    /// Idempotent requests whose record was sent, until it has expired.
+    /// Idempotent requests whose records were sent to replicas, each with the time at which its record has expired.
     reported: BTreeMap<RequestId, Duration>,
     answers: AnswerCache,
     timers: BinaryHeap<Reverse<(Duration, Timer)>>,
@@ -189,13 +195,13 @@
     ballots_used: u64,
     is_stopping: bool,
     counts: Counts,
-    /// What the call in progress wants done so far.
+    /// The outputs of the call in progress so far.
     outputs: Vec<Output>,
 }
 
 impl ClusterNode {
-    /// An incarnation that begins with empty memory. `is_new_cluster`: the cluster never ran before, so that nothing was
-    /// forgotten. `seed`: of its random numbers.
+    /// Creates an incarnation with empty memory. `is_new_cluster` states that the cluster never ran before, so that no
+    /// earlier incarnation can have recorded anything. `seed` is that of the incarnation's random numbers.
     pub fn new(
         config: ClusterConfig,
         identity: Identity,
@@ -227,17 +233,17 @@
         }
     }
 
-    /// This incarnation.
+    /// The member and incarnation that this state machine runs as.
     pub fn identity(&self) -> Identity {
         self.identity
     }
 
-    /// What this member knows of its own place in the cluster.
+    /// How this member sees the cluster and its own connection to it.
     pub fn status(&self, now: Duration) -> MembershipStatus {
         self.membership.status(now)
     }
 
-    /// The members that are present, this one included.
+    /// The incarnations that are present, including this one.
     pub fn present(&self) -> impl Iterator<Item = Identity> + '_ {
         self.membership.present()
     }
@@ -247,17 +253,17 @@
         self.counts
     }
 
-    /// What this member holds.
+    /// The numbers of records and open requests that this member currently holds.
     pub fn held(&self) -> HeldCounts {
         HeldCounts { records: self.replica.len(), open_requests: self.open.len() }
     }
 
-    /// Whether this incarnation may vote on all that it can be asked.
+    /// Whether this incarnation may vote on every request, as it has recovered enough records of earlier incarnations.
     pub fn is_synchronized(&self) -> bool {
         self.replica.is_synchronized(&self.config)
     }
 
-    /// Joins the cluster.
+    /// Announces this member to the others and asks them for the records that its earlier incarnations may have held.
     pub fn join(&mut self, now: Duration) -> Vec<Output> {
         let output = self.membership.join(now);
         self.apply_membership(now, output);
@@ -265,8 +271,8 @@
         self.take_outputs()
     }
 
-    /// A graceful shutdown: open requests are handed to the first of their replicas that is present, and this incarnation
-    /// leaves.
+    /// Starts a graceful shutdown: hands each unanswered request that this member owns to the first of the request's
+    /// other replicas that is present, and leaves the cluster.
     pub fn shut_down(&mut self, now: Duration) -> Vec<Output> {
         self.is_stopping = true;
         let mut hand_overs = Vec::new();
@@ -290,7 +296,7 @@
         self.take_outputs()
     }
 
-    /// Runs what is due.
+    /// Runs all timers that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
         self.replica.tick(now);
         if self.membership.next_due().is_some_and(|at| at <= now) {
@@ -339,7 +345,7 @@
         self.ballots_used
     }
 
-    /// Sends a message; one to this member itself is handled at once.
+    /// Sends a message. A message to this member itself is handled immediately.
     fn send(&mut self, now: Duration, to: MemberId, message: Message) {
         if to == self.identity.member {
             self.handle_message(now, self.identity, message);
@@ -358,7 +364,7 @@
         self.send(now, to, Message::FinalAnswer { request, answer: answer.clone() });
     }
 
-    /// Opens a request, in place of the one of that id that may be open already.
+    /// Opens a request. It replaces an open request with the same id, but keeps the members that wait for the answer.
     fn open_request(&mut self, now: Duration, owned: OwnedRequest, ends: Duration, has_client: bool) {
         let request = owned.request;
         let resend_after = self.round_trips(RESEND_ROUND_TRIPS);
@@ -376,7 +382,7 @@
         self.schedule(now + resend_after, Timer::Resend(request));
     }
 
-    /// Sends the replicas what they have not voted on.
+    /// Sends the current step to the replicas that have not voted for it.
     fn send_pending(&mut self, now: Duration, request: RequestId) {
         let Some(open) = self.open.get(&request) else { return };
         let pending = open.owned.pending_messages(open.ends.saturating_sub(now));
@@ -385,7 +391,8 @@
         }
     }
 
-    /// Sends again what is not voted on, later each time. A request past its end is dropped.
+    /// Sends the current step again to the replicas that have not voted, with a growing wait. Drops the request if its
+    /// deadline has passed.
     fn resend(&mut self, now: Duration, request: RequestId) {
         let longest = self.round_trips(MAX_RESEND_ROUND_TRIPS);
         let Some(open) = self.open.get_mut(&request) else { return };
@@ -416,7 +423,7 @@
         }
     }
 
-    /// Sends the records of idempotent requests to their replicas. They want no vote.
+    /// Sends the records of idempotent requests to their replicas. They need no votes.
     fn report_pending(&mut self, now: Duration) {
         for (request, report) in std::mem::take(&mut self.pending_reports) {
             let message = Message::Write {
@@ -431,7 +438,7 @@
         }
     }
 
-    /// Asks those that have not sent their records yet for what this incarnation may have held.
+    /// Asks the members that have not sent all their records yet for those that earlier incarnations may have held.
     fn request_state(&mut self, now: Duration) {
         let sources: Vec<_> = self.replica.missing_sources(&self.config).collect();
         if sources.is_empty() || self.is_synchronized() {
@@ -446,7 +453,7 @@
         self.schedule(now + wait, Timer::RequestState);
     }
 
-    /// A request has its final answer: it goes to the client here and to those that wait elsewhere, and is retained.
+    /// Retains the final answer of a request and gives it to the client here and to the members that wait for it.
     fn complete(&mut self, now: Duration, request: RequestId, answer: Answer) {
         let Some(open) = self.open.remove(&request) else { return };
         self.answers.insert(request, answer.clone(), now + self.config.retention);
--- a/crates/rockflow-cluster/src/node/peer.rs
+++ b/crates/rockflow-cluster/src/node/peer.rs
@@ -1,4 +1,4 @@
-//! What other members send.
+//! Handling of messages from other members, and of the votes and rejections among them.
 
 use super::takeover::Takeover;
 use super::{ClusterNode, Output, MAX_AWAITING_MEMBERS};
@@ -9,7 +9,7 @@
 use crate::replica::WriteRequest;
 use std::time::Duration;
 
-/// A request that another hands over at its graceful shutdown.
+/// A request that another member hands over at its graceful shutdown.
 struct HandedOver {
     request: RequestId,
     descriptor: RequestDescriptor,
@@ -18,15 +18,15 @@
 }
 
 impl ClusterNode {
-    /// Handles the message of another member.
+    /// Handles a message from an incarnation of another member.
     pub fn on_message(&mut self, now: Duration, from: Identity, message: Message) -> Vec<Output> {
         self.handle_message(now, from, message);
         self.take_outputs()
     }
 
     pub(super) fn handle_message(&mut self, now: Duration, from: Identity, message: Message) {
-        // Guards against a process that began with its clock set back, whose incarnation looks older than the one before
-        // it; and against what a superseded incarnation left on its way.
+        // The sender began with its clock set back, so that its incarnation is lower than the one before it, or this
+        // is a late message of a superseded incarnation.
         let latest = self.replica.incarnation_of(from.member);
         if let Some(incarnation) = latest.filter(|latest| *latest > from.incarnation) {
             let message = Message::IncarnationSuperseded { incarnation };
@@ -90,7 +90,7 @@
             return;
         }
         let reply = self.replica.on_write(now, &replicas, write);
-        // The report of an idempotent request wants no vote.
+        // Step 0 is the report of an idempotent request, which needs no vote.
         if write.at.step > 0 {
             self.send(now, from.member, reply);
         }
@@ -128,7 +128,8 @@
         if open.awaited_by.len() < MAX_AWAITING_MEMBERS {
             open.awaited_by.insert(from.member);
         }
-        // Guards against two that wait for each other, as each kept the other from a majority: one of them takes over.
+        // Two members that each kept the other from a majority would wait for each other's answer forever. The one with
+        // the lower identity takes over.
         match *open.owned.phase() {
             Phase::Lost(by) if self.identity < from => {
                 let above = by.max(open.owned.ballot);
@@ -177,7 +178,8 @@
         }
     }
 
-    /// Another owns the request under this ballot: its answer is waited for, or it is taken over in turn.
+    /// Another member may own the request under this ballot: waits for its answer, or takes the request over if that
+    /// member is not present.
     fn on_lost(&mut self, now: Duration, request: RequestId, by: Ballot) {
         let Some(open) = self.open.get(&request) else { return };
         self.counts.takeovers_lost += u64::from(open.takeovers > 0);
--- a/crates/rockflow-cluster/src/node/takeover.rs
+++ b/crates/rockflow-cluster/src/node/takeover.rs
@@ -1,4 +1,4 @@
-//! Requests whose owner is lost: who takes them over, when, and what becomes of them.
+//! Takeovers of requests whose owner is lost: which member takes them over, when, and how it proceeds with them.
 
 use super::{ClusterNode, Output, Timer, TAKEOVER_ROUND_TRIPS};
 use crate::identity::{Ballot, Identity, MemberId, RequestId};
@@ -9,13 +9,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A request that is to be taken over.
+/// A request that this member is to take over.
 pub(super) struct Takeover {
     pub request: RequestId,
     pub descriptor: RequestDescriptor,
-    /// The ballot of its owner so far.
+    /// The ballot that the new one must be higher than: that of the owner so far.
     pub above: Ballot,
-    /// When the request itself ends, unless that is known here already. Nothing is executed after it.
+    /// The deadline of the request, used if the request is not open here already. Nothing is executed after it.
     pub ends: Duration,
 }
 
@@ -36,19 +36,20 @@
         }
     }
 
-    /// The replicas of a request that are present, in their order.
+    /// The replicas of a request that are present, highest rank first.
     pub(super) fn present_replicas(&self, request: RequestId) -> Vec<MemberId> {
         let mut ids = self.config.replicas_of(request);
         ids.retain(|id| self.membership.incarnation_of(*id).is_some());
         ids
     }
 
-    /// Whether another is present that may be executing the request under this ballot.
+    /// Whether another member that may be executing the request under this ballot is present.
     pub(super) fn is_owner_present(&self, ballot: Ballot) -> bool {
         ballot.is_owned() && ballot.identity != self.identity && self.membership.is_present(ballot.identity)
     }
 
-    /// Takes over a request whose owner is not present any more, unless it is this member that is not.
+    /// Takes over a request whose owner is no longer present. If this member may be partitioned itself, it checks again
+    /// later instead.
     pub(super) fn take_over_if_lost(&mut self, now: Duration, request: RequestId) {
         let lost_phase = self.open.get(&request).map(|open| match open.owned.phase() {
             Phase::Lost(by) => Some((open.owned.descriptor, *by)),
@@ -60,7 +61,8 @@
         let recorded = recorded.and_then(|record| Some((record.descriptor?, record.promised)));
         let latest = recorded.into_iter().chain(lost).max_by_key(|(_, ballot)| *ballot);
         let Some((descriptor, above)) = latest else { return };
-        // One of this member's own that is not open any more was abandoned.
+        // A request that is recorded under a ballot of this member, but is not open here, was abandoned and may be
+        // taken over.
         if is_own || self.is_stopping || self.is_owner_present(above) {
             return;
         }
@@ -68,15 +70,14 @@
             return self.schedule(now + self.round_trips(TAKEOVER_ROUND_TRIPS), Timer::TakeOver(request));
         }
         let ends = self.replica.request_ends(request).unwrap_or(now);
-        // Guards against a takeover that comes when nothing can be done any more, and makes replicas that had dropped the
-        // record begin it anew.
+        // After the deadline a takeover is of no use, and replicas whose record has expired would create a new one.
         if ends <= now && lost.is_none() {
             return;
         }
         self.take_over(now, Takeover { request, descriptor, above, ends });
     }
 
-    /// Asks the replicas to promise a ballot above another's.
+    /// Asks the replicas to promise a ballot that is higher than that of the previous owner.
     pub(super) fn take_over(&mut self, now: Duration, takeover: Takeover) {
         let Takeover { request, descriptor, above, ends } = takeover;
         let before = self.open.get(&request).map(|open| (open.has_client, open.ends, open.takeovers));
@@ -91,7 +92,8 @@
         self.send_pending(now, request);
     }
 
-    /// A majority knows that the request is this member's. Where it was taken over: what becomes of it.
+    /// A majority has recorded that this member owns the request. If it was taken over, proceeds with it according to
+    /// its recorded progress.
     pub(super) fn on_owned(&mut self, now: Duration, request: RequestId, progress: &RequestProgress) {
         let Some(open) = self.open.get_mut(&request) else { return };
         if open.takeovers == 0 {
@@ -129,8 +131,9 @@
         }
     }
 
-    /// Requests of a lost incarnation that are recorded here, and those whose answer is awaited here, are taken over: by
-    /// one replica after the other, the first in rank at once.
+    /// Schedules the takeover of each request of a lost incarnation that is recorded or awaited here. The first
+    /// replica that is present takes over at once, each further one [`TAKEOVER_ROUND_TRIPS`] later, and a member that
+    /// is no replica last.
     fn on_owner_lost(&mut self, now: Duration, lost: Identity) {
         let is_orphaned = |record: &Record| {
             record.promised.identity == lost
