--- a/crates/rockflow-cluster/src/owned_request.rs
+++ b/crates/rockflow-cluster/src/owned_request.rs
@@ -1,5 +1,5 @@
-//! A request that this dispatcher owns, or tries to take over: what the replicas are to record of it, which of them have
-//! voted, and what may be done on the strength of these votes. A state machine without I/O or time.
+//! A request that this dispatcher owns or tries to take over: what its replicas are asked to record, which of them have
+//! voted, and what these votes permit. A state machine without I/O or time.
 
 use crate::config::ClusterConfig;
 use crate::identity::{Ballot, Identity, MemberId, RequestId};
@@ -9,66 +9,66 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Whose a request is, as far as this dispatcher knows.
+/// Who owns a request, as far as this dispatcher knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It asks a majority to promise its ballot; what those that promised have recorded.
+    /// This dispatcher asks a majority to promise its ballot. Holds the merged progress that the voters have recorded.
     TakingOver(RequestProgress),
-    /// It owns the request.
+    /// This dispatcher owns the request.
     Owning,
-    /// Another owns it, under this ballot.
+    /// Another member may own the request, under this ballot.
     Lost(Ballot),
-    /// The id is in use for another object.
+    /// The request id is in use with another descriptor.
     RequestMismatch,
 }
 
-/// What has come of a vote or a rejection.
+/// The consequence of a vote or a rejection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum QuorumEvent {
-    /// A majority has promised, or recorded the request as this dispatcher's: how far it came before.
+    /// A majority has recorded that this dispatcher owns the request, with the progress made before.
     Owned(RequestProgress),
-    /// A majority of the replicas knows of this attempt: it may be sent.
+    /// A majority has recorded this attempt, so it may be sent.
     MaySend(StartedAttempt),
-    /// A majority has recorded the final answer: it may be given.
+    /// A majority has recorded the final answer, so it may be given.
     MayAnswer(Answer),
-    /// Another may own it, under this ballot.
+    /// Another member may own the request, under this ballot.
     Lost(Ballot),
-    /// The id is in use for another object.
+    /// The request id is in use with another descriptor.
     RequestMismatch,
-    /// So many replicas reject for reasons of their own that no majority can be had from the rest.
+    /// Too many replicas are unsynchronized or full for the others to form a majority.
     QuorumUnavailable,
 }
 
-/// What a majority is wanted for.
+/// What the current step asks a majority of the replicas to record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Goal {
-    /// That it knows whose the request is.
+    /// That this dispatcher owns the request.
     Own,
-    /// That it knows of an attempt.
+    /// An attempt, before it is sent.
     Send(StartedAttempt),
-    /// That it has recorded the final answer.
+    /// The final answer, before it is given.
     Answer(Answer),
 }
 
-/// A request that is owned or being taken over. One step at a time is out to the replicas.
+/// A request that is owned or being taken over. Replicas vote on one step at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OwnedRequest {
-    /// Its id.
+    /// The id of the request.
     pub request: RequestId,
-    /// What was asked for.
+    /// What the client asks for.
     pub descriptor: RequestDescriptor,
-    /// The ballot under which this dispatcher decides.
+    /// The ballot under which this dispatcher owns the request or tries to.
     pub ballot: Ballot,
     replicas: Vec<MemberId>,
     majority: usize,
     phase: Phase,
     progress: RequestProgress,
-    /// The number of the step that is out, from 1.
+    /// The number of the current step, from 1.
     step: u32,
     votes: Votes,
     has_quorum: bool,
-    /// Replicas that reject the present step, with the ballot that they have promised instead. None: they may have
-    /// forgotten, or are full.
+    /// Replicas that reject the current step, with the ballot that they have promised instead; `None` if they are
+    /// unsynchronized or full.
     rejections: BTreeMap<MemberId, Option<Ballot>>,
     goal: Goal,
 }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The request of a client of this dispatcher, under the first owner's ballot of that number.
+    /// Creates the request of a client of this dispatcher, under a first owner's ballot with this number.
     pub fn first_owner(
         config: &ClusterConfig,
         request: RequestId,
@@ -108,7 +108,7 @@
         OwnedRequest::new(config, request, descriptor, Ballot::first(owner, number), Phase::Owning)
     }
 
-    /// The request of another owner, under a ballot above all that are known.
+    /// Begins to take over the request of another owner, under a ballot that is higher than `above`.
     pub fn take_over(
         config: &ClusterConfig,
         request: RequestId,
@@ -122,34 +122,35 @@
         OwnedRequest::new(config, request, descriptor, ballot, phase)
     }
 
-    /// Whose the request is, as far as this dispatcher knows.
+    /// Who owns the request, as far as this dispatcher knows.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// How far the request has come.
+    /// The attempts that may have executed and the final answer, as this dispatcher knows them.
     pub fn progress(&self) -> &RequestProgress {
         &self.progress
     }
 
-    /// The replicas of its record.
+    /// The replicas of the request's record, highest rank first.
     pub fn replicas(&self) -> &[MemberId] {
         &self.replicas
     }
 
-    /// Whether a majority has voted for the present step.
+    /// Whether a majority has voted for the current step.
     pub fn has_quorum(&self) -> bool {
         self.has_quorum
     }
 
-    /// An attempt to this host is to be sent, as soon as a majority knows of it.
+    /// Proposes an attempt at this host. It may be sent once a majority has recorded it.
     pub fn propose_attempt(&mut self, attempt: u16, host: u64) {
         let started = StartedAttempt { ballot: self.ballot, attempt, host };
         self.progress.started_attempts.push(started);
         self.begin_step(Goal::Send(started));
     }
 
-    /// The final answer is to be given, as soon as a majority has recorded it. One that was recorded before stands.
+    /// Proposes the final answer. It may be given once a majority has recorded it. An answer that was recorded before
+    /// is kept, and proposed instead.
     pub fn propose_answer(&mut self, answer: Answer) {
         let recorded = self.progress.answer.as_ref().map(|(_, recorded)| recorded.clone());
         let answer = recorded.unwrap_or(answer);
@@ -157,8 +158,8 @@
         self.begin_step(Goal::Answer(answer));
     }
 
-    /// What each replica that has not voted yet is to be sent, again and again until all have voted or the request is
-    /// lost. `left`: the time that the request has left.
+    /// The message of the current step, for each replica that has not voted for it. To be sent repeatedly until all
+    /// have voted or the request is lost. `left` is the time until the deadline of the request.
     pub fn pending_messages(&self, left: Duration) -> Vec<(MemberId, Message)> {
         let at = self.current_step();
         let message = match &self.phase {
@@ -173,7 +174,7 @@
         missing.map(|id| (*id, message.clone())).collect()
     }
 
-    /// Counts a replica's vote. Some: what the votes allow now.
+    /// Counts a replica's vote. Returns what the votes permit now, or `None` if this vote changes nothing.
     pub fn on_vote(
         &mut self,
         voter: Identity,
@@ -205,7 +206,8 @@
         })
     }
 
-    /// Counts a replica's rejection. Some: what follows from it.
+    /// Counts a replica's rejection. Returns its consequence, or `None` if the step is not current or a majority has
+    /// voted for it or still can.
     pub fn on_rejection(
         &mut self,
         voter: Identity,
@@ -224,7 +226,7 @@
             }
         };
         self.rejections.insert(voter.member, promised);
-        // One that rejects takes nothing away while the others are a majority.
+        // A majority has voted already, or the replicas that have not rejected can still form one.
         if self.has_quorum || self.replicas.len() - self.rejections.len() >= self.majority {
             return None;
         }
--- a/crates/rockflow-cluster/src/record.rs
+++ b/crates/rockflow-cluster/src/record.rs
@@ -1,40 +1,40 @@
-//! What replicas record of a request.
+//! The record of a request that its replicas keep: the descriptor, the attempts that may have executed, and the answer.
 
 use crate::identity::Ballot;
 use serde::{Deserialize, Serialize};
 
-/// What a second execution of a request would do, as far as it matters to the cluster.
+/// The effect of executing a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EffectKind {
-    /// Nothing: it may be repeated freely.
+    /// None: the request may be repeated freely.
     Idempotent,
-    /// Nothing, where the idempotency key is known.
+    /// None if the host knows the idempotency key of the request.
     IdempotencyKey,
-    /// Harm: it must not be executed twice.
+    /// Harmful: the request must not be executed twice.
     AtMostOnce,
 }
 
 impl EffectKind {
-    /// Whether a majority of the replicas must know of an attempt before it is sent.
+    /// Whether a majority of the replicas must record an attempt before it is sent.
     pub fn requires_quorum(self) -> bool {
         self != EffectKind::Idempotent
     }
 }
 
-/// What a client asks for. It never changes under one id: the same id for another object is rejected.
+/// What a client asks for. A request with an id that is already in use with another descriptor is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestDescriptor {
-    /// What a second execution would do.
+    /// The effect of a second execution.
     pub kind: EffectKind,
-    /// The index of its request class.
+    /// The index of the request class.
     pub class: u16,
-    /// The object.
+    /// The id of the requested object.
     pub object: u64,
-    /// The part of the object.
+    /// The number of the requested part of the object.
     pub part: u32,
-    /// The group of the object.
+    /// The id of the group that the object belongs to.
     pub group: u64,
-    /// Size in bytes. Zero: unknown.
+    /// The size in bytes, or 0 if it is unknown.
     pub size: u64,
 }
 
@@ -43,45 +43,46 @@
 pub struct StartedAttempt {
     /// The ballot under which it was sent.
     pub ballot: Ballot,
-    /// Its number among the attempts of the request.
+    /// The number of the attempt among those of the request.
     pub attempt: u16,
-    /// The host that it was sent to.
+    /// The id of the host that it was sent to.
     pub host: u64,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was served.
+    /// The request was served.
     Succeeded,
-    /// It was shed, without effect.
+    /// The request was rejected, for instance by load shedding, and was not executed.
     Rejected,
-    /// It failed, and may have had its effect.
+    /// The request failed, but may have been executed.
     Failed,
 }
 
-/// The final answer of a request, as it is retained for clients that ask again.
+/// The final answer of a request, as it is retained for clients that send the request again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Answer {
     /// How the request ended.
     pub outcome: Outcome,
-    /// The entity tag of the body.
+    /// The entity tag (ETag) of the body, if the host gave one.
     pub tag: Option<String>,
-    /// The body. None: there was none, or it was larger than what is retained.
+    /// The body; `None` if there was none or it was larger than the configured maximum.
     pub body: Option<Vec<u8>>,
 }
 
-/// How far a request has come.
+/// The attempts of a request that may have executed, and its final answer once there is one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestProgress {
-    /// Every attempt that may have executed.
+    /// Every attempt that may have executed, by any owner of the request.
     pub started_attempts: Vec<StartedAttempt>,
-    /// The final answer, with the ballot under which it was written.
+    /// The final answer, with the ballot under which it was recorded.
     pub answer: Option<(Ballot, Answer)>,
 }
 
 impl RequestProgress {
-    /// Takes in what another knows: every attempt that may have executed, and of two answers the one of the later ballot.
+    /// Adds the progress that another member has recorded: keeps the attempts of both, and of two answers the one
+    /// with the higher ballot.
     pub fn merge(&mut self, other: &RequestProgress) {
         self.started_attempts.extend_from_slice(&other.started_attempts);
         self.started_attempts.sort_unstable();
@@ -94,13 +95,13 @@
     }
 }
 
-/// What a replica records of a request.
+/// A replica's record of a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// What was asked for. None: a takeover arrived before anything else.
+    /// What the client asks for; `None` if a takeover without a descriptor arrived before anything else.
     pub descriptor: Option<RequestDescriptor>,
-    /// The highest ballot that was promised or written here; nothing under a lower one is accepted any more.
+    /// The highest ballot that the replica has promised or accepted a write under. Lower ballots are rejected.
     pub promised: Ballot,
-    /// How far the request has come.
+    /// The attempts and the final answer that the replica has recorded.
     pub progress: RequestProgress,
 }
