--- a/crates/rockflow-cluster/src/replica.rs
+++ b/crates/rockflow-cluster/src/replica.rs
@@ -1,5 +1,5 @@
-//! A replica of the records of other members' requests. What it has promised binds it for as long as its process lives;
-//! on what it may have forgotten it does not vote.
+//! A replica of the records of requests. Its promises bind it for the lifetime of its process, and it does not vote on
+//! requests about which an earlier incarnation may have made promises that it does not know.
 
 use crate::config::ClusterConfig;
 use crate::identity::{Ballot, Identity, Incarnation, MemberId, RequestId};
@@ -12,24 +12,24 @@
 /// The maximum number of records in one part of a state transfer.
 pub const MAX_TRANSFERRED_RECORDS: usize = 4;
 
-/// What this incarnation knows of its own records.
+/// Whether this incarnation has all records that its earlier incarnations held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Memory {
-    /// Nothing was ever recorded before this incarnation, or all of it has expired.
+    /// Earlier incarnations recorded nothing, or everything that they recorded has expired.
     Complete,
-    /// It began with empty memory and recovers its records from others.
+    /// The incarnation began with empty memory and recovers its records from other members.
     Recovering {
-        /// Members that have sent all their records, each with the synchronized sources of its own; none: it was
-        /// synchronized itself.
+        /// Members that have sent all their records, each with the synchronized members from which it has recovered
+        /// them itself, or `None` if it was synchronized.
         sources: BTreeMap<MemberId, Option<BTreeSet<MemberId>>>,
-        /// Transfers of which parts are missing.
+        /// Incomplete transfers, by sender.
         transfers: BTreeMap<MemberId, PartialTransfer>,
-        /// When everything recorded before this incarnation has expired.
+        /// When everything that earlier incarnations recorded has expired.
         until: Duration,
     },
 }
 
-/// The parts that have arrived of a state transfer.
+/// The parts of one state transfer that have arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct PartialTransfer {
     number: u32,
@@ -39,25 +39,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StoredRecord {
     record: Record,
-    /// When the request itself ends, as far as is known here.
+    /// The latest known deadline of the request.
     request_ends: Duration,
     expires: Duration,
 }
 
-/// What is to be written of a request.
+/// The content of a [`Message::Write`].
 #[derive(Clone, Debug)]
 pub struct WriteRequest<'a> {
-    /// The step that asks for it.
+    /// The step to be recorded.
     pub at: Step,
-    /// What was asked for.
+    /// What the client asks for.
     pub descriptor: RequestDescriptor,
-    /// How far the request has come.
+    /// The attempts and the final answer to be recorded.
     pub progress: &'a RequestProgress,
-    /// The time that the request has left.
+    /// The time until the deadline of the request.
     pub left: Duration,
 }
 
-/// The records that one incarnation of a member holds for others.
+/// The records that one incarnation of a member holds as a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica {
     identity: Identity,
@@ -67,14 +67,14 @@
     retention: Duration,
     memory: Memory,
     records: BTreeMap<RequestId, StoredRecord>,
-    /// When records expire, earliest first.
+    /// The expiry times of all records, earliest first.
     expiry: BTreeSet<(Duration, RequestId)>,
-    /// The latest incarnation known of each other member.
+    /// The latest known incarnation of each other member.
     incarnations: BTreeMap<MemberId, Incarnation>,
 }
 
 impl Replica {
-    /// An incarnation that begins with empty memory.
+    /// Creates the replica of an incarnation that begins with empty memory and must recover its records first.
     pub fn new(config: &ClusterConfig, identity: Identity, now: Duration) -> Replica {
         Replica {
             identity,
@@ -93,48 +93,48 @@
         }
     }
 
-    /// A replica of a cluster that never ran before, so that nothing can have been forgotten.
+    /// Creates a replica of a cluster that never ran before, so that there is nothing to recover.
     pub fn of_new_cluster(config: &ClusterConfig, identity: Identity, now: Duration) -> Replica {
         Replica { memory: Memory::Complete, ..Replica::new(config, identity, now) }
     }
 
-    /// The number of records.
+    /// The number of records that the replica holds.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Whether the replica holds no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The record of a request.
+    /// The record of a request, or `None` if the replica holds none.
     pub fn get(&self, request: RequestId) -> Option<&Record> {
         self.records.get(&request).map(|stored| &stored.record)
     }
 
-    /// When the request of a record ends, as far as is known here.
+    /// The latest known deadline of a request, or `None` if the replica holds no record of it.
     pub fn request_ends(&self, request: RequestId) -> Option<Duration> {
         self.records.get(&request).map(|stored| stored.request_ends)
     }
 
-    /// All records.
+    /// All records, by request.
     pub fn records(&self) -> impl Iterator<Item = (&RequestId, &Record)> {
         self.records.iter().map(|(request, stored)| (request, &stored.record))
     }
 
-    /// Takes note of an incarnation of another member; only a later one replaces the one known.
+    /// Records that this incarnation of a member exists. It is ignored if a later one is known.
     pub fn observe_incarnation(&mut self, identity: Identity) {
         let known = self.incarnations.entry(identity.member).or_insert(identity.incarnation);
         *known = identity.incarnation.max(*known);
     }
 
-    /// The latest incarnation known of a member.
+    /// The latest known incarnation of another member, or `None` if none is known.
     pub fn incarnation_of(&self, member: MemberId) -> Option<Incarnation> {
         self.incarnations.get(&member).copied()
     }
 
-    /// Drops what has expired.
+    /// Removes expired records, and ends the recovery once all records of earlier incarnations have expired.
     pub fn tick(&mut self, now: Duration) {
         if matches!(self.memory, Memory::Recovering { until, .. } if until <= now) {
             self.memory = Memory::Complete;
@@ -155,7 +155,7 @@
         [recovered, expires].into_iter().flatten().min()
     }
 
-    /// Records what is written of a request with these replicas, and votes.
+    /// Records the progress of a request with these replicas. Returns the vote or the rejection to reply with.
     pub fn on_write(&mut self, now: Duration, replicas: &[MemberId], write: &WriteRequest) -> Message {
         let at = write.at;
         if self.is_unsynchronized(replicas) {
@@ -165,7 +165,8 @@
             if record.descriptor.is_some_and(|known| known != write.descriptor) {
                 return reject(at, RejectionReason::RequestMismatch);
             }
-            // A first owner may write on; it takes nothing from another that came first.
+            // A first owner may write again under its own ballot, but does not override a ballot that arrived before
+            // it.
             if at.ballot != record.promised && (at.ballot.round == 0 || at.ballot < record.promised) {
                 return reject(at, RejectionReason::Promised(record.promised));
             }
@@ -180,7 +181,8 @@
         Message::Vote { at, incarnations: self.known_incarnations(replicas), held: None }
     }
 
-    /// Promises a ballot, if it is later than any before, and replies with what is recorded.
+    /// Promises a ballot unless a higher one was promised. Returns the vote, with the record, or the rejection to reply
+    /// with.
     pub fn on_prepare(
         &mut self,
         now: Duration,
@@ -208,8 +210,8 @@
         Message::Vote { at, incarnations: self.known_incarnations(replicas), held }
     }
 
-    /// The owner of a request says that nobody will ask for it. Only for idempotent requests: for others the record is
-    /// all that stands between them and a second execution.
+    /// Removes the record of a request that has ended, if the request is idempotent and its record has this ballot. For
+    /// other requests the record must stay, as it is what prevents a second execution.
     pub fn drop_record(&mut self, request: RequestId, ballot: Ballot) {
         let is_idempotent =
             |record: &Record| record.descriptor.is_some_and(|descriptor| !descriptor.kind.requires_quorum());
@@ -223,7 +225,8 @@
         }
     }
 
-    /// Members whose records are still wanted: a synchronized one that has sent them has nothing to add.
+    /// Members whose records are still needed for the recovery. A member that was synchronized when it sent its records
+    /// has nothing to add.
     pub fn missing_sources<'a>(&'a self, config: &'a ClusterConfig) -> impl Iterator<Item = MemberId> + 'a {
         let own = self.identity.member;
         let is_wanted = move |id: &MemberId| match &self.memory {
@@ -233,7 +236,8 @@
         config.ids().filter(move |id| *id != own && is_wanted(id))
     }
 
-    /// What a member that restarted may have recorded, in parts. Its earlier incarnations count for nothing from now on.
+    /// The parts of a transfer of all records that a restarted member may have held. Its earlier incarnations count as
+    /// superseded from now on.
     pub fn prepare_state_transfer(
         &mut self,
         now: Duration,
@@ -264,14 +268,16 @@
         (0..parts).map(part).collect()
     }
 
-    /// Takes in a part of a state transfer. Its sender counts as a source once all parts of one are here.
+    /// Merges a part of a state transfer into the records. The sender counts as a source once all parts of one transfer
+    /// have arrived.
     pub fn apply_state_transfer(&mut self, now: Duration, sender: MemberId, transfer: StateTransfer) {
         if transfer.identity != self.identity || self.memory == Memory::Complete {
             return;
         }
         let mut has_room = true;
         for transferred in transfer.records {
-            // Guards against a cap that would make a transfer forgotten in part: then its sender does not count.
+            // A record that exceeds the maximum is dropped, so the part is incomplete and its sender must not count
+            // as a source.
             if self.records.len() >= self.max_records && !self.records.contains_key(&transferred.request) {
                 has_room = false;
                 continue;
@@ -290,7 +296,7 @@
             transfers.remove(&sender);
             let own_sources: Option<BTreeSet<_>> = transfer.sources.map(|ids| ids.into_iter().collect());
             match sources.get_mut(&sender) {
-                // A source that was synchronized once stays so.
+                // A source that was synchronized once remains synchronized.
                 Some(known) => *known = known.take().and(own_sources),
                 None => {
                     sources.insert(sender, own_sources);
@@ -299,24 +305,26 @@
         }
     }
 
-    /// Whether this incarnation may vote on all that it can be asked.
+    /// Whether this incarnation has recovered enough records to vote on every request.
     pub fn is_synchronized(&self, config: &ClusterConfig) -> bool {
         self.synchronized_sources(config).is_none()
     }
 
-    /// The synchronized members from which this incarnation has recovered. None: it is synchronized itself.
+    /// The synchronized members from which this incarnation has recovered its records, or `None` if it is synchronized
+    /// itself.
     fn synchronized_sources(&self, config: &ClusterConfig) -> Option<Vec<MemberId>> {
         let Memory::Recovering { sources, .. } = &self.memory else { return None };
         let synchronized: Vec<_> =
             sources.iter().filter(|(_, own_sources)| own_sources.is_none()).map(|(id, _)| *id).collect();
-        // The worst set of replicas has all those in it from which nothing came.
+        // In the worst case the replicas of a request include all members that have not sent their records.
         let missing = config.members.len() - 1 - synchronized.len();
         (missing + 2 > self.majority).then_some(synchronized)
     }
 
-    /// Guards against a vote on what may have been forgotten: so many of the request's other replicas must have sent this
-    /// incarnation what they hold, synchronized for this request themselves, that any majority with the earlier
-    /// incarnation in it is intersected.
+    /// Whether this incarnation must not vote on a request with these replicas, because an earlier one may have made
+    /// a promise about it that is not recovered. It may vote once more than `replica_count - majority` of the other
+    /// replicas have sent their records, each synchronized for this request itself: every majority that contained the
+    /// earlier incarnation then contains one of them.
     fn is_unsynchronized(&self, replicas: &[MemberId]) -> bool {
         let Memory::Recovering { sources, .. } = &self.memory else { return false };
         let is_enough = |count: usize| count > self.replica_count - self.majority;
@@ -331,7 +339,7 @@
         !is_enough(others(self.identity.member).filter(|id| is_synchronized(id)).count())
     }
 
-    /// The incarnations of a request's other replicas, to go with a vote.
+    /// The known incarnations of a request's other replicas, which are sent with each vote.
     fn known_incarnations(&self, replicas: &[MemberId]) -> KnownIncarnations {
         let known = replicas.iter().filter_map(|id| Some((*id, *self.incarnations.get(id)?)));
         known.map(|(member, incarnation)| Identity { member, incarnation }).collect()
@@ -343,8 +351,8 @@
         let theirs = &transferred.record;
         let stored = self.entry(expires, transferred.request, theirs.promised);
         stored.request_ends = (now + transferred.left).max(stored.request_ends);
-        // Guards against a vote for one of two first owners where the forgotten vote was for the other: neither may
-        // write on, and whoever takes over sees both.
+        // The records name two different first owners, and the earlier incarnation may have voted for either. Neither
+        // may continue to write; a member that takes over sees the attempts of both.
         let own = &mut stored.record;
         let is_split =
             own.promised.round == 0 && theirs.promised.round == 0 && own.promised != theirs.promised;
@@ -353,7 +361,7 @@
         own.progress.merge(&theirs.progress);
     }
 
-    /// The record of a request; a new one expires then and has promised this ballot.
+    /// The record of a request. If there is none, creates one that has promised this ballot and expires at `expires`.
     fn entry(&mut self, expires: Duration, request: RequestId, promised: Ballot) -> &mut StoredRecord {
         let expiry = &mut self.expiry;
         self.records.entry(request).or_insert_with(|| {
