--- a/crates/rockflow-cluster/src/succession.rs
+++ b/crates/rockflow-cluster/src/succession.rs
@@ -1,24 +1,28 @@
-//! What a successor does with a request that its owner left behind: a table by effect and by what may have executed. It
-//! says what is allowed; whether and where an attempt is sent is for the routing decisions, under their usual limits.
+//! How the successor of a lost owner proceeds with a request, by its effect and its progress. This only says what is
+//! allowed; the decision logic (crate `rockflow`) determines whether and where an attempt is sent, under its usual
+//! limits.
 
 use crate::record::{Answer, EffectKind, Outcome, RequestProgress};
 
-/// What a successor does with a request.
+/// How a successor proceeds with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Succession {
-    /// There is an answer: it stands, and is given to clients that ask.
+    /// A final answer is recorded. It is kept and given to the clients that wait for it.
     Answered(Answer),
-    /// Execute it, as if it had arrived just now.
+    /// Execute the request as if it had just arrived.
     Run,
-    /// Execute it only where the key scope covers every attempt that may have executed, within the deduplication window.
+    /// Execute the request, but only if the scope of its idempotency key covers every attempt that may have executed
+    /// and the deduplication window has not passed.
     RunWithIdempotencyKey,
-    /// What it did is unknown and must not be done twice: it ends as failed.
+    /// An earlier attempt may have executed and must not be repeated, so the request ends as failed.
     FailUnknown,
-    /// Nobody waits, and a repeat can do no harm: abandon it.
+    /// Drop the request without an answer: nothing was started, or it is idempotent, and it is not awaited or its
+    /// deadline has passed.
     Abandon,
 }
 
-/// What becomes of a request whose owner is lost.
+/// Returns how a successor proceeds with a request whose owner is lost. `is_awaited`: a client or another member
+/// waits for the answer. `has_time_left`: the deadline of the request has not passed.
 ///
 /// | effect | answered | nothing started | an attempt may have executed |
 /// | --- | --- | --- | --- |
@@ -27,7 +31,8 @@
 /// | idempotency key | answered | run | run with the idempotency key |
 /// | at most once | answered | run | fail as unknown |
 ///
-/// Where no time is left, a request that would run is abandoned if nothing was started, and else fails as unknown.
+/// Once the deadline has passed, a request that would run is abandoned if nothing was started or it is idempotent, and
+/// fails as unknown otherwise.
 pub fn succession(
     kind: EffectKind,
     progress: &RequestProgress,
@@ -48,7 +53,7 @@
     }
 }
 
-/// The answer of a request of which nothing is known.
+/// The answer of a request of which it is unknown whether it has executed.
 pub fn unknown_answer() -> Answer {
     Answer { outcome: Outcome::Failed, tag: None, body: None }
 }
