--- a/crates/rockflow-cluster/src/lib.rs
+++ b/crates/rockflow-cluster/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! [`ClusterNode`] is the state machine of one member. It combines [`Membership`], which tracks the members that are
 //! present; [`Replica`] and [`OwnedRequest`], the replica's and the owner's side of a record; [`Votes`], which counts
-//! the votes of members that can lose their memory; and [`succession()`], which decides how the successor of a lost
+//! the votes of members that can lose their memory; and [`takeover_action()`], which decides how the successor of a lost
 //! owner proceeds with a request.
 
 pub mod config;
@@ -19,7 +19,7 @@
 pub mod owned_request;
 pub mod record;
 pub mod replica;
-pub mod succession;
+pub mod takeover_policy;
 pub mod votes;
 
 pub use config::ClusterConfig;
@@ -30,5 +30,5 @@
 pub use owned_request::{OwnedRequest, Phase, QuorumEvent};
 pub use record::{Answer, EffectKind, Outcome, Record, RequestDescriptor, RequestProgress, StartedAttempt};
 pub use replica::Replica;
-pub use succession::{succession, Succession};
+pub use takeover_policy::{takeover_action, TakeoverAction};
 pub use votes::{KnownIncarnations, Votes};
--- a/crates/rockflow-cluster/src/node/takeover.rs
+++ b/crates/rockflow-cluster/src/node/takeover.rs
@@ -5,7 +5,7 @@
 use crate::membership::{Change, MembershipOutput};
 use crate::owned_request::{OwnedRequest, Phase};
 use crate::record::{Record, RequestDescriptor, RequestProgress};
-use crate::succession::{succession, unknown_answer, Succession};
+use crate::takeover_policy::{takeover_action, unknown_answer, TakeoverAction};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -103,29 +103,29 @@
         let descriptor = open.owned.descriptor;
         let is_awaited = open.has_client || !open.awaited_by.is_empty();
         let has_time_left = now < open.ends;
-        let verdict = succession(descriptor.kind, progress, is_awaited, has_time_left);
-        match verdict {
-            Succession::Answered(answer) => {
+        let action = takeover_action(descriptor.kind, progress, is_awaited, has_time_left);
+        match action {
+            TakeoverAction::Answered(answer) => {
                 self.counts.answered_from_record += 1;
                 open.owned.propose_answer(answer);
                 self.send_pending(now, request);
             }
-            Succession::FailUnknown => {
+            TakeoverAction::FailUnknown => {
                 self.counts.failed_unknown += 1;
                 open.owned.propose_answer(unknown_answer());
                 self.send_pending(now, request);
             }
-            Succession::Abandon => {
+            TakeoverAction::Abandon => {
                 self.counts.abandoned += 1;
                 self.open.remove(&request);
             }
-            Succession::Run | Succession::RunWithIdempotencyKey => {
+            TakeoverAction::Run | TakeoverAction::RunWithIdempotencyKey => {
                 self.counts.run_again += 1;
                 self.outputs.push(Output::TakeOver {
                     request,
                     descriptor,
                     started_attempts: progress.started_attempts.clone(),
-                    requires_idempotency_key: verdict == Succession::RunWithIdempotencyKey,
+                    requires_idempotency_key: action == TakeoverAction::RunWithIdempotencyKey,
                 });
             }
         }
--- a/crates/rockflow-cluster/src/succession.rs
+++ b/crates/rockflow-cluster/src/takeover_policy.rs
@@ -6,7 +6,7 @@
 
 /// How a successor proceeds with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Succession {
+pub enum TakeoverAction {
     /// A final answer is recorded. It is kept and given to the clients that wait for it.
     Answered(Answer),
     /// Execute the request as if it had just arrived.
@@ -33,23 +33,23 @@
 ///
 /// Once the deadline has passed, a request that would run is abandoned if nothing was started or it is idempotent, and
 /// fails as unknown otherwise.
-pub fn succession(
+pub fn takeover_action(
     kind: EffectKind,
     progress: &RequestProgress,
     is_awaited: bool,
     has_time_left: bool,
-) -> Succession {
+) -> TakeoverAction {
     if let Some((_, answer)) = &progress.answer {
-        return Succession::Answered(answer.clone());
+        return TakeoverAction::Answered(answer.clone());
     }
     let is_started = !progress.started_attempts.is_empty();
     match (kind, is_started) {
-        (EffectKind::Idempotent, _) if is_awaited && has_time_left => Succession::Run,
-        (EffectKind::Idempotent, _) => Succession::Abandon,
-        (_, false) if has_time_left => Succession::Run,
-        (_, false) => Succession::Abandon,
-        (EffectKind::IdempotencyKey, true) if has_time_left => Succession::RunWithIdempotencyKey,
-        (EffectKind::IdempotencyKey | EffectKind::AtMostOnce, true) => Succession::FailUnknown,
+        (EffectKind::Idempotent, _) if is_awaited && has_time_left => TakeoverAction::Run,
+        (EffectKind::Idempotent, _) => TakeoverAction::Abandon,
+        (_, false) if has_time_left => TakeoverAction::Run,
+        (_, false) => TakeoverAction::Abandon,
+        (EffectKind::IdempotencyKey, true) if has_time_left => TakeoverAction::RunWithIdempotencyKey,
+        (EffectKind::IdempotencyKey | EffectKind::AtMostOnce, true) => TakeoverAction::FailUnknown,
     }
 }
 
