--- a/crates/rockflow-cluster/src/node/client.rs
+++ b/crates/rockflow-cluster/src/node/client.rs
@@ -11,32 +11,32 @@
 use std::time::Duration;
 
 impl ClusterNode {
-    /// A client has sent a request to this dispatcher and waits until `ends`. An idempotent request is reported to its
+    /// A client has sent a request to this dispatcher and waits until `deadline`. An idempotent request is reported to its
     /// replicas a little later; for others nothing is sent to the replicas before the first attempt.
     pub fn on_request(
         &mut self,
         now: Duration,
         request: RequestId,
         descriptor: RequestDescriptor,
-        ends: Duration,
+        deadline: Duration,
     ) -> Vec<Output> {
         if let Some(answer) = self.answers.get(request) {
             return vec![Output::FinalAnswer { request, answer: answer.clone() }];
         }
-        if let Some(open) = self.open.get_mut(&request) {
+        if let Some(open) = self.open_requests.get_mut(&request) {
             if open.owned.descriptor != descriptor {
                 return vec![Output::IdInUse { request }];
             }
             open.has_client = true;
-            open.ends = open.ends.max(ends);
+            open.deadline = open.deadline.max(deadline);
             return vec![Output::OwnedElsewhere { request }];
         }
         if !descriptor.kind.requires_quorum() {
-            self.report_later(now, request, PendingReport { descriptor, ends });
-        } else if self.open.len() < MAX_OPEN_REQUESTS {
+            self.report_later(now, request, PendingReport { descriptor, deadline });
+        } else if self.open_requests.len() < MAX_OPEN_REQUESTS {
             let number = self.next_ballot();
             let owned = OwnedRequest::first_owner(&self.config, request, descriptor, self.identity, number);
-            self.open_request(now, owned, ends, true);
+            self.open_request(now, owned, deadline, true);
         }
         self.take_outputs()
     }
@@ -50,7 +50,7 @@
         attempt: u16,
         host: u64,
     ) -> (Permission, Vec<Output>) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return (Permission::Immediate, Vec::new());
         };
         if *open.owned.phase() != Phase::Owning {
@@ -72,13 +72,13 @@
         kind: EffectKind,
         answer: Answer,
     ) -> (Permission, Vec<Output>) {
-        let Some(open) = self.open.get_mut(&request) else {
+        let Some(open) = self.open_requests.get_mut(&request) else {
             return self.on_unrecorded_request_ended(now, request, kind, &answer);
         };
         let is_untouched = open.owned.progress().started_attempts.is_empty() && open.awaited_by.is_empty();
         // A rejection is not retained: nothing was executed, and a client that sends the request again must be served.
         if answer.outcome == Outcome::Rejected && is_untouched && open.owned.progress().answer.is_none() {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
             return (Permission::Immediate, Vec::new());
         }
         if *open.owned.phase() != Phase::Owning {
@@ -94,10 +94,10 @@
     /// The client has disconnected, so this dispatcher no longer needs the answer.
     pub fn on_client_disconnected(&mut self, request: RequestId) {
         self.pending_reports.remove(&request);
-        if let Some(open) = self.open.get_mut(&request) {
+        if let Some(open) = self.open_requests.get_mut(&request) {
             open.has_client = false;
             if open.owned.progress().started_attempts.is_empty() && open.awaited_by.is_empty() {
-                self.open.remove(&request);
+                self.open_requests.remove(&request);
             }
         }
     }
--- a/crates/rockflow-cluster/src/node/mod.rs
+++ b/crates/rockflow-cluster/src/node/mod.rs
@@ -150,7 +150,7 @@
 #[derive(Clone, Debug)]
 struct OpenRequest {
     owned: OwnedRequest,
-    ends: Duration,
+    deadline: Duration,
     /// Whether a client of this dispatcher waits for the answer.
     has_client: bool,
     /// Other members that wait for the answer.
@@ -175,7 +175,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingReport {
     descriptor: RequestDescriptor,
-    ends: Duration,
+    deadline: Duration,
 }
 
 /// The state machine of one incarnation of a member. Methods that return [`Output`]s return them in the order in which
@@ -185,7 +185,7 @@
     identity: Identity,
     membership: Membership,
     replica: Replica,
-    open: BTreeMap<RequestId, OpenRequest>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     pending_reports: BTreeMap<RequestId, PendingReport>,
     /// Idempotent requests whose records were sent to replicas, each with the time at which its record has expired.
     reported: BTreeMap<RequestId, Duration>,
@@ -220,7 +220,7 @@
             identity,
             membership,
             replica,
-            open: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             pending_reports: BTreeMap::new(),
             reported: BTreeMap::new(),
             answers: AnswerCache::default(),
@@ -255,7 +255,7 @@
 
     /// The numbers of records and open requests that this member currently holds.
     pub fn held(&self) -> HeldCounts {
-        HeldCounts { records: self.replica.len(), open_requests: self.open.len() }
+        HeldCounts { records: self.replica.len(), open_requests: self.open_requests.len() }
     }
 
     /// Whether this incarnation may vote on every request, as it has recovered enough records of earlier incarnations.
@@ -276,7 +276,7 @@
     pub fn shut_down(&mut self, now: Duration) -> Vec<Output> {
         self.is_stopping = true;
         let mut hand_overs = Vec::new();
-        for (request, open) in &self.open {
+        for (request, open) in &self.open_requests {
             if *open.owned.phase() != Phase::Owning || open.owned.progress().answer.is_some() {
                 continue;
             }
@@ -284,7 +284,7 @@
                 request: *request,
                 descriptor: open.owned.descriptor,
                 progress: open.owned.progress().clone(),
-                left: open.ends.saturating_sub(now),
+                left: open.deadline.saturating_sub(now),
             };
             let successor =
                 self.present_replicas(*request).into_iter().find(|id| *id != self.identity.member);
@@ -365,27 +365,28 @@
     }
 
     /// Opens a request. It replaces an open request with the same id, but keeps the members that wait for the answer.
-    fn open_request(&mut self, now: Duration, owned: OwnedRequest, ends: Duration, has_client: bool) {
+    fn open_request(&mut self, now: Duration, owned: OwnedRequest, deadline: Duration, has_client: bool) {
         let request = owned.request;
         let resend_after = self.round_trips(RESEND_ROUND_TRIPS);
-        let awaited_by = self.open.remove(&request).map(|before| before.awaited_by).unwrap_or_default();
+        let awaited_by =
+            self.open_requests.remove(&request).map(|before| before.awaited_by).unwrap_or_default();
         let open = OpenRequest {
             owned,
-            ends,
+            deadline,
             has_client,
             awaited_by,
             resend_after,
             proposed_attempt: None,
             takeovers: 0,
         };
-        self.open.insert(request, open);
+        self.open_requests.insert(request, open);
         self.schedule(now + resend_after, Timer::Resend(request));
     }
 
     /// Sends the current step to the replicas that have not voted for it.
     fn send_pending(&mut self, now: Duration, request: RequestId) {
-        let Some(open) = self.open.get(&request) else { return };
-        let pending = open.owned.pending_messages(open.ends.saturating_sub(now));
+        let Some(open) = self.open_requests.get(&request) else { return };
+        let pending = open.owned.pending_messages(open.deadline.saturating_sub(now));
         for (to, message) in pending {
             self.send(now, to, message);
         }
@@ -395,10 +396,10 @@
     /// deadline has passed.
     fn resend(&mut self, now: Duration, request: RequestId) {
         let longest = self.round_trips(MAX_RESEND_ROUND_TRIPS);
-        let Some(open) = self.open.get_mut(&request) else { return };
-        if open.ends <= now {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        if open.deadline <= now {
             let is_unsent = open.has_client && open.proposed_attempt.is_none();
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
             if is_unsent {
                 self.outputs.push(Output::QuorumUnavailable { request });
             }
@@ -418,7 +419,7 @@
             Some(_) => self.take_over_if_lost(now, request),
             None => self.send_pending(now, request),
         }
-        if self.open.contains_key(&request) {
+        if self.open_requests.contains_key(&request) {
             self.schedule(next, Timer::Resend(request));
         }
     }
@@ -430,7 +431,7 @@
                 at: Step { request, ballot: Ballot::first(self.identity, 0), step: 0 },
                 descriptor: report.descriptor,
                 progress: RequestProgress::default(),
-                left: report.ends.saturating_sub(now),
+                left: report.deadline.saturating_sub(now),
             };
             self.reported.insert(request, now + self.config.retention);
             self.counts.reported += 1;
@@ -455,7 +456,7 @@
 
     /// Retains the final answer of a request and gives it to the client here and to the members that wait for it.
     fn complete(&mut self, now: Duration, request: RequestId, answer: Answer) {
-        let Some(open) = self.open.remove(&request) else { return };
+        let Some(open) = self.open_requests.remove(&request) else { return };
         self.answers.insert(request, answer.clone(), now + self.config.retention);
         for to in open.awaited_by {
             self.send_final_answer(now, to, request, &answer);
--- a/crates/rockflow-cluster/src/node/peer.rs
+++ b/crates/rockflow-cluster/src/node/peer.rs
@@ -14,7 +14,7 @@
     request: RequestId,
     descriptor: RequestDescriptor,
     progress: RequestProgress,
-    ends: Duration,
+    deadline: Duration,
 }
 
 impl ClusterNode {
@@ -45,12 +45,12 @@
             }
             Message::Prepare { at, descriptor } => self.on_prepare(now, from, at, descriptor),
             Message::Vote { at, incarnations, held } => {
-                let open = self.open.get_mut(&at.request);
+                let open = self.open_requests.get_mut(&at.request);
                 let event = open.and_then(|open| open.owned.on_vote(from, at, &incarnations, held.as_ref()));
                 self.apply_quorum_event(now, at.request, event);
             }
             Message::Reject { at, reason } => {
-                let open = self.open.get_mut(&at.request);
+                let open = self.open_requests.get_mut(&at.request);
                 let event = open.and_then(|open| open.owned.on_rejection(from, at, &reason));
                 self.apply_quorum_event(now, at.request, event);
             }
@@ -65,7 +65,7 @@
                 self.on_await_answer(now, from, request, descriptor);
             }
             Message::FinalAnswer { request, answer } => {
-                if self.open.get(&request).is_some_and(|open| open.has_client) {
+                if self.open_requests.get(&request).is_some_and(|open| open.has_client) {
                     self.complete(now, request, answer);
                 }
             }
@@ -78,7 +78,7 @@
             }
             Message::IncarnationSuperseded { .. } => {}
             Message::HandOver { request, descriptor, progress, left } => {
-                let handed_over = HandedOver { request, descriptor, progress, ends: now + left };
+                let handed_over = HandedOver { request, descriptor, progress, deadline: now + left };
                 self.on_hand_over(now, from, handed_over);
             }
         }
@@ -121,7 +121,8 @@
         if let Some(answer) = self.answers.get(request).cloned() {
             return self.send_final_answer(now, from.member, request, &answer);
         }
-        let Some(open) = self.open.get_mut(&request).filter(|open| open.owned.descriptor == descriptor)
+        let Some(open) =
+            self.open_requests.get_mut(&request).filter(|open| open.owned.descriptor == descriptor)
         else {
             return;
         };
@@ -133,22 +134,22 @@
         match *open.owned.phase() {
             Phase::Lost(by) if self.identity < from => {
                 let above = by.max(open.owned.ballot);
-                let ends = open.ends;
-                self.take_over(now, Takeover { request, descriptor, above, ends });
+                let deadline = open.deadline;
+                self.take_over(now, Takeover { request, descriptor, above, deadline });
             }
             _ => {}
         }
     }
 
     fn on_hand_over(&mut self, now: Duration, from: Identity, handed_over: HandedOver) {
-        let HandedOver { request, descriptor, progress, ends } = handed_over;
+        let HandedOver { request, descriptor, progress, deadline } = handed_over;
         let is_replica = self.config.replicas_of(request).contains(&self.identity.member);
-        if !is_replica || self.open.contains_key(&request) || self.is_stopping {
+        if !is_replica || self.open_requests.contains_key(&request) || self.is_stopping {
             return;
         }
         let last = progress.started_attempts.iter().map(|started| started.ballot).max();
         let above = last.unwrap_or(Ballot::first(from, 0));
-        self.take_over(now, Takeover { request, descriptor, above, ends });
+        self.take_over(now, Takeover { request, descriptor, above, deadline });
     }
 
     fn apply_quorum_event(&mut self, now: Duration, request: RequestId, event: Option<QuorumEvent>) {
@@ -159,7 +160,7 @@
             }
             QuorumEvent::MayAnswer(answer) => self.complete(now, request, answer),
             QuorumEvent::RequestMismatch => {
-                self.open.remove(&request);
+                self.open_requests.remove(&request);
                 self.outputs.push(Output::IdInUse { request });
             }
             QuorumEvent::QuorumUnavailable => self.on_quorum_unavailable(request),
@@ -169,11 +170,11 @@
     }
 
     fn on_quorum_unavailable(&mut self, request: RequestId) {
-        let Some(open) = self.open.get(&request) else { return };
+        let Some(open) = self.open_requests.get(&request) else { return };
         self.counts.quorum_unavailable += 1;
         let is_first_attempt = open.owned.progress().started_attempts.len() <= 1;
         if open.has_client && is_first_attempt && open.takeovers == 0 {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
             self.outputs.push(Output::QuorumUnavailable { request });
         }
     }
@@ -181,10 +182,10 @@
     /// Another member may own the request under this ballot: waits for its answer, or takes the request over if that
     /// member is not present.
     fn on_lost(&mut self, now: Duration, request: RequestId, by: Ballot) {
-        let Some(open) = self.open.get(&request) else { return };
+        let Some(open) = self.open_requests.get(&request) else { return };
         self.counts.takeovers_lost += u64::from(open.takeovers > 0);
         if !open.has_client && open.awaited_by.is_empty() {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
             return;
         }
         let descriptor = open.owned.descriptor;
--- a/crates/rockflow-cluster/src/node/takeover.rs
+++ b/crates/rockflow-cluster/src/node/takeover.rs
@@ -16,7 +16,7 @@
     /// The ballot that the new one must be higher than: that of the owner so far.
     pub above: Ballot,
     /// The deadline of the request, used if the request is not open here already. Nothing is executed after it.
-    pub ends: Duration,
+    pub deadline: Duration,
 }
 
 impl ClusterNode {
@@ -51,7 +51,7 @@
     /// Takes over a request whose owner is no longer present. If this member may be partitioned itself, it checks again
     /// later instead.
     pub(super) fn take_over_if_lost(&mut self, now: Duration, request: RequestId) {
-        let lost_phase = self.open.get(&request).map(|open| match open.owned.phase() {
+        let lost_phase = self.open_requests.get(&request).map(|open| match open.owned.phase() {
             Phase::Lost(by) => Some((open.owned.descriptor, *by)),
             _ => None,
         });
@@ -69,23 +69,24 @@
         if self.status(now).possibly_partitioned {
             return self.schedule(now + self.round_trips(TAKEOVER_ROUND_TRIPS), Timer::TakeOver(request));
         }
-        let ends = self.replica.request_ends(request).unwrap_or(now);
+        let deadline = self.replica.request_deadline(request).unwrap_or(now);
         // After the deadline a takeover is of no use, and replicas whose record has expired would create a new one.
-        if ends <= now && lost.is_none() {
+        if deadline <= now && lost.is_none() {
             return;
         }
-        self.take_over(now, Takeover { request, descriptor, above, ends });
+        self.take_over(now, Takeover { request, descriptor, above, deadline });
     }
 
     /// Asks the replicas to promise a ballot that is higher than that of the previous owner.
     pub(super) fn take_over(&mut self, now: Duration, takeover: Takeover) {
-        let Takeover { request, descriptor, above, ends } = takeover;
-        let before = self.open.get(&request).map(|open| (open.has_client, open.ends, open.takeovers));
-        let (has_client, ends, takeovers) = before.unwrap_or((false, ends, 0));
+        let Takeover { request, descriptor, above, deadline } = takeover;
+        let before =
+            self.open_requests.get(&request).map(|open| (open.has_client, open.deadline, open.takeovers));
+        let (has_client, deadline, takeovers) = before.unwrap_or((false, deadline, 0));
         let number = self.next_ballot();
         let owned = OwnedRequest::take_over(&self.config, request, descriptor, self.identity, number, above);
-        self.open_request(now, owned, ends, has_client);
-        if let Some(open) = self.open.get_mut(&request) {
+        self.open_request(now, owned, deadline, has_client);
+        if let Some(open) = self.open_requests.get_mut(&request) {
             open.takeovers = takeovers + 1;
         }
         self.counts.takeovers += 1;
@@ -95,14 +96,14 @@
     /// A majority has recorded that this member owns the request. If it was taken over, proceeds with it according to
     /// its recorded progress.
     pub(super) fn on_owned(&mut self, now: Duration, request: RequestId, progress: &RequestProgress) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
         if open.takeovers == 0 {
             return;
         }
         self.counts.takeovers_won += 1;
         let descriptor = open.owned.descriptor;
         let is_awaited = open.has_client || !open.awaited_by.is_empty();
-        let has_time_left = now < open.ends;
+        let has_time_left = now < open.deadline;
         let action = takeover_action(descriptor.kind, progress, is_awaited, has_time_left);
         match action {
             TakeoverAction::Answered(answer) => {
@@ -117,7 +118,7 @@
             }
             TakeoverAction::Abandon => {
                 self.counts.abandoned += 1;
-                self.open.remove(&request);
+                self.open_requests.remove(&request);
             }
             TakeoverAction::Run | TakeoverAction::RunWithIdempotencyKey => {
                 self.counts.run_again += 1;
@@ -142,7 +143,7 @@
         };
         let recorded = self.replica.records().filter(|(_, record)| is_orphaned(record));
         let mut requests: BTreeSet<_> = recorded.map(|(request, _)| *request).collect();
-        for (request, open) in &self.open {
+        for (request, open) in &self.open_requests {
             if matches!(open.owned.phase(), Phase::Lost(by) if by.identity == lost) {
                 requests.insert(*request);
             }
--- a/crates/rockflow-cluster/src/replica.rs
+++ b/crates/rockflow-cluster/src/replica.rs
@@ -40,7 +40,7 @@
 struct StoredRecord {
     record: Record,
     /// The latest known deadline of the request.
-    request_ends: Duration,
+    request_deadline: Duration,
     expires: Duration,
 }
 
@@ -114,8 +114,8 @@
     }
 
     /// The latest known deadline of a request, or `None` if the replica holds no record of it.
-    pub fn request_ends(&self, request: RequestId) -> Option<Duration> {
-        self.records.get(&request).map(|stored| stored.request_ends)
+    pub fn request_deadline(&self, request: RequestId) -> Option<Duration> {
+        self.records.get(&request).map(|stored| stored.request_deadline)
     }
 
     /// All records, by request.
@@ -174,7 +174,7 @@
             return reject(at, RejectionReason::Full);
         }
         let stored = self.entry(now + self.retention, at.request, at.ballot);
-        stored.request_ends = (now + write.left).max(stored.request_ends);
+        stored.request_deadline = (now + write.left).max(stored.request_deadline);
         stored.record.descriptor = Some(write.descriptor);
         stored.record.promised = at.ballot;
         stored.record.progress.merge(write.progress);
@@ -254,7 +254,7 @@
             .map(|(request, stored)| TransferredRecord {
                 request: *request,
                 record: stored.record.clone(),
-                left: stored.request_ends.saturating_sub(now),
+                left: stored.request_deadline.saturating_sub(now),
                 retained_for: stored.expires.saturating_sub(now),
             })
             .collect();
@@ -350,7 +350,7 @@
         let expires = now + transferred.retained_for.min(self.retention);
         let theirs = &transferred.record;
         let stored = self.entry(expires, transferred.request, theirs.promised);
-        stored.request_ends = (now + transferred.left).max(stored.request_ends);
+        stored.request_deadline = (now + transferred.left).max(stored.request_deadline);
         // The records name two different first owners, and the earlier incarnation may have voted for either. Neither
         // may continue to write; a member that takes over sees the attempts of both.
         let own = &mut stored.record;
@@ -367,7 +367,7 @@
         self.records.entry(request).or_insert_with(|| {
             expiry.insert((expires, request));
             let record = Record { descriptor: None, promised, progress: RequestProgress::default() };
-            StoredRecord { record, request_ends: Duration::ZERO, expires }
+            StoredRecord { record, request_deadline: Duration::ZERO, expires }
         })
     }
 }
