--- a/crates/rockflow-cluster/src/membership/mod.rs
+++ b/crates/rockflow-cluster/src/membership/mod.rs
@@ -14,7 +14,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
-use swim::{probe_period, settings, SeededRng, SwimMember, PROBE_ROUND_TRIPS, SUSPECT_PERIODS};
+use swim::{foca_config, probe_period, SeededRng, SwimMember, PROBE_ROUND_TRIPS, SUSPECT_PERIODS};
 
 /// The interval, in probe periods, at which a member that sees no other member announces itself to all of them.
 const ALONE_ANNOUNCE_PERIODS: u32 = 4;
@@ -92,9 +92,9 @@
 impl Membership {
     /// Creates a member that does not know yet which others are present. `seed` is that of its random numbers.
     pub fn new(config: ClusterConfig, identity: Identity, seed: u64, now: Duration) -> Membership {
-        let member = SwimMember { identity, renewals: 0 };
+        let this_member = SwimMember { identity, renewals: 0 };
         let rng = SeededRng(oorandom::Rand64::new(u128::from(seed)));
-        let swim = Foca::new(member, settings(&config, 0), rng, PostcardCodec);
+        let swim = Foca::new(this_member, foca_config(&config, 0), rng, PostcardCodec);
         Membership {
             config,
             identity,
@@ -162,10 +162,10 @@
         let configured = self.config.members.len();
         // In a large cluster frames from any one member are rare, so the limit for a single member grows with the
         // cluster. Only silence of all members indicates a partition.
-        let recent = period * (SILENT_PERIODS + configured as u32);
+        let recent_limit = period * (SILENT_PERIODS + configured as u32);
         let others = || self.config.ids().filter(|id| *id != self.identity.member);
         let silences = || others().filter_map(|id| self.silence(id, now));
-        let recent_contacts = silences().filter(|silence| *silence < recent).count();
+        let recent_contacts = silences().filter(|silence| *silence < recent_limit).count();
         let is_silent =
             configured > 1 && silences().min().is_none_or(|silence| silence > period * SILENT_PERIODS);
         MembershipStatus {
@@ -246,10 +246,10 @@
     /// Delays all timers by the time that this process was paused or not scheduled. Without this it would, on resuming,
     /// treat replies that it has not read yet as missing and declare the senders lost.
     fn compensate_for_pause(&mut self, now: Duration) {
-        let late = self.expected_call.map_or(Duration::ZERO, |by| now.saturating_sub(by));
-        if late > self.config.round_trip.mul_f64(PROBE_ROUND_TRIPS) {
-            let put_off = |Reverse((at, number)): Reverse<(Duration, u64)>| Reverse((at + late, number));
-            self.timers = std::mem::take(&mut self.timers).into_iter().map(put_off).collect();
+        let delay = self.expected_call.map_or(Duration::ZERO, |expected| now.saturating_sub(expected));
+        if delay > self.config.round_trip.mul_f64(PROBE_ROUND_TRIPS) {
+            let postpone = |Reverse((at, number)): Reverse<(Duration, u64)>| Reverse((at + delay, number));
+            self.timers = std::mem::take(&mut self.timers).into_iter().map(postpone).collect();
             self.worsen_health();
         }
         self.expected_call = None;
@@ -265,7 +265,7 @@
             return;
         }
         self.local_health = local_health;
-        let _ = self.swim.set_config(settings(&self.config, local_health));
+        let _ = self.swim.set_config(foca_config(&self.config, local_health));
     }
 
     /// Collects the messages, timers and notifications that the library has queued.
--- a/crates/rockflow-cluster/src/membership/swim.rs
+++ b/crates/rockflow-cluster/src/membership/swim.rs
@@ -77,7 +77,7 @@
 
 /// The library's settings, with times as multiples of the configured round trip. The higher the local health score, the
 /// longer a suspect has to answer.
-pub(super) fn settings(config: &ClusterConfig, local_health: u32) -> foca::Config {
+pub(super) fn foca_config(config: &ClusterConfig, local_health: u32) -> foca::Config {
     let period = probe_period(config);
     let at_least_one = |n: usize| NonZeroUsize::new(n.max(1)).expect("at least one");
     let every = |periods: u32| {
