--- a/crates/rockflow-cluster/src/replica.rs
+++ b/crates/rockflow-cluster/src/replica.rs
@@ -14,7 +14,7 @@
 
 /// Whether this incarnation has all records that its earlier incarnations held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Memory {
+enum RecoveryState {
     /// Earlier incarnations recorded nothing, or everything that they recorded has expired.
     Complete,
     /// The incarnation began with empty memory and recovers its records from other members.
@@ -65,7 +65,7 @@
     majority: usize,
     max_records: usize,
     retention: Duration,
-    memory: Memory,
+    recovery: RecoveryState,
     records: BTreeMap<RequestId, StoredRecord>,
     /// The expiry times of all records, earliest first.
     expiry: BTreeSet<(Duration, RequestId)>,
@@ -82,7 +82,7 @@
             majority: config.majority(),
             max_records: config.max_records,
             retention: config.retention,
-            memory: Memory::Recovering {
+            recovery: RecoveryState::Recovering {
                 sources: BTreeMap::new(),
                 transfers: BTreeMap::new(),
                 until: now + config.retention,
@@ -95,7 +95,7 @@
 
     /// Creates a replica of a cluster that never ran before, so that there is nothing to recover.
     pub fn of_new_cluster(config: &ClusterConfig, identity: Identity, now: Duration) -> Replica {
-        Replica { memory: Memory::Complete, ..Replica::new(config, identity, now) }
+        Replica { recovery: RecoveryState::Complete, ..Replica::new(config, identity, now) }
     }
 
     /// The number of records that the replica holds.
@@ -136,8 +136,8 @@
 
     /// Removes expired records, and ends the recovery once all records of earlier incarnations have expired.
     pub fn tick(&mut self, now: Duration) {
-        if matches!(self.memory, Memory::Recovering { until, .. } if until <= now) {
-            self.memory = Memory::Complete;
+        if matches!(self.recovery, RecoveryState::Recovering { until, .. } if until <= now) {
+            self.recovery = RecoveryState::Complete;
         }
         while let Some((at, request)) = self.expiry.first().copied().filter(|(at, _)| *at <= now) {
             self.expiry.remove(&(at, request));
@@ -147,12 +147,12 @@
 
     /// When [`Replica::tick`] is to be called next.
     pub fn next_due(&self) -> Option<Duration> {
-        let recovered = match &self.memory {
-            Memory::Complete => None,
-            Memory::Recovering { until, .. } => Some(*until),
+        let recovery_ends = match &self.recovery {
+            RecoveryState::Complete => None,
+            RecoveryState::Recovering { until, .. } => Some(*until),
         };
-        let expires = self.expiry.first().map(|(at, _)| *at);
-        [recovered, expires].into_iter().flatten().min()
+        let next_expiry = self.expiry.first().map(|(at, _)| *at);
+        [recovery_ends, next_expiry].into_iter().flatten().min()
     }
 
     /// Records the progress of a request with these replicas. Returns the vote or the rejection to reply with.
@@ -173,7 +173,7 @@
         } else if self.records.len() >= self.max_records {
             return reject(at, RejectionReason::Full);
         }
-        let stored = self.entry(now + self.retention, at.request, at.ballot);
+        let stored = self.record_entry(now + self.retention, at.request, at.ballot);
         stored.request_deadline = (now + write.left).max(stored.request_deadline);
         stored.record.descriptor = Some(write.descriptor);
         stored.record.promised = at.ballot;
@@ -203,7 +203,7 @@
         } else if self.records.len() >= self.max_records {
             return reject(at, RejectionReason::Full);
         }
-        let record = &mut self.entry(now + self.retention, at.request, at.ballot).record;
+        let record = &mut self.record_entry(now + self.retention, at.request, at.ballot).record;
         record.promised = at.ballot;
         record.descriptor = record.descriptor.or(descriptor);
         let held = Some(record.clone());
@@ -229,11 +229,11 @@
     /// has nothing to add.
     pub fn missing_sources<'a>(&'a self, config: &'a ClusterConfig) -> impl Iterator<Item = MemberId> + 'a {
         let own = self.identity.member;
-        let is_wanted = move |id: &MemberId| match &self.memory {
-            Memory::Complete => false,
-            Memory::Recovering { sources, .. } => sources.get(id) != Some(&None),
+        let is_needed = move |id: &MemberId| match &self.recovery {
+            RecoveryState::Complete => false,
+            RecoveryState::Recovering { sources, .. } => sources.get(id) != Some(&None),
         };
-        config.ids().filter(move |id| *id != own && is_wanted(id))
+        config.ids().filter(move |id| *id != own && is_needed(id))
     }
 
     /// The parts of a transfer of all records that a restarted member may have held. Its earlier incarnations count as
@@ -271,25 +271,25 @@
     /// Merges a part of a state transfer into the records. The sender counts as a source once all parts of one transfer
     /// have arrived.
     pub fn apply_state_transfer(&mut self, now: Duration, sender: MemberId, transfer: StateTransfer) {
-        if transfer.identity != self.identity || self.memory == Memory::Complete {
+        if transfer.identity != self.identity || self.recovery == RecoveryState::Complete {
             return;
         }
-        let mut has_room = true;
+        let mut is_complete = true;
         for transferred in transfer.records {
             // A record that exceeds the maximum is dropped, so the part is incomplete and its sender must not count
             // as a source.
             if self.records.len() >= self.max_records && !self.records.contains_key(&transferred.request) {
-                has_room = false;
+                is_complete = false;
                 continue;
             }
             self.merge_transferred(now, &transferred);
         }
-        let Memory::Recovering { sources, transfers, .. } = &mut self.memory else { return };
+        let RecoveryState::Recovering { sources, transfers, .. } = &mut self.recovery else { return };
         let partial = transfers.entry(sender).or_default();
         if partial.number != transfer.number {
             *partial = PartialTransfer { number: transfer.number, parts: BTreeSet::new() };
         }
-        if has_room {
+        if is_complete {
             partial.parts.insert(transfer.part);
         }
         if partial.parts.len() == usize::from(transfer.parts) {
@@ -313,7 +313,7 @@
     /// The synchronized members from which this incarnation has recovered its records, or `None` if it is synchronized
     /// itself.
     fn synchronized_sources(&self, config: &ClusterConfig) -> Option<Vec<MemberId>> {
-        let Memory::Recovering { sources, .. } = &self.memory else { return None };
+        let RecoveryState::Recovering { sources, .. } = &self.recovery else { return None };
         let synchronized: Vec<_> =
             sources.iter().filter(|(_, own_sources)| own_sources.is_none()).map(|(id, _)| *id).collect();
         // In the worst case the replicas of a request include all members that have not sent their records.
@@ -326,17 +326,19 @@
     /// replicas have sent their records, each synchronized for this request itself: every majority that contained the
     /// earlier incarnation then contains one of them.
     fn is_unsynchronized(&self, replicas: &[MemberId]) -> bool {
-        let Memory::Recovering { sources, .. } = &self.memory else { return false };
-        let is_enough = |count: usize| count > self.replica_count - self.majority;
-        let others = |of: MemberId| replicas.iter().filter(move |id| **id != of);
+        let RecoveryState::Recovering { sources, .. } = &self.recovery else { return false };
+        let intersects_majorities = |count: usize| count > self.replica_count - self.majority;
+        let other_replicas = |member: MemberId| replicas.iter().filter(move |id| **id != member);
         let is_synchronized = |sender: &MemberId| match sources.get(sender) {
             None => false,
             Some(None) => true,
             Some(Some(own_sources)) => {
-                is_enough(others(*sender).filter(|id| own_sources.contains(id)).count())
+                let synchronized_sources = other_replicas(*sender).filter(|id| own_sources.contains(id));
+                intersects_majorities(synchronized_sources.count())
             }
         };
-        !is_enough(others(self.identity.member).filter(|id| is_synchronized(id)).count())
+        let synchronized = other_replicas(self.identity.member).filter(|id| is_synchronized(id));
+        !intersects_majorities(synchronized.count())
     }
 
     /// The known incarnations of a request's other replicas, which are sent with each vote.
@@ -348,21 +350,25 @@
     fn merge_transferred(&mut self, now: Duration, transferred: &TransferredRecord) {
         let identity = self.identity;
         let expires = now + transferred.retained_for.min(self.retention);
-        let theirs = &transferred.record;
-        let stored = self.entry(expires, transferred.request, theirs.promised);
+        let received = &transferred.record;
+        let stored = self.record_entry(expires, transferred.request, received.promised);
         stored.request_deadline = (now + transferred.left).max(stored.request_deadline);
         // The records name two different first owners, and the earlier incarnation may have voted for either. Neither
         // may continue to write; a member that takes over sees the attempts of both.
         let own = &mut stored.record;
-        let is_split =
-            own.promised.round == 0 && theirs.promised.round == 0 && own.promised != theirs.promised;
-        own.promised = if is_split { Ballot::unowned(identity) } else { own.promised.max(theirs.promised) };
-        own.descriptor = own.descriptor.or(theirs.descriptor);
-        own.progress.merge(&theirs.progress);
+        let have_different_first_owners =
+            own.promised.round == 0 && received.promised.round == 0 && own.promised != received.promised;
+        own.promised = if have_different_first_owners {
+            Ballot::unowned(identity)
+        } else {
+            own.promised.max(received.promised)
+        };
+        own.descriptor = own.descriptor.or(received.descriptor);
+        own.progress.merge(&received.progress);
     }
 
     /// The record of a request. If there is none, creates one that has promised this ballot and expires at `expires`.
-    fn entry(&mut self, expires: Duration, request: RequestId, promised: Ballot) -> &mut StoredRecord {
+    fn record_entry(&mut self, expires: Duration, request: RequestId, promised: Ballot) -> &mut StoredRecord {
         let expiry = &mut self.expiry;
         self.records.entry(request).or_insert_with(|| {
             expiry.insert((expires, request));
