--- a/crates/rockflow-cluster/src/node/answers.rs
+++ b/crates/rockflow-cluster/src/node/answers.rs
@@ -30,12 +30,12 @@
     /// Retains an answer until `expires`. If there are too many, the one that expires first is removed.
     pub fn insert(&mut self, request: RequestId, answer: Answer, expires: Duration) {
         while self.answers.len() >= MAX_ANSWERS {
-            let Some((at, oldest)) = self.expiry.pop_first() else { break };
-            debug_assert!(at <= expires);
-            self.answers.remove(&oldest);
+            let Some((earliest_expiry, first_to_expire)) = self.expiry.pop_first() else { break };
+            debug_assert!(earliest_expiry <= expires);
+            self.answers.remove(&first_to_expire);
         }
-        if let Some(before) = self.answers.insert(request, RetainedAnswer { answer, expires }) {
-            self.expiry.remove(&(before.expires, request));
+        if let Some(replaced) = self.answers.insert(request, RetainedAnswer { answer, expires }) {
+            self.expiry.remove(&(replaced.expires, request));
         }
         self.expiry.insert((expires, request));
     }
--- a/crates/rockflow-cluster/src/node/client.rs
+++ b/crates/rockflow-cluster/src/node/client.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 impl ClusterNode {
-    /// A client has sent a request to this dispatcher and waits until `deadline`. An idempotent request is reported to its
-    /// replicas a little later; for others nothing is sent to the replicas before the first attempt.
+    /// A client has sent a request to this dispatcher and waits until `deadline`. An idempotent request is reported
+    /// to its replicas a little later; for others nothing is sent to the replicas before the first attempt.
     pub fn on_request(
         &mut self,
         now: Duration,
@@ -75,9 +75,11 @@
         let Some(open) = self.open_requests.get_mut(&request) else {
             return self.on_unrecorded_request_ended(now, request, kind, &answer);
         };
-        let is_untouched = open.owned.progress().started_attempts.is_empty() && open.awaited_by.is_empty();
+        let is_unstarted_and_unawaited =
+            open.owned.progress().started_attempts.is_empty() && open.awaited_by.is_empty();
         // A rejection is not retained: nothing was executed, and a client that sends the request again must be served.
-        if answer.outcome == Outcome::Rejected && is_untouched && open.owned.progress().answer.is_none() {
+        let is_answered = open.owned.progress().answer.is_some();
+        if answer.outcome == Outcome::Rejected && is_unstarted_and_unawaited && !is_answered {
             self.open_requests.remove(&request);
             return (Permission::Immediate, Vec::new());
         }
--- a/crates/rockflow-cluster/src/node/mod.rs
+++ b/crates/rockflow-cluster/src/node/mod.rs
@@ -323,8 +323,9 @@
     /// When [`ClusterNode::tick`] is to be called next.
     pub fn next_due(&self) -> Option<Duration> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let parts = [timer, self.answers.next_expiry(), self.membership.next_due(), self.replica.next_due()];
-        parts.into_iter().flatten().min()
+        let due_times =
+            [timer, self.answers.next_expiry(), self.membership.next_due(), self.replica.next_due()];
+        due_times.into_iter().flatten().min()
     }
 
     fn take_outputs(&mut self) -> Vec<Output> {
@@ -369,7 +370,7 @@
         let request = owned.request;
         let resend_after = self.round_trips(RESEND_ROUND_TRIPS);
         let awaited_by =
-            self.open_requests.remove(&request).map(|before| before.awaited_by).unwrap_or_default();
+            self.open_requests.remove(&request).map(|replaced| replaced.awaited_by).unwrap_or_default();
         let open = OpenRequest {
             owned,
             deadline,
@@ -395,32 +396,32 @@
     /// Sends the current step again to the replicas that have not voted, with a growing wait. Drops the request if its
     /// deadline has passed.
     fn resend(&mut self, now: Duration, request: RequestId) {
-        let longest = self.round_trips(MAX_RESEND_ROUND_TRIPS);
+        let max_wait = self.round_trips(MAX_RESEND_ROUND_TRIPS);
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         if open.deadline <= now {
-            let is_unsent = open.has_client && open.proposed_attempt.is_none();
+            let is_client_without_attempt = open.has_client && open.proposed_attempt.is_none();
             self.open_requests.remove(&request);
-            if is_unsent {
+            if is_client_without_attempt {
                 self.outputs.push(Output::QuorumUnavailable { request });
             }
             return;
         }
-        open.resend_after = (2 * open.resend_after).min(longest);
-        let next = now + open.resend_after;
+        open.resend_after = (2 * open.resend_after).min(max_wait);
+        let next_resend = now + open.resend_after;
         let descriptor = open.owned.descriptor;
         let lost_to = match open.owned.phase() {
-            Phase::Lost(by) => Some(*by),
+            Phase::Lost(ballot) => Some(*ballot),
             _ => None,
         };
         match lost_to {
-            Some(by) if self.is_owner_present(by) => {
-                self.send(now, by.identity.member, Message::AwaitAnswer { request, descriptor });
+            Some(ballot) if self.is_owner_present(ballot) => {
+                self.send(now, ballot.identity.member, Message::AwaitAnswer { request, descriptor });
             }
             Some(_) => self.take_over_if_lost(now, request),
             None => self.send_pending(now, request),
         }
         if self.open_requests.contains_key(&request) {
-            self.schedule(next, Timer::Resend(request));
+            self.schedule(next_resend, Timer::Resend(request));
         }
     }
 
--- a/crates/rockflow-cluster/src/node/peer.rs
+++ b/crates/rockflow-cluster/src/node/peer.rs
@@ -132,8 +132,8 @@
         // Two members that each kept the other from a majority would wait for each other's answer forever. The one with
         // the lower identity takes over.
         match *open.owned.phase() {
-            Phase::Lost(by) if self.identity < from => {
-                let above = by.max(open.owned.ballot);
+            Phase::Lost(ballot) if self.identity < from => {
+                let above = ballot.max(open.owned.ballot);
                 let deadline = open.deadline;
                 self.take_over(now, Takeover { request, descriptor, above, deadline });
             }
@@ -147,8 +147,8 @@
         if !is_replica || self.open_requests.contains_key(&request) || self.is_stopping {
             return;
         }
-        let last = progress.started_attempts.iter().map(|started| started.ballot).max();
-        let above = last.unwrap_or(Ballot::first(from, 0));
+        let highest_ballot = progress.started_attempts.iter().map(|started| started.ballot).max();
+        let above = highest_ballot.unwrap_or(Ballot::first(from, 0));
         self.take_over(now, Takeover { request, descriptor, above, deadline });
     }
 
@@ -164,7 +164,7 @@
                 self.outputs.push(Output::IdInUse { request });
             }
             QuorumEvent::QuorumUnavailable => self.on_quorum_unavailable(request),
-            QuorumEvent::Lost(by) => self.on_lost(now, request, by),
+            QuorumEvent::Lost(ballot) => self.on_lost(now, request, ballot),
             QuorumEvent::Owned(progress) => self.on_owned(now, request, &progress),
         }
     }
@@ -181,7 +181,7 @@
 
     /// Another member may own the request under this ballot: waits for its answer, or takes the request over if that
     /// member is not present.
-    fn on_lost(&mut self, now: Duration, request: RequestId, by: Ballot) {
+    fn on_lost(&mut self, now: Duration, request: RequestId, ballot: Ballot) {
         let Some(open) = self.open_requests.get(&request) else { return };
         self.counts.takeovers_lost += u64::from(open.takeovers > 0);
         if !open.has_client && open.awaited_by.is_empty() {
@@ -191,8 +191,8 @@
         let descriptor = open.owned.descriptor;
         self.counts.owned_elsewhere += 1;
         self.outputs.push(Output::OwnedElsewhere { request });
-        if self.is_owner_present(by) {
-            self.send(now, by.identity.member, Message::AwaitAnswer { request, descriptor });
+        if self.is_owner_present(ballot) {
+            self.send(now, ballot.identity.member, Message::AwaitAnswer { request, descriptor });
         } else {
             self.take_over_if_lost(now, request);
         }
--- a/crates/rockflow-cluster/src/node/takeover.rs
+++ b/crates/rockflow-cluster/src/node/takeover.rs
@@ -51,19 +51,19 @@
     /// Takes over a request whose owner is no longer present. If this member may be partitioned itself, it checks again
     /// later instead.
     pub(super) fn take_over_if_lost(&mut self, now: Duration, request: RequestId) {
-        let lost_phase = self.open_requests.get(&request).map(|open| match open.owned.phase() {
-            Phase::Lost(by) => Some((open.owned.descriptor, *by)),
+        let open = self.open_requests.get(&request);
+        let lost = open.and_then(|open| match open.owned.phase() {
+            Phase::Lost(ballot) => Some((open.owned.descriptor, *ballot)),
             _ => None,
         });
-        let is_own = lost_phase == Some(None);
-        let lost = lost_phase.flatten();
+        let is_open_and_not_lost = open.is_some() && lost.is_none();
         let recorded = self.replica.get(request).filter(|record| record.progress.answer.is_none());
         let recorded = recorded.and_then(|record| Some((record.descriptor?, record.promised)));
         let latest = recorded.into_iter().chain(lost).max_by_key(|(_, ballot)| *ballot);
         let Some((descriptor, above)) = latest else { return };
         // A request that is recorded under a ballot of this member, but is not open here, was abandoned and may be
         // taken over.
-        if is_own || self.is_stopping || self.is_owner_present(above) {
+        if is_open_and_not_lost || self.is_stopping || self.is_owner_present(above) {
             return;
         }
         if self.status(now).possibly_partitioned {
@@ -80,9 +80,9 @@
     /// Asks the replicas to promise a ballot that is higher than that of the previous owner.
     pub(super) fn take_over(&mut self, now: Duration, takeover: Takeover) {
         let Takeover { request, descriptor, above, deadline } = takeover;
-        let before =
+        let previous =
             self.open_requests.get(&request).map(|open| (open.has_client, open.deadline, open.takeovers));
-        let (has_client, deadline, takeovers) = before.unwrap_or((false, deadline, 0));
+        let (has_client, deadline, takeovers) = previous.unwrap_or((false, deadline, 0));
         let number = self.next_ballot();
         let owned = OwnedRequest::take_over(&self.config, request, descriptor, self.identity, number, above);
         self.open_request(now, owned, deadline, has_client);
@@ -144,7 +144,7 @@
         let recorded = self.replica.records().filter(|(_, record)| is_orphaned(record));
         let mut requests: BTreeSet<_> = recorded.map(|(request, _)| *request).collect();
         for (request, open) in &self.open_requests {
-            if matches!(open.owned.phase(), Phase::Lost(by) if by.identity == lost) {
+            if matches!(open.owned.phase(), Phase::Lost(ballot) if ballot.identity == lost) {
                 requests.insert(*request);
             }
         }
--- a/crates/rockflow-cluster/src/owned_request.rs
+++ b/crates/rockflow-cluster/src/owned_request.rs
@@ -170,8 +170,8 @@
             }
             Phase::Lost(_) | Phase::RequestMismatch => return Vec::new(),
         };
-        let missing = self.replicas.iter().filter(|id| !self.votes.has(**id));
-        missing.map(|id| (*id, message.clone())).collect()
+        let without_vote = self.replicas.iter().filter(|id| !self.votes.has(**id));
+        without_vote.map(|id| (*id, message.clone())).collect()
     }
 
     /// Counts a replica's vote. Returns what the votes permit now, or `None` if this vote changes nothing.
@@ -187,15 +187,15 @@
         }
         self.rejections.remove(&voter.member);
         self.votes.add(voter, incarnations);
-        if let (Phase::TakingOver(found), Some(held)) = (&mut self.phase, held) {
-            found.merge(&held.progress);
+        if let (Phase::TakingOver(recorded), Some(held)) = (&mut self.phase, held) {
+            recorded.merge(&held.progress);
         }
         if self.has_quorum || self.votes.count() < self.majority {
             return None;
         }
         self.has_quorum = true;
-        if let Phase::TakingOver(found) = &mut self.phase {
-            self.progress = std::mem::take(found);
+        if let Phase::TakingOver(recorded) = &mut self.phase {
+            self.progress = std::mem::take(recorded);
             self.phase = Phase::Owning;
             return Some(QuorumEvent::Owned(self.progress.clone()));
         }
@@ -231,9 +231,9 @@
             return None;
         }
         Some(match self.rejections.values().flatten().max().copied() {
-            Some(by) => {
-                self.phase = Phase::Lost(by);
-                QuorumEvent::Lost(by)
+            Some(ballot) => {
+                self.phase = Phase::Lost(ballot);
+                QuorumEvent::Lost(ballot)
             }
             None => QuorumEvent::QuorumUnavailable,
         })
