--- a/crates/rockflow-cluster/tests/model.rs
+++ b/crates/rockflow-cluster/tests/model.rs
@@ -1,7 +1,7 @@
-//! A model check of every course of events of a small cluster, to a depth: two dispatchers that both come to own one
-//! at-most-once request, its replicas, frames that are lost, late, duplicated and overtaken, an owner that is paused at any
-//! point (also between the permission to send and sending) and resumes, replicas that restart with empty memory. What is
-//! checked is the code that runs, not a copy of it.
+//! A model check of all sequences of events, up to a depth, in a small cluster: two dispatchers that both try to own
+//! one at-most-once request, and its replicas. Frames are lost, late, duplicated and reordered; an owner may pause at
+//! any point, also between the permission to send and sending; replicas restart with empty memory. The model runs the
+//! production state machines, not a reimplementation.
 
 use rockflow_cluster::replica::WriteRequest;
 use rockflow_cluster::{
@@ -15,19 +15,27 @@
 
 const REQUEST: RequestId = RequestId(7);
 const NOW: Duration = Duration::ZERO;
-const LONGEST_WALK: usize = 60;
 
-/// A safety rule that is left out on purpose, to see that the check finds it.
+/// Names of the checked properties.
+const NEVER_EXECUTED_TWICE: &str = "never executed twice";
+const NEVER_TWO_ANSWERS: &str = "never two answers";
+const EXECUTED_AND_ANSWERED: &str = "executed and answered";
+/// The maximum number of actions in a random walk.
+const MAX_WALK_ACTIONS: usize = 60;
+/// The member id of the first dispatcher. The dispatchers are no members of the configured cluster.
+const FIRST_DISPATCHER: u16 = 10;
+
+/// A safety rule that the model breaks on purpose, to test that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Flaw {
     None,
-    /// A replica that began with empty memory votes at once.
+    /// A replica that restarted with empty memory votes before it has recovered its records.
     VotesWithoutMemory,
     /// Votes of superseded incarnations still count.
     CountsSupersededVotes,
-    /// A successor runs what may have executed.
+    /// A successor executes a request that may have executed already.
     RunsStartedAttempts,
-    /// An attempt is sent before a majority knows of it.
+    /// An attempt is sent before a majority has recorded it.
     SendsBeforeQuorum,
     /// An answer is given before a majority has recorded it.
     EarlyAnswer,
@@ -37,19 +45,20 @@
 struct World {
     config: ClusterConfig,
     flaw: Flaw,
-    restarts: u8,
-    /// Takeovers that each dispatcher may begin.
-    takeovers: u8,
+    /// The maximum number of restarts of replicas.
+    max_restarts: u8,
+    /// The maximum number of takeovers that each dispatcher may begin.
+    max_takeovers: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct Dispatcher {
     owned: Option<OwnedRequest>,
-    /// Permitted to send, and not sent yet.
+    /// Whether it has a permission to send that it has not used yet.
     may_send: bool,
     waits_for_host: bool,
     takeovers: u8,
-    /// The latest ballot that it lost to.
+    /// The last ballot to which it lost the request.
     lost_to: Option<Ballot>,
 }
 
@@ -59,18 +68,37 @@
     identities: Vec<Identity>,
     restarts: u8,
     dispatchers: Vec<Dispatcher>,
-    /// Whatever was ever sent may arrive, at any time and again.
-    frames: BTreeSet<(MemberId, MemberId, Identity, Message)>,
-    runs: u8,
+    /// Every frame that was ever sent. Each may arrive at any time, and more than once.
+    frames: BTreeSet<Frame>,
+    /// The number of times that a host has executed the request.
+    executions: u8,
+    /// The different final answers that were given.
     answers: BTreeSet<Answer>,
 }
 
+/// A message on its way. The order of the fields is the order in which random walks choose from the frames, so the
+/// seeds of the tests depend on it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Frame {
+    sender: MemberId,
+    to: MemberId,
+    from: Identity,
+    message: Message,
+}
+
+impl Frame {
+    fn new(from: Identity, to: MemberId, message: Message) -> Frame {
+        Frame { sender: from.member, to, from, message }
+    }
+}
+
+/// A transition of the model. Dispatchers and replicas are given by their index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
-    Deliver(MemberId, MemberId, Identity, Message),
-    /// The same, and the replica's reply arrives at once.
-    DeliverAndReply(MemberId, MemberId, Identity, Message),
-    ClientAsks(usize),
+enum Action {
+    Deliver(Frame),
+    /// Delivers a frame to a replica and its reply to the sender at once.
+    DeliverAndReply(Frame),
+    ClientRequest(usize),
     TakeOver(usize),
     Send(usize),
     HostAnswers(usize),
@@ -86,9 +114,9 @@
 }
 
 impl World {
-    /// Replicas are members 0.., dispatchers follow them.
-    fn new(flaw: Flaw, restarts: u8, takeovers: u8) -> World {
-        let mut config = ClusterConfig {
+    /// A cluster of three members, all of which are replicas of the request. The two dispatchers only send to them.
+    fn new(flaw: Flaw, max_restarts: u8, max_takeovers: u8) -> World {
+        let config = ClusterConfig {
             members: (0..3).map(|n| format!("n{n}")).collect(),
             replicas: 3,
             retention: Duration::from_secs(60),
@@ -96,26 +124,25 @@
             max_records: 10,
             max_body_bytes: 10,
         };
-        // All three are replicas of the request; two more members only send it.
-        config.replicas = 3;
-        World { config, flaw, restarts, takeovers }
+        World { config, flaw, max_restarts, max_takeovers }
     }
 
-    fn dispatcher(&self, n: usize) -> Identity {
-        Identity { member: MemberId(10 + n as u16), incarnation: Incarnation(1) }
+    fn dispatcher(&self, index: usize) -> Identity {
+        Identity { member: MemberId(FIRST_DISPATCHER + index as u16), incarnation: Incarnation(1) }
     }
 
-    fn send_pending(&self, state: &mut State, n: usize) {
-        let me = self.dispatcher(n);
-        let pending = state.dispatchers[n]
-            .owned
-            .iter()
-            .flat_map(|owned| owned.pending_messages(Duration::ZERO))
-            .collect::<Vec<_>>();
-        state.frames.extend(pending.into_iter().map(|(to, message)| (me.member, to, me, message)));
+    fn is_replica(&self, member: MemberId) -> bool {
+        usize::from(member.0) < self.config.members.len()
     }
 
-    /// What a replica does with a frame, and what it replies.
+    fn send_pending(&self, state: &mut State, index: usize) {
+        let from = self.dispatcher(index);
+        let owned = state.dispatchers[index].owned.iter();
+        let pending: Vec<_> = owned.flat_map(|owned| owned.pending_messages(Duration::ZERO)).collect();
+        state.frames.extend(pending.into_iter().map(|(to, message)| Frame::new(from, to, message)));
+    }
+
+    /// Handles a message at a replica and returns its replies.
     fn reply(&self, replica: &mut Replica, from: Identity, message: Message) -> Vec<Message> {
         let ids = self.config.replicas_of(REQUEST);
         match message {
@@ -137,8 +164,8 @@
         }
     }
 
-    fn receive_vote(&self, state: &mut State, n: usize, voter: Identity, message: &Message) {
-        let dispatcher = &mut state.dispatchers[n];
+    fn receive_vote(&self, state: &mut State, index: usize, voter: Identity, message: &Message) {
+        let dispatcher = &mut state.dispatchers[index];
         let Some(owned) = &mut dispatcher.owned else { return };
         let event = match message {
             Message::Vote { at, incarnations, held } => {
@@ -159,7 +186,7 @@
                 owned.propose_answer(answer(Outcome::Failed));
             }
             Some(QuorumEvent::Owned(_)) => {
-                owned.propose_attempt(0, n as u64);
+                owned.propose_attempt(0, index as u64);
                 dispatcher.may_send = self.flaw == Flaw::SendsBeforeQuorum;
             }
             Some(QuorumEvent::MaySend(_)) => dispatcher.may_send = true,
@@ -169,13 +196,18 @@
             Some(QuorumEvent::Lost(ballot)) => dispatcher.lost_to = Some(ballot),
             Some(QuorumEvent::RequestMismatch | QuorumEvent::QuorumUnavailable) | None => {}
         }
-        self.send_pending(state, n);
+        self.send_pending(state, index);
     }
 }
 
+/// The index of the dispatcher with this member id.
+fn dispatcher_index(member: MemberId) -> usize {
+    usize::from(member.0 - FIRST_DISPATCHER)
+}
+
 impl Model for World {
     type State = State;
-    type Action = Step;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let identities: Vec<_> =
@@ -189,94 +221,94 @@
             restarts: 0,
             dispatchers: vec![Dispatcher::default(); 2],
             frames: BTreeSet::new(),
-            runs: 0,
+            executions: 0,
             answers: BTreeSet::new(),
         }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        for (from, to, identity, message) in &state.frames {
-            actions.push(Step::Deliver(*from, *to, *identity, message.clone()));
-            if usize::from(to.0) < self.config.members.len()
-                && matches!(message, Message::Write { .. } | Message::Prepare { .. })
-            {
-                actions.push(Step::DeliverAndReply(*from, *to, *identity, message.clone()));
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for frame in &state.frames {
+            actions.push(Action::Deliver(frame.clone()));
+            let needs_reply = matches!(frame.message, Message::Write { .. } | Message::Prepare { .. });
+            if self.is_replica(frame.to) && needs_reply {
+                actions.push(Action::DeliverAndReply(frame.clone()));
             }
         }
-        for (n, dispatcher) in state.dispatchers.iter().enumerate() {
+        for (index, dispatcher) in state.dispatchers.iter().enumerate() {
+            let may_take_over = dispatcher.takeovers < self.max_takeovers;
             match &dispatcher.owned {
                 None => {
-                    actions.push(Step::ClientAsks(n));
-                    if dispatcher.takeovers < self.takeovers {
-                        actions.push(Step::TakeOver(n));
+                    actions.push(Action::ClientRequest(index));
+                    if may_take_over {
+                        actions.push(Action::TakeOver(index));
                     }
                 }
-                Some(owned)
-                    if matches!(owned.phase(), Phase::Lost(_)) && dispatcher.takeovers < self.takeovers =>
-                {
-                    actions.push(Step::TakeOver(n));
+                Some(owned) if matches!(owned.phase(), Phase::Lost(_)) && may_take_over => {
+                    actions.push(Action::TakeOver(index));
                 }
                 Some(_) => {}
             }
             if dispatcher.may_send {
-                actions.push(Step::Send(n));
+                actions.push(Action::Send(index));
             }
             if dispatcher.waits_for_host {
-                actions.push(Step::HostAnswers(n));
+                actions.push(Action::HostAnswers(index));
             }
         }
-        if state.restarts < self.restarts {
-            actions.extend((0..state.replicas.len()).map(Step::Restart));
+        if state.restarts < self.max_restarts {
+            actions.extend((0..state.replicas.len()).map(Action::Restart));
         }
     }
 
-    fn next_state(&self, last: &State, action: Step) -> Option<State> {
-        let mut state = last.clone();
+    fn next_state(&self, previous: &State, action: Action) -> Option<State> {
+        let mut state = previous.clone();
         match action {
-            Step::Deliver(_, to, from, message) if usize::from(to.0) < self.config.members.len() => {
-                let at = usize::from(to.0);
-                let (replica, me) = (&mut state.replicas[at], state.identities[at]);
-                let replies = self.reply(replica, from, message);
-                state.frames.extend(replies.into_iter().map(|reply| (me.member, from.member, me, reply)));
+            Action::Deliver(Frame { from, to, message, .. }) if self.is_replica(to) => {
+                let index = usize::from(to.0);
+                let (replica, identity) = (&mut state.replicas[index], state.identities[index]);
+                let replies = self.reply(replica, from, message).into_iter();
+                let frames = replies.map(|message| Frame::new(identity, from.member, message));
+                state.frames.extend(frames);
             }
-            Step::DeliverAndReply(_, to, from, message) => {
-                let me = state.identities[usize::from(to.0)];
+            Action::DeliverAndReply(Frame { from, to, message, .. }) => {
+                let identity = state.identities[usize::from(to.0)];
                 let replies = self.reply(&mut state.replicas[usize::from(to.0)], from, message);
-                for reply in replies {
-                    self.receive_vote(&mut state, usize::from(from.member.0) - 10, me, &reply);
-                    state.frames.insert((me.member, from.member, me, reply));
+                for message in replies {
+                    self.receive_vote(&mut state, dispatcher_index(from.member), identity, &message);
+                    state.frames.insert(Frame::new(identity, from.member, message));
                 }
             }
-            Step::Deliver(_, to, from, message) => {
-                self.receive_vote(&mut state, usize::from(to.0) - 10, from, &message);
+            Action::Deliver(Frame { from, to, message, .. }) => {
+                self.receive_vote(&mut state, dispatcher_index(to), from, &message);
             }
-            Step::ClientAsks(n) => {
+            Action::ClientRequest(index) => {
                 let mut owned =
-                    OwnedRequest::first_owner(&self.config, REQUEST, descriptor(), self.dispatcher(n), 1);
-                owned.propose_attempt(0, n as u64);
-                state.dispatchers[n].owned = Some(owned);
-                state.dispatchers[n].may_send = self.flaw == Flaw::SendsBeforeQuorum;
-                self.send_pending(&mut state, n);
+                    OwnedRequest::first_owner(&self.config, REQUEST, descriptor(), self.dispatcher(index), 1);
+                owned.propose_attempt(0, index as u64);
+                state.dispatchers[index].owned = Some(owned);
+                state.dispatchers[index].may_send = self.flaw == Flaw::SendsBeforeQuorum;
+                self.send_pending(&mut state, index);
             }
-            Step::TakeOver(n) => {
-                let me = self.dispatcher(n);
-                let above = state.dispatchers[n].lost_to.unwrap_or(Ballot::first(me, 0));
-                let dispatcher = &mut state.dispatchers[n];
+            Action::TakeOver(index) => {
+                let successor = self.dispatcher(index);
+                let above = state.dispatchers[index].lost_to.unwrap_or(Ballot::first(successor, 0));
+                let dispatcher = &mut state.dispatchers[index];
                 dispatcher.takeovers += 1;
                 let number = 1 + u64::from(dispatcher.takeovers);
-                // What it still has in flight under its lost ballot goes on.
-                dispatcher.owned =
-                    Some(OwnedRequest::take_over(&self.config, REQUEST, descriptor(), me, number, above));
-                self.send_pending(&mut state, n);
+                // An attempt that was permitted or sent under the lost ballot continues.
+                let owned =
+                    OwnedRequest::take_over(&self.config, REQUEST, descriptor(), successor, number, above);
+                dispatcher.owned = Some(owned);
+                self.send_pending(&mut state, index);
             }
-            Step::Send(n) => {
-                state.runs += 1;
-                state.dispatchers[n].may_send = false;
-                state.dispatchers[n].waits_for_host = true;
+            Action::Send(index) => {
+                state.executions += 1;
+                state.dispatchers[index].may_send = false;
+                state.dispatchers[index].waits_for_host = true;
             }
-            Step::HostAnswers(n) => {
-                state.dispatchers[n].waits_for_host = false;
-                let owned = state.dispatchers[n].owned.as_mut()?;
+            Action::HostAnswers(index) => {
+                state.dispatchers[index].waits_for_host = false;
+                let owned = state.dispatchers[index].owned.as_mut()?;
                 if !matches!(owned.phase(), Phase::Owning) {
                     return Some(state);
                 }
@@ -284,35 +316,35 @@
                 if self.flaw == Flaw::EarlyAnswer {
                     state.answers.insert(answer(Outcome::Succeeded));
                 }
-                self.send_pending(&mut state, n);
+                self.send_pending(&mut state, index);
             }
-            Step::Restart(at) => {
+            Action::Restart(index) => {
                 state.restarts += 1;
                 let identity = Identity {
-                    incarnation: Incarnation(state.identities[at].incarnation.0 + 1),
-                    ..state.identities[at]
+                    incarnation: Incarnation(state.identities[index].incarnation.0 + 1),
+                    ..state.identities[index]
                 };
-                state.identities[at] = identity;
-                state.replicas[at] = match self.flaw {
+                state.identities[index] = identity;
+                state.replicas[index] = match self.flaw {
                     Flaw::VotesWithoutMemory => Replica::of_new_cluster(&self.config, identity, NOW),
                     _ => Replica::new(&self.config, identity, NOW),
                 };
                 let others = self.config.ids().filter(|id| *id != identity.member);
-                state.frames.extend(others.map(|to| {
-                    (identity.member, to, identity, Message::RequestStateTransfer { identity, number: 1 })
-                }));
+                let message = Message::RequestStateTransfer { identity, number: 1 };
+                let frames = others.map(|to| Frame::new(identity, to, message.clone()));
+                state.frames.extend(frames);
             }
         }
-        (state != *last).then_some(state)
+        (state != *previous).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never run twice", |_, state: &State| state.runs < 2),
-            Property::always("never two answers", |_, state: &State| state.answers.len() < 2),
+            Property::always(NEVER_EXECUTED_TWICE, |_, state: &State| state.executions < 2),
+            Property::always(NEVER_TWO_ANSWERS, |_, state: &State| state.answers.len() < 2),
             // Guards against a model in which nothing ever happens.
-            Property::sometimes("run and answered", |_, state: &State| {
-                state.runs == 1 && state.answers.contains(&answer(Outcome::Succeeded))
+            Property::sometimes(EXECUTED_AND_ANSWERED, |_, state: &State| {
+                state.executions == 1 && state.answers.contains(&answer(Outcome::Succeeded))
             }),
             Property::sometimes("ended after a takeover", |_, state: &State| {
                 state.answers.contains(&answer(Outcome::Failed))
@@ -321,67 +353,78 @@
     }
 }
 
-/// Returns what was found, and how many states were seen.
-fn check(world: World, depth: usize) -> (BTreeSet<&'static str>, usize) {
+/// The result of checking all sequences of actions up to a depth.
+struct CheckResult {
+    /// The names of the `always` properties that are violated and of the `sometimes` properties that have an example.
+    discoveries: BTreeSet<&'static str>,
+    /// The number of different states that were reached.
+    states: usize,
+}
+
+fn check(world: World, depth: usize) -> CheckResult {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let checker = world.checker().threads(threads).target_max_depth(depth).spawn_bfs().join();
-    let found = checker.discoveries().into_keys().collect();
-    (found, checker.unique_state_count())
+    let discoveries = checker.discoveries().into_keys().collect();
+    CheckResult { discoveries, states: checker.unique_state_count() }
 }
 
-fn deeper() -> usize {
-    std::env::var("ROCKFLOW_DEEPER").map_or(0, |more| more.parse().expect("a number"))
+/// The number of actions by which `ROCKFLOW_DEEPER` extends the checked depth.
+fn extra_depth() -> usize {
+    std::env::var("ROCKFLOW_DEEPER").map_or(0, |text| text.parse().expect("a number"))
 }
 
 #[test_case(0, 1, 9; "a takeover")]
 #[test_case(1, 1, 8; "a takeover, a replica that restarts")]
-fn no_request_runs_twice_or_gets_two_answers(restarts: u8, takeovers: u8, depth: usize) {
-    let depth = depth + deeper();
-    let (found, states) = check(World::new(Flaw::None, restarts, takeovers), depth);
-    println!("{states} states to depth {depth}: {found:?}");
-    assert!(!found.contains("never run twice") && !found.contains("never two answers"), "{found:?}");
-    assert!(found.contains("run and answered") || depth < 9, "{found:?}");
+fn request_is_never_executed_twice_or_given_two_answers(restarts: u8, takeovers: u8, depth: usize) {
+    let depth = depth + extra_depth();
+    let CheckResult { discoveries, states } = check(World::new(Flaw::None, restarts, takeovers), depth);
+    println!("{states} states to depth {depth}: {discoveries:?}");
+    assert!(!discoveries.contains(NEVER_EXECUTED_TWICE), "{discoveries:?}");
+    assert!(!discoveries.contains(NEVER_TWO_ANSWERS), "{discoveries:?}");
+    assert!(discoveries.contains(EXECUTED_AND_ANSWERED) || depth < 9, "{discoveries:?}");
 }
 
-/// Guards against a check that finds nothing because it looks at nothing: each rule that is left out shows. The rules on
-/// lost memory need long courses of events, which are drawn at random.
+/// Guards against a check that passes because it checks nothing: breaking any safety rule must violate a property. The
+/// rules on lost memory only fail after long sequences of actions, which random walks provide.
 #[test_case(Flaw::RunsStartedAttempts, 0, 1)]
 #[test_case(Flaw::SendsBeforeQuorum, 0, 1)]
 #[test_case(Flaw::EarlyAnswer, 0, 1)]
 #[test_case(Flaw::VotesWithoutMemory, 1, 1)]
-#[test_case(Flaw::CountsSupersededVotes, 1, 61_000; "rare, so from a seed that is near it on")]
-fn missing_safety_rule_is_found(flaw: Flaw, restarts: u8, first: u64) {
+#[test_case(Flaw::CountsSupersededVotes, 1, 61_000; "rare failure, so from a seed shortly before it")]
+fn broken_safety_rule_is_detected(flaw: Flaw, restarts: u8, first_seed: u64) {
     let world = World::new(flaw, restarts, 1);
-    let found = (first..first + 1000).find(|seed| walk(&world, *seed).iter().any(wrong));
-    println!("{flaw:?}: found by walk {found:?}");
-    assert!(found.is_some(), "{flaw:?}");
+    let seed =
+        (first_seed..first_seed + 1000).find(|seed| random_walk(&world, *seed).iter().any(violates_safety));
+    println!("{flaw:?}: detected by the walk with seed {seed:?}");
+    assert!(seed.is_some(), "{flaw:?}");
 }
 
-fn wrong(state: &State) -> bool {
-    state.runs > 1 || state.answers.len() > 1
+fn violates_safety(state: &State) -> bool {
+    state.executions > 1 || state.answers.len() > 1
 }
 
-/// Courses of events that are too long to look at all of them: two restarts, and takeovers on takeovers. `ROCKFLOW_WALKS` plays more.
+/// Sequences of actions that are too long to check all of them: several restarts, and takeovers of takeovers.
+/// `ROCKFLOW_WALKS` sets the number of walks.
 #[test_case(1, 1)]
 #[test_case(2, 2)]
-fn long_walks_find_nothing(restarts: u8, takeovers: u8) {
+fn long_random_walks_violate_no_safety_rule(restarts: u8, takeovers: u8) {
     let walks = std::env::var("ROCKFLOW_WALKS").map_or(500, |text| text.parse().expect("a number"));
     let world = World::new(Flaw::None, restarts, takeovers);
     for seed in 1..=walks {
-        let states = walk(&world, seed);
-        assert!(!states.iter().any(wrong), "walk {seed}");
+        let states = random_walk(&world, seed);
+        assert!(!states.iter().any(violates_safety), "seed {seed}");
     }
     println!(
-        "{walks} walks of {LONGEST_WALK} steps, {restarts} restarts, {takeovers} takeovers each: nothing"
+        "{walks} walks of {MAX_WALK_ACTIONS} actions, {restarts} restarts, {takeovers} takeovers each: no violation"
     );
 }
 
-/// One course of events drawn at random; the states that it passes through.
-fn walk(world: &World, seed: u64) -> Vec<State> {
+/// Takes random actions and returns the states reached, in order.
+fn random_walk(world: &World, seed: u64) -> Vec<State> {
     let mut rng = oorandom::Rand64::new(u128::from(seed));
     let (mut states, mut actions) = (world.init_states(), Vec::new());
-    for _ in 0..LONGEST_WALK {
-        let state = states.last().expect("one at least");
+    for _ in 0..MAX_WALK_ACTIONS {
+        let state = states.last().expect("the initial state");
         actions.clear();
         world.actions(state, &mut actions);
         let action = actions.swap_remove(rng.rand_range(0..actions.len() as u64) as usize);
