--- a/crates/rockflow-cluster-simulation/src/faults.rs
+++ b/crates/rockflow-cluster-simulation/src/faults.rs
@@ -1,21 +1,21 @@
-//! What goes wrong in a schedule.
+//! The faults that a schedule injects.
 
-/// The faults of the busy part of a schedule.
+/// The faults that are injected while requests are sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Processes that are killed, each at a time of its own.
+    /// The number of kills, each of a random process at a random time.
     pub kills: usize,
-    /// Processes that are killed at the same instant.
+    /// The number of processes that are killed at the same time.
     pub simultaneous_kills: usize,
-    /// Processes that are paused for a while.
+    /// The number of pauses, each of a random process for a random time.
     pub pauses: usize,
-    /// Paths that are cut for a while, half of them both ways.
+    /// The number of cuts, each of a path between two random processes for a random time; about half are both ways.
     pub cuts: usize,
-    /// The share of frames that are lost.
+    /// The fraction of frames that are lost, from 0 to 1.
     pub lost: f64,
-    /// The share of frames that are duplicated.
+    /// The fraction of frames that are delivered twice, from 0 to 1.
     pub duplicated: f64,
-    /// The share of frames that are up to a second late.
+    /// The fraction of frames that are delayed by up to a second, from 0 to 1.
     pub late: f64,
 }
 
--- a/crates/rockflow-cluster-simulation/src/lib.rs
+++ b/crates/rockflow-cluster-simulation/src/lib.rs
@@ -1,7 +1,7 @@
-//! Seeded schedules of a cluster in virtual time: members that are killed, restarted with empty memory, paused and
-//! resumed, cut off one way or both; frames that are lost, late, duplicated and overtaken; clients that ask again
-//! elsewhere under the same id. The state machine under test is the one that runs; what must never happen is counted by
-//! what hosts and clients observed.
+//! Simulates clusters in virtual time, by seeded schedules of requests and faults. Members are killed, restart with
+//! empty memory, are paused and resumed, and paths between them are cut one way or both; frames are lost, late,
+//! duplicated and reordered; clients retry at another dispatcher under the same request id. The state machine under
+//! test is the production code. Safety violations are detected from what hosts and clients observe.
 
 pub mod faults;
 pub mod summary;
--- a/crates/rockflow-cluster-simulation/src/main.rs
+++ b/crates/rockflow-cluster-simulation/src/main.rs
@@ -1,4 +1,5 @@
-//! Plays schedules of a cluster in virtual time and prints what they came to, as a table and as lines of JSON.
+//! Simulates schedules of a cluster in virtual time and prints a summary for each cluster size, as a table and as lines
+//! of JSON.
 
 use clap::Parser;
 use rockflow_cluster_simulation::{Faults, Row, Summary, ROUGH};
@@ -6,28 +7,28 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Seeded schedules of a cluster in virtual time: kills, pauses, cuts, lost, duplicated and late frames
+/// Simulates a cluster in virtual time under kills, pauses, cut paths, and lost, duplicated and late frames
 #[derive(Parser)]
 struct Arguments {
-    /// Members and replicas of each row, as 5:3
+    /// Cluster sizes to simulate, each as MEMBERS:REPLICAS, for example 5:3
     #[arg(long, value_delimiter = ',', default_value = "3:3,5:3,7:5,9:3", value_parser = parse_size)]
     rows: Vec<ClusterSize>,
-    /// Schedules of each row
+    /// Number of schedules for each cluster size
     #[arg(long, default_value_t = 1000)]
     schedules: u64,
-    /// The first seed
+    /// Seed of the first schedule; each further schedule uses the next seed
     #[arg(long, default_value_t = 0)]
     seed: u64,
-    /// Requests sent in each schedule
+    /// Number of requests sent in each schedule
     #[arg(long = "calls", default_value_t = 40)]
     requests: u64,
-    /// The share of the members that are killed at the same instant
+    /// Fraction of the members that are killed at the same time, from 0 to 1
     #[arg(long = "at-once", default_value_t = 0.0)]
     killed_at_once: f64,
-    /// Threads that play schedules
+    /// Number of threads that run schedules
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get() as u64))]
     threads: u64,
-    /// Where a line of JSON for each row is appended
+    /// File to which a line of JSON is appended for each cluster size
     #[arg(long)]
     json: Option<PathBuf>,
 }
--- a/crates/rockflow-cluster-simulation/src/summary.rs
+++ b/crates/rockflow-cluster-simulation/src/summary.rs
@@ -1,43 +1,44 @@
-//! Rows of schedules, and what they came to.
+//! Scenarios, which run many schedules with the same cluster size and faults, and the summaries of their results.
 
 use crate::faults::Faults;
 use crate::world::World;
 use serde::Serialize;
 
-/// What a row of schedules came to. The names of its fields are those of the JSON lines.
+/// The results of a scenario, added up over its schedules. The serialized names of the fields are the keys of the JSON
+/// lines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Members of the cluster.
+    /// The number of members of the cluster.
     pub members: usize,
-    /// Replicas of a record.
+    /// The number of replicas of a record.
     #[serde(rename = "keepers")]
     pub replicas: usize,
-    /// Schedules that were played.
+    /// Schedules that were run.
     pub schedules: u64,
-    /// Requests that clients sent.
+    /// Requests that reached a dispatcher, each counted once.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Requests that were answered.
+    /// Requests that were answered at least once.
     pub answered: u64,
-    /// Clients that asked again under their id after their dispatcher was killed.
+    /// Requests that clients sent again after their dispatcher was killed.
     #[serde(rename = "came_again")]
     pub retried: u64,
-    /// Those of them that were answered.
+    /// Requests that were sent again and answered, before or after the retry.
     #[serde(rename = "served_again")]
     pub retries_answered: u64,
-    /// Takeovers that were begun.
+    /// Takeovers that members began.
     #[serde(rename = "claims")]
     pub takeovers: u64,
     /// Requests that were executed after a takeover.
     pub run_again: u64,
-    /// Frames that were sent.
+    /// Frames that members sent, including lost ones.
     pub frames: u64,
-    /// Seeds of schedules in which something happened that must not, with what.
+    /// The seeds of schedules that violated an invariant, each with a description of the violation.
     pub violations: Vec<(u64, String)>,
 }
 
 impl Summary {
-    /// Adds a schedule that was played with this seed.
+    /// Adds the results of the schedule with this seed. The world must have run to its end.
     pub fn add(&mut self, seed: u64, world: &World) {
         let observed = &world.observations;
         self.schedules += 1;
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Adds what other schedules of the same row came to.
+    /// Adds the results of other schedules of the same scenario.
     pub fn merge(&mut self, other: Summary) {
         self.schedules += other.schedules;
         self.requests += other.requests;
--- a/crates/rockflow-cluster-simulation/src/world.rs
+++ b/crates/rockflow-cluster-simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! One schedule: its members, what is on its way, and what hosts and clients observed.
+//! The simulated world of one schedule: the members, the scheduled events, and what hosts and clients have observed.
 
 use crate::faults::Faults;
 use rockflow_cluster::node::{HeldCounts, Permission};
@@ -56,19 +56,19 @@
     }
 }
 
-/// One process: its node, and what its dispatcher holds beside it.
+/// A running process: its node, and the state of its dispatcher.
 struct Process {
     node: ClusterNode,
     incarnation: Incarnation,
     is_paused: bool,
-    /// What arrives while it is paused.
+    /// Events that arrived while the process was paused.
     backlog: Vec<SimulatedEvent>,
-    /// Clients that wait here.
+    /// The requests of the clients that wait for an answer here.
     clients: BTreeSet<RequestId>,
     next_tick: Option<Duration>,
 }
 
-/// What hosts and clients observed.
+/// What hosts and clients have observed.
 #[derive(Default, Debug)]
 pub struct Observations {
     /// By request: the members that executed it, and when.
@@ -131,7 +131,7 @@
 }
 
 impl World {
-    /// A cluster of so many members that begins now.
+    /// Starts a new cluster at time zero.
     pub fn new(seed: u64, members: usize, replicas: usize, faults: Faults) -> World {
         let config = ClusterConfig {
             members: (0..members).map(|n| format!("n{n:03}")).collect(),
@@ -194,7 +194,7 @@
         Ok(())
     }
 
-    /// The counters of all members that are alive.
+    /// The counters of all running processes.
     pub fn counts(&self) -> impl Iterator<Item = Counts> + '_ {
         self.processes.iter().flatten().map(|process| process.node.counts())
     }
@@ -291,7 +291,7 @@
     }
 
     fn process_event(&mut self, now: Duration, event: SimulatedEvent) {
-        // A paused process finds what arrived meanwhile when it resumes.
+        // A paused process handles the event when it resumes.
         let process = event.process().and_then(|at| self.processes[at].as_mut());
         if let Some(process) = process.filter(|process| process.is_paused) {
             process.backlog.push(event);
@@ -347,7 +347,7 @@
                     }
                 }
                 Output::QuorumUnavailable { request } | Output::IdInUse { request } => {
-                    // Rejected: nothing was sent.
+                    // The client's request is rejected.
                     process.clients.remove(&request);
                 }
                 Output::TakeOver { request, started_attempts, .. } => {
