--- a/crates/rockflow-cluster-simulation/src/faults.rs
+++ b/crates/rockflow-cluster-simulation/src/faults.rs
@@ -19,10 +19,10 @@
     pub late: f64,
 }
 
-/// No fault at all.
-pub const CALM: Faults =
+/// No faults.
+pub const NO_FAULTS: Faults =
     Faults { kills: 0, simultaneous_kills: 0, pauses: 0, cuts: 0, lost: 0.0, duplicated: 0.0, late: 0.0 };
 
-/// Faults of every kind.
-pub const ROUGH: Faults =
+/// Faults of every kind except simultaneous kills.
+pub const MIXED_FAULTS: Faults =
     Faults { kills: 4, simultaneous_kills: 0, pauses: 3, cuts: 4, lost: 0.05, duplicated: 0.05, late: 0.03 };
--- a/crates/rockflow-cluster-simulation/src/lib.rs
+++ b/crates/rockflow-cluster-simulation/src/lib.rs
@@ -7,6 +7,6 @@
 pub mod summary;
 pub mod world;
 
-pub use faults::{Faults, CALM, ROUGH};
-pub use summary::{Row, Summary};
+pub use faults::{Faults, MIXED_FAULTS, NO_FAULTS};
+pub use summary::{Scenario, Summary};
 pub use world::{Observations, Violation, World};
--- a/crates/rockflow-cluster-simulation/src/main.rs
+++ b/crates/rockflow-cluster-simulation/src/main.rs
@@ -2,7 +2,7 @@
 //! of JSON.
 
 use clap::Parser;
-use rockflow_cluster_simulation::{Faults, Row, Summary, ROUGH};
+use rockflow_cluster_simulation::{Faults, Scenario, Summary, MIXED_FAULTS};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -48,33 +48,34 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     println!("members keepers schedules  answered   of calls  again served  claims run again      frames  violations");
-    let mut is_clean = true;
+    let mut has_violations = false;
     for size in &arguments.rows {
-        let summary = play(&arguments, *size);
-        print(&summary);
-        is_clean &= summary.violations.is_empty();
-        let written = arguments.json.as_ref().map_or(Ok(()), |path| append(path, &summary));
-        if let Err(error) = written {
-            eprintln!("not written: {error}");
-            return ExitCode::FAILURE;
+        let summary = simulate(&arguments, *size);
+        print_summary(&summary);
+        has_violations |= !summary.violations.is_empty();
+        if let Some(path) = &arguments.json {
+            if let Err(error) = append_json_line(path, &summary) {
+                eprintln!("cannot write {}: {error}", path.display());
+                return ExitCode::FAILURE;
+            }
         }
     }
-    if is_clean {
-        ExitCode::SUCCESS
-    } else {
+    if has_violations {
         ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
     }
 }
 
-fn play(arguments: &Arguments, size: ClusterSize) -> Summary {
+fn simulate(arguments: &Arguments, size: ClusterSize) -> Summary {
     let simultaneous_kills = (size.members as f64 * arguments.killed_at_once) as usize;
-    let faults = Faults { simultaneous_kills, ..ROUGH };
+    let faults = Faults { simultaneous_kills, ..MIXED_FAULTS };
     let ClusterSize { members, replicas } = size;
-    let row = Row { members, replicas, requests: arguments.requests, faults };
-    row.play(arguments.seed, arguments.schedules, arguments.threads.max(1))
+    let scenario = Scenario { members, replicas, requests: arguments.requests, faults };
+    scenario.run(arguments.seed, arguments.schedules, arguments.threads.max(1))
 }
 
-fn print(summary: &Summary) {
+fn print_summary(summary: &Summary) {
     println!(
         "{:>7} {:>7} {:>9} {:>9} {:>10} {:>6} {:>6} {:>7} {:>9} {:>11} {:>11}",
         summary.members,
@@ -94,7 +95,7 @@
     }
 }
 
-fn append(path: &Path, summary: &Summary) -> io::Result<()> {
+fn append_json_line(path: &Path, summary: &Summary) -> io::Result<()> {
     let mut file = std::fs::File::options().create(true).append(true).open(path)?;
     writeln!(file, "{}", serde_json::to_string(summary)?)
 }
--- a/crates/rockflow-cluster-simulation/src/summary.rs
+++ b/crates/rockflow-cluster-simulation/src/summary.rs
@@ -52,7 +52,7 @@
             self.run_again += counts.run_again;
         }
         self.frames += observed.frames;
-        if let Err(violation) = world.verdict() {
+        if let Err(violation) = world.check_invariants() {
             self.violations.push((seed, violation.to_string()));
         }
     }
@@ -71,43 +71,45 @@
     }
 }
 
-/// A row of schedules to be played.
+/// The cluster size, load and faults that a number of schedules have in common.
 #[derive(Clone, Copy, Debug)]
-pub struct Row {
-    /// Members of the cluster.
+pub struct Scenario {
+    /// The number of members of the cluster.
     pub members: usize,
-    /// Replicas of a record.
+    /// The number of replicas of a record.
     pub replicas: usize,
-    /// Requests of each schedule.
+    /// The number of requests in each schedule.
     pub requests: u64,
-    /// What goes wrong.
+    /// The faults that each schedule injects.
     pub faults: Faults,
 }
 
-impl Row {
-    /// Plays schedules from a first seed on, shared out over threads in turn; the same summary whatever their number.
+impl Scenario {
+    /// Runs schedules with consecutive seeds, distributed over threads. The summary does not depend on the number of
+    /// threads.
     ///
     /// # Panics
-    /// If a schedule panics.
-    pub fn play(&self, first_seed: u64, schedules: u64, threads: u64) -> Summary {
+    /// Panics if a schedule panics.
+    pub fn run(&self, first_seed: u64, schedules: u64, threads: u64) -> Summary {
         let mut summary = self.empty_summary();
         std::thread::scope(|scope| {
-            let play = |thread| move || self.play_share(first_seed, schedules, thread, threads);
-            let parts: Vec<_> = (0..threads).map(|thread| scope.spawn(play(thread))).collect();
-            for part in parts {
-                summary.merge(part.join().expect("a schedule that ends"));
+            let run_share = |thread| move || self.run_share(first_seed, schedules, thread, threads);
+            let handles: Vec<_> = (0..threads).map(|thread| scope.spawn(run_share(thread))).collect();
+            for handle in handles {
+                summary.merge(handle.join().expect("no schedule panics"));
             }
         });
         summary.violations.sort();
         summary
     }
 
-    fn play_share(&self, first_seed: u64, schedules: u64, thread: u64, threads: u64) -> Summary {
+    /// Runs every schedule whose offset from the first seed is `thread` modulo `threads`.
+    fn run_share(&self, first_seed: u64, schedules: u64, thread: u64, threads: u64) -> Summary {
         let mut summary = self.empty_summary();
         let seeds = first_seed..first_seed + schedules;
         for seed in seeds.skip(thread as usize).step_by(threads as usize) {
             let mut world = World::new(seed, self.members, self.replicas, self.faults);
-            world.play(self.requests);
+            world.run(self.requests);
             summary.add(seed, &world);
         }
         summary
--- a/crates/rockflow-cluster-simulation/tests/schedules.rs
+++ b/crates/rockflow-cluster-simulation/tests/schedules.rs
@@ -1,19 +1,19 @@
-//! A short row of each kind, the same on every machine.
+//! Short scenarios with and without faults. The seeds are fixed, so the results are the same on every machine.
 
-use rockflow_cluster_simulation::{Row, Summary, World, CALM, ROUGH};
+use rockflow_cluster_simulation::{Scenario, Summary, World, MIXED_FAULTS, NO_FAULTS};
 use test_case::test_case;
 
 #[test]
-fn calm_cluster_answers_every_request() {
+fn cluster_without_faults_answers_every_request() {
     for seed in 0..20 {
-        let mut world = World::new(seed, 5, 3, CALM);
-        world.play(60);
-        world.verdict().unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
+        let mut world = World::new(seed, 5, 3, NO_FAULTS);
+        world.run(60);
+        world.check_invariants().unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
         let observed = &world.observations;
         let unanswered: Vec<_> =
             observed.first_sent.keys().filter(|request| !observed.answers.contains_key(*request)).collect();
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}");
-        assert!(observed.runs.values().all(|runs| runs.len() <= 2), "seed {seed}");
+        assert!(observed.executions.values().all(|executions| executions.len() <= 2), "seed {seed}");
     }
 }
 
@@ -23,19 +23,20 @@
 #[test_case(9, 3, 30, 80)]
 #[test_case(1, 1, 20, 0; "a single member, which loses its memory when it restarts")]
 #[test_case(2, 3, 30, 0; "two members, both of which must be present")]
-fn no_request_runs_twice_or_is_answered_twice(
+fn faults_cause_no_second_execution_or_second_answer(
     members: usize,
     replicas: usize,
     schedules: u64,
     answered_percent: u64,
 ) {
-    let summary = Row { members, replicas, requests: 40, faults: ROUGH }.play(0, schedules, 2);
+    let scenario = Scenario { members, replicas, requests: 40, faults: MIXED_FAULTS };
+    let summary = scenario.run(0, schedules, 2);
     assert!(summary.violations.is_empty(), "{:?}", summary.violations);
     assert!(summary.answered * 100 >= summary.requests * answered_percent, "{summary:?}");
 }
 
 #[test]
-fn json_line_keeps_its_names() {
+fn summary_json_keeps_its_field_names() {
     let summary = Summary {
         members: 5,
         replicas: 3,
