--- a/crates/rockflow-cluster-simulation/src/main.rs
+++ b/crates/rockflow-cluster-simulation/src/main.rs
@@ -40,8 +40,10 @@
 }
 
 fn parse_size(text: &str) -> Result<ClusterSize, &'static str> {
-    let (members, replicas) = text.split_once(':').ok_or("two numbers, as 5:3")?;
-    let number = |text: &str| text.parse().ok().filter(|n| (1..=1000).contains(n)).ok_or("from 1 to 1000");
+    let (members, replicas) = text.split_once(':').ok_or("expected MEMBERS:REPLICAS, for example 5:3")?;
+    let number = |text: &str| {
+        text.parse().ok().filter(|n| (1..=1000).contains(n)).ok_or("each number must be from 1 to 1000")
+    };
     Ok(ClusterSize { members: number(members)?, replicas: number(replicas)? })
 }
 
