--- a/crates/rockflow-cluster/src/lib.rs
+++ b/crates/rockflow-cluster/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! [`ClusterNode`] is the state machine of one member. It combines [`Membership`], which tracks the members that are
 //! present; [`Replica`] and [`OwnedRequest`], the replica's and the owner's side of a record; [`Votes`], which counts
-//! the votes of members that can lose their memory; and [`takeover_action()`], which decides how the successor of a lost
-//! owner proceeds with a request.
+//! the votes of members that can lose their memory; and [`takeover_action()`], which decides how the successor of a
+//! lost owner proceeds with a request.
 
 pub mod config;
 pub mod identity;
--- a/crates/rockflow-cluster/tests/members.rs
+++ b/crates/rockflow-cluster/tests/members.rs
@@ -204,7 +204,10 @@
             "n{member}"
         );
     }
-    let is_restart = |change: &Change| matches!(change, Change::Restarted { to, .. } if to.incarnation == Incarnation(200));
+    let is_restart = |change: &Change| match change {
+        Change::Restarted { to, .. } => to.incarnation == Incarnation(200),
+        _ => false,
+    };
     assert!(world.changes.iter().filter(|(_, change)| is_restart(change)).count() >= MEMBERS - 1);
     world.members[3] = None;
     world.start(3, 150);
