--- a/crates/rockflow-cluster/src/membership/mod.rs
+++ b/crates/rockflow-cluster/src/membership/mod.rs
@@ -20,7 +20,8 @@
 const ALONE_ANNOUNCE_PERIODS: u32 = 4;
 /// The maximum local health score. A suspect has one plus the score times as long to answer.
 const WORST_LOCAL_HEALTH: u32 = 8;
-/// The local health score improves by one when a probe is scheduled after a multiple of this many timers.
+/// The local health score decreases by one whenever the next probe is scheduled and the number of timers scheduled so
+/// far is a multiple of this.
 const HEALTH_RECOVERY_TIMERS: u64 = 4;
 /// A member that has received nothing for this many probe periods may be partitioned.
 const SILENT_PERIODS: u32 = 8;
--- a/crates/rockflow-cluster/src/message.rs
+++ b/crates/rockflow-cluster/src/message.rs
@@ -10,7 +10,7 @@
 /// Identifies one step of a request: something that its owner asks the replicas to record or promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Step {
-    /// The request.
+    /// The request that the step belongs to.
     pub request: RequestId,
     /// The ballot of the member that asks.
     pub ballot: Ballot,
--- a/crates/rockflow-cluster/src/owned_request.rs
+++ b/crates/rockflow-cluster/src/owned_request.rs
@@ -14,7 +14,7 @@
 pub enum Phase {
     /// This dispatcher asks a majority to promise its ballot. Holds the merged progress that the voters have recorded.
     TakingOver(RequestProgress),
-    /// This dispatcher owns the request.
+    /// This dispatcher owns the request, or claims it as its first owner.
     Owning,
     /// Another member may own the request, under this ballot.
     Lost(Ballot),
--- a/crates/rockflow-cluster/src/replica.rs
+++ b/crates/rockflow-cluster/src/replica.rs
@@ -165,8 +165,7 @@
             if record.descriptor.is_some_and(|known| known != write.descriptor) {
                 return reject(at, RejectionReason::RequestMismatch);
             }
-            // A first owner may write again under its own ballot, but does not override a ballot that arrived before
-            // it.
+            // A first owner may write again under its own ballot, but does not override one that arrived earlier.
             if at.ballot != record.promised && (at.ballot.round == 0 || at.ballot < record.promised) {
                 return reject(at, RejectionReason::Promised(record.promised));
             }
