--- a/crates/rockflow-cluster-simulation/src/summary.rs
+++ b/crates/rockflow-cluster-simulation/src/summary.rs
@@ -1,43 +1,44 @@
-//! Rows of schedules, and what they came to.
+//! Scenarios, which run many schedules with the same cluster size and faults, and the summaries of their results.
 
 use crate::faults::Faults;
 use crate::world::World;
 use serde::Serialize;
 
-/// What a row of schedules came to. The names of its fields are those of the JSON lines.
+/// The results of a scenario, added up over its schedules. The serialized names of the fields are the keys of the JSON
+/// lines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Members of the cluster.
+    /// The number of members of the cluster.
     pub members: usize,
-    /// Replicas of a record.
+    /// The number of replicas of a record.
     #[serde(rename = "keepers")]
     pub replicas: usize,
-    /// Schedules that were played.
+    /// Schedules that were run.
     pub schedules: u64,
-    /// Requests that clients sent.
+    /// Requests that reached a dispatcher, each counted once.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Requests that were answered.
+    /// Requests that were answered at least once.
     pub answered: u64,
-    /// Clients that asked again under their id after their dispatcher was killed.
+    /// Requests that clients sent again after their dispatcher was killed.
     #[serde(rename = "came_again")]
     pub retried: u64,
-    /// Those of them that were answered.
+    /// Requests that were sent again and answered, before or after the retry.
     #[serde(rename = "served_again")]
     pub retries_answered: u64,
-    /// Takeovers that were begun.
+    /// Takeovers that members began.
     #[serde(rename = "claims")]
     pub takeovers: u64,
     /// Requests that were executed after a takeover.
     pub run_again: u64,
-    /// Frames that were sent.
+    /// Frames that members sent, including lost ones.
     pub frames: u64,
-    /// Seeds of schedules in which something happened that must not, with what.
+    /// The seeds of schedules that violated an invariant, each with a description of the violation.
     pub violations: Vec<(u64, String)>,
 }
 
 impl Summary {
-    /// Adds a schedule that was played with this seed.
+    /// Adds the results of the schedule with this seed. The world must have run to its end.
     pub fn add(&mut self, seed: u64, world: &World) {
         let observed = &world.observations;
         self.schedules += 1;
@@ -51,12 +52,12 @@
             self.run_again += counts.run_again;
         }
         self.frames += observed.frames;
-        if let Err(violation) = world.verdict() {
+        if let Err(violation) = world.check_invariants() {
             self.violations.push((seed, violation.to_string()));
         }
     }
 
-    /// Adds what other schedules of the same row came to.
+    /// Adds the results of other schedules of the same scenario.
     pub fn merge(&mut self, other: Summary) {
         self.schedules += other.schedules;
         self.requests += other.requests;
@@ -70,43 +71,45 @@
     }
 }
 
-/// A row of schedules to be played.
+/// The cluster size, load and faults that a number of schedules have in common.
 #[derive(Clone, Copy, Debug)]
-pub struct Row {
-    /// Members of the cluster.
+pub struct Scenario {
+    /// The number of members of the cluster.
     pub members: usize,
-    /// Replicas of a record.
+    /// The number of replicas of a record.
     pub replicas: usize,
-    /// Requests of each schedule.
+    /// The number of requests in each schedule.
     pub requests: u64,
-    /// What goes wrong.
+    /// The faults that each schedule injects.
     pub faults: Faults,
 }
 
-impl Row {
-    /// Plays schedules from a first seed on, shared out over threads in turn; the same summary whatever their number.
+impl Scenario {
+    /// Runs schedules with consecutive seeds, distributed over threads. The summary does not depend on the number of
+    /// threads.
     ///
     /// # Panics
-    /// If a schedule panics.
-    pub fn play(&self, first_seed: u64, schedules: u64, threads: u64) -> Summary {
+    /// Panics if a schedule panics.
+    pub fn run(&self, first_seed: u64, schedules: u64, threads: u64) -> Summary {
         let mut summary = self.empty_summary();
         std::thread::scope(|scope| {
-            let play = |thread| move || self.play_share(first_seed, schedules, thread, threads);
-            let parts: Vec<_> = (0..threads).map(|thread| scope.spawn(play(thread))).collect();
-            for part in parts {
-                summary.merge(part.join().expect("a schedule that ends"));
+            let run_share = |thread| move || self.run_share(first_seed, schedules, thread, threads);
+            let handles: Vec<_> = (0..threads).map(|thread| scope.spawn(run_share(thread))).collect();
+            for handle in handles {
+                summary.merge(handle.join().expect("no schedule panics"));
             }
         });
         summary.violations.sort();
         summary
     }
 
-    fn play_share(&self, first_seed: u64, schedules: u64, thread: u64, threads: u64) -> Summary {
+    /// Runs every schedule whose offset from the first seed is `thread` modulo `threads`.
+    fn run_share(&self, first_seed: u64, schedules: u64, thread: u64, threads: u64) -> Summary {
         let mut summary = self.empty_summary();
         let seeds = first_seed..first_seed + schedules;
         for seed in seeds.skip(thread as usize).step_by(threads as usize) {
             let mut world = World::new(seed, self.members, self.replicas, self.faults);
-            world.play(self.requests);
+            world.run(self.requests);
             summary.add(seed, &world);
         }
         summary
--- a/crates/rockflow-cluster/src/node/peer.rs
+++ b/crates/rockflow-cluster/src/node/peer.rs
@@ -1,4 +1,4 @@
-//! What other members send.
+//! Handling of messages from other members, and of the votes and rejections among them.
 
 use super::takeover::Takeover;
 use super::{ClusterNode, Output, MAX_AWAITING_MEMBERS};
@@ -9,24 +9,24 @@
 use crate::replica::WriteRequest;
 use std::time::Duration;
 
-/// A request that another hands over at its graceful shutdown.
+/// A request that another member hands over at its graceful shutdown.
 struct HandedOver {
     request: RequestId,
     descriptor: RequestDescriptor,
     progress: RequestProgress,
-    ends: Duration,
+    deadline: Duration,
 }
 
 impl ClusterNode {
-    /// Handles the message of another member.
+    /// Handles a message from an incarnation of another member.
     pub fn on_message(&mut self, now: Duration, from: Identity, message: Message) -> Vec<Output> {
         self.handle_message(now, from, message);
         self.take_outputs()
     }
 
     pub(super) fn handle_message(&mut self, now: Duration, from: Identity, message: Message) {
-        // Guards against a process that began with its clock set back, whose incarnation looks older than the one before
-        // it; and against what a superseded incarnation left on its way.
+        // The sender began with its clock set back, so that its incarnation is lower than the one before it, or this
+        // is a late message of a superseded incarnation.
         let latest = self.replica.incarnation_of(from.member);
         if let Some(incarnation) = latest.filter(|latest| *latest > from.incarnation) {
             let message = Message::IncarnationSuperseded { incarnation };
@@ -45,12 +45,12 @@
             }
             Message::Prepare { at, descriptor } => self.on_prepare(now, from, at, descriptor),
             Message::Vote { at, incarnations, held } => {
-                let open = self.open.get_mut(&at.request);
+                let open = self.open_requests.get_mut(&at.request);
                 let event = open.and_then(|open| open.owned.on_vote(from, at, &incarnations, held.as_ref()));
                 self.apply_quorum_event(now, at.request, event);
             }
             Message::Reject { at, reason } => {
-                let open = self.open.get_mut(&at.request);
+                let open = self.open_requests.get_mut(&at.request);
                 let event = open.and_then(|open| open.owned.on_rejection(from, at, &reason));
                 self.apply_quorum_event(now, at.request, event);
             }
@@ -65,7 +65,7 @@
                 self.on_await_answer(now, from, request, descriptor);
             }
             Message::FinalAnswer { request, answer } => {
-                if self.open.get(&request).is_some_and(|open| open.has_client) {
+                if self.open_requests.get(&request).is_some_and(|open| open.has_client) {
                     self.complete(now, request, answer);
                 }
             }
@@ -78,7 +78,7 @@
             }
             Message::IncarnationSuperseded { .. } => {}
             Message::HandOver { request, descriptor, progress, left } => {
-                let handed_over = HandedOver { request, descriptor, progress, ends: now + left };
+                let handed_over = HandedOver { request, descriptor, progress, deadline: now + left };
                 self.on_hand_over(now, from, handed_over);
             }
         }
@@ -90,7 +90,7 @@
             return;
         }
         let reply = self.replica.on_write(now, &replicas, write);
-        // The report of an idempotent request wants no vote.
+        // Step 0 is the report of an idempotent request, which needs no vote.
         if write.at.step > 0 {
             self.send(now, from.member, reply);
         }
@@ -121,33 +121,35 @@
         if let Some(answer) = self.answers.get(request).cloned() {
             return self.send_final_answer(now, from.member, request, &answer);
         }
-        let Some(open) = self.open.get_mut(&request).filter(|open| open.owned.descriptor == descriptor)
+        let Some(open) =
+            self.open_requests.get_mut(&request).filter(|open| open.owned.descriptor == descriptor)
         else {
             return;
         };
         if open.awaited_by.len() < MAX_AWAITING_MEMBERS {
             open.awaited_by.insert(from.member);
         }
-        // Guards against two that wait for each other, as each kept the other from a majority: one of them takes over.
+        // Two members that each kept the other from a majority would wait for each other's answer forever. The one with
+        // the lower identity takes over.
         match *open.owned.phase() {
-            Phase::Lost(by) if self.identity < from => {
-                let above = by.max(open.owned.ballot);
-                let ends = open.ends;
-                self.take_over(now, Takeover { request, descriptor, above, ends });
+            Phase::Lost(ballot) if self.identity < from => {
+                let above = ballot.max(open.owned.ballot);
+                let deadline = open.deadline;
+                self.take_over(now, Takeover { request, descriptor, above, deadline });
             }
             _ => {}
         }
     }
 
     fn on_hand_over(&mut self, now: Duration, from: Identity, handed_over: HandedOver) {
-        let HandedOver { request, descriptor, progress, ends } = handed_over;
+        let HandedOver { request, descriptor, progress, deadline } = handed_over;
         let is_replica = self.config.replicas_of(request).contains(&self.identity.member);
-        if !is_replica || self.open.contains_key(&request) || self.is_stopping {
+        if !is_replica || self.open_requests.contains_key(&request) || self.is_stopping {
             return;
         }
-        let last = progress.started_attempts.iter().map(|started| started.ballot).max();
-        let above = last.unwrap_or(Ballot::first(from, 0));
-        self.take_over(now, Takeover { request, descriptor, above, ends });
+        let highest_ballot = progress.started_attempts.iter().map(|started| started.ballot).max();
+        let above = highest_ballot.unwrap_or(Ballot::first(from, 0));
+        self.take_over(now, Takeover { request, descriptor, above, deadline });
     }
 
     fn apply_quorum_event(&mut self, now: Duration, request: RequestId, event: Option<QuorumEvent>) {
@@ -158,38 +160,39 @@
             }
             QuorumEvent::MayAnswer(answer) => self.complete(now, request, answer),
             QuorumEvent::RequestMismatch => {
-                self.open.remove(&request);
+                self.open_requests.remove(&request);
                 self.outputs.push(Output::IdInUse { request });
             }
             QuorumEvent::QuorumUnavailable => self.on_quorum_unavailable(request),
-            QuorumEvent::Lost(by) => self.on_lost(now, request, by),
+            QuorumEvent::Lost(ballot) => self.on_lost(now, request, ballot),
             QuorumEvent::Owned(progress) => self.on_owned(now, request, &progress),
         }
     }
 
     fn on_quorum_unavailable(&mut self, request: RequestId) {
-        let Some(open) = self.open.get(&request) else { return };
+        let Some(open) = self.open_requests.get(&request) else { return };
         self.counts.quorum_unavailable += 1;
         let is_first_attempt = open.owned.progress().started_attempts.len() <= 1;
         if open.has_client && is_first_attempt && open.takeovers == 0 {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
             self.outputs.push(Output::QuorumUnavailable { request });
         }
     }
 
-    /// Another owns the request under this ballot: its answer is waited for, or it is taken over in turn.
-    fn on_lost(&mut self, now: Duration, request: RequestId, by: Ballot) {
-        let Some(open) = self.open.get(&request) else { return };
+    /// Another member may own the request under this ballot: waits for its answer, or takes the request over if that
+    /// member is not present.
+    fn on_lost(&mut self, now: Duration, request: RequestId, ballot: Ballot) {
+        let Some(open) = self.open_requests.get(&request) else { return };
         self.counts.takeovers_lost += u64::from(open.takeovers > 0);
         if !open.has_client && open.awaited_by.is_empty() {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
             return;
         }
         let descriptor = open.owned.descriptor;
         self.counts.owned_elsewhere += 1;
         self.outputs.push(Output::OwnedElsewhere { request });
-        if self.is_owner_present(by) {
-            self.send(now, by.identity.member, Message::AwaitAnswer { request, descriptor });
+        if self.is_owner_present(ballot) {
+            self.send(now, ballot.identity.member, Message::AwaitAnswer { request, descriptor });
         } else {
             self.take_over_if_lost(now, request);
         }
--- a/crates/rockflow-cluster/src/replica.rs
+++ b/crates/rockflow-cluster/src/replica.rs
@@ -1,5 +1,5 @@
-//! A replica of the records of other members' requests. What it has promised binds it for as long as its process lives;
-//! on what it may have forgotten it does not vote.
+//! A replica of the records of requests. Its promises bind it for the lifetime of its process, and it does not vote on
+//! requests about which an earlier incarnation may have made promises that it does not know.
 
 use crate::config::ClusterConfig;
 use crate::identity::{Ballot, Identity, Incarnation, MemberId, RequestId};
@@ -12,24 +12,24 @@
 /// The maximum number of records in one part of a state transfer.
 pub const MAX_TRANSFERRED_RECORDS: usize = 4;
 
-/// What this incarnation knows of its own records.
+/// Whether this incarnation has all records that its earlier incarnations held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Memory {
-    /// Nothing was ever recorded before this incarnation, or all of it has expired.
+enum RecoveryState {
+    /// Earlier incarnations recorded nothing, or everything that they recorded has expired.
     Complete,
-    /// It began with empty memory and recovers its records from others.
+    /// The incarnation began with empty memory and recovers its records from other members.
     Recovering {
-        /// Members that have sent all their records, each with the synchronized sources of its own; none: it was
-        /// synchronized itself.
+        /// Members that have sent all their records, each with the synchronized members from which it has recovered
+        /// them itself, or `None` if it was synchronized.
         sources: BTreeMap<MemberId, Option<BTreeSet<MemberId>>>,
-        /// Transfers of which parts are missing.
+        /// Incomplete transfers, by sender.
         transfers: BTreeMap<MemberId, PartialTransfer>,
-        /// When everything recorded before this incarnation has expired.
+        /// When everything that earlier incarnations recorded has expired.
         until: Duration,
     },
 }
 
-/// The parts that have arrived of a state transfer.
+/// The parts of one state transfer that have arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct PartialTransfer {
     number: u32,
@@ -39,25 +39,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StoredRecord {
     record: Record,
-    /// When the request itself ends, as far as is known here.
-    request_ends: Duration,
+    /// The latest known deadline of the request.
+    request_deadline: Duration,
     expires: Duration,
 }
 
-/// What is to be written of a request.
+/// The content of a [`Message::Write`].
 #[derive(Clone, Debug)]
 pub struct WriteRequest<'a> {
-    /// The step that asks for it.
+    /// The step to be recorded.
     pub at: Step,
-    /// What was asked for.
+    /// What the client asks for.
     pub descriptor: RequestDescriptor,
-    /// How far the request has come.
+    /// The attempts and the final answer to be recorded.
     pub progress: &'a RequestProgress,
-    /// The time that the request has left.
+    /// The time until the deadline of the request.
     pub left: Duration,
 }
 
-/// The records that one incarnation of a member holds for others.
+/// The records that one incarnation of a member holds as a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica {
     identity: Identity,
@@ -65,16 +65,16 @@
     majority: usize,
     max_records: usize,
     retention: Duration,
-    memory: Memory,
+    recovery: RecoveryState,
     records: BTreeMap<RequestId, StoredRecord>,
-    /// When records expire, earliest first.
+    /// The expiry times of all records, earliest first.
     expiry: BTreeSet<(Duration, RequestId)>,
-    /// The latest incarnation known of each other member.
+    /// The latest known incarnation of each other member.
     incarnations: BTreeMap<MemberId, Incarnation>,
 }
 
 impl Replica {
-    /// An incarnation that begins with empty memory.
+    /// Creates the replica of an incarnation that begins with empty memory and must recover its records first.
     pub fn new(config: &ClusterConfig, identity: Identity, now: Duration) -> Replica {
         Replica {
             identity,
@@ -82,7 +82,7 @@
             majority: config.majority(),
             max_records: config.max_records,
             retention: config.retention,
-            memory: Memory::Recovering {
+            recovery: RecoveryState::Recovering {
                 sources: BTreeMap::new(),
                 transfers: BTreeMap::new(),
                 until: now + config.retention,
@@ -93,51 +93,51 @@
         }
     }
 
-    /// A replica of a cluster that never ran before, so that nothing can have been forgotten.
+    /// Creates a replica of a cluster that never ran before, so that there is nothing to recover.
     pub fn of_new_cluster(config: &ClusterConfig, identity: Identity, now: Duration) -> Replica {
-        Replica { memory: Memory::Complete, ..Replica::new(config, identity, now) }
+        Replica { recovery: RecoveryState::Complete, ..Replica::new(config, identity, now) }
     }
 
-    /// The number of records.
+    /// The number of records that the replica holds.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Whether the replica holds no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The record of a request.
+    /// The record of a request, or `None` if the replica holds none.
     pub fn get(&self, request: RequestId) -> Option<&Record> {
         self.records.get(&request).map(|stored| &stored.record)
     }
 
-    /// When the request of a record ends, as far as is known here.
-    pub fn request_ends(&self, request: RequestId) -> Option<Duration> {
-        self.records.get(&request).map(|stored| stored.request_ends)
+    /// The latest known deadline of a request, or `None` if the replica holds no record of it.
+    pub fn request_deadline(&self, request: RequestId) -> Option<Duration> {
+        self.records.get(&request).map(|stored| stored.request_deadline)
     }
 
-    /// All records.
+    /// All records, by request.
     pub fn records(&self) -> impl Iterator<Item = (&RequestId, &Record)> {
         self.records.iter().map(|(request, stored)| (request, &stored.record))
     }
 
-    /// Takes note of an incarnation of another member; only a later one replaces the one known.
+    /// Records that this incarnation of a member exists. It is ignored if a later one is known.
     pub fn observe_incarnation(&mut self, identity: Identity) {
         let known = self.incarnations.entry(identity.member).or_insert(identity.incarnation);
         *known = identity.incarnation.max(*known);
     }
 
-    /// The latest incarnation known of a member.
+    /// The latest known incarnation of another member, or `None` if none is known.
     pub fn incarnation_of(&self, member: MemberId) -> Option<Incarnation> {
         self.incarnations.get(&member).copied()
     }
 
-    /// Drops what has expired.
+    /// Removes expired records, and ends the recovery once all records of earlier incarnations have expired.
     pub fn tick(&mut self, now: Duration) {
-        if matches!(self.memory, Memory::Recovering { until, .. } if until <= now) {
-            self.memory = Memory::Complete;
+        if matches!(self.recovery, RecoveryState::Recovering { until, .. } if until <= now) {
+            self.recovery = RecoveryState::Complete;
         }
         while let Some((at, request)) = self.expiry.first().copied().filter(|(at, _)| *at <= now) {
             self.expiry.remove(&(at, request));
@@ -147,15 +147,15 @@
 
     /// When [`Replica::tick`] is to be called next.
     pub fn next_due(&self) -> Option<Duration> {
-        let recovered = match &self.memory {
-            Memory::Complete => None,
-            Memory::Recovering { until, .. } => Some(*until),
+        let recovery_ends = match &self.recovery {
+            RecoveryState::Complete => None,
+            RecoveryState::Recovering { until, .. } => Some(*until),
         };
-        let expires = self.expiry.first().map(|(at, _)| *at);
-        [recovered, expires].into_iter().flatten().min()
+        let next_expiry = self.expiry.first().map(|(at, _)| *at);
+        [recovery_ends, next_expiry].into_iter().flatten().min()
     }
 
-    /// Records what is written of a request with these replicas, and votes.
+    /// Records the progress of a request with these replicas. Returns the vote or the rejection to reply with.
     pub fn on_write(&mut self, now: Duration, replicas: &[MemberId], write: &WriteRequest) -> Message {
         let at = write.at;
         if self.is_unsynchronized(replicas) {
@@ -165,22 +165,23 @@
             if record.descriptor.is_some_and(|known| known != write.descriptor) {
                 return reject(at, RejectionReason::RequestMismatch);
             }
-            // A first owner may write on; it takes nothing from another that came first.
+            // A first owner may write again under its own ballot, but does not override one that arrived earlier.
             if at.ballot != record.promised && (at.ballot.round == 0 || at.ballot < record.promised) {
                 return reject(at, RejectionReason::Promised(record.promised));
             }
         } else if self.records.len() >= self.max_records {
             return reject(at, RejectionReason::Full);
         }
-        let stored = self.entry(now + self.retention, at.request, at.ballot);
-        stored.request_ends = (now + write.left).max(stored.request_ends);
+        let stored = self.record_entry(now + self.retention, at.request, at.ballot);
+        stored.request_deadline = (now + write.left).max(stored.request_deadline);
         stored.record.descriptor = Some(write.descriptor);
         stored.record.promised = at.ballot;
         stored.record.progress.merge(write.progress);
         Message::Vote { at, incarnations: self.known_incarnations(replicas), held: None }
     }
 
-    /// Promises a ballot, if it is later than any before, and replies with what is recorded.
+    /// Promises a ballot unless a higher one was promised. Returns the vote, with the record, or the rejection to reply
+    /// with.
     pub fn on_prepare(
         &mut self,
         now: Duration,
@@ -201,15 +202,15 @@
         } else if self.records.len() >= self.max_records {
             return reject(at, RejectionReason::Full);
         }
-        let record = &mut self.entry(now + self.retention, at.request, at.ballot).record;
+        let record = &mut self.record_entry(now + self.retention, at.request, at.ballot).record;
         record.promised = at.ballot;
         record.descriptor = record.descriptor.or(descriptor);
         let held = Some(record.clone());
         Message::Vote { at, incarnations: self.known_incarnations(replicas), held }
     }
 
-    /// The owner of a request says that nobody will ask for it. Only for idempotent requests: for others the record is
-    /// all that stands between them and a second execution.
+    /// Removes the record of a request that has ended, if the request is idempotent and its record has this ballot. For
+    /// other requests the record must stay, as it is what prevents a second execution.
     pub fn drop_record(&mut self, request: RequestId, ballot: Ballot) {
         let is_idempotent =
             |record: &Record| record.descriptor.is_some_and(|descriptor| !descriptor.kind.requires_quorum());
@@ -223,17 +224,19 @@
         }
     }
 
-    /// Members whose records are still wanted: a synchronized one that has sent them has nothing to add.
+    /// Members whose records are still needed for the recovery. A member that was synchronized when it sent its records
+    /// has nothing to add.
     pub fn missing_sources<'a>(&'a self, config: &'a ClusterConfig) -> impl Iterator<Item = MemberId> + 'a {
         let own = self.identity.member;
-        let is_wanted = move |id: &MemberId| match &self.memory {
-            Memory::Complete => false,
-            Memory::Recovering { sources, .. } => sources.get(id) != Some(&None),
+        let is_needed = move |id: &MemberId| match &self.recovery {
+            RecoveryState::Complete => false,
+            RecoveryState::Recovering { sources, .. } => sources.get(id) != Some(&None),
         };
-        config.ids().filter(move |id| *id != own && is_wanted(id))
+        config.ids().filter(move |id| *id != own && is_needed(id))
     }
 
-    /// What a member that restarted may have recorded, in parts. Its earlier incarnations count for nothing from now on.
+    /// The parts of a transfer of all records that a restarted member may have held. Its earlier incarnations count as
+    /// superseded from now on.
     pub fn prepare_state_transfer(
         &mut self,
         now: Duration,
@@ -250,7 +253,7 @@
             .map(|(request, stored)| TransferredRecord {
                 request: *request,
                 record: stored.record.clone(),
-                left: stored.request_ends.saturating_sub(now),
+                left: stored.request_deadline.saturating_sub(now),
                 retained_for: stored.expires.saturating_sub(now),
             })
             .collect();
@@ -264,33 +267,35 @@
         (0..parts).map(part).collect()
     }
 
-    /// Takes in a part of a state transfer. Its sender counts as a source once all parts of one are here.
+    /// Merges a part of a state transfer into the records. The sender counts as a source once all parts of one transfer
+    /// have arrived.
     pub fn apply_state_transfer(&mut self, now: Duration, sender: MemberId, transfer: StateTransfer) {
-        if transfer.identity != self.identity || self.memory == Memory::Complete {
+        if transfer.identity != self.identity || self.recovery == RecoveryState::Complete {
             return;
         }
-        let mut has_room = true;
+        let mut is_complete = true;
         for transferred in transfer.records {
-            // Guards against a cap that would make a transfer forgotten in part: then its sender does not count.
+            // A record that exceeds the maximum is dropped, so the part is incomplete and its sender must not count
+            // as a source.
             if self.records.len() >= self.max_records && !self.records.contains_key(&transferred.request) {
-                has_room = false;
+                is_complete = false;
                 continue;
             }
             self.merge_transferred(now, &transferred);
         }
-        let Memory::Recovering { sources, transfers, .. } = &mut self.memory else { return };
+        let RecoveryState::Recovering { sources, transfers, .. } = &mut self.recovery else { return };
         let partial = transfers.entry(sender).or_default();
         if partial.number != transfer.number {
             *partial = PartialTransfer { number: transfer.number, parts: BTreeSet::new() };
         }
-        if has_room {
+        if is_complete {
             partial.parts.insert(transfer.part);
         }
         if partial.parts.len() == usize::from(transfer.parts) {
             transfers.remove(&sender);
             let own_sources: Option<BTreeSet<_>> = transfer.sources.map(|ids| ids.into_iter().collect());
             match sources.get_mut(&sender) {
-                // A source that was synchronized once stays so.
+                // A source that was synchronized once remains synchronized.
                 Some(known) => *known = known.take().and(own_sources),
                 None => {
                     sources.insert(sender, own_sources);
@@ -299,39 +304,43 @@
         }
     }
 
-    /// Whether this incarnation may vote on all that it can be asked.
+    /// Whether this incarnation has recovered enough records to vote on every request.
     pub fn is_synchronized(&self, config: &ClusterConfig) -> bool {
         self.synchronized_sources(config).is_none()
     }
 
-    /// The synchronized members from which this incarnation has recovered. None: it is synchronized itself.
+    /// The synchronized members from which this incarnation has recovered its records, or `None` if it is synchronized
+    /// itself.
     fn synchronized_sources(&self, config: &ClusterConfig) -> Option<Vec<MemberId>> {
-        let Memory::Recovering { sources, .. } = &self.memory else { return None };
+        let RecoveryState::Recovering { sources, .. } = &self.recovery else { return None };
         let synchronized: Vec<_> =
             sources.iter().filter(|(_, own_sources)| own_sources.is_none()).map(|(id, _)| *id).collect();
-        // The worst set of replicas has all those in it from which nothing came.
+        // In the worst case the replicas of a request include all members that have not sent their records.
         let missing = config.members.len() - 1 - synchronized.len();
         (missing + 2 > self.majority).then_some(synchronized)
     }
 
-    /// Guards against a vote on what may have been forgotten: so many of the request's other replicas must have sent this
-    /// incarnation what they hold, synchronized for this request themselves, that any majority with the earlier
-    /// incarnation in it is intersected.
+    /// Whether this incarnation must not vote on a request with these replicas, because an earlier one may have made
+    /// a promise about it that is not recovered. It may vote once more than `replica_count - majority` of the other
+    /// replicas have sent their records, each synchronized for this request itself: every majority that contained the
+    /// earlier incarnation then contains one of them.
     fn is_unsynchronized(&self, replicas: &[MemberId]) -> bool {
-        let Memory::Recovering { sources, .. } = &self.memory else { return false };
-        let is_enough = |count: usize| count > self.replica_count - self.majority;
-        let others = |of: MemberId| replicas.iter().filter(move |id| **id != of);
+        let RecoveryState::Recovering { sources, .. } = &self.recovery else { return false };
+        let intersects_majorities = |count: usize| count > self.replica_count - self.majority;
+        let other_replicas = |member: MemberId| replicas.iter().filter(move |id| **id != member);
         let is_synchronized = |sender: &MemberId| match sources.get(sender) {
             None => false,
             Some(None) => true,
             Some(Some(own_sources)) => {
-                is_enough(others(*sender).filter(|id| own_sources.contains(id)).count())
+                let synchronized_sources = other_replicas(*sender).filter(|id| own_sources.contains(id));
+                intersects_majorities(synchronized_sources.count())
             }
         };
-        !is_enough(others(self.identity.member).filter(|id| is_synchronized(id)).count())
+        let synchronized = other_replicas(self.identity.member).filter(|id| is_synchronized(id));
+        !intersects_majorities(synchronized.count())
     }
 
-    /// The incarnations of a request's other replicas, to go with a vote.
+    /// The known incarnations of a request's other replicas, which are sent with each vote.
     fn known_incarnations(&self, replicas: &[MemberId]) -> KnownIncarnations {
         let known = replicas.iter().filter_map(|id| Some((*id, *self.incarnations.get(id)?)));
         known.map(|(member, incarnation)| Identity { member, incarnation }).collect()
@@ -340,26 +349,30 @@
     fn merge_transferred(&mut self, now: Duration, transferred: &TransferredRecord) {
         let identity = self.identity;
         let expires = now + transferred.retained_for.min(self.retention);
-        let theirs = &transferred.record;
-        let stored = self.entry(expires, transferred.request, theirs.promised);
-        stored.request_ends = (now + transferred.left).max(stored.request_ends);
-        // Guards against a vote for one of two first owners where the forgotten vote was for the other: neither may
-        // write on, and whoever takes over sees both.
+        let received = &transferred.record;
+        let stored = self.record_entry(expires, transferred.request, received.promised);
+        stored.request_deadline = (now + transferred.left).max(stored.request_deadline);
+        // The records name two different first owners, and the earlier incarnation may have voted for either. Neither
+        // may continue to write; a member that takes over sees the attempts of both.
         let own = &mut stored.record;
-        let is_split =
-            own.promised.round == 0 && theirs.promised.round == 0 && own.promised != theirs.promised;
-        own.promised = if is_split { Ballot::unowned(identity) } else { own.promised.max(theirs.promised) };
-        own.descriptor = own.descriptor.or(theirs.descriptor);
-        own.progress.merge(&theirs.progress);
+        let have_different_first_owners =
+            own.promised.round == 0 && received.promised.round == 0 && own.promised != received.promised;
+        own.promised = if have_different_first_owners {
+            Ballot::unowned(identity)
+        } else {
+            own.promised.max(received.promised)
+        };
+        own.descriptor = own.descriptor.or(received.descriptor);
+        own.progress.merge(&received.progress);
     }
 
-    /// The record of a request; a new one expires then and has promised this ballot.
-    fn entry(&mut self, expires: Duration, request: RequestId, promised: Ballot) -> &mut StoredRecord {
+    /// The record of a request. If there is none, creates one that has promised this ballot and expires at `expires`.
+    fn record_entry(&mut self, expires: Duration, request: RequestId, promised: Ballot) -> &mut StoredRecord {
         let expiry = &mut self.expiry;
         self.records.entry(request).or_insert_with(|| {
             expiry.insert((expires, request));
             let record = Record { descriptor: None, promised, progress: RequestProgress::default() };
-            StoredRecord { record, request_ends: Duration::ZERO, expires }
+            StoredRecord { record, request_deadline: Duration::ZERO, expires }
         })
     }
 }
