--- a/crates/rockflow-memory-budget/src/budget.rs
+++ b/crates/rockflow-memory-budget/src/budget.rs
@@ -1,21 +1,24 @@
-//! The ledger. Each purpose holds what was charged to it; towards its parent it counts with what it holds or its
-//! floor, whichever is more, so that a floor can't be taken by others.
+//! The accounts of all purposes. A purpose counts towards its parent with the bytes that it holds or with its floor,
+//! whichever is more, so that others can't use up its floor.
 //!
-//! One lock, held for some tens of nanoseconds. Counting by atomics alone was tried first: a charge that is refused
-//! further up has to be taken back lower down, and what others did meanwhile then left the parent's count too high
-//! or, for a moment, too low.
+//! All accounts are behind one lock, which is held for some tens of nanoseconds. Atomic counters alone are not enough:
+//! a charge that is refused at an ancestor has to be undone in its descendants, and concurrent charges then leave the
+//! count of the parent too high or, for a moment, too low.
 
 use crate::plan::{AtCap, Plan, PurposeId};
-use crate::pressure::{Level, Pressure};
+use crate::pressure::{Pressure, PressureLevel};
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 #[derive(Clone, Debug, Default)]
 struct Account {
-    /// Charged here, and what the children count with, their floors included.
+    /// Bytes charged to this purpose itself.
     held: usize,
-    below: usize,
+    /// Bytes that the children count with, their floors included.
+    reserved_by_children: usize,
+    /// The greatest value of `held` so far.
     peak: usize,
+    /// Charges that were refused so far.
     refused: u64,
 }
 
@@ -28,62 +31,69 @@
 
 #[derive(Debug)]
 struct Accounts {
-    all: Vec<Account>,
-    /// What is held by all together.
-    held: usize,
+    /// One for each purpose, in the order of the plan.
+    by_purpose: Vec<Account>,
+    /// Bytes held by all purposes together.
+    total_held: usize,
 }
 
-/// Shared by whoever charges.
+/// The memory budget of a process. Clones share the same accounts.
 #[derive(Clone, Debug)]
 pub struct Budget(Arc<Ledger>);
 
-/// Why nothing was charged, and what is to be done there.
+/// A refused charge, which changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
+    /// The purpose that was to be charged.
     pub purpose: PurposeId,
-    /// Where it was short: the purpose itself, or one above it.
-    pub short: PurposeId,
+    /// The purpose without enough room: the charged one or one of its ancestors.
+    pub limited_by: PurposeId,
+    /// What the caller does about it, as declared for the charged purpose.
     pub at_cap: AtCap,
 }
 
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "purpose {} is short at {}", self.purpose.0, self.short.0)
+        write!(f, "no room for purpose {} within the cap of purpose {}", self.purpose.0, self.limited_by.0)
     }
 }
 
-/// Bytes that are held for a purpose, till this is dropped.
+/// Bytes held for a purpose until this is dropped.
 #[derive(Debug)]
-#[must_use = "dropping it gives back"]
+#[must_use = "dropping a charge releases its bytes"]
 pub struct Charge {
     budget: Budget,
     purpose: PurposeId,
     bytes: usize,
 }
 
-/// One purpose, as it is shown.
+/// The limits and the use of one purpose, in bytes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct PurposeUsage {
     pub name: &'static str,
+    /// None for the root.
     pub parent: Option<PurposeId>,
     pub cap: usize,
     pub floor: usize,
-    /// With what is below it.
+    /// Bytes held by the purpose and all its descendants.
     pub held: usize,
+    /// The most bytes that the purpose itself, without descendants, held at a time.
     pub peak: usize,
+    /// The number of refused charges for this purpose.
     pub refused: u64,
 }
 
 impl Budget {
     pub fn new(plan: Plan) -> Budget {
-        let mut all = vec![Account::default(); plan.0.len()];
-        // The floors are spoken for from the start.
-        for place in (0..plan.0.len()).rev() {
-            if let Some(parent) = plan.0[place].parent {
-                all[usize::from(parent.0)].below += all[place].below.max(plan.0[place].floor);
+        let mut by_purpose = vec![Account::default(); plan.0.len()];
+        // Floors are reserved from the start. Children come after their parent, so they are visited first.
+        for index in (0..plan.0.len()).rev() {
+            if let Some(parent) = plan.0[index].parent {
+                let reserved = by_purpose[index].reserved_by_children.max(plan.0[index].floor);
+                by_purpose[usize::from(parent.0)].reserved_by_children += reserved;
             }
         }
-        let accounts = Mutex::new(Accounts { all, held: 0 });
+        let accounts = Mutex::new(Accounts { by_purpose, total_held: 0 });
         Budget(Arc::new(Ledger { plan, accounts, pressure: Pressure::default() }))
     }
 
@@ -95,121 +105,125 @@
         self.0.accounts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How short the whole is.
-    pub fn level(&self) -> Level {
+    /// The memory pressure of the whole budget.
+    pub fn level(&self) -> PressureLevel {
         self.0.pressure.level()
     }
 
-    /// The part of the limit that is held, floors that are not used left out.
-    pub fn fill(&self) -> f64 {
-        self.part(self.accounts().held)
+    /// The share of the limit that is held, from 0 to 1. Unused floors don't count.
+    pub fn used_share(&self) -> f64 {
+        self.share_of_limit(self.accounts().total_held)
     }
 
-    fn part(&self, held: usize) -> f64 {
+    fn share_of_limit(&self, held: usize) -> f64 {
         held as f64 / self.0.plan.0[0].cap.max(1) as f64
     }
 
-    /// Takes so many bytes for the purpose, or none of them.
+    /// Charges all the bytes to the purpose, or none of them.
+    ///
+    /// # Errors
+    /// If the purpose or one of its ancestors has not enough room.
     pub fn charge(&self, purpose: PurposeId, bytes: usize) -> Result<Charge, Refused> {
-        self.take(purpose, bytes)?;
+        self.acquire(purpose, bytes)?;
         Ok(Charge { budget: self.clone(), purpose, bytes })
     }
 
-    /// What a purpose counts with towards its parent.
-    fn counts(&self, accounts: &Accounts, place: usize) -> usize {
-        let account = &accounts.all[place];
-        (account.held + account.below).max(self.0.plan.0[place].floor)
+    /// The bytes with which a purpose counts towards its parent.
+    fn reserved(&self, accounts: &Accounts, index: usize) -> usize {
+        let account = &accounts.by_purpose[index];
+        (account.held + account.reserved_by_children).max(self.0.plan.0[index].floor)
     }
 
-    /// The places from the purpose up to the root.
-    fn way_up(&self, purpose: PurposeId) -> impl Iterator<Item = usize> + '_ {
-        let up = |place: &usize| self.0.plan.0[*place].parent.map(|parent| usize::from(parent.0));
-        std::iter::successors(Some(usize::from(purpose.0)), up)
+    /// The indexes of the purpose and its ancestors, the root last.
+    fn path_to_root(&self, purpose: PurposeId) -> impl Iterator<Item = usize> + '_ {
+        let parent_of = |index: &usize| self.0.plan.0[*index].parent.map(|parent| usize::from(parent.0));
+        std::iter::successors(Some(usize::from(purpose.0)), parent_of)
     }
 
-    fn take(&self, purpose: PurposeId, bytes: usize) -> Result<(), Refused> {
+    fn acquire(&self, purpose: PurposeId, bytes: usize) -> Result<(), Refused> {
         let nodes = &self.0.plan.0;
-        let start = usize::from(purpose.0);
+        let charged = usize::from(purpose.0);
         let mut accounts = self.accounts();
-        // First whether it fits all the way up, then it is counted: what is refused leaves nothing to take back.
-        let (mut more, mut short) = (bytes, None);
-        for place in self.way_up(purpose) {
-            let (node, account) = (&nodes[place], &accounts.all[place]);
-            let most = node.cap.saturating_add(node.borrow);
-            let before = account.held + account.below;
-            match before.checked_add(more).filter(|held| *held <= most) {
-                Some(after) => more = after.max(node.floor) - before.max(node.floor),
+        // Checks all ancestors before it counts anything, so that a refused charge has nothing to undo.
+        let (mut added, mut limit) = (bytes, None);
+        for index in self.path_to_root(purpose) {
+            let (node, account) = (&nodes[index], &accounts.by_purpose[index]);
+            let max_held = node.cap.saturating_add(node.borrow);
+            let before = account.held + account.reserved_by_children;
+            match before.checked_add(added).filter(|held| *held <= max_held) {
+                // Bytes within the floor are already counted at the parent.
+                Some(after) => added = after.max(node.floor) - before.max(node.floor),
                 None => {
-                    short = Some(place);
+                    limit = Some(index);
                     break;
                 }
             }
         }
-        if let Some(short) = short {
-            accounts.all[start].refused += 1;
-            let (short, at_cap) = (PurposeId(short as u16), nodes[start].at_cap);
-            return Err(Refused { purpose, short, at_cap });
+        if let Some(limit) = limit {
+            accounts.by_purpose[charged].refused += 1;
+            let (limited_by, at_cap) = (PurposeId(limit as u16), nodes[charged].at_cap);
+            return Err(Refused { purpose, limited_by, at_cap });
         }
-        self.move_by(&mut accounts, purpose, |held| held + bytes);
-        let held = accounts.all[start].held;
-        accounts.all[start].peak = accounts.all[start].peak.max(held);
-        accounts.held += bytes;
-        let fill = self.part(accounts.held);
+        self.update_held(&mut accounts, purpose, |held| held + bytes);
+        let account = &mut accounts.by_purpose[charged];
+        account.peak = account.peak.max(account.held);
+        accounts.total_held += bytes;
+        let used_share = self.share_of_limit(accounts.total_held);
         drop(accounts);
-        self.0.pressure.see(fill);
+        self.0.pressure.update(used_share);
         Ok(())
     }
 
-    /// Sets what the purpose itself holds, and what each above it counts with.
-    fn move_by(&self, accounts: &mut Accounts, purpose: PurposeId, change: impl Fn(usize) -> usize) {
-        let mut at = usize::from(purpose.0);
-        let mut old = self.counts(accounts, at);
-        accounts.all[at].held = change(accounts.all[at].held);
-        for above in self.way_up(purpose).skip(1) {
-            let new = self.counts(accounts, at);
-            if new == old {
+    /// Changes the bytes held by the purpose itself, and what its ancestors count for it.
+    fn update_held(&self, accounts: &mut Accounts, purpose: PurposeId, change: impl Fn(usize) -> usize) {
+        let mut child = usize::from(purpose.0);
+        let mut child_before = self.reserved(accounts, child);
+        accounts.by_purpose[child].held = change(accounts.by_purpose[child].held);
+        for ancestor in self.path_to_root(purpose).skip(1) {
+            let child_after = self.reserved(accounts, child);
+            if child_after == child_before {
                 return;
             }
-            let before = self.counts(accounts, above);
-            let below = &mut accounts.all[above].below;
-            *below = *below + new - old;
-            (at, old) = (above, before);
+            let ancestor_before = self.reserved(accounts, ancestor);
+            let reserved = &mut accounts.by_purpose[ancestor].reserved_by_children;
+            *reserved = *reserved + child_after - child_before;
+            (child, child_before) = (ancestor, ancestor_before);
         }
     }
 
-    fn give(&self, purpose: PurposeId, bytes: usize) {
+    fn release(&self, purpose: PurposeId, bytes: usize) {
         let mut accounts = self.accounts();
-        self.move_by(&mut accounts, purpose, |held| held - bytes);
-        accounts.held -= bytes;
-        let fill = self.part(accounts.held);
+        self.update_held(&mut accounts, purpose, |held| held - bytes);
+        accounts.total_held -= bytes;
+        let used_share = self.share_of_limit(accounts.total_held);
         drop(accounts);
-        self.0.pressure.see(fill);
+        self.0.pressure.update(used_share);
     }
 
-    /// Bytes held for the purpose itself.
+    /// Bytes held for the purpose itself, without its descendants.
     pub fn held(&self, purpose: PurposeId) -> usize {
-        self.accounts().all[usize::from(purpose.0)].held
+        self.accounts().by_purpose[usize::from(purpose.0)].held
     }
 
-    /// All purposes as they stand, in the plan's order; each holds what is below it too.
-    pub fn rows(&self) -> Vec<Row> {
-        let (nodes, all) = (&self.0.plan.0, self.accounts().all.clone());
-        let mut held: Vec<usize> = all.iter().map(|account| account.held).collect();
-        for place in (1..nodes.len()).rev() {
-            if let Some(parent) = nodes[place].parent {
-                held[usize::from(parent.0)] += held[place];
+    /// The use of every purpose, in the order of the plan.
+    pub fn usage(&self) -> Vec<PurposeUsage> {
+        let (nodes, accounts) = (&self.0.plan.0, self.accounts().by_purpose.clone());
+        let mut held: Vec<usize> = accounts.iter().map(|account| account.held).collect();
+        for index in (1..nodes.len()).rev() {
+            if let Some(parent) = nodes[index].parent {
+                held[usize::from(parent.0)] += held[index];
             }
         }
-        let row = |(place, node): (usize, &crate::plan::Node)| Row {
+        let usage = |(index, node): (usize, &crate::plan::Node)| PurposeUsage {
             name: node.name,
             parent: node.parent,
             cap: node.cap,
             floor: node.floor,
-            held: held[place],
-            peak: all[place].peak,
-            refused: all[place].refused,
+            held: held[index],
+            peak: accounts[index].peak,
+            refused: accounts[index].refused,
         };
-        nodes.iter().enumerate().map(row).collect()
+        nodes.iter().enumerate().map(usage).collect()
     }
 }
 
@@ -222,12 +236,15 @@
         self.purpose
     }
 
-    /// Holds more or less from now on; what can't be had leaves it as it was.
+    /// Changes the number of bytes that this charge holds.
+    ///
+    /// # Errors
+    /// If there is no room for the additional bytes; the charge then stays as it was.
     pub fn resize(&mut self, bytes: usize) -> Result<(), Refused> {
         if bytes > self.bytes {
-            self.budget.take(self.purpose, bytes - self.bytes)?;
+            self.budget.acquire(self.purpose, bytes - self.bytes)?;
         } else {
-            self.budget.give(self.purpose, self.bytes - bytes);
+            self.budget.release(self.purpose, self.bytes - bytes);
         }
         self.bytes = bytes;
         Ok(())
@@ -236,6 +253,6 @@
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        self.budget.give(self.purpose, self.bytes);
+        self.budget.release(self.purpose, self.bytes);
     }
 }
--- a/crates/rockflow-memory-budget/src/heavy.rs
+++ b/crates/rockflow-memory-budget/src/heavy.rs
@@ -1,52 +1,77 @@
-//! Who is behind most of it, in fixed space (Metwally, Agrawal and El Abbadi, "Efficient Computation of Frequent
-//! and Top-k Elements in Data Streams": the Space-Saving sketch). A weight that is told may be too large by its
-//! error, never too small.
+//! The heaviest keys of a stream in fixed space: the Space-Saving sketch (Metwally, Agrawal and El Abbadi, "Efficient
+//! Computation of Frequent and Top-k Elements in Data Streams"). A reported weight may be too large by its error,
+//! never too small.
 
 use std::collections::BTreeMap;
 
+/// The weights of the heaviest keys seen.
 #[derive(Clone, Debug)]
-pub struct Heavy<K> {
-    most: usize,
-    weights: BTreeMap<K, (u64, u64)>,
+pub struct HeavyHitters<K> {
+    max_keys: usize,
+    counters: BTreeMap<K, Counter>,
 }
 
-impl<K: Ord + Clone> Heavy<K> {
-    /// Watches so many at once.
-    pub fn new(most: usize) -> Heavy<K> {
-        Heavy { most: most.max(1), weights: BTreeMap::new() }
+#[derive(Clone, Copy, Debug)]
+struct Counter {
+    weight: u64,
+    error: u64,
+}
+
+/// A key with its estimated weight.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HeavyHitter<K> {
+    pub key: K,
+    pub weight: u64,
+    /// The most by which `weight` may exceed the true weight.
+    pub error: u64,
+}
+
+impl<K: Ord + Clone> HeavyHitters<K> {
+    /// Tracks at most `max_keys` keys at a time, and at least one.
+    pub fn new(max_keys: usize) -> HeavyHitters<K> {
+        HeavyHitters { max_keys: max_keys.max(1), counters: BTreeMap::new() }
     }
 
+    /// Adds weight to a key. An untracked key replaces the lightest tracked one when there is no room for both.
     pub fn add(&mut self, key: K, weight: u64) {
-        if let Some((known, _)) = self.weights.get_mut(&key) {
-            *known = known.saturating_add(weight);
+        if let Some(counter) = self.counters.get_mut(&key) {
+            counter.weight = counter.weight.saturating_add(weight);
             return;
         }
         let mut error = 0;
-        if self.weights.len() >= self.most {
-            let least = self.weights.iter().min_by_key(|(_, (weight, _))| *weight);
-            if let Some((gone, (weight, _))) = least.map(|(key, weight)| (key.clone(), *weight)) {
-                self.weights.remove(&gone);
-                error = weight;
+        if self.counters.len() >= self.max_keys {
+            let lightest = self.counters.iter().min_by_key(|(_, counter)| counter.weight);
+            if let Some((evicted, counter)) = lightest.map(|(key, counter)| (key.clone(), *counter)) {
+                self.counters.remove(&evicted);
+                error = counter.weight;
             }
         }
-        self.weights.insert(key, (error.saturating_add(weight), error));
+        self.counters.insert(key, Counter { weight: error.saturating_add(weight), error });
     }
 
-    /// The heaviest first: key, weight, and by how much that may be too large.
-    pub fn top(&self, count: usize) -> Vec<(K, u64, u64)> {
-        let mut all: Vec<_> =
-            self.weights.iter().map(|(key, (weight, error))| (key.clone(), *weight, *error)).collect();
-        all.sort_by_key(|(_, weight, _)| std::cmp::Reverse(*weight));
-        all.truncate(count);
-        all
+    /// The `count` heaviest tracked keys, the heaviest first.
+    pub fn top(&self, count: usize) -> Vec<HeavyHitter<K>> {
+        let mut heaviest: Vec<_> = self
+            .counters
+            .iter()
+            .map(|(key, counter)| HeavyHitter {
+                key: key.clone(),
+                weight: counter.weight,
+                error: counter.error,
+            })
+            .collect();
+        heaviest.sort_by_key(|hitter| std::cmp::Reverse(hitter.weight));
+        heaviest.truncate(count);
+        heaviest
     }
 
-    /// Halves every weight, so that what was long ago fades; what is nothing by then goes.
-    pub fn fade(&mut self) {
-        self.weights.retain(|_, (weight, error)| {
-            *weight /= 2;
-            *error /= 2;
-            *weight > 0
+    /// Halves every weight, so that old weight counts less than recent weight. Keys whose weight reaches zero are
+    /// removed.
+    pub fn decay(&mut self) {
+        self.counters.retain(|_, counter| {
+            counter.weight /= 2;
+            counter.error /= 2;
+            counter.weight > 0
         });
     }
 }
--- a/crates/rockflow-memory-budget/src/lib.rs
+++ b/crates/rockflow-memory-budget/src/lib.rs
@@ -1,8 +1,10 @@
-//! Memory by purpose. A `Budget` is a tree of purposes, each with a cap, a guaranteed minimum, and what it may
-//! borrow of its parent beyond its cap. What is taken is a `Charge`, which gives back when it is dropped; nothing
-//! is charged without a purpose. Pressure is graded, and rises earlier than it falls.
+//! Memory accounting by purpose. A [`Budget`] is a tree of purposes. Each has a cap, a guaranteed minimum (its floor),
+//! and an amount that it may hold beyond its cap while its parent has room. Memory in use is accounted by a
+//! [`Charge`] for one purpose, which releases its bytes when it is dropped. Memory pressure has levels; each level
+//! ends at a lower use than it begins at.
 //!
-//! Nothing here allocates, frees or sheds by itself: it says what may be held, and how short it is.
+//! This package does not allocate, free or shed anything: it tells callers whether they may hold more memory, and how
+//! high the pressure is.
 
 pub mod budget;
 pub mod growth;
@@ -11,8 +13,8 @@
 pub mod pressure;
 pub mod purposes;
 
-pub use budget::{Budget, Charge, Refused, Row};
+pub use budget::{Budget, Charge, PurposeUsage, Refused};
 pub use growth::Growth;
-pub use heavy::Heavy;
-pub use plan::{AtCap, Declared, Plan, PurposeId};
-pub use pressure::{Level, Pressure};
+pub use heavy::{HeavyHitter, HeavyHitters};
+pub use plan::{AtCap, Plan, PurposeId, PurposeSpec};
+pub use pressure::{Pressure, PressureLevel};
--- a/crates/rockflow-memory-budget/src/pressure.rs
+++ b/crates/rockflow-memory-budget/src/pressure.rs
@@ -1,39 +1,45 @@
-//! How short memory is, in grades. Each begins at one fill and ends at a lower one, so that what hovers about a
-//! mark does not flap.
+//! Memory pressure in levels. Each level ends at a lower use than it begins at, so that a use near a threshold does not
+//! make the level flap.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
+/// How scarce memory is, by the share of the limit that is held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Level {
+pub enum PressureLevel {
+    /// Nothing needs to be freed.
     #[default]
-    Calm,
-    /// What is idle or can be had again may go.
-    Tight,
-    /// What is new and of least worth is turned away.
-    Short,
-    /// Only what was taken is still served.
+    Normal,
+    /// Idle resources and data that can be fetched again may be freed.
+    Elevated,
+    /// New work of the lowest priority is refused.
+    High,
+    /// Only work that was accepted earlier is still served.
     Critical,
 }
 
-const LEVELS: [Level; 4] = [Level::Calm, Level::Tight, Level::Short, Level::Critical];
-/// Parts of the limit at which each level but the first begins, and how far below that it ends.
-const BEGINS: [f64; 3] = [0.70, 0.85, 0.95];
-const GAP: f64 = 0.07;
+const LEVELS: [PressureLevel; 4] =
+    [PressureLevel::Normal, PressureLevel::Elevated, PressureLevel::High, PressureLevel::Critical];
+/// The shares of the limit at which the levels above normal begin.
+const THRESHOLDS: [f64; 3] = [0.70, 0.85, 0.95];
+/// How far below its threshold a level ends, as a share of the limit.
+const HYSTERESIS: f64 = 0.07;
 
+/// The present pressure level, shared by threads.
 #[derive(Debug, Default)]
 pub struct Pressure(AtomicU8);
 
 impl Pressure {
-    pub fn level(&self) -> Level {
+    pub fn level(&self) -> PressureLevel {
         LEVELS[usize::from(self.0.load(Ordering::Relaxed))]
     }
 
-    /// Takes the present fill into account.
-    pub fn see(&self, fill: f64) {
+    /// Updates the level to the share of the limit that is held now.
+    pub fn update(&self, used_share: f64) {
         let next = |level: u8| {
-            let risen = BEGINS.iter().filter(|mark| fill >= **mark).count() as u8;
-            let kept = BEGINS.iter().filter(|mark| fill >= **mark - GAP).count() as u8;
-            let new = level.clamp(risen, kept);
+            let lowest = THRESHOLDS.iter().filter(|threshold| used_share >= **threshold).count() as u8;
+            let highest =
+                THRESHOLDS.iter().filter(|threshold| used_share >= **threshold - HYSTERESIS).count() as u8;
+            let new = level.clamp(lowest, highest);
             (new != level).then_some(new)
         };
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
@@ -45,19 +51,21 @@
     use super::*;
 
     #[test]
-    fn a_level_ends_lower_than_it_begins() {
+    fn level_ends_at_a_lower_share_than_it_begins() {
         let pressure = Pressure::default();
         let levels: Vec<_> = [0.5, 0.70, 0.66, 0.64, 0.62, 0.86, 0.80, 0.78, 0.77, 0.96, 0.89, 0.88, 0.30]
             .iter()
-            .map(|fill| {
-                pressure.see(*fill);
+            .map(|used_share| {
+                pressure.update(*used_share);
                 pressure.level()
             })
             .collect();
-        use Level::*;
-        let wanted =
-            [Calm, Tight, Tight, Tight, Calm, Short, Short, Short, Tight, Critical, Critical, Critical, Calm];
-        assert_eq!(levels[..11], wanted[..11]);
-        assert_eq!(levels[12], Calm);
+        use PressureLevel::*;
+        let expected = [
+            Normal, Elevated, Elevated, Elevated, Normal, High, High, High, Elevated, Critical, Critical,
+            Critical, Normal,
+        ];
+        assert_eq!(levels[..11], expected[..11]);
+        assert_eq!(levels[12], Normal);
     }
 }
--- a/crates/rockflow-memory-budget/src/purposes.rs
+++ b/crates/rockflow-memory-budget/src/purposes.rs
@@ -1,19 +1,20 @@
-//! What a dispatcher holds memory for, one line each: its part of the told limit, what is kept for it, what it may
-//! borrow, and what is done at its cap. Parts come from what was seen at 32 MB and at 192 MB; a front that is added
-//! later declares its own line below `fronts`.
+//! The purposes for which a dispatcher holds memory: the cap, the floor and the borrowing of each as shares of the
+//! memory limit, and what is done at the cap. The shares suit limits of 32 MB and of 192 MB. A protocol front end that
+//! is added later declares a purpose too.
 
-use crate::plan::{purpose, AtCap::*, Declared, Fault, Plan};
+use crate::plan::{purpose, AtCap::*, Plan, PlanError, PurposeSpec};
 
-/// The whole, with headroom for what nobody accounts for: the program's pages, stacks and the allocator's own.
-pub const DISPATCHER: [Declared; 15] = [
+/// All purposes of a dispatcher. `headroom` is for memory that nothing accounts for: the pages of the program, stacks
+/// and the overhead of the allocator.
+pub const DISPATCHER: [PurposeSpec; 15] = [
     purpose("all", "", 1.0, 0.0, 0.0, RefuseNew),
     purpose("headroom", "all", 0.30, 0.30, 0.0, RefuseNew),
     purpose("clients", "all", 0.12, 0.04, 0.05, CloseIdle),
-    purpose("queries", "all", 0.10, 0.04, 0.05, Dismiss),
-    // What was taken is answered: a reserve that nothing else can take.
-    purpose("answers", "all", 0.40, 0.10, 0.0, Dismiss),
+    purpose("queries", "all", 0.10, 0.04, 0.05, ShedRequests),
+    // The floor is a reserve for answering every request that was accepted.
+    purpose("answers", "all", 0.40, 0.10, 0.0, ShedRequests),
     purpose("lines", "all", 0.08, 0.04, 0.04, RefuseNew),
-    // Purges and drains are applied under any pressure.
+    // The floor lets purges and drains be applied under any memory pressure.
     purpose("list-and-purges", "all", 0.08, 0.04, 0.04, Coalesce),
     purpose("decisions", "all", 0.15, 0.08, 0.05, EvictOldest),
     purpose("timers", "all", 0.03, 0.02, 0.01, Coalesce),
@@ -26,7 +27,7 @@
 ];
 
 /// The dispatcher's plan for a limit in bytes.
-pub fn dispatcher(limit: usize) -> Result<Plan, Fault> {
+pub fn dispatcher(limit: usize) -> Result<Plan, PlanError> {
     Plan::new(limit, &DISPATCHER)
 }
 
@@ -38,21 +39,27 @@
 
     #[test_case(32 << 20)]
     #[test_case(192 << 20)]
-    fn what_was_taken_can_be_answered_whatever_else_is_full(limit: usize) {
+    fn accepted_requests_can_be_answered_when_all_other_purposes_are_full(limit: usize) {
         let budget = Budget::new(dispatcher(limit).unwrap());
         let id = |name: &str| budget.plan().id(name).unwrap();
-        // Everything else takes all that it can get.
+        // All other purposes are charged until they are refused.
         let mut held = Vec::new();
-        for one in DISPATCHER.iter().skip(1).filter(|one| !matches!(one.name, "answers" | "list-and-purges"))
+        for spec in
+            DISPATCHER.iter().skip(1).filter(|spec| !matches!(spec.name, "answers" | "list-and-purges"))
         {
-            while let Ok(charge) = budget.charge(id(one.name), limit / 512) {
+            while let Ok(charge) = budget.charge(id(spec.name), limit / 512) {
                 held.push(charge);
             }
         }
-        let reserve = |name: &str| budget.plan().nodes()[usize::from(id(name).0)].floor;
-        assert!(budget.charge(id("answers"), reserve("answers")).is_ok());
-        assert!(budget.charge(id("list-and-purges"), reserve("list-and-purges")).is_ok());
-        assert!(budget.fill() <= 1.0);
-        assert!(budget.level() >= crate::Level::Short, "{:?} at {}", budget.level(), budget.fill());
+        let floor_of = |name: &str| budget.plan().nodes()[usize::from(id(name).0)].floor;
+        assert!(budget.charge(id("answers"), floor_of("answers")).is_ok());
+        assert!(budget.charge(id("list-and-purges"), floor_of("list-and-purges")).is_ok());
+        assert!(budget.used_share() <= 1.0);
+        assert!(
+            budget.level() >= crate::PressureLevel::High,
+            "{:?} at {}",
+            budget.level(),
+            budget.used_share()
+        );
     }
 }
