--- a/crates/rockflow-store/src/snapshot.rs
+++ b/crates/rockflow-store/src/snapshot.rs
@@ -1,14 +1,15 @@
-//! Snapshots by generation. A file is a head of fixed size, the payload, and nothing else:
+//! Snapshots by generation. A snapshot file consists of a header of fixed size and the payload. All numbers are
+//! little-endian:
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 0..8 | `rockflow` |
-//! | 8..10 | the version of the file's format, little-endian as all numbers |
-//! | 10..12 | the version of the payload's format |
-//! | 12..20 | the generation, as in the file's name |
-//! | 20..28 | the payload's length in bytes |
+//! | 8..10 | version of the file format |
+//! | 10..12 | version of the payload format |
+//! | 12..20 | generation, as in the file name |
+//! | 20..28 | length of the payload in bytes |
 //! | 28..32 | CRC-32 of the payload |
-//! | 32..36 | CRC-32 of all before this |
+//! | 32..36 | CRC-32 of bytes 0..32 |
 
 use crate::disk::Disk;
 use std::io;
@@ -16,49 +17,49 @@
 
 const MAGIC: &[u8; 8] = b"rockflow";
 const FILE_FORMAT: u16 = 1;
-const HEAD_BYTES: usize = 36;
-/// Where each part of the head begins.
-const FILE_FORMAT_AT: usize = 8;
-const PAYLOAD_FORMAT_AT: usize = 10;
-const GENERATION_AT: usize = 12;
-const LENGTH_AT: usize = 20;
-const PAYLOAD_CHECKSUM_AT: usize = 28;
-const HEAD_CHECKSUM_AT: usize = 32;
-/// Snapshots that are retained: the newest, and the one to fall back on.
+const HEADER_BYTES: usize = 36;
+// The offset of each field in the header.
+const FILE_FORMAT_OFFSET: usize = 8;
+const PAYLOAD_FORMAT_OFFSET: usize = 10;
+const GENERATION_OFFSET: usize = 12;
+const LENGTH_OFFSET: usize = 20;
+const PAYLOAD_CHECKSUM_OFFSET: usize = 28;
+const HEADER_CHECKSUM_OFFSET: usize = 32;
+/// The number of retained snapshots: the newest, and one to fall back on if the newest can't be read.
 const MAX_RETAINED: usize = 2;
-/// Digits of the generation in a file's name.
+/// The number of digits of the generation in a file name, padded with zeros.
 const GENERATION_DIGITS: usize = 20;
-/// The extension of the file that is written before it gets its name.
-const TEMPORARY: &str = "aside";
+/// The extension of the temporary file, which is renamed once it is complete and synced.
+const TEMPORARY_EXTENSION: &str = "aside";
 
 /// A snapshot that was read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// Its generation.
+    /// The number of the snapshot: a later one has a greater number.
     pub generation: u64,
-    /// The version of the payload's format.
+    /// The version of the format of the payload.
     pub payload_format: u16,
-    /// What was saved.
+    /// The bytes that were passed to [`Store::save`].
     pub payload: Vec<u8>,
 }
 
 /// Why a payload was not saved.
 #[derive(Debug, Error)]
 pub enum SaveError {
-    /// It is larger than what would be read back.
-    #[error("{bytes} bytes, over the cap of {max_bytes}")]
+    /// The payload is larger than the limit up to which a snapshot is read back.
+    #[error("{bytes} bytes, which exceeds the limit of {max_bytes}")]
     TooLarge {
-        /// Its length.
+        /// The length of the payload in bytes.
         bytes: usize,
-        /// The limit.
+        /// The limit in bytes.
         max_bytes: usize,
     },
-    /// It was not saved; what was durable before still is.
+    /// The disk failed and the payload was not saved. The snapshots saved before are still durable.
     #[error("not saved: {0}")]
     NotSaved(#[source] io::Error),
-    /// It may or may not be durable, as the folder could not be synced and the new name not be taken back. The
-    /// next save settles it.
-    #[error("perhaps not saved: {0}")]
+    /// The payload may or may not be durable: the folder could not be synced, and the new file could not be removed
+    /// durably either. The next successful save makes it irrelevant which of the two holds.
+    #[error("possibly not saved: {0}")]
     Uncertain(#[source] io::Error),
 }
 
@@ -66,9 +67,9 @@
 #[derive(Debug, Error)]
 #[error("{file}: {reason}")]
 pub struct UnreadableSnapshot {
-    /// The file's name.
+    /// The name of the file.
     pub file: String,
-    /// Why it can't be used.
+    /// Why the snapshot can't be used.
     #[source]
     pub reason: ReadError,
 }
@@ -76,76 +77,76 @@
 /// Why a snapshot file can't be used.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The disk did not deliver it.
+    /// Reading the file failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is shorter than a head.
-    #[error("shorter than a head")]
+    /// The file is shorter than a header.
+    #[error("shorter than a header")]
     TooShort,
-    /// It does not begin as a snapshot does.
-    #[error("not a file of rockflow's")]
-    Foreign,
-    /// The head is damaged.
-    #[error("the head's checksum does not hold")]
-    HeadChecksum,
-    /// A newer program wrote it.
-    #[error("of a newer form, {file_format}.{payload_format}")]
+    /// The file does not begin with the magic bytes of a snapshot.
+    #[error("not a file of rockflow")]
+    WrongMagic,
+    /// The header is damaged.
+    #[error("the checksum of the header does not match")]
+    HeaderChecksum,
+    /// A newer version of the program wrote the file.
+    #[error("has the newer format {file_format}.{payload_format}")]
     NewerFormat {
-        /// The version of the file's format.
+        /// The version of the file format.
         file_format: u16,
-        /// The version of the payload's format.
+        /// The version of the payload format.
         payload_format: u16,
     },
-    /// The generation in the head is not that of the file's name.
-    #[error("holds generation {0}")]
+    /// The generation in the header, given here, differs from that in the file name.
+    #[error("contains generation {0}, which is not that of its name")]
     WrongGeneration(u64),
-    /// The payload is shorter or longer than the head says.
-    #[error("{found} bytes of {expected}")]
+    /// The payload is shorter or longer than the header states.
+    #[error("the payload has {found} bytes instead of {expected}")]
     Length {
-        /// The payload's length in bytes.
+        /// The length of the payload in bytes.
         found: usize,
-        /// The length in the head.
+        /// The length in the header, in bytes.
         expected: u64,
     },
     /// The payload is damaged.
-    #[error("the checksum does not hold")]
+    #[error("the checksum of the payload does not match")]
     PayloadChecksum,
 }
 
-/// A store as it was found at its opening.
+/// The result of opening a store.
 #[derive(Debug)]
 pub struct Opened<D> {
-    /// The store.
+    /// The store, ready for saving.
     pub store: Store<D>,
-    /// The newest snapshot that is whole.
+    /// The newest snapshot that is complete and undamaged. None: there is no such snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Newer files that were skipped.
+    /// Files that are newer than `snapshot` and were skipped, the newest first.
     pub unreadable: Vec<UnreadableSnapshot>,
 }
 
-/// The snapshots of one name in a folder.
+/// The snapshots of one name on a disk.
 #[derive(Debug)]
 pub struct Store<D> {
     disk: D,
     name: String,
-    /// The payload's own format; newer ones are skipped.
+    /// The payload format that is written; snapshots of newer formats are skipped.
     payload_format: u16,
     max_payload_bytes: usize,
-    /// The greatest generation seen, readable or not: what is written next is greater.
+    /// The greatest generation found or used so far, even if its file is unreadable. The next save uses a greater one.
     generation: u64,
-    /// Generations known to be whole, oldest first.
-    whole: Vec<u64>,
+    /// Generations of the snapshots that are known to be readable, the oldest first.
+    readable: Vec<u64>,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens the snapshots of that name, and reads the newest that is whole.
+    /// Opens the snapshots of a name, and reads the newest one that is complete and undamaged.
     ///
     /// # Errors
-    /// Where the disk can't be listed: nothing is known of it, so it must not be taken for an empty one.
+    /// If the files of the disk can't be listed. Snapshots may exist, so the caller must not treat the store as empty.
     pub fn open(disk: D, name: &str, payload_format: u16, max_payload_bytes: usize) -> io::Result<Opened<D>> {
         let name = name.to_string();
         let mut store =
-            Store { disk, name, payload_format, max_payload_bytes, generation: 0, whole: Vec::new() };
+            Store { disk, name, payload_format, max_payload_bytes, generation: 0, readable: Vec::new() };
         let mut generations: Vec<u64> =
             store.disk.list()?.iter().filter_map(|file| store.generation_of(file)).collect();
         generations.sort_unstable();
@@ -155,7 +156,7 @@
         for generation in generations.into_iter().rev() {
             match store.read(generation) {
                 Ok(snapshot) => {
-                    store.whole.insert(0, generation);
+                    store.readable.insert(0, generation);
                     newest = newest.or(Some(snapshot));
                 }
                 Err(reason) if newest.is_none() => {
@@ -167,40 +168,40 @@
         Ok(Opened { store, snapshot: newest, unreadable })
     }
 
-    /// Makes the payload durable. Once this returns its generation, a restart comes back with it.
+    /// Saves the payload durably and returns its generation. From then on, a restart reads this payload or a later one.
     ///
     /// # Errors
-    /// Where it is too large, or the disk fails.
+    /// If the payload is too large, or the disk fails.
     pub fn save(&mut self, payload: &[u8]) -> Result<u64, SaveError> {
         if payload.len() > self.max_payload_bytes {
             let max_bytes = self.max_payload_bytes;
             return Err(SaveError::TooLarge { bytes: payload.len(), max_bytes });
         }
-        // Not used again even if this fails: a torn file of that number may stay behind.
+        // A generation is not used again even if this save fails, as an incomplete file of its name may remain.
         self.generation += 1;
         let generation = self.generation;
         let file = self.file_name(generation);
         self.write_file(&file, &self.encode(generation, payload))?;
-        self.whole.push(generation);
-        while self.whole.len() > MAX_RETAINED {
-            let oldest = self.whole.remove(0);
-            // One that stays costs its bytes and is tried again at the next opening.
+        self.readable.push(generation);
+        while self.readable.len() > MAX_RETAINED {
+            let oldest = self.readable.remove(0);
+            // A file that can't be removed only takes space; the next opening finds it, and a later save removes it.
             let _ = self.disk.remove(&self.file_name(oldest));
         }
         Ok(generation)
     }
 
-    /// The greatest generation seen or written.
+    /// The greatest generation found on the disk or used by a save.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The disk.
+    /// The disk that holds the snapshots.
     pub fn disk(&self) -> &D {
         &self.disk
     }
 
-    /// The disk, to be changed by tests.
+    /// The disk that holds the snapshots, for tests that change it.
     pub fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
@@ -215,12 +216,12 @@
     }
 
     fn read(&self, generation: u64) -> Result<Snapshot, ReadError> {
-        let bytes = self.disk.read(&self.file_name(generation), HEAD_BYTES + self.max_payload_bytes)?;
+        let bytes = self.disk.read(&self.file_name(generation), HEADER_BYTES + self.max_payload_bytes)?;
         self.decode(generation, &bytes)
     }
 
     fn encode(&self, generation: u64, payload: &[u8]) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD_BYTES + payload.len());
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&FILE_FORMAT.to_le_bytes());
         bytes.extend_from_slice(&self.payload_format.to_le_bytes());
@@ -233,29 +234,31 @@
     }
 
     fn decode(&self, generation: u64, bytes: &[u8]) -> Result<Snapshot, ReadError> {
-        let Some((head, payload)) = bytes.split_at_checked(HEAD_BYTES) else {
+        let Some((header, payload)) = bytes.split_at_checked(HEADER_BYTES) else {
             return Err(ReadError::TooShort);
         };
-        if !head.starts_with(MAGIC) {
-            return Err(ReadError::Foreign);
+        if !header.starts_with(MAGIC) {
+            return Err(ReadError::WrongMagic);
         }
-        if crc32fast::hash(&head[..HEAD_CHECKSUM_AT]) != u32::from_le_bytes(field(head, HEAD_CHECKSUM_AT)) {
-            return Err(ReadError::HeadChecksum);
+        if crc32fast::hash(&header[..HEADER_CHECKSUM_OFFSET])
+            != u32::from_le_bytes(header_field(header, HEADER_CHECKSUM_OFFSET))
+        {
+            return Err(ReadError::HeaderChecksum);
         }
-        let file_format = u16::from_le_bytes(field(head, FILE_FORMAT_AT));
-        let payload_format = u16::from_le_bytes(field(head, PAYLOAD_FORMAT_AT));
+        let file_format = u16::from_le_bytes(header_field(header, FILE_FORMAT_OFFSET));
+        let payload_format = u16::from_le_bytes(header_field(header, PAYLOAD_FORMAT_OFFSET));
         if file_format > FILE_FORMAT || payload_format > self.payload_format {
             return Err(ReadError::NewerFormat { file_format, payload_format });
         }
-        let stored_generation = u64::from_le_bytes(field(head, GENERATION_AT));
+        let stored_generation = u64::from_le_bytes(header_field(header, GENERATION_OFFSET));
         if stored_generation != generation {
             return Err(ReadError::WrongGeneration(stored_generation));
         }
-        let expected = u64::from_le_bytes(field(head, LENGTH_AT));
+        let expected = u64::from_le_bytes(header_field(header, LENGTH_OFFSET));
         if payload.len() as u64 != expected {
             return Err(ReadError::Length { found: payload.len(), expected });
         }
-        if crc32fast::hash(payload) != u32::from_le_bytes(field(head, PAYLOAD_CHECKSUM_AT)) {
+        if crc32fast::hash(payload) != u32::from_le_bytes(header_field(header, PAYLOAD_CHECKSUM_OFFSET)) {
             return Err(ReadError::PayloadChecksum);
         }
         Ok(Snapshot { generation, payload_format, payload: payload.to_vec() })
@@ -263,15 +266,15 @@
 
     /// Writes a file under a temporary name, syncs it, renames it and syncs the folder.
     fn write_file(&mut self, file: &str, bytes: &[u8]) -> Result<(), SaveError> {
-        let temporary = format!("{}.{TEMPORARY}", self.name);
+        let temporary = format!("{}.{TEMPORARY_EXTENSION}", self.name);
         let written = self.disk.write(&temporary, bytes).and_then(|()| self.disk.sync(&temporary));
         if let Err(error) = written.and_then(|()| self.disk.rename(&temporary, file)) {
-            // The next save writes over what stays; removing it frees a full disk.
+            // Removing the temporary file frees space on a full disk. If it remains, the next save overwrites it.
             let _ = self.disk.remove(&temporary);
             return Err(SaveError::NotSaved(error));
         }
         if let Err(error) = self.disk.sync_folder() {
-            // Guards against a commit that was reported as failed and is there after a restart.
+            // Removes the file, so that a commit reported as failed does not reappear after a restart.
             let removed = self.disk.remove(file).and_then(|()| self.disk.sync_folder());
             return Err(match removed {
                 Ok(()) => SaveError::NotSaved(error),
@@ -282,9 +285,9 @@
     }
 }
 
-/// The bytes of the head from that place on.
-fn field<const N: usize>(head: &[u8], at: usize) -> [u8; N] {
+/// The `N` bytes of the header that begin at the offset.
+fn header_field<const N: usize>(header: &[u8], offset: usize) -> [u8; N] {
     let mut bytes = [0; N];
-    bytes.copy_from_slice(&head[at..at + N]);
+    bytes.copy_from_slice(&header[offset..offset + N]);
     bytes
 }
