--- a/crates/rockflow-store/src/disk.rs
+++ b/crates/rockflow-store/src/disk.rs
@@ -1,44 +1,44 @@
-//! The narrow interface to a folder of files.
+//! The interface to a folder of files, and its implementation on the file system.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::PathBuf;
 
-/// A folder of files. Names are plain, without a separator. Nothing is durable before it is synced: neither a
-/// file's bytes, nor, before the folder is, its name.
+/// A folder of files. File names contain no path separator. Nothing survives a crash for certain before it is synced:
+/// the bytes of a file need [`sync`](Disk::sync), its name needs [`sync_folder`](Disk::sync_folder).
 pub trait Disk {
     /// The names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Reads a file, up to so many bytes; a longer one is an error.
+    /// Reads a whole file. A file longer than `max_bytes` is an error.
     fn read(&self, name: &str, max_bytes: usize) -> io::Result<Vec<u8>>;
-    /// Creates the file, or empties it, and writes it.
+    /// Creates the file, or truncates an existing one, and writes the bytes to it.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes the file's bytes durable.
+    /// Makes the bytes of the file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives the file another name, in place of a file that had it.
+    /// Renames the file, and replaces a file of the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes the file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes all changes of names durable.
+    /// Makes all creations, renames and removals of files durable.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the file system, held by one process at a time.
+/// A folder of the file system, which only one process at a time can open.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    /// Locked until it is dropped.
+    /// Holds the lock of the folder until it is dropped.
     _lock: File,
 }
 
-/// The file whose lock says that the folder is in use.
+/// The file that a process locks while it has the folder open.
 const LOCK_FILE: &str = "lock";
 
 impl Folder {
-    /// Opens the folder, which is created for its owner alone where it does not exist.
+    /// Opens the folder. A folder that does not exist is created with access for its owner only.
     ///
     /// # Errors
-    /// Where it can't be used, or another process has it open: two dispatchers would write over each other's
+    /// If the folder can't be used, or if another process has it open: two dispatchers would overwrite each other's
     /// state.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Folder> {
         let path = path.into();
@@ -55,7 +55,7 @@
             Ok(()) => Ok(Folder { path, _lock: lock }),
             Err(TryLockError::WouldBlock) => Err(io::Error::new(
                 io::ErrorKind::ResourceBusy,
-                format!("{} is held by another process", path.display()),
+                format!("{} is in use by another process", path.display()),
             )),
             Err(TryLockError::Error(error)) => Err(error),
         }
@@ -63,7 +63,6 @@
 }
 
 impl Disk for Folder {
-    /// The names of all files.
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
@@ -80,7 +79,10 @@
         let file = File::open(self.path.join(name))?;
         file.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
         if bytes.len() > max_bytes {
-            return Err(io::Error::new(io::ErrorKind::FileTooLarge, format!("over {max_bytes} bytes")));
+            return Err(io::Error::new(
+                io::ErrorKind::FileTooLarge,
+                format!("longer than {max_bytes} bytes"),
+            ));
         }
         Ok(bytes)
     }
--- a/crates/rockflow-store/src/faulty.rs
+++ b/crates/rockflow-store/src/faulty.rs
@@ -1,25 +1,25 @@
-//! A disk in memory for tests: it fails at the steps that a test names, and after a crash it retains only what was
-//! synced, or any part of the rest that a real one might have retained.
+//! A disk in memory for tests. It fails at the steps that a test chooses. After a crash it retains what was synced, and
+//! those unsynced changes that the test chooses among the ones that a real disk might retain.
 
 use crate::disk::Disk;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-/// What a crash leaves of bytes that were written and not synced.
+/// What a crash leaves of the bytes of a file that were written but not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsyncedBytes {
-    /// Nothing: the bytes that were synced last.
+    /// The file has the bytes that were synced last.
     Lost,
-    /// The first half.
+    /// The file has the first half of the written bytes.
     Half,
-    /// The length, with zeros for bytes.
+    /// The file has the written length, but all bytes are zero.
     Zeros,
-    /// All of them.
+    /// The file has all written bytes.
     All,
 }
 
 impl UnsyncedBytes {
-    /// Each of them.
+    /// All cases, for tests that go through them.
     pub const EACH: [UnsyncedBytes; 4] =
         [UnsyncedBytes::Lost, UnsyncedBytes::Half, UnsyncedBytes::Zeros, UnsyncedBytes::All];
 }
@@ -27,6 +27,7 @@
 #[derive(Clone, Debug, Default)]
 struct File {
     bytes: Vec<u8>,
+    /// The bytes at the last sync. None: the file was never synced.
     synced: Option<Vec<u8>>,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// A change of names; files are numbers.
+/// A change of file names. A file is identified by its index in [`FaultyDisk::files`].
 #[derive(Clone, Debug)]
 enum NameChange {
     Link(String, usize),
@@ -51,66 +52,69 @@
     Unlink(String),
 }
 
-/// A folder in memory that fails as tests tell it to.
+/// A folder in memory whose faults a test chooses.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk {
     files: Vec<File>,
+    /// By name: the index of the file.
     names: BTreeMap<String, usize>,
+    /// The names at the last sync of the folder.
     synced_names: BTreeMap<String, usize>,
+    /// Changes of names since the last sync of the folder, in order.
     unsynced_changes: Vec<NameChange>,
-    /// Changes and syncs that were requested so far.
+    /// The number of steps so far: writes, renames, removals and syncs that were requested.
     steps: usize,
-    /// The process dies at this step: nothing from it on is done.
+    /// The process dies at this step: it and all later ones fail and change nothing.
     dies_at: Option<usize>,
-    /// These steps fail, and do nothing.
+    /// These steps fail and change nothing.
     fails_at: BTreeSet<usize>,
-    /// Bytes that fit; a write past that is cut and fails.
+    /// The bytes that all files together may have. A write beyond that is cut short and fails. None: no limit.
     capacity: Option<usize>,
     read_only: bool,
 }
 
 impl FaultyDisk {
-    /// The process dies so many steps from now: that step and all after it fail.
+    /// Lets the process die after `step` more steps: the step after those and all later ones fail.
     pub fn dying_at(mut self, step: usize) -> FaultyDisk {
         self.dies_at = Some(self.steps + step);
         self
     }
 
-    /// Those steps from now fail, and no others.
+    /// Lets the given steps fail, and no others. They are counted from now on, beginning with 0.
     pub fn failing_at(mut self, steps: impl IntoIterator<Item = usize>) -> FaultyDisk {
         self.fails_at = steps.into_iter().map(|step| self.steps + step).collect();
         self
     }
 
-    /// So many bytes fit.
+    /// Limits the bytes that all files together may have.
     pub fn with_capacity(mut self, bytes: usize) -> FaultyDisk {
         self.capacity = Some(bytes);
         self
     }
 
-    /// All changes fail.
+    /// Lets all changes and syncs fail, while reading still works.
     pub fn read_only(mut self) -> FaultyDisk {
         self.read_only = true;
         self
     }
 
-    /// Changes and syncs that were requested so far.
+    /// The number of steps so far: writes, renames, removals and syncs that were requested, including failed ones.
     pub fn steps(&self) -> usize {
         self.steps
     }
 
-    /// How many changes of names are not durable yet.
+    /// The number of changes of names that are not durable yet.
     pub fn unsynced_names(&self) -> usize {
         self.unsynced_changes.len()
     }
 
-    /// Whether the step was reached at which the process dies.
+    /// Whether the process has reached the step at which it dies.
     pub fn has_died(&self) -> bool {
         self.dies_at.is_some_and(|step| self.steps > step)
     }
 
-    /// The disk as a new process finds it after a crash: the first so many unsynced changes of names are durable,
-    /// and `unsynced` says what is left of unsynced bytes.
+    /// The disk as a new process finds it after a crash. The first `name_changes` of the unsynced changes of names are
+    /// durable, and `unsynced` determines what remains of unsynced bytes. The new disk has no faults.
     pub fn after_crash(&self, name_changes: usize, unsynced: UnsyncedBytes) -> FaultyDisk {
         let mut names = self.synced_names.clone();
         for change in self.unsynced_changes.iter().take(name_changes) {
@@ -124,40 +128,41 @@
         }
     }
 
-    /// Adds a file, synced.
+    /// Adds a synced file, or replaces the one of that name. Counts no step.
     pub fn plant(&mut self, name: &str, bytes: &[u8]) {
         self.files.push(File { bytes: bytes.to_vec(), synced: Some(bytes.to_vec()) });
         self.names.insert(name.to_string(), self.files.len() - 1);
         self.synced_names.insert(name.to_string(), self.files.len() - 1);
     }
 
-    /// The bytes of a file as they are now.
+    /// The present bytes of a file, synced or not. None if there is no such file.
     pub fn bytes(&self, name: &str) -> Option<&[u8]> {
         self.names.get(name).map(|file| self.files[*file].bytes.as_slice())
     }
 
-    /// The names as they are now.
+    /// The present names of all files, synced or not, in alphabetical order.
     pub fn names(&self) -> Vec<String> {
         self.names.keys().cloned().collect()
     }
 
-    /// Counts a step, and fails where it is to fail.
+    /// Counts a step, and returns an error if the step is to fail.
     fn begin_step(&mut self) -> io::Result<()> {
         let step = self.steps;
-        if self.dies_at.is_some_and(|at| step >= at) {
+        if self.dies_at.is_some_and(|dies_at| step >= dies_at) {
             self.steps = self.steps.max(step + 1);
-            return Err(io::Error::other("the process is dead"));
+            return Err(io::Error::other("the process has died"));
         }
         self.steps += 1;
         if self.read_only {
             return Err(io::Error::from(io::ErrorKind::ReadOnlyFilesystem));
         }
         if self.fails_at.contains(&step) {
-            return Err(io::Error::other("told to fail"));
+            return Err(io::Error::other("injected failure"));
         }
         Ok(())
     }
 
+    /// The index of the file of that name, which is created if there is none.
     fn file_or_new(&mut self, name: &str) -> usize {
         if let Some(file) = self.names.get(name) {
             return *file;
@@ -173,6 +178,7 @@
         self.unsynced_changes.push(change);
     }
 
+    /// The index of the file of that name.
     fn file(&self, name: &str) -> io::Result<usize> {
         self.names.get(name).copied().ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))
     }
--- a/crates/rockflow-store/src/lib.rs
+++ b/crates/rockflow-store/src/lib.rs
@@ -1,11 +1,11 @@
-//! Durable state of rockflow: whole snapshots under generations that only grow.
+//! Durable state of rockflow: complete snapshots, numbered by generations that only increase.
 //!
-//! A snapshot is written under a temporary name, synced, renamed, and the folder synced, so that a process killed
-//! at any step leaves the one before or the new one, whole. A file that can't be read is skipped and reported,
-//! never repaired and never written over.
+//! A snapshot is written under a temporary name and synced; then the file is renamed and the folder synced. A process
+//! killed at any step therefore leaves either the previous snapshot or the new one, complete. A file that can't be read
+//! is skipped and reported; it is never repaired or overwritten.
 //!
-//! [`Store`] does no I/O but through the narrow trait [`Disk`]: [`Folder`] is one of the file system,
-//! [`faulty::FaultyDisk`] one in memory for tests, which fails and loses what tests tell it to.
+//! [`Store`] does all its I/O through the trait [`Disk`]. [`Folder`] implements it on the file system;
+//! [`faulty::FaultyDisk`] implements it in memory for tests, with faults and data loss that a test chooses.
 
 pub mod disk;
 pub mod faulty;
