--- a/crates/rockflow-store/tests/crashes.rs
+++ b/crates/rockflow-store/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! A process killed, or failed by its disk, at every step of a save.
+//! Snapshots after a crash or a disk failure at every step of a save, and after damage to the files.
 
 use rockflow_store::faulty::{FaultyDisk, UnsyncedBytes};
 use rockflow_store::{Folder, Opened, SaveError, Store};
@@ -10,8 +10,8 @@
     Store::open(disk, "marks", 1, MAX_BYTES).unwrap()
 }
 
-/// What the newest whole snapshot of a disk holds.
-fn newest(disk: FaultyDisk) -> Option<Vec<u8>> {
+/// The payload of the newest readable snapshot of a disk.
+fn newest_payload(disk: FaultyDisk) -> Option<Vec<u8>> {
     open(disk).snapshot.map(|snapshot| snapshot.payload)
 }
 
@@ -19,8 +19,8 @@
     format!("commit {number} ").repeat(20).into_bytes()
 }
 
-/// A disk on which so many were saved, with nothing pending.
-fn after(saves: usize) -> FaultyDisk {
+/// A disk after `saves` saves, with nothing left to sync.
+fn disk_after(saves: usize) -> FaultyDisk {
     let mut store = open(FaultyDisk::default()).store;
     (0..saves).for_each(|number| {
         store.save(&payload(number)).unwrap();
@@ -28,33 +28,38 @@
     store.disk().clone().after_crash(usize::MAX, UnsyncedBytes::All)
 }
 
-/// Every step of the saves that follow, every part of the unsynced names, every fate of unsynced bytes.
+/// Guards against a torn snapshot and a lost acknowledged one. The process dies at each step of two saves; each time,
+/// every possible number of unsynced changes of names and every case of unsynced bytes survives the crash.
 #[test]
-fn crash_leaves_old_or_new_snapshot_whole_and_loses_nothing_acknowledged() {
-    let mut points = 0;
-    for before in 0..4 {
+fn crash_leaves_old_or_new_snapshot_complete_and_loses_nothing_acknowledged() {
+    let mut crash_points = 0;
+    for saves_before in 0..4 {
         for step in 0.. {
-            let mut store = open(after(before).dying_at(step)).store;
-            let mut acknowledged = before.checked_sub(1);
-            for number in before..before + 2 {
+            let mut store = open(disk_after(saves_before).dying_at(step)).store;
+            let mut acknowledged = saves_before.checked_sub(1);
+            for number in saves_before..saves_before + 2 {
                 if store.save(&payload(number)).is_ok() {
                     acknowledged = Some(number);
                 }
             }
             let disk = store.disk().clone();
-            for names in 0..=disk.unsynced_names() {
-                for bytes in UnsyncedBytes::EACH {
-                    points += 1;
-                    let Opened { store: mut again, snapshot, .. } = open(disk.after_crash(names, bytes));
-                    let least = acknowledged.map(payload);
-                    let next = payload(acknowledged.map_or(0, |acknowledged| acknowledged + 1));
+            for name_changes in 0..=disk.unsynced_names() {
+                for unsynced in UnsyncedBytes::EACH {
+                    crash_points += 1;
+                    let Opened { store: mut restarted, snapshot, .. } =
+                        open(disk.after_crash(name_changes, unsynced));
+                    let last_acknowledged = acknowledged.map(payload);
+                    let following = payload(acknowledged.map_or(0, |acknowledged| acknowledged + 1));
                     let found = snapshot.map(|snapshot| snapshot.payload);
-                    let whole = found == least || found.as_ref() == Some(&next);
-                    assert!(whole, "before {before} step {step} names {names} {bytes:?}: {found:?}");
-                    // Whatever was left behind, the next save holds.
-                    again.save(b"next").unwrap();
-                    let disk = again.disk().after_crash(0, UnsyncedBytes::Lost);
-                    assert_eq!(newest(disk), Some(b"next".to_vec()));
+                    let is_expected = found == last_acknowledged || found.as_ref() == Some(&following);
+                    assert!(
+                        is_expected,
+                        "{saves_before} saves before, step {step}, {name_changes} name changes, {unsynced:?}: {found:?}"
+                    );
+                    // The files that the crash left behind don't keep the next save from being durable.
+                    restarted.save(b"next").unwrap();
+                    let disk = restarted.disk().after_crash(0, UnsyncedBytes::Lost);
+                    assert_eq!(newest_payload(disk), Some(b"next".to_vec()));
                 }
             }
             if !disk.has_died() {
@@ -62,64 +67,65 @@
             }
         }
     }
-    println!("{points} crash points, 0 torn, 0 lost");
-    assert!(points > 300, "{points}");
+    println!("{crash_points} crash points, 0 torn, 0 lost");
+    assert!(crash_points > 300, "{crash_points}");
 }
 
 #[test]
 fn failed_step_leaves_last_snapshot_and_next_save_succeeds() {
     for step in 0..5 {
-        let mut store = open(after(3).failing_at([step])).store;
+        let mut store = open(disk_after(3).failing_at([step])).store;
         let saved = store.save(&payload(3));
         let disk = store.disk().clone();
-        for names in 0..=disk.unsynced_names() {
-            for bytes in UnsyncedBytes::EACH {
-                let found = newest(disk.after_crash(names, bytes)).unwrap();
+        for name_changes in 0..=disk.unsynced_names() {
+            for unsynced in UnsyncedBytes::EACH {
+                let found = newest_payload(disk.after_crash(name_changes, unsynced)).unwrap();
                 let acknowledged = if saved.is_ok() { payload(3) } else { payload(2) };
-                assert_eq!(found, acknowledged, "step {step} names {names} {bytes:?}");
+                assert_eq!(found, acknowledged, "step {step}, {name_changes} name changes, {unsynced:?}");
             }
         }
         store.save(&payload(4)).unwrap();
-        assert_eq!(newest(store.disk().clone()).unwrap(), payload(4));
+        assert_eq!(newest_payload(store.disk().clone()).unwrap(), payload(4));
     }
 }
 
 #[test]
 fn reports_uncertain_save_where_folder_can_not_be_synced() {
-    // The write, the sync and the rename pass; the folder's sync and the taking back fail.
-    let mut store = open(after(1).failing_at([3, 4])).store;
+    // The write, the sync and the rename (steps 0 to 2) succeed; the sync of the folder and the removal that undoes the
+    // save fail.
+    let mut store = open(disk_after(1).failing_at([3, 4])).store;
     assert!(matches!(store.save(&payload(1)), Err(SaveError::Uncertain(_))));
     store.save(&payload(2)).unwrap();
     let disk = store.disk().after_crash(0, UnsyncedBytes::Lost);
-    assert_eq!(newest(disk).unwrap(), payload(2));
+    assert_eq!(newest_payload(disk).unwrap(), payload(2));
 }
 
 #[test]
 fn full_disk_retains_last_snapshot_and_frees_the_temporary_file() {
-    let full = after(2);
-    let used: usize = full.names().iter().map(|name| full.bytes(name).unwrap().len()).sum();
-    let mut store = open(full.with_capacity(used + 10)).store;
+    let disk = disk_after(2);
+    let used: usize = disk.names().iter().map(|name| disk.bytes(name).unwrap().len()).sum();
+    let mut store = open(disk.with_capacity(used + 10)).store;
     assert!(matches!(store.save(&payload(9)), Err(SaveError::NotSaved(_))));
     assert!(!store.disk().names().iter().any(|name| name.ends_with("aside")));
-    assert_eq!(newest(store.disk().clone()).unwrap(), payload(1));
+    assert_eq!(newest_payload(store.disk().clone()).unwrap(), payload(1));
 }
 
 #[test]
 fn read_only_disk_still_reads() {
-    let Opened { mut store, snapshot, .. } = open(after(2).read_only());
+    let Opened { mut store, snapshot, .. } = open(disk_after(2).read_only());
     assert_eq!(snapshot.unwrap().payload, payload(1));
     assert!(matches!(store.save(&payload(2)), Err(SaveError::NotSaved(_))));
 }
 
 #[test]
 fn detects_every_flipped_bit() {
-    let disk = after(2);
-    let newest = disk.names().into_iter().max().unwrap();
-    let bytes = disk.bytes(&newest).unwrap().to_vec();
+    let disk = disk_after(2);
+    let newest_file = disk.names().into_iter().max().unwrap();
+    let bytes = disk.bytes(&newest_file).unwrap().to_vec();
     for bit in 0..bytes.len() * 8 {
-        let (mut bad, mut disk) = (bytes.clone(), disk.clone());
-        bad[bit / 8] ^= 1 << (bit % 8);
-        disk.plant(&newest, &bad);
+        let (mut damaged, mut disk) = (bytes.clone(), disk.clone());
+        damaged[bit / 8] ^= 1 << (bit % 8);
+        disk.plant(&newest_file, &damaged);
         let Opened { snapshot, unreadable, .. } = open(disk);
         assert_eq!(snapshot.unwrap().payload, payload(0), "bit {bit}");
         assert_eq!(unreadable.len(), 1);
@@ -129,22 +135,22 @@
 #[test_case(&[], "shorter"; "empty")]
 #[test_case(&[7; 400], "not a file"; "foreign")]
 #[test_case(&[0; MAX_BYTES * 2], "large"; "larger than the cap")]
-fn skips_foreign_files_and_leaves_them_alone(bytes: &[u8], complaint: &str) {
-    let mut disk = after(2);
+fn skips_foreign_files_and_does_not_change_them(bytes: &[u8], expected_reason: &str) {
+    let mut disk = disk_after(2);
     let foreign = format!("marks.{:020}", 77);
     disk.plant(&foreign, bytes);
     let Opened { mut store, snapshot, unreadable } = open(disk);
     assert_eq!(snapshot.unwrap().payload, payload(1));
-    assert!(unreadable[0].to_string().contains(complaint), "{unreadable:?}");
+    assert!(unreadable[0].to_string().contains(expected_reason), "{unreadable:?}");
     assert_eq!(store.save(&payload(5)).unwrap(), 78);
     assert_eq!(store.disk().bytes(&foreign), Some(bytes));
-    assert_eq!(newest(store.disk().clone()).unwrap(), payload(5));
+    assert_eq!(newest_payload(store.disk().clone()).unwrap(), payload(5));
 }
 
 #[test]
 fn skips_newer_format_and_leaves_it_for_the_newer_program() {
-    let mut newer = Store::open(after(2), "marks", 9, MAX_BYTES).unwrap().store;
-    newer.save(b"from tomorrow").unwrap();
+    let mut newer = Store::open(disk_after(2), "marks", 9, MAX_BYTES).unwrap().store;
+    newer.save(b"newer").unwrap();
     let Opened { snapshot, unreadable, .. } = open(newer.disk().clone());
     assert_eq!(snapshot.unwrap().payload, payload(1));
     assert!(unreadable[0].to_string().contains("newer"), "{unreadable:?}");
@@ -158,7 +164,7 @@
 }
 
 #[test]
-fn folder_reads_back_its_snapshots_and_is_open_only_once() {
+fn folder_reads_back_its_snapshots_and_can_not_be_opened_twice() {
     let path = std::env::temp_dir().join(format!("rockflow-store-{}", std::process::id()));
     let Opened { mut store, snapshot, .. } =
         Store::open(Folder::open(&path).unwrap(), "marks", 1, MAX_BYTES).unwrap();
@@ -166,12 +172,12 @@
     (0..4).for_each(|number| {
         store.save(&payload(number)).unwrap();
     });
-    let busy = Folder::open(&path).err().unwrap();
-    assert_eq!(busy.kind(), std::io::ErrorKind::ResourceBusy);
+    let error = Folder::open(&path).err().unwrap();
+    assert_eq!(error.kind(), std::io::ErrorKind::ResourceBusy);
     drop(store);
     let Opened { snapshot, .. } = Store::open(Folder::open(&path).unwrap(), "marks", 1, MAX_BYTES).unwrap();
     assert_eq!(snapshot.unwrap().payload, payload(3));
-    // The lock, and the snapshots that are kept.
+    // The lock file and the two retained snapshots.
     assert_eq!(std::fs::read_dir(&path).unwrap().count(), 3);
     std::fs::remove_dir_all(&path).unwrap();
 }
