--- a/crates/rockflow-management/tests/stored_snapshot.rs
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -115,7 +115,7 @@
 
 fn read_fixture() -> Snapshot {
     let mut disk = FaultyDisk::default();
-    disk.plant(FIXTURE_NAME, FIXTURE);
+    disk.insert_synced(FIXTURE_NAME, FIXTURE);
     let Opened { snapshot, unreadable, .. } = open_store(disk);
     assert!(unreadable.is_empty(), "{unreadable:?}");
     snapshot.unwrap()
@@ -245,7 +245,7 @@
     );
     // The next after generation 8, so that the whole file is the same.
     let mut disk = FaultyDisk::default();
-    disk.plant("config.00000000000000000008", b"");
+    disk.insert_synced("config.00000000000000000008", b"");
     let mut store = open_store(disk).store;
     assert_eq!(store.save(&payload).unwrap(), FIXTURE_GENERATION);
     assert_eq!(store.disk().bytes(FIXTURE_NAME), Some(FIXTURE));
--- a/crates/rockflow-store/src/faulty.rs
+++ b/crates/rockflow-store/src/faulty.rs
@@ -129,7 +129,7 @@
     }
 
     /// Adds a synced file, or replaces the one of that name. Counts no step.
-    pub fn plant(&mut self, name: &str, bytes: &[u8]) {
+    pub fn insert_synced(&mut self, name: &str, bytes: &[u8]) {
         self.files.push(File { bytes: bytes.to_vec(), synced: Some(bytes.to_vec()) });
         self.names.insert(name.to_string(), self.files.len() - 1);
         self.synced_names.insert(name.to_string(), self.files.len() - 1);
--- a/crates/rockflow-store/tests/crashes.rs
+++ b/crates/rockflow-store/tests/crashes.rs
@@ -125,7 +125,7 @@
     for bit in 0..bytes.len() * 8 {
         let (mut damaged, mut disk) = (bytes.clone(), disk.clone());
         damaged[bit / 8] ^= 1 << (bit % 8);
-        disk.plant(&newest_file, &damaged);
+        disk.insert_synced(&newest_file, &damaged);
         let Opened { snapshot, unreadable, .. } = open(disk);
         assert_eq!(snapshot.unwrap().payload, payload(0), "bit {bit}");
         assert_eq!(unreadable.len(), 1);
@@ -138,7 +138,7 @@
 fn skips_foreign_files_and_does_not_change_them(bytes: &[u8], expected_reason: &str) {
     let mut disk = disk_after(2);
     let foreign = format!("marks.{:020}", 77);
-    disk.plant(&foreign, bytes);
+    disk.insert_synced(&foreign, bytes);
     let Opened { mut store, snapshot, unreadable } = open(disk);
     assert_eq!(snapshot.unwrap().payload, payload(1));
     assert!(unreadable[0].to_string().contains(expected_reason), "{unreadable:?}");
