--- a/crates/rockflow-routing-simulation/src/fleet.rs
+++ b/crates/rockflow-routing-simulation/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulation: a queue of events in virtual time over many dispatchers.
+//! The simulation of a fleet: a queue of events in virtual time for many dispatchers.
 
 use crate::deployment::{deployment_config, DEADLINE};
 use rockflow::{
@@ -9,74 +9,75 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// What is added to the seed of a dispatcher that restarts.
+/// Added to the seed of a dispatcher when it restarts, so that it does not repeat its earlier random draws.
 const RESTART_SEED_OFFSET: u64 = 1000;
 
 /// The size of a fleet and of its traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetOptions {
-    /// Determines every random draw.
+    /// The seed of all random draws.
     pub seed: u64,
     /// The number of dispatchers.
     pub dispatchers: usize,
-    /// The time between two requests at one dispatcher of mean traffic.
+    /// The time between two requests at a dispatcher with a traffic factor of 1.
     pub request_interval: Duration,
     /// The mean size of a response, in kB.
     pub mean_size_kb: f64,
-    /// The number of objects that are requested. None: each request is for a new one.
+    /// The number of distinct objects that are requested. None: each request is for a random object that practically
+    /// never repeats.
     pub object_count: Option<u64>,
 }
 
-/// An attempt that a dispatcher sent.
+/// An attempt with the circumstances of its sending.
 #[derive(Clone, Copy, Debug)]
 pub struct SentAttempt {
     /// When it was sent.
     pub at: Duration,
-    /// The index of the dispatcher.
+    /// The index of the dispatcher that sent it.
     pub dispatcher: usize,
-    /// The object of its request.
+    /// The requested object.
     pub object: ObjectId,
     /// The size of the response, in kB.
     pub size_kb: f64,
-    /// What was sent.
+    /// The attempt as the decision logic ordered it.
     pub attempt: Attempt,
 }
 
 impl SentAttempt {
-    /// Whether it asks only for what is cached.
+    /// Whether the attempt asks only for a cached object, so that no host may fill the object for it.
     pub fn is_cached_only(&self) -> bool {
         self.attempt.cached_at_source_only || self.attempt.source.is_none()
     }
 }
 
-/// The kinds of final answers.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswerKind {
-    /// The request succeeded.
+    /// An attempt succeeded, and its response was passed on.
     Succeeded,
-    /// It was shed.
+    /// The request was shed.
     Rejected,
-    /// It failed.
+    /// The request failed.
     Failed,
 }
 
 /// A final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalAnswer {
-    /// When it was given.
+    /// When the client got the answer.
     pub at: Duration,
-    /// What it was.
+    /// How the request ended.
     pub kind: FinalAnswerKind,
 }
 
-/// A request, and every final answer that it got.
+/// A request with all final answers to it.
 #[derive(Clone, Debug)]
 pub struct SimulatedRequest {
-    /// When it arrived.
+    /// When the request arrived.
     pub at: Duration,
     /// The size of its response, in kB.
     pub size_kb: f64,
-    /// Its final answers; one is right.
+    /// The final answers in order. More than one is a fault of the decision logic; none means that the request is open.
     pub final_answers: Vec<FinalAnswer>,
 }
 
@@ -90,19 +91,22 @@
 /// How a host responds to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct HostResponse {
-    /// How the attempt ends.
+    /// The outcome of the attempt, unless its timeout ends it earlier.
     pub outcome: Outcome,
-    /// What the response reports.
+    /// The cache status that the response reports.
     pub cache_status: CacheStatus,
-    /// The time until it ends.
+    /// The time from the sending of the attempt to its end.
     pub duration: Duration,
 }
 
 enum ScheduledEvent {
+    /// An event that a test delivers to the dispatcher.
     Deliver(Event),
-    /// The dispatcher is killed, and starts with what a restart remembers.
+    /// The dispatcher is killed and starts again with the endpoint list that it restores.
     Restart(Vec<EndpointEntry>),
+    /// A request arrives, and the next one is scheduled.
     NextRequest,
+    /// An attempt of the dispatcher ends.
     AttemptEnds(AttemptEnd),
 }
 
@@ -111,8 +115,9 @@
     event: ScheduledEvent,
 }
 
-struct OpenRequest {
+struct RequestState {
     object: ObjectId,
+    /// The number of attempts sent so far.
     attempts: u16,
 }
 
@@ -120,70 +125,76 @@
 pub struct FleetSimulation {
     options: FleetOptions,
     dispatchers: Vec<Dispatcher>,
-    /// Random draws of the traffic; a test may draw from it too.
+    /// The source of random draws for the traffic. A test may draw from it too.
     pub rng: oorandom::Rand64,
-    /// Sizes in relation to the mean, each as likely as the other. Empty: all are of the mean.
+    /// Response sizes as multiples of the mean size, all equally likely. Empty: every response has the mean size.
     pub relative_sizes: Vec<f64>,
-    /// By dispatcher: its traffic in relation to the mean.
+    /// By dispatcher: its rate of requests as a multiple of the rate that `FleetOptions::request_interval` gives.
     pub traffic_factors: Vec<f64>,
-    /// The times of the events with their numbers; among equal times the first scheduled comes first.
+    /// The times of the scheduled events with the event numbers. Of events at the same time, the one that was scheduled
+    /// first comes first.
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
+    /// The scheduled events by event number.
     events: BTreeMap<u64, Scheduled>,
+    /// The number of the event that was scheduled last.
     last_event: u64,
-    open: BTreeMap<RequestId, OpenRequest>,
-    /// Every attempt that was sent, in order.
+    request_states: BTreeMap<RequestId, RequestState>,
+    /// Every attempt that was sent, in the order of sending.
     pub sent: Vec<SentAttempt>,
     /// Every request that arrived.
     pub requests: BTreeMap<RequestId, SimulatedRequest>,
 }
 
 impl FleetSimulation {
-    /// A fleet at time zero. Its dispatchers know no hosts and get no requests yet.
+    /// Creates a fleet at time zero whose dispatchers know no hosts and get no requests yet.
     pub fn new(options: FleetOptions) -> Self {
-        let start = |index: usize| {
+        let new_dispatcher = |index: usize| {
             let config = deployment_config(index, options.dispatchers);
             Dispatcher::new(config, options.seed + index as u64)
         };
         FleetSimulation {
             options,
-            dispatchers: (0..options.dispatchers).map(start).collect(),
+            dispatchers: (0..options.dispatchers).map(new_dispatcher).collect(),
             rng: oorandom::Rand64::new(u128::from(options.seed)),
             relative_sizes: Vec::new(),
             traffic_factors: vec![1.0; options.dispatchers],
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             last_event: 0,
-            open: BTreeMap::new(),
+            request_states: BTreeMap::new(),
             sent: Vec::new(),
             requests: BTreeMap::new(),
         }
     }
 
-    /// Delivers an event to a dispatcher at a time.
+    /// Schedules the delivery of an event to a dispatcher.
     pub fn deliver(&mut self, at: Duration, dispatcher: usize, event: Event) {
         self.schedule(at, dispatcher, ScheduledEvent::Deliver(event));
     }
 
-    /// Lets a dispatcher get requests from a time on.
+    /// Schedules the requests at a dispatcher, from the given time until the simulation ends.
     pub fn start_requests(&mut self, at: Duration, dispatcher: usize) {
         self.schedule(at, dispatcher, ScheduledEvent::NextRequest);
     }
 
-    /// Restarts a dispatcher at a time, with the endpoint list that it restores.
+    /// Schedules the restart of a dispatcher, with the endpoint list that it restores.
     pub fn restart_dispatcher(&mut self, at: Duration, dispatcher: usize, restored: Vec<EndpointEntry>) {
         self.schedule(at, dispatcher, ScheduledEvent::Restart(restored));
     }
 
-    /// Runs until a time. `respond` says how hosts respond.
+    /// Runs all events before the given time. `respond` determines how hosts respond to attempts.
+    ///
+    /// The simulation can't be continued: the first event at or after that time is lost.
     pub fn run(&mut self, until: Duration, mut respond: impl FnMut(&SentAttempt) -> HostResponse) {
         while let Some(Reverse((now, number))) = self.queue.pop() {
             if now >= until {
                 return;
             }
-            let Scheduled { dispatcher, event } = self.events.remove(&number).expect("a scheduled event");
-            let Some(event) = self.occur(now, dispatcher, event) else { continue };
+            let Scheduled { dispatcher, event } =
+                self.events.remove(&number).expect("every queued number has an event");
+            let Some(event) = self.apply(now, dispatcher, event) else { continue };
             for action in self.dispatchers[dispatcher].handle(now, event) {
-                self.carry_out(now, dispatcher, action, &mut respond);
+                self.perform(now, dispatcher, action, &mut respond);
             }
         }
     }
@@ -200,8 +211,8 @@
         self.events.insert(self.last_event, Scheduled { dispatcher, event });
     }
 
-    /// Lets a scheduled event occur, and returns what the dispatcher is informed of.
-    fn occur(&mut self, now: Duration, dispatcher: usize, event: ScheduledEvent) -> Option<Event> {
+    /// Applies a scheduled event, and returns the event that the dispatcher has to handle, if any.
+    fn apply(&mut self, now: Duration, dispatcher: usize, event: ScheduledEvent) -> Option<Event> {
         match event {
             ScheduledEvent::Deliver(event) => Some(event),
             ScheduledEvent::Restart(restored) => {
@@ -214,15 +225,16 @@
                 Some(Event::RequestArrived(self.make_request(now)))
             }
             ScheduledEvent::AttemptEnds(end) => {
-                // A caller hands on a response that serves as the final answer.
+                // In production, the caller of the decision logic passes a successful response on to the client itself.
                 if end.request_finished {
-                    self.answer(end.request, now, FinalAnswerKind::Succeeded);
+                    self.record_answer(end.request, now, FinalAnswerKind::Succeeded);
                 }
                 Some(Event::AttemptEnded(end))
             }
         }
     }
 
+    /// Replaces a dispatcher by a new one that knows only the restored endpoint list.
     fn restart(&mut self, now: Duration, index: usize, restored: Vec<EndpointEntry>) {
         let seed = self.options.seed + RESTART_SEED_OFFSET + index as u64;
         let mut dispatcher = Dispatcher::new(deployment_config(index, self.options.dispatchers), seed);
@@ -231,6 +243,7 @@
         self.dispatchers[index] = dispatcher;
     }
 
+    /// Records a new request, and returns it for the dispatcher.
     fn make_request(&mut self, now: Duration) -> Request {
         let id = RequestId(self.requests.len() as u64);
         let draw = self.rng.rand_u64();
@@ -243,7 +256,7 @@
         };
         let size_kb = relative_size * self.options.mean_size_kb;
         self.requests.insert(id, SimulatedRequest { at: now, size_kb, final_answers: Vec::new() });
-        self.open.insert(id, OpenRequest { object, attempts: 0 });
+        self.request_states.insert(id, RequestState { object, attempts: 0 });
         Request {
             id,
             class: ClassId(0),
@@ -256,7 +269,8 @@
         }
     }
 
-    fn carry_out(
+    /// Performs an action that the decision logic of a dispatcher ordered.
+    fn perform(
         &mut self,
         now: Duration,
         dispatcher: usize,
@@ -265,23 +279,24 @@
     ) {
         match action {
             Action::SendAttempt { request, attempt } => {
-                let open = &self.open[&request];
+                let state = &self.request_states[&request];
                 let size_kb = self.requests[&request].size_kb;
-                let sent = SentAttempt { at: now, dispatcher, object: open.object, size_kb, attempt };
+                let sent = SentAttempt { at: now, dispatcher, object: state.object, size_kb, attempt };
                 self.sent.push(sent);
                 let response = respond(&sent);
                 self.schedule_end(request, sent, response);
             }
-            Action::Reject { request, .. } => self.answer(request, now, FinalAnswerKind::Rejected),
-            Action::Fail { request } => self.answer(request, now, FinalAnswerKind::Failed),
+            Action::Reject { request, .. } => self.record_answer(request, now, FinalAnswerKind::Rejected),
+            Action::Fail { request } => self.record_answer(request, now, FinalAnswerKind::Failed),
             _ => {}
         }
     }
 
+    /// Schedules the end of an attempt, at its response or at its timeout.
     fn schedule_end(&mut self, request: RequestId, sent: SentAttempt, response: HostResponse) {
-        let open = self.open.get_mut(&request).expect("a request that arrived");
-        let attempt = AttemptNumber(open.attempts);
-        open.attempts += 1;
+        let state = self.request_states.get_mut(&request).expect("attempts belong to recorded requests");
+        let attempt = AttemptNumber(state.attempts);
+        state.attempts += 1;
         let (outcome, duration) = match sent.attempt.timeout {
             Some(timeout) if response.duration > timeout => (Outcome::TimedOut, timeout),
             _ => (response.outcome, response.duration),
@@ -300,7 +315,7 @@
         self.schedule(sent.at + duration, sent.dispatcher, ScheduledEvent::AttemptEnds(end));
     }
 
-    fn answer(&mut self, request: RequestId, now: Duration, kind: FinalAnswerKind) {
+    fn record_answer(&mut self, request: RequestId, now: Duration, kind: FinalAnswerKind) {
         if let Some(request) = self.requests.get_mut(&request) {
             request.final_answers.push(FinalAnswer { at: now, kind });
         }
