--- a/crates/rockflow-routing-simulation/src/warm_up.rs
+++ b/crates/rockflow-routing-simulation/src/warm_up.rs
@@ -1,5 +1,5 @@
-//! One host with a cold cache before a fleet: a cache or a parent that has just started, what all dispatchers together send
-//! it, and whether that is more than it tolerates.
+//! The warm-up of a cache or a parent that has just started with an empty cache: the attempts that all dispatchers of a
+//! fleet together send to it, and whether they exceed what it tolerates.
 
 use crate::deployment::{endpoint_entry, STREAM_KB_PER_S};
 use crate::fleet::{FleetOptions, FleetSimulation, HostResponse, SentAttempt};
@@ -7,77 +7,81 @@
 use rockflow::{CacheStatus, EndpointEntry, Event, HostId, ListScope, Outcome, Role};
 use std::time::Duration;
 
-/// The weight of every host.
+/// The weight of every host: the number of simultaneous transfers at full rate.
 const LINK_WEIGHT: f64 = 8.0;
-/// Hosts of a role besides the new one.
+/// The number of hosts of each role besides the new one.
 const OTHER_HOSTS: u64 = 3;
+/// The lowest host number of the caches. The new cache has it if the new host is a cache.
 const FIRST_CACHE: u64 = 0;
+/// The lowest host number of the parents. The new parent has it if the new host is a parent.
 const FIRST_PARENT: u64 = 100;
-/// When the new host starts, and when the simulation ends.
+/// When the new host starts.
 const START: Duration = Duration::from_secs(10);
+/// When the simulation ends.
 const END: Duration = Duration::from_secs(22);
-/// When dispatchers restart, after the start of the new host.
+/// The time from the start of the new host to the restart of dispatchers.
 const RESTART_AFTER: Duration = Duration::from_secs(4);
-/// How long every attempt takes.
+/// The time that every attempt takes.
 const RESPONSE_TIME: Duration = Duration::from_millis(60);
 
-/// The time between two requests anywhere in the fleet, where a case does not say otherwise.
+/// The usual value of [`WarmUpCase::request_interval`].
 pub const REQUEST_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How the requests are spread over the dispatchers.
+/// How requests are distributed over the dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Traffic {
-    /// Each dispatcher gets the mean.
+    /// Every dispatcher receives the mean rate of requests.
     Even,
-    /// One in five gets three times the mean, the others half of it.
+    /// One dispatcher in five receives three times the mean rate, each other one half of it.
     Uneven,
 }
 
 /// Whether dispatchers restart while the new host warms up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restarts {
-    /// None does.
+    /// No dispatcher restarts.
     None,
-    /// Seven in ten lose all that they know.
+    /// Seven dispatchers in ten restart and retain only the endpoint list.
     Most,
 }
 
-/// What a simulation varies.
+/// The parameters of one simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUpCase {
-    /// The role of the new host.
+    /// The role of the new host: cache or parent.
     pub role: Role,
     /// The size of every response, in kB.
     pub size_kb: f64,
-    /// How the requests are spread.
+    /// How requests are distributed over the dispatchers.
     pub traffic: Traffic,
-    /// The time within which the dispatchers learn of the new host. Zero: all at once.
+    /// The time from the start of the new host within which the dispatchers are informed of it, each at a random moment.
+    /// Zero: all are informed at its start.
     pub notice_spread: Duration,
-    /// Whether dispatchers restart.
+    /// Whether dispatchers restart while the new host warms up.
     pub restarts: Restarts,
-    /// The time between two requests anywhere in the fleet.
+    /// The mean time between two requests in the whole fleet.
     pub request_interval: Duration,
 }
 
-/// What came to the new host.
+/// The attempts that used the new host, compared with what it tolerates.
 #[derive(Clone, Debug)]
 pub struct WarmUpResult {
-    /// When each attempt was sent to it, or named it as the source.
+    /// The time of each attempt that was sent to the new host or named it as the source, in ascending order.
     pub sent: Vec<Duration>,
-    /// By how many attempts it got more than it tolerates with chance, in the worst window.
+    /// The result of [`SlowStartHost::max_excess`].
     pub max_excess: f64,
-    /// The attempts of the worst window over what it tolerates with chance.
+    /// The result of [`SlowStartHost::max_share_of_bound`].
     pub max_share_of_bound: f64,
 }
 
-/// Whether the new host is listed.
+/// Whether the new host is on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NewHost {
     Unlisted,
     Listed,
 }
 
-/// Runs one case.
+/// Simulates one case with the given number of dispatchers. The same seed yields the same result.
 pub fn simulate(dispatchers: usize, case: WarmUpCase, seed: u64) -> WarmUpResult {
     let mut fleet = FleetSimulation::new(FleetOptions {
         seed,
@@ -101,6 +105,7 @@
     }
 }
 
+/// Schedules the events of one dispatcher: its start, the listing of the new host, its requests and its restart.
 fn prepare_dispatcher(
     fleet: &mut FleetSimulation,
     dispatcher: usize,
@@ -113,20 +118,21 @@
     }
     fleet.restart_dispatcher(Duration::ZERO, dispatcher, hosts(case.role, NewHost::Unlisted));
 
-    let noticed = START + case.notice_spread.mul_f64(fleet.rng.rand_float());
+    let informed_at = START + case.notice_spread.mul_f64(fleet.rng.rand_float());
     let mut entries = hosts(case.role, NewHost::Listed);
     entries.retain(|entry| entry.host == new_host);
-    fleet.deliver(noticed, dispatcher, Event::EndpointsListed { scope: ListScope::Changes, entries });
+    fleet.deliver(informed_at, dispatcher, Event::EndpointsListed { scope: ListScope::Changes, entries });
 
     let phase = fleet.rng.rand_float();
-    let own_interval = case.request_interval * dispatchers as u32;
-    fleet.start_requests(START.mul_f64(0.5) + own_interval.mul_f64(phase), dispatcher);
+    let dispatcher_interval = case.request_interval * dispatchers as u32;
+    fleet.start_requests(START.mul_f64(0.5) + dispatcher_interval.mul_f64(phase), dispatcher);
     if case.restarts == Restarts::Most && dispatcher % 10 < 7 {
         fleet.restart_dispatcher(START + RESTART_AFTER, dispatcher, hosts(case.role, NewHost::Listed));
     }
 }
 
-/// Nothing is cached: a look misses, and whatever may fill does.
+/// Responds as hosts with empty caches: an attempt for a cached object only is a miss, and any other attempt fills the
+/// object.
 fn respond(sent: &SentAttempt) -> HostResponse {
     let (outcome, cache_status) = if sent.is_cached_only() {
         (Outcome::Miss, CacheStatus::Unknown)
@@ -136,13 +142,14 @@
     HostResponse { outcome, cache_status, duration: RESPONSE_TIME }
 }
 
-/// All hosts of the case.
+/// The entries of all hosts of a case.
 fn hosts(new_role: Role, new_host: NewHost) -> Vec<EndpointEntry> {
     let mut entries = hosts_of_role(Role::Cache, FIRST_CACHE, new_role, new_host);
     entries.extend(hosts_of_role(Role::Parent, FIRST_PARENT, new_role, new_host));
     entries
 }
 
+/// The entries of the hosts of one role, numbered from `first`.
 fn hosts_of_role(role: Role, first: u64, new_role: Role, new_host: NewHost) -> Vec<EndpointEntry> {
     let mut entries = Vec::new();
     for index in 0..=OTHER_HOSTS {
