--- a/crates/rockflow-routing-simulation/src/slow_start_host.rs
+++ b/crates/rockflow-routing-simulation/src/slow_start_host.rs
@@ -1,66 +1,74 @@
-//! What a host in slow start tolerates of all dispatchers together.
+//! The load that a host in slow start tolerates from all dispatchers together, and the load that it received.
+//!
+//! The load is compared in every window of the length of [`SLOW_START`]`.window` that begins with an attempt.
 
 use crate::deployment::SLOW_START;
 use std::time::Duration;
 
-/// A host in slow start, and the size of what it is sent.
+/// A host in slow start that receives attempts of equal size.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartHost {
-    /// When it started.
+    /// When the host started, and with it its slow start.
     pub started: Duration,
-    /// The capacity of its link, in transfers at full rate.
+    /// The capacity of its link: the number of simultaneous transfers at full rate.
     pub weight: f64,
     /// The transfer time of an attempt at full rate, in seconds.
     pub attempt_s: f64,
 }
 
 impl SlowStartHost {
-    /// By how many attempts it got more than it tolerates with chance, in the worst of its windows. Negative: it got less.
+    /// The number of attempts above the bound, in the window where it is greatest. Negative: every window is below its
+    /// bound; `f64::MIN` if nothing was sent.
     ///
-    /// Where it tolerates N in a window by the capacity at the window's begin, chance adds two roots of N and two more.
-    /// `sent` holds the times of the attempts in order.
+    /// The bound of a window allows for random variation: with N attempts tolerated by the capacity at the start of the
+    /// window, it is N + 2 √N + 2. `sent` holds the times of the attempts in ascending order.
     pub fn max_excess(&self, sent: &[Duration]) -> f64 {
-        let excess = |window: Window| {
+        let excess_in = |window: Window| {
             let tolerated = self.tolerated_attempts(window.begin);
             window.attempts - tolerated - 2.0 * tolerated.sqrt() - 2.0
         };
-        windows(sent).map(excess).fold(f64::MIN, f64::max)
+        windows(sent).map(excess_in).fold(f64::MIN, f64::max)
     }
 
-    /// The attempts of the worst window over what it tolerates with chance, as in [`max_excess`](Self::max_excess).
+    /// The number of attempts divided by the bound of [`max_excess`](Self::max_excess), in the window where this is
+    /// greatest. 0 if nothing was sent.
     pub fn max_share_of_bound(&self, sent: &[Duration]) -> f64 {
-        let share = |window: Window| {
+        let share_in = |window: Window| {
             let tolerated = self.tolerated_attempts(window.begin);
             window.attempts / (tolerated + 2.0 * tolerated.sqrt() + 2.0)
         };
-        windows(sent).map(share).fold(0.0, f64::max)
+        windows(sent).map(share_in).fold(0.0, f64::max)
     }
 
-    /// The work of the worst window over what it tolerates, without allowance for chance.
+    /// The work divided by the tolerated work, in the window where this is greatest, without allowance for random
+    /// variation. 0 if nothing was sent.
     ///
     /// # Panics
     /// If an attempt was sent before the host started.
     pub fn max_relative_work(&self, sent: &[Duration]) -> f64 {
-        let relative = |window: Window| {
-            assert!(window.begin >= self.started, "sent at {:?}, before the start", window.begin);
+        let relative_work_in = |window: Window| {
+            assert!(window.begin >= self.started, "sent at {:?}, before the host started", window.begin);
             window.attempts * self.attempt_s / self.tolerated_work_s(window.begin)
         };
-        windows(sent).map(relative).fold(0.0, f64::max)
+        windows(sent).map(relative_work_in).fold(0.0, f64::max)
     }
 
+    /// The number of attempts that the host tolerates in a window that begins at the given time.
     fn tolerated_attempts(&self, begin: Duration) -> f64 {
         self.tolerated_work_s(begin) / self.attempt_s
     }
 
-    /// The work that it tolerates in a window, in seconds, by its capacity when the window begins.
+    /// The work that the host tolerates in a window, in seconds of transfers at full rate. It follows from the capacity
+    /// at the start of the window.
     fn tolerated_work_s(&self, begin: Duration) -> f64 {
-        let age = begin.saturating_sub(self.started).as_secs_f64() / SLOW_START.ramp.as_secs_f64();
-        let share = (SLOW_START.initial_share + (1.0 - SLOW_START.initial_share) * age).min(1.0);
-        SLOW_START.overload_multiple * share * self.weight * SLOW_START.window.as_secs_f64()
+        let ramp_progress = begin.saturating_sub(self.started).as_secs_f64() / SLOW_START.ramp.as_secs_f64();
+        let capacity_share =
+            (SLOW_START.initial_share + (1.0 - SLOW_START.initial_share) * ramp_progress).min(1.0);
+        SLOW_START.overload_multiple * capacity_share * self.weight * SLOW_START.window.as_secs_f64()
     }
 }
 
-/// A window that begins with an attempt.
+/// A window that begins with an attempt, and the number of attempts in it.
 #[derive(Clone, Copy, Debug)]
 struct Window {
     begin: Duration,
