--- a/crates/rockflow-routing-simulation/src/deployment.rs
+++ b/crates/rockflow-routing-simulation/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that is simulated: one location, one class, hosts that slow-start.
+//! The configuration of the simulated deployment: one location, one class, and hosts with slow start.
 
 use rockflow::{
     CacheStatusDetail, CellId, Class, DeploymentConfig, Effect, EndpointEntry, HostId, LocationId, Readiness,
@@ -9,7 +9,7 @@
 /// The rate of a single transfer, in kB/s.
 pub const STREAM_KB_PER_S: f64 = 1000.0;
 
-/// Slow start of caches and parents.
+/// The slow start of caches and parents alike.
 pub const SLOW_START: SlowStart = SlowStart {
     initial_share: 0.1,
     ramp: Duration::from_secs(20),
@@ -17,12 +17,12 @@
     window: Duration::from_secs(2),
 };
 
-/// How long a client waits.
+/// The deadline of every request, from its arrival at a dispatcher.
 pub const DEADLINE: Duration = Duration::from_secs(3);
 
 const LOCATION: LocationId = LocationId(1);
 
-/// The configuration of one dispatcher of a fleet.
+/// The configuration of the dispatcher with the given index, from 0, in a fleet of `dispatcher_count` dispatchers.
 pub fn deployment_config(dispatcher_index: usize, dispatcher_count: usize) -> DeploymentConfig {
     let class = Class {
         effect: Effect::Idempotent,
@@ -59,7 +59,8 @@
     }
 }
 
-/// A ready host of the location.
+/// The endpoint list entry of a host that is ready. `started` is when the host started; None: long ago, so that it is
+/// past its slow start.
 pub fn endpoint_entry(id: u64, role: Role, weight: f64, started: Option<Duration>) -> EndpointEntry {
     EndpointEntry {
         host: HostId(id),
--- a/crates/rockflow-routing-simulation/src/lib.rs
+++ b/crates/rockflow-routing-simulation/src/lib.rs
@@ -1,11 +1,11 @@
 //! A fleet of dispatchers in virtual time, for tests and measurements.
 //!
-//! Each dispatcher holds the decisions alone, without sockets, and sees only its own part of the traffic. A test says how
-//! hosts respond. The same seed gives the same course of events.
+//! Each dispatcher runs only the decision logic (the crate `rockflow`), without sockets, and sees only its own share of
+//! the traffic. A test determines how hosts respond. The same seed yields the same events.
 //!
 //! - [`FleetSimulation`] runs the dispatchers, their requests and the hosts' responses.
-//! - [`SlowStartHost`] judges what a host with a cold cache was sent by all of them.
-//! - [`warm_up`] is a ready-made case: one such host before a fleet of any size.
+//! - [`SlowStartHost`] compares what all dispatchers sent to a host with a cold cache with what that host tolerates.
+//! - [`warm_up`] simulates one such host that receives the traffic of a fleet of any size.
 
 mod deployment;
 mod fleet;
