--- a/crates/rockflow-management/tests/stored_snapshot.rs
+++ b/crates/rockflow-management/tests/stored_snapshot.rs
@@ -117,7 +117,7 @@
 
 fn read_fixture() -> Snapshot {
     let mut disk = FaultyDisk::default();
-    disk.plant(FIXTURE_NAME, FIXTURE);
+    disk.insert_synced(FIXTURE_NAME, FIXTURE);
     let Opened { snapshot, unreadable, .. } = open_store(disk);
     assert!(unreadable.is_empty(), "{unreadable:?}");
     snapshot.unwrap()
@@ -247,7 +247,7 @@
     );
     // With generation 8 on the disk the next save writes generation 9, so the whole file can be compared.
     let mut disk = FaultyDisk::default();
-    disk.plant("config.00000000000000000008", b"");
+    disk.insert_synced("config.00000000000000000008", b"");
     let mut store = open_store(disk).store;
     assert_eq!(store.save(&payload).unwrap(), FIXTURE_GENERATION);
     assert_eq!(store.disk().bytes(FIXTURE_NAME), Some(FIXTURE));
