--- a/crates/rockflow-cli/src/command_line.rs
+++ b/crates/rockflow-cli/src/command_line.rs
@@ -1,7 +1,7 @@
 //! The command line: subcommands, and the files that a process is configured by.
 
-use crate::beside::{Extensions, ExtensionsError, Files};
 use crate::error::SourceError;
+use crate::extensions::{Extensions, ExtensionsError, OperatorFiles};
 #[cfg(feature = "management")]
 use crate::manage::ManageArguments;
 use clap::{Parser, Subcommand};
@@ -67,7 +67,7 @@
     #[arg(long, env = "GW_NAME")]
     name: Option<String>,
     #[command(flatten)]
-    files: Files,
+    files: OperatorFiles,
 }
 
 impl Source {
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// The file can't be read, is not valid, or names a part that is not built in.
-    pub fn beside(&self) -> Result<Extensions, ExtensionsError> {
+    pub fn read_extensions(&self) -> Result<Extensions, ExtensionsError> {
         Extensions::read(&self.files.operator)
     }
 }
--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -6,7 +6,7 @@
 mod overrides;
 mod report;
 
-use crate::beside::dissemination::{node_options, RunningNode};
+use crate::extensions::dissemination::{node_options, RunningNode};
 use crate::Source;
 pub use error::ControlError;
 pub use inputs::ControlInputs;
@@ -137,7 +137,7 @@
     }
 
     fn check_operator_file(&self, source: &Source) {
-        match source.beside() {
+        match source.read_extensions() {
             Ok(read) => {
                 let has_changed = read.file().dissemination.as_ref() != Some(&self.inputs.dissemination)
                     || read.file().control.as_ref() != Some(&self.inputs.files);
--- a/crates/rockflow-cli/src/control/inputs.rs
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -21,7 +21,8 @@
     /// Reads and checks all of them.
     pub fn read(source: &Source) -> Result<ControlInputs, ControlError> {
         let config = source.read().map_err(|error| ControlError::Configuration(error.to_string()))?;
-        let beside = source.beside().map_err(|error| ControlError::Configuration(error.to_string()))?;
+        let beside =
+            source.read_extensions().map_err(|error| ControlError::Configuration(error.to_string()))?;
         let dissemination = beside.file().dissemination.clone();
         let dissemination = dissemination.ok_or(ControlError::MissingSection("dissemination"))?;
         let files = beside.file().control.clone().ok_or(ControlError::MissingSection("control"))?;
--- a/crates/rockflow-cli/src/error.rs
+++ b/crates/rockflow-cli/src/error.rs
@@ -1,8 +1,8 @@
 //! Why a subcommand other than `manage` fails.
 
-use crate::beside::ExtensionsError;
 #[cfg(feature = "dissemination")]
 use crate::control::ControlError;
+use crate::extensions::ExtensionsError;
 use rockflow_dispatcher::ConfigError;
 use std::io;
 use std::path::PathBuf;
--- a/crates/rockflow-cli/src/beside.rs
+++ b/crates/rockflow-cli/src/extensions.rs
@@ -1,10 +1,10 @@
 //! The optional parts that run beside a dispatcher by the operator's file: management, and dissemination. A program that
 //! is built without one of them refuses a file with its sections, so that nobody takes them for applied.
 
-#[cfg_attr(not(feature = "dissemination"), path = "beside/no_dissemination.rs")]
+#[cfg_attr(not(feature = "dissemination"), path = "extensions/no_dissemination.rs")]
 pub mod dissemination;
 mod error;
-#[cfg_attr(not(feature = "management"), path = "beside/no_management.rs")]
+#[cfg_attr(not(feature = "management"), path = "extensions/no_management.rs")]
 mod management;
 
 use dissemination::RunningNode;
@@ -62,15 +62,15 @@
         config: Config,
         set_level: SetLevel,
     ) -> Result<(Service, Option<RunningNode>), ExtensionsError> {
-        let plan = dissemination::plan(&self.0, &config).map_err(dissemination_error)?;
+        let node_options = dissemination::member_options(&self.0, &config).map_err(dissemination_error)?;
         let agent = management::open(clock, &self.0)?;
         Service::set_up();
         // A part that can override endpoints needs a list into which overrides are merged.
-        let overrides = agent.overrides().or_else(|| plan.is_some().then(Default::default));
+        let overrides = agent.overrides().or_else(|| node_options.is_some().then(Default::default));
         let service =
             Service::start_with_overrides(clock, config, overrides).map_err(ExtensionsError::Start)?;
         agent.run(&service, set_level)?;
-        let node = plan.map(|plan| dissemination::serve(plan, service.handle()));
+        let node = node_options.map(|options| dissemination::start_node(options, service.handle()));
         let node = node.transpose().map_err(dissemination_error)?;
         Ok((service, node))
     }
@@ -78,7 +78,7 @@
 
 /// The paths of the operator's file.
 #[derive(clap::Args)]
-pub struct Files {
+pub struct OperatorFiles {
     /// The operator's own file, as INI; given again, a later one holds over an earlier one key by key
     #[arg(long, env = "ROCKFLOW_OPERATOR", value_delimiter = ':')]
     pub operator: Vec<PathBuf>,
--- a/crates/rockflow-cli/src/beside/dissemination.rs
+++ b/crates/rockflow-cli/src/extensions/dissemination.rs
@@ -23,6 +23,9 @@
 /// Interval at which a stopping node is looked at.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
+/// Target of this module's log lines. Operators may filter by it, so it stays when the module is renamed.
+const LOG_TARGET: &str = "rockflow::beside::dissemination";
+
 /// Why dissemination can't run by the operator's file.
 #[derive(Debug, thiserror::Error)]
 enum SectionError {
@@ -37,12 +40,12 @@
 
 /// Whether dissemination can run by the operator's file; what would listen, and where.
 pub fn check(file: &OperatorConfig, config: &Config) -> Result<Vec<String>, String> {
-    let options = plan(file, config)?;
+    let options = member_options(file, config)?;
     Ok(options.iter().map(|options| format!("dissemination: at {}", options.listen)).collect())
 }
 
 /// The options of a member's node; `None`: the operator's file has no such section.
-pub fn plan(file: &OperatorConfig, config: &Config) -> Result<Option<NodeOptions>, String> {
+pub fn member_options(file: &OperatorConfig, config: &Config) -> Result<Option<NodeOptions>, String> {
     let Some(section) = &file.dissemination else { return Ok(None) };
     check_section(section, config).map_err(|error| error.to_string())?;
     Ok(Some(node_options(section, &config.name, config.seed)))
@@ -74,14 +77,14 @@
 }
 
 /// Starts the node of a dispatcher.
-pub fn serve(options: NodeOptions, service: ServiceHandle) -> Result<RunningNode, String> {
+pub fn start_node(options: NodeOptions, service: ServiceHandle) -> Result<RunningNode, String> {
     let pending: Arc<Mutex<PendingSettings>> = Arc::default();
     let on_output = move |node: &WeakHandle, output| {
         let applier = Applier { service: &service, node, pending: &pending };
         applier.on_output(output);
     };
     let handle = Handle::start(options, on_output).map_err(|error| format!("dissemination: {error}"))?;
-    info!(listen = %handle.listens_at, "dissemination listens");
+    info!(target: LOG_TARGET, listen = %handle.listens_at, "dissemination listens");
     Ok(RunningNode(handle))
 }
 
@@ -130,25 +133,26 @@
             Output::Purge { purges, token } => self.apply_purges(purges, token),
             Output::Configure { settings, changed, token } => self.apply_settings(settings, changed, token),
             Output::IncarnationSuperseded { incarnation } => {
-                warn!(incarnation = incarnation.0, "a later incarnation of this node is known");
+                warn!(target: LOG_TARGET, incarnation = incarnation.0, "a later incarnation of this node is known");
             }
             Output::Send { .. } | Output::ReplicatedToAll { .. } => {}
         }
     }
 
     fn apply_purges(&self, purges: Vec<(node::Purge, Duration)>, token: ApplyToken) {
-        let shown = enabled!(Level::DEBUG).then(|| (PurgeSummary::of(&purges), Instant::now()));
+        let shown =
+            enabled!(target: LOG_TARGET, Level::DEBUG).then(|| (PurgeSummary::of(&purges), Instant::now()));
         let purges = purges.into_iter().map(|(purge, age)| self.dispatcher_purge(purge, age)).collect();
         let node = self.node.clone();
         let on_applied = move || {
             if let Some((summary, given_at)) = shown {
                 let wider = summary.widest_age.map(|age| (age + given_at.elapsed()).as_secs_f64());
-                debug!(objects = %summary.objects, wider_seconds = wider, "purges in effect");
+                debug!(target: LOG_TARGET, objects = %summary.objects, wider_seconds = wider, "purges in effect");
             }
             confirm(&node, token);
         };
         if !self.service.purge(purges, on_applied) {
-            warn!("purge queue full; a purge of everything replaces the waiting purges");
+            warn!(target: LOG_TARGET, "purge queue full; a purge of everything replaces the waiting purges");
         }
     }
 
@@ -177,10 +181,10 @@
             Some((host, admin_override))
         });
         let overrides: AdminOverrides = overrides.collect();
-        info!(marks = overrides.len(), changed = hosts.len(), "the fleet's marks");
+        info!(target: LOG_TARGET, marks = overrides.len(), changed = hosts.len(), "the fleet's marks");
         let (node, pending) = (self.node.clone(), self.pending.clone());
         let on_applied = move |rejected: BTreeMap<String, RejectedOverride>| {
-            debug!(hosts = %hosts.join(","), "marks in effect");
+            debug!(target: LOG_TARGET, hosts = %hosts.join(","), "marks in effect");
             let judged = lock(&pending).take_judged(token, &rejected);
             for (id, host, why) in judged {
                 reject(&node, id, &host, rejection_reason(why));
@@ -188,7 +192,7 @@
             confirm(&node, token);
         };
         if !self.service.set_control_overrides(overrides, on_applied) {
-            warn!("override queue full; a later change replaces this one");
+            warn!(target: LOG_TARGET, "override queue full; a later change replaces this one");
         }
     }
 }
@@ -219,12 +223,12 @@
 
 fn confirm(node: &WeakHandle, token: ApplyToken) {
     if !node.send(Command::ConfirmApplied(token)) {
-        warn!(token = token.0, "mailbox full; confirmation dropped");
+        warn!(target: LOG_TARGET, token = token.0, "mailbox full; confirmation dropped");
     }
 }
 
 fn reject(node: &WeakHandle, id: EntryId, host: &str, reason: RejectionReason) {
-    warn!(host, why = ?reason, "a mark of the fleet is kept apart");
+    warn!(target: LOG_TARGET, host, why = ?reason, "a mark of the fleet is kept apart");
     node.send(Command::Reject { id, reason });
 }
 
--- a/crates/rockflow-cli/src/beside/no_dissemination.rs
+++ b/crates/rockflow-cli/src/extensions/no_dissemination.rs
@@ -12,10 +12,10 @@
     Ok(Vec::new())
 }
 
-pub fn plan(_: &OperatorConfig, _: &Config) -> Result<Option<NodeOptions>, String> {
+pub fn member_options(_: &OperatorConfig, _: &Config) -> Result<Option<NodeOptions>, String> {
     Ok(None)
 }
 
-pub fn serve(_: NodeOptions, _: ServiceHandle) -> Result<RunningNode, String> {
+pub fn start_node(_: NodeOptions, _: ServiceHandle) -> Result<RunningNode, String> {
     Ok(RunningNode)
 }
--- a/crates/rockflow-cli/src/main.rs
+++ b/crates/rockflow-cli/src/main.rs
@@ -1,11 +1,11 @@
 //! The command `rockflow`: runs a dispatcher or a control process, checks their files, and manages a running dispatcher.
 
-#[cfg_attr(not(any(feature = "dissemination", feature = "management")), path = "no_beside.rs")]
-mod beside;
 mod command_line;
 #[cfg(feature = "dissemination")]
 mod control;
 mod error;
+#[cfg_attr(not(any(feature = "dissemination", feature = "management")), path = "no_extensions.rs")]
+mod extensions;
 mod log;
 #[cfg(feature = "management")]
 mod manage;
--- a/crates/rockflow-cli/src/no_beside.rs
+++ b/crates/rockflow-cli/src/no_extensions.rs
@@ -55,7 +55,7 @@
 
 /// The paths of the operator's file.
 #[derive(clap::Args)]
-pub struct Files {
+pub struct OperatorFiles {
     /// The operator's own file, as INI; given again, a later one holds over an earlier one key by key
     #[arg(long, env = "ROCKFLOW_OPERATOR", value_delimiter = ':')]
     pub operator: Vec<PathBuf>,
--- a/crates/rockflow-cli/src/serve.rs
+++ b/crates/rockflow-cli/src/serve.rs
@@ -1,8 +1,8 @@
 //! The subcommands `serve` and `check`: a dispatcher from its start to its stop, and whether one could start.
 
-use crate::beside::{Extensions, SetLevel};
 use crate::command_line::Source;
 use crate::error::ProgramError;
+use crate::extensions::{Extensions, SetLevel};
 use crate::log::{self, LevelHandle};
 use crate::signals;
 use rockflow_dispatcher::{Clock, Service};
@@ -16,7 +16,7 @@
 /// A dispatcher could not start.
 pub fn check(source: &Source) -> Result<(), ProgramError> {
     let config = source.read()?;
-    let listeners = source.beside()?.check(&config)?;
+    let listeners = source.read_extensions()?.check(&config)?;
     println!("{}: ready to serve at {}", config.name, config.listen);
     for listener in listeners {
         println!("{listener}");
@@ -33,7 +33,7 @@
     let mut signals = signals::receive()?;
     let (_log, level_handle) = log::init(level);
     let config = source.read()?;
-    let extensions = source.beside()?;
+    let extensions = source.read_extensions()?;
     let (mut service, _dissemination) =
         extensions.start(Clock::start(), config, level_setter(level_handle, level))?;
     for _ in signals.forever().take_while(|signal| *signal == SIGHUP) {
@@ -63,7 +63,7 @@
             error!(error = error.to_string(), "configuration rejected; the previous one stays in effect");
         }
     }
-    match source.beside() {
+    match source.read_extensions() {
         Ok(read) if read == *extensions => {}
         Ok(_) => warn!("operator's file changed; restart to apply it"),
         Err(error) => {
--- a/crates/rockflow-cli/tests/pending_settings.rs
+++ b/crates/rockflow-cli/tests/pending_settings.rs
@@ -1,7 +1,7 @@
 //! Each setting that the endpoint list rejects is reported, also where the judgement of its own token is lost.
 #![cfg(feature = "dissemination")]
 
-#[path = "../src/beside/dissemination/pending_settings.rs"]
+#[path = "../src/extensions/dissemination/pending_settings.rs"]
 mod pending_settings;
 
 use pending_settings::{PendingSettings, MAX_PENDING_SETTINGS};
