--- a/crates/rockflow-cli/src/extensions/dissemination.rs
+++ b/crates/rockflow-cli/src/extensions/dissemination.rs
@@ -1,4 +1,5 @@
-//! Dissemination beside a dispatcher: what its node receives goes to the decisions, and their confirmations go back.
+//! The dissemination node of a dispatcher. It hands the purges and settings that it receives to the decision logic, and
+//! confirms to the node those that are applied.
 
 mod pending_settings;
 
@@ -18,15 +19,15 @@
 /// Whether the program is built with dissemination.
 pub const BUILT: bool = true;
 
-/// The longest wait for a stopping node's last datagrams.
+/// Maximum time for a stopping node to send its last datagrams.
 const MAX_STOP_WAIT: Duration = Duration::from_millis(500);
-/// Interval at which a stopping node is looked at.
+/// Interval at which the end of a stopping node is polled.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Target of this module's log lines. Operators may filter by it, so it stays when the module is renamed.
 const LOG_TARGET: &str = "rockflow::beside::dissemination";
 
-/// Why dissemination can't run by the operator's file.
+/// Why the section of dissemination does not fit the dispatcher's configuration.
 #[derive(Debug, thiserror::Error)]
 enum SectionError {
     #[error(
@@ -38,20 +39,21 @@
     OwnNameInControl(String),
 }
 
-/// Whether dissemination can run by the operator's file; what would listen, and where.
+/// Checks the section of dissemination against the configuration. Returns a line of text for the listener, or none
+/// without the section.
 pub fn check(file: &OperatorConfig, config: &Config) -> Result<Vec<String>, String> {
     let options = member_options(file, config)?;
     Ok(options.iter().map(|options| format!("dissemination: at {}", options.listen)).collect())
 }
 
-/// The options of a member's node; `None`: the operator's file has no such section.
+/// Checks the section of dissemination and returns the options of a member's node; `None` without the section.
 pub fn member_options(file: &OperatorConfig, config: &Config) -> Result<Option<NodeOptions>, String> {
     let Some(section) = &file.dissemination else { return Ok(None) };
     check_section(section, config).map_err(|error| error.to_string())?;
     Ok(Some(node_options(section, &config.name, config.seed)))
 }
 
-/// The options of the node with this name. One that the section lists as a control node is one.
+/// The options of the node with this name. If the section lists the name as a control node, the node is one.
 pub fn node_options(section: &DisseminationSection, name: &str, seed: u64) -> NodeOptions {
     let addresses = if section.trusted_network { AddressScope::Any } else { AddressScope::LoopbackOnly };
     NodeOptions {
@@ -76,7 +78,7 @@
     }
 }
 
-/// Starts the node of a dispatcher.
+/// Starts the node of a dispatcher and connects its outputs to the dispatcher.
 pub fn start_node(options: NodeOptions, service: ServiceHandle) -> Result<RunningNode, String> {
     let pending: Arc<Mutex<PendingSettings>> = Arc::default();
     let on_output = move |node: &WeakHandle, output| {
@@ -120,10 +122,11 @@
     }
 }
 
-/// Hands a node's outputs to the dispatcher.
+/// Hands a node's outputs to the dispatcher, and its results back to the node.
 struct Applier<'a> {
     service: &'a ServiceHandle,
     node: &'a WeakHandle,
+    /// Settings that were given to the dispatcher, until the endpoint list has applied or rejected them.
     pending: &'a Arc<Mutex<PendingSettings>>,
 }
 
@@ -140,13 +143,14 @@
     }
 
     fn apply_purges(&self, purges: Vec<(node::Purge, Duration)>, token: ApplyToken) {
-        let shown =
+        let summary =
             enabled!(target: LOG_TARGET, Level::DEBUG).then(|| (PurgeSummary::of(&purges), Instant::now()));
         let purges = purges.into_iter().map(|(purge, age)| self.dispatcher_purge(purge, age)).collect();
         let node = self.node.clone();
         let on_applied = move || {
-            if let Some((summary, given_at)) = shown {
-                let wider = summary.widest_age.map(|age| (age + given_at.elapsed()).as_secs_f64());
+            if let Some((summary, received_at)) = summary {
+                let wider_age = summary.youngest_wide_purge_age.map(|age| age + received_at.elapsed());
+                let wider = wider_age.map(|age| age.as_secs_f64());
                 debug!(target: LOG_TARGET, objects = %summary.objects, wider_seconds = wider, "purges in effect");
             }
             confirm(&node, token);
@@ -172,8 +176,8 @@
         token: ApplyToken,
     ) {
         let hosts: Vec<String> = changed.iter().map(|(_, host)| host.clone()).collect();
-        let without_room = lock(self.pending).add(token, changed);
-        for (id, host) in without_room {
+        let over_capacity = lock(self.pending).add(token, changed);
+        for (id, host) in over_capacity {
             reject(self.node, id, &host, RejectionReason::Full);
         }
         let overrides = settings.into_iter().filter_map(|(host, desired)| {
@@ -183,11 +187,11 @@
         let overrides: AdminOverrides = overrides.collect();
         info!(target: LOG_TARGET, marks = overrides.len(), changed = hosts.len(), "the fleet's marks");
         let (node, pending) = (self.node.clone(), self.pending.clone());
-        let on_applied = move |rejected: BTreeMap<String, RejectedOverride>| {
+        let on_applied = move |rejected_hosts: BTreeMap<String, RejectedOverride>| {
             debug!(target: LOG_TARGET, hosts = %hosts.join(","), "marks in effect");
-            let judged = lock(&pending).take_judged(token, &rejected);
-            for (id, host, why) in judged {
-                reject(&node, id, &host, rejection_reason(why));
+            let rejected = lock(&pending).take_rejected(token, &rejected_hosts);
+            for (id, host, reason) in rejected {
+                reject(&node, id, &host, rejection_reason(reason));
             }
             confirm(&node, token);
         };
@@ -197,27 +201,28 @@
     }
 }
 
-/// Purges as they are logged.
+/// The purges of one output, as the log shows them.
 struct PurgeSummary {
-    /// The ids of the objects that are purged by themselves.
+    /// The ids of the objects that have a purge of one object, comma-separated.
     objects: String,
-    /// The age of the youngest purge of more than one object.
-    widest_age: Option<Duration>,
+    /// The age of the youngest purge of a group or of everything; `None` if there is none.
+    youngest_wide_purge_age: Option<Duration>,
 }
 
 impl PurgeSummary {
     fn of(purges: &[(node::Purge, Duration)]) -> PurgeSummary {
         let mut objects = Vec::new();
-        let mut widest_age: Option<Duration> = None;
+        let mut youngest_wide_purge_age: Option<Duration> = None;
         for (purge, age) in purges {
             match purge {
                 node::Purge::Object(id) => objects.push(format!("{:016x}", u64::from_le_bytes(*id))),
                 node::Purge::Group(_) | node::Purge::Everything => {
-                    widest_age = Some(widest_age.map_or(*age, |youngest| youngest.min(*age)));
+                    youngest_wide_purge_age =
+                        Some(youngest_wide_purge_age.map_or(*age, |youngest| youngest.min(*age)));
                 }
             }
         }
-        PurgeSummary { objects: objects.join(","), widest_age }
+        PurgeSummary { objects: objects.join(","), youngest_wide_purge_age }
     }
 }
 
@@ -232,12 +237,12 @@
     node.send(Command::Reject { id, reason });
 }
 
-/// The lock is held for one call of [`PendingSettings`] at a time.
+/// Locks the pending settings. Callers hold the lock only for one call of [`PendingSettings`].
 fn lock(pending: &Mutex<PendingSettings>) -> MutexGuard<'_, PendingSettings> {
     pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// `None`: the endpoint list applies.
+/// The override that brings a host to the desired state; `None` if the host is as the endpoint list has it.
 fn admin_override(desired: DesiredState) -> Option<AdminOverride> {
     let readiness = match desired {
         DesiredState::Listed => return None,
@@ -247,8 +252,8 @@
     Some(AdminOverride { readiness, expires_at: None, force: false })
 }
 
-fn rejection_reason(why: RejectedOverride) -> RejectionReason {
-    match why {
+fn rejection_reason(rejected: RejectedOverride) -> RejectionReason {
+    match rejected {
         RejectedOverride::LastReadyEndpoint => RejectionReason::LastOne,
         RejectedOverride::TooMany => RejectionReason::Full,
     }
--- a/crates/rockflow-cli/src/extensions/dissemination/pending_settings.rs
+++ b/crates/rockflow-cli/src/extensions/dissemination/pending_settings.rs
@@ -1,46 +1,48 @@
-//! Settings that the endpoint list has not judged yet. Decides; does no I/O.
+//! Settings that the endpoint list has neither applied nor rejected yet. This module does no I/O.
 
 use rockflow_dissemination::{ApplyToken, EntryId};
 use rockflow_endpoints::RejectedOverride;
 use std::collections::BTreeMap;
 
-/// Settings that may wait: four times as many as overrides are held. A further one is rejected, and the node gives it again
-/// with the next change.
+/// Maximum number of pending settings: four times the maximum number of overrides. A setting above it is rejected, and
+/// the node passes it on again with the next change.
 pub const MAX_PENDING_SETTINGS: usize = 16_384;
 
-/// Owns the waiting settings by the token under which they were given, so that those of a token whose judgement is lost
-/// are judged with the next.
+/// Holds the pending settings by the token of the node's output that brought them. If the result for a token is lost, its
+/// settings are resolved by the result for a later token.
 #[derive(Debug, Default)]
 pub struct PendingSettings {
-    waiting: BTreeMap<ApplyToken, Vec<(EntryId, String)>>,
+    by_token: BTreeMap<ApplyToken, Vec<(EntryId, String)>>,
+    /// Number of settings under all tokens.
     count: usize,
 }
 
 impl PendingSettings {
-    /// Adds the settings that have changed under this token. Returns those for which there is no room.
+    /// Adds the settings that have changed with this token. Returns those that exceed [`MAX_PENDING_SETTINGS`].
     pub fn add(&mut self, token: ApplyToken, mut changed: Vec<(EntryId, String)>) -> Vec<(EntryId, String)> {
-        let without_room = changed.split_off(changed.len().min(MAX_PENDING_SETTINGS - self.count));
+        let over_capacity = changed.split_off(changed.len().min(MAX_PENDING_SETTINGS - self.count));
         self.count += changed.len();
         if !changed.is_empty() {
-            self.waiting.entry(token).or_default().extend(changed);
+            self.by_token.entry(token).or_default().extend(changed);
         }
-        without_room
+        over_capacity
     }
 
-    /// The list has applied all that was given up to this token, except these hosts. Returns the settings that are rejected.
-    pub fn take_judged(
+    /// Removes the settings up to and including this token, after the endpoint list has applied all of them except those
+    /// of the rejected hosts. Returns the settings of these hosts, each with the reason.
+    pub fn take_rejected(
         &mut self,
         token: ApplyToken,
-        rejected: &BTreeMap<String, RejectedOverride>,
+        rejected_hosts: &BTreeMap<String, RejectedOverride>,
     ) -> Vec<(EntryId, String, RejectedOverride)> {
-        let later = self.waiting.split_off(&ApplyToken(token.0.saturating_add(1)));
-        let judged = std::mem::replace(&mut self.waiting, later);
-        let judged: Vec<(EntryId, String)> = judged.into_values().flatten().collect();
-        self.count -= judged.len();
+        let later = self.by_token.split_off(&ApplyToken(token.0.saturating_add(1)));
+        let resolved = std::mem::replace(&mut self.by_token, later);
+        let resolved: Vec<(EntryId, String)> = resolved.into_values().flatten().collect();
+        self.count -= resolved.len();
         let with_reason = |(id, host): (EntryId, String)| {
-            let why = *rejected.get(&host)?;
-            Some((id, host, why))
+            let reason = *rejected_hosts.get(&host)?;
+            Some((id, host, reason))
         };
-        judged.into_iter().filter_map(with_reason).collect()
+        resolved.into_iter().filter_map(with_reason).collect()
     }
 }
