--- a/crates/rockflow-cli/src/extensions.rs
+++ b/crates/rockflow-cli/src/extensions.rs
@@ -1,5 +1,7 @@
-//! The optional parts that run beside a dispatcher by the operator's file: management, and dissemination. A program that
-//! is built without one of them refuses a file with its sections, so that nobody takes them for applied.
+//! The optional parts of the program, which the operator's file configures: management and dissemination.
+//!
+//! A program that is built without a part rejects a file with sections of that part. Ignoring them would leave the
+//! operator to believe that they apply.
 
 #[cfg_attr(not(feature = "dissemination"), path = "extensions/no_dissemination.rs")]
 pub mod dissemination;
@@ -13,18 +15,18 @@
 use rockflow_operator_config::{self as operator_config, Layer, OperatorConfig};
 use std::path::{Path, PathBuf};
 
-/// Sets the log's level by name while the program runs; `None`: the level of the command line.
+/// Sets the level of the running log by name; `None` restores the level given on the command line.
 pub type SetLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
-/// The optional parts that run beside a dispatcher, as the operator's file configures them.
+/// The optional parts that run in a dispatcher's process, as the operator's file configures them.
 #[derive(PartialEq)]
 pub struct Extensions(OperatorConfig);
 
 impl Extensions {
-    /// Reads the operator's file from its layers; a later one overrides an earlier one key by key.
+    /// Reads the operator's files as layers of one: a key in a later file overrides the same key in an earlier one.
     ///
     /// # Errors
-    /// A file can't be read, is not valid, or has sections of a part that is not built in.
+    /// A file can't be read, the result is not valid, or it has sections of a part that is not built in.
     pub fn read(paths: &[PathBuf]) -> Result<Extensions, ExtensionsError> {
         let layers = paths.iter().map(|path| read_layer(path)).collect::<Result<Vec<_>, _>>()?;
         let config = operator_config::parse(&layers).map_err(ExtensionsError::Invalid)?;
@@ -35,16 +37,16 @@
         Ok(Extensions(config))
     }
 
-    /// The operator's file.
+    /// The content of the operator's file, with all layers merged.
     #[cfg(feature = "dissemination")]
     pub fn file(&self) -> &OperatorConfig {
         &self.0
     }
 
-    /// Whether all that the operator's file names can be used with this configuration; a line for each listener.
+    /// Checks that the parts can start with this configuration. Returns a line of text for each of their listeners.
     ///
     /// # Errors
-    /// A part could not start.
+    /// A part can't start: a setting, key, certificate or file that the operator's file names can't be used.
     pub fn check(&self, config: &Config) -> Result<Vec<String>, ExtensionsError> {
         let mut listeners = management::check(&self.0)?;
         let dissemination = dissemination::check(&self.0, config).map_err(dissemination_error)?;
@@ -52,7 +54,7 @@
         Ok(listeners)
     }
 
-    /// Starts the dispatcher, and the parts beside it.
+    /// Starts the dispatcher and its optional parts. Returns `None` for the node if dissemination is not configured.
     ///
     /// # Errors
     /// The dispatcher or a part can't start.
@@ -65,7 +67,8 @@
         let node_options = dissemination::member_options(&self.0, &config).map_err(dissemination_error)?;
         let agent = management::open(clock, &self.0)?;
         Service::set_up();
-        // A part that can override endpoints needs a list into which overrides are merged.
+        // Management and dissemination can override endpoints. The dispatcher supports that only if it starts with a set
+        // of overrides, which may be empty.
         let overrides = agent.overrides().or_else(|| node_options.is_some().then(Default::default));
         let service =
             Service::start_with_overrides(clock, config, overrides).map_err(ExtensionsError::Start)?;
@@ -90,7 +93,7 @@
     Ok(Layer { file: path.display().to_string(), text })
 }
 
-/// The first part that has a section and is not built in.
+/// Returns the name of a part that has a section and is not built in.
 fn missing_part(config: &OperatorConfig) -> Option<&'static str> {
     let uses_management = config.management.is_some() || config.netconf.is_some() || config.gnmi.is_some();
     if uses_management && !management::BUILT {
--- a/crates/rockflow-cli/src/extensions/error.rs
+++ b/crates/rockflow-cli/src/extensions/error.rs
@@ -1,4 +1,4 @@
-//! Why the optional parts can't run.
+//! Errors of the operator's file and of the optional parts.
 
 use rockflow_operator_config::ConfigError;
 use std::io;
@@ -15,26 +15,26 @@
         /// Why it can't be read.
         source: io::Error,
     },
-    /// The operator's file is not valid; each error is on a line of its own.
-    #[error("{}", lines(.0))]
+    /// The operator's file is not valid. The text has one line for each error.
+    #[error("{}", join_lines(.0))]
     Invalid(Vec<ConfigError>),
     /// The operator's file has sections of a part that is not built in.
     #[error("{files}: this program is built without {part} (cargo build --release --features {part})")]
     NotBuilt {
-        /// The paths, with commas between them.
+        /// The paths of all operator's files, comma-separated.
         files: String,
-        /// The part, which is also its Cargo feature.
+        /// The name of the part and of its Cargo feature.
         part: &'static str,
     },
-    /// Management can't be opened by the operator's file.
+    /// The management agent can't be checked or opened: an address, key, certificate or store can't be used.
     #[cfg(feature = "management")]
     #[error("{0}")]
     Management(String),
-    /// The thread of management can't be started.
+    /// The thread of the management agent can't be started.
     #[cfg(feature = "management")]
     #[error("management: {0}")]
     RunManagement(#[source] io::Error),
-    /// Dissemination can't run by the operator's file, or can't be started.
+    /// The section of dissemination does not fit the configuration, or its node can't be started.
     #[error("{0}")]
     Dissemination(String),
     /// The dispatcher can't start.
@@ -42,7 +42,7 @@
     Start(#[source] io::Error),
 }
 
-fn lines(errors: &[ConfigError]) -> String {
+fn join_lines(errors: &[ConfigError]) -> String {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/crates/rockflow-cli/src/extensions/management.rs
+++ b/crates/rockflow-cli/src/extensions/management.rs
@@ -1,4 +1,4 @@
-//! Management beside a dispatcher: NETCONF and gNMI.
+//! The management agent of a dispatcher, which serves NETCONF and gNMI.
 
 use super::{ExtensionsError, SetLevel};
 use rockflow_dispatcher::{Clock, Service};
@@ -9,10 +9,11 @@
 /// Whether the program is built with management.
 pub const BUILT: bool = true;
 
-/// An agent that is bound to its addresses and serves nobody yet; `None`: the operator's file has no such section.
+/// An agent that is bound to its addresses and does not serve yet; `None` if the operator's file has no section of
+/// management.
 pub struct OpenedAgent(Option<Agent>);
 
-/// Whether management can run by the operator's file; a line for each listener.
+/// Checks that the agent can start with the operator's file. Returns a line of text for each listener.
 ///
 /// # Errors
 /// A key or certificate can't be used.
@@ -23,7 +24,7 @@
     Ok(listeners)
 }
 
-/// Binds the agent to its addresses, and opens its store.
+/// Binds the agent to its addresses and opens its store.
 ///
 /// # Errors
 /// An address, key, certificate or the store can't be used.
@@ -32,12 +33,12 @@
 }
 
 impl OpenedAgent {
-    /// The overrides that apply from the first request on.
+    /// The administrative overrides that apply from the first request on; `None` without an agent.
     pub fn overrides(&self) -> Option<AdminOverrides> {
         self.0.as_ref().map(Agent::administrative_overrides)
     }
 
-    /// Starts to serve.
+    /// Starts the agent's thread, which serves its clients. Does nothing without an agent.
     ///
     /// # Errors
     /// The thread can't be started.
--- a/crates/rockflow-cli/src/extensions/no_management.rs
+++ b/crates/rockflow-cli/src/extensions/no_management.rs
@@ -1,4 +1,5 @@
-//! In place of management where the program is built without it.
+//! Replaces the module `management` in a program that is built without it. Sections of management are rejected when the
+//! operator's file is read, so these functions do nothing.
 
 use super::{ExtensionsError, SetLevel};
 use rockflow_dispatcher::{Clock, Service};
@@ -8,10 +9,10 @@
 /// Whether the program is built with management.
 pub const BUILT: bool = false;
 
-/// No agent.
+/// Stands for the agent, which is not built in.
 pub struct OpenedAgent;
 
-/// The listeners of management: none.
+/// Returns no lines: there are no listeners of management.
 pub fn check(_: &OperatorConfig) -> Result<Vec<String>, ExtensionsError> {
     Ok(Vec::new())
 }
@@ -22,7 +23,7 @@
 }
 
 impl OpenedAgent {
-    /// The overrides of management: none.
+    /// Returns `None`: there is no agent that could hold overrides.
     pub fn overrides(&self) -> Option<AdminOverrides> {
         None
     }
--- a/crates/rockflow-cli/src/no_extensions.rs
+++ b/crates/rockflow-cli/src/no_extensions.rs
@@ -1,17 +1,18 @@
-//! In place of the optional parts where the program is built with none of them: an operator's file is refused, so that
-//! nobody takes its sections for applied.
+//! Replaces the module `extensions` in a program that is built without management and dissemination.
+//!
+//! It rejects any operator's file. Ignoring the file would leave the operator to believe that its sections apply.
 
 use rockflow_dispatcher::{Clock, Config, Service};
 use std::io;
 use std::path::PathBuf;
 
-/// Sets the log's level by name while the program runs; `None`: the level of the command line.
+/// Sets the level of the running log by name; `None` restores the level given on the command line.
 pub type SetLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
 /// Why the operator's file can't be used, or the dispatcher can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ExtensionsError {
-    /// An operator's file is given.
+    /// An operator's file is given; holds the path of the first one.
     #[error(
         "{}: this program is built without management and dissemination (cargo build --release --features \
          management,dissemination)",
@@ -23,13 +24,15 @@
     Start(#[source] io::Error),
 }
 
-/// The optional parts that run beside a dispatcher: none.
+/// The optional parts that run in a dispatcher's process: none in this build.
 #[derive(PartialEq)]
 pub struct Extensions;
 
 impl Extensions {
+    /// Succeeds only without an operator's file.
+    ///
     /// # Errors
-    /// Any file is given.
+    /// A file is given.
     pub fn read(paths: &[PathBuf]) -> Result<Extensions, ExtensionsError> {
         match paths.first() {
             None => Ok(Extensions),
@@ -37,7 +40,7 @@
         }
     }
 
-    /// What would listen beside the dispatcher: nothing.
+    /// Returns no lines: without optional parts there are no further listeners.
     pub fn check(&self, _: &Config) -> Result<Vec<String>, ExtensionsError> {
         Ok(Vec::new())
     }
@@ -45,7 +48,7 @@
     /// Starts the dispatcher.
     ///
     /// # Errors
-    /// It can't start.
+    /// The dispatcher can't start.
     pub fn start(&self, clock: Clock, config: Config, _: SetLevel) -> Result<(Service, ()), ExtensionsError> {
         Service::set_up();
         let service = Service::start_with_overrides(clock, config, None).map_err(ExtensionsError::Start)?;
