--- a/crates/rockflow-cli/src/manage/arguments.rs
+++ b/crates/rockflow-cli/src/manage/arguments.rs
@@ -1,11 +1,11 @@
-//! The arguments of `rockflow manage`. Doc comments of fields and variants are its help texts.
+//! The arguments of `rockflow manage`. The doc comments of fields and variants are help texts.
 
 use super::credentials::Credentials;
 use super::output::Output;
 use clap::{Args, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
-/// The protocol and transport by which a dispatcher is reached.
+/// The protocol, and its transport, over which a dispatcher is managed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Transport {
     /// NETCONF over SSH
@@ -16,7 +16,7 @@
     Gnmi,
 }
 
-/// Arguments of `rockflow manage`.
+/// How to reach a dispatcher, how to print results, and the command to run.
 #[derive(Args)]
 pub struct ManageArguments {
     /// How the dispatcher is asked
@@ -34,7 +34,7 @@
     pub command: Command,
 }
 
-/// What is to be done.
+/// A subcommand of `rockflow manage`.
 #[derive(Subcommand)]
 pub enum Command {
     /// The hosts: what the board and operators say of each, and what holds
--- a/crates/rockflow-cli/src/manage/credentials.rs
+++ b/crates/rockflow-cli/src/manage/credentials.rs
@@ -1,4 +1,4 @@
-//! The user's keys and certificates, and those by which the dispatcher is recognized.
+//! The keys and certificates that authenticate the user and the dispatcher.
 
 use clap::Args;
 use rockflow_management_client::ClientError;
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Who the user is, and by what the dispatcher is recognized. Doc comments of fields are help texts.
+/// The user's credentials, and those by which the dispatcher is verified. Doc comments of fields are help texts.
 #[derive(Args)]
 pub struct Credentials {
     /// SSH: the user's name
@@ -33,11 +33,11 @@
     pub server_name: String,
 }
 
-/// The keys of an SSH connection.
+/// The keys that an SSH connection needs.
 pub struct SshKeys {
     /// The user's private key.
     pub user: PrivateKey,
-    /// The dispatcher's public key.
+    /// The dispatcher's public host key. A dispatcher with another key is not trusted.
     pub host: PublicKey,
 }
 
@@ -45,7 +45,7 @@
     /// Reads the keys of an SSH connection.
     ///
     /// # Errors
-    /// A file is not named, can't be read, or holds no key.
+    /// A required file is not given, can't be read, or holds no usable key.
     pub fn ssh_keys(&self) -> Result<SshKeys, ClientError> {
         let user = russh::keys::decode_secret_key(&read_text(&self.key)?, None)
             .map_err(|error| file_error(&self.key, &error))?;
@@ -58,7 +58,7 @@
     /// Reads the configuration of a TLS connection with a client certificate.
     ///
     /// # Errors
-    /// A file is not named, can't be read, or holds no usable key or certificate.
+    /// A required file is not given, can't be read, or holds no usable key or certificate.
     pub fn tls_config(&self) -> Result<Arc<ClientConfig>, ClientError> {
         let roots = read_roots(required(self.ca.as_deref(), "--ca")?)?;
         let certificate = required(self.certificate.as_deref(), "--certificate")?;
--- a/crates/rockflow-cli/src/manage/mod.rs
+++ b/crates/rockflow-cli/src/manage/mod.rs
@@ -1,5 +1,6 @@
-//! `rockflow manage`: reads and changes a dispatcher's state from the command line, over NETCONF or gNMI. Scripts go by
-//! its JSON output, and by exit codes that distinguish a refusal from a broken connection.
+//! `rockflow manage`: reads and changes a dispatcher's state from the command line, over NETCONF or gNMI.
+//!
+//! Scripts can rely on its JSON output, and on exit codes that distinguish a rejected request from a broken connection.
 
 mod arguments;
 mod credentials;
@@ -17,15 +18,21 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Exit codes beside 0, which scripts go by.
-mod code {
+/// Exit codes of failures. They are an interface for scripts.
+mod exit_codes {
+    /// An input or a reply can't be read, or the program can't run.
     pub const OTHER: u8 = 1;
+    /// The connection can't be made, or has broken.
     pub const CONNECTION: u8 = 3;
+    /// A key or certificate can't be used or is not accepted.
     pub const TRUST: u8 = 4;
-    pub const REFUSED: u8 = 5;
-    /// A conflict with another session: the same call may succeed later, or once the changes have been looked at.
-    pub const BUSY: u8 = 6;
-    pub const ACCESS: u8 = 7;
+    /// The dispatcher has rejected the request.
+    pub const REJECTED: u8 = 5;
+    /// A conflict with another session. The same call may succeed later, or after the user has reviewed the changes that
+    /// the other session made.
+    pub const CONFLICT: u8 = 6;
+    /// The user has no permission for the request.
+    pub const ACCESS_DENIED: u8 = 7;
 }
 
 /// Runs the command, prints its result or error, and returns its exit code.
@@ -34,7 +41,7 @@
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("rockflow: {error}");
-            return ExitCode::from(code::OTHER);
+            return ExitCode::from(exit_codes::OTHER);
         }
     };
     match runtime.block_on(execute(arguments)) {
@@ -48,19 +55,22 @@
 
 fn exit_code(error: &ClientError) -> u8 {
     match error {
-        ClientError::Connection(_) => code::CONNECTION,
-        ClientError::Untrusted(_) => code::TRUST,
+        ClientError::Connection(_) => exit_codes::CONNECTION,
+        ClientError::Untrusted(_) => exit_codes::TRUST,
         ClientError::Rejected { tag, app_tag, .. } => match (tag.as_str(), app_tag.as_deref()) {
-            ("in-use" | "lock-denied" | "resource-denied", _) | (_, Some("conflict")) => code::BUSY,
-            ("access-denied", _) => code::ACCESS,
-            _ => code::REFUSED,
+            ("in-use" | "lock-denied" | "resource-denied", _) | (_, Some("conflict")) => exit_codes::CONFLICT,
+            ("access-denied", _) => exit_codes::ACCESS_DENIED,
+            _ => exit_codes::REJECTED,
         },
-        ClientError::Unreadable(_) => code::OTHER,
+        ClientError::Unreadable(_) => exit_codes::OTHER,
     }
 }
 
-const HOSTS: &str = "/rockflow-router:router/state/hosts";
-const HISTORY: &str = "/rockflow-router:router/state/rockflow-history:history";
+/// Path of the hosts, as the dispatcher has them.
+const HOSTS_PATH: &str = "/rockflow-router:router/state/hosts";
+/// Path of the commits that can be rolled back to.
+const HISTORY_PATH: &str = "/rockflow-router:router/state/rockflow-history:history";
+/// The leaves of a host that a table shows, in order.
 const HOST_COLUMNS: [&str; 11] = [
     "name",
     "role",
@@ -74,6 +84,7 @@
     "avoided",
     "cold-until",
 ];
+/// The leaves of a commit that a table shows, in order.
 const COMMIT_COLUMNS: [&str; 6] = ["version", "time", "author", "protocol", "source", "comment"];
 
 async fn execute(arguments: &ManageArguments) -> Result<(), ClientError> {
@@ -82,59 +93,60 @@
     let output = arguments.output;
     match &arguments.command {
         Command::Hosts => {
-            let found = peer.get(&schema, "operational", &[HOSTS.to_string()]).await?;
-            output.list(&within(&found, &["router", "state", "hosts", "host"]), &HOST_COLUMNS);
+            let values = peer.get(&schema, "operational", &[HOSTS_PATH.to_string()]).await?;
+            let hosts = value_at(&values, &["router", "state", "hosts", "host"]);
+            output.print_list(&hosts, &HOST_COLUMNS);
         }
         Command::Get { paths, datastore } => {
-            let found = peer.get(&schema, datastore, paths).await?;
-            output.tree(&schema, &found);
+            let values = peer.get(&schema, datastore, paths).await?;
+            output.print_values(&schema, &values);
         }
         Command::Watch { paths, period, count } => {
             let period = period.map(|seconds| Duration::from_secs_f64(seconds.clamp(0.1, 1e6)));
-            let mut seen = 0;
-            peer.follow(&schema, paths, period).await?;
-            while count.is_none_or(|count| seen < count) {
-                seen += 1;
-                output.changes(&peer.next(&schema).await?);
+            let mut messages = 0;
+            peer.subscribe(&schema, paths, period).await?;
+            while count.is_none_or(|count| messages < count) {
+                messages += 1;
+                output.print_changes(&peer.next_changes(&schema).await?);
             }
         }
         Command::Drain { host, reason, expires_in, force } => {
             let version = peer.drain(&schema, host, reason.as_deref(), *expires_in, *force).await?;
-            output.done(version);
+            output.print_done(version);
         }
-        Command::Undrain { host } => output.done(peer.undrain(&schema, host).await?),
+        Command::Undrain { host } => output.print_done(peer.undrain(&schema, host).await?),
         Command::Commit { file, confirm, persist } => {
             let value = read_commit(&schema, file)?;
             if confirm.is_some() && persist.is_none() {
-                let what = "--confirm needs --persist NAME: the session ends with this command";
-                return Err(ClientError::Unreadable(what.to_string()));
+                let message = "--confirm needs --persist NAME: the session ends with this command";
+                return Err(ClientError::Unreadable(message.to_string()));
             }
-            let within = confirm.map(Duration::from_secs);
-            peer.commit(&schema, &value, within, persist.as_deref()).await?;
-            output.done(None);
+            let confirm_timeout = confirm.map(Duration::from_secs);
+            peer.commit(&schema, &value, confirm_timeout, persist.as_deref()).await?;
+            output.print_done(None);
         }
         Command::Confirm { persist_id } => {
             peer.confirm(persist_id).await?;
-            output.done(None);
+            output.print_done(None);
         }
         Command::Cancel { persist_id } => {
             peer.cancel(persist_id).await?;
-            output.done(None);
+            output.print_done(None);
         }
         Command::History => {
-            let found = peer.get(&schema, "operational", &[HISTORY.to_string()]).await?;
-            let commits = within(&found, &["router", "state", "history", "commit"]);
-            output.list(&commits, &COMMIT_COLUMNS);
+            let values = peer.get(&schema, "operational", &[HISTORY_PATH.to_string()]).await?;
+            let commits = value_at(&values, &["router", "state", "history", "commit"]);
+            output.print_list(&commits, &COMMIT_COLUMNS);
         }
         Command::Rollback { version, expected } => {
-            output.done(Some(peer.rollback(&schema, *version, *expected).await?));
+            output.print_done(Some(peer.rollback(&schema, *version, *expected).await?));
         }
     }
     Ok(())
 }
 
-/// Reads a configuration from a file, or from standard input for `-`, and validates it here already, so that an error
-/// names its key as it was written.
+/// Reads a configuration from a file, or from standard input for `-`. It is validated before it is sent, so that an error
+/// names the key as the file has it.
 fn read_commit(schema: &Schema, file: &Path) -> Result<Value, ClientError> {
     let unreadable = |error: &dyn Display| ClientError::Unreadable(format!("{}: {error}", file.display()));
     let text = if file.as_os_str() == "-" {
@@ -148,13 +160,13 @@
     Ok(value)
 }
 
-/// The value at a path of names, whichever modules they are qualified by; an empty list where there is none.
-fn within(value: &Value, names: &[&str]) -> Value {
+/// The value at a path of names, which ignores the module names that qualify keys. An empty list if there is no value.
+fn value_at(value: &Value, names: &[&str]) -> Value {
     names.iter().fold(value.clone(), |value, name| {
-        let found = value.as_object().and_then(|fields| {
-            let plain = |key: &String| key.split_once(':').map_or(key.as_str(), |(_, plain)| plain) == *name;
-            fields.iter().find(|(key, _)| plain(key)).map(|(_, value)| value.clone())
+        let child = value.as_object().and_then(|fields| {
+            let has_name = |key: &str| key.split_once(':').map_or(key, |(_, local_name)| local_name) == *name;
+            fields.iter().find(|(key, _)| has_name(key)).map(|(_, child)| child.clone())
         });
-        found.unwrap_or(json!([]))
+        child.unwrap_or(json!([]))
     })
 }
--- a/crates/rockflow-cli/src/manage/output.rs
+++ b/crates/rockflow-cli/src/manage/output.rs
@@ -1,4 +1,4 @@
-//! Printed results: tables for people, JSON for scripts.
+//! Prints results, as tables for people or as JSON for scripts.
 
 use clap::ValueEnum;
 use comfy_table::presets::NOTHING;
@@ -15,15 +15,16 @@
     Json,
 }
 
-/// A change of one value.
+/// A changed value, or one of the values of a periodic message.
 pub struct Change {
-    /// The value's path.
+    /// The path of the value in the schema.
     pub path: String,
-    /// The new value; `None`: it was deleted.
+    /// The new value; `None` if the value was deleted.
     pub value: Option<Value>,
 }
 
-fn plain(value: &Value) -> String {
+/// The text of a value in a table: strings without quotes, and `-` for null.
+fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_string(),
@@ -31,72 +32,76 @@
     }
 }
 
-fn table(header: &[&str]) -> Table {
+/// An empty table without borders.
+fn new_table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header(header.iter().copied());
     table
 }
 
-/// Prints a line. A reader that has closed the pipe, such as `head`, ends the program without an error.
-fn print(text: &str) {
+/// Prints a line. If the reader has closed the pipe, as `head` does, the program exits with 0.
+fn print_line(text: &str) {
     if writeln!(std::io::stdout(), "{text}").is_err() {
         std::process::exit(0);
     }
 }
 
 impl Output {
-    /// The entries of one list, with these columns in a table.
-    pub fn list(self, entries: &Value, columns: &[&str]) {
+    /// Prints the entries of one list. A table has these columns, with `-` for a missing value.
+    pub fn print_list(self, entries: &Value, columns: &[&str]) {
         if self == Output::Json {
-            return print(&entries.to_string());
+            return print_line(&entries.to_string());
         }
-        let mut table = table(columns);
+        let mut table = new_table(columns);
         for entry in entries.as_array().into_iter().flatten() {
-            let cell = |name: &&str| entry.get(*name).map_or("-".to_string(), plain);
+            let cell = |name: &&str| entry.get(*name).map_or("-".to_string(), cell_text);
             table.add_row(columns.iter().map(cell));
         }
-        print(&table.to_string());
+        print_line(&table.to_string());
     }
 
-    /// Any values: a line for each in a table.
-    pub fn tree(self, schema: &Schema, found: &Value) {
+    /// Prints any values. A table has a row for each one.
+    pub fn print_values(self, schema: &Schema, values: &Value) {
         if self == Output::Json {
-            return print(&found.to_string());
+            return print_line(&values.to_string());
         }
-        let mut table = table(&["path", "value"]);
-        match yang_json::read(schema, None, found, NodeScope::ConfigAndState) {
+        let mut table = new_table(&["path", "value"]);
+        match yang_json::read(schema, None, values, NodeScope::ConfigAndState) {
             Ok(fields) => {
                 for (path, value) in data::leaves(&fields) {
                     table.add_row([path.to_text(schema), value.to_string()]);
                 }
             }
-            // Parts of a tree, by path.
+            // Over gNMI, values that do not form a tree of the schema are an object by path: see `Peer::get`.
             Err(_) => {
-                for (path, value) in found.as_object().into_iter().flatten() {
-                    table.add_row([path.clone(), plain(value)]);
+                for (path, value) in values.as_object().into_iter().flatten() {
+                    table.add_row([path.clone(), cell_text(value)]);
                 }
             }
         }
-        print(&table.to_string());
+        print_line(&table.to_string());
     }
 
-    /// A line for each changed value.
-    pub fn changes(self, changes: &[Change]) {
+    /// Prints a line for each changed value.
+    pub fn print_changes(self, changes: &[Change]) {
         for Change { path, value } in changes {
             match self {
-                Output::Json => print(&json!({"path": path, "value": value}).to_string()),
-                Output::Table => print(&format!("{path}  {}", value.as_ref().map_or("(gone)".into(), plain))),
+                Output::Json => print_line(&json!({"path": path, "value": value}).to_string()),
+                Output::Table => {
+                    let value = value.as_ref().map_or("(gone)".into(), cell_text);
+                    print_line(&format!("{path}  {value}"));
+                }
             }
         }
     }
 
-    /// That a command succeeded, with its commit if it made one.
-    pub fn done(self, version: impl Into<Option<u64>>) {
+    /// Prints that a command has succeeded, with the version of its commit if that is known.
+    pub fn print_done(self, version: impl Into<Option<u64>>) {
         let version = version.into();
         match (self, version) {
-            (Output::Json, version) => print(&json!({"done": true, "version": version}).to_string()),
-            (Output::Table, Some(version)) => print(&format!("done, commit {version}")),
-            (Output::Table, None) => print("done"),
+            (Output::Json, version) => print_line(&json!({"done": true, "version": version}).to_string()),
+            (Output::Table, Some(version)) => print_line(&format!("done, commit {version}")),
+            (Output::Table, None) => print_line("done"),
         }
     }
 }
--- a/crates/rockflow-cli/src/manage/peer.rs
+++ b/crates/rockflow-cli/src/manage/peer.rs
@@ -1,4 +1,4 @@
-//! A connection to a dispatcher, over NETCONF or gNMI.
+//! A management connection to a dispatcher, over NETCONF or gNMI. Some operations are available only over NETCONF.
 
 use super::arguments::Transport;
 use super::credentials::{Credentials, SshKeys};
@@ -11,27 +11,29 @@
 use std::time::Duration;
 use tonic::Streaming;
 
-/// A connection to a dispatcher.
+/// A management connection to a dispatcher.
 pub enum Peer {
-    /// Over NETCONF.
+    /// A NETCONF session over SSH or TLS.
     Netconf(Box<netconf::Client>),
-    /// Over gNMI.
+    /// A gNMI channel over TLS.
     Gnmi(Box<GnmiPeer>),
 }
 
-/// A gNMI client, and its subscription if it has one.
+/// A gNMI client and its subscription.
 pub struct GnmiPeer {
     client: gnmi::Client,
+    /// The messages of the subscription; `None` before [`Peer::subscribe`].
     subscription: Option<Streaming<wire::SubscribeResponse>>,
 }
 
-fn only_netconf() -> ClientError {
+/// The error for an operation that is available only over NETCONF.
+fn only_netconf_error() -> ClientError {
     let message = "only over NETCONF".to_string();
     ClientError::Rejected { tag: "operation-not-supported".to_string(), app_tag: None, message }
 }
 
 impl Peer {
-    /// Connects and signs in.
+    /// Connects and authenticates.
     pub async fn connect(
         transport: Transport,
         address: &str,
@@ -55,7 +57,8 @@
         }
     }
 
-    /// As one JSON tree over NETCONF; over gNMI by path, unless one path names all of it.
+    /// Reads the values at these paths as one JSON tree. If a value that gNMI returns does not fit the schema, the result is
+    /// an object of the values by path instead. gNMI can read only the datastore `operational`.
     pub async fn get(
         &mut self,
         schema: &Schema,
@@ -69,16 +72,17 @@
             }
             Peer::Gnmi(peer) => {
                 if datastore != "operational" {
-                    return Err(only_netconf());
+                    return Err(only_netconf_error());
                 }
-                let found = peer.client.get(schema, paths).await?;
+                let values_by_path = peer.client.get(schema, paths).await?;
                 let mut fields = DataTree::new();
-                for (text, value) in &found {
-                    match tree_at(schema, text, value) {
-                        Some(part) => data::merge(&mut fields, &part),
+                for (path, value) in &values_by_path {
+                    match tree_from_value(schema, path, value) {
+                        Some(tree) => data::merge(&mut fields, &tree),
                         None => {
-                            let all = found.iter().map(|(path, value)| (path.clone(), value.clone()));
-                            return Ok(Value::Object(all.collect()));
+                            let entries = values_by_path.iter();
+                            let entries = entries.map(|(path, value)| (path.clone(), value.clone()));
+                            return Ok(Value::Object(entries.collect()));
                         }
                     }
                 }
@@ -87,8 +91,8 @@
         }
     }
 
-    /// Subscribes to changes of the paths, or to all their values at a period.
-    pub async fn follow(
+    /// Subscribes to changes of the values at these paths or, with a period, to all the values at that interval.
+    pub async fn subscribe(
         &mut self,
         schema: &Schema,
         paths: &[String],
@@ -103,8 +107,8 @@
         }
     }
 
-    /// The next message of what is followed.
-    pub async fn next(&mut self, schema: &Schema) -> Result<Vec<Change>, ClientError> {
+    /// Waits for the next message of the subscription. Fails when the stream of messages has ended.
+    pub async fn next_changes(&mut self, schema: &Schema) -> Result<Vec<Change>, ClientError> {
         let ended = || ClientError::Connection("ended".to_string());
         match self {
             Peer::Netconf(client) => {
@@ -116,21 +120,22 @@
                 let message = stream.message().await;
                 let message =
                     message.map_err(|error| ClientError::Connection(error.to_string()))?.ok_or_else(ended)?;
-                let Some(wire::subscribe_response::Response::Update(note)) = message.response else {
+                let Some(wire::subscribe_response::Response::Update(notification)) = message.response else {
                     continue;
                 };
                 let path = |path: &Option<wire::Path>| path.as_ref().map(gnmi::text).unwrap_or_default();
-                let updates = note
+                let updates = notification
                     .update
                     .iter()
                     .map(|update| Change { path: path(&update.path), value: Some(gnmi::json(update)) });
-                let deletions = note.delete.iter().map(|path| Change { path: gnmi::text(path), value: None });
+                let deletions =
+                    notification.delete.iter().map(|path| Change { path: gnmi::text(path), value: None });
                 return Ok(updates.chain(deletions).collect());
             },
         }
     }
 
-    /// Sets the override that drains a host; its commit over NETCONF.
+    /// Sets the override that drains a host. Returns the version of the commit; `None` over gNMI, which does not return it.
     pub async fn drain(
         &mut self,
         schema: &Schema,
@@ -141,35 +146,35 @@
     ) -> Result<Option<u64>, ClientError> {
         match self {
             Peer::Netconf(client) => {
-                let span = expires_in.map(|seconds| seconds.to_string());
+                let expires_in = expires_in.map(|seconds| seconds.to_string());
                 let mut input = vec![("host", host)];
                 input.extend(reason.map(|reason| ("reason", reason)));
-                input.extend(span.as_deref().map(|span| ("expires-in", span)));
+                input.extend(expires_in.as_deref().map(|seconds| ("expires-in", seconds)));
                 if force {
                     input.push(("force", "true"));
                 }
                 client.act(schema, "drain", &input).await.map(Some)
             }
             Peer::Gnmi(peer) => {
-                let mut mark = json!({"state": "draining"});
+                let mut admin_override = json!({"state": "draining"});
                 if let Some(reason) = reason {
-                    mark["reason"] = json!(reason);
+                    admin_override["reason"] = json!(reason);
                 }
                 if let Some(seconds) = expires_in {
                     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-                    let until = now.unwrap_or_default() + Duration::from_secs(seconds.into());
-                    mark["expires"] = json!(rockflow_management::timestamp::format(until));
+                    let expires_at = now.unwrap_or_default() + Duration::from_secs(seconds.into());
+                    admin_override["expires"] = json!(rockflow_management::timestamp::format(expires_at));
                 }
                 if force {
-                    mark["force"] = json!(true);
+                    admin_override["force"] = json!(true);
                 }
                 let path = format!("/router/marks/mark[host='{host}']");
-                peer.client.set(schema, &[], &[(&path, mark)], &[]).await.map(|_| None)
+                peer.client.set(schema, &[], &[(&path, admin_override)], &[]).await.map(|_| None)
             }
         }
     }
 
-    /// Removes the override of a host; its commit over NETCONF.
+    /// Removes the override of a host. Returns the version of the commit; `None` over gNMI, which does not return it.
     pub async fn undrain(&mut self, schema: &Schema, host: &str) -> Result<Option<u64>, ClientError> {
         match self {
             Peer::Netconf(client) => client.act(schema, "undrain", &[("host", host)]).await.map(Some),
@@ -180,12 +185,13 @@
         }
     }
 
-    /// Merges a configuration and commits it, to be confirmed within a time if there is one.
+    /// Merges a configuration and commits the result. With a timeout, which is available only over NETCONF, the commit is
+    /// undone unless it is confirmed in time. `persist` is the id by which a later session can confirm or cancel it.
     pub async fn commit(
         &mut self,
         schema: &Schema,
         value: &Value,
-        within: Option<Duration>,
+        confirm_timeout: Option<Duration>,
         persist: Option<&str>,
     ) -> Result<(), ClientError> {
         match self {
@@ -193,23 +199,24 @@
                 let fields = json::read(schema, None, value, NodeScope::ConfigOnly)
                     .map_err(|error| ClientError::Unreadable(error.to_string()))?;
                 client.edit(schema, &fields).await?;
-                client.commit(within, persist, None).await
+                client.commit(confirm_timeout, persist, None).await
             }
-            Peer::Gnmi(_) if within.is_some() => Err(only_netconf()),
+            Peer::Gnmi(_) if confirm_timeout.is_some() => Err(only_netconf_error()),
             Peer::Gnmi(peer) => peer.client.set(schema, &[], &[], &[("/", value.clone())]).await.map(|_| ()),
         }
     }
 
-    fn netconf(&mut self) -> Result<&mut netconf::Client, ClientError> {
+    /// The NETCONF client, for operations that are available only over NETCONF.
+    fn netconf_only(&mut self) -> Result<&mut netconf::Client, ClientError> {
         match self {
             Peer::Netconf(client) => Ok(client),
-            Peer::Gnmi(_) => Err(only_netconf()),
+            Peer::Gnmi(_) => Err(only_netconf_error()),
         }
     }
 
     /// Confirms a commit by its persistent id.
     pub async fn confirm(&mut self, persist_id: &str) -> Result<(), ClientError> {
-        self.netconf()?.commit(None, None, Some(persist_id)).await
+        self.netconf_only()?.commit(None, None, Some(persist_id)).await
     }
 
     /// Cancels a confirmed commit by its persistent id.
@@ -218,28 +225,29 @@
         out.open("cancel-commit", &[]);
         out.leaf("persist-id", &[], persist_id);
         out.close("cancel-commit");
-        self.netconf()?.call(&out.finish()).await.map(|_| ())
+        self.netconf_only()?.call(&out.finish()).await.map(|_| ())
     }
 
-    /// Brings back the configuration of a commit, as a new one.
+    /// Restores the configuration of an earlier commit by a new commit, and returns the new version. Fails if `expected` is
+    /// given and is not the current version.
     pub async fn rollback(
         &mut self,
         schema: &Schema,
         version: u64,
         expected: Option<u64>,
     ) -> Result<u64, ClientError> {
-        let (version, expected) = (version.to_string(), expected.map(|expected| expected.to_string()));
+        let (version, expected) = (version.to_string(), expected.map(|version| version.to_string()));
         let mut input = vec![("version", version.as_str())];
-        input.extend(expected.as_deref().map(|expected| ("expected", expected)));
-        self.netconf()?.act(schema, "rollback", &input).await
+        input.extend(expected.as_deref().map(|version| ("expected", version)));
+        self.netconf_only()?.act(schema, "rollback", &input).await
     }
 }
 
-/// A value at its path, as a tree; `None`: the path or the value does not fit the schema.
-fn tree_at(schema: &Schema, text: &str, value: &Value) -> Option<DataTree> {
+/// A tree that has only this value, at its path; `None` if the path or the value does not fit the schema.
+fn tree_from_value(schema: &Schema, path_text: &str, value: &Value) -> Option<DataTree> {
     let scope = NodeScope::ConfigAndState;
-    // Keys come without quotes here.
-    let path = Path::parse(schema, text).ok()?;
+    // gNMI paths have list keys without quotes.
+    let path = Path::parse(schema, path_text).ok()?;
     let Some(last) = path.0.last() else {
         return json::read(schema, None, value, scope).ok();
     };
@@ -253,7 +261,8 @@
     Some(fields)
 }
 
-/// The values of a push notification: all of them, or those that changed.
+/// The values of a YANG-Push notification: all subscribed ones of a `push-update`, the changed ones of a
+/// `push-change-update`.
 fn notified_changes(schema: &Schema, notification: &Element) -> Vec<Change> {
     if let Some(update) =
         notification.child("push-update").and_then(|update| update.child("datastore-contents"))
@@ -269,8 +278,8 @@
         return leaves
             .into_iter()
             .map(|(path, value)| {
-                let of = path.node().and_then(|node| schema.type_of(node));
-                Change { path: path.to_text(schema), value: Some(json::write_scalar(of, &value)) }
+                let value_type = path.node().and_then(|node| schema.type_of(node));
+                Change { path: path.to_text(schema), value: Some(json::write_scalar(value_type, &value)) }
             })
             .collect();
     }
