--- a/crates/rockflow-cli/src/log.rs
+++ b/crates/rockflow-cli/src/log.rs
@@ -1,5 +1,5 @@
-//! The program's log on standard error: written from a thread of its own, and limited to a number of lines a second
-//! whatever peers send.
+//! The program's log on standard error. A separate thread writes it, and the number of lines per second is limited, so
+//! that peers can't flood it.
 
 #[cfg(test)]
 mod tests;
@@ -14,22 +14,22 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{fmt, registry, reload, Registry};
 
-/// Lines that wait for the reader of the log; further ones are dropped.
+/// Maximum number of lines that wait for standard error to accept them; further lines are dropped.
 const MAX_BUFFERED_LINES: usize = 4096;
-/// Lines written in one interval. Enough to name every host of a large endpoint list at once.
+/// Maximum number of lines written in one interval. It suffices for a line for each host of a large endpoint list.
 const MAX_LINES_PER_INTERVAL: usize = 500;
-/// Length of the interval over which lines are counted.
+/// Length of the intervals in which lines are counted.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sets the level of the running log.
+/// Changes the level of the running log.
 pub type LevelHandle = reload::Handle<LevelFilter, Registry>;
 
-/// Starts the log. Lines are written by another thread, so that no coroutine waits for the reader of the log.
+/// Starts the log. Lines are written by a separate thread, so that no coroutine blocks while standard error does.
 ///
-/// The log ends when the guard is dropped.
+/// Dropping the guard writes the remaining lines and ends the log.
 ///
 /// # Panics
-/// A global subscriber is set already.
+/// If a global subscriber is already set.
 pub fn init(level: tracing::Level) -> (WorkerGuard, LevelHandle) {
     let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LINES);
     let (writer, guard) = builder.finish(std::io::stderr());
@@ -39,16 +39,16 @@
     (guard, level_handle)
 }
 
-/// Passes on a limited number of lines in each interval, and counts the others.
+/// Passes on up to `max_lines` lines in each interval, and drops and counts the others.
 ///
-/// The first line of the next interval is preceded by one with the number of lines that were left out.
+/// If lines were dropped, a line with their number precedes the first line of the next interval.
 struct RateLimited<M> {
     inner: M,
     max_lines: usize,
     count: Mutex<LineCount>,
 }
 
-/// The lines of the current interval.
+/// Counts the lines of the current interval, including dropped ones.
 struct LineCount {
     started_at: Instant,
     lines: usize,
