--- a/crates/rockflow-cli/src/command_line.rs
+++ b/crates/rockflow-cli/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: subcommands, and the files that a process is configured by.
+//! The command line: the subcommands, and the files and options that configure a process.
 
 use crate::error::SourceError;
 use crate::extensions::{Extensions, ExtensionsError, OperatorFiles};
@@ -17,7 +17,7 @@
     pub command: Command,
 }
 
-// The doc comments below are the help texts of the program.
+// The doc comments of variants and fields are the help texts of the program.
 #[derive(Subcommand)]
 pub enum Command {
     /// Run a dispatcher until SIGTERM or SIGINT; SIGHUP has it read its configuration again
@@ -54,7 +54,7 @@
     Completion { shell: clap_complete::Shell },
 }
 
-/// The files that a process is configured by, and what overrides them.
+/// The files that configure a process, and the options that override single settings of them.
 #[derive(clap::Args)]
 pub struct Source {
     /// The configuration, as JSON
@@ -71,7 +71,7 @@
 }
 
 impl Source {
-    /// Reads the configuration.
+    /// Reads the configuration file, and replaces the settings that the command line overrides.
     ///
     /// # Errors
     /// The file can't be read, or is not valid.
@@ -89,10 +89,10 @@
         Ok(config)
     }
 
-    /// Reads the operator's file.
+    /// Reads the operator's files. Without any, no optional part is configured.
     ///
     /// # Errors
-    /// The file can't be read, is not valid, or names a part that is not built in.
+    /// A file can't be read or is not valid, or configures an optional part that is not built in.
     pub fn read_extensions(&self) -> Result<Extensions, ExtensionsError> {
         Extensions::read(&self.files.operator)
     }
--- a/crates/rockflow-cli/src/error.rs
+++ b/crates/rockflow-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand other than `manage` fails.
+//! Errors of the subcommands other than `manage`.
 
 #[cfg(feature = "dissemination")]
 use crate::control::ControlError;
@@ -13,10 +13,10 @@
     /// The configuration or the operator's file can't be used.
     #[error(transparent)]
     Source(#[from] SourceError),
-    /// Signals can't be received.
+    /// The signal handlers can't be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// The dispatcher, or a part that runs beside it, can't start.
+    /// The dispatcher or one of its optional parts can't start.
     #[error(transparent)]
     Extensions(#[from] ExtensionsError),
     /// A control process can't start, or has ended.
@@ -25,7 +25,7 @@
     Control(#[from] ControlError),
 }
 
-/// Why the files that a process is configured by can't be used.
+/// Why the files that configure a process can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SourceError {
     /// The configuration can't be read.
@@ -44,7 +44,7 @@
         /// What is wrong with it.
         source: ConfigError,
     },
-    /// The operator's file is not valid, or names a part that is not built in.
+    /// The operator's file can't be read or is not valid, or configures an optional part that is not built in.
     #[error(transparent)]
     Extensions(#[from] ExtensionsError),
 }
--- a/crates/rockflow-cli/src/serve.rs
+++ b/crates/rockflow-cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! The subcommands `serve` and `check`: a dispatcher from its start to its stop, and whether one could start.
+//! The subcommands `serve`, which runs a dispatcher, and `check`, which checks that one can start.
 
 use crate::command_line::Source;
 use crate::error::ProgramError;
@@ -10,10 +10,11 @@
 use tracing::{error, warn, Level};
 use tracing_subscriber::filter::LevelFilter;
 
-/// Reads both files, and all that the operator's file names, as a start would, and prints what would listen.
+/// Reads and checks the configuration, the operator's file and the files that this one names, as `serve` does at its
+/// start. Prints the address of each listener.
 ///
 /// # Errors
-/// A dispatcher could not start.
+/// A dispatcher can't start with these files.
 pub fn check(source: &Source) -> Result<(), ProgramError> {
     let config = source.read()?;
     let listeners = source.read_extensions()?.check(&config)?;
@@ -29,7 +30,7 @@
 /// # Errors
 /// The dispatcher can't start.
 pub fn serve(source: &Source, level: Level) -> Result<(), ProgramError> {
-    // Before anything else: a stop that arrives during the start waits until the start is done.
+    // Signals are received before anything else, so that one that arrives during the start is handled after it.
     let mut signals = signals::receive()?;
     let (_log, level_handle) = log::init(level);
     let config = source.read()?;
@@ -47,7 +48,8 @@
     Ok(())
 }
 
-/// Sets the log's level by name. No name, or one that is not a level, restores the level of the command line.
+/// Returns a function that sets the log's level by name. Without a name, or with one that is not a level, it restores the
+/// level given on the command line.
 fn level_setter(handle: LevelHandle, initial: Level) -> SetLevel {
     Box::new(move |name| {
         let level = name.and_then(|name| name.parse().ok()).unwrap_or(initial);
@@ -55,7 +57,8 @@
     })
 }
 
-/// Reads both files anew. One that is not valid changes nothing.
+/// Reads the configuration and the operator's file again. The configuration is applied if it is valid. Changes of the
+/// operator's file need a restart, and are only logged.
 fn reload(source: &Source, extensions: &Extensions, service: &mut Service) {
     match source.read() {
         Ok(config) => service.reload(&config),
@@ -64,7 +67,7 @@
         }
     }
     match source.read_extensions() {
-        Ok(read) if read == *extensions => {}
+        Ok(new_extensions) if new_extensions == *extensions => {}
         Ok(_) => warn!("operator's file changed; restart to apply it"),
         Err(error) => {
             error!(error = error.to_string(), "operator's file rejected; the previous one stays in effect");
--- a/crates/rockflow-cli/src/signals.rs
+++ b/crates/rockflow-cli/src/signals.rs
@@ -1,10 +1,11 @@
-//! The signals by which a process is reloaded and stopped.
+//! The signals that reload and stop a process.
 
 use crate::error::ProgramError;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// Receives SIGTERM, SIGINT and SIGHUP from now on; those that arrive wait until they are looked at.
+/// Installs handlers for SIGTERM, SIGINT and SIGHUP. Signals that arrive from now on are kept until the returned iterator
+/// reads them.
 ///
 /// # Errors
 /// The handlers can't be installed.
