--- a/crates/rockflow-cli/tests/help_texts.rs
+++ b/crates/rockflow-cli/tests/help_texts.rs
@@ -1,10 +1,11 @@
-//! The help of each subcommand, held by literal text: flags, their environment variables and defaults are an interface.
+//! Compares the help of each subcommand with a literal text, because flags, environment variables and defaults are an
+//! interface.
 
 use std::process::Command;
 use test_case::test_case;
 
-/// Settings that clap would show in the help if they were set.
-const ENVIRONMENT: [&str; 12] = [
+/// Environment variables whose values clap shows in the help if they are set.
+const ENVIRONMENT_VARIABLES: [&str; 12] = [
     "GW_CONFIG",
     "GW_LISTEN",
     "GW_NAME",
@@ -22,7 +23,7 @@
 fn assert_help(arguments: &[&str], expected: &str) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_rockflow"));
     command.args(arguments).arg("--help").env_remove("ROCKFLOW_OUTPUT");
-    for name in ENVIRONMENT {
+    for name in ENVIRONMENT_VARIABLES {
         command.env_remove(name);
     }
     let output = command.output().unwrap();
--- a/crates/rockflow-cli/tests/manage_output.rs
+++ b/crates/rockflow-cli/tests/manage_output.rs
@@ -1,4 +1,4 @@
-//! What `rockflow manage` prints and how it exits, held by literal text against a running dispatcher.
+//! Compares the output, errors and exit codes of `rockflow manage` with literal texts, against a running dispatcher.
 #![cfg(feature = "management")]
 
 use rockflow_process_harness::{free_tcp, wait_until, Process, Start};
@@ -13,7 +13,7 @@
 /// Seed of the user's SSH key.
 const USER_KEY_SEED: u64 = 7;
 
-/// A dispatcher that serves NETCONF over SSH, and the files that its user needs.
+/// A dispatcher that serves NETCONF over SSH, and the keys with which its user connects.
 struct ManagedDispatcher {
     _process: Process,
     netconf: SocketAddr,
@@ -22,7 +22,8 @@
     folder: TemporaryFolder,
 }
 
-struct Printed {
+/// The result of one run of `rockflow manage`.
+struct CommandResult {
     stdout: String,
     stderr: String,
     code: i32,
@@ -49,7 +50,8 @@
         ManagedDispatcher { _process: process, netconf, user_key, host_key, folder }
     }
 
-    fn manage(&self, arguments: &[&str]) -> Printed {
+    /// Runs `rockflow manage` over SSH with these further arguments.
+    fn manage(&self, arguments: &[&str]) -> CommandResult {
         let output = Command::new(env!("CARGO_BIN_EXE_rockflow"))
             .args(["manage", "--at", &self.netconf.to_string()])
             .arg("--key")
@@ -62,7 +64,7 @@
             .env_remove("ROCKFLOW_USER")
             .output()
             .unwrap();
-        Printed {
+        CommandResult {
             stdout: String::from_utf8(output.stdout).unwrap(),
             stderr: String::from_utf8(output.stderr).unwrap(),
             code: output.status.code().unwrap(),
@@ -70,7 +72,7 @@
     }
 }
 
-/// The example with an endpoint and a board that nobody listens at.
+/// The example configuration on a free port, with a discovery address at which nothing listens.
 fn configuration() -> Value {
     let mut config: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
     config["listen"] = json!(free_tcp().unwrap().to_string());
@@ -78,14 +80,14 @@
     config
 }
 
-impl Printed {
+impl CommandResult {
     #[track_caller]
     fn assert(&self, code: i32, stdout: &str, stderr: &str) {
         assert_eq!((self.code, self.stdout.as_str(), self.stderr.as_str()), (code, stdout, stderr));
     }
 }
 
-/// Replaces the times of a printed history, whose fractions of a second differ in length, and the width of their column.
+/// Replaces the times of a printed history and the padding of their column, as the fractions of a second differ in length.
 fn mask_times(table: &str) -> String {
     let is_time = |word: &&str| word.starts_with("20") && word.contains('T');
     let times: Vec<&str> = table.split(' ').filter(is_time).collect();
@@ -110,8 +112,8 @@
     dispatcher.manage(&["get", path]).assert(0, table, "");
     let json = "{\"rockflow-router:router\":{\"state\":{\"board\":{\"last\":\"1\"}}}}\n";
     dispatcher.manage(&["--output", "json", "get", path]).assert(0, json, "");
-    let unknown = dispatcher.manage(&["get", "/router/nothing"]);
-    unknown.assert(5, "", "rockflow: invalid-value: nothing: no such node\n");
+    let unknown_path = dispatcher.manage(&["get", "/router/nothing"]);
+    unknown_path.assert(5, "", "rockflow: invalid-value: nothing: no such node\n");
 }
 
 #[test]
@@ -126,8 +128,8 @@
 #[test]
 fn prints_result_of_drain_and_undrain() {
     let dispatcher = ManagedDispatcher::start();
-    let last = "rockflow: operation-failed: no host would be left in place of c1; with force it is done all the same\n";
-    dispatcher.manage(&["drain", "c1"]).assert(5, "", last);
+    let last_host_error = "rockflow: operation-failed: no host would be left in place of c1; with force it is done all the same\n";
+    dispatcher.manage(&["drain", "c1"]).assert(5, "", last_host_error);
     dispatcher.manage(&["undrain", "c1"]).assert(5, "", "rockflow: data-missing: c1 has no mark\n");
     dispatcher.manage(&["drain", "c1", "--force"]).assert(0, "done, commit 1\n", "");
     dispatcher.manage(&["undrain", "c1"]).assert(0, "done, commit 2\n", "");
@@ -143,28 +145,28 @@
     dispatcher.manage(&commit).assert(0, "done\n", "");
     let json = dispatcher.manage(&[&["--output", "json"], &commit[..]].concat());
     json.assert(0, "{\"done\":true,\"version\":null}\n", "");
-    let unnamed =
+    let persist_error =
         "rockflow: unreadable: --confirm needs --persist NAME: the session ends with this command\n";
-    dispatcher.manage(&[&commit[..], &["--confirm", "60"]].concat()).assert(1, "", unnamed);
-    let confirmed = [&commit[..], &["--confirm", "60", "--persist", "p"]].concat();
-    dispatcher.manage(&confirmed).assert(0, "done\n", "");
+    dispatcher.manage(&[&commit[..], &["--confirm", "60"]].concat()).assert(1, "", persist_error);
+    let confirmed_commit = [&commit[..], &["--confirm", "60", "--persist", "p"]].concat();
+    dispatcher.manage(&confirmed_commit).assert(0, "done\n", "");
     dispatcher.manage(&["cancel", "p"]).assert(0, "done\n", "");
-    dispatcher.manage(&confirmed).assert(0, "done\n", "");
+    dispatcher.manage(&confirmed_commit).assert(0, "done\n", "");
     dispatcher.manage(&["confirm", "p"]).assert(0, "done\n", "");
-    let nothing = "rockflow: invalid-value: no confirmed commit is pending\n";
-    dispatcher.manage(&["confirm", "p"]).assert(5, "", nothing);
+    let none_pending_error = "rockflow: invalid-value: no confirmed commit is pending\n";
+    dispatcher.manage(&["confirm", "p"]).assert(5, "", none_pending_error);
 }
 
 #[test]
 fn prints_history_and_result_of_rollback() {
     let dispatcher = ManagedDispatcher::start();
-    let empty = " version  time  author  protocol  source  comment \n";
-    dispatcher.manage(&["history"]).assert(0, empty, "");
+    let empty_history = " version  time  author  protocol  source  comment \n";
+    dispatcher.manage(&["history"]).assert(0, empty_history, "");
     dispatcher.manage(&["--output", "json", "history"]).assert(0, "[]\n", "");
-    let missing = "rockflow: data-missing: commit 1 is not held; the oldest is 0\n";
-    dispatcher.manage(&["rollback", "1"]).assert(5, "", missing);
-    let conflict = "rockflow: operation-failed: commit 0 of - is in force\n";
-    dispatcher.manage(&["rollback", "1", "--expected", "1"]).assert(6, "", conflict);
+    let missing_commit_error = "rockflow: data-missing: commit 1 is not held; the oldest is 0\n";
+    dispatcher.manage(&["rollback", "1"]).assert(5, "", missing_commit_error);
+    let conflict_error = "rockflow: operation-failed: commit 0 of - is in force\n";
+    dispatcher.manage(&["rollback", "1", "--expected", "1"]).assert(6, "", conflict_error);
     dispatcher.manage(&["drain", "c1", "--force"]).assert(0, "done, commit 1\n", "");
     dispatcher.manage(&["rollback", "0"]).assert(0, "done, commit 2\n", "");
     let mut history = dispatcher.manage(&["history"]);
@@ -173,11 +175,11 @@
 }
 
 #[test]
-fn exits_by_kind_of_error() {
+fn exit_code_depends_on_kind_of_error() {
     let dispatcher = ManagedDispatcher::start();
-    let missing = "rockflow: unreadable: /nowhere.json: No such file or directory (os error 2)\n";
-    dispatcher.manage(&["commit", "/nowhere.json"]).assert(1, "", missing);
+    let missing_file_error = "rockflow: unreadable: /nowhere.json: No such file or directory (os error 2)\n";
+    dispatcher.manage(&["commit", "/nowhere.json"]).assert(1, "", missing_file_error);
     dispatcher.manage(&["--over", "tls", "hosts"]).assert(4, "", "rockflow: trust: --ca is missing\n");
-    let unknown = "rockflow: trust: the server does not know this key for eve\n";
-    dispatcher.manage(&["--user", "eve", "hosts"]).assert(4, "", unknown);
+    let unknown_key_error = "rockflow: trust: the server does not know this key for eve\n";
+    dispatcher.manage(&["--user", "eve", "hosts"]).assert(4, "", unknown_key_error);
 }
--- a/crates/rockflow-cli/tests/signals.rs
+++ b/crates/rockflow-cli/tests/signals.rs
@@ -1,4 +1,4 @@
-//! The program under signals: SIGHUP reloads the configuration, SIGTERM ends it with exit code 0.
+//! How the program handles signals: SIGHUP reloads the configuration, SIGTERM ends the program with exit code 0.
 
 use rockflow_process_harness::{Process, Signal, Start};
 use serde_json::{json, Value};
@@ -9,7 +9,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Writes a configuration with a discovery service of its own, and returns that.
+/// Starts a discovery service and writes a configuration with its address. Returns the service.
 fn configure(path: &Path) -> TcpListener {
     let mut value: Value = serde_json::from_str(include_str!("../../../deploy/example.json")).unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -19,7 +19,8 @@
     discovery
 }
 
-/// Accepts a dispatcher's subscription at a discovery service, and returns its connection.
+/// Accepts a dispatcher's subscription at a discovery service and checks that it resumes from revision 1. Returns the
+/// connection.
 fn accept_subscription(discovery: &TcpListener) -> BufReader<TcpStream> {
     socket2::SockRef::from(discovery).set_read_timeout(Some(TIMEOUT)).unwrap();
     let (stream, _) = discovery.accept().expect("a subscription in time");
@@ -52,8 +53,8 @@
     std::fs::remove_file(&path).unwrap();
 }
 
-/// SIGHUP moves the discovery service while a tenth of the fleet shuts down: it reaches those too, each subscribes at the
-/// new address from its last revision, and each exits with 0.
+/// SIGHUP moves the discovery service while one of ten dispatchers shuts down gracefully. That one, too, has to subscribe
+/// at the new address from its last revision, and all have to exit with 0.
 #[test]
 fn follows_moved_discovery_service_during_graceful_shutdown() {
     let path = std::env::temp_dir().join(format!("rockflow-moved-{}.json", std::process::id()));
