--- a/crates/rockflow-cli/src/extensions/dissemination.rs
+++ b/crates/rockflow-cli/src/extensions/dissemination.rs
@@ -190,8 +190,8 @@
         let on_applied = move |rejected_hosts: BTreeMap<String, RejectedOverride>| {
             debug!(target: LOG_TARGET, hosts = %hosts.join(","), "marks in effect");
             let rejected = lock(&pending).take_rejected(token, &rejected_hosts);
-            for (id, host, reason) in rejected {
-                reject(&node, id, &host, rejection_reason(reason));
+            for setting in rejected {
+                reject(&node, setting.id, &setting.host, rejection_reason(setting.reason));
             }
             confirm(&node, token);
         };
--- a/crates/rockflow-cli/src/extensions/dissemination/pending_settings.rs
+++ b/crates/rockflow-cli/src/extensions/dissemination/pending_settings.rs
@@ -17,6 +17,14 @@
     count: usize,
 }
 
+/// A setting that the endpoint list has rejected.
+#[derive(Debug)]
+pub struct RejectedSetting {
+    pub id: EntryId,
+    pub host: String,
+    pub reason: RejectedOverride,
+}
+
 impl PendingSettings {
     /// Adds the settings that have changed with this token. Returns those that exceed [`MAX_PENDING_SETTINGS`].
     pub fn add(&mut self, token: ApplyToken, mut changed: Vec<(EntryId, String)>) -> Vec<(EntryId, String)> {
@@ -29,19 +37,19 @@
     }
 
     /// Removes the settings up to and including this token, after the endpoint list has applied all of them except those
-    /// of the rejected hosts. Returns the settings of these hosts, each with the reason.
+    /// of the rejected hosts. Returns the settings of these hosts.
     pub fn take_rejected(
         &mut self,
         token: ApplyToken,
         rejected_hosts: &BTreeMap<String, RejectedOverride>,
-    ) -> Vec<(EntryId, String, RejectedOverride)> {
+    ) -> Vec<RejectedSetting> {
         let later = self.by_token.split_off(&ApplyToken(token.0.saturating_add(1)));
         let resolved = std::mem::replace(&mut self.by_token, later);
         let resolved: Vec<(EntryId, String)> = resolved.into_values().flatten().collect();
         self.count -= resolved.len();
         let with_reason = |(id, host): (EntryId, String)| {
             let reason = *rejected_hosts.get(&host)?;
-            Some((id, host, reason))
+            Some(RejectedSetting { id, host, reason })
         };
         resolved.into_iter().filter_map(with_reason).collect()
     }
--- a/crates/rockflow-cli/tests/pending_settings.rs
+++ b/crates/rockflow-cli/tests/pending_settings.rs
@@ -29,9 +29,10 @@
     }
     // The results for the tokens 3 and 5 are lost.
     let rejected_settings = pending.take_rejected(ApplyToken(8), &rejected(&["c1", "c3"]));
-    let numbers: Vec<_> =
-        rejected_settings.iter().map(|((_, number), host, _)| (number.0, host.as_str())).collect();
-    assert_eq!(numbers, [(1, "c1"), (3, "c1")]);
+    let numbers_and_hosts: Vec<_> =
+        rejected_settings.iter().map(|setting| (setting.id.1 .0, setting.host.as_str())).collect();
+    assert_eq!(numbers_and_hosts, [(1, "c1"), (3, "c1")]);
+    assert!(rejected_settings.iter().all(|setting| setting.reason == RejectedOverride::LastReadyEndpoint));
     // Each setting is resolved once, and the one of token 9 only by its own result.
     assert!(pending.take_rejected(ApplyToken(8), &rejected(&["c1", "c2"])).is_empty());
     assert!(pending.take_rejected(ApplyToken(9), &rejected(&[])).is_empty());
