--- a/crates/rockflow-cli/src/control.rs
+++ b/crates/rockflow-cli/src/control.rs
@@ -7,7 +7,7 @@
 mod overrides;
 mod report;
 
-use crate::beside::dissemination::{node_options, RunningNode};
+use crate::extensions::dissemination::{node_options, RunningNode};
 use crate::Source;
 pub use error::ControlError;
 pub use inputs::ControlInputs;
@@ -148,7 +148,7 @@
 
     /// Warns if the operator's file has changed, as its changes take effect only at the next start.
     fn check_operator_file(&self, source: &Source) {
-        match source.beside() {
+        match source.read_extensions() {
             Ok(extensions) => {
                 let file = extensions.file();
                 let has_changed = file.dissemination.as_ref() != Some(&self.inputs.dissemination)
--- a/crates/rockflow-cli/src/control/inputs.rs
+++ b/crates/rockflow-cli/src/control/inputs.rs
@@ -23,7 +23,8 @@
     /// Reads and checks all inputs; the first error ends it.
     pub fn read(source: &Source) -> Result<ControlInputs, ControlError> {
         let config = source.read().map_err(|error| ControlError::Configuration(error.to_string()))?;
-        let extensions = source.beside().map_err(|error| ControlError::Configuration(error.to_string()))?;
+        let extensions =
+            source.read_extensions().map_err(|error| ControlError::Configuration(error.to_string()))?;
         let file = extensions.file();
         let dissemination =
             file.dissemination.clone().ok_or(ControlError::MissingSection("dissemination"))?;
