--- a/crates/rockflow-operator-config/src/dissemination.rs
+++ b/crates/rockflow-operator-config/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! Reading the sections `[dissemination]` and `[control]`.
+//! Reads the sections `[dissemination]` and `[control]`.
 
 use crate::reader::Reader;
 use crate::sections::{ControlNode, ControlSection, DisseminationSection};
@@ -8,13 +8,13 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Control processes that may be configured.
+/// Maximum number of control nodes in `[dissemination]`.
 pub const MAX_CONTROL_NODES: usize = 16;
-/// Seeds that may be configured.
+/// Maximum number of seed addresses in `[dissemination]`.
 pub const MAX_SEEDS: usize = 16;
 
 const PURGE_SECONDS: RangeInclusive<f64> = 0.5..=600.0;
-/// Stands in for a window that is missing, which is an error.
+/// Used while reading on after `purge-seconds` was found missing or invalid, which is reported as an error.
 const PLACEHOLDER_PURGE_SECONDS: f64 = 10.0;
 const BYTES_PER_SECOND: RangeInclusive<u32> = 1024..=1_048_576;
 const DEFAULT_BYTES_PER_SECOND: u32 = 6144;
@@ -33,7 +33,8 @@
         self.require(section, "control", "name@address, comma-separated");
         let window = format!("{} to {}", PURGE_SECONDS.start(), PURGE_SECONDS.end());
         self.require(section, "purge-seconds", &window);
-        // All keys are read, with placeholders for missing ones, so that all errors come at once.
+        // Reading continues with placeholders for missing or invalid keys, so that all errors are reported at
+        // once.
         let read = DisseminationSection {
             fleet: self.read_name(section, "fleet").unwrap_or_default(),
             listen: self.read_address(section, "listen").unwrap_or((Ipv4Addr::LOCALHOST, 0).into()),
@@ -130,7 +131,7 @@
         items.iter().filter_map(|item| self.parse_address(section, key, item)).collect()
     }
 
-    /// Reports addresses that others than this machine's processes can reach.
+    /// Reports each address that is reachable from other machines, that is, outside the loopback network.
     fn check_loopback(&mut self, section: &str, read: &DisseminationSection) {
         let control = read.control.iter().map(|node| ("control", node.address));
         let seeds = read.seeds.iter().map(|address| ("seeds", *address));
--- a/crates/rockflow-operator-config/src/error.rs
+++ b/crates/rockflow-operator-config/src/error.rs
@@ -1,19 +1,19 @@
-//! Errors in the operator's file.
+//! The error type for the operator's configuration file and the file of administrative overrides.
 
 use std::fmt;
 
-/// One error in the operator's file.
+/// An error in the operator's configuration file or in the file of administrative overrides.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
-    /// The file's name.
+    /// The name of the file that has the error.
     pub file: String,
-    /// The line, from 1; 0 where there is none.
+    /// The line number, counted from 1; 0 if the error has no known line.
     pub line: usize,
-    /// The section; empty where there is none.
+    /// The section's name; empty if the error is outside any section.
     pub section: String,
-    /// The key; empty where there is none.
+    /// The key's name; empty if the error is not about one key.
     pub key: String,
-    /// What is wrong, and what is allowed.
+    /// A description of the fault and of the allowed values.
     pub message: String,
 }
 
--- a/crates/rockflow-operator-config/src/layers.rs
+++ b/crates/rockflow-operator-config/src/layers.rs
@@ -1,13 +1,13 @@
-//! Merging layers of INI, with the line of each value.
+//! Merges several INI files (layers) into one configuration and records the file and line of each value.
 
 use crate::error::ConfigError;
 use ini::{Ini, Properties};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The largest file that is read, in bytes.
+/// Maximum size of a layer's text, in bytes.
 pub const MAX_LAYER_BYTES: usize = 256 * 1024;
 
-/// The keys that are allowed, by section.
+/// The allowed sections, each with its allowed keys.
 const KNOWN_KEYS: [(&str, &[&str]); 5] = [
     ("management", &["owner", "store", "restart", "audit"]),
     (
@@ -45,20 +45,20 @@
     ("control", &["directory", "marks"]),
 ];
 
-/// One file.
+/// One INI file. A value in a later layer replaces the value of the same key in an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layer {
-    /// The file's name, for errors.
+    /// The file's name, as error messages show it.
     pub file: String,
-    /// What it holds.
+    /// The file's content.
     pub text: String,
 }
 
-/// A line of a file.
+/// The position in a file that an error message refers to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Location {
     pub(crate) file: String,
-    /// From 1; 0 where it is not known.
+    /// The line number, counted from 1; 0 if it is not known.
     pub(crate) line: usize,
 }
 
@@ -70,19 +70,19 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Section {
-    /// Where its head is first.
+    /// The section's header line in the first layer that has the section.
     pub(crate) location: Location,
     pub(crate) values: BTreeMap<String, Value>,
 }
 
-/// All layers in one.
+/// The merged layers, and the errors found while merging them.
 #[derive(Debug, Default)]
 pub(crate) struct Merged {
     pub(crate) sections: BTreeMap<String, Section>,
     pub(crate) errors: Vec<ConfigError>,
 }
 
-/// Merges layers in their order.
+/// Merges the layers; a later layer overrides an earlier one key by key.
 pub(crate) fn merge(layers: &[Layer]) -> Merged {
     let mut merged = Merged::default();
     for layer in layers {
@@ -96,7 +96,7 @@
         if layer.text.len() > MAX_LAYER_BYTES {
             return self.report(layer, 0, "", "", format!("larger than {MAX_LAYER_BYTES} bytes"));
         }
-        // Paths keep their backslashes.
+        // Escape sequences are not interpreted, so that backslashes in paths are kept.
         let ini = match Ini::load_from_str_noescape(&layer.text) {
             Ok(ini) => ini,
             Err(error) => return self.report(layer, error.line, "", "", error.msg.to_string()),
@@ -157,8 +157,8 @@
     }
 }
 
-/// The line of a section's head, or of the nth occurrence (from 0) of a key in it; the INI library does not
-/// tell.
+/// Returns the line number of a section's header, or of an occurrence (counted from 0) of a key in that
+/// section; 0 if it is not found. The INI library does not report line numbers.
 fn line_of(text: &str, section: &str, key: Option<(&str, usize)>) -> usize {
     let mut current_section = "";
     let mut occurrences = 0;
--- a/crates/rockflow-operator-config/src/lib.rs
+++ b/crates/rockflow-operator-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operator's own file, `deploy/rockflow.ini`: INI, in layers of which a later one overrides an earlier one
-//! key by key. Each error names its file, line, section and key, and what is allowed there. A section that is
-//! absent is a part of the program that does not run.
+//! Parses the operator's configuration file; `deploy/rockflow.ini` is a commented example. The format is INI, in
+//! layers: a later file overrides an earlier one key by key. Each error names its file, line, section and key, and
+//! what is allowed there. If a section is absent, the part of the program that it configures does not run.
 
 mod dissemination;
 mod error;
@@ -21,13 +21,13 @@
 
 use reader::Reader;
 
-/// Bytes of a name, of a control node or an endpoint.
+/// Maximum length of the name of a cluster, a control node or an endpoint, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Parses layers in their order.
+/// Parses the layers and merges them; a later layer overrides an earlier one key by key.
 ///
 /// # Errors
-/// All errors of all layers, by file and line.
+/// Returns all errors of all layers, sorted by file and line.
 pub fn parse(layers: &[Layer]) -> Result<OperatorConfig, Vec<ConfigError>> {
     let mut reader = Reader::new(layers::merge(layers));
     let config = OperatorConfig {
--- a/crates/rockflow-operator-config/src/management.rs
+++ b/crates/rockflow-operator-config/src/management.rs
@@ -1,4 +1,4 @@
-//! Reading the sections `[management]`, `[netconf]` and `[gnmi]`.
+//! Reads the sections `[management]`, `[netconf]` and `[gnmi]`.
 
 use crate::reader::{Reader, ADDRESS};
 use crate::sections::{GnmiSection, ManagementSection, NetconfSection, RestartFrom, TlsSection};
@@ -81,7 +81,8 @@
         }
     }
 
-    /// The keys of TLS, where the key of the address is there.
+    /// Reads the TLS keys of a section. `None` if `address_key` is absent, or if the address or a file is
+    /// missing or invalid; each such fault is reported.
     fn read_tls(&mut self, section: &str, address_key: &str) -> Option<TlsSection> {
         let listen = self.parsed::<SocketAddr>(section, address_key, ADDRESS)?;
         for key in ["certificate", "key", "client-ca"] {
--- a/crates/rockflow-operator-config/src/overrides.rs
+++ b/crates/rockflow-operator-config/src/overrides.rs
@@ -1,19 +1,19 @@
-//! The file of administrative overrides that a control process reads (`marks`).
+//! Parses the file of administrative overrides, which a control node reads (`marks` in `[control]`).
 
 use crate::error::ConfigError;
 use crate::MAX_NAME_BYTES;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Lines of a file of overrides.
+/// Maximum number of overrides in a file.
 pub const MAX_OVERRIDES: usize = 4096;
 
-/// The state that an override puts an endpoint in.
+/// The state that an administrative override sets for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdministrativeState {
-    /// It gets no new requests.
+    /// The endpoint gets no new requests.
     Draining,
-    /// It is treated as if it had left the list.
+    /// The endpoint is treated as if it had been removed from the endpoint list.
     Gone,
 }
 
@@ -31,10 +31,11 @@
     Duplicate(String),
 }
 
-/// Parses a file of overrides: `HOST = draining|gone` a line, `#` before a comment.
+/// Parses a file of overrides: each line is `HOST = draining` or `HOST = gone`; `#` starts a comment. The result
+/// maps the host's name to its state.
 ///
 /// # Errors
-/// One for each line that can't be used.
+/// Returns one error for each invalid line.
 pub fn parse_overrides(
     file: &str,
     text: &str,
--- a/crates/rockflow-operator-config/src/reader.rs
+++ b/crates/rockflow-operator-config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading values of the merged layers, with an error for each that is not allowed.
+//! Reads values from the merged layers and records an error for each invalid one.
 
 use crate::error::ConfigError;
 use crate::layers::{Location, Merged, Section, Value};
@@ -10,9 +10,10 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
+/// How error messages describe the expected format of an address.
 pub(crate) const ADDRESS: &str = "address with a port";
 
-/// Reads sections, and gathers the errors in them.
+/// Reads sections and collects all errors, so that an operator sees them at once.
 pub(crate) struct Reader {
     sections: BTreeMap<String, Section>,
     errors: Vec<ConfigError>,
@@ -23,12 +24,12 @@
         Reader { sections: merged.sections, errors: merged.errors }
     }
 
-    /// What was read, or all errors by file and line.
+    /// Returns `read`, or all errors, sorted by file and line, if there are any.
     pub(crate) fn finish<T>(mut self, read: T) -> Result<T, Vec<ConfigError>> {
         if self.errors.is_empty() {
             return Ok(read);
         }
-        self.errors.sort_by(|one, other| (&one.file, one.line).cmp(&(&other.file, other.line)));
+        self.errors.sort_by(|left, right| (&left.file, left.line).cmp(&(&right.file, right.line)));
         Err(self.errors)
     }
 
@@ -40,12 +41,12 @@
         self.sections.contains_key(section)
     }
 
-    /// Whether the key is there, even without a value.
+    /// Whether the section has the key, even with an empty value.
     pub(crate) fn has_key(&self, section: &str, key: &str) -> bool {
         self.value(section, key).is_some()
     }
 
-    /// The key's value; none where it is absent or empty.
+    /// The key's value; `None` if the key is absent or its value is empty.
     pub(crate) fn text(&self, section: &str, key: &str) -> Option<String> {
         self.value(section, key).map(|value| value.text.clone()).filter(|text| !text.is_empty())
     }
@@ -54,18 +55,24 @@
         self.text(section, key).map(PathBuf::from)
     }
 
-    /// The items of a list with commas.
+    /// The items of a comma-separated list, trimmed; empty items are skipped.
     pub(crate) fn items(&self, section: &str, key: &str) -> Vec<String> {
         let text = self.text(section, key).unwrap_or_default();
         text.split(',').map(|item| item.trim().to_string()).filter(|item| !item.is_empty()).collect()
     }
 
-    /// A value of the type that `what` describes.
-    pub(crate) fn parsed<T: FromStr>(&mut self, section: &str, key: &str, what: &str) -> Option<T> {
+    /// Parses a value. `None` if the key is absent, or if the value is invalid, which is reported;
+    /// `type_description` names the expected type in the error message.
+    pub(crate) fn parsed<T: FromStr>(
+        &mut self,
+        section: &str,
+        key: &str,
+        type_description: &str,
+    ) -> Option<T> {
         let text = self.text(section, key)?;
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.report(section, key, format!("{text:?} is no {what}"));
+            self.report(section, key, format!("{text:?} is no {type_description}"));
         }
         parsed
     }
@@ -74,7 +81,8 @@
         self.parsed(section, key, "whole number").unwrap_or(default)
     }
 
-    /// A number of the range.
+    /// Parses a number within the `allowed` range. Returns `default` if the key is absent, or if the value is
+    /// invalid, which is reported.
     pub(crate) fn number_in<T>(
         &mut self,
         section: &str,
@@ -94,7 +102,7 @@
         default
     }
 
-    /// `yes` or `no`; `no` where the key is absent.
+    /// Whether the value is `yes`. An absent key means `no`; any value other than `yes` and `no` is reported.
     pub(crate) fn yes_or_no(&mut self, section: &str, key: &str) -> bool {
         match self.text(section, key).as_deref() {
             None | Some("no") => false,
@@ -106,7 +114,7 @@
         }
     }
 
-    /// An address whose port is not 0.
+    /// Parses an address whose port is not 0. `None` if it is invalid, which is reported.
     pub(crate) fn parse_address(&mut self, section: &str, key: &str, text: &str) -> Option<SocketAddr> {
         let address = text.parse().ok().filter(|address: &SocketAddr| address.port() > 0);
         if address.is_none() {
@@ -115,14 +123,15 @@
         address
     }
 
-    /// Reports a key that is absent or empty.
+    /// Reports an error if the key is absent or empty; `why` ends the error message.
     pub(crate) fn require(&mut self, section: &str, key: &str, why: &str) {
         if self.text(section, key).is_none() {
             self.report(section, key, format!("is missing; {why}"));
         }
     }
 
-    /// Checks ranges and lengths as the type demands; the names of its fields are those of the keys.
+    /// Checks the ranges and lengths that the `garde` attributes of `T` declare. `None` if a check fails, which
+    /// is reported. The field names of `T` are the key names, with `_` for `-`.
     pub(crate) fn validated<T: Validate<Context = ()>>(&mut self, section: &str, read: T) -> Option<T> {
         let Err(report) = read.validate() else { return Some(read) };
         for (path, error) in report.iter() {
@@ -133,14 +142,14 @@
         None
     }
 
-    /// Reports an error at a key, or in its section where the key is absent.
+    /// Reports an error at the line of a key, or at its section if the key is absent.
     pub(crate) fn report(&mut self, section: &str, key: &str, message: impl Into<String>) {
         let location = self.value(section, key).map(|value| value.location.clone());
         let location = location.unwrap_or_else(|| self.section_location(section));
         self.push(location, section, key, message.into());
     }
 
-    /// Reports an error of a whole section.
+    /// Reports an error that concerns a section as a whole.
     pub(crate) fn report_section(&mut self, section: &str, message: &str) {
         let location = self.section_location(section);
         self.push(location, section, "", message.to_string());
@@ -150,10 +159,10 @@
         self.sections.get(section)?.values.get(key)
     }
 
-    /// The first line with a key of the section, or its head where it has none.
+    /// The section's first line with a known key, or its header line if it has none.
     fn section_location(&self, section: &str) -> Location {
         let Some(section) = self.sections.get(section) else { return Location::default() };
-        let first = section.values.values().map(|value| &value.location).min_by_key(|at| at.line);
+        let first = section.values.values().map(|value| &value.location).min_by_key(|location| location.line);
         first.unwrap_or(&section.location).clone()
     }
 
--- a/crates/rockflow-operator-config/src/sections.rs
+++ b/crates/rockflow-operator-config/src/sections.rs
@@ -1,144 +1,147 @@
-//! What the sections of the operator's file hold. Fields have the names of the keys, with `_` for `-`, where
-//! `garde` validates them: errors name the key by the field.
+//! The parsed sections of the operator's configuration file. A field that `garde` validates must have the name of
+//! its key, with `_` for `-`, because the error message derives the key from the field name.
 
 use garde::Validate;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The whole file.
+/// The parsed configuration; a section that the file lacks is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// `[management]`.
+    /// Settings that all management servers share.
     pub management: Option<ManagementSection>,
-    /// `[netconf]`.
+    /// The NETCONF server; `None` means that it does not run.
     pub netconf: Option<NetconfSection>,
-    /// `[gnmi]`.
+    /// The gNMI server; `None` means that it does not run.
     pub gnmi: Option<GnmiSection>,
-    /// `[dissemination]`.
+    /// Membership in a cluster that distributes purges and configuration; `None` means that it is off.
     pub dissemination: Option<DisseminationSection>,
-    /// `[control]`.
+    /// Settings that only a control node uses.
     pub control: Option<ControlSection>,
 }
 
-/// What a restart begins with.
+/// The datastore whose configuration is used after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RestartFrom {
-    /// The last commit.
+    /// The running configuration, as of the last commit.
     #[default]
     Running,
-    /// The startup configuration, which is a datastore of its own.
+    /// The startup configuration, a datastore separate from running.
     Startup,
 }
 
-/// `[management]`: what all management servers share. It is required beside any of them.
+/// `[management]`: the settings that all management servers share. It is required if `[netconf]` or `[gnmi]` is
+/// present.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct ManagementSection {
-    /// The user whom no access rule restricts.
+    /// The user to whom no access rule applies.
     #[garde(length(min = 1, max = 128), ascii)]
     pub owner: String,
-    /// The folder in which commits are stored; none: they last as long as the process.
+    /// The folder in which commits are stored; if `None`, they are lost when the process ends.
     #[garde(skip)]
     pub store: Option<PathBuf>,
-    /// What a restart begins with (`restart`).
+    /// The datastore to restore at a restart (key `restart`).
     #[garde(skip)]
     pub restart_from: RestartFrom,
-    /// A file to which one line of JSON a commit is appended, beside the log.
+    /// A file to which one line of JSON is appended for each commit, in addition to the log.
     #[garde(skip)]
     pub audit: Option<PathBuf>,
 }
 
-/// A listener with TLS, whose clients authenticate by certificates.
+/// A TLS listener whose clients authenticate with certificates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TlsSection {
-    /// The address to listen at.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// The server's certificate chain, as PEM.
+    /// The PEM file with the server's certificate chain.
     pub certificate: PathBuf,
-    /// The server's private key, as PEM.
+    /// The PEM file with the server's private key.
     pub key: PathBuf,
-    /// The certificates of the authority that signs clients' certificates, as PEM.
+    /// The PEM file with the certificates of the authorities that sign the clients' certificates.
     pub client_ca: PathBuf,
 }
 
-/// `[netconf]`.
+/// `[netconf]`: the NETCONF server, over SSH, TLS or both.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct NetconfSection {
-    /// The address at which SSH listens.
+    /// The address of the SSH listener; `None` turns it off.
     #[garde(skip)]
     pub ssh: Option<SocketAddr>,
-    /// The private key of the SSH server.
+    /// The file with the private key of the SSH server; required with `ssh`.
     #[garde(skip)]
     pub host_key: Option<PathBuf>,
-    /// A folder with one file a user, of the user's name, in the format of `authorized_keys`.
+    /// A folder with one file per user, named after the user, in the format of `authorized_keys`; required with
+    /// `ssh`.
     #[garde(skip)]
     pub authorized_keys: Option<PathBuf>,
-    /// The listener with TLS (`tls`, `certificate`, `key`, `client-ca`).
+    /// The TLS listener (keys `tls`, `certificate`, `key` and `client-ca`); `None` turns it off.
     #[garde(skip)]
     pub tls: Option<TlsSection>,
-    /// Connections at once whose peer is not authenticated yet.
+    /// Maximum number of concurrent connections whose peer is not authenticated yet.
     #[garde(range(min = 1, max = 1000))]
     pub handshakes: u32,
-    /// The time to authenticate in, in seconds.
+    /// Timeout for the authentication of a connection, in seconds.
     #[garde(range(min = 1, max = 300))]
     pub handshake_seconds: u32,
-    /// The largest message, in kilobytes.
+    /// Maximum size of a message, in kilobytes.
     #[garde(range(min = 16, max = 16384))]
     pub message_kb: u32,
 }
 
-/// `[gnmi]`.
+/// `[gnmi]`: the gNMI server.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct GnmiSection {
-    /// The listener (`listen`, `certificate`, `key`, `client-ca`).
+    /// The TLS listener (keys `listen`, `certificate`, `key` and `client-ca`).
     #[garde(skip)]
     pub tls: TlsSection,
-    /// Subscribers at once.
+    /// Maximum number of concurrent subscribers.
     #[garde(range(min = 1, max = 1000))]
     pub subscribers: u32,
-    /// The largest message, in kilobytes.
+    /// Maximum size of a message, in kilobytes.
     #[garde(range(min = 16, max = 16384))]
     pub message_kb: u32,
-    /// The shortest interval of a sample, in milliseconds.
+    /// Shortest sample interval that a subscription may ask for, in milliseconds.
     #[garde(range(min = 10, max = 60000))]
     pub least_interval_ms: u32,
 }
 
-/// `[dissemination]`: purges and configuration come from control.
+/// `[dissemination]`: membership in a cluster whose control nodes distribute purges and configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DisseminationSection {
-    /// The cluster's name, the same everywhere; datagrams of another are ignored (`fleet`).
+    /// The cluster's name, equal on all members; datagrams of other clusters are ignored (key `fleet`).
     pub fleet: String,
-    /// The address of the datagrams.
+    /// The local UDP address for the cluster's datagrams.
     pub listen: SocketAddr,
-    /// All control processes, in the same order everywhere.
+    /// All control nodes, listed in the same order on all members.
     pub control: Vec<ControlNode>,
-    /// Members to join by where no control process answers.
+    /// Members through which to join if no control node answers.
     pub seeds: Vec<SocketAddr>,
-    /// The time within which a purge is applied everywhere (`purge-seconds`).
+    /// The time within which a purge is applied on all members (key `purge-seconds`).
     pub purge_window: Duration,
-    /// Datagram bytes that are sent a second, at most.
+    /// Rate limit for sent datagrams, in bytes per second.
     pub bytes_per_second: u32,
-    /// The time between two heartbeats (`pulse-ms`).
+    /// The time between two heartbeats (key `pulse-ms`).
     pub heartbeat_interval: Duration,
-    /// The network itself keeps strangers out; otherwise all addresses must be of the loopback.
+    /// Whether the network itself keeps untrusted peers out. If not, all addresses must be loopback addresses,
+    /// because datagrams are not authenticated.
     pub trusted_network: bool,
 }
 
-/// A control process, as `[dissemination]` names it.
+/// A control node, as `[dissemination]` lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlNode {
-    /// Its name.
+    /// The node's name, unique among the control nodes.
     pub name: String,
-    /// Its address.
+    /// The node's address for datagrams.
     pub address: SocketAddr,
 }
 
-/// `[control]`: what a control process publishes, and to whom.
+/// `[control]`: the files that a control node reads: the members of the cluster and the overrides to publish.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSection {
-    /// The file of the members, as CSV.
+    /// The CSV file that lists the members, one per line.
     pub directory: PathBuf,
-    /// The file of administrative overrides (`marks`).
+    /// The file of administrative overrides (key `marks`); `None` if there is none.
     pub overrides: Option<PathBuf>,
 }
