--- a/crates/rockflow-operator-config/tests/dissemination.rs
+++ b/crates/rockflow-operator-config/tests/dissemination.rs
@@ -1,4 +1,5 @@
-//! The sections of dissemination, and the file of marks: what is taken, and where each fault is said to be.
+//! Parsing of `[dissemination]`, `[control]` and the file of administrative overrides: accepted input, and the
+//! location that each error names.
 
 use rockflow_operator_config::{
     parse, parse_overrides, AdministrativeState, ConfigError, Layer, OperatorConfig,
@@ -6,7 +7,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const GOOD: &str = "[dissemination]
+const VALID: &str = "[dissemination]
 fleet = shops
 listen = 127.0.0.1:7510
 control = c0@127.0.0.1:7500, c1@[::1]:7500
@@ -17,47 +18,53 @@
     Layer { file: file.to_string(), text: text.to_string() }
 }
 
-fn one(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+fn parse_one_layer(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
     parse(&[layer("a.ini", text)])
 }
 
 #[test]
 fn absent_keys_have_their_defaults() {
-    let part = one(GOOD).unwrap().dissemination.unwrap();
-    assert_eq!((part.fleet.as_str(), part.listen), ("shops", "127.0.0.1:7510".parse().unwrap()));
+    let dissemination = parse_one_layer(VALID).unwrap().dissemination.unwrap();
+    assert_eq!(
+        (dissemination.fleet.as_str(), dissemination.listen),
+        ("shops", "127.0.0.1:7510".parse().unwrap())
+    );
     let control: Vec<_> =
-        part.control.iter().map(|node| (node.name.as_str(), node.address.to_string())).collect();
+        dissemination.control.iter().map(|node| (node.name.as_str(), node.address.to_string())).collect();
     assert_eq!(control, [("c0", "127.0.0.1:7500".to_string()), ("c1", "[::1]:7500".to_string())]);
-    assert_eq!((part.bytes_per_second, part.heartbeat_interval), (6144, Duration::from_millis(500)));
-    assert_eq!((part.purge_window, part.seeds.len()), (Duration::from_millis(8700), 0));
-    assert!(!part.trusted_network);
+    assert_eq!(
+        (dissemination.bytes_per_second, dissemination.heartbeat_interval),
+        (6144, Duration::from_millis(500))
+    );
+    assert_eq!((dissemination.purge_window, dissemination.seeds.len()), (Duration::from_millis(8700), 0));
+    assert!(!dissemination.trusted_network);
 }
 
 #[test]
 fn reads_all_keys() {
-    let more = "seeds = 127.0.0.1:7511,127.0.0.1:7512\nbytes-per-second = 1024\npulse-ms = 50\n\
+    let other_keys = "seeds = 127.0.0.1:7511,127.0.0.1:7512\nbytes-per-second = 1024\npulse-ms = 50\n\
                 [control]\ndirectory = members.csv\nmarks = marks\n";
-    let file = one(&format!("{GOOD}{more}")).unwrap();
-    let (part, control) = (file.dissemination.unwrap(), file.control.unwrap());
-    assert_eq!((part.seeds.len(), part.bytes_per_second), (2, 1024));
-    assert_eq!(part.heartbeat_interval, Duration::from_millis(50));
+    let config = parse_one_layer(&format!("{VALID}{other_keys}")).unwrap();
+    let (dissemination, control) = (config.dissemination.unwrap(), config.control.unwrap());
+    assert_eq!((dissemination.seeds.len(), dissemination.bytes_per_second), (2, 1024));
+    assert_eq!(dissemination.heartbeat_interval, Duration::from_millis(50));
     assert_eq!(control.directory.to_str(), Some("members.csv"));
     assert_eq!(control.overrides.unwrap().to_str(), Some("marks"));
 }
 
 #[test]
 fn trusted_network_allows_any_address() {
-    let text = GOOD.replace("127.0.0.1", "192.0.2.7");
-    let faults = one(&text).unwrap_err();
-    let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
+    let text = VALID.replace("127.0.0.1", "192.0.2.7");
+    let errors = parse_one_layer(&text).unwrap_err();
+    let texts: Vec<_> = errors.iter().map(ToString::to_string).collect();
     assert!(texts[0].starts_with("a.ini:3: [dissemination] listen: 192.0.2.7:7510 is no"), "{texts:?}");
     assert!(texts[0].contains("frames carry no sign-in"), "{texts:?}");
     assert!(texts[1].starts_with("a.ini:4: [dissemination] control: 192.0.2.7:7500"), "{texts:?}");
-    assert!(one(&format!("{text}trusted-network = yes\n")).is_ok());
+    assert!(parse_one_layer(&format!("{text}trusted-network = yes\n")).is_ok());
 }
 
-fn with(key: &str, value: &str) -> String {
-    let lines = GOOD.lines().filter(|line| !line.starts_with(&format!("{key} =")));
+fn valid_except(key: &str, value: &str) -> String {
+    let lines = VALID.lines().filter(|line| !line.starts_with(&format!("{key} =")));
     lines.map(|line| format!("{line}\n")).collect::<String>() + &format!("{key} = {value}\n")
 }
 
@@ -84,54 +91,54 @@
 #[test_case("pulse-ms", "1.5", "a number from 50 to 5000 is allowed"; "half a millisecond")]
 #[test_case("trusted-network", "maybe", "[dissemination] trusted-network: \"maybe\" is neither yes nor no"; "no yes or no")]
 #[test_case("size", "1", "a.ini:6: [dissemination] size: no such key"; "no such key")]
-fn error_names_its_line_key_and_what_is_allowed(key: &str, value: &str, wanted: &str) {
-    let faults = one(&with(key, value)).unwrap_err();
-    let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
-    assert!(texts.iter().any(|text| text.contains(wanted)), "{texts:?}");
+fn error_names_its_line_key_and_what_is_allowed(key: &str, value: &str, expected: &str) {
+    let errors = parse_one_layer(&valid_except(key, value)).unwrap_err();
+    let texts: Vec<_> = errors.iter().map(ToString::to_string).collect();
+    assert!(texts.iter().any(|text| text.contains(expected)), "{texts:?}");
 }
 
 #[test]
 fn rejects_more_control_nodes_than_allowed() {
     let nodes: Vec<_> = (1..=17).map(|n| format!("c{n}@127.0.0.1:{n}")).collect();
-    assert!(one(&with("control", &nodes[..16].join(","))).is_ok());
-    let faults = one(&with("control", &nodes.join(","))).unwrap_err();
-    assert!(faults[0].to_string().ends_with("17 are told, where 1 to 16 are allowed"), "{}", faults[0]);
+    assert!(parse_one_layer(&valid_except("control", &nodes[..16].join(","))).is_ok());
+    let errors = parse_one_layer(&valid_except("control", &nodes.join(","))).unwrap_err();
+    assert!(errors[0].to_string().ends_with("17 are told, where 1 to 16 are allowed"), "{}", errors[0]);
 }
 
 #[test]
 fn rejects_control_without_dissemination() {
-    let faults = one("[control]\ndirectory = x\n").unwrap_err();
-    assert!(faults[0].to_string().starts_with("a.ini:2: [control] needs a section"), "{}", faults[0]);
-    let faults = one(&format!("{GOOD}[control]\nmarks = x\n")).unwrap_err();
-    assert!(faults[0].to_string().starts_with("a.ini:7: [control] directory: is missing"), "{}", faults[0]);
+    let errors = parse_one_layer("[control]\ndirectory = x\n").unwrap_err();
+    assert!(errors[0].to_string().starts_with("a.ini:2: [control] needs a section"), "{}", errors[0]);
+    let errors = parse_one_layer(&format!("{VALID}[control]\nmarks = x\n")).unwrap_err();
+    assert!(errors[0].to_string().starts_with("a.ini:7: [control] directory: is missing"), "{}", errors[0]);
 }
 
 #[test]
 fn reports_empty_section_at_its_line() {
-    let faults = one("\n[dissemination]\n").unwrap_err();
-    assert!(faults[0].to_string().starts_with("a.ini:2: [dissemination] "), "{}", faults[0]);
+    let errors = parse_one_layer("\n[dissemination]\n").unwrap_err();
+    assert!(errors[0].to_string().starts_with("a.ini:2: [dissemination] "), "{}", errors[0]);
 }
 
 #[test]
 fn reports_all_errors_of_a_section_at_once() {
-    let faults = one("[dissemination]\nlisten = x\ncontrol = y\npulse-ms = z\n").unwrap_err();
-    let keys: Vec<_> = faults.iter().map(|fault| fault.key.as_str()).collect();
-    let wanted = ["fleet", "purge-seconds", "listen", "control", "pulse-ms"];
-    assert!(wanted.iter().all(|key| keys.contains(key)), "{keys:?}");
+    let errors = parse_one_layer("[dissemination]\nlisten = x\ncontrol = y\npulse-ms = z\n").unwrap_err();
+    let keys: Vec<_> = errors.iter().map(|error| error.key.as_str()).collect();
+    let expected = ["fleet", "purge-seconds", "listen", "control", "pulse-ms"];
+    assert!(expected.iter().all(|key| keys.contains(key)), "{keys:?}");
 }
 
 #[test]
 fn parses_overrides_line_by_line() {
-    let marks = parse_overrides("marks", "# none\n\nc1 = draining # for now\n c2=gone\n").unwrap();
-    let marks: Vec<_> = marks.iter().map(|(name, mark)| (name.as_str(), *mark)).collect();
-    assert_eq!(marks, [("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
+    let overrides = parse_overrides("marks", "# none\n\nc1 = draining # for now\n c2=gone\n").unwrap();
+    let overrides: Vec<_> = overrides.iter().map(|(name, state)| (name.as_str(), *state)).collect();
+    assert_eq!(overrides, [("c1", AdministrativeState::Draining), ("c2", AdministrativeState::Gone)]);
 }
 
 #[test_case("c1\n", "marks:1: no line of the form HOST = draining|gone"; "no state")]
 #[test_case("\nc1 = ready\n", "marks:2: \"ready\" is neither draining nor gone"; "odd state")]
 #[test_case(" = gone\n", "marks:1: \"\" is no host's name"; "no name")]
 #[test_case("c1 = gone\nc1 = draining\n", "marks:2: \"c1\" stands twice"; "twice")]
-fn error_in_an_override_names_its_line(text: &str, wanted: &str) {
-    let faults = parse_overrides("marks", text).unwrap_err();
-    assert!(faults[0].to_string().starts_with(wanted), "{}", faults[0]);
+fn error_in_an_override_names_its_line(text: &str, expected: &str) {
+    let errors = parse_overrides("marks", text).unwrap_err();
+    assert!(errors[0].to_string().starts_with(expected), "{}", errors[0]);
 }
--- a/crates/rockflow-operator-config/tests/literal_text.rs
+++ b/crates/rockflow-operator-config/tests/literal_text.rs
@@ -1,4 +1,5 @@
-//! Each section and key of `deploy/rockflow.ini`, by a literal text: operators' files outlive the program.
+//! Reads each section and key of `deploy/rockflow.ini` from a literal text. Operators keep their files over
+//! upgrades, so a renamed key must fail a test.
 
 use rockflow_operator_config::{parse, ControlNode, Layer, OperatorConfig, RestartFrom};
 use std::path::Path;
@@ -60,21 +61,21 @@
 
 #[test]
 fn reads_every_key_of_management() {
-    let part = read_every_key().management.unwrap();
-    assert_eq!(part.owner, "root");
-    assert_eq!(part.store.as_deref(), Some(path("/var/lib/rockflow")));
-    assert_eq!(part.restart_from, RestartFrom::Startup);
-    assert_eq!(part.audit.as_deref(), Some(path("/var/log/rockflow-audit.json")));
+    let management = read_every_key().management.unwrap();
+    assert_eq!(management.owner, "root");
+    assert_eq!(management.store.as_deref(), Some(path("/var/lib/rockflow")));
+    assert_eq!(management.restart_from, RestartFrom::Startup);
+    assert_eq!(management.audit.as_deref(), Some(path("/var/log/rockflow-audit.json")));
 }
 
 #[test]
 fn reads_every_key_of_netconf() {
-    let part = read_every_key().netconf.unwrap();
-    assert_eq!(part.ssh, Some("127.0.0.1:830".parse().unwrap()));
-    assert_eq!(part.host_key.as_deref(), Some(path("/etc/rockflow/host_key")));
-    assert_eq!(part.authorized_keys.as_deref(), Some(path("/etc/rockflow/users")));
-    assert_eq!((part.handshakes, part.handshake_seconds, part.message_kb), (33, 11, 1025));
-    let tls = part.tls.unwrap();
+    let netconf = read_every_key().netconf.unwrap();
+    assert_eq!(netconf.ssh, Some("127.0.0.1:830".parse().unwrap()));
+    assert_eq!(netconf.host_key.as_deref(), Some(path("/etc/rockflow/host_key")));
+    assert_eq!(netconf.authorized_keys.as_deref(), Some(path("/etc/rockflow/users")));
+    assert_eq!((netconf.handshakes, netconf.handshake_seconds, netconf.message_kb), (33, 11, 1025));
+    let tls = netconf.tls.unwrap();
     assert_eq!(tls.listen, "127.0.0.1:6513".parse().unwrap());
     assert_eq!(tls.certificate, path("/etc/rockflow/server.pem"));
     assert_eq!(tls.key, path("/etc/rockflow/server.key"));
@@ -83,35 +84,36 @@
 
 #[test]
 fn reads_every_key_of_gnmi() {
-    let part = read_every_key().gnmi.unwrap();
-    assert_eq!(part.tls.listen, "127.0.0.1:9339".parse().unwrap());
-    assert_eq!(part.tls.certificate, path("/etc/rockflow/gnmi.pem"));
-    assert_eq!(part.tls.key, path("/etc/rockflow/gnmi.key"));
-    assert_eq!(part.tls.client_ca, path("/etc/rockflow/gnmi-clients.pem"));
-    assert_eq!((part.subscribers, part.message_kb, part.least_interval_ms), (65, 1026, 101));
+    let gnmi = read_every_key().gnmi.unwrap();
+    assert_eq!(gnmi.tls.listen, "127.0.0.1:9339".parse().unwrap());
+    assert_eq!(gnmi.tls.certificate, path("/etc/rockflow/gnmi.pem"));
+    assert_eq!(gnmi.tls.key, path("/etc/rockflow/gnmi.key"));
+    assert_eq!(gnmi.tls.client_ca, path("/etc/rockflow/gnmi-clients.pem"));
+    assert_eq!((gnmi.subscribers, gnmi.message_kb, gnmi.least_interval_ms), (65, 1026, 101));
 }
 
 #[test]
 fn reads_every_key_of_dissemination_and_control() {
-    let file = read_every_key();
-    let part = file.dissemination.unwrap();
-    assert_eq!(part.fleet, "shops");
-    assert_eq!(part.listen, "127.0.0.1:7501".parse().unwrap());
+    let config = read_every_key();
+    let dissemination = config.dissemination.unwrap();
+    assert_eq!(dissemination.fleet, "shops");
+    assert_eq!(dissemination.listen, "127.0.0.1:7501".parse().unwrap());
     assert_eq!(
-        part.control,
+        dissemination.control,
         [ControlNode { name: "c0".to_string(), address: "127.0.0.1:7500".parse().unwrap() }]
     );
-    assert_eq!(part.seeds, ["127.0.0.1:7502".parse().unwrap()]);
-    assert_eq!(part.purge_window, Duration::from_millis(8700));
-    assert_eq!(part.bytes_per_second, 6145);
-    assert_eq!(part.heartbeat_interval, Duration::from_millis(501));
-    assert!(part.trusted_network);
-    let control = file.control.unwrap();
+    assert_eq!(dissemination.seeds, ["127.0.0.1:7502".parse().unwrap()]);
+    assert_eq!(dissemination.purge_window, Duration::from_millis(8700));
+    assert_eq!(dissemination.bytes_per_second, 6145);
+    assert_eq!(dissemination.heartbeat_interval, Duration::from_millis(501));
+    assert!(dissemination.trusted_network);
+    let control = config.control.unwrap();
     assert_eq!(control.directory, path("/etc/rockflow/members.csv"));
     assert_eq!(control.overrides.as_deref(), Some(path("/etc/rockflow/marks")));
 }
 
-/// The sections and keys of a text, in its order; lines of the example are commented out.
+/// The section and key of each setting in a text, in order. Settings that are commented out, as all of the
+/// example's are, count too.
 fn keys(text: &str) -> Vec<(String, String)> {
     let mut section = String::new();
     let mut keys = Vec::new();
@@ -131,16 +133,16 @@
 }
 
 #[test]
-fn example_reads_as_it_stands_without_its_comment_signs() {
+fn example_parses_when_uncommented() {
     let text: String = include_str!("../../../deploy/rockflow.ini")
         .lines()
         .skip_while(|line| *line != "# [management]")
         .map(|line| format!("{}\n", line.trim_start_matches('#').trim()))
         .collect();
-    let file = parse(&[layer(&text)]).unwrap();
-    assert_eq!(file.management.unwrap().restart_from, RestartFrom::Running);
-    assert_eq!(file.netconf.unwrap().handshakes, 32);
-    assert_eq!(file.gnmi.unwrap().least_interval_ms, 100);
-    assert_eq!(file.dissemination.unwrap().bytes_per_second, 6144);
-    assert!(file.control.unwrap().overrides.is_some());
+    let config = parse(&[layer(&text)]).unwrap();
+    assert_eq!(config.management.unwrap().restart_from, RestartFrom::Running);
+    assert_eq!(config.netconf.unwrap().handshakes, 32);
+    assert_eq!(config.gnmi.unwrap().least_interval_ms, 100);
+    assert_eq!(config.dissemination.unwrap().bytes_per_second, 6144);
+    assert!(config.control.unwrap().overrides.is_some());
 }
--- a/crates/rockflow-operator-config/tests/management.rs
+++ b/crates/rockflow-operator-config/tests/management.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what is taken, and where each fault is said to be.
+//! Parsing of the sections for management: accepted input, and the location that each error names.
 
 use rockflow_operator_config::{parse, ConfigError, Layer, OperatorConfig, RestartFrom};
 use test_case::test_case;
@@ -7,11 +7,11 @@
     Layer { file: file.to_string(), text: text.to_string() }
 }
 
-fn one(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+fn parse_one_layer(text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
     parse(&[layer("a.ini", text)])
 }
 
-const GOOD: &str = "[management]
+const VALID: &str = "[management]
 owner = ana
 store = /var/lib/rockflow
 
@@ -25,7 +25,7 @@
 #[test]
 fn absent_file_or_section_configures_nothing() {
     assert_eq!(parse(&[]).unwrap(), OperatorConfig::default());
-    let file = one(GOOD).unwrap();
+    let file = parse_one_layer(VALID).unwrap();
     assert!(file.gnmi.is_none());
     let netconf = file.netconf.unwrap();
     assert_eq!((netconf.message_kb, netconf.handshakes), (64, 32));
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn example_configures_nothing() {
-    let file = one(include_str!("../../../deploy/rockflow.ini"));
+fn example_with_all_settings_commented_out_configures_nothing() {
+    let file = parse_one_layer(include_str!("../../../deploy/rockflow.ini"));
     assert_eq!(file.unwrap(), OperatorConfig::default());
 }
 
 #[test]
 fn later_layer_overrides_key_by_key() {
     let over = "[netconf]\nmessage-kb = 128\n[management]\nrestart = startup\n";
-    let layers = [("a.ini", GOOD), ("b.ini", over)].map(|(name, text)| layer(name, text));
+    let layers = [("a.ini", VALID), ("b.ini", over)].map(|(name, text)| layer(name, text));
     let file = parse(&layers).unwrap();
     assert_eq!(file.netconf.unwrap().message_kb, 128);
     let management = file.management.unwrap();
     assert!(management.restart_from == RestartFrom::Startup && management.owner == "ana");
-    // A fault is where the layer has it.
-    let layers = [("a.ini", GOOD), ("b.ini", "[netconf]\n\nmessage-kb = 3\n")];
-    let faults = parse(&layers.map(|(name, text)| layer(name, text))).unwrap_err();
-    assert!(faults[0].to_string().starts_with("b.ini:3: [netconf] message-kb: \"3\":"), "{}", faults[0]);
+    // The error is reported at its line in the layer that has it.
+    let layers = [("a.ini", VALID), ("b.ini", "[netconf]\n\nmessage-kb = 3\n")];
+    let errors = parse(&layers.map(|(name, text)| layer(name, text))).unwrap_err();
+    assert!(errors[0].to_string().starts_with("b.ini:3: [netconf] message-kb: \"3\":"), "{}", errors[0]);
 }
 
 #[test_case("[management]\nowner = ana\n[nowhere]\na = 1\n", "a.ini:3: [nowhere] no such section"; "section")]
@@ -66,14 +66,14 @@
 #[test_case("[management]\nowner = ana\n[gnmi]\nlisten = 127.0.0.1:1\nkey = k\ncertificate = c\nclient-ca = a\nsubscribers = many\n", "a.ini:8: [gnmi] subscribers: \"many\" is no whole number"; "no number")]
 #[test_case("[management\nowner = ana\n", "a.ini:"; "no INI")]
 #[test_case("stray = 1\n", "no such section"; "ahead of any section")]
-fn error_names_its_line_section_and_key(text: &str, wanted: &str) {
-    let faults = one(text).unwrap_err();
-    let texts: Vec<_> = faults.iter().map(ToString::to_string).collect();
-    assert!(texts.iter().any(|text| text.contains(wanted)), "{texts:?}");
+fn error_names_its_line_section_and_key(text: &str, expected: &str) {
+    let errors = parse_one_layer(text).unwrap_err();
+    let texts: Vec<_> = errors.iter().map(ToString::to_string).collect();
+    assert!(texts.iter().any(|text| text.contains(expected)), "{texts:?}");
 }
 
 #[test]
 fn reports_all_errors_at_once() {
     let text = "[management]\nrestart = never\n[netconf]\nssh = x\nmessage-kb = y\n";
-    assert!(one(text).unwrap_err().len() >= 4);
+    assert!(parse_one_layer(text).unwrap_err().len() >= 4);
 }
