--- a/crates/rockflow-operator-config/src/dissemination.rs
+++ b/crates/rockflow-operator-config/src/dissemination.rs
@@ -72,7 +72,7 @@
             let message = "needs a section [dissemination]; `rockflow control` reads both";
             self.report_section(section, message);
         }
-        self.require(section, "directory", "a file with a line a member");
+        self.require(section, "directory", "a CSV file with one line per member");
         let directory = self.path(section, "directory")?;
         Some(ControlSection { directory, overrides: self.path(section, "marks") })
     }
@@ -99,15 +99,11 @@
         let names: BTreeSet<_> = nodes.iter().map(|node| &node.name).collect();
         let addresses: BTreeSet<_> = nodes.iter().map(|node| &node.address).collect();
         if names.len() < nodes.len() || addresses.len() < nodes.len() {
-            self.report(section, key, "a name or an address stands twice");
+            self.report(section, key, "a name or an address is listed twice");
         }
         if nodes.len() > MAX_CONTROL_NODES {
             let count = nodes.len();
-            self.report(
-                section,
-                key,
-                format!("{count} are told, where 1 to {MAX_CONTROL_NODES} are allowed"),
-            );
+            self.report(section, key, format!("{count} are listed; 1 to {MAX_CONTROL_NODES} are allowed"));
         }
         nodes
     }
@@ -126,7 +122,7 @@
         let items = self.items(section, key);
         if items.len() > MAX_SEEDS {
             let count = items.len();
-            self.report(section, key, format!("{count} are told, where at most {MAX_SEEDS} are allowed"));
+            self.report(section, key, format!("{count} are listed; at most {MAX_SEEDS} are allowed"));
         }
         items.iter().filter_map(|item| self.parse_address(section, key, item)).collect()
     }
--- a/crates/rockflow-operator-config/src/layers.rs
+++ b/crates/rockflow-operator-config/src/layers.rs
@@ -136,7 +136,7 @@
                 let message = format!("no such key; there are {}", known_keys.join(", "));
                 self.report(layer, line, name, key, message);
             } else if !seen.insert((name.to_string(), key.to_string())) {
-                self.report(layer, line, name, key, "stands twice".to_string());
+                self.report(layer, line, name, key, "is set twice".to_string());
             } else {
                 let location = Location { file: layer.file.clone(), line };
                 let value = Value { text: text.trim().to_string(), location };
--- a/crates/rockflow-operator-config/src/management.rs
+++ b/crates/rockflow-operator-config/src/management.rs
@@ -16,7 +16,7 @@
         if !self.has_section(section) {
             return None;
         }
-        self.require(section, "owner", "the user who passes by every access rule");
+        self.require(section, "owner", "the user to whom no access rule applies");
         let restart_from = self.read_restart(section);
         let read = ManagementSection {
             owner: self.text(section, "owner").unwrap_or_default(),
@@ -38,7 +38,7 @@
         let ssh = self.parsed(section, "ssh", ADDRESS);
         if self.has_key(section, "ssh") {
             self.require(section, "host-key", "SSH needs it");
-            self.require(section, "authorized-keys", "SSH lets in nobody else");
+            self.require(section, "authorized-keys", "SSH accepts only the users that it lists");
         }
         let read = NetconfSection {
             ssh,
@@ -50,7 +50,7 @@
             message_kb: self.number(section, "message-kb", DEFAULT_MESSAGE_KB),
         };
         if !self.has_key(section, "ssh") && !self.has_key(section, "tls") {
-            self.report_section(section, "neither ssh nor tls is told, so nothing would listen");
+            self.report_section(section, "neither ssh nor tls is set, so the server would have no listener");
         }
         self.validated(section, read)
     }
@@ -86,7 +86,7 @@
     fn read_tls(&mut self, section: &str, address_key: &str) -> Option<TlsSection> {
         let listen = self.parsed::<SocketAddr>(section, address_key, ADDRESS)?;
         for key in ["certificate", "key", "client-ca"] {
-            self.require(section, key, "TLS needs it, and clients prove themselves by certificates");
+            self.require(section, key, "TLS needs it; clients authenticate with certificates");
         }
         Some(TlsSection {
             listen,
--- a/crates/rockflow-operator-config/src/overrides.rs
+++ b/crates/rockflow-operator-config/src/overrides.rs
@@ -27,7 +27,7 @@
     State(String),
     #[error("more than {MAX_OVERRIDES} marks")]
     TooMany,
-    #[error("{0:?} stands twice")]
+    #[error("{0:?} is listed twice")]
     Duplicate(String),
 }
 
--- a/crates/rockflow-operator-config/tests/dissemination.rs
+++ b/crates/rockflow-operator-config/tests/dissemination.rs
@@ -76,8 +76,8 @@
 #[test_case("control", "", "a.ini:5: [dissemination] control: is missing; name@address, comma-separated"; "no control")]
 #[test_case("control", "127.0.0.1:7500", "[dissemination] control: \"127.0.0.1:7500\" is no name@address"; "control without a name")]
 #[test_case("control", "c0@there", "[dissemination] control: \"there\" is no address with a port"; "control without an address")]
-#[test_case("control", "c0@127.0.0.1:1, c0@127.0.0.1:2", "[dissemination] control: a name or an address stands twice"; "a name twice")]
-#[test_case("control", "c0@127.0.0.1:1, c1@127.0.0.1:1", "[dissemination] control: a name or an address stands twice"; "an address twice")]
+#[test_case("control", "c0@127.0.0.1:1, c0@127.0.0.1:2", "[dissemination] control: a name or an address is listed twice"; "a name twice")]
+#[test_case("control", "c0@127.0.0.1:1, c1@127.0.0.1:1", "[dissemination] control: a name or an address is listed twice"; "an address twice")]
 #[test_case("seeds", "127.0.0.1:1, x", "[dissemination] seeds: \"x\" is no address with a port"; "no seed")]
 #[test_case("seeds", "192.0.2.1:1", "[dissemination] seeds: 192.0.2.1:1 is no address of the loopback"; "a seed outside")]
 #[test_case("purge-seconds", "", "a.ini:5: [dissemination] purge-seconds: is missing; 0.5 to 600"; "no window")]
@@ -102,7 +102,7 @@
     let nodes: Vec<_> = (1..=17).map(|n| format!("c{n}@127.0.0.1:{n}")).collect();
     assert!(parse_one_layer(&valid_except("control", &nodes[..16].join(","))).is_ok());
     let errors = parse_one_layer(&valid_except("control", &nodes.join(","))).unwrap_err();
-    assert!(errors[0].to_string().ends_with("17 are told, where 1 to 16 are allowed"), "{}", errors[0]);
+    assert!(errors[0].to_string().ends_with("17 are listed; 1 to 16 are allowed"), "{}", errors[0]);
 }
 
 #[test]
@@ -137,7 +137,7 @@
 #[test_case("c1\n", "marks:1: no line of the form HOST = draining|gone"; "no state")]
 #[test_case("\nc1 = ready\n", "marks:2: \"ready\" is neither draining nor gone"; "odd state")]
 #[test_case(" = gone\n", "marks:1: \"\" is no host's name"; "no name")]
-#[test_case("c1 = gone\nc1 = draining\n", "marks:2: \"c1\" stands twice"; "twice")]
+#[test_case("c1 = gone\nc1 = draining\n", "marks:2: \"c1\" is listed twice"; "twice")]
 fn error_in_an_override_names_its_line(text: &str, expected: &str) {
     let errors = parse_overrides("marks", text).unwrap_err();
     assert!(errors[0].to_string().starts_with(expected), "{}", errors[0]);
--- a/crates/rockflow-operator-config/tests/management.rs
+++ b/crates/rockflow-operator-config/tests/management.rs
@@ -54,7 +54,7 @@
 
 #[test_case("[management]\nowner = ana\n[nowhere]\na = 1\n", "a.ini:3: [nowhere] no such section"; "section")]
 #[test_case("[management]\nowner = ana\nsecret = 1\n", "a.ini:3: [management] secret: no such key"; "key")]
-#[test_case("[management]\nowner = ana\n# x\nowner = ben\n", "a.ini:4: [management] owner: stands twice"; "twice")]
+#[test_case("[management]\nowner = ana\n# x\nowner = ben\n", "a.ini:4: [management] owner: is set twice"; "twice")]
 #[test_case("[management]\nstore = /x\n", "a.ini:2: [management] owner: is missing"; "no owner")]
 #[test_case("[management]\nowner = ana\nrestart = never\n", "a.ini:3: [management] restart: \"never\" is neither"; "odd word")]
 #[test_case("[netconf]\nssh = 127.0.0.1:1\nhost-key = k\nauthorized-keys = f\n", "[netconf] needs a section [management]"; "no management")]
