--- a/crates/rockflow-management-service/src/audit.rs
+++ b/crates/rockflow-management-service/src/audit.rs
@@ -1,5 +1,5 @@
-//! The audit log: who changed what, from where. One line of JSON a commit, in the log under the target `audit`
-//! and, where the operator's file names one, appended to a file.
+//! The audit log: who changed what, when and from where. Each commit is one line of JSON, logged under the target
+//! `audit` and also appended to a file if the operator's file names one.
 
 use rockflow_management::{timestamp, Commit};
 use rockflow_yang::{Change, Schema};
@@ -10,10 +10,10 @@
 use thiserror::Error;
 use tracing::{error, info};
 
-/// Changes that one line names; further ones are counted.
+/// Maximum number of changes listed in one line; the line gives the number of further ones.
 const MAX_NAMED_CHANGES: usize = 200;
 
-/// The audit file can't be opened.
+/// The audit file can't be opened for appending.
 #[derive(Debug, Error)]
 #[error("{}: {source}", path.display())]
 pub struct OpenAuditError {
@@ -21,21 +21,22 @@
     source: io::Error,
 }
 
-/// The audit log.
+/// Writes the audit log.
 pub struct Audit {
     file: Option<File>,
 }
 
 impl Audit {
-    /// Opens the log; with a path, lines are also appended to that file, which is made for its owner alone.
+    /// Opens the audit log. If a path is given, lines are also appended to that file; if it does not exist, it is
+    /// created with access for its owner only.
     ///
     /// # Errors
-    /// Where the file can't be opened.
+    /// Fails if the file can't be opened.
     pub fn open(path: Option<&Path>) -> Result<Audit, OpenAuditError> {
         Ok(Audit { file: path.map(open_file).transpose()? })
     }
 
-    /// Writes the line of a commit. A file that can't be written is reported in the log.
+    /// Writes the line for a commit. A failed write to the file is only logged; the commit remains in effect.
     pub fn write(&mut self, schema: &Schema, commit: &Commit) {
         let line = audit_line(schema, commit);
         info!(target: "audit", line = %line, "commit");
--- a/crates/rockflow-management-service/src/authentication.rs
+++ b/crates/rockflow-management-service/src/authentication.rs
@@ -1,5 +1,5 @@
-//! Connections whose peer is not authenticated yet. They are limited in number; past the limit the oldest one is
-//! evicted, so that handshakes left half open by the hundred keep nobody out who authenticates at once.
+//! Limits the connections whose peer is not authenticated yet. At the limit, a new connection evicts the oldest
+//! one, so that hundreds of half-open handshakes don't block a client that authenticates promptly.
 
 use crate::credentials;
 use std::collections::BTreeMap;
@@ -12,10 +12,10 @@
 use tokio_rustls::TlsAcceptor;
 use tracing::{info, warn};
 
-/// The pause after a failed accept, for example with no descriptor left.
+/// Backoff after a failed `accept`, which happens for example when the process is out of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The unauthenticated connections of a listener, shared by all of its clones.
+/// The unauthenticated connections of a listener. Clones share the same table and limit.
 #[derive(Clone)]
 pub struct UnauthenticatedConnections {
     max_connections: usize,
@@ -25,37 +25,37 @@
 #[derive(Default)]
 struct ConnectionTable {
     next_id: u64,
-    /// By age: ids only grow.
+    /// The eviction signal of each connection, by connection id. Ids increase, so the first entry is the oldest.
     evictions: BTreeMap<u64, Arc<Notify>>,
 }
 
-/// One unauthenticated connection, as long as this is not dropped.
+/// An entry in the table of unauthenticated connections; dropping it removes the entry.
 pub struct UnauthenticatedConnection {
     connections: UnauthenticatedConnections,
     id: u64,
     eviction: Arc<Notify>,
 }
 
-/// A TLS connection whose client has shown a certificate of the client authority.
+/// A TLS connection whose client has presented a certificate signed by the client authority.
 pub struct AuthenticatedStream {
-    /// The connection.
+    /// The encrypted connection, after the handshake.
     pub stream: TlsStream<TcpStream>,
-    /// The user whom the certificate names.
+    /// The user named in the client's certificate.
     pub user: String,
 }
 
 impl UnauthenticatedConnections {
-    /// Allows so many connections at once, and at least one.
+    /// Creates a table for at most `max_connections` entries; 0 counts as 1.
     pub fn new(max_connections: usize) -> UnauthenticatedConnections {
         UnauthenticatedConnections { max_connections: max_connections.max(1), table: Arc::default() }
     }
 
-    /// Adds a connection; past the limit the oldest is evicted.
+    /// Adds a connection. At the limit, the oldest connection is evicted first.
     pub fn admit(&self) -> UnauthenticatedConnection {
         let mut table = self.lock();
         while table.evictions.len() >= self.max_connections {
             if let Some((_, oldest)) = table.evictions.pop_first() {
-                // Stored for a connection that does not wait for it yet.
+                // `notify_one` stores the signal if the connection is not waiting for it yet.
                 oldest.notify_one();
             }
         }
@@ -67,12 +67,12 @@
         UnauthenticatedConnection { connections: self.clone(), id, eviction }
     }
 
-    /// How many connections there are.
+    /// The number of unauthenticated connections.
     pub fn len(&self) -> usize {
         self.lock().evictions.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no unauthenticated connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -95,7 +95,8 @@
     }
 }
 
-/// Accepts connections for ever, and passes each on with its place among the unauthenticated ones.
+/// Accepts connections in an endless loop and passes each to `serve`, with the peer's address and the
+/// connection's entry in the table of unauthenticated connections.
 pub async fn accept_connections(
     listener: TcpListener,
     connections: UnauthenticatedConnections,
@@ -115,7 +116,7 @@
     }
 }
 
-/// Makes a TLS handshake within the timeout; none where it fails or the connection is evicted.
+/// Performs the TLS handshake. `None` if it fails, exceeds the timeout, or the connection is evicted.
 pub async fn tls_handshake(
     acceptor: TlsAcceptor,
     stream: TcpStream,
@@ -133,12 +134,12 @@
     let error = match handshake {
         Ok(Ok(stream)) => match certificate_user(&stream) {
             Some(user) => return Some(AuthenticatedStream { stream, user }),
-            None => "the certificate names no user".to_string(),
+            None => "the certificate names no valid user".to_string(),
         },
         Ok(Err(error)) => error.to_string(),
-        Err(_) => "not done in time".to_string(),
+        Err(_) => "timed out".to_string(),
     };
-    info!(%from, error, "tls handshake failed");
+    info!(%from, error, "TLS handshake failed");
     None
 }
 
--- a/crates/rockflow-management-service/src/credentials.rs
+++ b/crates/rockflow-management-service/src/credentials.rs
@@ -1,5 +1,5 @@
-//! Credentials: key and certificate files, which others than their owner must not be able to use, and TLS servers
-//! made from them.
+//! Reads key and certificate files, checks that their permissions keep other users out, and builds the TLS server
+//! configuration from them.
 
 use crate::operator_config::TlsSection;
 use rustls::pki_types::pem::{self, PemObject};
@@ -12,22 +12,22 @@
 use thiserror::Error;
 use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
 
-/// The largest key or certificate file that is read, in bytes.
+/// Maximum size of a key or certificate file, in bytes.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
-/// Bytes of a user's name.
+/// Maximum length of a user name in a certificate, in bytes.
 const MAX_USER_BYTES: usize = 128;
 
-/// Who may use a credential file beside its owner.
+/// The access that users other than the owner may have to a credential file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileSecrecy {
-    /// Nobody may read or write it: a private key.
+    /// Others may neither read nor write the file; for private keys.
     OwnerOnly,
-    /// Others may read it, not write it: certificates, public keys.
+    /// Others may read but not write the file; for certificates and public keys.
     Readable,
 }
 
 impl FileSecrecy {
-    /// The bits of the mode that must not be set.
+    /// The mode bits that must not be set.
     #[cfg(unix)]
     fn forbidden_mode(self) -> u32 {
         match self {
@@ -45,73 +45,73 @@
     }
 }
 
-/// A credential file that can't be used.
+/// A credential file can't be used, or TLS can't be set up with it.
 #[derive(Debug, Error)]
 pub enum CredentialError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
-        /// Why.
+        /// The error of the file operation.
         source: io::Error,
     },
-    /// Others than its owner can use it.
+    /// The permissions give users other than the owner too much access.
     #[error("{}: mode {mode:o}: others than its owner can {access} it", path.display())]
     Permissions {
-        /// The file or folder.
+        /// The path of the file or folder.
         path: PathBuf,
-        /// Its permission bits.
+        /// The permission bits found.
         mode: u32,
-        /// What others must not be able to do.
+        /// The kind of access that others must not have.
         access: &'static str,
     },
-    /// It is larger than allowed.
+    /// The file is larger than 1 MiB.
     #[error("{}: larger than {MAX_FILE_BYTES} bytes", path.display())]
     TooLarge {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
     },
-    /// It is not PEM, or holds nothing of the expected kind.
+    /// The file is not valid PEM, or has no item of the expected kind.
     #[error("{}: {source}", path.display())]
     Pem {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
-        /// Why.
+        /// The error of the PEM parser.
         source: pem::Error,
     },
-    /// It holds no certificate.
+    /// The file contains no certificate.
     #[error("{}: holds no certificate", path.display())]
     NoCertificate {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
     },
-    /// TLS can't use what it holds.
+    /// The TLS library rejects the key or certificate in the file.
     #[error("{}: {source}", path.display())]
     Tls {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
-        /// Why.
+        /// The error of the TLS library.
         source: rustls::Error,
     },
-    /// Clients can't be verified by the authorities that it holds.
+    /// No verifier for client certificates can be built from the authorities in the file.
     #[error("{}: {source}", path.display())]
     Verifier {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
-        /// Why.
+        /// The error of the certificate verifier's construction.
         source: VerifierBuilderError,
     },
-    /// The TLS library has no protocol version in common with its provider.
+    /// The TLS library and its cryptography provider have no protocol version in common.
     #[error(transparent)]
     Protocol(rustls::Error),
 }
 
-/// Checks that others than the owner can't use a file or folder as an attack: read a key, or change what lets
-/// users in.
+/// Checks that users other than the owner can't misuse a file or folder, that is, read a private key, or change the
+/// credentials by which users are authenticated.
 ///
 /// # Errors
-/// Where its mode allows that, it is too large, or it is not there.
+/// Fails if the mode allows more than `secrecy`, a file is larger than 1 MiB, or the path does not exist.
 pub fn check_permissions(path: &Path, secrecy: FileSecrecy) -> Result<(), CredentialError> {
     let metadata =
         std::fs::metadata(path).map_err(|source| CredentialError::Io { path: path.to_path_buf(), source })?;
@@ -133,17 +133,17 @@
 /// Reads a file that passes [`check_permissions`].
 ///
 /// # Errors
-/// Where it does not, or can't be read.
+/// Fails if the check fails or the file can't be read.
 pub fn read_file(path: &Path, secrecy: FileSecrecy) -> Result<Vec<u8>, CredentialError> {
     check_permissions(path, secrecy)?;
     std::fs::read(path).map_err(|source| CredentialError::Io { path: path.to_path_buf(), source })
 }
 
-/// A TLS server that accepts clients with a certificate of the client authority. `alpn`: the protocols that it
-/// offers.
+/// Builds the configuration of a TLS server that requires a client certificate signed by the section's client
+/// authority. `alpn` lists the offered application protocols.
 ///
 /// # Errors
-/// Where one of the section's files can't be used.
+/// Fails if one of the section's files can't be used.
 pub fn tls_server_config(section: &TlsSection, alpn: &[&[u8]]) -> Result<Arc<ServerConfig>, CredentialError> {
     let key = read_file(&section.key, FileSecrecy::OwnerOnly)?;
     let key = PrivateKeyDer::from_pem_slice(&key)
@@ -168,8 +168,9 @@
     Ok(Arc::new(config))
 }
 
-/// The user whom a client's certificate names: the first of its alternative names of the kinds e-mail and DNS
-/// name, else its common name (RFC 7589, section 7, with one mapping for all).
+/// Returns the user named in a client certificate: the first subject alternative name that is an e-mail address or
+/// a DNS name, otherwise the common name (RFC 7589, section 7, with the same mapping for all certificates). `None`
+/// if there is no such name, or if it is longer than 128 bytes or has characters other than printable ASCII.
 pub fn certificate_user(certificate: &[u8]) -> Option<String> {
     let (_, certificate) = X509Certificate::from_der(certificate).ok()?;
     let user = alternative_name(&certificate).or_else(|| common_name(&certificate))?;
--- a/crates/rockflow-management-service/src/event.rs
+++ b/crates/rockflow-management-service/src/event.rs
@@ -1,23 +1,23 @@
-//! Events for subscribers (RFC 5277).
+//! Events that are sent to subscribers as notifications (RFC 5277).
 
 use rockflow_endpoints::EffectiveReadiness;
 use rockflow_management::Notification;
 
-/// An event of the management side or of the endpoint list.
+/// An event of the management service or of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum ManagementEvent {
-    /// Something has happened to a session or a datastore.
+    /// A change of a session or of a datastore, such as a commit.
     Notification(Notification),
-    /// The effective state of an endpoint has changed.
+    /// The effective readiness of an endpoint changed, or the endpoint was added or removed.
     EndpointChanged {
-        /// Its name.
+        /// The endpoint's name.
         name: String,
-        /// Its readiness, and what decides it; none: it has left the list.
+        /// The new readiness and the source that determines it; `None` if the endpoint was removed from the list.
         now: Option<EffectiveReadiness>,
     },
-    /// An administrative override has run out.
+    /// An administrative override reached its expiry time.
     OverrideExpired {
-        /// The endpoint's name.
+        /// The name of the endpoint that the override was for.
         host: String,
     },
 }
--- a/crates/rockflow-management-service/src/restore.rs
+++ b/crates/rockflow-management-service/src/restore.rs
@@ -1,4 +1,4 @@
-//! Restoring the datastores at a start, ahead of the dispatcher.
+//! Restores the datastores at startup, before the dispatcher starts.
 
 use crate::audit::{Audit, OpenAuditError};
 use crate::operator_config::{ManagementSection, RestartFrom};
@@ -16,29 +16,29 @@
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-/// The name of the snapshots in their folder.
+/// Base name of the snapshot files in their folder.
 const SNAPSHOT_NAME: &str = "config";
 
-/// Why the datastores can't be restored. A folder that can't be used is an error, not an empty one.
+/// The datastores can't be restored. An unusable folder is an error; it is not treated as an empty one.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// The folder of the snapshots can't be used.
+    /// The folder with the snapshots can't be opened or read.
     #[error("store {}: {source}", path.display())]
     Store {
-        /// The folder.
+        /// The folder's path.
         path: PathBuf,
-        /// Why.
+        /// The error of the file operation.
         source: io::Error,
     },
-    /// The snapshot can't be read back.
+    /// The latest readable snapshot holds no valid configuration.
     #[error("stored configuration: {0}")]
     Configuration(#[from] RestoreError),
-    /// The audit file can't be opened.
+    /// The audit file can't be opened for appending.
     #[error(transparent)]
     Audit(#[from] OpenAuditError),
 }
 
-/// The datastores as they come back at a start.
+/// The restored datastores and the opened audit log, not yet attached to a dispatcher.
 pub struct RestoredState {
     datastores: Datastores,
     audit: Audit,
@@ -51,10 +51,10 @@
 }
 
 impl RestoredState {
-    /// Opens the storage and the audit log that the section names, and reads the datastores back.
+    /// Opens the storage and the audit log that the section names, and restores the datastores.
     ///
     /// # Errors
-    /// Where any of them can't be used.
+    /// Fails if the storage or the audit file can't be opened, or the stored configuration is invalid.
     pub fn open(clock: Clock, section: &ManagementSection) -> Result<RestoredState, OpenError> {
         let storage = match &section.store {
             None => OpenedStorage { backend: Box::new(VolatileStorage), payload: None },
@@ -72,19 +72,19 @@
         let restored = Management::restore(clock.now(), options, storage.backend, payload)?;
         let Restored { management: datastores, warnings } = restored;
         for warning in warnings {
-            warn!(%warning, "configuration restored with a change");
+            warn!(%warning, "stored configuration adjusted during restore");
         }
         let overrides = datastores.administrative_overrides().len();
         info!(version = datastores.version(), overrides, "management datastores restored");
         Ok(RestoredState { datastores, audit: Audit::open(section.audit.as_deref())?, clock })
     }
 
-    /// The administrative overrides that hold from the first request on.
+    /// The administrative overrides that the dispatcher must apply from its first request on.
     pub fn administrative_overrides(&self) -> AdminOverrides {
         self.datastores.administrative_overrides()
     }
 
-    /// Attaches the datastores to a running dispatcher.
+    /// Attaches the datastores to a running dispatcher. `set_log_level` is called when the configured level changes.
     pub fn into_service(
         self,
         dispatcher: ServiceHandle,
@@ -100,7 +100,7 @@
     let opened = Store::open(folder, SNAPSHOT_NAME, record::FORMAT_VERSION, record::MAX_PAYLOAD_BYTES);
     let Opened { store, snapshot, unreadable } = opened.map_err(error)?;
     for file in unreadable {
-        error!(error = %file, folder = %path.display(), "unreadable snapshot skipped, the last good one is used");
+        error!(error = %file, folder = %path.display(), "unreadable snapshot skipped, using the last readable one");
     }
     let payload = snapshot.map(|snapshot| snapshot.payload);
     Ok(OpenedStorage { backend: Box::new(store), payload })
