--- a/crates/rockflow-management-service/src/model_writer.rs
+++ b/crates/rockflow-management-service/src/model_writer.rs
@@ -1,12 +1,13 @@
-//! Writing data under the names of the model.
+//! Builds data trees whose nodes are named as in the YANG model.
 
 use rockflow_yang::{DataNode, DataTree, NodeId, Scalar, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Writes the children of one container or list entry.
+/// Builds the children of one container or list entry.
 ///
 /// # Panics
-/// All methods panic where the model lacks the name: the program and its model do not fit, which tests show.
+/// All methods panic if the model has no node of the given name. That is a mismatch between the program and its
+/// model, which the tests detect.
 pub(crate) struct ModelWriter<'a> {
     schema: &'a Schema,
     node: NodeId,
@@ -14,18 +15,18 @@
 }
 
 impl<'a> ModelWriter<'a> {
-    /// A writer of the container of that path.
+    /// Creates a writer for the container at the path.
     pub(crate) fn new(schema: &'a Schema, names: &[&str]) -> ModelWriter<'a> {
-        let node = schema.find(names).unwrap_or_else(|| panic!("the model lacks {names:?}"));
+        let node = schema.find(names).unwrap_or_else(|| panic!("the model has no node {names:?}"));
         ModelWriter::below(schema, node)
     }
 
-    /// A writer of that container or list entry.
+    /// Creates a writer for the container or list entry at `node`.
     pub(crate) fn below(schema: &'a Schema, node: NodeId) -> ModelWriter<'a> {
         ModelWriter { schema, node, fields: DataTree::new() }
     }
 
-    /// What was written.
+    /// Returns the children written so far.
     pub(crate) fn into_fields(self) -> DataTree {
         self.fields
     }
@@ -42,7 +43,7 @@
         self.leaf(name, Scalar::Unsigned(value));
     }
 
-    /// A leaf that may be absent.
+    /// Writes a leaf if it has a value.
     pub(crate) fn optional(&mut self, name: &str, value: Option<Scalar>) {
         if let Some(value) = value {
             self.leaf(name, value);
@@ -61,7 +62,7 @@
         self.fields.insert(inner.node, DataNode::Container(inner.fields));
     }
 
-    /// The entries of a list; `fill` sets each entry's keys too.
+    /// Writes the entries of a list; `fill` must also set each entry's key leaves.
     pub(crate) fn list<T>(
         &mut self,
         name: &str,
@@ -84,6 +85,6 @@
 
     fn child(&self, name: &str) -> NodeId {
         let child = self.schema.child(Some(self.node), None, name);
-        child.unwrap_or_else(|| panic!("{} lacks {name}", self.schema.schema_path(self.node)))
+        child.unwrap_or_else(|| panic!("{} has no child {name}", self.schema.schema_path(self.node)))
     }
 }
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -1,5 +1,5 @@
-//! The operational datastore: running with the origin of each override, and the dispatcher's state as the model
-//! has it. Names of the model stay within this module.
+//! Builds the operational datastore: the running configuration with the origin of each override, and the
+//! dispatcher's state in the terms of the YANG model. Other modules don't use the model's names for that state.
 
 use crate::model_writer::ModelWriter;
 use rockflow::{Effect, Readiness, Role};
@@ -10,27 +10,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The list of the model that holds the overrides.
+/// Path of the model's list of administrative overrides.
 const OVERRIDE_LIST: [&str; 3] = ["router", "marks", "mark"];
-/// Decimal places of an endpoint's health.
+/// Number of decimal places of an endpoint's health.
 const HEALTH_DIGITS: u8 = 3;
 
-/// The endpoint list as the checks of a commit need it.
+/// The endpoint list, with control's overrides applied, against which a commit is validated.
 pub(crate) fn validation_context(status: &StatusReport, now: Duration) -> ValidationContext {
     let listed = status.discovered.iter().map(|entry| (entry.name.clone(), entry.to_listed()));
     ValidationContext { endpoints: apply_overrides(listed.collect(), &status.control_overrides, now) }
 }
 
-/// What the dispatcher's state is read from.
+/// The sources from which the dispatcher's state is read.
 pub(crate) struct StateSource<'a> {
     pub(crate) dispatcher: &'a ServiceHandle,
     pub(crate) status: &'a StatusReport,
-    /// When the program was started, as Unix time.
+    /// The Unix time at which the program was started.
     pub(crate) started: Duration,
     pub(crate) now: Duration,
 }
 
-/// The operational datastore: running with its origins, and `/router/state`.
+/// Builds the operational datastore: the running configuration with origins, and `/router/state`.
 pub(crate) fn operational<S: SnapshotStorage>(
     management: &Management<S>,
     source: &StateSource<'_>,
@@ -47,7 +47,7 @@
     fields
 }
 
-/// Running, with who set each override, when and by which commit.
+/// The running configuration; each override also shows who set it, when, and in which commit.
 fn running_with_origins<S: SnapshotStorage>(management: &Management<S>) -> DataTree {
     let schema = management.schema();
     let mut fields = (**management.running()).clone();
@@ -72,7 +72,7 @@
 fn override_list_path(schema: &Schema) -> Vec<PathStep> {
     let step = |length: usize| {
         let names = &OVERRIDE_LIST[..length];
-        let node = schema.find(names).unwrap_or_else(|| panic!("the model lacks {names:?}"));
+        let node = schema.find(names).unwrap_or_else(|| panic!("the model has no node {names:?}"));
         PathStep { node, keys: Vec::new() }
     };
     (1..=OVERRIDE_LIST.len()).map(step).collect()
@@ -86,7 +86,7 @@
     state.text("phase", phase_name(dispatcher.phase()));
     state.number("up", millis(now.saturating_sub(started)));
     state.container("hosts", |hosts| write_endpoints(hosts, dispatcher, status, now));
-    state.container("products", |classes| write_classes(classes, dispatcher, status));
+    state.container("products", |products| write_classes(products, dispatcher, status));
     state.container("caps", |caps| write_limits(caps, dispatcher, status));
     state.container("board", |board| write_discovery(board, dispatcher, now));
     state.container("history", |history| write_history(history, management));
@@ -99,16 +99,17 @@
     status: &StatusReport,
     now: Duration,
 ) {
-    // The overrides as the endpoint list has them: what is committed and not applied yet does not hold yet.
+    // Uses the overrides that the endpoint list has applied; one that is only committed has no effect yet.
     let overrides = &status.operator_overrides;
     let entries: BTreeMap<&str, _> =
         status.discovered.iter().map(|entry| (entry.name.as_str(), entry)).collect();
     let host_statuses: BTreeMap<_, _> = status.host_statuses.iter().map(|host| (host.host, host)).collect();
     let names: BTreeSet<&str> = entries.keys().copied().chain(overrides.keys().map(String::as_str)).collect();
     hosts.list("host", names, |host, name| {
-        let (entry, own) = (entries.get(name), overrides.get(name));
+        let (entry, operator_override) = (entries.get(name), overrides.get(name));
         host.text("name", name);
-        let marked = own.filter(|own| own.is_active(now)).map(|own| readiness(own.readiness));
+        let marked =
+            operator_override.filter(|entry| entry.is_active(now)).map(|entry| readiness(entry.readiness));
         host.optional("marked", marked);
         let Some(entry) = entry else { return };
         let listing = &entry.entry;
@@ -119,7 +120,7 @@
         host.number("cell", u64::from(listing.cell.0));
         host.leaf("listed", readiness(listing.readiness));
         let control = status.control_overrides.get(name);
-        if let Some(effective) = merge_readiness(Some(listing.readiness), own, control, now) {
+        if let Some(effective) = merge_readiness(Some(listing.readiness), operator_override, control, now) {
             host.leaf("effective", readiness(effective.readiness));
             host.text("says", effective.source.as_str());
         }
@@ -132,18 +133,18 @@
     });
 }
 
-fn write_classes(classes: &mut ModelWriter<'_>, dispatcher: &ServiceHandle, status: &StatusReport) {
-    classes.list("product", dispatcher.classes.iter().enumerate(), |writer, (index, (name, class))| {
+fn write_classes(products: &mut ModelWriter<'_>, dispatcher: &ServiceHandle, status: &StatusReport) {
+    products.list("product", dispatcher.classes.iter().enumerate(), |writer, (index, (name, class))| {
         writer.text("name", name);
         writer.text("effect", effect_name(&class.effect));
         writer.number("outer-limit", millis(class.deadline));
         writer.number("fresh", millis(class.fresh_lifetime));
         writer.number("grace", millis(class.grace));
-        let ended = status.outcomes.get(index).copied().unwrap_or_default();
-        writer.number("succeeded", ended.succeeded);
-        writer.number("dismissed", ended.rejected);
-        writer.number("terminated", ended.failed);
-        writer.number("left", ended.disconnected);
+        let outcomes = status.outcomes.get(index).copied().unwrap_or_default();
+        writer.number("succeeded", outcomes.succeeded);
+        writer.number("dismissed", outcomes.rejected);
+        writer.number("terminated", outcomes.failed);
+        writer.number("left", outcomes.disconnected);
     });
 }
 
@@ -226,7 +227,7 @@
     })
 }
 
-/// A share from 0 to 1.
+/// Converts a health value to a decimal of the model, clamped to the range from 0 to 1.
 fn health(health: f64) -> Scalar {
     let scale = 10_f64.powi(i32::from(HEALTH_DIGITS));
     Scalar::Decimal((health.clamp(0.0, 1.0) * scale).round() as i64, HEALTH_DIGITS)
