--- a/crates/rockflow-management-service/src/service.rs
+++ b/crates/rockflow-management-service/src/service.rs
@@ -1,7 +1,8 @@
-//! The management service: the datastores beside a running dispatcher, for all protocols alike.
+//! The management service: the datastores attached to a running dispatcher, shared by all protocols.
 //!
-//! A commit is durable, then goes to the endpoint list's actor in the order of commits, and is acknowledged once
-//! the decisions apply it. All of this runs in the management thread; the dispatcher sees messages alone.
+//! A commit is first made durable, then sent to the endpoint list's actor in the order of commits, and acknowledged
+//! once the decision logic has applied it. All of this runs in the management thread, which reaches the dispatcher
+//! only by messages.
 
 mod changes;
 mod observation;
@@ -20,31 +21,31 @@
 use tokio::sync::{broadcast, oneshot, Notify};
 use tracing::warn;
 
-/// Where snapshots are stored: a folder, or nowhere.
+/// The storage of snapshots: a folder, or volatile storage that keeps nothing.
 pub(crate) type StorageBackend = Box<dyn SnapshotStorage + Send>;
 /// The datastores of the service.
 pub type Datastores = Management<StorageBackend>;
-/// Sets the log's level while the program runs; none: as it was started.
+/// Sets the log level of the running program; `None` restores the level with which it was started.
 pub type SetLogLevel = Box<dyn Fn(Option<&str>) + Send + Sync>;
 
-/// The age up to which a status report is used again.
+/// Maximum age at which a cached status report is reused.
 const STATUS_MAX_AGE: Duration = Duration::from_millis(40);
-/// The longest wait for a status report before the last one is used.
+/// Timeout for a status report. After it, the last known report is used.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Events that a slow subscriber may lag behind before it misses some.
+/// Number of events that are buffered for a slow subscriber before it misses some.
 const MAX_EVENTS: usize = 1024;
-/// Value subscriptions over all protocols.
+/// Maximum number of value subscriptions, over all protocols.
 pub(crate) const MAX_SUBSCRIPTIONS: usize = 256;
 
-/// The management service; each session is a [`SessionHandle`].
+/// The management service. Each open session is represented by a [`SessionHandle`].
 pub struct ManagementService {
-    /// All that changes, under one lock, which is never held across an await.
+    /// The mutable state. The lock is never held across an await.
     shared: Mutex<Shared>,
     schema: Arc<Schema>,
     dispatcher: ServiceHandle,
     started: Duration,
     pub(crate) events: broadcast::Sender<(Duration, ManagementEvent)>,
-    /// Something is due earlier than the timer knows.
+    /// Signals the timer that a deadline may be earlier than the one it waits for.
     reschedule: Notify,
     session_ended: Notify,
     set_log_level: SetLogLevel,
@@ -57,16 +58,16 @@
     status: Option<CachedStatus>,
     pub(crate) subscriptions: Subscriptions,
     endpoints: EndpointObserver,
-    /// The level that the log was set to last.
+    /// The log level set last; `None` is the level with which the program was started.
     log_level: Option<String>,
-    /// The endpoint list has not got the last overrides yet.
+    /// Whether sending the latest overrides to the endpoint list failed and is to be repeated.
     has_unapplied_overrides: bool,
 }
 
-/// The last status report of the dispatcher.
+/// The last status report of the dispatcher, with the Unix time at which it was requested.
 #[derive(Clone)]
 struct CachedStatus {
-    taken: Duration,
+    requested_at: Duration,
     report: Arc<StatusReport>,
 }
 
@@ -74,11 +75,11 @@
 pub(crate) struct Subscriptions {
     pub(crate) active: BTreeMap<u64, ActiveSubscription>,
     next_id: u64,
-    /// The operational state that was compared last; none while no subscription waits for changes.
+    /// The operational state at the last observation; `None` while no subscription waits for changes.
     pub(crate) last_state: Option<DataTree>,
 }
 
-/// One value subscription.
+/// A value subscription as the service keeps it.
 pub(crate) struct ActiveSubscription {
     pub(crate) user: String,
     pub(crate) subscription: Subscription,
@@ -90,7 +91,7 @@
         Subscriptions { active: BTreeMap::new(), next_id: 1, last_state: None }
     }
 
-    /// Adds a subscription and returns its number.
+    /// Adds a subscription and returns its number, which is never reused.
     pub(crate) fn insert(&mut self, subscription: ActiveSubscription) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
@@ -135,25 +136,25 @@
         service
     }
 
-    /// The time, as Unix time on the dispatcher's clock.
+    /// The current Unix time by the dispatcher's clock.
     pub fn now(&self) -> Duration {
         self.dispatcher.clock.now()
     }
 
-    /// The model of all configurations and of the operational state.
+    /// The schema of the configuration and of the operational state.
     pub fn schema(&self) -> &Arc<Schema> {
         &self.schema
     }
 
-    /// Reads the datastores; no change is made this way.
+    /// Reads from the datastores.
     pub fn inspect<T>(&self, read: impl FnOnce(&Datastores) -> T) -> T {
         read(&self.lock().datastores)
     }
 
-    /// Opens a session.
+    /// Opens a session for an operator.
     ///
     /// # Errors
-    /// Where the configured number of sessions is open.
+    /// Fails if the configured maximum number of sessions is already open.
     pub fn open_session(self: &Arc<Self>, operator: Operator) -> Result<SessionHandle, ManagementError> {
         let user = operator.user.clone();
         let mut shared = self.lock();
@@ -163,7 +164,7 @@
         Ok(SessionHandle::new(self.clone(), id, user))
     }
 
-    /// Waits until the session has ended: killed, silent for too long, or closed.
+    /// Waits until the session has ended, because it was closed, killed, or idle for too long.
     pub async fn session_closed(&self, id: SessionId) {
         loop {
             let ended = self.session_ended.notified();
@@ -174,7 +175,8 @@
         }
     }
 
-    /// The operational datastore (RFC 8342): running with its origins, and the dispatcher's state.
+    /// Builds the operational datastore (RFC 8342): the running configuration with origins, and the dispatcher's
+    /// state.
     pub async fn operational(&self) -> DataTree {
         let status = self.status().await.unwrap_or_default();
         let shared = self.lock();
@@ -185,7 +187,7 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes the timer, as something may be due earlier than it knows.
+    /// Wakes the timer, because a deadline may be earlier than the one it waits for.
     pub(crate) fn reschedule(&self) {
         self.reschedule.notify_one();
     }
@@ -195,13 +197,13 @@
         state::operational(&shared.datastores, &source)
     }
 
-    /// The dispatcher's status, not older than [`STATUS_MAX_AGE`]; the last known one where it does not answer in
-    /// time, none where it never did.
+    /// Returns the dispatcher's status, at most [`STATUS_MAX_AGE`] old. If the dispatcher does not answer in time,
+    /// returns the last known status, or `None` if it never answered.
     async fn status(&self) -> Option<Arc<StatusReport>> {
         let now = self.now();
         let last = self.lock().status.clone();
         if let Some(cached) = &last {
-            if now.saturating_sub(cached.taken) < STATUS_MAX_AGE {
+            if now.saturating_sub(cached.requested_at) < STATUS_MAX_AGE {
                 return Some(cached.report.clone());
             }
         }
@@ -212,11 +214,11 @@
         if is_requested {
             if let Ok(Ok(report)) = tokio::time::timeout(STATUS_TIMEOUT, answer).await {
                 let report: Arc<StatusReport> = Arc::from(report);
-                self.lock().status = Some(CachedStatus { taken: now, report: report.clone() });
+                self.lock().status = Some(CachedStatus { requested_at: now, report: report.clone() });
                 return Some(report);
             }
         }
-        warn!("dispatcher status not received in time, the last known one is used");
+        warn!("dispatcher status not received in time, using the last known one");
         last.map(|cached| cached.report)
     }
 }
--- a/crates/rockflow-management-service/src/service/changes.rs
+++ b/crates/rockflow-management-service/src/service/changes.rs
@@ -1,5 +1,5 @@
-//! From a change of the datastores to its effect: the audit log, subscribers, the log's level, and the endpoint
-//! list of the decisions.
+//! Applies the effects of a change of the datastores: writes the audit log, notifies subscribers, sets the log
+//! level, and sends the overrides to the endpoint list of the decision logic.
 
 use super::{Datastores, ManagementService, Shared};
 use crate::event::ManagementEvent;
@@ -13,19 +13,19 @@
 use tokio::sync::oneshot;
 use tracing::{debug, error, info, warn};
 
-/// The longest wait for the decisions to apply a commit before it is acknowledged all the same.
+/// Timeout for the decision logic to apply a commit. After it, the commit is acknowledged anyway.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ManagementService {
-    /// Makes one change on a session's behalf, and waits until it is durable and the decisions apply it.
+    /// Makes one change on behalf of a session, and waits until it is durable and the decision logic has applied it.
     pub(crate) async fn change<T>(
         &self,
         id: SessionId,
-        make: impl FnOnce(&mut Datastores, Duration, &ValidationContext) -> Result<T, ManagementError>,
+        apply_change: impl FnOnce(&mut Datastores, Duration, &ValidationContext) -> Result<T, ManagementError>,
     ) -> Result<T, ManagementError> {
-        // Guards against draining the last endpoint of a location while nothing is known of the list.
+        // Without the endpoint list, the validation could not prevent draining the last endpoint of a location.
         let status = self.status().await.ok_or_else(|| {
-            let message = "the dispatcher does not tell its hosts; nothing is changed";
+            let message = "the dispatcher did not report its hosts; nothing is changed";
             ManagementError::new(ErrorTag::ResourceDenied, message)
         })?;
         let context = state::validation_context(&status, self.now());
@@ -33,21 +33,21 @@
             let now = self.now();
             let mut shared = self.lock();
             shared.datastores.record_activity(now, id);
-            let result = make(&mut shared.datastores, now, &context);
+            let result = apply_change(&mut shared.datastores, now, &context);
             (result, self.process_notifications(&mut shared))
         };
         self.reschedule();
         if let Some(applied) = applied {
             if tokio::time::timeout(APPLY_TIMEOUT, applied).await.is_err() {
-                warn!("commit is durable, the dispatcher has not confirmed that it is applied");
+                warn!("commit is durable, but the dispatcher did not confirm in time that it is applied");
             }
         }
         result
     }
 
-    /// Carries out what a change has brought, while the lock is held, so that commits reach the endpoint list in
-    /// their order, also those of an ended session or a timeout. Where overrides were sent, the receiver
-    /// completes when the decisions apply them.
+    /// Applies the effects of the pending notifications while the lock is held, so that commits reach the endpoint
+    /// list in order, including those caused by the end of a session or by a timeout. If overrides were sent, the
+    /// returned receiver completes when the decision logic has applied them.
     pub(crate) fn process_notifications(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
         let now = self.now();
         let mut has_commit = false;
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Sends the overrides as they are to the endpoint list.
+    /// Sends all current overrides to the endpoint list. `None` if the endpoint list accepts no more messages; then
+    /// they are sent again later.
     fn send_overrides(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
         let (done, applied) = oneshot::channel();
         let is_sent =
@@ -94,18 +95,18 @@
                 let _ = done.send(());
             });
         if let Some(cached) = &mut shared.status {
-            // It would show what no longer holds.
-            cached.taken = Duration::ZERO;
+            // Expires the cached report, which does not include the new overrides.
+            cached.requested_at = Duration::ZERO;
         }
         shared.has_unapplied_overrides = !is_sent;
         if !is_sent {
-            error!("endpoint list accepts no more messages, overrides are sent again later");
+            error!("endpoint list accepts no more messages, overrides will be sent again later");
         }
         is_sent.then_some(applied)
     }
 }
 
-/// Each call of gNMI is a session of its own, so these are logged for debugging alone.
+/// Each gNMI call opens a separate session, so gNMI sessions are logged at the debug level only.
 fn log_session_start(session: SessionId, operator: &Operator) {
     let (session, protocol) = (session.0, operator.protocol.name());
     let (user, source) = (&operator.user, &operator.source);
--- a/crates/rockflow-management-service/src/service/observation.rs
+++ b/crates/rockflow-management-service/src/service/observation.rs
@@ -1,4 +1,5 @@
-//! What is due by the clock: confirmations, silent sessions, and the state that subscribers wait to see change.
+//! The service's timer: deadlines of confirmed commits and idle sessions, and detection of the state changes that
+//! subscribers wait for.
 
 use super::{ManagementService, Shared};
 use crate::event::ManagementEvent;
@@ -8,28 +9,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How often state is compared for subscribers of its changes.
+/// Interval at which the state is compared for subscribers to changes.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest wait between two looks at what is due.
+/// Maximum time between two checks of the deadlines.
 const MAX_TIMER_WAIT: Duration = Duration::from_secs(1);
-/// The shortest wait, whatever is due or changes.
+/// Minimum time between two checks, which limits the load that frequent deadlines or changes cause.
 const MIN_TIMER_WAIT: Duration = Duration::from_millis(5);
 
-/// The states of the endpoints that subscribers of events were last notified of.
+/// Detects changes of endpoints and expired overrides, for subscribers to events.
 #[derive(Default)]
 pub(super) struct EndpointObserver {
+    /// The effective readiness of each endpoint at the last observation; empty before the first one.
     states: BTreeMap<String, EffectiveReadiness>,
-    /// The overrides that have run out, with their times.
+    /// The expired overrides already reported, by endpoint name, with their expiry times.
     expired_overrides: BTreeMap<String, Duration>,
 }
 
 impl EndpointObserver {
-    /// Forgets the states: what comes next is no change.
+    /// Clears the known states, so that the next observation reports no changes.
     fn reset(&mut self) {
         self.states.clear();
     }
 
-    /// The events since the last call.
+    /// Returns the events since the last call.
     fn observe(&mut self, status: &StatusReport, now: Duration) -> Vec<ManagementEvent> {
         let mut events = self.observe_states(effective_states(status, now));
         for (host, entry) in &status.operator_overrides {
@@ -45,7 +47,7 @@
 
     fn observe_states(&mut self, states: BTreeMap<String, EffectiveReadiness>) -> Vec<ManagementEvent> {
         if self.states.is_empty() {
-            // Nothing was known before: the first states are no change.
+            // The first observation is the baseline and reports no changes.
             self.states = states.clone();
         }
         let mut events = Vec::new();
@@ -62,7 +64,7 @@
 }
 
 impl ManagementService {
-    /// Does what is due by the clock, for ever.
+    /// Runs the timer in an endless loop.
     pub async fn run(&self) {
         loop {
             let wait = self.timer_wait();
@@ -79,9 +81,9 @@
 
     fn timer_wait(&self) -> Duration {
         let shared = self.lock();
-        let observation = self.has_observers(&shared).then(|| self.now() + OBSERVATION_INTERVAL);
-        let due = shared.datastores.next_deadline().into_iter().chain(observation).min();
-        let wait = due.map_or(MAX_TIMER_WAIT, |due| due.saturating_sub(self.now()));
+        let next_observation = self.has_observers(&shared).then(|| self.now() + OBSERVATION_INTERVAL);
+        let deadline = shared.datastores.next_deadline().into_iter().chain(next_observation).min();
+        let wait = deadline.map_or(MAX_TIMER_WAIT, |deadline| deadline.saturating_sub(self.now()));
         wait.clamp(MIN_TIMER_WAIT, MAX_TIMER_WAIT)
     }
 
@@ -89,7 +91,7 @@
         shared.subscriptions.has_on_change() || self.events.receiver_count() > 0
     }
 
-    /// Passes on to subscribers what has changed since the last observation.
+    /// Notifies subscribers of what has changed since the last observation.
     async fn observe_state(&self) {
         {
             let mut shared = self.lock();
--- a/crates/rockflow-management-service/src/session_handle.rs
+++ b/crates/rockflow-management-service/src/session_handle.rs
@@ -1,4 +1,4 @@
-//! One session's calls.
+//! The operations that a session can call.
 
 use crate::event::ManagementEvent;
 use crate::service::{ActiveSubscription, Datastores, ManagementService, Shared, MAX_SUBSCRIPTIONS};
@@ -12,13 +12,14 @@
 use std::time::Duration;
 use tokio::sync::{broadcast, Notify};
 
-/// One session. Dropping it ends the session and releases all that it holds.
+/// An open session. Dropping the handle ends the session and releases its locks and its candidate.
 pub struct SessionHandle {
     service: Arc<ManagementService>,
-    /// The session's number.
+    /// The session's id, unique over all protocols.
     pub id: SessionId,
-    /// The user who opened it.
+    /// The user who opened the session.
     pub user: String,
+    /// Number of open subscriptions, of events and of values; the idle limit applies only if there are none.
     subscriptions: usize,
 }
 
@@ -36,7 +37,7 @@
         SessionHandle { service, id, user, subscriptions: 0 }
     }
 
-    /// Reads or changes what needs no commit: edits of the candidate, locks, discards.
+    /// Runs an operation that commits nothing, such as an edit of the candidate, a lock or a discard.
     pub fn update<T>(&self, update: impl FnOnce(&mut Datastores, Duration) -> T) -> T {
         let now = self.service.now();
         let mut shared = self.lock_active();
@@ -45,18 +46,18 @@
         result
     }
 
-    /// Whether the user may make the call.
+    /// Checks that the user may call the operation named `call`.
     ///
     /// # Errors
-    /// [`ErrorTag::AccessDenied`] where an access rule denies it.
+    /// [`ErrorTag::AccessDenied`] if an access rule denies it.
     pub fn authorize_call(&self, call: &str) -> Result<(), ManagementError> {
         self.lock_active().datastores.authorize_call(self.id, call)
     }
 
-    /// What the user may read of a datastore; none: of the operational one.
+    /// Reads the part of a datastore that the user may read; `None` reads the operational datastore.
     ///
     /// # Errors
-    /// [`ErrorTag::AccessDenied`] where an access rule denies the call.
+    /// [`ErrorTag::AccessDenied`] if an access rule denies the call.
     pub async fn read(&self, datastore: Option<Datastore>) -> Result<DataTree, ManagementError> {
         let call = if datastore.is_some() { "get-config" } else { "get" };
         self.authorize_call(call)?;
@@ -68,10 +69,10 @@
         Ok(shared.datastores.access().readable(self.service.schema(), &self.user, &fields))
     }
 
-    /// Commits the candidate. Returns the number of the commit in force.
+    /// Commits the candidate. Returns the version of the commit now in effect.
     ///
     /// # Errors
-    /// As `Management::commit`.
+    /// The errors of `Management::commit`.
     pub async fn commit(&self, options: &CommitOptions, comment: &str) -> Result<u64, ManagementError> {
         let id = self.id;
         let commit = |datastores: &mut Datastores, now, context: &_| {
@@ -80,10 +81,10 @@
         self.service.change(id, commit).await
     }
 
-    /// Checks a whole configuration as a commit would.
+    /// Validates a complete configuration as a commit would.
     ///
     /// # Errors
-    /// What a commit of it would be refused for.
+    /// Returns the error with which a commit of the configuration would be refused.
     pub async fn validate(&self, source: ConfigSource) -> Result<(), ManagementError> {
         let id = self.id;
         let validate =
@@ -91,19 +92,19 @@
         self.service.change(id, validate).await
     }
 
-    /// Cancels the pending confirmed commit, which is reverted.
+    /// Cancels the pending confirmed commit and reverts its changes.
     ///
     /// # Errors
-    /// As `Management::cancel_commit`.
+    /// The errors of `Management::cancel_commit`.
     pub async fn cancel_commit(&self, persist_id: Option<&str>) -> Result<(), ManagementError> {
         let id = self.id;
         self.service.change(id, |datastores, now, _| datastores.cancel_commit(now, id, persist_id)).await
     }
 
-    /// Changes running in one transaction. Returns the number of the commit in force.
+    /// Changes the running configuration in one transaction. Returns the version of the commit now in effect.
     ///
     /// # Errors
-    /// As `Management::set`.
+    /// The errors of `Management::set`.
     pub async fn set(
         &self,
         edits: &[Edit],
@@ -117,10 +118,10 @@
         self.service.change(id, set).await
     }
 
-    /// Goes back to the configuration of an earlier commit. Returns the number of the commit in force.
+    /// Restores the configuration of an earlier commit, as a new commit. Returns the version of the commit now in effect.
     ///
     /// # Errors
-    /// As `Management::rollback`.
+    /// The errors of `Management::rollback`.
     pub async fn rollback(
         &self,
         version: u64,
@@ -133,11 +134,11 @@
         self.service.change(id, rollback).await
     }
 
-    /// Sets an endpoint draining; `expires_in` none: until it is undrained. With `force` also the last of its
-    /// kind. Returns the number of the commit in force.
+    /// Sets an endpoint to draining for `expires_in`; if that is `None`, until it is undrained. `force` also drains
+    /// the last endpoint of a location. Returns the version of the commit now in effect.
     ///
     /// # Errors
-    /// As `Management::set_override`.
+    /// The errors of `Management::set_override`.
     pub async fn drain(
         &self,
         host: &str,
@@ -159,25 +160,25 @@
         self.set_override("drain", host, &leaves).await
     }
 
-    /// Removes the administrative override of an endpoint. Returns the number of the commit in force.
+    /// Removes the administrative override of an endpoint. Returns the version of the commit now in effect.
     ///
     /// # Errors
-    /// As `Management::set_override`.
+    /// The errors of `Management::set_override`.
     pub async fn undrain(&self, host: &str) -> Result<u64, ManagementError> {
         self.set_override("undrain", host, &[]).await
     }
 
-    /// Ends another session.
+    /// Ends another session, `victim`.
     ///
     /// # Errors
-    /// As `Management::kill_session`.
+    /// The errors of `Management::kill_session`.
     pub async fn kill_session(&self, victim: SessionId) -> Result<(), ManagementError> {
         let id = self.id;
         self.service.change(id, |datastores, now, _| datastores.kill_session(now, id, victim)).await
     }
 
-    /// Subscribes to events from now on, each with its time; a receiver that lags too far behind learns how many
-    /// it missed.
+    /// Subscribes to future events, each with its Unix time. A receiver that lags too far behind gets an error with
+    /// the number of missed events.
     pub fn subscribe_events(&mut self) -> broadcast::Receiver<(Duration, ManagementEvent)> {
         self.subscriptions += 1;
         drop(self.lock_active());
@@ -185,10 +186,11 @@
         self.service.events.subscribe()
     }
 
-    /// Subscribes to values.
+    /// Subscribes to the values of the operational datastore that match the patterns. With `updates_only`, the
+    /// first update does not repeat the present values.
     ///
     /// # Errors
-    /// Where an access rule denies the call, or all subscriptions are in use.
+    /// Fails if an access rule denies the call, or the maximum number of subscriptions is reached.
     pub async fn subscribe(
         &mut self,
         patterns: Vec<Pattern>,
@@ -196,9 +198,9 @@
         updates_only: bool,
     ) -> Result<ValueSubscription, ManagementError> {
         self.authorize_call("establish-subscription")?;
-        // Guards against a change between the first snapshot and the first observation: what is compared with
-        // must not be younger than that snapshot.
-        let present = self.service.operational().await;
+        // The baseline for change detection must not be newer than the subscriber's first snapshot; otherwise a
+        // change between the two would never be reported.
+        let baseline = self.service.operational().await;
         let now = self.service.now();
         if self.service.lock().subscriptions.active.len() >= MAX_SUBSCRIPTIONS {
             let message = format!("all {MAX_SUBSCRIPTIONS} subscriptions are in use");
@@ -213,14 +215,14 @@
         };
         let id = {
             let mut shared = self.lock_active();
-            shared.subscriptions.last_state.get_or_insert(present);
+            shared.subscriptions.last_state.get_or_insert(baseline);
             shared.subscriptions.insert(active)
         };
         self.service.reschedule();
         Ok(ValueSubscription::new(self.service.clone(), id, wake, patterns))
     }
 
-    /// Counts one subscription less; without any, the idle limit applies to the session again.
+    /// Decrements the session's subscription count; at zero, the idle limit applies to the session again.
     pub fn release_subscription(&mut self) {
         self.subscriptions = self.subscriptions.saturating_sub(1);
         drop(self.lock_active());
@@ -239,7 +241,7 @@
         self.service.change(id, set).await
     }
 
-    /// Locks the service's state, and records that the session is active.
+    /// Locks the service's state and records that the session is active.
     fn lock_active(&self) -> MutexGuard<'_, Shared> {
         let now = self.service.now();
         let mut shared = self.service.lock();
--- a/crates/rockflow-management-service/src/value_subscription.rs
+++ b/crates/rockflow-management-service/src/value_subscription.rs
@@ -1,4 +1,4 @@
-//! A subscription to values, as its server waits for it.
+//! A subscription to values, from which a server takes the updates to send.
 
 use crate::service::ManagementService;
 use rockflow_management::{Operation, Update};
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A subscription to values. Dropping it ends it.
+/// A subscription to values. Dropping this handle ends the subscription.
 pub struct ValueSubscription {
     service: Arc<ManagementService>,
-    /// Its number, unique over all sessions.
+    /// The subscription's number, unique over all sessions.
     pub number: u64,
     wake: Arc<Notify>,
     patterns: Vec<Pattern>,
@@ -32,7 +32,7 @@
         ValueSubscription { service, number, wake, patterns }
     }
 
-    /// Waits for the next update, without the values that the user may not read.
+    /// Waits for the next update. Values that the user may not read are left out.
     pub async fn next(&self) -> Update {
         loop {
             let woken = self.wake.notified();
@@ -43,7 +43,7 @@
                     if let Some(update) = self.take_update(now, &present) {
                         return update;
                     }
-                    // Nothing new to send: on with the next period.
+                    // There is nothing to send; waits for the next due time.
                 }
                 Some(due) => {
                     let _ = tokio::time::timeout(due - now, woken).await;
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The part of the state that the patterns select.
+    /// Returns the part of the state that matches the subscription's patterns.
     fn select(&self, present: &DataTree) -> DataTree {
         let mut selected = DataTree::new();
         for pattern in &self.patterns {
@@ -88,7 +88,8 @@
     }
 }
 
-/// The leaf-list of one of its values, which is what access rules name.
+/// Returns the path of the leaf-list if `path` is a value of one, because access rules name the leaf-list as a
+/// whole. `None` if the last step of the path has no keys.
 fn leaf_list_of(path: &Path) -> Option<Path> {
     let last = path.0.last().filter(|step| !step.keys.is_empty())?;
     Some(Path(path.0[..path.0.len() - 1].to_vec()).child(last.node, Vec::new()))
