--- a/crates/rockflow-management-service/tests/credentials.rs
+++ b/crates/rockflow-management-service/tests/credentials.rs
@@ -1,4 +1,4 @@
-//! Credential files that are refused, by the texts that an operator reads.
+//! Checks which credential files are refused, and the error messages that operators see.
 
 use rockflow_management_service::credentials::{
     check_permissions, read_file, tls_server_config, FileSecrecy,
@@ -7,7 +7,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 
-fn file(name: &str, text: &str, mode: u32) -> PathBuf {
+fn write_file(name: &str, text: &str, mode: u32) -> PathBuf {
     let path = std::env::temp_dir().join(format!("rockflow-credentials-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
@@ -16,33 +16,33 @@
 
 #[test]
 fn rejects_key_that_others_can_read() {
-    let path = file("key-mode", "x", 0o640);
+    let path = write_file("key-mode", "x", 0o640);
     let error = read_file(&path, FileSecrecy::OwnerOnly).unwrap_err();
-    let wanted = format!("{}: mode 640: others than its owner can read or write it", path.display());
-    assert_eq!(error.to_string(), wanted);
+    let expected = format!("{}: mode 640: others than its owner can read or write it", path.display());
+    assert_eq!(error.to_string(), expected);
     assert_eq!(read_file(&path, FileSecrecy::Readable).unwrap(), b"x");
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
 fn rejects_certificate_that_others_can_write() {
-    let path = file("certificate-mode", "x", 0o666);
+    let path = write_file("certificate-mode", "x", 0o666);
     let error = check_permissions(&path, FileSecrecy::Readable).unwrap_err();
-    let wanted = format!("{}: mode 666: others than its owner can write it", path.display());
-    assert_eq!(error.to_string(), wanted);
+    let expected = format!("{}: mode 666: others than its owner can write it", path.display());
+    assert_eq!(error.to_string(), expected);
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
 fn rejects_file_that_is_too_large() {
-    let path = file("large", &"x".repeat(1024 * 1024 + 1), 0o600);
+    let path = write_file("large", &"x".repeat(1024 * 1024 + 1), 0o600);
     let error = check_permissions(&path, FileSecrecy::OwnerOnly).unwrap_err();
     assert_eq!(error.to_string(), format!("{}: larger than 1048576 bytes", path.display()));
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn names_the_file_that_is_missing() {
+fn error_names_the_missing_file() {
     let path = PathBuf::from("/nowhere/at/all.pem");
     let section = TlsSection {
         listen: "127.0.0.1:0".parse().unwrap(),
--- a/crates/rockflow-management-service/tests/unauthenticated_connections.rs
+++ b/crates/rockflow-management-service/tests/unauthenticated_connections.rs
@@ -1,9 +1,9 @@
-//! The limit on connections whose peer is not authenticated.
+//! The limit on concurrent connections whose peer is not authenticated yet.
 
 use rockflow_management_service::UnauthenticatedConnections;
 
 #[tokio::test]
-async fn evicts_the_oldest_past_the_limit_and_frees_authenticated_ones() {
+async fn evicts_the_oldest_connection_at_the_limit_and_removes_dropped_ones() {
     let connections = UnauthenticatedConnections::new(2);
     let (first, second) = (connections.admit(), connections.admit());
     drop(second);
