--- a/crates/rockflow-management-client/src/gnmi.rs
+++ b/crates/rockflow-management-client/src/gnmi.rs
@@ -1,4 +1,4 @@
-//! The gNMI client, over TLS with certificates both ways.
+//! The gNMI client, over TLS with mutual authentication by certificates.
 
 use crate::ClientError;
 use hyper_util::rt::TokioIo;
@@ -12,12 +12,12 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status, Streaming};
 
-/// Bytes of a message at the most.
+/// Maximum size of a received message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
-/// How long a connection is waited for.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A connection to a server.
+/// A connection to a gNMI server. Clones share the connection.
 #[derive(Clone)]
 pub struct Client {
     inner: GNmiClient<Channel>,
@@ -39,7 +39,8 @@
     ClientError::Rejected { tag: tag.to_string(), app_tag: None, message }
 }
 
-/// A path as text, such as `/router/marks/mark[host=c1]`, in the form of the wire.
+/// Parses a path such as `/router/marks/mark[host=c1]` into the protocol's form. Fails with
+/// [`ClientError::Unreadable`] if the path does not fit the schema.
 pub fn path(schema: &Schema, text: &str) -> Result<wire::Path, ClientError> {
     let pattern = Pattern::parse(schema, text).map_err(|error| ClientError::Unreadable(error.to_string()))?;
     let elem = pattern.0.iter().map(|step| {
@@ -51,7 +52,7 @@
     Ok(wire::Path { elem: elem.collect(), ..wire::Path::default() })
 }
 
-/// A path of the wire as text.
+/// Formats a path of the protocol as text, with the keys sorted by name; the empty path is `/`.
 pub fn text(path: &wire::Path) -> String {
     let mut text = String::new();
     for elem in &path.elem {
@@ -66,7 +67,7 @@
     text
 }
 
-/// An update's value as JSON.
+/// Returns an update's value as JSON; `null` if it has none or is of a type that the servers don't send.
 pub fn json(update: &wire::Update) -> Value {
     use wire::typed_value::Value as Typed;
     match update.val.as_ref().and_then(|val| val.value.as_ref()) {
@@ -84,7 +85,8 @@
 }
 
 impl Client {
-    /// Connects to a server. `name` is the one in its certificate; `config` holds the client's certificate.
+    /// Connects to a server. `name` must match the server's certificate; `config` holds the client's
+    /// certificate and the trusted authorities.
     pub async fn connect(
         address: &str,
         name: &str,
@@ -94,10 +96,11 @@
         config.alpn_protocols = vec![b"h2".to_vec()];
         let connector = tokio_rustls::TlsConnector::from(Arc::new(config));
         let (address, name) = (address.to_string(), name.to_string());
-        // The scheme only names the authority: what carries the bytes is TLS, below.
+        // The URI only provides the authority of the requests. The connector below always uses TLS, whatever
+        // the scheme says.
         let endpoint = Endpoint::from_shared(format!("http://{name}"));
         let endpoint = endpoint
-            .map_err(|what| ClientError::Connection(what.to_string()))?
+            .map_err(|error| ClientError::Connection(error.to_string()))?
             .connect_timeout(CONNECT_TIMEOUT);
         let connect = tower::service_fn(move |_| {
             let (connector, address, name) = (connector.clone(), address.clone(), name.clone());
@@ -109,17 +112,17 @@
             }
         });
         let channel = endpoint.connect_with_connector(connect).await;
-        let channel = channel.map_err(|what| ClientError::Connection(format!("{what:?}")))?;
+        let channel = channel.map_err(|error| ClientError::Connection(format!("{error:?}")))?;
         Ok(Client { inner: GNmiClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES) })
     }
 
-    /// What the server announces.
+    /// Requests the server's capabilities: models, encodings and version.
     pub async fn capabilities(&mut self) -> Result<wire::CapabilityResponse, ClientError> {
         let response = self.inner.capabilities(wire::CapabilityRequest::default()).await;
         response.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// Reads what the paths name: the path and value of each instance.
+    /// Reads the values at the paths. Returns the path and the value of each instance.
     pub async fn get(
         &mut self,
         schema: &Schema,
@@ -136,7 +139,7 @@
         Ok(updates.map(|update| (update.path.as_ref().map(text).unwrap_or_default(), json(update))).collect())
     }
 
-    /// Deletes, replaces and merges in one transaction.
+    /// Deletes, replaces and merges (`updates`) in one transaction.
     pub async fn set(
         &mut self,
         schema: &Schema,
@@ -144,30 +147,30 @@
         replace: &[(&str, Value)],
         updates: &[(&str, Value)],
     ) -> Result<wire::SetResponse, ClientError> {
-        let all = |pairs: &[(&str, Value)]| {
-            let made = pairs.iter().map(|(text, value)| Ok(update(path(schema, text)?, value)));
-            made.collect::<Result<Vec<_>, ClientError>>()
+        let to_updates = |pairs: &[(&str, Value)]| {
+            let updates = pairs.iter().map(|(text, value)| Ok(update(path(schema, text)?, value)));
+            updates.collect::<Result<Vec<_>, ClientError>>()
         };
         let request = wire::SetRequest {
             delete: delete.iter().map(|text| path(schema, text)).collect::<Result<_, _>>()?,
-            replace: all(replace)?,
-            update: all(updates)?,
+            replace: to_updates(replace)?,
+            update: to_updates(updates)?,
             ..wire::SetRequest::default()
         };
         self.inner.set(request).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// Sends a Set that the caller made.
+    /// Sends a Set request as the caller built it.
     pub async fn raw_set(&mut self, request: wire::SetRequest) -> Result<wire::SetResponse, ClientError> {
         self.inner.set(request).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// Sends a Get that the caller made.
+    /// Sends a Get request as the caller built it.
     pub async fn raw_get(&mut self, request: wire::GetRequest) -> Result<wire::GetResponse, ClientError> {
         self.inner.get(request).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// Subscribes with messages that the caller made.
+    /// Opens a Subscribe stream with request messages as the caller built them.
     pub async fn subscribe(
         &mut self,
         requests: impl tokio_stream::Stream<Item = wire::SubscribeRequest> + Send + 'static,
@@ -175,7 +178,8 @@
         self.inner.subscribe(requests).await.map(tonic::Response::into_inner).map_err(rejected)
     }
 
-    /// Subscribes to what the paths name: its changes, or all of it at intervals.
+    /// Subscribes to the values at the paths. With a `period`, all values are sent at that interval;
+    /// otherwise the present values once, then changes.
     pub async fn follow(
         &mut self,
         schema: &Schema,
@@ -184,7 +188,7 @@
     ) -> Result<Streaming<wire::SubscribeResponse>, ClientError> {
         let mode =
             if period.is_some() { wire::SubscriptionMode::Sample } else { wire::SubscriptionMode::OnChange };
-        let one = |text: &String| {
+        let to_subscription = |text: &String| {
             Ok(wire::Subscription {
                 path: Some(path(schema, text)?),
                 mode: mode as i32,
@@ -193,13 +197,13 @@
             })
         };
         let list = wire::SubscriptionList {
-            subscription: paths.iter().map(one).collect::<Result<_, ClientError>>()?,
+            subscription: paths.iter().map(to_subscription).collect::<Result<_, ClientError>>()?,
             encoding: wire::Encoding::JsonIetf as i32,
             ..wire::SubscriptionList::default()
         };
         let request = wire::subscribe_request::Request::Subscribe(list);
         let request = wire::SubscribeRequest { request: Some(request), ..wire::SubscribeRequest::default() };
-        // Held open: a subscription lives as long as its stream of requests.
+        // The request stream is kept open, because the subscription ends with it.
         let requests = tokio_stream::StreamExt::chain(tokio_stream::once(request), tokio_stream::pending());
         self.subscribe(requests).await
     }
--- a/crates/rockflow-management-client/src/lib.rs
+++ b/crates/rockflow-management-client/src/lib.rs
@@ -1,12 +1,13 @@
-//! Clients for the management of rockflow: [`netconf::Client`] speaks NETCONF over SSH or TLS, [`gnmi::Client`] gNMI. What
-//! they read comes as trees of the published model.
+//! Clients for the management servers of rockflow: [`netconf::Client`] speaks NETCONF over SSH or TLS, and
+//! [`gnmi::Client`] speaks gNMI over TLS. Data is addressed by paths of the published YANG model: NETCONF
+//! reads return a [`rockflow_yang::DataTree`], gNMI reads JSON values.
 //!
 //! ```no_run
 //! use rockflow_management_client::{netconf, ClientError};
 //! use rockflow_yang::Schema;
 //! use russh::keys::{PrivateKey, PublicKey};
 //!
-//! /// Takes a host out of service, and shows what became of it.
+//! /// Drains a host and prints its state afterwards.
 //! async fn drain(key: PrivateKey, host_key: PublicKey) -> Result<(), ClientError> {
 //!     let schema = Schema::published();
 //!     let mut client = netconf::Client::ssh("router-1:830", "ana", key, host_key).await?;
@@ -23,26 +24,26 @@
 
 use thiserror::Error;
 
-/// Why something was not done.
+/// A request to a management server failed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ClientError {
-    /// There is no connection, or it broke.
+    /// The connection could not be established, was lost, or a reply did not arrive in time.
     #[error("connection: {0}")]
     Connection(String),
-    /// The peer is not who it should be, or does not know this client.
+    /// The server's identity could not be verified, or the server did not accept the client's credentials.
     #[error("trust: {0}")]
     Untrusted(String),
-    /// The server refused the request.
+    /// The server refused the request with an error.
     #[error("{tag}: {message}")]
     Rejected {
-        /// Its error tag (RFC 6241, appendix A).
+        /// The NETCONF error tag (RFC 6241, appendix A); gNMI status codes are mapped to such tags.
         tag: String,
-        /// Its finer tag.
+        /// The application's error tag, which is more specific; `None` with gNMI or if the server sent none.
         app_tag: Option<String>,
-        /// Its message.
+        /// The server's error message, for the operator.
         message: String,
     },
-    /// What was received, or is to be sent, can't be read.
+    /// A received message, or a path that the caller gave, can't be parsed.
     #[error("unreadable: {0}")]
     Unreadable(String),
 }
--- a/crates/rockflow-management-client/src/netconf.rs
+++ b/crates/rockflow-management-client/src/netconf.rs
@@ -1,4 +1,5 @@
-//! The NETCONF client: one request at a time; notifications that arrive meanwhile are queued in their order.
+//! The NETCONF client. It sends one request at a time; notifications that arrive before the reply are queued
+//! in order.
 
 use crate::ClientError;
 use rockflow_netconf::codec;
@@ -13,32 +14,32 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes of a message at the most.
+/// Maximum size of a received message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
-/// How long a reply is waited for.
+/// Timeout for the reply to a request.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Notifications queued while requests are answered; further ones are dropped.
+/// Maximum number of notifications queued while a request waits for its reply; further ones are dropped.
 const MAX_QUEUED: usize = 10_000;
 
-/// A stream that can carry a session.
+/// A byte stream over which a session can run.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Stream for T {}
 
-/// A session with a server.
+/// A NETCONF session with a server.
 pub struct Client {
     stream: Box<dyn Stream>,
     framing: Framing,
     next_message_id: u64,
-    /// The session's number, which the server gave.
+    /// The session id that the server assigned; 0 if its hello had none.
     pub session: u32,
-    /// What the server announced in its hello.
+    /// The capabilities that the server announced in its hello.
     pub capabilities: Vec<String>,
     queued: VecDeque<Element>,
-    /// Lives as long as the session; none over TLS.
+    /// Keeps the SSH connection open for as long as the session; `None` over other streams.
     _ssh: Option<russh::client::Handle<HostKey>>,
 }
 
-/// Accepts one host key only.
+/// An SSH event handler that accepts only this host key.
 pub struct HostKey(PublicKey);
 
 impl russh::client::Handler for HostKey {
@@ -52,49 +53,53 @@
     }
 }
 
-fn connection(what: impl std::fmt::Display) -> ClientError {
-    ClientError::Connection(what.to_string())
+fn connection_error(cause: impl std::fmt::Display) -> ClientError {
+    ClientError::Connection(cause.to_string())
 }
 
 impl Client {
-    /// Connects over SSH, as `user` with the key, to a server that has that host key.
+    /// Connects over SSH and authenticates as `user` with `key`. Fails with [`ClientError::Untrusted`] if the
+    /// server's host key is not `host`, or if the server does not accept the user's key.
     pub async fn ssh(
         address: &str,
         user: &str,
         key: PrivateKey,
         host: PublicKey,
     ) -> Result<Client, ClientError> {
-        let stream = TcpStream::connect(address).await.map_err(connection)?;
+        let stream = TcpStream::connect(address).await.map_err(connection_error)?;
         let _ = stream.set_nodelay(true);
         let config = Arc::new(russh::client::Config { nodelay: true, ..russh::client::Config::default() });
         let connected = russh::client::connect_stream(config, stream, HostKey(host)).await;
-        let mut handle = connected.map_err(|what| match what {
+        let mut handle = connected.map_err(|error| match error {
             russh::Error::UnknownKey => ClientError::Untrusted("the server has another host key".to_string()),
-            what => connection(what),
+            other => connection_error(other),
         })?;
         let key = PrivateKeyWithHashAlg::new(Arc::new(key), None);
-        let proved = handle.authenticate_publickey(user, key).await.map_err(connection)?;
-        if !proved.success() {
+        let authentication = handle.authenticate_publickey(user, key).await.map_err(connection_error)?;
+        if !authentication.success() {
             return Err(ClientError::Untrusted(format!("the server does not know this key for {user}")));
         }
-        let channel = handle.channel_open_session().await.map_err(connection)?;
-        channel.request_subsystem(true, "netconf").await.map_err(connection)?;
+        let channel = handle.channel_open_session().await.map_err(connection_error)?;
+        channel.request_subsystem(true, "netconf").await.map_err(connection_error)?;
         Client::begin(Box::new(channel.into_stream()), Some(handle)).await
     }
 
-    /// Connects over TLS; `config` holds the client's certificate and the server's authority.
+    /// Connects over TLS. `name` must match the server's certificate; `config` holds the client's certificate
+    /// and the trusted authorities.
     pub async fn tls(
         address: &str,
         name: &str,
         config: Arc<rustls::ClientConfig>,
     ) -> Result<Client, ClientError> {
-        let stream = TcpStream::connect(address).await.map_err(connection)?;
-        let name = rustls::pki_types::ServerName::try_from(name.to_string()).map_err(connection)?;
+        let stream = TcpStream::connect(address).await.map_err(connection_error)?;
+        let name = rustls::pki_types::ServerName::try_from(name.to_string()).map_err(connection_error)?;
         let stream = tokio_rustls::TlsConnector::from(config).connect(name, stream).await;
-        Client::begin(Box::new(stream.map_err(|what| ClientError::Untrusted(what.to_string()))?), None).await
+        Client::begin(Box::new(stream.map_err(|error| ClientError::Untrusted(error.to_string()))?), None)
+            .await
     }
 
-    /// Begins a session over any stream: exchanges the hellos.
+    /// Starts a session over any stream by exchanging the hello messages. `ssh` is the connection to keep
+    /// open for as long as the session, if the stream is an SSH channel.
     pub async fn begin(
         stream: Box<dyn Stream>,
         ssh: Option<russh::client::Handle<HostKey>>,
@@ -117,10 +122,10 @@
         out.close("hello");
         client.send(&out.finish()).await?;
         let hello = client.message().await?;
-        let announced = hello.child("capabilities").map(|all| all.children.as_slice()).unwrap_or_default();
-        client.capabilities = announced.iter().map(|one| one.text().to_string()).collect();
-        client.session = hello.text_of("session-id").and_then(|word| word.parse().ok()).unwrap_or(0);
-        if client.capabilities.iter().any(|one| one == "urn:ietf:params:netconf:base:1.1") {
+        let announced = hello.child("capabilities").map(|list| list.children.as_slice()).unwrap_or_default();
+        client.capabilities = announced.iter().map(|capability| capability.text().to_string()).collect();
+        client.session = hello.text_of("session-id").and_then(|text| text.parse().ok()).unwrap_or(0);
+        if client.capabilities.iter().any(|capability| capability == "urn:ietf:params:netconf:base:1.1") {
             client.framing.switch_to_chunks();
         }
         Ok(client)
@@ -128,26 +133,28 @@
 
     async fn send(&mut self, message: &str) -> Result<(), ClientError> {
         let bytes = encode(message, self.framing.is_chunked());
-        self.stream.write_all(&bytes).await.map_err(connection)?;
-        self.stream.flush().await.map_err(connection)
+        self.stream.write_all(&bytes).await.map_err(connection_error)?;
+        self.stream.flush().await.map_err(connection_error)
     }
 
+    /// Receives the next message, whether reply or notification.
     async fn message(&mut self) -> Result<Element, ClientError> {
         let mut buffer = vec![0; 16 * 1024];
         loop {
             if let Some(message) =
-                self.framing.next_message().map_err(|what| ClientError::Unreadable(what.to_string()))?
+                self.framing.next_message().map_err(|error| ClientError::Unreadable(error.to_string()))?
             {
                 return xml::read(&message).map_err(|error| ClientError::Unreadable(error.to_string()));
             }
-            match self.stream.read(&mut buffer).await.map_err(connection)? {
-                0 => return Err(connection("ended")),
-                n => self.framing.add(&buffer[..n]),
+            match self.stream.read(&mut buffer).await.map_err(connection_error)? {
+                0 => return Err(connection_error("closed by the server")),
+                count => self.framing.add(&buffer[..count]),
             }
         }
     }
 
-    /// Calls an operation, given as XML; the reply, unless it holds an error.
+    /// Calls an operation, given as XML, and returns the reply. An `rpc-error` in the reply becomes
+    /// [`ClientError::Rejected`].
     pub async fn call(&mut self, operation: &str) -> Result<Element, ClientError> {
         let id = self.next_message_id.to_string();
         self.next_message_id += 1;
@@ -166,11 +173,11 @@
                 }
             }
         });
-        let reply = reply.await.map_err(|_| connection("no answer in time"))??;
+        let reply = reply.await.map_err(|_| connection_error("no reply in time"))??;
         if reply.name != "rpc-reply"
-            || reply.attribute("", "message-id").is_some_and(|answered| answered != id)
+            || reply.attribute("", "message-id").is_some_and(|reply_id| reply_id != id)
         {
-            return Err(ClientError::Unreadable(format!("{} is no reply to this", reply.name)));
+            return Err(ClientError::Unreadable(format!("{} is not the reply to this request", reply.name)));
         }
         match reply.children.iter().find(|child| child.name == "rpc-error") {
             Some(error) => Err(ClientError::Rejected {
@@ -188,7 +195,7 @@
         }
     }
 
-    /// The next notification, however long that takes.
+    /// Returns the next notification; waits without a timeout.
     pub async fn notification(&mut self) -> Result<Element, ClientError> {
         if let Some(queued) = self.queued.pop_front() {
             return Ok(queued);
@@ -201,7 +208,9 @@
         }
     }
 
-    /// Reads what the paths name of a datastore, which is given by its identity: `running`, `operational` and so on.
+    /// Reads the data at the paths from a datastore, named by its identity, such as `running` or
+    /// `operational`. Without paths, all of the datastore's data is read. Data of models unknown to the
+    /// schema is skipped.
     pub async fn get(
         &mut self,
         schema: &Schema,
@@ -217,25 +226,31 @@
         out.close("get-data");
         let reply = self.call(&out.finish()).await?;
         let data = reply.child("data").ok_or_else(|| ClientError::Unreadable("no data".to_string()))?;
-        let known: Vec<Element> = data
+        let known_elements: Vec<Element> = data
             .children
             .iter()
             .filter(|child| schema.modules().iter().any(|module| module.namespace == child.ns))
             .cloned()
             .collect();
-        let read =
-            codec::read(schema, None, &known, &Path::default(), rockflow_yang::NodeScope::ConfigAndState);
-        read.map_err(|error| ClientError::Unreadable(error.to_string()))
+        let tree = codec::read(
+            schema,
+            None,
+            &known_elements,
+            &Path::default(),
+            rockflow_yang::NodeScope::ConfigAndState,
+        );
+        tree.map_err(|error| ClientError::Unreadable(error.to_string()))
     }
 
-    /// Merges a tree into the candidate.
+    /// Merges a tree into the candidate datastore.
     pub async fn edit(&mut self, schema: &Schema, fields: &DataTree) -> Result<(), ClientError> {
         let mut inner = Writer::new();
         codec::write(schema, fields, None, codec::Annotations::default(), &mut inner);
         self.edit_xml(&inner.finish()).await
     }
 
-    /// Edits the candidate with the content of `<config>`; all of it or nothing.
+    /// Edits the candidate datastore. `config` is the content of the `<config>` element; if any part of it
+    /// fails, nothing is changed.
     pub async fn edit_xml(&mut self, config: &str) -> Result<(), ClientError> {
         let mut out = Writer::new();
         out.open("edit-config", &[]);
@@ -247,8 +262,9 @@
         self.call(&out.finish()).await.map(|_| ())
     }
 
-    /// Commits the candidate. `confirm_timeout`: the commit is undone unless it is confirmed by then, from any session that
-    /// knows `persist` where that is given. `persist_id`: confirms such a commit.
+    /// Commits the candidate. With `confirm_timeout`, the commit is reverted unless it is confirmed in that
+    /// time (in whole seconds, at least one). If `persist` is given too, any session that knows it can
+    /// confirm the commit. `persist_id` confirms such a commit.
     pub async fn commit(
         &mut self,
         confirm_timeout: Option<Duration>,
@@ -271,24 +287,28 @@
         self.call(&out.finish()).await.map(|_| ())
     }
 
-    /// Calls one of the model's own operations; the version that it committed.
+    /// Calls an operation that the model defines, such as `drain`, with the leaves in `input`. Returns the
+    /// version that it committed.
     pub async fn act(
         &mut self,
         schema: &Schema,
         name: &str,
         input: &[(&str, &str)],
     ) -> Result<u64, ClientError> {
-        let space = schema.find(&[name]).map(|id| schema.module_of(id).namespace.clone()).unwrap_or_default();
+        let namespace =
+            schema.find(&[name]).map(|id| schema.module_of(id).namespace.clone()).unwrap_or_default();
         let mut out = Writer::new();
-        out.open(name, &[("xmlns", &space)]);
+        out.open(name, &[("xmlns", &namespace)]);
         input.iter().for_each(|(name, value)| out.leaf(name, &[], value));
         out.close(name);
         let reply = self.call(&out.finish()).await?;
-        let version = reply.text_of("version").and_then(|word| word.parse().ok());
+        let version = reply.text_of("version").and_then(|text| text.parse().ok());
         version.ok_or_else(|| ClientError::Unreadable("no version in the reply".to_string()))
     }
 
-    /// Subscribes to what changes below the paths, or to all of it at intervals; the number of the subscription.
+    /// Subscribes to the operational data at the paths and returns the subscription's id. With a `period`,
+    /// all of the data is sent at that interval, rounded down to hundredths of a second; otherwise changes
+    /// are sent.
     pub async fn follow(&mut self, paths: &[String], period: Option<Duration>) -> Result<u64, ClientError> {
         let mut out = Writer::new();
         out.open("establish-subscription", &[("xmlns", ns::SUBSCRIBED), ("xmlns:ds", ns::DATASTORES)]);
@@ -304,18 +324,18 @@
         }
         out.close("establish-subscription");
         let reply = self.call(&out.finish()).await?;
-        let id = reply.text_of("id").and_then(|word| word.parse().ok());
+        let id = reply.text_of("id").and_then(|text| text.parse().ok());
         id.ok_or_else(|| ClientError::Unreadable("no id in the reply".to_string()))
     }
 
-    /// Subscribes to events.
+    /// Subscribes to the server's event notifications (RFC 5277).
     pub async fn events(&mut self) -> Result<(), ClientError> {
         let mut out = Writer::new();
         out.empty("create-subscription", &[("xmlns", ns::NOTIFICATION)]);
         self.call(&out.finish()).await.map(|_| ())
     }
 
-    /// Closes the session.
+    /// Closes the session gracefully, waiting for the server's reply.
     pub async fn close(&mut self) -> Result<(), ClientError> {
         self.call("<close-session/>").await.map(|_| ())
     }
