--- a/crates/rockflow-management-service/src/audit.rs
+++ b/crates/rockflow-management-service/src/audit.rs
@@ -1,5 +1,5 @@
-//! The audit log: who changed what, when and from where. Each commit is one line of JSON, logged under the target
-//! `audit` and also appended to a file if the operator's file names one.
+//! The audit log: who changed what, when and from where. Each commit is one line of JSON, logged under the
+//! target `audit` and also appended to a file if the operator's file names one.
 
 use rockflow_management::{timestamp, Commit};
 use rockflow_yang::{Change, Schema};
@@ -27,8 +27,8 @@
 }
 
 impl Audit {
-    /// Opens the audit log. If a path is given, lines are also appended to that file; if it does not exist, it is
-    /// created with access for its owner only.
+    /// Opens the audit log. If a path is given, lines are also appended to that file; if it does not exist,
+    /// it is created with access for its owner only.
     ///
     /// # Errors
     /// Fails if the file can't be opened.
--- a/crates/rockflow-management-service/src/authentication.rs
+++ b/crates/rockflow-management-service/src/authentication.rs
@@ -1,5 +1,5 @@
-//! Limits the connections whose peer is not authenticated yet. At the limit, a new connection evicts the oldest
-//! one, so that hundreds of half-open handshakes don't block a client that authenticates promptly.
+//! Limits the connections whose peer is not authenticated yet. At the limit, a new connection evicts the
+//! oldest one, so that hundreds of half-open handshakes don't block a client that authenticates promptly.
 
 use crate::credentials;
 use std::collections::BTreeMap;
@@ -25,7 +25,8 @@
 #[derive(Default)]
 struct ConnectionTable {
     next_id: u64,
-    /// The eviction signal of each connection, by connection id. Ids increase, so the first entry is the oldest.
+    /// The eviction signal of each connection, by connection id. Ids increase, so the first entry is the
+    /// oldest.
     evictions: BTreeMap<u64, Arc<Notify>>,
 }
 
--- a/crates/rockflow-management-service/src/credentials.rs
+++ b/crates/rockflow-management-service/src/credentials.rs
@@ -1,5 +1,5 @@
-//! Reads key and certificate files, checks that their permissions keep other users out, and builds the TLS server
-//! configuration from them.
+//! Reads key and certificate files, checks that their permissions keep other users out, and builds the TLS
+//! server configuration from them.
 
 use crate::operator_config::TlsSection;
 use rustls::pki_types::pem::{self, PemObject};
@@ -107,8 +107,8 @@
     Protocol(rustls::Error),
 }
 
-/// Checks that users other than the owner can't misuse a file or folder, that is, read a private key, or change the
-/// credentials by which users are authenticated.
+/// Checks that users other than the owner can't misuse a file or folder, that is, read a private key, or
+/// change the credentials by which users are authenticated.
 ///
 /// # Errors
 /// Fails if the mode allows more than `secrecy`, a file is larger than 1 MiB, or the path does not exist.
@@ -168,9 +168,10 @@
     Ok(Arc::new(config))
 }
 
-/// Returns the user named in a client certificate: the first subject alternative name that is an e-mail address or
-/// a DNS name, otherwise the common name (RFC 7589, section 7, with the same mapping for all certificates). `None`
-/// if there is no such name, or if it is longer than 128 bytes or has characters other than printable ASCII.
+/// Returns the user named in a client certificate: the first subject alternative name that is an e-mail
+/// address or a DNS name, otherwise the common name (RFC 7589, section 7, with the same mapping for all
+/// certificates). `None` if there is no such name, or if it is longer than 128 bytes or has characters other
+/// than printable ASCII.
 pub fn certificate_user(certificate: &[u8]) -> Option<String> {
     let (_, certificate) = X509Certificate::from_der(certificate).ok()?;
     let user = alternative_name(&certificate).or_else(|| common_name(&certificate))?;
--- a/crates/rockflow-management-service/src/event.rs
+++ b/crates/rockflow-management-service/src/event.rs
@@ -12,7 +12,8 @@
     EndpointChanged {
         /// The endpoint's name.
         name: String,
-        /// The new readiness and the source that determines it; `None` if the endpoint was removed from the list.
+        /// The new readiness and the source that determines it; `None` if the endpoint was removed from the
+        /// list.
         now: Option<EffectiveReadiness>,
     },
     /// An administrative override reached its expiry time.
--- a/crates/rockflow-management-service/src/lib.rs
+++ b/crates/rockflow-management-service/src/lib.rs
@@ -1,6 +1,7 @@
-//! The layer between the management datastores and the NETCONF and gNMI servers. It attaches the datastores to a
-//! running dispatcher, and provides authentication of connections, credentials and the audit log. A server only
-//! decodes a request, calls a method of [`SessionHandle`] and encodes the result; all rules are applied here.
+//! The layer between the management datastores and the NETCONF and gNMI servers. It attaches the datastores
+//! to a running dispatcher, and provides authentication of connections, credentials and the audit log. A
+//! server only decodes a request, calls a method of [`SessionHandle`] and encodes the result; all rules are
+//! applied here.
 
 pub mod audit;
 pub mod authentication;
--- a/crates/rockflow-management-service/src/model_writer.rs
+++ b/crates/rockflow-management-service/src/model_writer.rs
@@ -6,8 +6,8 @@
 /// Builds the children of one container or list entry.
 ///
 /// # Panics
-/// All methods panic if the model has no node of the given name. That is a mismatch between the program and its
-/// model, which the tests detect.
+/// All methods panic if the model has no node of the given name. That is a mismatch between the program and
+/// its model, which the tests detect.
 pub(crate) struct ModelWriter<'a> {
     schema: &'a Schema,
     node: NodeId,
--- a/crates/rockflow-management-service/src/restore.rs
+++ b/crates/rockflow-management-service/src/restore.rs
@@ -84,7 +84,8 @@
         self.datastores.administrative_overrides()
     }
 
-    /// Attaches the datastores to a running dispatcher. `set_log_level` is called when the configured level changes.
+    /// Attaches the datastores to a running dispatcher. `set_log_level` is called when the configured level
+    /// changes.
     pub fn into_service(
         self,
         dispatcher: ServiceHandle,
--- a/crates/rockflow-management-service/src/service.rs
+++ b/crates/rockflow-management-service/src/service.rs
@@ -1,8 +1,8 @@
 //! The management service: the datastores attached to a running dispatcher, shared by all protocols.
 //!
-//! A commit is first made durable, then sent to the endpoint list's actor in the order of commits, and acknowledged
-//! once the decision logic has applied it. All of this runs in the management thread, which reaches the dispatcher
-//! only by messages.
+//! A commit is first made durable, then sent to the endpoint list's actor in the order of commits, and
+//! acknowledged once the decision logic has applied it. All of this runs in the management thread, which
+//! reaches the dispatcher only by messages.
 
 mod changes;
 mod observation;
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Builds the operational datastore (RFC 8342): the running configuration with origins, and the dispatcher's
-    /// state.
+    /// Builds the operational datastore (RFC 8342): the running configuration with origins, and the
+    /// dispatcher's state.
     pub async fn operational(&self) -> DataTree {
         let status = self.status().await.unwrap_or_default();
         let shared = self.lock();
@@ -197,8 +197,8 @@
         state::operational(&shared.datastores, &source)
     }
 
-    /// Returns the dispatcher's status, at most [`STATUS_MAX_AGE`] old. If the dispatcher does not answer in time,
-    /// returns the last known status, or `None` if it never answered.
+    /// Returns the dispatcher's status, at most [`STATUS_MAX_AGE`] old. If the dispatcher does not answer in
+    /// time, returns the last known status, or `None` if it never answered.
     async fn status(&self) -> Option<Arc<StatusReport>> {
         let now = self.now();
         let last = self.lock().status.clone();
--- a/crates/rockflow-management-service/src/service/changes.rs
+++ b/crates/rockflow-management-service/src/service/changes.rs
@@ -1,5 +1,5 @@
-//! Applies the effects of a change of the datastores: writes the audit log, notifies subscribers, sets the log
-//! level, and sends the overrides to the endpoint list of the decision logic.
+//! Applies the effects of a change of the datastores: writes the audit log, notifies subscribers, sets the
+//! log level, and sends the overrides to the endpoint list of the decision logic.
 
 use super::{Datastores, ManagementService, Shared};
 use crate::event::ManagementEvent;
@@ -17,13 +17,15 @@
 const APPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ManagementService {
-    /// Makes one change on behalf of a session, and waits until it is durable and the decision logic has applied it.
+    /// Makes one change on behalf of a session, and waits until it is durable and the decision logic has
+    /// applied it.
     pub(crate) async fn change<T>(
         &self,
         id: SessionId,
         apply_change: impl FnOnce(&mut Datastores, Duration, &ValidationContext) -> Result<T, ManagementError>,
     ) -> Result<T, ManagementError> {
-        // Without the endpoint list, the validation could not prevent draining the last endpoint of a location.
+        // Without the endpoint list, the validation could not prevent draining the last endpoint of a
+        // location.
         let status = self.status().await.ok_or_else(|| {
             let message = "the dispatcher did not report its hosts; nothing is changed";
             ManagementError::new(ErrorTag::ResourceDenied, message)
@@ -45,9 +47,9 @@
         result
     }
 
-    /// Applies the effects of the pending notifications while the lock is held, so that commits reach the endpoint
-    /// list in order, including those caused by the end of a session or by a timeout. If overrides were sent, the
-    /// returned receiver completes when the decision logic has applied them.
+    /// Applies the effects of the pending notifications while the lock is held, so that commits reach the
+    /// endpoint list in order, including those caused by the end of a session or by a timeout. If overrides
+    /// were sent, the returned receiver completes when the decision logic has applied them.
     pub(crate) fn process_notifications(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
         let now = self.now();
         let mut has_commit = false;
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Sends all current overrides to the endpoint list. `None` if the endpoint list accepts no more messages; then
-    /// they are sent again later.
+    /// Sends all current overrides to the endpoint list. `None` if the endpoint list accepts no more
+    /// messages; then they are sent again later.
     fn send_overrides(&self, shared: &mut Shared) -> Option<oneshot::Receiver<()>> {
         let (done, applied) = oneshot::channel();
         let is_sent =
--- a/crates/rockflow-management-service/src/service/observation.rs
+++ b/crates/rockflow-management-service/src/service/observation.rs
@@ -1,5 +1,5 @@
-//! The service's timer: deadlines of confirmed commits and idle sessions, and detection of the state changes that
-//! subscribers wait for.
+//! The service's timer: deadlines of confirmed commits and idle sessions, and detection of the state changes
+//! that subscribers wait for.
 
 use super::{ManagementService, Shared};
 use crate::event::ManagementEvent;
--- a/crates/rockflow-management-service/src/session_handle.rs
+++ b/crates/rockflow-management-service/src/session_handle.rs
@@ -118,7 +118,8 @@
         self.service.change(id, set).await
     }
 
-    /// Restores the configuration of an earlier commit, as a new commit. Returns the version of the commit now in effect.
+    /// Restores the configuration of an earlier commit, as a new commit. Returns the version of the commit
+    /// now in effect.
     ///
     /// # Errors
     /// The errors of `Management::rollback`.
@@ -134,8 +135,8 @@
         self.service.change(id, rollback).await
     }
 
-    /// Sets an endpoint to draining for `expires_in`; if that is `None`, until it is undrained. `force` also drains
-    /// the last endpoint of a location. Returns the version of the commit now in effect.
+    /// Sets an endpoint to draining for `expires_in`; if that is `None`, until it is undrained. `force` also
+    /// drains the last endpoint of a location. Returns the version of the commit now in effect.
     ///
     /// # Errors
     /// The errors of `Management::set_override`.
@@ -177,8 +178,8 @@
         self.service.change(id, |datastores, now, _| datastores.kill_session(now, id, victim)).await
     }
 
-    /// Subscribes to future events, each with its Unix time. A receiver that lags too far behind gets an error with
-    /// the number of missed events.
+    /// Subscribes to future events, each with its Unix time. A receiver that lags too far behind gets an
+    /// error with the number of missed events.
     pub fn subscribe_events(&mut self) -> broadcast::Receiver<(Duration, ManagementEvent)> {
         self.subscriptions += 1;
         drop(self.lock_active());
@@ -186,8 +187,8 @@
         self.service.events.subscribe()
     }
 
-    /// Subscribes to the values of the operational datastore that match the patterns. With `updates_only`, the
-    /// first update does not repeat the present values.
+    /// Subscribes to the values of the operational datastore that match the patterns. With `updates_only`,
+    /// the first update does not repeat the present values.
     ///
     /// # Errors
     /// Fails if an access rule denies the call, or the maximum number of subscriptions is reached.
@@ -198,8 +199,8 @@
         updates_only: bool,
     ) -> Result<ValueSubscription, ManagementError> {
         self.authorize_call("establish-subscription")?;
-        // The baseline for change detection must not be newer than the subscriber's first snapshot; otherwise a
-        // change between the two would never be reported.
+        // The baseline for change detection must not be newer than the subscriber's first snapshot; otherwise
+        // a change between the two would never be reported.
         let baseline = self.service.operational().await;
         let now = self.service.now();
         if self.service.lock().subscriptions.active.len() >= MAX_SUBSCRIPTIONS {
--- a/crates/rockflow-management-service/src/state.rs
+++ b/crates/rockflow-management-service/src/state.rs
@@ -1,5 +1,6 @@
 //! Builds the operational datastore: the running configuration with the origin of each override, and the
-//! dispatcher's state in the terms of the YANG model. Other modules don't use the model's names for that state.
+//! dispatcher's state in the terms of the YANG model. Other modules don't use the model's names for that
+//! state.
 
 use crate::model_writer::ModelWriter;
 use rockflow::{Effect, Readiness, Role};
--- a/crates/rockflow-management-service/src/value_subscription.rs
+++ b/crates/rockflow-management-service/src/value_subscription.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// Returns the path of the leaf-list if `path` is a value of one, because access rules name the leaf-list as a
-/// whole. `None` if the last step of the path has no keys.
+/// Returns the path of the leaf-list if `path` is a value of one, because access rules name the leaf-list as
+/// a whole. `None` if the last step of the path has no keys.
 fn leaf_list_of(path: &Path) -> Option<Path> {
     let last = path.0.last().filter(|step| !step.keys.is_empty())?;
     Some(Path(path.0[..path.0.len() - 1].to_vec()).child(last.node, Vec::new()))
--- a/crates/rockflow-operator-config/src/lib.rs
+++ b/crates/rockflow-operator-config/src/lib.rs
@@ -1,6 +1,7 @@
-//! Parses the operator's configuration file; `deploy/rockflow.ini` is a commented example. The format is INI, in
-//! layers: a later file overrides an earlier one key by key. Each error names its file, line, section and key, and
-//! what is allowed there. If a section is absent, the part of the program that it configures does not run.
+//! Parses the operator's configuration file; `deploy/rockflow.ini` is a commented example. The format is INI,
+//! in layers: a later file overrides an earlier one key by key. Each error names its file, line, section and
+//! key, and what is allowed there. If a section is absent, the part of the program that it configures does
+//! not run.
 
 mod dissemination;
 mod error;
--- a/crates/rockflow-operator-config/src/overrides.rs
+++ b/crates/rockflow-operator-config/src/overrides.rs
@@ -31,8 +31,8 @@
     Duplicate(String),
 }
 
-/// Parses a file of overrides: each line is `HOST = draining` or `HOST = gone`; `#` starts a comment. The result
-/// maps the host's name to its state.
+/// Parses a file of overrides: each line is `HOST = draining` or `HOST = gone`; `#` starts a comment. The
+/// result maps the host's name to its state.
 ///
 /// # Errors
 /// Returns one error for each invalid line.
--- a/crates/rockflow-operator-config/src/reader.rs
+++ b/crates/rockflow-operator-config/src/reader.rs
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Checks the ranges and lengths that the `garde` attributes of `T` declare. `None` if a check fails, which
-    /// is reported. The field names of `T` are the key names, with `_` for `-`.
+    /// Checks the ranges and lengths that the `garde` attributes of `T` declare. `None` if a check fails,
+    /// which is reported. The field names of `T` are the key names, with `_` for `-`.
     pub(crate) fn validated<T: Validate<Context = ()>>(&mut self, section: &str, read: T) -> Option<T> {
         let Err(report) = read.validate() else { return Some(read) };
         for (path, error) in report.iter() {
--- a/crates/rockflow-operator-config/src/sections.rs
+++ b/crates/rockflow-operator-config/src/sections.rs
@@ -1,5 +1,5 @@
-//! The parsed sections of the operator's configuration file. A field that `garde` validates must have the name of
-//! its key, with `_` for `-`, because the error message derives the key from the field name.
+//! The parsed sections of the operator's configuration file. A field that `garde` validates must have the
+//! name of its key, with `_` for `-`, because the error message derives the key from the field name.
 
 use garde::Validate;
 use std::net::SocketAddr;
@@ -31,8 +31,8 @@
     Startup,
 }
 
-/// `[management]`: the settings that all management servers share. It is required if `[netconf]` or `[gnmi]` is
-/// present.
+/// `[management]`: the settings that all management servers share. It is required if `[netconf]` or `[gnmi]`
+/// is present.
 #[derive(Clone, Debug, PartialEq, Validate)]
 pub struct ManagementSection {
     /// The user to whom no access rule applies.
@@ -71,8 +71,8 @@
     /// The file with the private key of the SSH server; required with `ssh`.
     #[garde(skip)]
     pub host_key: Option<PathBuf>,
-    /// A folder with one file per user, named after the user, in the format of `authorized_keys`; required with
-    /// `ssh`.
+    /// A folder with one file per user, named after the user, in the format of `authorized_keys`; required
+    /// with `ssh`.
     #[garde(skip)]
     pub authorized_keys: Option<PathBuf>,
     /// The TLS listener (keys `tls`, `certificate`, `key` and `client-ca`); `None` turns it off.
@@ -123,8 +123,8 @@
     pub bytes_per_second: u32,
     /// The time between two heartbeats (key `pulse-ms`).
     pub heartbeat_interval: Duration,
-    /// Whether the network itself keeps untrusted peers out. If not, all addresses must be loopback addresses,
-    /// because datagrams are not authenticated.
+    /// Whether the network itself keeps untrusted peers out. If not, all addresses must be loopback
+    /// addresses, because datagrams are not authenticated.
     pub trusted_network: bool,
 }
 
