--- a/crates/rockflow-management-agent/src/error.rs
+++ b/crates/rockflow-management-agent/src/error.rs
@@ -1,15 +1,15 @@
-//! Why the management side can't be opened.
+//! The error type for opening the management service.
 
 use rockflow_management_service::OpenError;
 use thiserror::Error;
 
-/// Why the management side can't be opened.
+/// The management service can't be opened.
 #[derive(Debug, Error)]
 pub enum AgentError {
-    /// The operator's file names a protocol that the program is built without.
-    #[error("[{section}]: this program is built without it")]
+    /// The operator's file configures a protocol that this program was built without.
+    #[error("[{section}]: this program is built without this protocol")]
     NotBuilt {
-        /// The file's section.
+        /// The section of the operator's file that configures the protocol.
         section: &'static str,
     },
     /// The NETCONF server can't start.
@@ -20,7 +20,7 @@
     #[cfg(feature = "gnmi")]
     #[error(transparent)]
     Gnmi(#[from] rockflow_gnmi::StartError),
-    /// What is stored can't be restored.
+    /// The stored datastores can't be restored.
     #[error(transparent)]
     Open(#[from] OpenError),
 }
--- a/crates/rockflow-management-agent/src/lib.rs
+++ b/crates/rockflow-management-agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The management side of a dispatcher put together.
+//! Combines the management datastores with the NETCONF and gNMI servers of a dispatcher.
 //!
-//! [`Agent::open`] restores what is stored and binds the listeners, ahead of the dispatcher; [`Agent::run`] starts the one
-//! thread in which all of it lives. Without a `[management]` section in the operator's file there is no agent, and nothing of
-//! it is started.
+//! [`Agent::open`] restores the stored datastores and binds the listeners, before the dispatcher starts.
+//! [`Agent::run`] starts the one thread in which all management code runs. Without a `[management]` section
+//! in the operator's file there is no agent, and no management code runs.
 
 mod error;
 
@@ -15,41 +15,43 @@
 use std::sync::Arc;
 use tracing::{error, info};
 
-/// The management side, restored and bound, that does not run yet.
+/// Restored datastores and bound listeners that do not serve yet.
 pub struct Agent {
     restored: RestoredState,
-    fronts: Fronts,
+    servers: ProtocolServers,
 }
 
-/// The protocols' servers, as far as they are built in and the operator's file names them.
-struct Fronts {
+/// The bound servers of the protocols that are both built in and configured in the operator's file.
+struct ProtocolServers {
     #[cfg(feature = "netconf")]
     netconf: Option<rockflow_netconf::BoundServer>,
     #[cfg(feature = "gnmi")]
     gnmi: Option<rockflow_gnmi::BoundServer>,
 }
 
-/// Where the protocols' servers listen; none: not configured, or not built in.
+/// The addresses on which the protocol servers listen. `None` means that the protocol is not configured or
+/// not built in.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Addresses {
-    /// NETCONF over SSH.
+    /// The listener for NETCONF over SSH.
     pub ssh: Option<SocketAddr>,
-    /// NETCONF over TLS.
+    /// The listener for NETCONF over TLS.
     pub tls: Option<SocketAddr>,
-    /// gNMI.
+    /// The listener for gNMI over TLS.
     pub gnmi: Option<SocketAddr>,
 }
 
 impl Agent {
-    /// Restores the state and binds the listeners. None: the operator's file has no management.
+    /// Binds the listeners and restores the datastores. `Ok(None)` if the operator's file has no
+    /// `[management]` section.
     pub fn open(clock: Clock, config: &OperatorConfig) -> Result<Option<Agent>, AgentError> {
         let Some(section) = &config.management else { return Ok(None) };
-        let fronts = Fronts::bind(config)?;
+        let servers = ProtocolServers::bind(config)?;
         let restored = RestoredState::open(clock, section)?;
-        Ok(Some(Agent { restored, fronts }))
+        Ok(Some(Agent { restored, servers }))
     }
 
-    /// Checks that all keys and certificates that the operator's file names can be used, and opens nothing for good.
+    /// Checks that all keys and certificates that the operator's file names can be used. Nothing stays open.
     pub fn check(config: &OperatorConfig) -> Result<(), AgentError> {
         #[cfg(feature = "netconf")]
         if let Some(section) = &config.netconf {
@@ -64,28 +66,33 @@
         Ok(())
     }
 
-    /// The administrative overrides that apply from the first request on.
+    /// The administrative overrides that the dispatcher must apply from its first request on.
     pub fn administrative_overrides(&self) -> AdminOverrides {
         self.restored.administrative_overrides()
     }
 
-    /// Where the protocols' servers listen.
+    /// The addresses on which the protocol servers listen.
     pub fn addresses(&self) -> Addresses {
-        self.fronts.addresses()
+        self.servers.addresses()
     }
 
-    /// Starts the management thread. It ends with the program: what was acknowledged is durable already.
-    pub fn run(self, link: ServiceHandle, set_level: SetLogLevel) -> std::io::Result<Arc<ManagementService>> {
+    /// Starts the management thread. It runs until the process ends and needs no shutdown, because every
+    /// acknowledged commit is already durable. `set_level` is called when the configured log level changes.
+    pub fn run(
+        self,
+        dispatcher: ServiceHandle,
+        set_level: SetLogLevel,
+    ) -> std::io::Result<Arc<ManagementService>> {
         let addresses = self.addresses();
-        let service = self.restored.into_service(link, set_level);
+        let service = self.restored.into_service(dispatcher, set_level);
         info!(?addresses, "management started");
-        let (fronts, served) = (self.fronts, service.clone());
+        let (servers, thread_service) = (self.servers, service.clone());
         std::thread::Builder::new().name("management".to_string()).spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             match runtime {
                 Ok(runtime) => runtime.block_on(async move {
-                    fronts.serve(&served);
-                    served.run().await;
+                    servers.serve(&thread_service);
+                    thread_service.run().await;
                 }),
                 Err(error) => error!(%error, "management not started"),
             }
@@ -94,8 +101,8 @@
     }
 }
 
-impl Fronts {
-    fn bind(config: &OperatorConfig) -> Result<Fronts, AgentError> {
+impl ProtocolServers {
+    fn bind(config: &OperatorConfig) -> Result<ProtocolServers, AgentError> {
         #[cfg(not(feature = "netconf"))]
         if config.netconf.is_some() {
             return Err(AgentError::NotBuilt { section: "netconf" });
@@ -104,7 +111,7 @@
         if config.gnmi.is_some() {
             return Err(AgentError::NotBuilt { section: "gnmi" });
         }
-        Ok(Fronts {
+        Ok(ProtocolServers {
             #[cfg(feature = "gnmi")]
             gnmi: config.gnmi.as_ref().map(rockflow_gnmi::BoundServer::bind).transpose()?,
             #[cfg(feature = "netconf")]
@@ -113,7 +120,7 @@
     }
 
     fn addresses(&self) -> Addresses {
-        #[allow(unused_mut, reason = "nothing is filled in without the features")]
+        #[allow(unused_mut, reason = "no field is set if neither protocol is built in")]
         let mut addresses = Addresses::default();
         #[cfg(feature = "netconf")]
         if let Some(netconf) = &self.netconf {
@@ -128,7 +135,8 @@
         addresses
     }
 
-    /// Starts the servers in the runtime that this is called in. One that does not start leaves the others be.
+    /// Starts the servers in the current async runtime. If one fails to start, the failure is logged and the
+    /// other still starts.
     fn serve(self, service: &Arc<ManagementService>) {
         #[cfg(feature = "netconf")]
         if let Some(netconf) = self.netconf {
