--- a/crates/rockflow-management-agent/tests/common/mod.rs
+++ b/crates/rockflow-management-agent/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A dispatcher among stand-ins with its management on, and managers with keys.
+//! Test setup: a dispatcher with management enabled, among simulated hosts and discovery, and the credentials
+//! of its operators.
 #![allow(dead_code)]
 
 use rockflow_dispatcher::{Clock, Service};
@@ -23,45 +24,57 @@
     pub folder: TemporaryFolder,
     pub schema: Arc<Schema>,
     pub authority: keys::Authority,
-    pub host: russh::keys::PrivateKey,
+    pub host_key: russh::keys::PrivateKey,
 }
 
 pub const USERS: [&str; 4] = ["root", "ana", "ben", "eve"];
 
-/// A manager's key, the same each time.
+/// An operator's SSH key, derived from the user name and so the same in each run.
 pub fn key_of(user: &str) -> russh::keys::PrivateKey {
     keys::ssh_key(user.bytes().fold(7, |sum, byte| sum * 31 + u64::from(byte)))
 }
 
-/// The operator's file of a setup: all fronts, at ports of their own.
-pub fn operator(folder: &TemporaryFolder, store: bool, more: &str) -> (OperatorConfig, keys::Authority) {
+/// Writes credentials for all users, and returns a configuration with every protocol on a free port.
+/// `has_store` turns the storage of commits on; `netconf_settings` are further lines of `[netconf]`.
+pub fn write_operator_config(
+    folder: &TemporaryFolder,
+    has_store: bool,
+    netconf_settings: &str,
+) -> (OperatorConfig, keys::Authority) {
     let authority = folder.write_credentials(&USERS.map(|user| (user, key_of(user))));
-    let at = |name: &str| folder.file(name).display().to_string();
+    let path = |name: &str| folder.file(name).display().to_string();
     let keys::OperatorSettings { ssh, tls } = folder.operator_settings();
-    let store = if store { format!("store = {}\n", at("store")) } else { String::new() };
+    let store = if has_store { format!("store = {}\n", path("store")) } else { String::new() };
     let text = format!(
         "[management]\nowner = root\n{store}audit = {}\n[netconf]\nssh = 127.0.0.1:0\n{ssh}tls = 127.0.0.1:0\n\
-         {tls}{more}[gnmi]\nlisten = 127.0.0.1:0\n{tls}",
-        at("audit"),
+         {tls}{netconf_settings}[gnmi]\nlisten = 127.0.0.1:0\n{tls}",
+        path("audit"),
     );
     (
-        operator_config::parse(&[operator_config::Layer { file: "rig.ini".to_string(), text }]).unwrap(),
+        operator_config::parse(&[operator_config::Layer { file: "operator.ini".to_string(), text }]).unwrap(),
         authority,
     )
 }
 
 impl Setup {
     pub fn start(caches: usize, parents: usize, delay: Duration) -> Setup {
-        Setup::with(caches, parents, delay, "")
+        Setup::start_with_netconf_settings(caches, parents, delay, "")
     }
 
-    pub fn with(caches: usize, parents: usize, delay: Duration, more: &str) -> Setup {
+    /// Starts the setup with further lines of `[netconf]` in the operator's file. `delay` is the response
+    /// time of the simulated hosts.
+    pub fn start_with_netconf_settings(
+        caches: usize,
+        parents: usize,
+        delay: Duration,
+        netconf_settings: &str,
+    ) -> Setup {
         SET_UP.call_once(Service::set_up);
-        let folder = TemporaryFolder::new("rig");
-        let (file, authority) = operator(&folder, true, more);
+        let folder = TemporaryFolder::new("management-agent");
+        let (config, authority) = write_operator_config(&folder, true, netconf_settings);
         let site = Site::start(caches, parents, delay);
         let clock = Clock::start();
-        let agent = Agent::open(clock, &file).unwrap().unwrap();
+        let agent = Agent::open(clock, &config).unwrap().unwrap();
         let addresses = agent.addresses();
         let service = Service::start_with_overrides(
             clock,
@@ -71,7 +84,7 @@
         .unwrap();
         let management = agent.run(service.handle(), Box::new(|_| {})).unwrap();
         let schema = management.schema().clone();
-        Setup { site, service, management, addresses, folder, schema, authority, host: keys::host_key() }
+        Setup { site, service, management, addresses, folder, schema, authority, host_key: keys::host_key() }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -84,7 +97,7 @@
 
     pub async fn try_ssh(&self, user: &str, key: russh::keys::PrivateKey) -> Result<Client, ClientError> {
         let address = self.addresses.ssh.unwrap().to_string();
-        Client::ssh(&address, user, key, self.host.public_key().clone()).await
+        Client::ssh(&address, user, key, self.host_key.public_key().clone()).await
     }
 
     pub fn tls_config(&self, authority: &keys::Authority, user: &str) -> Arc<rustls::ClientConfig> {
@@ -112,23 +125,23 @@
         rockflow_management_client::gnmi::Client::connect(&address, "localhost", config).await.unwrap()
     }
 
-    pub fn tree(&self, value: serde_json::Value) -> DataTree {
+    pub fn config_tree(&self, value: serde_json::Value) -> DataTree {
         json::read(&self.schema, None, &value, NodeScope::ConfigOnly).unwrap()
     }
 
-    pub fn shown(&self, fields: &DataTree) -> serde_json::Value {
+    pub fn to_json(&self, fields: &DataTree) -> serde_json::Value {
         json::write(&self.schema, fields)
     }
 
-    /// One host's state, as a manager sees it.
+    /// The state of one host in the operational datastore.
     pub async fn host_state(&self, client: &mut Client, name: &str) -> serde_json::Value {
         let path = format!("/rockflow-router:router/state/hosts/host[name='{name}']");
         let fields = client.get(&self.schema, "operational", &[path]).await.unwrap();
-        let shown = self.shown(&fields);
-        shown["rockflow-router:router"]["state"]["hosts"]["host"][0].clone()
+        let state = self.to_json(&fields);
+        state["rockflow-router:router"]["state"]["hosts"]["host"][0].clone()
     }
 }
 
-pub fn block_on<T>(part: impl std::future::Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(part)
+pub fn block_on<T>(future: impl std::future::Future<Output = T>) -> T {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(future)
 }
--- a/crates/rockflow-management-agent/tests/gnmi.rs
+++ b/crates/rockflow-management-agent/tests/gnmi.rs
@@ -1,4 +1,4 @@
-//! gNMI against a whole dispatcher on loopback.
+//! Tests of the gNMI server against a complete dispatcher on loopback.
 
 mod common;
 
@@ -17,23 +17,23 @@
 const WAIT: Duration = Duration::from_secs(5);
 const SERVED: Duration = Duration::from_secs(10);
 
-fn refused(ended: Result<impl Sized, ClientError>) -> (String, String) {
-    match ended.err().expect("a refusal") {
+fn rejection(result: Result<impl Sized, ClientError>) -> (String, String) {
+    match result.err().expect("the request is rejected") {
         ClientError::Rejected { tag, message, .. } => (tag, message),
         other => panic!("{other}"),
     }
 }
 
-async fn next(stream: &mut Streaming<wire::SubscribeResponse>) -> Response {
-    let told = tokio::time::timeout(WAIT, stream.message()).await.expect("in time");
-    told.unwrap().expect("a message").response.unwrap()
+async fn next_response(stream: &mut Streaming<wire::SubscribeResponse>) -> Response {
+    let response = tokio::time::timeout(WAIT, stream.message()).await.expect("in time");
+    response.unwrap().expect("a message").response.unwrap()
 }
 
-/// Updates and deletes up to the sync, by path.
+/// The updates up to the sync response, each with its path.
 async fn until_sync(stream: &mut Streaming<wire::SubscribeResponse>) -> Vec<(String, serde_json::Value)> {
     let mut all = Vec::new();
     loop {
-        match next(stream).await {
+        match next_response(stream).await {
             Response::SyncResponse(_) => return all,
             Response::Update(note) => all.extend(
                 note.update
@@ -54,26 +54,28 @@
     let setup = Setup::start(3, 1, 2 * MS);
     block_on(async {
         let mut root = setup.gnmi("root").await;
-        let told = root.capabilities().await.unwrap();
-        let names: Vec<_> = told.supported_models.iter().map(|model| model.name.as_str()).collect();
+        let capabilities = root.capabilities().await.unwrap();
+        let names: Vec<_> = capabilities.supported_models.iter().map(|model| model.name.as_str()).collect();
         assert_eq!(names, ["rockflow-types", "rockflow-router", "rockflow-access", "rockflow-history"]);
         assert_eq!(effective(&setup, &mut root, "c1").await, "ready");
         let load = Load::start(setup.address(), 20, Duration::ZERO, 3);
         load.wait_until_served(10, SERVED).await;
         let mark = "/router/marks/mark[host=c1]";
         root.set(&setup.schema, &[], &[], &[(mark, json!({"reason": "disk"}))]).await.unwrap();
-        // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
-        // a later request.
-        let drained = load.start_phase();
+        // Requests sent after the reply must not reach the drained host. Earlier requests have ended once
+        // each client has received its answer to a later one.
+        let phase_after_drain = load.start_phase();
         load.wait_until_served(1, SERVED).await;
-        let before = setup.site.hosts["c1"].take_attempts();
+        let attempts_until_drain = setup.site.hosts["c1"].take_attempts();
         load.wait_until_served(10, SERVED).await;
         let summary = load.stop();
         assert_eq!((summary.unanswered, summary.duplicated), (0, 0));
-        assert!(before.len() > 10, "{}", before.len());
+        assert!(attempts_until_drain.len() > 10, "{}", attempts_until_drain.len());
         assert!(
-            before.iter().all(|attempt| LoadPhase::from_request_id(&attempt.request_id).unwrap() < drained),
-            "{drained:?} {before:?}"
+            attempts_until_drain
+                .iter()
+                .all(|attempt| LoadPhase::from_request_id(&attempt.request_id).unwrap() < phase_after_drain),
+            "{phase_after_drain:?} {attempts_until_drain:?}"
         );
         assert_eq!(setup.site.hosts["c1"].take_attempts().len(), 0);
         assert_eq!(effective(&setup, &mut root, "c1").await, "draining");
@@ -92,12 +94,12 @@
         root.set(&setup.schema, &[], &[(marks, both)], &[("/router/logging/level", json!("debug"))])
             .await
             .unwrap();
-        // One that is wrong takes the others with it.
+        // One invalid update makes the whole request fail.
         let bad = [("/router/marks/mark[host=c3]", json!({})), ("/router/logging/level", json!("loud"))];
-        assert_eq!(refused(root.set(&setup.schema, &[], &[], &bad).await).0, "invalid-value");
+        assert_eq!(rejection(root.set(&setup.schema, &[], &[], &bad).await).0, "invalid-value");
         let found = root.get(&setup.schema, &["/router/marks/mark[host=*]/host".into()]).await.unwrap();
         assert_eq!(found.len(), 2);
-        // Deletes come first, with open keys too; replace leaves nothing of what was.
+        // Deletes are applied first, also with wildcard keys; a replace leaves nothing of the previous value.
         let one = [("/router/marks/mark[host=c2]", json!({"reason": "new"}))];
         root.set(&setup.schema, &["/router/marks/mark[host=*]"], &one, &[]).await.unwrap();
         let found = root.get(&setup.schema, &["/router/marks".into()]).await.unwrap();
@@ -108,9 +110,9 @@
         );
         assert!(mark.get("state").is_none());
         assert_eq!(effective(&setup, &mut root, "c1").await, "ready");
-        // The last of a location, without force and with it.
+        // Draining all hosts of a location is refused without `force`.
         let all = json!({"mark": [{"host": "c1"}, {"host": "c2"}, {"host": "c3"}, {"host": "c4"}]});
-        let (tag, message) = refused(root.set(&setup.schema, &[], &[], &[(marks, all)]).await);
+        let (tag, message) = rejection(root.set(&setup.schema, &[], &[], &[(marks, all)]).await);
         assert_eq!(tag, "operation-failed");
         assert!(message.contains("force"), "{message}");
     });
@@ -123,14 +125,15 @@
         let (mut gnmi, mut netconf) = (setup.gnmi("root").await, setup.ssh("root").await);
         let mark = [("/router/marks/mark[host=c1]", json!({}))];
         netconf.call("<lock><target><running/></target></lock>").await.unwrap();
-        let (tag, message) = refused(gnmi.set(&setup.schema, &[], &[], &mark).await);
+        let (tag, message) = rejection(gnmi.set(&setup.schema, &[], &[], &mark).await);
         assert_eq!(tag, "in-use");
         assert!(message.contains(&format!("session {}", netconf.session)), "{message}");
-        // It dies, and the lock with it.
+        // The lock is released when the session's connection closes.
         drop(netconf);
         let set = async { while gnmi.set(&setup.schema, &[], &[], &mark).await.is_err() {} };
         tokio::time::timeout(WAIT, set).await.unwrap();
-        // A candidate that was begun before the set, on the same host.
+        // A candidate edited before the Set conflicts with it when it is committed, as both change the same
+        // host.
         let mut netconf = setup.ssh("root").await;
         let path = "<router xmlns=\"urn:rockflow:yang:router\"><marks><mark><host>c1</host><reason>mine</reason></mark></marks></router>";
         netconf.edit_xml(path).await.unwrap();
@@ -157,13 +160,13 @@
         assert_eq!(until_sync(&mut samples).await.len(), 4);
         let mark = "/router/marks/mark[host=c1]";
         root.set(&setup.schema, &[], &[], &[(mark, json!({"reason": "x"}))]).await.unwrap();
-        let mut told = Vec::new();
-        while !told
+        let mut updates = Vec::new();
+        while !updates
             .iter()
             .any(|(path, value): &(String, _)| path.contains("effective") && *value == "draining")
         {
-            if let Response::Update(note) = next(&mut changes).await {
-                told.extend(
+            if let Response::Update(note) = next_response(&mut changes).await {
+                updates.extend(
                     note.update
                         .iter()
                         .map(|update| (gnmi::text(update.path.as_ref().unwrap()), gnmi::json(update))),
@@ -173,13 +176,15 @@
         root.set(&setup.schema, &[mark], &[], &[]).await.unwrap();
         let mut deleted = Vec::new();
         while !deleted.iter().any(|path: &String| path.ends_with("mark[host=c1]/host")) {
-            if let Response::Update(note) = next(&mut changes).await {
+            if let Response::Update(note) = next_response(&mut changes).await {
                 deleted.extend(note.delete.iter().map(gnmi::text));
             }
         }
-        // Samples come whether or not anything changes.
+        // Samples are sent even if nothing changes.
         for _ in 0..3 {
-            assert!(matches!(next(&mut samples).await, Response::Update(note) if note.update.len() == 4));
+            assert!(
+                matches!(next_response(&mut samples).await, Response::Update(note) if note.update.len() == 4)
+            );
         }
     });
 }
@@ -210,8 +215,8 @@
             path: Some(gnmi::path(&setup.schema, "/router/state/hosts/host/effective").unwrap()),
             ..Default::default()
         };
-        let asked = subscribe(Mode::Once, vec![one()]);
-        let mut once = root.subscribe(tokio_stream::once(asked)).await.unwrap();
+        let request = subscribe(Mode::Once, vec![one()]);
+        let mut once = root.subscribe(tokio_stream::once(request)).await.unwrap();
         assert_eq!(until_sync(&mut once).await.len(), 4);
         assert!(once.message().await.unwrap().is_none(), "ONCE ends with its sync");
         let (sender, receiver) = tokio::sync::mpsc::channel(4);
@@ -221,7 +226,7 @@
         let request = Some(wire::subscribe_request::Request::Poll(wire::Poll {}));
         sender.send(wire::SubscribeRequest { request, extension: Vec::new() }).await.unwrap();
         assert_eq!(until_sync(&mut poll).await.len(), 4);
-        // A second list is no poll.
+        // After the first message of a poll subscription, another subscription list is an error.
         sender.send(subscribe(Mode::Once, vec![one()])).await.unwrap();
         let ended = tokio::time::timeout(WAIT, poll.message()).await.unwrap();
         assert_eq!(ended.unwrap_err().code(), tonic::Code::InvalidArgument);
@@ -244,44 +249,44 @@
     let setup = Setup::start(2, 1, MS);
     block_on(async {
         let mut root = setup.gnmi("root").await;
-        let asked = wire::GetRequest {
+        let request = wire::GetRequest {
             path: vec![path.clone()],
             encoding: wire::Encoding::JsonIetf as i32,
             ..Default::default()
         };
-        assert_eq!(refused(root.raw_get(asked).await).0, tag);
+        assert_eq!(rejection(root.raw_get(request).await).0, tag);
         let delete = wire::SetRequest { delete: vec![path], ..Default::default() };
-        assert_eq!(refused(root.raw_set(delete).await).0, tag);
+        assert_eq!(rejection(root.raw_set(delete).await).0, tag);
     });
 }
 
 #[test]
-fn rejects_what_is_not_served() {
+fn rejects_unsupported_and_unauthorized_requests() {
     let setup = Setup::start(2, 1, MS);
     block_on(async {
         let mut root = setup.gnmi("root").await;
         let update = wire::Update { path: Some(elems(&["router"])), ..Default::default() };
-        let asked = wire::SetRequest { union_replace: vec![update.clone()], ..Default::default() };
-        assert_eq!(refused(root.raw_set(asked).await).0, "operation-not-supported");
-        let asked = wire::SetRequest { extension: vec![wire::Extension {}], ..Default::default() };
-        assert_eq!(refused(root.raw_set(asked).await).0, "operation-not-supported");
-        let asked = wire::GetRequest { encoding: wire::Encoding::Proto as i32, ..Default::default() };
-        assert_eq!(refused(root.raw_get(asked).await).0, "operation-not-supported");
-        let asked = wire::SetRequest { update: vec![update; 5000], ..Default::default() };
-        assert_eq!(refused(root.raw_set(asked).await).0, "resource-denied");
-        // Who may only read.
+        let request = wire::SetRequest { union_replace: vec![update.clone()], ..Default::default() };
+        assert_eq!(rejection(root.raw_set(request).await).0, "operation-not-supported");
+        let request = wire::SetRequest { extension: vec![wire::Extension {}], ..Default::default() };
+        assert_eq!(rejection(root.raw_set(request).await).0, "operation-not-supported");
+        let request = wire::GetRequest { encoding: wire::Encoding::Proto as i32, ..Default::default() };
+        assert_eq!(rejection(root.raw_get(request).await).0, "operation-not-supported");
+        let request = wire::SetRequest { update: vec![update; 5000], ..Default::default() };
+        assert_eq!(rejection(root.raw_set(request).await).0, "resource-denied");
+        // A user who may only read.
         let mut eve = setup.gnmi("eve").await;
         assert_eq!(effective(&setup, &mut eve, "c1").await, "ready");
         let mark = [("/router/marks/mark[host=c1]", json!({}))];
-        assert_eq!(refused(eve.set(&setup.schema, &[], &[], &mark).await).0, "access-denied");
+        assert_eq!(rejection(eve.set(&setup.schema, &[], &[], &mark).await).0, "access-denied");
         // A certificate of another authority.
         let address = setup.addresses.gnmi.unwrap().to_string();
         let config = setup.tls_config(&keys::Authority::new("other"), "root");
-        let mut tried = match Client::connect(&address, "localhost", config).await {
+        let mut client = match Client::connect(&address, "localhost", config).await {
             Ok(client) => client,
             Err(_) => return,
         };
-        assert!(tried.capabilities().await.is_err());
+        assert!(client.capabilities().await.is_err());
     });
 }
 
@@ -291,16 +296,16 @@
     block_on(async {
         let mut root = setup.gnmi("root").await;
         let paths = ["/router/marks".to_string(), "/router/state".to_string()];
-        let stuck = setup.gnmi("root").await.follow(&setup.schema, &paths, None).await.unwrap();
+        let stalled = setup.gnmi("root").await.follow(&setup.schema, &paths, None).await.unwrap();
         let mut reader = root.clone().follow(&setup.schema, &paths[..1], None).await.unwrap();
         until_sync(&mut reader).await;
         for round in 0..200 {
             let mark = [("/router/marks/mark[host=x]/reason", json!(format!("{round} {}", "r".repeat(200))))];
             root.set(&setup.schema, &[], &[], &mark).await.unwrap();
         }
-        // Others are told of the last all the same, and each waits for nobody.
+        // The other subscriber receives the last change although the first one never reads.
         loop {
-            if let Response::Update(note) = next(&mut reader).await {
+            if let Response::Update(note) = next_response(&mut reader).await {
                 if note
                     .update
                     .iter()
@@ -310,6 +315,6 @@
                 }
             }
         }
-        drop(stuck);
+        drop(stalled);
     });
 }
--- a/crates/rockflow-management-agent/tests/hostile.rs
+++ b/crates/rockflow-management-agent/tests/hostile.rs
@@ -1,4 +1,5 @@
-//! Broken and hostile peers at every front, while the dispatcher's requests go on and notice nothing.
+//! Broken and hostile peers at each management listener. Clients' requests and other sessions must not be
+//! affected.
 
 mod common;
 
@@ -27,17 +28,17 @@
     ))
 }
 
-/// What a peer says after its hello, and whether the session may go on after it.
-fn message_after_hello(what: &str) -> (Vec<u8>, bool) {
+/// The bytes that a peer sends after its hello, and whether the session must survive them.
+fn message_after_hello(case: &str) -> (Vec<u8>, bool) {
     let get = "<get-config><source><running/></source></get-config>";
-    match what {
+    match case {
         "a chunk of 4 GB" => (b"\n#4294967295\n<rpc".to_vec(), false),
-        "a chunk of no size" => (b"\n#0\n\n##\n".to_vec(), false),
+        "a chunk of size 0" => (b"\n#0\n\n##\n".to_vec(), false),
         "a chunk with a sign" => (b"\n#+5\nabcde\n##\n".to_vec(), false),
-        "a number past any" => (b"\n#99999999999999999999\n".to_vec(), false),
-        "no chunk" => (b"<rpc/>]]>]]>".to_vec(), false),
-        "an end ahead of any chunk" => (b"\n##\n".to_vec(), false),
-        "more than a message may hold" => (chunk(&" ".repeat(2 * 1024 * 1024)), false),
+        "a chunk size over 64 bits" => (b"\n#99999999999999999999\n".to_vec(), false),
+        "a message without chunks" => (b"<rpc/>]]>]]>".to_vec(), false),
+        "an end marker before any chunk" => (b"\n##\n".to_vec(), false),
+        "a message over the size limit" => (chunk(&" ".repeat(2 * 1024 * 1024)), false),
         "malformed UTF-8" => {
             let mut bytes = b"\n#9\n<rpc>".to_vec();
             bytes.extend([0xff, 0xfe, 0xc0, 0x80]);
@@ -48,18 +49,18 @@
             chunk("<!DOCTYPE b [<!ENTITY a \"aaaa\"><!ENTITY b \"&a;&a;&a;\">]><rpc>&b;</rpc>"),
             false,
         ),
-        "an entity of its own" => (rpc("<get><filter>&own;</filter></get>"), false),
-        "depth of 100,000" => (rpc(&"<a>".repeat(100_000)), false),
-        "elements by the hundred thousand" => (rpc(&format!("<get>{}</get>", "<a/>".repeat(220_000))), false),
-        "two elements" => (chunk("<rpc/><rpc/>"), false),
-        "no rpc" => (chunk("<rpc xmlns=\"urn:other\" message-id=\"1\"/>"), false),
+        "an undeclared entity" => (rpc("<get><filter>&own;</filter></get>"), false),
+        "100,000 nested elements" => (rpc(&"<a>".repeat(100_000)), false),
+        "more than 200,000 elements" => (rpc(&format!("<get>{}</get>", "<a/>".repeat(220_000))), false),
+        "two root elements" => (chunk("<rpc/><rpc/>"), false),
+        "an rpc in another namespace" => (chunk("<rpc xmlns=\"urn:other\" message-id=\"1\"/>"), false),
         "a processing instruction" => (chunk("<?php x?><rpc/>"), false),
-        "a prefix that nobody declared" => (rpc("<x:get/>"), false),
-        "a namespace that nobody knows" => (
+        "an undeclared prefix" => (rpc("<x:get/>"), false),
+        "an unknown namespace" => (
             rpc("<edit-config><target><candidate/></target><config><router xmlns=\"urn:other\"/></config></edit-config>"),
             true,
         ),
-        "an operation that nobody knows" => (rpc("<format-disk xmlns=\"urn:other\"/>"), true),
+        "an unknown operation" => (rpc("<format-disk xmlns=\"urn:other\"/>"), true),
         "two operations" => (rpc(&format!("{get}{get}")), true),
         "no message-id" => {
             (chunk("<rpc xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"><get/></rpc>"), true)
@@ -77,29 +78,29 @@
 }
 
 #[test_case("a chunk of 4 GB")]
-#[test_case("a chunk of no size")]
+#[test_case("a chunk of size 0")]
 #[test_case("a chunk with a sign")]
-#[test_case("a number past any")]
-#[test_case("no chunk")]
-#[test_case("an end ahead of any chunk")]
-#[test_case("more than a message may hold")]
+#[test_case("a chunk size over 64 bits")]
+#[test_case("a message without chunks")]
+#[test_case("an end marker before any chunk")]
+#[test_case("a message over the size limit")]
 #[test_case("malformed UTF-8")]
 #[test_case("an entity bomb")]
-#[test_case("an entity of its own")]
-#[test_case("depth of 100,000")]
-#[test_case("elements by the hundred thousand")]
-#[test_case("two elements")]
-#[test_case("no rpc")]
+#[test_case("an undeclared entity")]
+#[test_case("100,000 nested elements")]
+#[test_case("more than 200,000 elements")]
+#[test_case("two root elements")]
+#[test_case("an rpc in another namespace")]
 #[test_case("a processing instruction")]
-#[test_case("a prefix that nobody declared")]
-#[test_case("a namespace that nobody knows")]
-#[test_case("an operation that nobody knows")]
+#[test_case("an undeclared prefix")]
+#[test_case("an unknown namespace")]
+#[test_case("an unknown operation")]
 #[test_case("two operations")]
 #[test_case("no message-id")]
 #[test_case("thousands of paths")]
-fn malformed_message_costs_only_its_session(what: &str) {
+fn malformed_message_costs_only_its_session(case: &str) {
     let setup = Setup::start(2, 1, MS);
-    let (bytes, goes_on) = message_after_hello(what);
+    let (bytes, survives) = message_after_hello(case);
     block_on(async {
         let load = Load::start(setup.address(), 4, Duration::ZERO, 5);
         load.wait_until_served(1, SERVED).await;
@@ -108,18 +109,18 @@
         let name = rustls::pki_types::ServerName::try_from("localhost").unwrap();
         let mut stream = connector.connect(name, stream).await.unwrap();
         stream.write_all(HELLO.as_bytes()).await.unwrap();
-        // A session that ends midway may end the writing.
+        // The write may fail, if the server closes the session midway.
         let _ = stream.write_all(&bytes).await;
         let close = rpc("<close-session/>");
         let _ = stream.write_all(&close).await;
-        let mut told = Vec::new();
-        let read = tokio::time::timeout(WAIT, stream.read_to_end(&mut told)).await;
-        assert!(read.is_ok(), "the session goes on");
-        let told = String::from_utf8_lossy(&told);
-        let errors = told.matches("<rpc-error>").count();
-        assert!(errors >= usize::from(goes_on), "{told}");
-        assert_eq!(told.contains("<ok/>"), goes_on, "{told}");
-        // Others are served as before: managers, and every client with what it asks from here on.
+        let mut replies = Vec::new();
+        let read = tokio::time::timeout(WAIT, stream.read_to_end(&mut replies)).await;
+        assert!(read.is_ok(), "the server did not close the session");
+        let replies = String::from_utf8_lossy(&replies);
+        let errors = replies.matches("<rpc-error>").count();
+        assert!(errors >= usize::from(survives), "{replies}");
+        assert_eq!(replies.contains("<ok/>"), survives, "{replies}");
+        // Other sessions, and the further requests of every client, are served as before.
         let mut root = setup.ssh("root").await;
         assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
         load.wait_until_served(5, SERVED).await;
@@ -130,30 +131,30 @@
 }
 
 #[test]
-fn half_open_handshakes_keep_nobody_out() {
+fn half_open_handshakes_do_not_block_new_sessions() {
     let setup = Setup::start(2, 1, MS);
     block_on(async {
         let load = Load::start(setup.address(), 4, Duration::ZERO, 6);
         load.wait_until_served(1, SERVED).await;
         let mut open = Vec::new();
         for number in 0..300 {
-            let fronts = [setup.addresses.ssh, setup.addresses.tls, setup.addresses.gnmi];
-            let mut stream = TcpStream::connect(fronts[number % 3].unwrap()).await.unwrap();
+            let listeners = [setup.addresses.ssh, setup.addresses.tls, setup.addresses.gnmi];
+            let mut stream = TcpStream::connect(listeners[number % 3].unwrap()).await.unwrap();
             if number % 2 == 0 {
                 let _ = stream.write_all(b"SSH-2.0-nobody\r\n").await;
             }
             open.push(stream);
         }
-        // Those that took longest give way. While the burst itself still comes in, a call may have to be made
-        // again; then whoever can prove it comes in, at each front.
-        let come_in = async {
+        // The oldest half-open connections are evicted. While the burst is still arriving, a valid connection
+        // may be evicted too and has to be retried; afterwards, each listener accepts valid credentials.
+        let connected = async {
             loop {
                 if let Ok(client) = setup.try_ssh("root", key_of("root")).await {
                     return client;
                 }
             }
         };
-        let mut root = tokio::time::timeout(WAIT, come_in).await.expect("let in");
+        let mut root = tokio::time::timeout(WAIT, connected).await.expect("connected in time");
         assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
         let mut root = setup.tls("root").await;
         assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
@@ -164,7 +165,7 @@
                 open.pop();
             }
         }
-        // With what is left of them still open.
+        // Clients are served while the remaining half-open connections are still there.
         load.wait_until_served(5, SERVED).await;
         drop(open);
         let summary = load.stop();
@@ -178,19 +179,19 @@
     let setup = Setup::start(2, 1, MS);
     block_on(async {
         let mut root = setup.gnmi("root").await;
-        let most = [("/router/management/most-sessions", serde_json::json!(5))];
-        root.set(&setup.schema, &[], &[], &most).await.unwrap();
-        let mut held = Vec::new();
+        let session_limit = [("/router/management/most-sessions", serde_json::json!(5))];
+        root.set(&setup.schema, &[], &[], &session_limit).await.unwrap();
+        let mut sessions = Vec::new();
         for _ in 0..5 {
-            held.push(setup.tls("root").await);
+            sessions.push(setup.tls("root").await);
         }
-        let refused = root.set(&setup.schema, &[], &[], &most).await;
+        let refused = root.set(&setup.schema, &[], &[], &session_limit).await;
         assert!(matches!(refused, Err(ClientError::Rejected { tag, .. }) if tag == "resource-denied"));
         assert!(setup.try_ssh("root", key_of("root")).await.is_err());
-        // One that goes makes room.
-        held.pop();
-        let again = async { while root.set(&setup.schema, &[], &[], &most).await.is_err() {} };
-        tokio::time::timeout(WAIT, again).await.unwrap();
+        // Closing a session makes room for another.
+        sessions.pop();
+        let accepted = async { while root.set(&setup.schema, &[], &[], &session_limit).await.is_err() {} };
+        tokio::time::timeout(WAIT, accepted).await.unwrap();
     });
 }
 
@@ -199,12 +200,12 @@
     let setup = Setup::start(2, 1, MS);
     block_on(async {
         let mut root = setup.gnmi("root").await;
-        let one = wire::Subscription {
+        let subscription = wire::Subscription {
             path: Some(rockflow_management_client::gnmi::path(&setup.schema, "/router/marks").unwrap()),
             ..Default::default()
         };
         let list = wire::SubscriptionList {
-            subscription: vec![one],
+            subscription: vec![subscription],
             encoding: wire::Encoding::JsonIetf as i32,
             ..Default::default()
         };
@@ -225,7 +226,8 @@
         };
         let ended = tokio::time::timeout(WAIT, ended).await.expect("ended in time");
         assert_eq!(ended, Some(tonic::Code::InvalidArgument));
-        // One that never says what it wants is ended too, and holds a place meanwhile only.
+        // A stream that never sends a request is ended too; until then it does not keep other clients from being
+        // served.
         let mut silent = root.clone();
         let silent = silent.subscribe(tokio_stream::pending());
         assert!(tokio::time::timeout(50 * MS, silent).await.is_err());
--- a/crates/rockflow-management-agent/tests/model.rs
+++ b/crates/rockflow-management-agent/tests/model.rs
@@ -1,5 +1,6 @@
-//! The model and what is served are the same: every leaf that is served is of the model, with a value of its type
-//! (else the writer panics, or this fails), and every state leaf of the model is served.
+//! Checks the served data against the YANG model: every served leaf exists in the model and has a value of
+//! its type (otherwise the model writer panics or the test fails), and every state leaf of the model is
+//! served.
 
 mod common;
 
@@ -10,7 +11,7 @@
 
 #[test]
 fn serves_every_state_leaf_with_its_type() {
-    // A host that started lately, so that it is cold.
+    // A host that has just started has a cold cache, so that `cold-until` is served.
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let mut setup = Setup::start(3, 2, Duration::from_millis(1));
     setup.site.announce_started("c3", now.as_millis() as u64);
@@ -18,10 +19,9 @@
         let mut root = setup.ssh("root").await;
         root.act(&setup.schema, "drain", &[("host", "c1"), ("reason", "x")]).await.unwrap();
         let edit = serde_json::json!({"rockflow-router:router": {"logging": {"level": "debug"}}});
-        root.edit(&setup.schema, &setup.tree(edit)).await.unwrap();
+        root.edit(&setup.schema, &setup.config_tree(edit)).await.unwrap();
         root.commit(Some(Duration::from_secs(60)), None, None).await.unwrap();
-        // The board's comments come each second, and the list with them.
-        let wanted: BTreeSet<String> = setup
+        let expected: BTreeSet<String> = setup
             .schema
             .nodes()
             .iter()
@@ -31,28 +31,31 @@
             .map(|node| setup.schema.schema_path(node.id))
             .filter(|path| path.starts_with("/rockflow-router:router/"))
             .collect();
-        assert!(wanted.len() > 40, "{}", wanted.len());
+        assert!(expected.len() > 40, "{}", expected.len());
+        // Discovery sends its comments, and the list with them, once a second, so some leaves are served only after
+        // a while.
         let mut missing = BTreeSet::new();
         for _ in 0..100 {
             let fields = root.get(&setup.schema, "operational", &[]).await.unwrap();
             let mut served = BTreeSet::new();
             for (path, value) in data::leaves(&fields) {
                 let node = path.node().unwrap();
-                // Read back by the client against the type already; the text is canonical.
+                // The client has already checked the value against its type; this checks that its text is
+                // canonical.
                 assert_eq!(
                     setup.schema.type_of(node).unwrap().parse(&value.to_string()).as_ref(),
                     Ok(&value)
                 );
                 served.insert(setup.schema.schema_path(node));
             }
-            missing = wanted.difference(&served).cloned().collect();
-            // A comment is made only where one was told.
+            missing = expected.difference(&served).cloned().collect();
+            // A commit has a comment only if the operator gave one.
             missing.retain(|path| !path.ends_with("/comment"));
             if missing.is_empty() {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("never served: {missing:?}");
+        panic!("state leaves never served: {missing:?}");
     });
 }
--- a/crates/rockflow-management-agent/tests/netconf.rs
+++ b/crates/rockflow-management-agent/tests/netconf.rs
@@ -1,4 +1,4 @@
-//! NETCONF against a whole dispatcher on loopback, by the project's own client.
+//! Tests of the NETCONF server with the project's own client, against a complete dispatcher on loopback.
 
 mod common;
 
@@ -13,8 +13,8 @@
 const MS: Duration = Duration::from_millis(1);
 const SERVED: Duration = Duration::from_secs(10);
 
-fn refused(ended: Result<impl Sized, ClientError>) -> (String, Option<String>, String) {
-    match ended.err().expect("a refusal") {
+fn rejection(result: Result<impl Sized, ClientError>) -> (String, Option<String>, String) {
+    match result.err().expect("the request is rejected") {
         ClientError::Rejected { tag, app_tag, message } => (tag, app_tag, message),
         other => panic!("{other}"),
     }
@@ -31,57 +31,64 @@
         let load = Load::start(setup.address(), 20, Duration::ZERO, 1);
         load.wait_until_served(10, SERVED).await;
         root.act(&setup.schema, "drain", &[("host", "c1"), ("reason", "disk")]).await.unwrap();
-        // What is asked from the reply on never goes there. What was open then is over once each client has its answer to
-        // a later request.
-        let drained = load.start_phase();
+        // Requests sent after the reply must not reach the drained host. Earlier requests have ended once
+        // each client has received its answer to a later one.
+        let phase_after_drain = load.start_phase();
         load.wait_until_served(1, SERVED).await;
-        let before = setup.site.hosts["c1"].take_attempts();
+        let attempts_until_drain = setup.site.hosts["c1"].take_attempts();
         load.wait_until_served(10, SERVED).await;
         let state = setup.host_state(&mut root, "c1").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("operator")));
         assert_eq!(state["listed"], "ready");
-        // The board sends its whole list anew, and tells of the host again: the mark stands.
+        // Discovery resends its complete list and the host's entry; the override must remain in effect.
         setup.site.announce_all();
         setup.site.announce("c1", "active");
-        let board = "/rockflow-router:router/state/board/last".to_string();
-        let told = setup.site.revision().to_string();
-        let heard = async {
+        let revision_path = "/rockflow-router:router/state/board/last".to_string();
+        let revision = setup.site.revision().to_string();
+        let revision_received = async {
             loop {
-                let found =
-                    root.get(&setup.schema, "operational", std::slice::from_ref(&board)).await.unwrap();
-                if setup.shown(&found)["rockflow-router:router"]["state"]["board"]["last"] == told.as_str() {
+                let state = root
+                    .get(&setup.schema, "operational", std::slice::from_ref(&revision_path))
+                    .await
+                    .unwrap();
+                if setup.to_json(&state)["rockflow-router:router"]["state"]["board"]["last"]
+                    == revision.as_str()
+                {
                     return;
                 }
                 tokio::time::sleep(5 * MS).await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(5), heard).await.unwrap();
+        tokio::time::timeout(Duration::from_secs(5), revision_received).await.unwrap();
         assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "draining");
         let summary = load.stop();
         assert!(summary.succeeded > 200, "{}", summary.succeeded);
         assert_eq!((summary.unanswered, summary.duplicated), (0, 0));
-        assert!(before.len() > 10, "{}", before.len());
+        assert!(attempts_until_drain.len() > 10, "{}", attempts_until_drain.len());
         assert!(
-            before.iter().all(|attempt| LoadPhase::from_request_id(&attempt.request_id).unwrap() < drained),
-            "{drained:?} {before:?}"
+            attempts_until_drain
+                .iter()
+                .all(|attempt| LoadPhase::from_request_id(&attempt.request_id).unwrap() < phase_after_drain),
+            "{phase_after_drain:?} {attempts_until_drain:?}"
         );
         assert_eq!(setup.site.hosts["c1"].take_attempts().len(), 0);
-        // A parent drains as a source: no attempt names it any more.
+        // After a parent is drained, no attempt names it as the source to fill from.
         root.act(&setup.schema, "drain", &[("host", "p1")]).await.unwrap();
         ["c2", "c3"].into_iter().for_each(|name| drop(setup.site.hosts[name].take_attempts()));
         let load = Load::start(setup.address(), 5, Duration::ZERO, 2);
         load.wait_until_served(10, SERVED).await;
         load.stop();
-        let came: Vec<_> =
+        let attempts: Vec<_> =
             ["c2", "c3"].into_iter().flat_map(|name| setup.site.hosts[name].take_attempts()).collect();
-        assert!(came.iter().any(|attempt| attempt.source.as_deref() == Some("p2")));
-        assert!(!came.iter().any(|attempt| attempt.source.as_deref() == Some("p1")));
+        assert!(attempts.iter().any(|attempt| attempt.source.as_deref() == Some("p2")));
+        assert!(!attempts.iter().any(|attempt| attempt.source.as_deref() == Some("p1")));
         root.act(&setup.schema, "undrain", &[("host", "c1")]).await.unwrap();
         assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "ready");
-        // Who message_after_hello it, and when, is told beside the mark; the audit has a line for each commit.
+        // The operational datastore shows who set an override and in which commit; the audit log has one line
+        // per commit.
         let marks =
             root.get(&setup.schema, "operational", &["/rockflow-router:router/marks".into()]).await.unwrap();
-        let mark = &setup.shown(&marks)["rockflow-router:router"]["marks"]["mark"][0];
+        let mark = &setup.to_json(&marks)["rockflow-router:router"]["marks"]["mark"][0];
         assert_eq!(
             (&mark["host"], &mark["author"], &mark["version"]),
             (&json!("p1"), &json!("root"), &json!("2"))
@@ -98,10 +105,10 @@
     block_on(async {
         let mut root = setup.tls("root").await;
         root.act(&setup.schema, "drain", &[("host", "c1")]).await.unwrap();
-        let (tag, app, message) = refused(root.act(&setup.schema, "drain", &[("host", "c2")]).await);
+        let (tag, app, message) = rejection(root.act(&setup.schema, "drain", &[("host", "c2")]).await);
         assert_eq!((tag.as_str(), app.as_deref()), ("operation-failed", Some("none-left")));
         assert!(message.contains("c2") && message.contains("force"), "{message}");
-        let (tag, ..) = refused(root.act(&setup.schema, "drain", &[("host", "p1")]).await);
+        let (tag, ..) = rejection(root.act(&setup.schema, "drain", &[("host", "p1")]).await);
         assert_eq!(tag, "operation-failed");
         root.act(&setup.schema, "drain", &[("host", "c2"), ("force", "true")]).await.unwrap();
         assert_eq!(setup.host_state(&mut root, "c2").await["effective"], "draining");
@@ -119,39 +126,40 @@
         let mut root = setup.ssh("root").await;
         let rules = json!({"rockflow-router:router": {"rockflow-access:access": {
             "rule": [{"number": 1, "group": ["all"], "action": "permit"}]}}});
-        root.edit(&setup.schema, &setup.tree(rules)).await.unwrap();
+        root.edit(&setup.schema, &setup.config_tree(rules)).await.unwrap();
         root.commit(None, None, None).await.unwrap();
         let (mut ana, mut ben) = (setup.ssh("ana").await, setup.tls("ben").await);
-        ana.edit(&setup.schema, &setup.tree(mark("c1", "disk"))).await.unwrap();
-        ben.edit(&setup.schema, &setup.tree(mark("c1", "fan"))).await.unwrap();
-        // The first commits to be confirmed, and the second waits for it.
+        ana.edit(&setup.schema, &setup.config_tree(mark("c1", "disk"))).await.unwrap();
+        ben.edit(&setup.schema, &setup.config_tree(mark("c1", "fan"))).await.unwrap();
+        // While the first user's confirmed commit is pending, the second user can't commit.
         ana.commit(Some(Duration::from_secs(60)), None, None).await.unwrap();
-        let (tag, _, message) = refused(ben.commit(None, None, None).await);
+        let (tag, _, message) = rejection(ben.commit(None, None, None).await);
         assert_eq!(tag, "in-use");
         assert!(message.contains("ana"), "{message}");
         assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "draining");
-        // Its connection dies before the confirmation: undone, and the second goes on.
+        // The first user's connection closes before the confirmation, so the commit is reverted and the
+        // second user can commit.
         drop(ana);
-        let undone = async {
+        let reverted = async {
             while setup.host_state(&mut root, "c1").await["effective"] != "ready" {
                 tokio::time::sleep(5 * MS).await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(5), undone).await.unwrap();
+        tokio::time::timeout(Duration::from_secs(5), reverted).await.unwrap();
         ben.commit(None, None, None).await.unwrap();
         assert_eq!(setup.host_state(&mut root, "c1").await["effective"], "draining");
-        // One winner, and the other hears who it was.
+        // Of two conflicting commits, the first succeeds and the error of the second names its author.
         let mut ana = setup.ssh("ana").await;
-        ana.edit(&setup.schema, &setup.tree(mark("c2", "ana's"))).await.unwrap();
-        ben.edit(&setup.schema, &setup.tree(mark("c2", "ben's"))).await.unwrap();
+        ana.edit(&setup.schema, &setup.config_tree(mark("c2", "ana's"))).await.unwrap();
+        ben.edit(&setup.schema, &setup.config_tree(mark("c2", "ben's"))).await.unwrap();
         ben.commit(None, None, None).await.unwrap();
-        let (tag, app, message) = refused(ana.commit(None, None, None).await);
+        let (tag, app, message) = rejection(ana.commit(None, None, None).await);
         assert_eq!((tag.as_str(), app.as_deref()), ("operation-failed", Some("conflict")));
         assert!(message.contains("by ben in commit"), "{message}");
-        // A lock's holder that is killed leaves nothing locked.
+        // Killing the session that holds a lock releases the lock.
         ana.call("<discard-changes/>").await.unwrap();
         ana.call("<lock><target><running/></target></lock>").await.unwrap();
-        let (tag, _, message) = refused(ben.call("<lock><target><running/></target></lock>").await);
+        let (tag, _, message) = rejection(ben.call("<lock><target><running/></target></lock>").await);
         assert_eq!(tag, "lock-denied");
         assert!(message.contains(&ana.session.to_string()), "{message}");
         root.call(&format!("<kill-session><session-id>{}</session-id></kill-session>", ana.session))
@@ -167,25 +175,26 @@
     let setup = Setup::start(2, 1, MS);
     block_on(async {
         let mut eve = setup.ssh("eve").await;
-        let (tag, ..) = refused(eve.act(&setup.schema, "drain", &[("host", "c1")]).await);
+        let (tag, ..) = rejection(eve.act(&setup.schema, "drain", &[("host", "c1")]).await);
         assert_eq!(tag, "access-denied");
-        let (tag, ..) = refused(eve.edit(&setup.schema, &setup.tree(mark("c1", "x"))).await);
+        let (tag, ..) = rejection(eve.edit(&setup.schema, &setup.config_tree(mark("c1", "x"))).await);
         assert_eq!(tag, "access-denied");
         assert_eq!(setup.host_state(&mut eve, "c1").await["effective"], "ready");
-        // Another's key, no file, a path for a name, a certificate of another authority, another host key.
+        // Rejected: another user's key, a user without a key file, a path as the user name, a certificate of
+        // another authority, and, by the client, another host key.
         assert!(matches!(setup.try_ssh("root", key_of("eve")).await, Err(ClientError::Untrusted(_))));
         assert!(matches!(setup.try_ssh("nobody", key_of("eve")).await, Err(ClientError::Untrusted(_))));
         assert!(matches!(setup.try_ssh("../users/eve", key_of("eve")).await, Err(ClientError::Untrusted(_))));
         let other = keys::Authority::new("other");
         let address = setup.addresses.tls.unwrap().to_string();
         let config = setup.tls_config(&other, "root");
-        let tried = rockflow_management_client::netconf::Client::tls(&address, "localhost", config).await;
-        assert!(tried.is_err());
+        let result = rockflow_management_client::netconf::Client::tls(&address, "localhost", config).await;
+        assert!(result.is_err());
         let address = setup.addresses.ssh.unwrap().to_string();
         let host = keys::ssh_key(99).public_key().clone();
-        let tried =
+        let result =
             rockflow_management_client::netconf::Client::ssh(&address, "root", key_of("root"), host).await;
-        assert!(matches!(tried, Err(ClientError::Untrusted(_))));
+        assert!(matches!(result, Err(ClientError::Untrusted(_))));
     });
 }
 
@@ -231,9 +240,9 @@
             found.child("data").unwrap().child("netconf-state").unwrap().child("sessions").unwrap();
         assert_eq!(sessions.children[0].text_of("username"), Some("root"));
         let (tag, ..) =
-            refused(root.call("<get-config><source><url>file:///etc</url></source></get-config>").await);
+            rejection(root.call("<get-config><source><url>file:///etc</url></source></get-config>").await);
         assert_eq!(tag, "operation-not-supported");
-        let (tag, ..) = refused(root.call("<reboot/>").await);
+        let (tag, ..) = rejection(root.call("<reboot/>").await);
         assert_eq!(tag, "operation-not-supported");
     });
 }
@@ -242,63 +251,65 @@
 fn subscribers_receive_events_and_changes() {
     let setup = Setup::start(2, 1, MS);
     block_on(async {
-        let (mut root, mut watch, mut push) =
+        let (mut root, mut event_client, mut push_client) =
             (setup.ssh("root").await, setup.tls("ana").await, setup.ssh("ben").await);
-        watch.events().await.unwrap();
+        event_client.events().await.unwrap();
         let path = "/rockflow-router:router/state/hosts/host/effective".to_string();
-        push.follow(&[path], None).await.unwrap();
-        let first = push.notification().await.unwrap();
+        push_client.follow(&[path], None).await.unwrap();
+        let first = push_client.notification().await.unwrap();
         assert_eq!(first.children[1].name, "push-update");
         root.act(&setup.schema, "drain", &[("host", "c1")]).await.unwrap();
         let wait = Duration::from_secs(5);
-        let changed = tokio::time::timeout(wait, push.notification()).await.unwrap().unwrap();
+        let changed = tokio::time::timeout(wait, push_client.notification()).await.unwrap().unwrap();
         let edit =
             &changed.child("push-change-update").unwrap().child("datastore-changes").unwrap().children[0];
         let edit = edit.child("edit").unwrap();
         assert!(edit.text_of("target").unwrap().contains("host[name='c1']/effective"), "{edit:?}");
         assert_eq!(edit.child("value").unwrap().children[0].text(), "draining");
-        let mut told = Vec::new();
-        while !told.contains(&"host-changed".to_string()) {
-            let event = tokio::time::timeout(wait, watch.notification()).await.unwrap().unwrap();
-            told.push(event.children[1].name.clone());
+        let mut event_names = Vec::new();
+        while !event_names.contains(&"host-changed".to_string()) {
+            let event = tokio::time::timeout(wait, event_client.notification()).await.unwrap().unwrap();
+            event_names.push(event.children[1].name.clone());
         }
         assert!(
-            told.contains(&"netconf-config-change".to_string()) && told.contains(&"committed".to_string())
+            event_names.contains(&"netconf-config-change".to_string())
+                && event_names.contains(&"committed".to_string())
         );
     });
 }
 
-/// Control's marks stand beside the operators': each is shown, and neither takes the other's place.
+/// Overrides from control and from operators apply together: the state names the source of each, and neither
+/// replaces the other.
 #[test]
-fn control_and_operator_overrides_stand_side_by_side() {
+fn control_and_operator_overrides_apply_together() {
     let setup = Setup::start(3, 1, Duration::ZERO);
-    let fleet = |names: &[&str]| {
-        let mark = AdminOverride { readiness: Readiness::Draining, expires_at: None, force: false };
-        let marks = names.iter().map(|name| (name.to_string(), mark)).collect();
+    let set_control_overrides = |names: &[&str]| {
+        let draining = AdminOverride { readiness: Readiness::Draining, expires_at: None, force: false };
+        let overrides = names.iter().map(|name| (name.to_string(), draining)).collect();
         let (done, wait) = std::sync::mpsc::channel();
         assert!(setup
             .service
             .handle()
-            .set_control_overrides(marks, move |refused| done.send(refused).unwrap()));
+            .set_control_overrides(overrides, move |refused| done.send(refused).unwrap()));
         wait.recv_timeout(Duration::from_secs(5)).unwrap()
     };
     block_on(async {
         let mut root = setup.ssh("root").await;
-        assert!(fleet(&["c1"]).is_empty());
+        assert!(set_control_overrides(&["c1"]).is_empty());
         let state = setup.host_state(&mut root, "c1").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("fleet")));
         assert!(state.get("marked").is_none(), "{state}");
         root.act(&setup.schema, "drain", &[("host", "c2")]).await.unwrap();
         let state = setup.host_state(&mut root, "c1").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("fleet")));
-        // The last that both have left is not an operator's to drain, and not control's.
-        let (tag, ..) = refused(root.act(&setup.schema, "drain", &[("host", "c3")]).await);
+        // The last host that neither has drained can't be drained by an operator, nor by control.
+        let (tag, ..) = rejection(root.act(&setup.schema, "drain", &[("host", "c3")]).await);
         assert_eq!(tag, "operation-failed");
-        assert_eq!(fleet(&["c1", "c3"]).keys().collect::<Vec<_>>(), ["c3"]);
-        assert!(fleet(&[]).is_empty());
+        assert_eq!(set_control_overrides(&["c1", "c3"]).keys().collect::<Vec<_>>(), ["c3"]);
+        assert!(set_control_overrides(&[]).is_empty());
         let state = setup.host_state(&mut root, "c2").await;
         assert_eq!((&state["effective"], &state["says"]), (&json!("draining"), &json!("operator")));
-        // The management's picture of the hosts is a moment old at the most.
+        // The management service caches the dispatcher's status briefly, so the change may show with a delay.
         let ready = async {
             while setup.host_state(&mut root, "c1").await["effective"] != json!("ready") {
                 tokio::time::sleep(5 * MS).await;
--- a/crates/rockflow-management-agent/tests/wire_format.rs
+++ b/crates/rockflow-management-agent/tests/wire_format.rs
@@ -1,4 +1,5 @@
-//! What NETCONF and gNMI send, to the letter: managers read it by these names. Times and ports are masked.
+//! Compares the messages of NETCONF and gNMI with their literal text, because operators' tools depend on it.
+//! Times and ports are masked.
 
 mod common;
 
@@ -18,14 +19,14 @@
 const WAIT: Duration = Duration::from_secs(5);
 const BASE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 
-/// Times as TIME, ports as PORT.
+/// Replaces times with TIME and ports with PORT.
 fn masked(text: &str) -> String {
     let time = Regex::new(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)").unwrap();
     let port = Regex::new(r"127\.0\.0\.1:\d+").unwrap();
     port.replace_all(&time.replace_all(text, "TIME"), "127.0.0.1:PORT").into_owned()
 }
 
-/// A NETCONF session that shows messages as they came.
+/// A NETCONF session that returns messages as received, without parsing them.
 struct RawSession {
     stream: TlsStream<TcpStream>,
     framing: Framing,
@@ -55,8 +56,8 @@
             }
             let read = tokio::time::timeout(WAIT, self.stream.read(&mut buffer)).await.expect("in time");
             match read.unwrap() {
-                0 => panic!("ended"),
-                n => self.framing.add(&buffer[..n]),
+                0 => panic!("the server closed the session"),
+                count => self.framing.add(&buffer[..count]),
             }
         }
     }
@@ -105,8 +106,8 @@
                  </edit-config>"
             )
         };
-        let wrong = edit("<marks><mark><host>c2</host><state>gone-fishing</state></mark></marks>");
-        assert_eq!(session.call(&wrong).await, ERROR);
+        let invalid_edit = edit("<marks><mark><host>c2</host><state>gone-fishing</state></mark></marks>");
+        assert_eq!(session.call(&invalid_edit).await, ERROR);
         let last = format!("<drain {ns}><host>c2</host></drain>");
         assert_eq!(session.call(&last).await, LAST_OF_LOCATION);
     });
@@ -131,7 +132,7 @@
     });
 }
 
-/// The bytes of a message, as text with escapes.
+/// The encoded bytes of a message as escaped ASCII text.
 fn bytes(message: &impl Message) -> String {
     message.encode_to_vec().escape_ascii().to_string()
 }
@@ -183,7 +184,7 @@
         }
         let paths = ["/router/marks/mark[host=c1]/reason".to_string()];
         let mut changes = root.clone().follow(&setup.schema, &paths, None).await.unwrap();
-        let next = |message: wire::SubscribeResponse| match message.response.unwrap() {
+        let encoded = |message: wire::SubscribeResponse| match message.response.unwrap() {
             Response::Update(mut note) => {
                 note.timestamp = 0;
                 bytes(&note)
@@ -191,12 +192,12 @@
             Response::SyncResponse(_) => "sync".to_string(),
         };
         let first = tokio::time::timeout(WAIT, changes.message()).await.unwrap().unwrap().unwrap();
-        assert_eq!(next(first), UPDATE);
+        assert_eq!(encoded(first), UPDATE);
         let sync = tokio::time::timeout(WAIT, changes.message()).await.unwrap().unwrap().unwrap();
-        assert_eq!(next(sync), "sync");
+        assert_eq!(encoded(sync), "sync");
         let set = wire::SetRequest { delete: vec![path(mark)], ..Default::default() };
         root.raw_set(set).await.unwrap();
-        let gone = tokio::time::timeout(WAIT, changes.message()).await.unwrap().unwrap().unwrap();
-        assert_eq!(next(gone), DELETE);
+        let deletion = tokio::time::timeout(WAIT, changes.message()).await.unwrap().unwrap().unwrap();
+        assert_eq!(encoded(deletion), DELETE);
     });
 }
