--- a/crates/rockflow-netconf/src/xml.rs
+++ b/crates/rockflow-netconf/src/xml.rs
@@ -1,7 +1,7 @@
-//! XML messages: elements with their namespaces resolved.
+//! Parsing and writing of XML messages, with element and attribute namespaces resolved.
 //!
-//! Reading is strict: depth and number of elements are limited, and document types and entities of one's own are errors.
-//! Writing escapes all text.
+//! Parsing limits the nesting depth and the number of elements and attributes, and rejects document type
+//! declarations and entities that are not predefined. The writer escapes text and attribute values.
 
 use quick_xml::escape::escape;
 use quick_xml::events::{BytesStart, Event};
@@ -11,56 +11,56 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Nesting depth of a message at the most.
+/// Maximum nesting depth of the elements in a message.
 pub const MAX_DEPTH: usize = 64;
-/// Elements of a message at the most.
+/// Maximum number of elements in a message.
 pub const MAX_ELEMENTS: usize = 200_000;
-/// Attributes of an element at the most.
+/// Maximum number of attributes of one element, namespace declarations included.
 pub const MAX_ATTRIBUTES: usize = 32;
 
-/// Namespace that attributes such as `xmlns:a` are of.
+/// The namespace of declarations such as `xmlns:a`.
 const XMLNS: &str = "http://www.w3.org/2000/xmlns/";
 
-/// Namespaces by their prefix.
+/// Maps each declared prefix to its namespace.
 pub type Prefixes = Arc<BTreeMap<String, String>>;
 
-/// A message that can't be read.
+/// The reason why a message could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum XmlError {
-    /// No UTF-8, or no well-formed XML.
+    /// The message is not UTF-8 or not well-formed XML.
     #[error("{0}")]
     Malformed(String),
-    /// More than one element at the top.
-    #[error("more than one element")]
+    /// The message has more than one top-level element.
+    #[error("more than one top-level element")]
     SecondRoot,
-    /// Too deep, or too many elements.
-    #[error("deeper than {MAX_DEPTH} or more than {MAX_ELEMENTS} elements")]
+    /// The message exceeds [`MAX_DEPTH`] or [`MAX_ELEMENTS`].
+    #[error("nested deeper than {MAX_DEPTH} or more than {MAX_ELEMENTS} elements")]
     TooManyElements,
-    /// Too many attributes of one element.
-    #[error("more than {MAX_ATTRIBUTES} attributes")]
+    /// An element has more than [`MAX_ATTRIBUTES`] attributes.
+    #[error("more than {MAX_ATTRIBUTES} attributes on an element")]
     TooManyAttributes,
-    /// An end tag without its start tag.
-    #[error("an end without a start")]
+    /// An end tag has no matching start tag.
+    #[error("an end tag without a start tag")]
     EndWithoutStart,
-    /// Text outside of the top element.
-    #[error("text outside of the element")]
+    /// There is text outside the top-level element.
+    #[error("text outside the top-level element")]
     TextOutside,
-    /// A reference to an entity other than the five that XML predefines.
-    #[error("an entity that is not predefined")]
+    /// The message refers to an entity other than the five that XML predefines.
+    #[error("reference to an entity that is not predefined")]
     UnknownEntity,
-    /// A document type declaration.
-    #[error("a document type is not taken")]
+    /// The message has a document type declaration, which is not accepted.
+    #[error("document type declarations are not accepted")]
     DocumentType,
-    /// A processing instruction.
-    #[error("a processing instruction is not taken")]
+    /// The message has a processing instruction, which is not accepted.
+    #[error("processing instructions are not accepted")]
     ProcessingInstruction,
-    /// The message ends ahead of its last end tag.
-    #[error("ends within an element")]
+    /// The message ends before all elements are closed.
+    #[error("the message ends inside an element")]
     Truncated,
     /// The message holds no element.
-    #[error("no element")]
+    #[error("the message has no element")]
     Empty,
-    /// A prefix without a namespace.
+    /// A name has a prefix for which no namespace is declared.
     #[error("the prefix {0} is not declared")]
     UnknownPrefix(String),
 }
@@ -69,61 +69,62 @@
     XmlError::Malformed(error.to_string())
 }
 
-/// An element with all that it holds.
+/// An element with its attributes, text and descendants.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Element {
-    /// Its namespace; empty without one.
+    /// The namespace, or an empty string if the element has none.
     pub ns: String,
-    /// Its name, without a prefix.
+    /// The local name, without a prefix.
     pub name: String,
-    /// Its attributes, declarations of namespaces included.
+    /// The attributes, including namespace declarations.
     pub attributes: Vec<Attribute>,
-    /// The elements within it.
+    /// The child elements in document order.
     pub children: Vec<Element>,
-    /// All text directly within it.
+    /// The concatenated text directly inside this element, without that of its children.
     pub text: String,
-    /// The prefixes that are declared here.
+    /// The namespace prefixes in scope, declared by this element or an ancestor.
     pub prefixes: Prefixes,
 }
 
 /// An attribute of an element.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attribute {
-    /// Its namespace; empty for an attribute without a prefix.
+    /// The namespace, or an empty string for an attribute without a prefix.
     pub ns: String,
-    /// Its name, without a prefix.
+    /// The local name, without a prefix.
     pub name: String,
-    /// Its name as it was written.
+    /// The name as it was written, with its prefix if it has one.
     pub qualified: String,
-    /// Its value.
+    /// The value, with character references and predefined entities resolved.
     pub value: String,
 }
 
 impl Element {
-    /// The first child of that name.
+    /// Returns the first child element with this local name, in any namespace.
     pub fn child(&self, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.name == name)
     }
 
-    /// The text directly within, without white space around it.
+    /// Returns the text of this element without leading and trailing white space.
     pub fn text(&self) -> &str {
         self.text.trim()
     }
 
-    /// The text of the first child of that name.
+    /// Returns the trimmed text of the first child element with this local name.
     pub fn text_of(&self, name: &str) -> Option<&str> {
         self.child(name).map(Element::text)
     }
 
-    /// An attribute without a prefix, or of that namespace.
+    /// Returns the value of an attribute in the given namespace, or without a prefix if `ns` is empty.
     pub fn attribute(&self, ns: &str, name: &str) -> Option<&str> {
-        let fits =
-            |one: &&Attribute| one.name == name && (one.ns == ns || (ns.is_empty() && one.ns.is_empty()));
-        self.attributes.iter().find(fits).map(|one| one.value.as_str())
+        let matches = |attribute: &&Attribute| {
+            attribute.name == name && (attribute.ns == ns || (ns.is_empty() && attribute.ns.is_empty()))
+        };
+        self.attributes.iter().find(matches).map(|attribute| attribute.value.as_str())
     }
 }
 
-/// Reads the one element that a message is.
+/// Parses a message, which must consist of exactly one top-level element.
 pub fn read(message: &[u8]) -> Result<Element, XmlError> {
     let text = std::str::from_utf8(message).map_err(malformed)?;
     let mut reader = NsReader::from_str(text);
@@ -159,7 +160,7 @@
                 let character = character.or_else(|| predefined_entity(&reference));
                 element.text.push(character.ok_or(XmlError::UnknownEntity)?);
             }
-            // Guards against bombs: an entity can't be defined, so it can't grow.
+            // Prevents entity expansion attacks: without a document type, no entity can be defined.
             Event::DocType(_) => return Err(XmlError::DocumentType),
             Event::PI(_) => return Err(XmlError::ProcessingInstruction),
             Event::Decl(_) | Event::Comment(_) => {}
@@ -168,11 +169,11 @@
     }
 }
 
-/// The elements read so far.
+/// Builds the element tree while the message is parsed.
 #[derive(Default)]
 struct TreeBuilder {
     root: Option<Element>,
-    /// Elements whose end is still to come, outermost first.
+    /// Elements whose end tag has not been read yet, outermost first.
     open: Vec<Element>,
     elements: usize,
 }
@@ -218,8 +219,8 @@
     })
 }
 
-fn namespace(found: ResolveResult) -> Result<String, XmlError> {
-    match found {
+fn namespace(resolved: ResolveResult) -> Result<String, XmlError> {
+    match resolved {
         ResolveResult::Bound(ns) => Ok(ns.as_ref().to_string()),
         ResolveResult::Unbound => Ok(String::new()),
         ResolveResult::Unknown(prefix) => Err(XmlError::UnknownPrefix(prefix.to_string())),
@@ -231,9 +232,9 @@
     start: &BytesStart,
     parent: Option<&Element>,
 ) -> Result<Element, XmlError> {
-    let (found, local) = reader.resolver().resolve_element(start.name());
+    let (resolved, local) = reader.resolver().resolve_element(start.name());
     let mut element = Element {
-        ns: namespace(found)?,
+        ns: namespace(resolved)?,
         name: local.as_ref().to_string(),
         prefixes: parent.map(|parent| parent.prefixes.clone()).unwrap_or_default(),
         ..Element::default()
@@ -249,27 +250,27 @@
         if let Some(prefix) = qualified.strip_prefix("xmlns:") {
             Arc::make_mut(&mut element.prefixes).insert(prefix.to_string(), value.clone());
         }
-        let (found, local) = reader.resolver().resolve_attribute(attribute.key);
+        let (resolved, local) = reader.resolver().resolve_attribute(attribute.key);
         let is_declaration = qualified == "xmlns" || qualified.starts_with("xmlns:");
-        let ns = if is_declaration { XMLNS.to_string() } else { namespace(found)? };
+        let ns = if is_declaration { XMLNS.to_string() } else { namespace(resolved)? };
         element.attributes.push(Attribute { ns, name: local.as_ref().to_string(), qualified, value });
     }
     Ok(element)
 }
 
-/// Writes a message.
+/// Builds the text of an XML message. It does not check that elements are nested correctly.
 #[derive(Debug, Default)]
 pub struct Writer {
     out: String,
 }
 
 impl Writer {
-    /// An empty message.
+    /// Creates a writer for an empty message.
     pub fn new() -> Writer {
         Writer { out: String::new() }
     }
 
-    /// Begins an element; attributes come as name and value.
+    /// Writes a start tag. `attributes` are pairs of name and unescaped value.
     pub fn open(&mut self, name: &str, attributes: &[(&str, &str)]) {
         self.out.push('<');
         self.out.push_str(name);
@@ -279,38 +280,38 @@
         self.out.push('>');
     }
 
-    /// Ends the element that was begun last, by its name.
+    /// Writes the end tag of the innermost open element, whose name the caller passes.
     pub fn close(&mut self, name: &str) {
         self.out.push_str("</");
         self.out.push_str(name);
         self.out.push('>');
     }
 
-    /// Writes text, escaped.
+    /// Writes text and escapes it.
     pub fn text(&mut self, text: &str) {
         self.out.push_str(&escape(text));
     }
 
-    /// An element with text alone.
+    /// Writes an element that contains only text, which is escaped.
     pub fn leaf(&mut self, name: &str, attributes: &[(&str, &str)], text: &str) {
         self.open(name, attributes);
         self.text(text);
         self.close(name);
     }
 
-    /// An element without content.
+    /// Writes an element without content as an empty-element tag.
     pub fn empty(&mut self, name: &str, attributes: &[(&str, &str)]) {
         self.open(name, attributes);
         self.out.pop();
         self.out.push_str("/>");
     }
 
-    /// Writes XML as it is.
+    /// Writes XML without escaping it.
     pub fn raw(&mut self, xml: &str) {
         self.out.push_str(xml);
     }
 
-    /// The text of the message.
+    /// Returns the text of the message.
     pub fn finish(self) -> String {
         self.out
     }
