--- a/crates/rockflow-netconf/src/framing.rs
+++ b/crates/rockflow-netconf/src/framing.rs
@@ -1,44 +1,50 @@
-//! Messages on a stream (RFC 6242, section 4), without I/O: ended by `]]>]]>` until both sides have announced base:1.1, in
-//! chunks from then on.
+//! Message framing on a byte stream (RFC 6242, section 4), without I/O.
+//!
+//! Messages end with the delimiter `]]>]]>` until both sides have announced base:1.1; after that they are
+//! sent in chunks.
 
 use thiserror::Error;
 
-const END: &[u8] = b"]]>]]>";
-/// Bytes of the longest chunk header: `\n#`, ten digits and a line feed.
-const MAX_HEADER: usize = 13;
+/// Ends each message when chunked framing is not in use.
+const END_OF_MESSAGE: &[u8] = b"]]>]]>";
+/// Length in bytes of the longest chunk header: `\n#`, ten digits and a line feed.
+const MAX_CHUNK_HEADER_BYTES: usize = 13;
 
-/// What can't be taken for a message. The connection ends: what follows can't be told apart either.
+/// Received bytes that are not a valid message.
+///
+/// The connection has to be closed, because the start of the next message can't be found.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FramingError {
-    /// The message is larger than so many bytes.
-    #[error("a message of more than {0} bytes")]
+    /// The message exceeds the limit, given in bytes.
+    #[error("message larger than {0} bytes")]
     TooLarge(usize),
-    /// What was received is no chunk.
-    #[error("what came is no chunk")]
+    /// The received bytes are not a valid chunk.
+    #[error("invalid chunk")]
     NotAChunk,
 }
 
-/// Takes a stream of bytes apart into messages.
+/// Splits a stream of bytes into messages.
 #[derive(Debug)]
 pub struct Framing {
     chunked: bool,
     max_message_bytes: usize,
-    /// Bytes received that are not part of a message yet.
+    /// Received bytes that have not been returned or copied to `message`.
     received: Vec<u8>,
-    /// How many of `received` were searched for the end of a message.
+    /// Number of bytes of `received` already searched for the message delimiter.
     searched: usize,
-    /// The chunks of the present message.
+    /// The content of the chunks received so far of the current message.
     message: Vec<u8>,
-    /// Bytes of the present chunk that are still to come.
+    /// Number of bytes of the current chunk that have not been copied to `message` yet.
     chunk_remaining: usize,
-    /// Whether the present message has had a chunk.
+    /// Whether the current message has at least one chunk.
     has_chunk: bool,
-    /// Whether the first chunk is still to come: clients end their hello with a line feed of their own.
+    /// Whether the first chunk has not been read yet. Some clients send an extra line feed after their hello,
+    /// which is skipped at that point.
     is_first_chunk: bool,
 }
 
 impl Framing {
-    /// For messages up to a size.
+    /// Creates a decoder with delimiter framing that rejects messages above `max_message_bytes`.
     pub fn new(max_message_bytes: usize) -> Framing {
         Framing {
             chunked: false,
@@ -52,29 +58,29 @@
         }
     }
 
-    /// From the next message on, both sides send chunks.
+    /// Switches to chunked framing, starting with the next message.
     pub fn switch_to_chunks(&mut self) {
         self.chunked = true;
         self.is_first_chunk = true;
         self.searched = 0;
     }
 
-    /// Whether both sides send chunks.
+    /// Returns whether chunked framing is in use.
     pub fn is_chunked(&self) -> bool {
         self.chunked
     }
 
-    /// Adds bytes that were received.
+    /// Appends bytes received from the stream.
     pub fn add(&mut self, bytes: &[u8]) {
         self.received.extend_from_slice(bytes);
     }
 
-    /// Bytes held, of an incomplete message and of what follows.
+    /// Returns the number of buffered bytes that have not been returned as part of a message.
     pub fn buffered_bytes(&self) -> usize {
         self.received.len() + self.message.len()
     }
 
-    /// The next complete message.
+    /// Removes and returns the next message, or `None` if it is not complete yet.
     pub fn next_message(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
         if self.chunked {
             self.next_chunked()
@@ -84,11 +90,12 @@
     }
 
     fn next_delimited(&mut self) -> Result<Option<Vec<u8>>, FramingError> {
-        let from = self.searched.saturating_sub(END.len() - 1);
-        let found = self.received[from..].windows(END.len()).position(|window| window == END);
+        let from = self.searched.saturating_sub(END_OF_MESSAGE.len() - 1);
+        let found =
+            self.received[from..].windows(END_OF_MESSAGE.len()).position(|window| window == END_OF_MESSAGE);
         let Some(at) = found.map(|at| from + at) else {
             self.searched = self.received.len();
-            return if self.received.len() > self.max_message_bytes + END.len() {
+            return if self.received.len() > self.max_message_bytes + END_OF_MESSAGE.len() {
                 Err(FramingError::TooLarge(self.max_message_bytes))
             } else {
                 Ok(None)
@@ -98,7 +105,7 @@
             return Err(FramingError::TooLarge(self.max_message_bytes));
         }
         let message = self.received[..at].to_vec();
-        self.received.drain(..at + END.len());
+        self.received.drain(..at + END_OF_MESSAGE.len());
         self.searched = 0;
         Ok(Some(message))
     }
@@ -136,13 +143,15 @@
         Ok(Some(std::mem::take(&mut self.message)))
     }
 
-    /// Skips the line feed that a client may send between its hello and the first chunk. False: it can't be told yet
-    /// whether there is one.
+    /// Skips the line break that a client may send between its hello and the first chunk.
+    ///
+    /// Returns false if more bytes are needed to decide whether there is one.
     fn skip_line_feed(&mut self) -> bool {
-        let lead = self.received.iter().take(2).take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-        let skipped = match self.received.get(lead) {
-            // The last line feed is the chunk header's own.
-            Some(b'#') => lead.saturating_sub(1),
+        let line_breaks =
+            self.received.iter().take(2).take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        let skipped = match self.received.get(line_breaks) {
+            // The last line feed belongs to the chunk header.
+            Some(b'#') => line_breaks.saturating_sub(1),
             Some(_) => 0,
             None => return false,
         };
@@ -151,7 +160,8 @@
         true
     }
 
-    /// Guards against a chunk that claims to be huge: nothing is reserved for what was not received.
+    /// Records the size of the next chunk. No memory is reserved for it, so that a header that announces a
+    /// huge chunk costs nothing.
     fn begin_chunk(&mut self, size: usize) -> Result<(), FramingError> {
         if size > self.max_message_bytes.saturating_sub(self.message.len()) {
             return Err(FramingError::TooLarge(self.max_message_bytes));
@@ -162,29 +172,29 @@
     }
 }
 
-/// A line such as `\n#12\n`, which a chunk begins with, or `\n##\n`, which ends a message.
+/// A chunk header such as `\n#12\n`, or the end-of-chunks marker `\n##\n`.
 struct ChunkHeader {
     kind: HeaderKind,
-    /// Bytes of the header itself.
+    /// Length of the header itself in bytes.
     length: usize,
 }
 
 enum HeaderKind {
-    /// A chunk of so many bytes follows.
+    /// A chunk of `size` bytes follows.
     Chunk { size: usize },
-    /// The message ends.
+    /// The message is complete.
     End,
 }
 
 impl ChunkHeader {
-    /// Parses the header that the bytes begin with. None: it is not complete yet.
+    /// Parses the header at the start of `bytes`. Returns `None` if it is not complete yet.
     fn parse(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
-        let bytes = &bytes[..bytes.len().min(MAX_HEADER)];
+        let bytes = &bytes[..bytes.len().min(MAX_CHUNK_HEADER_BYTES)];
         if !b"\n#".starts_with(&bytes[..bytes.len().min(2)]) {
             return Err(FramingError::NotAChunk);
         }
         let Some(end) = bytes.iter().skip(2).position(|byte| *byte == b'\n').map(|at| at + 2) else {
-            let may_be_completed = bytes.len() < MAX_HEADER;
+            let may_be_completed = bytes.len() < MAX_CHUNK_HEADER_BYTES;
             return if may_be_completed { Ok(None) } else { Err(FramingError::NotAChunk) };
         };
         let length = end + 1;
@@ -200,7 +210,7 @@
     }
 }
 
-/// A message as it is sent.
+/// Encodes a message for sending, with chunked framing or with the end-of-message delimiter.
 pub fn encode(message: &str, chunked: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(message.len() + 32);
     if chunked {
@@ -211,7 +221,7 @@
         out.extend_from_slice(b"\n##\n");
     } else {
         out.extend_from_slice(message.as_bytes());
-        out.extend_from_slice(END);
+        out.extend_from_slice(END_OF_MESSAGE);
     }
     out
 }
