--- a/crates/rockflow-netconf/src/filter.rs
+++ b/crates/rockflow-netconf/src/filter.rs
@@ -1,17 +1,18 @@
-//! Filters: which part of a tree is selected, by subtree (RFC 6241, section 6), or by a subset of XPath that names paths.
+//! Selection of a part of a data tree by a subtree filter (RFC 6241, section 6) or by a subset of XPath.
 //!
-//! Paths are absolute, with keys compared to literals; a key that is left out, or compared to `*`, is open. Several paths are
-//! joined by `|`.
+//! The XPath subset has absolute paths with predicates that compare list keys to literals. A key that is left
+//! out or compared to `*` matches every value. Several paths are joined by `|`.
 
 use crate::xml::{Element, Prefixes};
 use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::{data, DataNode, DataTree, NodeId, Pattern, Schema};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Paths in one expression at the most.
+/// Maximum number of paths in one filter.
 pub const MAX_PATHS: usize = 64;
 
-/// The part of a tree, whose nodes lie below `parent`, that the elements of a subtree filter select.
+/// Returns the part of `tree` that the elements of a subtree filter select. The nodes of `tree` are children
+/// of `parent`.
 pub fn subtree(schema: &Schema, tree: &DataTree, parent: Option<NodeId>, filter: &[Element]) -> DataTree {
     let mut selected = DataTree::new();
     for element in filter {
@@ -25,18 +26,18 @@
     selected
 }
 
-/// Whether the element names the node; without a namespace it may be of any module.
+/// Returns whether the element names the node. An element without a namespace matches nodes of every module.
 fn is_named(schema: &Schema, id: NodeId, element: &Element) -> bool {
     let node = schema.node(id);
     node.name == element.name && (element.ns.is_empty() || schema.module_of(id).namespace == element.ns)
 }
 
 fn select_node(schema: &Schema, id: NodeId, data: &DataNode, element: &Element) -> Option<DataNode> {
-    let wanted = element.text();
+    let expected = element.text();
     match data {
-        DataNode::Leaf(value) => (wanted.is_empty() || value.to_string() == wanted).then(|| data.clone()),
+        DataNode::Leaf(value) => (expected.is_empty() || value.to_string() == expected).then(|| data.clone()),
         DataNode::LeafList(values) => {
-            let matching = values.iter().filter(|value| wanted.is_empty() || value.to_string() == wanted);
+            let matching = values.iter().filter(|value| expected.is_empty() || value.to_string() == expected);
             let matching: BTreeSet<_> = matching.cloned().collect();
             (!matching.is_empty()).then_some(DataNode::LeafList(matching))
         }
@@ -53,37 +54,38 @@
     }
 }
 
-/// What is selected of one container or entry; none where a value that must match does not.
+/// Selects from one container or list entry. Returns `None` if a content match node (RFC 6241, section 6.2.5)
+/// does not match or nothing is selected.
 fn select_within(schema: &Schema, id: NodeId, inner: &DataTree, element: &Element) -> Option<DataTree> {
     if element.children.is_empty() {
         return Some(inner.clone());
     }
     let is_content_match = |child: &&Element| child.children.is_empty() && !child.text().is_empty();
     let content_matches: Vec<&Element> = element.children.iter().filter(is_content_match).collect();
-    let holds = |child: &&Element| {
-        let found = inner.iter().find(|(node, _)| is_named(schema, **node, child));
-        found.is_some_and(|(node, data)| select_node(schema, *node, data, child).is_some())
+    let matches = |child: &&Element| {
+        let candidate = inner.iter().find(|(node, _)| is_named(schema, **node, child));
+        candidate.is_some_and(|(node, data)| select_node(schema, *node, data, child).is_some())
     };
-    if !content_matches.iter().all(holds) {
+    if !content_matches.iter().all(matches) {
         return None;
     }
     if content_matches.len() == element.children.len() {
         return Some(inner.clone());
     }
-    let mut found = subtree(schema, inner, Some(id), &element.children);
-    if found.is_empty() {
+    let mut selected = subtree(schema, inner, Some(id), &element.children);
+    if selected.is_empty() {
         return None;
     }
-    // What identifies an entry stays with it.
+    // A selected list entry always includes its keys.
     for key in schema.keys(id) {
         if let Some(value) = inner.get(key) {
-            found.insert(*key, value.clone());
+            selected.insert(*key, value.clone());
         }
     }
-    Some(found)
+    Some(selected)
 }
 
-/// The paths of an XPath expression. Prefixes stand for namespaces; names without one are of any module.
+/// Parses the paths of an XPath expression. A name without a prefix matches nodes of every module.
 pub fn patterns(
     schema: &Schema,
     expression: &str,
@@ -104,7 +106,7 @@
     ManagementError::new(ErrorTag::InvalidValue, message).with_element("select")
 }
 
-/// The path with each prefix replaced by the name of the module whose namespace it stands for.
+/// Replaces each prefix in the path by the name of the module whose namespace the prefix is bound to.
 fn qualify_names(schema: &Schema, path: &str, prefixes: &Prefixes) -> Result<String, ManagementError> {
     let mut qualified = String::new();
     let mut name = String::new();
@@ -140,11 +142,11 @@
     let namespace = prefixes.get(prefix);
     let module = schema.modules().iter().find(|module| Some(&module.namespace) == namespace);
     let module = module.or_else(|| schema.modules().iter().find(|module| module.name == prefix));
-    let module = module.ok_or_else(|| invalid(format!("{prefix}: no such prefix")))?;
+    let module = module.ok_or_else(|| invalid(format!("{prefix}: unknown prefix")))?;
     Ok(format!("{}:{local}", module.name))
 }
 
-/// The part of a tree that any of the patterns matches.
+/// Returns the part of `tree` that matches at least one of the patterns.
 pub fn by_paths(tree: &DataTree, patterns: &[Pattern]) -> DataTree {
     let mut selected = DataTree::new();
     for pattern in patterns {
