--- a/crates/rockflow-netconf/src/error.rs
+++ b/crates/rockflow-netconf/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the server does not start.
+//! Errors that prevent the NETCONF server from starting.
 
 use rockflow_management_service::credentials::CredentialError;
 use std::io;
@@ -6,35 +6,35 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the NETCONF server does not start.
+/// The reason why the NETCONF server could not be checked, bound or started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// Binding a listener to its address failed.
     #[error("netconf {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured listen address.
         address: SocketAddr,
-        /// The system's error.
+        /// The I/O error from the operating system.
         source: io::Error,
     },
-    /// A listener can't be used by the runtime.
+    /// A bound listener could not be registered with the async runtime.
     #[error(transparent)]
     Listener(#[from] io::Error),
-    /// Keys or certificates that can't be used, with their file.
+    /// A key or certificate file, or the folder of authorized keys, is not usable; the error names the path.
     #[error(transparent)]
     Credentials(#[from] CredentialError),
-    /// The host key's file holds no text.
+    /// The file with the SSH host key is not UTF-8 text.
     #[error("{}: not text", path.display())]
     KeyNotText {
-        /// The file.
+        /// The host key file.
         path: PathBuf,
     },
-    /// The host key can't be decoded.
+    /// The SSH host key can't be decoded.
     #[error("{}: {source}", path.display())]
     Key {
-        /// The file.
+        /// The host key file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error from the key decoder.
         source: russh::keys::Error,
     },
 }
