--- a/crates/rockflow-netconf/src/codec.rs
+++ b/crates/rockflow-netconf/src/codec.rs
@@ -1,4 +1,5 @@
-//! Data trees as XML (RFC 7950), and the edits that a `<config>` asks for (RFC 6241, section 7.2).
+//! Conversion between data trees and XML (RFC 7950), and parsing of the edits in a `<config>` element (RFC
+//! 6241, section 7.2).
 
 use crate::ns;
 use crate::xml::{Element, Writer};
@@ -9,16 +10,17 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Attributes that are written with the values.
+/// Selects the metadata attributes that are written with the data nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Annotations {
-    /// Values that equal their default bear `wd:default` (RFC 6243, report-all-tagged).
+    /// Whether values equal to their default get the attribute `wd:default` (RFC 6243, report-all-tagged).
     pub tag_defaults: bool,
-    /// Where each part comes from (RFC 8526, with-origin).
+    /// Whether configuration nodes get the attribute `or:origin` (RFC 8526, with-origin). Child nodes of the
+    /// same module inherit it.
     pub origin: bool,
 }
 
-/// Writes the nodes of a tree, which lie below `parent`, as its content.
+/// Writes the nodes of `tree`, which are children of `parent`, or top-level nodes if it is `None`.
 pub fn write(
     schema: &Schema,
     tree: &DataTree,
@@ -64,7 +66,7 @@
     }
 }
 
-/// Writes the content of a list entry. Keys come first (RFC 7950, section 7.8.5).
+/// Writes the content of a list entry, with the keys first (RFC 7950, section 7.8.5).
 fn write_entry(
     schema: &Schema,
     list: NodeId,
@@ -81,7 +83,8 @@
     write(schema, &others, Some(list), annotations, out);
 }
 
-/// The node that an element names below `parent`.
+/// Finds the schema node for an element among the children of `parent`, or among the top-level nodes if it is
+/// `None`.
 pub fn node_of(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -89,7 +92,7 @@
 ) -> Result<NodeId, ManagementError> {
     let module = schema.modules().iter().position(|module| module.namespace == element.ns);
     let Some(module) = module else {
-        let message = format!("{}: no such namespace", element.ns);
+        let message = format!("{}: unknown namespace", element.ns);
         return Err(ManagementError::new(ErrorTag::UnknownNamespace, message).with_element(&element.name));
     };
     let module = rockflow_yang::ModuleId(module as u8);
@@ -99,13 +102,13 @@
     })
 }
 
-/// The value of a leaf's element.
+/// Parses the value of a leaf or of a leaf-list entry.
 fn scalar(schema: &Schema, node: NodeId, element: &Element, path: &Path) -> Result<Scalar, ManagementError> {
-    let value_type = schema
-        .type_of(node)
-        .ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "holds no value").with_path(path))?;
+    let value_type = schema.type_of(node).ok_or_else(|| {
+        ManagementError::new(ErrorTag::InvalidValue, "this node has no value").with_path(path)
+    })?;
     if !element.children.is_empty() {
-        return Err(ManagementError::new(ErrorTag::UnknownElement, "a value is wanted")
+        return Err(ManagementError::new(ErrorTag::UnknownElement, "expected a value, found an element")
             .with_path(path)
             .with_element(&element.name));
     }
@@ -116,28 +119,29 @@
     })
 }
 
-/// The key values of a list entry, each of which must stand once.
+/// Parses the keys of a list entry. Each key must occur exactly once.
 fn keys_of(
     schema: &Schema,
     list: NodeId,
     element: &Element,
     path: &Path,
 ) -> Result<KeyValues, ManagementError> {
-    let key = |key: &NodeId| {
+    let parse_key = |key: &NodeId| {
         let name = &schema.node(*key).name;
         let mut found = element.children.iter().filter(|child| child.name == *name);
         let (Some(child), None) = (found.next(), found.next()) else {
-            let message = format!("the key {name} must stand once");
+            let message = format!("the key {name} must occur exactly once");
             return Err(ManagementError::new(ErrorTag::MissingElement, message)
                 .with_path(path)
                 .with_element(name));
         };
         scalar(schema, *key, child, path)
     };
-    schema.keys(list).iter().map(key).collect()
+    schema.keys(list).iter().map(parse_key).collect()
 }
 
-/// Reads elements as the nodes below `parent`, whose path is `parent_path`. State is read too where the scope has it.
+/// Parses elements as child nodes of `parent`, whose path is `parent_path`. State nodes are rejected unless
+/// `scope` includes them.
 pub fn read(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -150,7 +154,7 @@
         let id = node_of(schema, parent, element)?;
         let path = parent_path.child(id, Vec::new());
         if !scope.includes(schema.node(id)) {
-            let error = ManagementError::new(ErrorTag::InvalidValue, "is state, which can't be written");
+            let error = ManagementError::new(ErrorTag::InvalidValue, "state data can't be written");
             return Err(error.with_path(&path));
         }
         let is_new = match &schema.node(id).kind {
@@ -180,14 +184,15 @@
             }
         };
         if !is_new {
-            let error = ManagementError::new(ErrorTag::BadElement, "stands twice");
+            let error = ManagementError::new(ErrorTag::BadElement, "occurs more than once");
             return Err(error.with_path(&path).with_element(&element.name));
         }
     }
     Ok(tree)
 }
 
-/// Reads the content of `<config>` as edits, in their order. `default`: the operation of elements that name none.
+/// Parses the content of `<config>` into edits in document order. `default` is the operation of elements that
+/// neither have nor inherit an `operation` attribute.
 pub fn edits(
     schema: &Schema,
     config: &Element,
@@ -198,7 +203,7 @@
     Ok(reader.edits)
 }
 
-/// The `operation` attribute of an element.
+/// Parses the `operation` attribute of an element, if it has one.
 fn own_operation(element: &Element, path: &Path) -> Result<Option<EditOperation>, ManagementError> {
     match element.attribute(ns::BASE, "operation") {
         None => Ok(None),
@@ -208,12 +213,13 @@
         Some("delete") => Ok(Some(EditOperation::Delete)),
         Some("remove") => Ok(Some(EditOperation::Remove)),
         Some(other) => {
-            let error = ManagementError::new(ErrorTag::BadAttribute, format!("{other}: no such operation"));
+            let error = ManagementError::new(ErrorTag::BadAttribute, format!("{other}: unknown operation"));
             Err(error.with_path(path).with_element(&element.name))
         }
     }
 }
 
+/// Collects the edits while the elements of a `<config>` are read recursively.
 struct EditReader<'a> {
     schema: &'a Schema,
     edits: Vec<Edit>,
@@ -233,7 +239,7 @@
         Ok(())
     }
 
-    /// Reads one element and those in it. `inherited`: the operation of the element around it.
+    /// Reads one element and its descendants. `inherited` is the operation of the enclosing element.
     fn read_element(
         &mut self,
         parent: Option<NodeId>,
@@ -256,9 +262,10 @@
         let value = self.value_of(id, element, &path, op)?;
         let is_leaf = matches!(kind, NodeKind::Leaf { .. } | NodeKind::LeafList { .. });
         match op {
-            // A leaf that only shows the way need not exist.
+            // With the default operation `none`, leaves without an operation are not required to exist.
             EditOperation::AssertExists if is_leaf => Ok(()),
-            // A container exists where anything in it does; entries exist by themselves.
+            // A container exists if any of its content exists, so it needs no edit. A list entry may exist
+            // without content.
             EditOperation::Merge | EditOperation::AssertExists if matches!(kind, NodeKind::Container) => {
                 self.read_children(Some(id), element, &path, op)
             }
@@ -272,7 +279,8 @@
         }
     }
 
-    /// The value of the edit for an element: that of a leaf, or all of what is replaced or created as a whole.
+    /// Returns the value of the edit for an element: the value of a leaf, or the whole subtree of a container
+    /// or list entry that is replaced or created. Other edits have no value.
     fn value_of(
         &self,
         id: NodeId,
@@ -280,25 +288,26 @@
         path: &Path,
         op: EditOperation,
     ) -> Result<Option<DataNode>, ManagementError> {
-        let is_whole = matches!(op, EditOperation::Replace | EditOperation::Create);
+        let has_subtree = matches!(op, EditOperation::Replace | EditOperation::Create);
         match &self.schema.node(id).kind {
             NodeKind::Leaf { .. } if matches!(op, EditOperation::Delete | EditOperation::Remove) => Ok(None),
             NodeKind::Leaf { .. } => Ok(Some(DataNode::Leaf(scalar(self.schema, id, element, path)?))),
             NodeKind::LeafList { .. } => Ok(None),
-            NodeKind::Container | NodeKind::List { .. } if is_whole => {
+            NodeKind::Container | NodeKind::List { .. } if has_subtree => {
                 check_no_deletes(&element.children, path)?;
                 let inner = read(self.schema, Some(id), &element.children, path, NodeScope::ConfigOnly)?;
                 Ok(Some(DataNode::Container(inner)))
             }
             NodeKind::Container | NodeKind::List { .. } => Ok(None),
             _ => {
-                let error = ManagementError::new(ErrorTag::UnknownElement, "no configuration");
+                let error = ManagementError::new(ErrorTag::UnknownElement, "not a configuration node");
                 Err(error.with_element(&element.name))
             }
         }
     }
 
-    /// Reads a list entry that is merged or must exist: an edit of its own, then those of what it holds.
+    /// Reads a list entry that is merged or must exist: adds an edit for the entry, then the edits for its
+    /// children.
     fn read_entry(
         &mut self,
         list: NodeId,
@@ -313,8 +322,10 @@
             if !self.schema.is_key(inner) {
                 self.read_element(Some(list), child, &path, op)?;
             } else if own_operation(child, &path)?.is_some() {
-                let error =
-                    ManagementError::new(ErrorTag::BadAttribute, "a key bears no operation of its own");
+                let error = ManagementError::new(
+                    ErrorTag::BadAttribute,
+                    "a list key can't have an operation attribute",
+                );
                 return Err(error.with_path(&path).with_element(&child.name));
             }
         }
@@ -322,12 +333,13 @@
     }
 }
 
-/// Guards against deletions within what is replaced or created as a whole, which would have no clear order.
+/// Rejects delete and remove operations inside a subtree that is replaced or created, because their order
+/// relative to the enclosing operation is not defined.
 fn check_no_deletes(elements: &[Element], path: &Path) -> Result<(), ManagementError> {
     for element in elements {
         if let Some(op) = element.attribute(ns::BASE, "operation") {
             if !matches!(op, "merge" | "replace" | "create") {
-                let message = format!("{op} within what is replaced or created as a whole");
+                let message = format!("operation {op} inside a subtree that is replaced or created");
                 return Err(ManagementError::new(ErrorTag::BadAttribute, message)
                     .with_path(path)
                     .with_element(&element.name));
