--- a/crates/rockflow-netconf/src/session/hello.rs
+++ b/crates/rockflow-netconf/src/session/hello.rs
@@ -1,31 +1,32 @@
-//! The hello that a client sends.
+//! Parsing of the client's `<hello>` message.
 
 use crate::ns;
 use crate::xml::{self, XmlError};
 use thiserror::Error;
 
+/// The capability that announces chunked framing.
 const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
-/// The two names under which clients announce base:1.0.
+/// The two capability URIs with which clients announce base:1.0.
 const BASE_1_0: [&str; 2] = ["urn:ietf:params:netconf:base:1.0", "urn:ietf:params:xml:ns:netconf:base:1.0"];
 
-/// What a client's hello announces.
+/// The client's capabilities that affect the session.
 pub(super) struct ClientHello {
-    /// Whether it knows base:1.1, so that messages are sent in chunks from now on.
+    /// Whether the client announced base:1.1, so that later messages use chunked framing.
     pub(super) supports_chunks: bool,
 }
 
-/// A hello that can't be accepted.
+/// The reason why a client's hello was rejected.
 #[derive(Debug, Error)]
 pub(super) enum HelloError {
     #[error(transparent)]
     Xml(#[from] XmlError),
-    #[error("no hello")]
+    #[error("not a hello message")]
     NotAHello,
-    #[error("a client tells no session-id")]
+    #[error("a client must not send a session-id")]
     SessionId,
-    #[error("no capabilities")]
+    #[error("the hello has no capabilities")]
     NoCapabilities,
-    #[error("no base in common")]
+    #[error("no common base protocol version")]
     NoCommonBase,
 }
 
@@ -39,9 +40,11 @@
             return Err(HelloError::SessionId);
         }
         let capabilities = hello.child("capabilities").ok_or(HelloError::NoCapabilities)?;
-        // Whole names: there are clients that announce 1.1 under another's name, and then speak 1.0.
-        let announces =
-            |name: &str| capabilities.children.iter().any(|one| one.text().split('?').next() == Some(name));
+        // Capabilities are compared as whole URIs, because some clients announce 1.1 under a different URI
+        // and then use the 1.0 framing.
+        let announces = |name: &str| {
+            capabilities.children.iter().any(|capability| capability.text().split('?').next() == Some(name))
+        };
         if announces(BASE_1_1) {
             Ok(ClientHello { supports_chunks: true })
         } else if BASE_1_0.into_iter().any(announces) {
--- a/crates/rockflow-netconf/src/session/mod.rs
+++ b/crates/rockflow-netconf/src/session/mod.rs
@@ -1,4 +1,7 @@
-//! One session, over any stream: hellos, then requests in their order, with notifications between replies.
+//! A NETCONF session over an authenticated stream.
+//!
+//! The session starts with the exchange of hellos. Requests are then processed one at a time in the order
+//! received, and notifications are sent between replies.
 
 mod hello;
 mod subscriptions;
@@ -19,42 +22,43 @@
 use tokio::sync::mpsc;
 use tracing::{debug, info};
 
-/// How long a peer may take to read what it is sent.
+/// How long sending one message may take before the session ends.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Notifications that wait for the peer; the subscriptions behind them hold back, and merge.
+/// Capacity of the queue of unsent notifications. While it is full, the subscriptions wait and merge their
+/// updates.
 const MAX_WAITING_NOTIFICATIONS: usize = 16;
-/// Bytes read from the stream at once.
+/// Maximum number of bytes of one read from the stream.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Limits of one session.
+/// Limits that apply to each session.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionLimits {
-    /// Bytes of a message at the most.
+    /// Maximum size of a received message in bytes.
     pub max_message_bytes: usize,
-    /// How long a peer may take until it has sent its hello.
+    /// How long the client may take to authenticate, and then again to send its hello.
     pub hello_timeout: Duration,
 }
 
-/// Why a session ended.
+/// The reason why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionEnd {
-    /// The management service has no session left.
+    /// The management service refused to open a session, for example because the session limit is reached.
     NoSessionLeft,
-    /// The client closed it.
+    /// The client sent `<close-session>`.
     Closed,
-    /// Another session killed it, or it was idle for too long.
+    /// The session was killed by another session or exceeded the idle limit.
     KilledOrIdle,
-    /// The peer did not read what it was sent.
+    /// A message could not be sent: the write timed out or failed.
     NotRead,
-    /// The peer's hello is none, or has no base in common.
+    /// The client's hello is invalid or has no base protocol version in common with the server.
     BadHello,
-    /// The peer sent no hello in time.
+    /// The client did not send its hello in time.
     NoHello,
-    /// What was received can't be taken for messages.
+    /// The received bytes violate the message framing.
     Framing,
-    /// A message is no XML, or no `<rpc>`.
+    /// A message is not well-formed XML or not an `<rpc>`.
     Malformed,
-    /// The connection ended.
+    /// The client closed the connection, or reading from it failed.
     ConnectionEnded,
 }
 
@@ -63,18 +67,18 @@
         f.write_str(match self {
             SessionEnd::NoSessionLeft => "no session left",
             SessionEnd::Closed => "closed",
-            SessionEnd::KilledOrIdle => "killed or silent",
-            SessionEnd::NotRead => "not read",
+            SessionEnd::KilledOrIdle => "killed or idle",
+            SessionEnd::NotRead => "write failed or timed out",
             SessionEnd::BadHello => "bad hello",
             SessionEnd::NoHello => "no hello in time",
-            SessionEnd::Framing => "framing",
-            SessionEnd::Malformed => "malformed",
+            SessionEnd::Framing => "framing error",
+            SessionEnd::Malformed => "malformed message",
             SessionEnd::ConnectionEnded => "connection ended",
         })
     }
 }
 
-/// Runs a session to its end.
+/// Runs a session until it ends and returns the reason.
 pub async fn run<S>(server: Arc<Server>, operator: Operator, stream: S, limits: SessionLimits) -> SessionEnd
 where
     S: AsyncRead + AsyncWrite + Unpin + Send,
@@ -101,7 +105,7 @@
         Ok(never) => match never {},
         Err(end) => end,
     };
-    // TLS peers take an end without a close for an attack.
+    // TLS clients treat a connection that ends without close_notify as a truncation attack.
     let _ = tokio::time::timeout(WRITE_TIMEOUT, session.stream.shutdown()).await;
     if !matches!(end, SessionEnd::Closed | SessionEnd::KilledOrIdle) {
         Counts::add(&server.counts.dropped);
@@ -110,7 +114,7 @@
     end
 }
 
-/// Owned by the task that runs the session.
+/// The state of one session, owned by the task that runs it.
 struct Session<S> {
     server: Arc<Server>,
     handle: SessionHandle,
@@ -120,7 +124,7 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin + Send> Session<S> {
-    /// Serves until the session ends, which is the error.
+    /// Serves the session until it ends. The reason for the end is returned as the error.
     async fn serve(
         &mut self,
         limits: SessionLimits,
@@ -176,7 +180,7 @@
         }
     }
 
-    /// The next message, before anything else is done.
+    /// Waits for the next message. Used for the hello, when no notifications or requests are pending.
     async fn receive(&mut self) -> Result<Vec<u8>, SessionEnd> {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
@@ -204,13 +208,13 @@
         }
     }
 
-    /// Answers one message.
+    /// Processes one message and sends the reply.
     async fn answer(&mut self, message: &[u8]) -> Result<(), SessionEnd> {
         let server = self.server.clone();
         Counts::add(&server.counts.rpcs);
         let rpc = match xml::read(message) {
             Ok(element) if element.name == "rpc" && element.ns == ns::BASE => element,
-            Ok(_) => return self.refuse_message("no rpc".to_string()).await,
+            Ok(_) => return self.refuse_message("the message is not an rpc".to_string()).await,
             Err(error) => return self.refuse_message(error.to_string()).await,
         };
         let operation = match single_operation(&rpc) {
@@ -247,10 +251,11 @@
         }
     }
 
-    /// Answers what is no `<rpc>`. Nothing more can be made of this peer.
-    async fn refuse_message(&mut self, what: String) -> Result<(), SessionEnd> {
+    /// Replies to a message that is not an `<rpc>` and ends the session, because later messages can't be
+    /// trusted either.
+    async fn refuse_message(&mut self, message: String) -> Result<(), SessionEnd> {
         Counts::add(&self.server.counts.bad_rpcs);
-        let error = ManagementError::new(ErrorTag::MalformedMessage, what);
+        let error = ManagementError::new(ErrorTag::MalformedMessage, message);
         let content = rpc::write_errors(self.server.service.schema(), &[error]);
         let _ = self.send(&write_reply(&[], &content)).await;
         Err(SessionEnd::Malformed)
@@ -280,13 +285,16 @@
     }
 
     async fn send_reply(&mut self, rpc: &Element, content: &str) -> Result<(), SessionEnd> {
-        let attributes: Vec<(&str, &str)> =
-            rpc.attributes.iter().map(|one| (one.qualified.as_str(), one.value.as_str())).collect();
+        let attributes: Vec<(&str, &str)> = rpc
+            .attributes
+            .iter()
+            .map(|attribute| (attribute.qualified.as_str(), attribute.value.as_str()))
+            .collect();
         self.send(&write_reply(&attributes, content)).await
     }
 }
 
-/// The one operation of an `<rpc>`, which must have a message-id.
+/// Returns the operation element of an `<rpc>`, which must have a message-id and exactly one child element.
 fn single_operation(rpc: &Element) -> Result<&Element, ManagementError> {
     if rpc.attribute("", "message-id").is_none() {
         let error = ManagementError::new(ErrorTag::MissingAttribute, "message-id is missing");
@@ -295,16 +303,16 @@
     match rpc.children.as_slice() {
         [operation] => Ok(operation),
         _ => {
-            let error = ManagementError::new(ErrorTag::MissingElement, "one operation is wanted");
+            let error = ManagementError::new(ErrorTag::MissingElement, "expected exactly one operation");
             Err(error.with_element("rpc"))
         }
     }
 }
 
-/// A reply bears the attributes of its request (RFC 6241, section 4.2).
+/// Writes an `<rpc-reply>` with the attributes of its request (RFC 6241, section 4.2).
 fn write_reply(request_attributes: &[(&str, &str)], content: &str) -> String {
     let mut attributes = request_attributes.to_vec();
-    // A request may bear its namespace under a prefix; the reply's own names stand without one.
+    // The request may bind the base namespace to a prefix, but the reply uses it as the default namespace.
     match attributes.iter_mut().find(|(name, _)| *name == "xmlns") {
         Some((_, namespace)) => *namespace = ns::BASE,
         None => attributes.insert(0, ("xmlns", ns::BASE)),
--- a/crates/rockflow-netconf/src/session/subscriptions.rs
+++ b/crates/rockflow-netconf/src/session/subscriptions.rs
@@ -1,4 +1,4 @@
-//! The subscriptions of one session: a task for each turns what is followed into notifications.
+//! The subscriptions of one session. Each has a task that converts events or value updates to notifications.
 
 use crate::notify;
 use crate::rpc::Server;
@@ -12,17 +12,17 @@
 use tokio::task::AbortHandle;
 use tracing::info;
 
-/// Subscriptions of one session.
+/// Maximum number of subscriptions in one session.
 const MAX_SUBSCRIPTIONS: usize = 16;
-/// Number of the subscription to events; those to values have numbers from 1.
-const EVENTS: u64 = 0;
+/// Id of the event subscription. Value subscriptions have ids from 1.
+const EVENT_SUBSCRIPTION_ID: u64 = 0;
 
-/// The tasks end with this.
+/// The active subscriptions of a session. Dropping it stops their tasks.
 pub(super) struct Subscriptions {
     notifications: mpsc::Sender<String>,
-    /// The task of each subscription, by its number.
+    /// The task of each subscription, by subscription id.
     tasks: BTreeMap<u64, AbortHandle>,
-    follows_events: bool,
+    has_event_subscription: bool,
 }
 
 impl Drop for Subscriptions {
@@ -33,28 +33,32 @@
 
 impl Subscriptions {
     pub(super) fn new(notifications: mpsc::Sender<String>) -> Subscriptions {
-        Subscriptions { notifications, tasks: BTreeMap::new(), follows_events: false }
+        Subscriptions { notifications, tasks: BTreeMap::new(), has_event_subscription: false }
     }
 
-    /// Subscribes to events, once a session; the number of the subscription.
+    /// Subscribes to events and returns the subscription id. Fails if the session has an event subscription
+    /// already.
     pub(super) fn subscribe_events(
         &mut self,
         server: &Server,
         session: &mut SessionHandle,
     ) -> Result<u64, ManagementError> {
         self.check_limit()?;
-        if self.follows_events {
-            return Err(ManagementError::new(ErrorTag::InUse, "this session follows events already"));
+        if self.has_event_subscription {
+            return Err(ManagementError::new(
+                ErrorTag::InUse,
+                "this session has an event subscription already",
+            ));
         }
-        self.follows_events = true;
+        self.has_event_subscription = true;
         let events = session.subscribe_events();
         let schema = server.service.schema().clone();
         let task = tokio::spawn(send_events(events, schema, self.notifications.clone()));
-        self.tasks.insert(EVENTS, task.abort_handle());
-        Ok(EVENTS)
+        self.tasks.insert(EVENT_SUBSCRIPTION_ID, task.abort_handle());
+        Ok(EVENT_SUBSCRIPTION_ID)
     }
 
-    /// Subscribes to values; the number of the subscription.
+    /// Subscribes to the values that match `patterns` and returns the subscription id.
     pub(super) async fn subscribe(
         &mut self,
         server: &Arc<Server>,
@@ -71,7 +75,7 @@
         Ok(number)
     }
 
-    /// Ends a subscription.
+    /// Ends a subscription. Fails if this session has no subscription with that id.
     pub(super) fn unsubscribe(
         &mut self,
         session: &mut SessionHandle,
@@ -79,7 +83,7 @@
     ) -> Result<(), ManagementError> {
         let task = self.tasks.remove(&number);
         let task = task.ok_or_else(|| {
-            ManagementError::new(ErrorTag::InvalidValue, format!("no subscription {number} here"))
+            ManagementError::new(ErrorTag::InvalidValue, format!("this session has no subscription {number}"))
                 .with_app_tag("no-such-subscription")
         })?;
         task.abort();
@@ -104,7 +108,7 @@
     loop {
         let (time, event) = match events.recv().await {
             Ok(event) => event,
-            // A slow reader learns what it missed from the next state that it reads.
+            // Skipped events are not sent again: the client has to read the current state.
             Err(broadcast::error::RecvError::Lagged(missed)) => {
                 info!(missed, "event subscriber too slow, events skipped");
                 continue;
