--- a/crates/rockflow-netconf/src/monitoring.rs
+++ b/crates/rockflow-netconf/src/monitoring.rs
@@ -1,4 +1,4 @@
-//! What the server announces of itself: its hello, its capabilities and the state of RFC 6022.
+//! The server's hello, its capabilities and its monitoring data `<netconf-state>` (RFC 6022).
 
 use crate::ns;
 use crate::xml::Writer;
@@ -8,35 +8,37 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Counts since the start, over all sessions.
+/// Event counters over all sessions since the server started.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Hellos that were not accepted.
+    /// Client hellos that were rejected.
     pub bad_hellos: AtomicU64,
-    /// Sessions begun.
+    /// Sessions that were opened.
     pub sessions: AtomicU64,
-    /// Sessions that ended otherwise than by the client or an operator.
+    /// Sessions that were refused, or ended for any reason other than `<close-session>`, `<kill-session>` or
+    /// the idle limit.
     pub dropped: AtomicU64,
     /// Messages received after the hello.
     pub rpcs: AtomicU64,
-    /// Messages that are no valid `<rpc>`.
+    /// Messages that are not a valid `<rpc>`.
     pub bad_rpcs: AtomicU64,
-    /// Replies with an error.
+    /// Replies that contain errors, except those to messages that are not an `<rpc>`.
     pub errors: AtomicU64,
-    /// Notifications sent.
+    /// Notifications that were taken from the queue to be sent.
     pub notifications: AtomicU64,
 }
 
 impl Counts {
-    /// Adds one to a count.
+    /// Increments a counter.
     pub fn add(count: &AtomicU64) {
         count.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// The capabilities, in the order in which they are announced.
+/// Returns the capabilities in the order in which the hello lists them. `separate_startup` tells whether
+/// there is a startup datastore.
 pub fn capabilities(schema: &Schema, separate_startup: bool) -> Vec<String> {
-    let plain = [
+    let protocol_capabilities = [
         "urn:ietf:params:netconf:base:1.0",
         "urn:ietf:params:netconf:base:1.1",
         "urn:ietf:params:netconf:capability:candidate:1.0",
@@ -49,7 +51,7 @@
         "urn:ietf:params:netconf:capability:with-defaults:1.0?basic-mode=explicit&also-supported=report-all,\
          report-all-tagged,trim",
     ];
-    let mut all: Vec<String> = plain.iter().map(|one| one.to_string()).collect();
+    let mut all: Vec<String> = protocol_capabilities.iter().map(|uri| uri.to_string()).collect();
     if separate_startup {
         all.push("urn:ietf:params:netconf:capability:startup:1.0".to_string());
     }
@@ -59,18 +61,20 @@
             format!("{}?module={}&revision={}", module.namespace, module.name, module.revision)
         }),
     );
-    let known = [
+    let standard_modules = [
         (ns::MONITORING, "ietf-netconf-monitoring", "2010-10-04"),
         (ns::NMDA, "ietf-netconf-nmda", "2019-01-07"),
         (ns::SUBSCRIBED, "ietf-subscribed-notifications", "2019-09-09"),
         (ns::PUSH, "ietf-yang-push", "2019-09-09"),
         (ns::WITH_DEFAULTS, "ietf-netconf-with-defaults", "2011-06-01"),
     ];
-    all.extend(known.map(|(ns, name, revision)| format!("{ns}?module={name}&revision={revision}")));
+    all.extend(
+        standard_modules.map(|(ns, name, revision)| format!("{ns}?module={name}&revision={revision}")),
+    );
     all
 }
 
-/// The server's hello.
+/// Writes the server's hello. `session` is the id assigned to the session.
 pub fn hello(schema: &Schema, separate_startup: bool, session: u32) -> String {
     let mut out = Writer::new();
     out.open("hello", &[("xmlns", ns::BASE)]);
@@ -80,30 +84,30 @@
     out.finish()
 }
 
-/// `<netconf-state>`, with the parts for which `is_wanted` holds (RFC 6022, section 2.1). `started`: when the server
-/// started, since the Unix epoch.
+/// Writes `<netconf-state>` with those of its child containers (RFC 6022, section 2.1) whose name
+/// `is_selected` accepts. `started` is the server's start time since the Unix epoch.
 pub fn netconf_state(
     service: &ManagementService,
     counts: &Counts,
     started: Duration,
-    is_wanted: &dyn Fn(&str) -> bool,
+    is_selected: &dyn Fn(&str) -> bool,
 ) -> String {
     let separate_startup = service.inspect(|datastores| datastores.has_separate_startup());
     let mut out = Writer::new();
     out.open("netconf-state", &[("xmlns", ns::MONITORING)]);
-    if is_wanted("capabilities") {
+    if is_selected("capabilities") {
         write_capabilities(service.schema(), separate_startup, &mut out);
     }
-    if is_wanted("datastores") {
+    if is_selected("datastores") {
         write_datastores(service, separate_startup, &mut out);
     }
-    if is_wanted("schemas") {
+    if is_selected("schemas") {
         write_schemas(service.schema(), &mut out);
     }
-    if is_wanted("sessions") {
+    if is_selected("sessions") {
         write_sessions(service, &mut out);
     }
-    if is_wanted("statistics") {
+    if is_selected("statistics") {
         write_statistics(counts, started, &mut out);
     }
     out.close("netconf-state");
--- a/crates/rockflow-netconf/src/notify.rs
+++ b/crates/rockflow-netconf/src/notify.rs
@@ -1,4 +1,5 @@
-//! Notifications: events (RFC 5277, with those of RFC 6470 and of the model) and pushes of values (RFC 8641).
+//! Encoding of notifications: events (RFC 5277) defined by RFC 6470 or by rockflow's YANG modules, and value
+//! updates of YANG push subscriptions (RFC 8641).
 
 use crate::codec::{self, Annotations};
 use crate::ns;
@@ -9,10 +10,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Session id of changes that no session of NETCONF made.
+/// The session id in notifications whose event doesn't record a NETCONF session.
 const NO_SESSION: u32 = 0;
 
-/// The notifications of an event; a commit has two. `time` is since the Unix epoch.
+/// Encodes the notifications of an event. A commit has two: `netconf-config-change` and `committed`. `time`
+/// is the event time since the Unix epoch.
 pub fn event(schema: &Schema, time: Duration, event: &ManagementEvent) -> Vec<String> {
     match event {
         ManagementEvent::EndpointChanged { name, now } => {
@@ -48,7 +50,7 @@
     }
 }
 
-/// `netconf-config-change` (RFC 6470).
+/// Encodes a `netconf-config-change` notification (RFC 6470).
 fn config_change(schema: &Schema, time: Duration, commit: &Commit) -> String {
     base_event(time, "netconf-config-change", |out| {
         out.open("changed-by", &[]);
@@ -69,7 +71,7 @@
     })
 }
 
-/// The model's own `committed`.
+/// Encodes a `committed` notification, which is defined in rockflow's YANG modules.
 fn committed(schema: &Schema, time: Duration, commit: &Commit) -> String {
     model_event(schema, time, "committed", |out| {
         out.leaf("version", &[], &commit.version.to_string());
@@ -80,7 +82,7 @@
     })
 }
 
-/// An event of RFC 6470.
+/// Encodes an event defined in RFC 6470.
 fn base_event(time: Duration, name: &str, write: impl FnOnce(&mut Writer)) -> String {
     notification(time, |out| {
         out.open(name, &[("xmlns", ns::NOTIFICATIONS)]);
@@ -89,7 +91,7 @@
     })
 }
 
-/// An event of the model.
+/// Encodes an event defined in one of rockflow's YANG modules.
 fn model_event(schema: &Schema, time: Duration, name: &str, write: impl FnOnce(&mut Writer)) -> String {
     let namespace = schema.find(&[name]).map(|id| schema.module_of(id).namespace.as_str());
     notification(time, |out| {
@@ -114,14 +116,15 @@
     out.leaf("source-host", &[], &operator.source);
 }
 
-/// `push-update` or `push-change-update`, of the subscription with that id. `time` is since the Unix epoch.
+/// Encodes a `push-update` or `push-change-update` notification for the subscription `id`. `time` is since
+/// the Unix epoch.
 pub fn push(schema: &Schema, time: Duration, id: u64, update: Update) -> String {
     notification(time, |out| match update {
         Update::Snapshot(values) => {
             out.open("push-update", &[("xmlns", ns::PUSH)]);
             out.leaf("id", &[], &id.to_string());
             out.open("datastore-contents", &[]);
-            codec::write(schema, &tree(schema, values), None, Annotations::default(), out);
+            codec::write(schema, &build_tree(schema, values), None, Annotations::default(), out);
             out.close("datastore-contents");
             out.close("push-update");
         }
@@ -155,11 +158,11 @@
     out.close("edit");
 }
 
-/// The tree that values by path make.
-fn tree(schema: &Schema, values: BTreeMap<Path, Scalar>) -> DataTree {
+/// Builds a data tree from leaf values by path.
+fn build_tree(schema: &Schema, values: BTreeMap<Path, Scalar>) -> DataTree {
     let changes: Vec<Change> =
         values.into_iter().map(|(path, value)| Change { path, before: None, after: Some(value) }).collect();
-    let mut fields = DataTree::new();
-    data::apply_changes(schema, &mut fields, &changes);
-    fields
+    let mut tree = DataTree::new();
+    data::apply_changes(schema, &mut tree, &changes);
+    tree
 }
