--- a/crates/rockflow-netconf/src/server.rs
+++ b/crates/rockflow-netconf/src/server.rs
@@ -1,5 +1,5 @@
-//! The listeners, and what they let in: a bounded number of peers that have not authenticated, and as many sessions as the
-//! management service has room for.
+//! The SSH and TLS listeners. They limit the number of unauthenticated connections; the management service
+//! limits the number of sessions.
 
 use crate::error::StartError;
 use crate::monitoring::Counts;
@@ -20,10 +20,12 @@
 use tokio::sync::Semaphore;
 use tokio_rustls::TlsAcceptor;
 
-/// Authenticated connections over SSH at once; over TLS each is a session, which the management service limits.
+/// Maximum number of concurrent authenticated SSH connections. A TLS connection carries exactly one session,
+/// which the management service limits.
 const MAX_SSH_CONNECTIONS: usize = 128;
 
-/// The listeners, bound ahead of the thread that serves them, so that what is wrong is known at the start.
+/// The bound listeners. They are bound before the thread that serves them starts, so that configuration
+/// errors are reported at startup.
 pub struct BoundServer {
     section: NetconfSection,
     ssh: Option<SshListener>,
@@ -41,17 +43,17 @@
     acceptor: TlsAcceptor,
 }
 
-/// Where the server listens.
+/// The addresses on which the server listens, with the actual port if port 0 was configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For SSH.
+    /// The SSH listen address, or `None` if SSH is not configured.
     pub ssh: Option<SocketAddr>,
-    /// For TLS.
+    /// The TLS listen address, or `None` if TLS is not configured.
     pub tls: Option<SocketAddr>,
 }
 
 impl BoundServer {
-    /// Reads the keys and binds the listeners that the section names.
+    /// Reads the keys and certificates and binds the listeners configured in the section.
     pub fn bind(section: &NetconfSection) -> Result<BoundServer, StartError> {
         let ssh = match (section.ssh, &section.host_key, &section.authorized_keys) {
             (Some(address), Some(key), Some(folder)) => {
@@ -71,7 +73,7 @@
         Ok(BoundServer { section: section.clone(), ssh, tls })
     }
 
-    /// Checks that the keys and certificates can be used, without binding.
+    /// Checks that the keys and certificates are usable, without binding the listeners.
     pub fn check(section: &NetconfSection) -> Result<(), StartError> {
         if let (Some(key), Some(folder)) = (&section.host_key, &section.authorized_keys) {
             credentials::check_permissions(folder, FileSecrecy::Readable)?;
@@ -83,7 +85,7 @@
         Ok(())
     }
 
-    /// Where the listeners are bound.
+    /// Returns the addresses to which the listeners are bound.
     pub fn addresses(&self) -> ListenAddresses {
         let address = |listener: &StdListener| listener.local_addr().ok();
         ListenAddresses {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Starts to serve, in the runtime that this is called in, for as long as that runs.
+    /// Starts serving in the current Tokio runtime, until that runtime shuts down.
     pub fn serve(self, service: Arc<ManagementService>) -> Result<(), StartError> {
         let limits = SessionLimits {
             max_message_bytes: self.section.message_kb as usize * 1024,
@@ -100,7 +102,7 @@
         };
         let started = service.now();
         let server = Arc::new(rpc::Server { service, counts: Counts::default(), started });
-        // One limit for each listener, so that a flood at one keeps nobody out of the other.
+        // Each listener has its own limit, so that a flood of connections to one doesn't block the other.
         let unauthenticated = || UnauthenticatedConnections::new(self.section.handshakes as usize);
         if let Some(ssh) = self.ssh {
             serve_ssh(ssh, server.clone(), limits, unauthenticated())?;
@@ -167,8 +169,8 @@
     connection: UnauthenticatedConnection,
 ) {
     let timeout = limits.hello_timeout;
-    let shaken = authentication::tls_handshake(acceptor, stream, from, connection, timeout).await;
-    let Some(AuthenticatedStream { stream, user }) = shaken else { return };
+    let authenticated = authentication::tls_handshake(acceptor, stream, from, connection, timeout).await;
+    let Some(AuthenticatedStream { stream, user }) = authenticated else { return };
     let operator = Operator { user, protocol: Protocol::NetconfTls, source: from.ip().to_string() };
     session::run(server, operator, stream, limits).await;
 }
--- a/crates/rockflow-netconf/src/ssh.rs
+++ b/crates/rockflow-netconf/src/ssh.rs
@@ -1,5 +1,7 @@
-//! NETCONF over SSH (RFC 6242): the subsystem `netconf`, for users whose public keys lie in the operator's folder. Nothing
-//! else of SSH is offered.
+//! NETCONF over SSH (RFC 6242).
+//!
+//! Users authenticate with a public key listed in their file in the configured folder of authorized keys. The
+//! subsystem `netconf` is the only SSH service offered.
 
 use crate::error::StartError;
 use crate::rpc::Server;
@@ -20,14 +22,14 @@
 use tokio::sync::{oneshot, Semaphore};
 use tracing::{info, warn};
 
-/// Sessions on one connection.
+/// Maximum number of channels opened on one connection, each of which may carry one session.
 const MAX_CHANNELS: usize = 8;
-/// Authentication attempts of a connection.
+/// Maximum number of authentication attempts per connection.
 const MAX_AUTH_ATTEMPTS: usize = 6;
-/// Characters of a user's name.
+/// Maximum length of a user name in bytes; longer names are cut to as many characters in logs.
 const MAX_USER_CHARS: usize = 64;
 
-/// Reads the server's private key.
+/// Reads the server's private host key.
 pub(crate) fn host_key(path: &Path) -> Result<PrivateKey, StartError> {
     let text = credentials::read_file(path, FileSecrecy::OwnerOnly)?;
     let text = String::from_utf8(text).map_err(|_| StartError::KeyNotText { path: path.to_path_buf() })?;
@@ -35,18 +37,18 @@
         .map_err(|source| StartError::Key { path: path.to_path_buf(), source })
 }
 
-/// What the SSH connections share.
+/// Settings and state shared by all SSH connections.
 pub(crate) struct Ssh {
     pub(crate) server: Arc<Server>,
-    /// The folder with a file of authorized keys for each user.
+    /// The folder that contains a file of authorized keys for each user, named like the user.
     pub(crate) authorized_keys: PathBuf,
     pub(crate) limits: SessionLimits,
     pub(crate) config: Arc<russh::server::Config>,
-    /// One for each authenticated connection.
+    /// Limits the number of authenticated connections, each of which holds one permit.
     pub(crate) permits: Arc<Semaphore>,
 }
 
-/// The settings of the SSH protocol.
+/// Returns the SSH protocol settings.
 pub(crate) fn config(key: PrivateKey) -> Arc<russh::server::Config> {
     Arc::new(russh::server::Config {
         keys: vec![key],
@@ -54,11 +56,11 @@
         auth_rejection_time: Duration::from_millis(300),
         auth_rejection_time_initial: Some(Duration::ZERO),
         max_auth_attempts: MAX_AUTH_ATTEMPTS,
-        // The management service ends idle sessions; dead connections are found by these.
+        // The management service ends idle sessions. Keepalives detect dead connections.
         inactivity_timeout: None,
         keepalive_interval: Some(Duration::from_secs(30)),
         keepalive_max: 3,
-        // Bytes of one channel that may be in flight to this server.
+        // Number of bytes that the client may send on one channel before the server extends the window.
         window_size: 64 * 1024,
         maximum_packet_size: 32 * 1024,
         channel_buffer_size: 8,
@@ -67,7 +69,8 @@
     })
 }
 
-/// Whether the key lies in the user's file. A user's name is a file name, and nothing more of a path.
+/// Returns whether the user's file contains the key. The user name must be a plain file name, so that it
+/// can't lead to another folder.
 fn is_authorized(folder: &Path, user: &str, key: &PublicKey) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'@');
     if user.is_empty()
@@ -94,15 +97,16 @@
         .any(|entry| entry.public_key().key_data() == key.key_data())
 }
 
-/// One connection's side of the SSH protocol.
+/// Handles the SSH protocol events of one connection.
 struct Peer {
     ssh: Arc<Ssh>,
     from: SocketAddr,
     user: Option<String>,
-    /// Notified once the peer is authenticated.
+    /// Notified when the client has authenticated; `None` after that.
     authenticated: Option<oneshot::Sender<()>>,
-    /// Channels on which no session runs yet.
+    /// Open channels on which no subsystem was started yet.
     channels: BTreeMap<ChannelId, Channel<Msg>>,
+    /// Number of sessions started on this connection, including those that have ended.
     sessions: usize,
 }
 
@@ -165,7 +169,8 @@
     }
 }
 
-/// Serves one connection, which counts as unauthenticated until it has proved who it is.
+/// Serves one connection. It counts towards the limit of unauthenticated connections until the client has
+/// authenticated.
 pub(crate) async fn serve(
     ssh: Arc<Ssh>,
     stream: TcpStream,
@@ -184,7 +189,7 @@
     let timeout = ssh.limits.hello_timeout;
     let handshake = russh::server::run_stream(ssh.config.clone(), stream, peer);
     let running = tokio::select! {
-        shaken = tokio::time::timeout(timeout, handshake) => match shaken {
+        result = tokio::time::timeout(timeout, handshake) => match result {
             Ok(Ok(running)) => running,
             Ok(Err(error)) => return info!(%from, %error, "SSH handshake failed"),
             Err(_) => return info!(%from, "SSH handshake timed out"),
@@ -193,8 +198,8 @@
     };
     let guard = guard_authentication(&ssh, running.handle(), from, authenticated, unauthenticated);
     tokio::select! {
-        ended = running => {
-            if let Err(error) = ended {
+        result = running => {
+            if let Err(error) = result {
                 info!(%from, %error, "SSH connection ended");
             }
         }
@@ -202,8 +207,10 @@
     }
 }
 
-/// Disconnects a peer that doesn't authenticate in time, or for which there is no permit. Holds the permit and never
-/// ends: it is dropped with the connection.
+/// Disconnects a client that doesn't authenticate in time, or if there are too many connections.
+///
+/// The future never completes, so that it holds the connection's permit until it is dropped with the
+/// connection.
 async fn guard_authentication(
     ssh: &Ssh,
     handle: russh::server::Handle,
