--- a/crates/rockflow-netconf/src/rpc/edit.rs
+++ b/crates/rockflow-netconf/src/rpc/edit.rs
@@ -1,4 +1,4 @@
-//! `edit-config` and `edit-data`.
+//! The operations `edit-config` (RFC 6241) and `edit-data` (RFC 8526).
 
 use super::parameters::{datastore, datastore_by_identity, invalid, missing};
 use super::{Reply, Server};
@@ -16,7 +16,7 @@
     edits: Vec<Edit>,
 }
 
-/// Whether the edits are tested, and whether they stay.
+/// The `test-option` parameter: whether the edits are validated, and whether they are applied.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum TestOption {
     Set,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Applies the edits to a copy, so that what is refused leaves nothing behind.
+/// Applies the edits to a copy of the target datastore, so that rejected edits leave the datastore unchanged.
 fn apply_to_copy(
     schema: &Schema,
     session: &SessionHandle,
@@ -88,7 +88,7 @@
         Some("replace") => Ok(EditOperation::Replace),
         Some("none") => Ok(EditOperation::AssertExists),
         Some(other) => {
-            Err(invalid(format!("{other}: no default-operation")).with_element("default-operation"))
+            Err(invalid(format!("{other}: unknown default-operation")).with_element("default-operation"))
         }
     }
 }
@@ -98,7 +98,7 @@
         None | Some("stop-on-error") => Ok(ErrorOption::Stop),
         Some("continue-on-error") => Ok(ErrorOption::Continue),
         Some("rollback-on-error") => Ok(ErrorOption::Rollback),
-        Some(other) => Err(invalid(format!("{other}: no error-option"))),
+        Some(other) => Err(invalid(format!("{other}: unknown error-option"))),
     }
 }
 
@@ -107,6 +107,6 @@
         None | Some("set") => Ok(TestOption::Set),
         Some("test-then-set") => Ok(TestOption::TestThenSet),
         Some("test-only") => Ok(TestOption::TestOnly),
-        Some(other) => Err(invalid(format!("{other}: no test-option"))),
+        Some(other) => Err(invalid(format!("{other}: unknown test-option"))),
     }
 }
--- a/crates/rockflow-netconf/src/rpc/error.rs
+++ b/crates/rockflow-netconf/src/rpc/error.rs
@@ -1,10 +1,10 @@
-//! `<rpc-error>` (RFC 6241, section 4.3).
+//! Encoding of `<rpc-error>` elements (RFC 6241, section 4.3).
 
 use crate::xml::Writer;
 use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::Schema;
 
-/// Writes an `<rpc-error>` for each error.
+/// Returns the XML with one `<rpc-error>` per error.
 pub fn write_errors(schema: &Schema, errors: &[ManagementError]) -> String {
     let mut out = Writer::new();
     for error in errors {
@@ -38,7 +38,7 @@
     out.close("rpc-error");
 }
 
-/// The layer that an error belongs to.
+/// Returns the `error-type`: the conceptual layer at which the error occurred.
 fn error_type(tag: ErrorTag) -> &'static str {
     match tag {
         ErrorTag::MalformedMessage => "rpc",
--- a/crates/rockflow-netconf/src/rpc/get.rs
+++ b/crates/rockflow-netconf/src/rpc/get.rs
@@ -1,4 +1,4 @@
-//! `get`, `get-config` and `get-data`.
+//! The operations `get`, `get-config` (RFC 6241) and `get-data` (RFC 8526).
 
 use super::parameters::{datastore, datastore_by_identity, invalid};
 use super::selection::Selection;
@@ -11,12 +11,12 @@
 use rockflow_management_service::SessionHandle;
 use rockflow_yang::{data, DataTree, NodeScope, Path, Schema};
 
-/// What is read, as the three operations have it in common.
+/// The parameters that the three operations have in common.
 struct GetRequest {
-    /// None: operational.
+    /// The datastore to read, or `None` for the operational datastore.
     datastore: Option<Datastore>,
     selection: Selection,
-    /// Namespace of the reply's `<data>`.
+    /// The namespace of the `<data>` element in the reply.
     namespace: &'static str,
 }
 
@@ -78,32 +78,34 @@
     }
 }
 
-/// Only configuration or only state, where `config-filter` asks for it (RFC 8526).
+/// Reduces the tree to configuration or to state if `config-filter` is `true` or `false` (RFC 8526).
 fn apply_config_filter(schema: &Schema, operation: &Element, tree: DataTree) -> DataTree {
     let config = match operation.text_of("config-filter") {
         Some("true") => true,
         Some("false") => false,
         _ => return tree,
     };
-    let is_wanted = |path: &Path| path.node().is_some_and(|node| schema.node(node).config == config);
-    data::retain_leaves(schema, &tree, &Path::default(), &is_wanted)
+    let is_selected = |path: &Path| path.node().is_some_and(|node| schema.node(node).config == config);
+    data::retain_leaves(schema, &tree, &Path::default(), &is_selected)
 }
 
-/// The tree with or without defaults, as `with-defaults` asks for it (RFC 6243).
+/// Adds, tags or removes default values according to the parameter `with-defaults` (RFC 6243).
 fn apply_defaults_mode(
     schema: &Schema,
     operation: &Element,
     tree: DataTree,
 ) -> Result<(DataTree, Annotations), ManagementError> {
-    let plain = Annotations::default();
+    let no_annotations = Annotations::default();
     match operation.text_of("with-defaults") {
-        None | Some("explicit") => Ok((tree, plain)),
-        Some("report-all") => Ok((data::with_defaults(schema, &tree, NodeScope::ConfigOnly), plain)),
+        None | Some("explicit") => Ok((tree, no_annotations)),
+        Some("report-all") => Ok((data::with_defaults(schema, &tree, NodeScope::ConfigOnly), no_annotations)),
         Some("report-all-tagged") => {
-            let tagged = Annotations { tag_defaults: true, ..plain };
+            let tagged = Annotations { tag_defaults: true, ..no_annotations };
             Ok((data::with_defaults(schema, &tree, NodeScope::ConfigOnly), tagged))
         }
-        Some("trim") => Ok((data::without_defaults(schema, &tree), plain)),
-        Some(other) => Err(invalid(format!("{other}: no mode of defaults")).with_element("with-defaults")),
+        Some("trim") => Ok((data::without_defaults(schema, &tree), no_annotations)),
+        Some(other) => {
+            Err(invalid(format!("{other}: unknown with-defaults mode")).with_element("with-defaults"))
+        }
     }
 }
--- a/crates/rockflow-netconf/src/rpc/mod.rs
+++ b/crates/rockflow-netconf/src/rpc/mod.rs
@@ -1,5 +1,5 @@
-//! Operations: the content of an `<rpc>` is parsed strictly into a typed request, asked of the management service and
-//! answered.
+//! The NETCONF operations. The content of an `<rpc>` is parsed into a typed request, which the management
+//! service executes.
 
 mod edit;
 mod error;
@@ -27,41 +27,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What an operation leads to.
+/// The result of a successful operation: the reply to send and the change to the session.
 pub enum Reply {
-    /// `<ok/>`.
+    /// Reply with `<ok/>`.
     Ok,
-    /// The content of the reply.
+    /// Reply with this content, which is XML.
     Content(String),
-    /// The session ends with this reply.
+    /// Reply with `<ok/>` and end the session.
     Close,
-    /// From now on the session is sent events.
+    /// Subscribe the session to events.
     Events,
-    /// From now on the session is sent values; the reply names the subscription.
+    /// Subscribe the session to values and reply with the subscription id.
     Push {
-        /// What is followed.
+        /// The paths of the subscribed values.
         patterns: Vec<Pattern>,
-        /// When values are sent.
+        /// Whether updates are sent periodically or on change.
         trigger: Trigger,
-        /// Whether the first message, with all values, is left out.
+        /// Whether the initial update with all values is omitted.
         updates_only: bool,
     },
-    /// The session's subscription of that number ends.
+    /// End the session's subscription with this id and reply with `<ok/>`.
     Unsubscribe(u64),
 }
 
-/// What all sessions share.
+/// State shared by all sessions.
 pub struct Server {
-    /// The management service, which decides what is read, changed and refused.
+    /// Executes the operations and enforces access control.
     pub service: Arc<ManagementService>,
-    /// Counts over all sessions.
+    /// Event counters over all sessions.
     pub counts: Counts,
-    /// When the server started, since the Unix epoch.
+    /// Start time of the server since the Unix epoch.
     pub started: Duration,
 }
 
 impl Server {
-    /// Carries one operation out.
+    /// Executes one operation. Only `edit-config` and `edit-data` can fail with several errors.
     pub async fn call(
         &self,
         session: &SessionHandle,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Carries out one of the operations that end with one error at the most.
+    /// Executes an operation that fails with a single error.
     async fn call_with_one_error(
         &self,
         session: &SessionHandle,
@@ -119,7 +119,7 @@
     }
 }
 
-/// The `<source>` of an operation: a datastore, or the configuration that stands in the message.
+/// Parses the `<source>` of an operation: a datastore, or configuration included in the message.
 fn config_source(schema: &Schema, operation: &Element) -> Result<ConfigSource, ManagementError> {
     match operation.child("source").and_then(|source| source.child("config")) {
         Some(config) => {
@@ -181,8 +181,8 @@
 }
 
 async fn kill_session(session: &SessionHandle, operation: &Element) -> Result<Reply, ManagementError> {
-    let victim = operation.text_of("session-id").ok_or_else(|| missing("session-id"))?;
-    let victim = victim.parse().map_err(|_| invalid("session-id is no number"))?;
-    session.kill_session(SessionId(victim)).await?;
+    let target = operation.text_of("session-id").ok_or_else(|| missing("session-id"))?;
+    let target = target.parse().map_err(|_| invalid("session-id is not a number"))?;
+    session.kill_session(SessionId(target)).await?;
     Ok(Reply::Ok)
 }
--- a/crates/rockflow-netconf/src/rpc/model.rs
+++ b/crates/rockflow-netconf/src/rpc/model.rs
@@ -1,4 +1,4 @@
-//! The operations that the model defines: drain, undrain and rollback.
+//! The operations defined in rockflow's YANG modules: drain, undrain and rollback.
 
 use super::parameters::missing;
 use super::{Reply, Server};
@@ -9,7 +9,7 @@
 use rockflow_yang::{DataTree, NodeId, NodeKind, NodeScope, Path, Scalar, Schema};
 use std::time::Duration;
 
-/// The parameters of a call, as its `input` has them.
+/// The input parameters of an operation, checked against its `input` node in the schema.
 struct Input<'a> {
     schema: &'a Schema,
     node: Option<NodeId>,
@@ -36,7 +36,7 @@
                 session.rollback(version, input.number("expected")).await?
             }
             other => {
-                let message = format!("{other}: not served");
+                let message = format!("{other}: not supported");
                 return Err(ManagementError::new(ErrorTag::OperationNotSupported, message));
             }
         };
--- a/crates/rockflow-netconf/src/rpc/parameters.rs
+++ b/crates/rockflow-netconf/src/rpc/parameters.rs
@@ -1,21 +1,21 @@
-//! Parameters that several operations have.
+//! Parsing of parameters that several operations have.
 
 use crate::xml::Element;
 use rockflow_management::{Datastore, ErrorTag, ManagementError};
 use std::fmt::Display;
 use std::time::Duration;
 
-/// The error for a missing element.
+/// Returns the error for a missing element.
 pub(super) fn missing(name: &str) -> ManagementError {
     ManagementError::new(ErrorTag::MissingElement, format!("{name} is missing")).with_element(name)
 }
 
-/// The error for a value that is not allowed.
+/// Returns the error for a value that is not allowed.
 pub(super) fn invalid(message: impl Display) -> ManagementError {
     ManagementError::new(ErrorTag::InvalidValue, message.to_string())
 }
 
-/// The datastore that an element such as `<target>` holds.
+/// Parses the datastore in an element such as `<target>`, whose name is `name`.
 pub(super) fn datastore(operation: &Element, name: &str) -> Result<Datastore, ManagementError> {
     let holder = operation.child(name).ok_or_else(|| missing(name))?;
     let inner = holder.children.first().ok_or_else(|| missing(name))?;
@@ -24,13 +24,13 @@
         "candidate" => Ok(Datastore::Candidate),
         "startup" => Ok(Datastore::Startup),
         other => {
-            let message = format!("{other}: not a datastore here");
+            let message = format!("{other}: datastore not supported");
             Err(ManagementError::new(ErrorTag::OperationNotSupported, message).with_element(other))
         }
     }
 }
 
-/// The datastore that `<datastore>` names by its identity (RFC 8342); none: operational.
+/// Parses the identity in `<datastore>` (RFC 8342). Returns `None` for the operational datastore.
 pub(super) fn datastore_by_identity(operation: &Element) -> Result<Option<Datastore>, ManagementError> {
     let name = operation.text_of("datastore").ok_or_else(|| missing("datastore"))?;
     match name.split_once(':').map_or(name, |(_, name)| name) {
@@ -38,23 +38,24 @@
         "candidate" => Ok(Some(Datastore::Candidate)),
         "startup" => Ok(Some(Datastore::Startup)),
         "operational" => Ok(None),
-        other => Err(invalid(format!("{other}: not a datastore here")).with_element("datastore")),
+        other => Err(invalid(format!("{other}: datastore not supported")).with_element("datastore")),
     }
 }
 
-/// A number of seconds above zero.
+/// Parses an optional element with a number of seconds, which must be above zero.
 pub(super) fn seconds(operation: &Element, name: &str) -> Result<Option<Duration>, ManagementError> {
     let Some(text) = operation.text_of(name) else { return Ok(None) };
     let number = text.parse::<u32>().ok().filter(|number| *number > 0);
-    let number = number.ok_or_else(|| invalid(format!("{name}: {text:?} is no number of seconds")))?;
+    let number =
+        number.ok_or_else(|| invalid(format!("{name}: {text:?} is not a number of seconds above 0")))?;
     Ok(Some(Duration::from_secs(number.into())))
 }
 
-/// A number of hundredths of a second (RFC 8641, section 5).
+/// Parses an optional element with a duration in hundredths of a second (RFC 8641, section 5).
 pub(super) fn hundredths(holder: &Element, name: &str) -> Result<Option<Duration>, ManagementError> {
     let Some(text) = holder.text_of(name) else { return Ok(None) };
     match text.parse::<u32>() {
         Ok(hundredths) => Ok(Some(Duration::from_millis(u64::from(hundredths) * 10))),
-        Err(_) => Err(invalid(format!("{name} is no number")).with_element(name)),
+        Err(_) => Err(invalid(format!("{name} is not a number")).with_element(name)),
     }
 }
--- a/crates/rockflow-netconf/src/rpc/selection.rs
+++ b/crates/rockflow-netconf/src/rpc/selection.rs
@@ -1,4 +1,4 @@
-//! The part of a datastore that an operation asks for.
+//! The filters with which operations select a part of a datastore.
 
 use super::parameters::invalid;
 use crate::filter;
@@ -7,21 +7,21 @@
 use rockflow_management::{ErrorTag, ManagementError};
 use rockflow_yang::{DataTree, NodeId, Pattern, PatternStep, Schema};
 
-/// Says of a part of `<netconf-state>` by its name whether it is selected.
+/// Returns whether the child container of `<netconf-state>` with the given name is selected.
 pub(super) type PartFilter<'a> = Box<dyn Fn(&str) -> bool + 'a>;
 
-/// What is selected.
+/// The part of a datastore that a filter selects.
 pub(super) enum Selection {
-    /// Everything.
+    /// The whole datastore, if the operation has no filter.
     All,
-    /// What the elements of a subtree filter match.
+    /// The nodes that the elements of a subtree filter match.
     Subtree(Vec<Element>),
-    /// What the paths of an XPath filter match.
+    /// The nodes that the paths of an XPath filter match.
     Paths(Vec<Pattern>),
 }
 
 impl Selection {
-    /// The `<filter>` of get and get-config.
+    /// Parses the `<filter>` parameter of `get` and `get-config`.
     pub(super) fn from_filter(schema: &Schema, operation: &Element) -> Result<Selection, ManagementError> {
         let Some(filter) = operation.child("filter") else { return Ok(Selection::All) };
         let attribute = |name| filter.attribute(ns::BASE, name).or_else(|| filter.attribute("", name));
@@ -35,13 +35,14 @@
                 Ok(Selection::Paths(filter::patterns(schema, select, &filter.prefixes)?))
             }
             Some(other) => {
-                let message = format!("{other}: no type of filter");
+                let message = format!("{other}: unknown filter type");
                 Err(ManagementError::new(ErrorTag::BadAttribute, message).with_element("filter"))
             }
         }
     }
 
-    /// The filters of get-data and of subscriptions, which have an element for each kind of filter.
+    /// Parses the filter of `get-data` and of subscriptions, where `subtree` and `xpath` are the names of the
+    /// elements for the two kinds of filter.
     pub(super) fn from_elements(
         schema: &Schema,
         operation: &Element,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The selected part of a tree.
+    /// Returns the selected part of a tree.
     pub(super) fn select(&self, schema: &Schema, tree: DataTree) -> DataTree {
         match self {
             Selection::All => tree,
@@ -66,20 +67,21 @@
         }
     }
 
-    /// The patterns that match what is selected, for subscriptions.
+    /// Returns the path patterns that match the selected nodes; subscriptions need them.
     pub(super) fn to_patterns(&self, schema: &Schema) -> Result<Vec<Pattern>, ManagementError> {
         match self {
             Selection::All => Ok(vec![Pattern::default()]),
             Selection::Paths(patterns) => Ok(patterns.clone()),
             Selection::Subtree(filter) => {
-                let mut found = Vec::new();
-                collect_patterns(schema, None, filter, &Pattern::default(), &mut found)?;
-                Ok(found)
+                let mut patterns = Vec::new();
+                collect_patterns(schema, None, filter, &Pattern::default(), &mut patterns)?;
+                Ok(patterns)
             }
         }
     }
 
-    /// Which parts of `<netconf-state>` are selected; none: nothing of it.
+    /// Returns the filter for the parts of `<netconf-state>`, or `None` if no part is selected. XPath filters
+    /// select none.
     pub(super) fn netconf_state_parts(&self) -> Option<PartFilter<'_>> {
         match self {
             Selection::All => Some(Box::new(|_| true)),
@@ -89,22 +91,23 @@
                     element.name == "netconf-state" && (element.ns.is_empty() || element.ns == ns::MONITORING)
                 };
                 let element = filter.iter().find(is_netconf_state)?;
-                let is_whole = element.children.is_empty();
+                let selects_all = element.children.is_empty();
                 Some(Box::new(move |part| {
-                    is_whole || element.children.iter().any(|child| child.name == part)
+                    selects_all || element.children.iter().any(|child| child.name == part)
                 }))
             }
         }
     }
 }
 
-/// Adds a pattern for each path that a subtree filter selects. Elements with text are the keys of their entry.
+/// Adds a pattern for each path that a subtree filter selects. Elements with text are taken as the keys of
+/// the enclosing list entry. `above` is the pattern of `parent`.
 fn collect_patterns(
     schema: &Schema,
     parent: Option<NodeId>,
     filter: &[Element],
     above: &Pattern,
-    found: &mut Vec<Pattern>,
+    patterns: &mut Vec<Pattern>,
 ) -> Result<(), ManagementError> {
     for element in filter {
         let module = schema.modules().iter().find(|module| module.namespace == element.ns);
@@ -119,14 +122,14 @@
         let node = step.node;
         let mut pattern = above.clone();
         pattern.0.push(step);
-        let inner = element.children.iter().filter(|child| child.text().is_empty());
-        let inner: Vec<Element> = inner.cloned().collect();
-        if inner.is_empty() {
-            found.push(pattern);
+        let selection_children = element.children.iter().filter(|child| child.text().is_empty());
+        let selection_children: Vec<Element> = selection_children.cloned().collect();
+        if selection_children.is_empty() {
+            patterns.push(pattern);
         } else {
-            collect_patterns(schema, Some(node), &inner, &pattern, found)?;
+            collect_patterns(schema, Some(node), &selection_children, &pattern, patterns)?;
         }
-        if found.len() > filter::MAX_PATHS {
+        if patterns.len() > filter::MAX_PATHS {
             return Err(invalid(format!("more than {} paths", filter::MAX_PATHS)));
         }
     }
--- a/crates/rockflow-netconf/src/rpc/subscription.rs
+++ b/crates/rockflow-netconf/src/rpc/subscription.rs
@@ -1,4 +1,5 @@
-//! Subscriptions to events (RFC 5277) and to values (RFC 8639, RFC 8641).
+//! The operations that create and delete subscriptions to events (RFC 5277, RFC 8639) and to datastore values
+//! (RFC 8641).
 
 use super::parameters::{datastore_by_identity, hundredths, invalid, missing};
 use super::selection::Selection;
@@ -8,7 +9,7 @@
 use rockflow_management_service::SessionHandle;
 use std::time::Duration;
 
-/// The least period of a periodic subscription.
+/// Minimum period of a periodic subscription.
 const MIN_PERIOD: Duration = Duration::from_millis(100);
 
 impl Server {
@@ -46,7 +47,7 @@
 fn periodic_trigger(periodic: &Element) -> Result<Trigger, ManagementError> {
     let period = hundredths(periodic, "period")?.ok_or_else(|| missing("period"))?;
     if period < MIN_PERIOD {
-        let error = invalid("the least period is 10 hundredths of a second");
+        let error = invalid("the minimum period is 10 hundredths of a second");
         return Err(error.with_app_tag("period-unsupported").with_element("period"));
     }
     Ok(Trigger::Periodic { period, suppress: false, heartbeat: None })
@@ -59,20 +60,20 @@
     session.authorize_call("create-subscription")?;
     check_stream(operation)?;
     if operation.child("startTime").is_some() || operation.child("stopTime").is_some() {
-        return Err(invalid("there is no replay").with_element("startTime"));
+        return Err(invalid("replay is not supported").with_element("startTime"));
     }
     Ok(Reply::Events)
 }
 
 pub(super) fn delete_subscription(operation: &Element) -> Result<Reply, ManagementError> {
     let id = operation.text_of("id").ok_or_else(|| missing("id"))?;
-    Ok(Reply::Unsubscribe(id.parse().map_err(|_| invalid("id is no number"))?))
+    Ok(Reply::Unsubscribe(id.parse().map_err(|_| invalid("id is not a number"))?))
 }
 
-/// There is only the stream that every server has.
+/// Checks that the requested stream, if any, is `NETCONF`, the only one that this server has.
 fn check_stream(operation: &Element) -> Result<(), ManagementError> {
     match operation.text_of("stream") {
         None | Some("NETCONF") => Ok(()),
-        Some(other) => Err(invalid(format!("{other}: no such stream")).with_element("stream")),
+        Some(other) => Err(invalid(format!("{other}: unknown stream")).with_element("stream")),
     }
 }
