--- a/crates/rockflow-yang/src/compiler.rs
+++ b/crates/rockflow-yang/src/compiler.rs
@@ -1,4 +1,4 @@
-//! Compiles modules into a [`Schema`].
+//! Compiles YANG modules into a [`Schema`].
 
 use crate::error::{ModelError, StatementProblem};
 use crate::schema::{Module, ModuleId, Node, NodeId, NodeKind, Schema};
@@ -9,7 +9,8 @@
 
 /// Keywords of data nodes.
 const DATA_KEYWORDS: [&str; 4] = ["container", "list", "leaf", "leaf-list"];
-/// Keywords that are read with the node that they stand in, or that serving it does not need.
+/// Keywords of substatements that add no node: they are either evaluated with the statement that contains them, or not
+/// needed to serve the model.
 const PROPERTY_KEYWORDS: [&str; 16] = [
     "description",
     "reference",
@@ -29,7 +30,7 @@
     "contact",
 ];
 
-/// Compiles modules, given by name and text.
+/// Compiles modules, given as pairs of name and text; see [`Schema::compile`].
 pub(crate) fn compile(modules: &[(&str, &str)]) -> Result<Schema, ModelError> {
     let mut compiler = Compiler { sources: Vec::new(), schema: Schema::default() };
     for (name, text) in modules {
@@ -40,18 +41,20 @@
 }
 
 struct Compiler {
-    /// By module id.
+    /// The statements of each module, indexed by [`ModuleId`].
     sources: Vec<Source>,
+    /// The modules and nodes compiled so far.
     schema: Schema,
 }
 
+/// The statements of one module, and the prefixes that they use.
 struct Source {
     statement: Statement,
-    /// Modules by the prefix under which this one names them, itself included.
+    /// The imported modules and the module itself, by the prefix that this module uses for them.
     prefixes: BTreeMap<String, ModuleId>,
 }
 
-/// A type with the default value that comes with it.
+/// A type, and the default value that its typedefs define.
 struct ResolvedType {
     leaf_type: LeafType,
     default: Option<String>,
@@ -65,9 +68,9 @@
         let id = ModuleId(id);
         let mut prefixes = BTreeMap::from([(module.prefix.clone(), id)]);
         for import in statement.all("import") {
-            let known = self.schema.module_by_name(&import.argument);
-            let known = known.ok_or_else(|| import.error(StatementProblem::UnknownImport))?;
-            prefixes.insert(required(import, "prefix")?.to_string(), known);
+            let imported = self.schema.module_by_name(&import.argument);
+            let imported = imported.ok_or_else(|| import.error(StatementProblem::UnknownImport))?;
+            prefixes.insert(required(import, "prefix")?.to_string(), imported);
         }
         self.schema.modules.push(module);
         self.sources.push(Source { statement: statement.clone(), prefixes });
@@ -110,7 +113,7 @@
         target.ok_or_else(|| augment.error(StatementProblem::NoSuchTarget))
     }
 
-    /// Adds a node and those below it. `config`: whether its parent is configuration.
+    /// Adds a node and its descendants. `config` tells whether the parent is configuration.
     fn add_node(
         &mut self,
         statement: &Statement,
@@ -188,18 +191,18 @@
     }
 
     fn set_keys(&mut self, statement: &Statement, list: NodeId, module: ModuleId) -> Result<(), ModelError> {
-        let mut found = Vec::new();
+        let mut key_nodes = Vec::new();
         for name in required(statement, "key")?.split_whitespace() {
             let key = self.schema.child(Some(list), Some(module), name);
-            found.push(key.ok_or_else(|| statement.error(StatementProblem::NoSuchKey))?);
+            key_nodes.push(key.ok_or_else(|| statement.error(StatementProblem::NoSuchKey))?);
         }
         if let NodeKind::List { keys, .. } = &mut self.schema.nodes[usize::from(list.0)].kind {
-            *keys = found;
+            *keys = key_nodes;
         }
         Ok(())
     }
 
-    /// The type that stands within a leaf, a leaf-list or a typedef.
+    /// Resolves the `type` substatement of a leaf, a leaf-list or a typedef.
     fn type_within(&self, statement: &Statement, module: ModuleId) -> Result<ResolvedType, ModelError> {
         let type_statement = statement.first("type");
         let type_statement =
@@ -207,6 +210,7 @@
         self.resolve_type(type_statement, module)
     }
 
+    /// Resolves a `type` statement: a built-in type or a typedef, with the restrictions of the statement.
     fn resolve_type(&self, statement: &Statement, module: ModuleId) -> Result<ResolvedType, ModelError> {
         let unsigned = |bits| LeafType::Unsigned { bits, ranges: Vec::new() };
         let signed = |bits| LeafType::Signed { bits, ranges: Vec::new() };
@@ -286,7 +290,7 @@
     digits.ok_or_else(|| statement.error(StatementProblem::Missing("fraction-digits")))
 }
 
-/// The base type with the restrictions that the type statement adds.
+/// The base type, narrowed by the restrictions of the `type` statement.
 fn restrict(base: LeafType, statement: &Statement) -> Result<LeafType, ModelError> {
     match base {
         LeafType::Text { lengths, patterns } => restrict_text(lengths, patterns, statement),
@@ -323,7 +327,8 @@
         }
     };
     for pattern in statement.all("pattern") {
-        // XML's expressions match the whole text, and know neither anchors nor named groups.
+        // YANG patterns are XML Schema regular expressions: they match the whole text, and have neither anchors nor
+        // named groups.
         let regex = Regex::new(&format!("^(?:{})$", pattern.argument));
         let regex =
             regex.map_err(|error| statement.error(StatementProblem::BadPattern(error.to_string())))?;
@@ -348,7 +353,7 @@
 }
 
 fn restrict_enumeration(base: Vec<String>, statement: &Statement) -> Result<LeafType, ModelError> {
-    let names: Vec<String> = statement.all("enum").map(|one| one.argument.clone()).collect();
+    let names: Vec<String> = statement.all("enum").map(|name| name.argument.clone()).collect();
     if let Some(unknown) = names.iter().find(|name| !base.is_empty() && !base.contains(name)) {
         return Err(statement.error(StatementProblem::NotInBaseType(unknown.clone())));
     }
@@ -358,7 +363,7 @@
     Ok(LeafType::Enumeration(if names.is_empty() { base } else { names }))
 }
 
-/// Parses ranges such as `1..4 | 9 | 20..max`; `bounds` are what `min` and `max` stand for.
+/// Parses ranges such as `1..4 | 9 | 20..max`; `bounds` are the values of `min` and `max`. `None` for a malformed text.
 fn parse_ranges<T: Copy>(text: &str, parse: impl Fn(&str) -> Option<T>, bounds: (T, T)) -> Option<Ranges<T>> {
     let bound = |word: &str| match word.trim() {
         "min" => Some(bounds.0),
--- a/crates/rockflow-yang/src/data/constraints.rs
+++ b/crates/rockflow-yang/src/data/constraints.rs
@@ -1,12 +1,12 @@
-//! What the model demands of a whole tree.
+//! Constraints that are checked on a whole tree: mandatory leaves and element counts.
 
 use super::{DataNode, DataTree};
 use crate::error::{EditError, EditErrorKind};
 use crate::path::Path;
 use crate::schema::{NodeId, NodeKind, Schema};
 
-/// Checks that mandatory leaves are there, and that lists and leaf-lists have as many elements as they may.
-/// `parent`: the path of the node that the tree lies below.
+/// Checks that every list entry has its mandatory nodes, and that lists and leaf-lists observe `min-elements` and
+/// `max-elements`. `parent` is the path of the node whose children `tree` holds.
 pub fn check_constraints(schema: &Schema, tree: &DataTree, parent: &Path) -> Result<(), EditError> {
     for (id, data) in tree {
         let path = parent.child(*id, Vec::new());
@@ -39,8 +39,8 @@
     if (min..=max).contains(&count) {
         return Ok(());
     }
-    let what = format!("{}: {count} entries, from {min} to {max} may be", path.to_text(schema));
-    Err(EditError::new(EditErrorKind::BadValue, path, what))
+    let message = format!("{}: {count} entries, from {min} to {max} may be", path.to_text(schema));
+    Err(EditError::new(EditErrorKind::BadValue, path, message))
 }
 
 fn check_mandatory(schema: &Schema, list: NodeId, entry: &DataTree, path: &Path) -> Result<(), EditError> {
@@ -52,8 +52,8 @@
             _ => false,
         };
         if is_mandatory && !entry.contains_key(child) {
-            let what = format!("{}: {} is missing", path.to_text(schema), child_node.name);
-            return Err(EditError::new(EditErrorKind::Missing, path, what));
+            let message = format!("{}: {} is missing", path.to_text(schema), child_node.name);
+            return Err(EditError::new(EditErrorKind::Missing, path, message));
         }
     }
     Ok(())
--- a/crates/rockflow-yang/src/data/defaults.rs
+++ b/crates/rockflow-yang/src/data/defaults.rs
@@ -1,10 +1,10 @@
-//! Default values (RFC 6243).
+//! Adds default values to a data tree and removes them (RFC 6243).
 
 use super::{DataNode, DataTree};
 use crate::schema::{NodeId, NodeKind, NodeScope, Schema};
 
-/// The tree with every default that is not overridden, in containers and in the entries that exist (report-all).
-/// `scope`: whether defaults are filled in below state nodes too.
+/// The tree with the default of every unset configuration leaf, in containers and in existing list entries (mode
+/// report-all of RFC 6243). Nodes outside of `scope` are not visited.
 pub fn with_defaults(schema: &Schema, tree: &DataTree, scope: NodeScope) -> DataTree {
     fill_defaults(schema, tree, schema.roots(), scope)
 }
@@ -20,9 +20,9 @@
             (NodeKind::Leaf { default: Some(default), .. }, None) if node.config => {
                 full.insert(*id, DataNode::Leaf(default.clone()));
             }
-            (NodeKind::Container, present) if node.config || present.is_some() => {
+            (NodeKind::Container, container) if node.config || container.is_some() => {
                 let empty = DataTree::new();
-                let inner = present.and_then(DataNode::fields).unwrap_or(&empty);
+                let inner = container.and_then(DataNode::fields).unwrap_or(&empty);
                 let inner = fill_defaults(schema, inner, &node.children, scope);
                 if !inner.is_empty() {
                     full.insert(*id, DataNode::Container(inner));
@@ -41,7 +41,7 @@
     full
 }
 
-/// The tree without values that equal their default (trim).
+/// The tree without the leaves whose value equals their default (mode trim of RFC 6243).
 pub fn without_defaults(schema: &Schema, tree: &DataTree) -> DataTree {
     let mut trimmed = DataTree::new();
     for (id, data) in tree {
--- a/crates/rockflow-yang/src/data/diff.rs
+++ b/crates/rockflow-yang/src/data/diff.rs
@@ -1,4 +1,4 @@
-//! How two data trees differ, leaf by leaf.
+//! Differences between two data trees, as changes of single leaves.
 
 use super::{leaf_list_path, leaf_list_values, put, put_leaf_list, remove, DataNode, DataTree};
 use crate::path::Path;
@@ -9,16 +9,16 @@
 /// A leaf, or a value of a leaf-list, that differs between two trees.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The leaf; a leaf-list's value is named by itself.
+    /// The path of the leaf, or of the single leaf-list value.
     pub path: Path,
-    /// Its value in the first tree.
+    /// The value in the first tree; `None` if it is not there.
     pub before: Option<Scalar>,
-    /// Its value in the second tree.
+    /// The value in the second tree; `None` if it is not there.
     pub after: Option<Scalar>,
 }
 
 impl Change {
-    /// `path: before -> after`, on one line.
+    /// The change as `path: before -> after` on one line; a missing value is written as `-`.
     pub fn to_text(&self, schema: &Schema) -> String {
         let value = |value: &Option<Scalar>| value.as_ref().map_or("-".to_string(), Scalar::to_string);
         let path = self.path.to_text(schema);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Every leaf by its path. An empty container leaves no trace.
+/// The values of all leaves and leaf-lists, by path. Empty containers do not appear.
 pub fn leaves(tree: &DataTree) -> BTreeMap<Path, Scalar> {
     let mut found = BTreeMap::new();
     collect_leaves(tree, &Path::default(), &mut found);
@@ -40,7 +40,7 @@
             DataNode::Leaf(value) => {
                 found.insert(parent.child(*node, Vec::new()), value.clone());
             }
-            // A leaf-list's value is named by itself (RFC 7950, section 9.13).
+            // A leaf-list entry is identified by its own value (RFC 7950, section 9.13).
             DataNode::LeafList(values) => {
                 for value in values {
                     found.insert(parent.child(*node, vec![value.clone()]), value.clone());
@@ -56,7 +56,7 @@
     }
 }
 
-/// The leaves that differ, in the order of their paths.
+/// The changes that turn `before` into `after`, in the order of their paths.
 pub fn diff(before: &DataTree, after: &DataTree) -> Vec<Change> {
     let (old, new) = (leaves(before), leaves(after));
     let paths: BTreeSet<&Path> = old.keys().chain(new.keys()).collect();
@@ -68,7 +68,7 @@
     changes.filter(|change| change.before != change.after).collect()
 }
 
-/// Applies changes that were found between two other trees.
+/// Applies changes, which may come from a [`diff`] of two other trees.
 pub fn apply_changes(schema: &Schema, tree: &mut DataTree, changes: &[Change]) {
     for change in changes {
         let Some(last) = change.path.0.last() else { continue };
@@ -79,7 +79,7 @@
         }
         match &change.after {
             Some(value) => put(schema, tree, steps, DataNode::Leaf(value.clone())),
-            // An entry goes with its key.
+            // Without its key an entry can't exist, so the whole entry is removed.
             None if schema.is_key(last.node) => remove(tree, &steps[..steps.len() - 1]),
             None => remove(tree, steps),
         }
@@ -87,12 +87,12 @@
 }
 
 fn apply_leaf_list_change(schema: &Schema, tree: &mut DataTree, change: &Change) {
-    let whole = leaf_list_path(&change.path.0);
-    let mut values = leaf_list_values(tree, &whole);
+    let list_path = leaf_list_path(&change.path.0);
+    let mut values = leaf_list_values(tree, &list_path);
     match (&change.before, &change.after) {
         (_, Some(value)) => values.insert(value.clone()),
         (Some(value), None) => values.remove(value),
         (None, None) => false,
     };
-    put_leaf_list(schema, tree, &whole, values);
+    put_leaf_list(schema, tree, &list_path, values);
 }
--- a/crates/rockflow-yang/src/data/edit.rs
+++ b/crates/rockflow-yang/src/data/edit.rs
@@ -1,18 +1,18 @@
-//! Edits of a data tree (RFC 6241, section 7.2).
+//! Edits of a data tree, with the operations of NETCONF's edit-config (RFC 6241, section 7.2).
 
-use super::{find_instance, leaf_list_path, leaf_list_values, make_place, merge, merge_node};
-use super::{put_leaf_list, remove, DataNode, DataTree, Place};
+use super::{find_instance, leaf_list_path, leaf_list_values, locate_or_create, merge, merge_node};
+use super::{put_leaf_list, remove, DataNode, DataTree, Target};
 use crate::error::{EditError, EditErrorKind};
 use crate::path::{Path, PathStep};
 use crate::schema::{NodeKind, Schema};
 use std::collections::BTreeMap;
 
-/// What is done to a node.
+/// The operation that an edit performs on its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EditOperation {
-    /// Merges the value into what is there.
+    /// Merges the value into the present data.
     Merge,
-    /// Replaces what is there.
+    /// Replaces the present data with the value.
     Replace,
     /// Creates the node, which must not exist.
     Create,
@@ -20,22 +20,22 @@
     Delete,
     /// Deletes the node if it exists.
     Remove,
-    /// Does nothing, but the node must exist: default-operation none.
+    /// Changes nothing, but fails unless the node exists. This is the default-operation `none` of edit-config.
     AssertExists,
 }
 
-/// One edit of one node.
+/// One operation on one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
-    /// The node.
+    /// The path of the edited node.
     pub path: Path,
-    /// What is done to it.
+    /// The operation on the node.
     pub op: EditOperation,
-    /// What is merged, put or created; none for the other operations.
+    /// The value of a merge, replace or create; `None` for the other operations.
     pub value: Option<DataNode>,
 }
 
-/// Carries one edit out. On an error the tree is as it was.
+/// Applies one edit. On an error the tree is unchanged.
 pub fn apply_edit(schema: &Schema, tree: &mut DataTree, edit: &Edit) -> Result<(), EditError> {
     let Some(last) = edit.path.0.last() else {
         return apply_at_top(tree, edit);
@@ -64,8 +64,8 @@
     }
 }
 
-fn error(edit: &Edit, kind: EditErrorKind, what: &str) -> EditError {
-    EditError::new(kind, &edit.path, what)
+fn error(edit: &Edit, kind: EditErrorKind, message: &str) -> EditError {
+    EditError::new(kind, &edit.path, message)
 }
 
 fn apply_at_top(tree: &mut DataTree, edit: &Edit) -> Result<(), EditError> {
@@ -90,7 +90,7 @@
     }
 }
 
-/// State is never written. A list key may only be named with the value that it has.
+/// Rejects edits of state, and edits that would change or delete a list key.
 fn check_writable(schema: &Schema, edit: &Edit, last: &PathStep) -> Result<(), EditError> {
     if !schema.node(last.node).config {
         return Err(error(edit, EditErrorKind::NotWritable, "is state, which can't be written"));
@@ -119,7 +119,7 @@
     }
 }
 
-/// Applies an edit to one value of a leaf-list, which its path names.
+/// Applies an edit whose path identifies a single value of a leaf-list.
 fn apply_to_leaf_list_value(
     schema: &Schema,
     tree: &mut DataTree,
@@ -129,19 +129,20 @@
     let Some(value) = last.keys.first() else {
         return Err(error(edit, EditErrorKind::BadValue, "names no value"));
     };
-    let whole = leaf_list_path(&edit.path.0);
-    let mut values = leaf_list_values(tree, &whole);
+    let list_path = leaf_list_path(&edit.path.0);
+    let mut values = leaf_list_values(tree, &list_path);
     check_existence(edit, values.contains(value))?;
     match edit.op {
         EditOperation::AssertExists => return Ok(()),
         EditOperation::Delete | EditOperation::Remove => values.remove(value),
         EditOperation::Merge | EditOperation::Replace | EditOperation::Create => values.insert(value.clone()),
     };
-    put_leaf_list(schema, tree, &whole, values);
+    put_leaf_list(schema, tree, &list_path, values);
     Ok(())
 }
 
-/// The edit's value, or an empty container or list without one, if the node can hold it.
+/// The value of the edit. A missing value stands for an empty container or list. A value of another kind than the node is
+/// an error.
 fn value_for(schema: &Schema, edit: &Edit, last: &PathStep) -> Result<DataNode, EditError> {
     let kind = &schema.node(last.node).kind;
     let value = match (&edit.value, kind) {
@@ -165,15 +166,15 @@
 }
 
 fn put_merged(schema: &Schema, tree: &mut DataTree, edit: &Edit, value: DataNode) -> Result<(), EditError> {
-    match (make_place(schema, tree, &edit.path.0), value) {
-        (Place::ListEntry(entry), DataNode::Container(new)) => merge(entry, &new),
-        (Place::ListEntry(_), _) => {
+    match (locate_or_create(schema, tree, &edit.path.0), value) {
+        (Target::ListEntry(entry), DataNode::Container(new)) => merge(entry, &new),
+        (Target::ListEntry(_), _) => {
             return Err(error(edit, EditErrorKind::BadValue, "can't hold such a value"))
         }
-        (Place::Slot(holder, node), value) => match holder.get_mut(&node) {
+        (Target::Node(parent, node), value) => match parent.get_mut(&node) {
             Some(old) => merge_node(old, &value),
             None => {
-                holder.insert(node, value);
+                parent.insert(node, value);
             }
         },
     }
--- a/crates/rockflow-yang/src/data/mod.rs
+++ b/crates/rockflow-yang/src/data/mod.rs
@@ -1,4 +1,4 @@
-//! Data trees: what they hold, and how one node of them is reached.
+//! Data trees: their structure, and access to single nodes by path.
 
 mod constraints;
 mod defaults;
@@ -17,24 +17,24 @@
 use crate::types::{KeyValues, Scalar};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The data nodes below one node, or at the top, by their schema node.
+/// The children of one data node, or the top-level nodes, by their schema node.
 pub type DataTree = BTreeMap<NodeId, DataNode>;
 
-/// A data node with all that lies below it.
+/// A data node with its descendants.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DataNode {
-    /// A leaf's value.
+    /// A leaf with its value.
     Leaf(Scalar),
-    /// A leaf-list's values.
+    /// A leaf-list with its values.
     LeafList(BTreeSet<Scalar>),
-    /// What a container holds. Elsewhere also a list entry, where the path names it.
+    /// A container with its children. As the value of an [`Edit`] whose path identifies a list entry, also that entry.
     Container(DataTree),
-    /// A list's entries by key; the key leaves stand in the entries too.
+    /// A list with its entries by key. Each entry contains its key leaves too.
     List(BTreeMap<KeyValues, DataTree>),
 }
 
 impl DataNode {
-    /// What a container holds.
+    /// The children of a container; `None` for other nodes.
     pub fn fields(&self) -> Option<&DataTree> {
         match self {
             DataNode::Container(tree) => Some(tree),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A leaf's value.
+    /// The value of a leaf; `None` for other nodes.
     pub fn scalar(&self) -> Option<&Scalar> {
         match self {
             DataNode::Leaf(value) => Some(value),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Number of values and entries, as a measure of the memory that a tree takes.
+    /// Number of values and list entries, as an estimate of memory use.
     pub fn count_values(&self) -> usize {
         match self {
             DataNode::Leaf(_) => 1,
@@ -61,21 +61,22 @@
     }
 }
 
-/// What a path leads to.
+/// The data that a path identifies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Instance<'a> {
-    /// A whole data node.
+    /// A whole data node; for a list, all of its entries.
     DataNode(&'a DataNode),
     /// One entry of a list.
     ListEntry(&'a DataTree),
 }
 
-/// Number of values and entries of a tree, as a measure of the memory that it takes.
+/// Number of values and list entries of a tree, as an estimate of memory use.
 pub fn count_values(tree: &DataTree) -> usize {
     tree.values().map(DataNode::count_values).sum()
 }
 
-/// What the path leads to; the whole list where its last step has no keys.
+/// Finds the data at a path: the whole list where its last step has no keys. `None` if there is no data, and for a path
+/// without steps.
 pub fn find_instance<'a>(tree: &'a DataTree, path: &[PathStep]) -> Option<Instance<'a>> {
     let (step, rest) = path.split_first()?;
     let data = tree.get(&step.node)?;
@@ -94,7 +95,8 @@
     }
 }
 
-/// The value of the leaf that the names lead to, through containers only.
+/// The value of the leaf at the given node names, whose ancestors are all containers. `None` if there is no such leaf, or
+/// if it has no value.
 pub fn leaf_by_names<'a>(schema: &Schema, tree: &'a DataTree, names: &[&str]) -> Option<&'a Scalar> {
     let mut node = None;
     let mut steps = Vec::new();
@@ -109,18 +111,19 @@
     }
 }
 
-/// Puts data at a path, configuration or state, and makes the entries and containers that lead there.
+/// Inserts data at a path, be it configuration or state, and creates missing list entries and containers on the path. At
+/// a list entry the data is merged, elsewhere it replaces the present data.
 pub fn insert_at(schema: &Schema, tree: &mut DataTree, path: &Path, data: DataNode) {
-    match (make_place(schema, tree, &path.0), data) {
-        (Place::ListEntry(entry), DataNode::Container(inner)) => merge(entry, &inner),
-        (Place::Slot(holder, node), data) => {
-            holder.insert(node, data);
+    match (locate_or_create(schema, tree, &path.0), data) {
+        (Target::ListEntry(entry), DataNode::Container(inner)) => merge(entry, &inner),
+        (Target::Node(parent, node), data) => {
+            parent.insert(node, data);
         }
-        (Place::ListEntry(_), _) => {}
+        (Target::ListEntry(_), _) => {}
     }
 }
 
-/// Merges one tree into another: values of `from` replace those of `into`.
+/// Merges `from` into `into`. Leaf values of `from` replace those of `into`; leaf-list values are added.
 pub fn merge(into: &mut DataTree, from: &DataTree) {
     for (node, data) in from {
         match into.get_mut(node) {
@@ -150,20 +153,20 @@
     }
 }
 
-/// Where a path leads to in a tree that is written.
-enum Place<'a> {
-    /// An entry of a list.
+/// The location of a path in a tree that is being modified.
+enum Target<'a> {
+    /// The children of a list entry, or of the root.
     ListEntry(&'a mut DataTree),
-    /// The tree that holds the node, or is to hold it.
-    Slot(&'a mut DataTree, NodeId),
+    /// The children of the node's parent, and the node itself, which may be missing.
+    Node(&'a mut DataTree, NodeId),
 }
 
-/// The place that the path leads to. Entries and containers on the way are made.
-fn make_place<'a>(schema: &Schema, tree: &'a mut DataTree, path: &[PathStep]) -> Place<'a> {
+/// Finds the location of a path, and creates missing list entries and containers on the path.
+fn locate_or_create<'a>(schema: &Schema, tree: &'a mut DataTree, path: &[PathStep]) -> Target<'a> {
     let Some((step, rest)) = path.split_first() else {
-        return Place::ListEntry(tree);
+        return Target::ListEntry(tree);
     };
-    // A node of another shape than the path's is replaced.
+    // Data of another kind than the step needs is replaced.
     if !step.keys.is_empty() {
         if !matches!(tree.get(&step.node), Some(DataNode::List(_))) {
             tree.insert(step.node, DataNode::List(BTreeMap::new()));
@@ -172,34 +175,34 @@
             unreachable!("a list was inserted above");
         };
         let entry = entries.entry(step.keys.clone()).or_insert_with(|| new_entry(schema, step));
-        return make_place(schema, entry, rest);
+        return locate_or_create(schema, entry, rest);
     }
     if rest.is_empty() {
-        return Place::Slot(tree, step.node);
+        return Target::Node(tree, step.node);
     }
     if !matches!(tree.get(&step.node), Some(DataNode::Container(_))) {
         tree.insert(step.node, DataNode::Container(DataTree::new()));
     }
     match tree.get_mut(&step.node) {
-        Some(DataNode::Container(inner)) => make_place(schema, inner, rest),
+        Some(DataNode::Container(inner)) => locate_or_create(schema, inner, rest),
         _ => unreachable!("a container was inserted above"),
     }
 }
 
-/// A list entry that holds only its keys.
+/// A list entry that contains only its key leaves.
 fn new_entry(schema: &Schema, step: &PathStep) -> DataTree {
     let values = step.keys.iter().cloned().map(DataNode::Leaf);
     schema.keys(step.node).iter().copied().zip(values).collect()
 }
 
-/// Puts data into the slot that the path leads to.
+/// Replaces the data node at the path. Does nothing if the path identifies a list entry.
 fn put(schema: &Schema, tree: &mut DataTree, path: &[PathStep], data: DataNode) {
-    if let Place::Slot(holder, node) = make_place(schema, tree, path) {
-        holder.insert(node, data);
+    if let Target::Node(parent, node) = locate_or_create(schema, tree, path) {
+        parent.insert(node, data);
     }
 }
 
-/// Removes what the path leads to, and the containers and lists that are empty then.
+/// Removes the data at the path, and all containers and lists on the path that become empty.
 fn remove(tree: &mut DataTree, path: &[PathStep]) {
     let Some((step, rest)) = path.split_first() else { return };
     let Some(data) = tree.get_mut(&step.node) else { return };
@@ -223,7 +226,7 @@
     }
 }
 
-/// The values of the leaf-list that the path leads to; none where it is not there.
+/// The values of the leaf-list at the path; empty if it does not exist.
 fn leaf_list_values(tree: &DataTree, path: &[PathStep]) -> BTreeSet<Scalar> {
     match find_instance(tree, path) {
         Some(Instance::DataNode(DataNode::LeafList(values))) => values.clone(),
@@ -231,7 +234,7 @@
     }
 }
 
-/// Puts the values of a leaf-list at the path; without values the leaf-list goes.
+/// Replaces the values of the leaf-list at the path. Without values the leaf-list is removed.
 fn put_leaf_list(schema: &Schema, tree: &mut DataTree, path: &[PathStep], values: BTreeSet<Scalar>) {
     if values.is_empty() {
         remove(tree, path);
@@ -240,11 +243,11 @@
     }
 }
 
-/// The path of the leaf-list whose value the given path names.
+/// The path of the whole leaf-list, given the path of one of its values.
 fn leaf_list_path(path: &[PathStep]) -> Vec<PathStep> {
-    let mut whole = path.to_vec();
-    if let Some(last) = whole.last_mut() {
+    let mut list_path = path.to_vec();
+    if let Some(last) = list_path.last_mut() {
         last.keys.clear();
     }
-    whole
+    list_path
 }
--- a/crates/rockflow-yang/src/data/select.rs
+++ b/crates/rockflow-yang/src/data/select.rs
@@ -1,11 +1,11 @@
-//! Parts of a data tree.
+//! Selects parts of a data tree by pattern or by path.
 
 use super::{DataNode, DataTree, Instance};
 use crate::path::{Path, Pattern, PatternStep};
 use crate::schema::Schema;
 use std::collections::BTreeMap;
 
-/// The part that the pattern matches, with the containers and entries that lead to it.
+/// The part of the tree that the pattern matches, with its ancestors.
 pub fn select_matching(tree: &DataTree, pattern: &Pattern) -> DataTree {
     select_below(tree, &pattern.0)
 }
@@ -37,8 +37,8 @@
     selected.map(|data| DataTree::from([(step.node, data)])).unwrap_or_default()
 }
 
-/// Each instance that the pattern matches, with its path; entries of a list come one by one. None: there are more
-/// than `max`.
+/// The instances that the pattern identifies, with their paths. Each entry of a list is an instance of its own. `None` if
+/// there are more than `max`.
 pub fn instances_matching<'a>(
     tree: &'a DataTree,
     pattern: &Pattern,
@@ -79,8 +79,8 @@
     (found.len() <= max).then_some(())
 }
 
-/// Only the leaves for which `is_wanted` holds, given their path below `parent`. Entries and containers that hold none
-/// are left out; a key stays where anything else of its entry does.
+/// Keeps only the leaves and leaf-lists for whose path `is_wanted` is true. Entries and containers without any of them
+/// are left out; an entry that stays keeps its keys. `parent` is the path of the node whose children `tree` holds.
 pub fn retain_leaves(
     schema: &Schema,
     tree: &DataTree,
--- a/crates/rockflow-yang/src/json.rs
+++ b/crates/rockflow-yang/src/json.rs
@@ -1,4 +1,4 @@
-//! Data trees as JSON (RFC 7951), strictly both ways.
+//! Reads and writes data trees as JSON (RFC 7951). Input that does not conform to the schema is rejected.
 
 use crate::data::{DataNode, DataTree};
 use crate::error::JsonError;
@@ -7,7 +7,8 @@
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Writes the nodes of a tree as an object. A name bears its module where that differs from its parent's.
+/// Writes a data tree as an object. A member's name is prefixed with its module where that differs from the module of its
+/// parent.
 pub fn write(schema: &Schema, tree: &DataTree) -> Value {
     let mut object = Map::new();
     for (id, data) in tree {
@@ -16,7 +17,7 @@
     Value::Object(object)
 }
 
-/// Writes the value of one node.
+/// Writes the value of one data node.
 pub fn write_data(schema: &Schema, id: NodeId, data: &DataNode) -> Value {
     let scalar = |value: &Scalar| write_scalar(schema.type_of(id), value);
     match data {
@@ -27,7 +28,7 @@
     }
 }
 
-/// Writes a leaf's value in the form that its type has in JSON.
+/// Writes the value of a leaf in the JSON form of its type. `leaf_type` is `None` for a node without a type.
 pub fn write_scalar(leaf_type: Option<&LeafType>, value: &Scalar) -> Value {
     let is_quoted = || leaf_type.is_some_and(|leaf_type| leaf_type.is_quoted_in_json(value));
     match value {
@@ -39,9 +40,9 @@
     }
 }
 
-/// Reads the nodes below `parent`, or the top ones without a parent.
+/// Reads the children of `parent`, or the top-level nodes if `parent` is `None`.
 ///
-/// Unknown names, state outside of `scope`, duplicate entries and values that their type does not allow are errors.
+/// Unknown names, nodes outside of `scope`, duplicate entries and values that their type does not allow are errors.
 pub fn read(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -72,7 +73,7 @@
     Ok(tree)
 }
 
-/// Reads the value of one node: a list's is an array of entries.
+/// Reads the value of one data node. The value of a list is an array of its entries.
 pub fn read_data(
     schema: &Schema,
     id: NodeId,
@@ -91,14 +92,14 @@
 
 fn read_leaf_list(value_type: &LeafType, value: &Value) -> Result<DataNode, JsonError> {
     let values = value.as_array().ok_or(JsonError::NotAnArray)?;
-    let mut read = BTreeSet::new();
+    let mut distinct = BTreeSet::new();
     for value in values {
-        read.insert(read_scalar(value_type, value)?);
+        distinct.insert(read_scalar(value_type, value)?);
     }
-    if read.len() < values.len() {
+    if distinct.len() < values.len() {
         return Err(JsonError::DuplicateValue);
     }
-    Ok(DataNode::LeafList(read))
+    Ok(DataNode::LeafList(distinct))
 }
 
 fn read_list(schema: &Schema, list: NodeId, value: &Value, scope: NodeScope) -> Result<DataNode, JsonError> {
@@ -130,16 +131,16 @@
         Value::Array(inner) if matches!(inner.as_slice(), [Value::Null]) => String::new(),
         _ => return Err(JsonError::NotAValue),
     };
-    let read = value_type.parse(&text)?;
-    let has_form = match (&read, value) {
+    let scalar = value_type.parse(&text)?;
+    let is_json_form = match (&scalar, value) {
         (Scalar::Bool(_), value) => value.is_boolean(),
         (Scalar::Empty, value) => value.is_array(),
         (Scalar::Text(_), value) => value.is_string(),
-        // Numbers of 64 bits come in quotes; plain ones are taken too, as many clients send them.
+        // RFC 7951 encodes 64-bit numbers as strings. Plain numbers are accepted too, because many clients send them.
         _ => value.is_string() || value.is_number(),
     };
-    if has_form {
-        Ok(read)
+    if is_json_form {
+        Ok(scalar)
     } else {
         Err(JsonError::WrongForm)
     }
--- a/crates/rockflow-yang/src/lib.rs
+++ b/crates/rockflow-yang/src/lib.rs
@@ -1,8 +1,9 @@
 //! The published YANG model of rockflow, without I/O.
 //!
-//! The modules in `yang/` are the one source of paths, types and constraints: they are compiled into a [`Schema`], and
-//! nothing here repeats what they say. A [`DataTree`] holds values of the model, a [`Path`] names one node of it, and a
-//! [`Pattern`] any number. [`json`] reads and writes trees; NETCONF's XML lies with its front.
+//! The modules in `yang/` are the only source of paths, types and constraints. They are compiled into a [`Schema`]; no
+//! path, type or constraint is repeated in the Rust code. A [`DataTree`] holds values of the model, a [`Path`]
+//! identifies one data node and a [`Pattern`] any number of them. [`json`] reads and writes data trees; the XML
+//! encoding is part of the NETCONF server.
 
 mod compiler;
 pub mod data;
@@ -19,7 +20,7 @@
 pub use schema::{Module, ModuleId, Node, NodeId, NodeKind, NodeScope, Schema};
 pub use types::{KeyValues, LeafType, Scalar};
 
-/// The modules as they are published, by name.
+/// Name and text of each published module. A module that others import or augment comes before them.
 pub const PUBLISHED_MODULES: [(&str, &str); 4] = [
     ("rockflow-types", include_str!("../yang/rockflow-types.yang")),
     ("rockflow-router", include_str!("../yang/rockflow-router.yang")),
--- a/crates/rockflow-yang/src/path.rs
+++ b/crates/rockflow-yang/src/path.rs
@@ -1,34 +1,37 @@
-//! Names of data nodes: a [`Path`] is one instance, a [`Pattern`] may leave list keys open and takes in all that lies
-//! below.
+//! Identifiers of data nodes: a [`Path`] identifies one instance. A [`Pattern`] may leave list keys open and also matches
+//! every descendant of the nodes that it identifies.
 //!
 //! The text is that of an instance identifier (RFC 7951, section 6.11), as in
-//! `/rockflow-router:router/marks/mark[host='c1']/state`. Steps without a module are looked for by their plain name.
+//! `/rockflow-router:router/marks/mark[host='c1']/state`. A step without a module prefix matches a node of that name in any
+//! module.
 
 use crate::error::PathError;
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::types::{KeyValues, Scalar};
 
-/// Steps of a path at the most.
+/// Maximum number of steps in a path.
 pub const MAX_STEPS: usize = 32;
-/// Bytes of a path's text at the most.
+/// Maximum length of a path's text in bytes.
 pub const MAX_TEXT: usize = 4096;
 
 /// One step of a path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PathStep {
-    /// The node that it leads to.
+    /// The schema node of this step.
     pub node: NodeId,
-    /// The key values of a list entry, or the value of a leaf-list; empty otherwise.
+    /// The key values of a list entry, or the single value of a leaf-list. Empty for every other node, and where the step
+    /// stands for a whole list or leaf-list.
     pub keys: KeyValues,
 }
 
-/// An instance identifier: the steps from the top of the tree to one data node. Without steps it is the whole tree.
+/// An instance identifier: the steps from the root of the tree to one data node. Without steps it identifies the whole
+/// tree.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Path(pub Vec<PathStep>);
 
 impl Path {
-    /// Parses one instance: every list on the way has all its keys. The last step may be a whole list, or a value
-    /// of a leaf-list.
+    /// Parses the path of one instance. Every list on the path needs all of its keys, except that the last step may be a
+    /// whole list. The last step may also be a single value of a leaf-list.
     pub fn parse(schema: &Schema, text: &str) -> Result<Path, PathError> {
         let pattern = Pattern::parse(schema, text)?;
         let last = pattern.0.len().saturating_sub(1);
@@ -42,24 +45,24 @@
         Ok(Path(steps))
     }
 
-    /// The path one step further down.
+    /// This path, extended by one step.
     pub fn child(&self, node: NodeId, keys: KeyValues) -> Path {
         let mut steps = self.0.clone();
         steps.push(PathStep { node, keys });
         Path(steps)
     }
 
-    /// The schema node of the last step.
+    /// The schema node of the last step; `None` for the whole tree.
     pub fn node(&self) -> Option<NodeId> {
         self.0.last().map(|step| step.node)
     }
 
-    /// Whether the other path is this one or lies below it.
+    /// Whether `other` equals this path or is below it.
     pub fn contains(&self, other: &Path) -> bool {
-        other.0.len() >= self.0.len() && self.0.iter().zip(&other.0).all(|(mine, its)| mine == its)
+        other.0.len() >= self.0.len() && self.0.iter().zip(&other.0).all(|(own, theirs)| own == theirs)
     }
 
-    /// The text of the instance identifier.
+    /// The instance identifier in text form; `/` for the whole tree.
     pub fn to_text(&self, schema: &Schema) -> String {
         let mut text = String::new();
         for step in &self.0 {
@@ -83,18 +86,18 @@
 /// One step of a pattern.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PatternStep {
-    /// The node that it leads to.
+    /// The schema node of this step.
     pub node: NodeId,
-    /// The key values of list entries, in the order of the list's keys; none: any value.
+    /// The required key values of a list entry, in the order of the list's keys. `None` matches any value.
     pub keys: Vec<Option<Scalar>>,
 }
 
-/// A path with open keys: it matches every instance that its steps lead to, and all that lies below.
+/// A path that may have open keys. It matches every instance that its steps identify, and all of their descendants.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pattern(pub Vec<PatternStep>);
 
 impl Pattern {
-    /// Parses a pattern: `*` as a key's value, or no keys, leaves them open.
+    /// Parses a pattern. A key whose value is `*`, or that is not given, is open.
     pub fn parse(schema: &Schema, text: &str) -> Result<Pattern, PathError> {
         if text.len() > MAX_TEXT {
             return Err(PathError::TooLong);
@@ -110,8 +113,8 @@
                 return Err(PathError::TooManySteps);
             }
             let end = rest.find(['/', '[']).unwrap_or(rest.len());
-            let (name, more) = rest.split_at(end);
-            rest = more;
+            let (name, after_name) = rest.split_at(end);
+            rest = after_name;
             let mut predicates = Vec::new();
             while let Some(inner) = rest.strip_prefix('[') {
                 let predicate = Predicate::parse(inner);
@@ -125,7 +128,7 @@
         Ok(Pattern(steps))
     }
 
-    /// The pattern of one instance and all that lies below it.
+    /// The pattern that matches one instance and its descendants.
     pub fn from_path(path: &Path) -> Pattern {
         let with_keys = |step: &PathStep| PatternStep {
             node: step.node,
@@ -134,20 +137,21 @@
         Pattern(path.0.iter().map(with_keys).collect())
     }
 
-    /// Whether the path is matched, or lies below one that is.
+    /// Whether the pattern matches the path or one of its ancestors.
     pub fn matches(&self, path: &Path) -> bool {
-        path.0.len() >= self.0.len() && self.0.iter().zip(&path.0).all(|(mine, its)| mine.matches(its))
+        path.0.len() >= self.0.len()
+            && self.0.iter().zip(&path.0).all(|(pattern_step, path_step)| pattern_step.matches(path_step))
     }
 
-    /// The schema node of the last step.
+    /// The schema node of the last step; `None` for a pattern without steps.
     pub fn node(&self) -> Option<NodeId> {
         self.0.last().map(|step| step.node)
     }
 }
 
 impl PatternStep {
-    /// Makes a step from a node's name and the given key values; `*` and keys that are not given are open.
-    /// `parent` is the step above it.
+    /// Builds a step from a node's name and the given key values. A key whose value is `*`, or that is not given, is open.
+    /// `parent` is the previous step; `None` for a node at the top level.
     pub fn parse<'a>(
         schema: &Schema,
         parent: Option<&PatternStep>,
@@ -167,7 +171,7 @@
         let key_nodes = schema.keys(node);
         let mut keys = vec![None; key_nodes.len()];
         for (key, text) in key_values {
-            // A leaf-list's value is named by itself (RFC 7950, section 9.13).
+            // A leaf-list entry is identified by its own value (RFC 7950, section 9.13).
             if let (".", NodeKind::LeafList { value_type, .. }) = (key, &schema.node(node).kind) {
                 let value = value_type.parse(text);
                 let value = value.map_err(|source| PathError::LeafListValue { step: step(), source })?;
@@ -180,18 +184,19 @@
             let position = position.ok_or_else(no_such_key)?;
             if text != "*" {
                 let key_type = schema.type_of(key_nodes[position]).ok_or(PathError::KeyWithoutType)?;
-                let wrong = |source| PathError::KeyValue { step: step(), key: key.to_string(), source };
-                keys[position] = Some(key_type.parse(text).map_err(wrong)?);
+                let invalid_value =
+                    |source| PathError::KeyValue { step: step(), key: key.to_string(), source };
+                keys[position] = Some(key_type.parse(text).map_err(invalid_value)?);
             }
         }
         Ok(PatternStep { node, keys })
     }
 
-    /// Whether an entry with those key values is matched.
+    /// Whether the step matches a list entry with these key values.
     pub fn matches_keys(&self, keys: &[Scalar]) -> bool {
-        let fits =
+        let is_match =
             |(wanted, key): (&Option<Scalar>, &Scalar)| wanted.as_ref().is_none_or(|wanted| wanted == key);
-        self.keys.iter().zip(keys).all(fits)
+        self.keys.iter().zip(keys).all(is_match)
     }
 
     fn matches(&self, step: &PathStep) -> bool {
@@ -199,7 +204,7 @@
     }
 }
 
-/// A key with its value, and the text that follows.
+/// A key predicate of a step, and the text that follows its closing bracket.
 struct Predicate<'a> {
     key: &'a str,
     value: &'a str,
@@ -207,7 +212,7 @@
 }
 
 impl Predicate<'_> {
-    /// Parses what follows the opening bracket: `key='value']...`
+    /// Parses the text after an opening bracket, as in `key='value']...`. `None` for a malformed predicate.
     fn parse(text: &str) -> Option<Predicate<'_>> {
         let (key, rest) = text.split_once('=')?;
         let rest = rest.trim_start();
--- a/crates/rockflow-yang/src/schema.rs
+++ b/crates/rockflow-yang/src/schema.rs
@@ -1,4 +1,4 @@
-//! The schema tree: every node that the modules define, with its type, in the order in which it was written.
+//! The schema tree: all nodes that the modules define, in the order of the modules' text.
 
 use crate::compiler;
 use crate::error::ModelError;
@@ -15,100 +15,100 @@
 /// A YANG module.
 #[derive(Clone, Debug)]
 pub struct Module {
-    /// Its name.
+    /// The module's name.
     pub name: String,
-    /// Its XML namespace.
+    /// The module's XML namespace.
     pub namespace: String,
-    /// The prefix that it gives itself.
+    /// The prefix that the module declares for itself.
     pub prefix: String,
     /// The date of its latest revision.
     pub revision: String,
-    /// Its text, as it is published.
+    /// The module's YANG source text.
     pub text: String,
 }
 
-/// What a schema node is.
+/// The kind of a schema node, with the properties that only that kind has.
 #[derive(Clone, Debug)]
 pub enum NodeKind {
-    /// A container.
+    /// A `container` statement.
     Container,
-    /// A list.
+    /// A `list` statement.
     List {
-        /// The leaves that name an entry.
+        /// The key leaves, in the order of the `key` statement.
         keys: Vec<NodeId>,
-        /// Entries at the least (`min-elements`).
+        /// Minimum number of entries (`min-elements`).
         min_elements: u64,
-        /// Entries at the most (`max-elements`).
+        /// Maximum number of entries (`max-elements`); `u64::MAX` if unbounded.
         max_elements: u64,
     },
-    /// A leaf.
+    /// A `leaf` statement.
     Leaf {
         /// The type of its value.
         value_type: LeafType,
-        /// The value that holds where none is configured.
+        /// The value in effect if none is configured; `None` if the leaf has no default.
         default: Option<Scalar>,
-        /// Whether it must be there.
+        /// Whether every instance of the parent must have this leaf.
         mandatory: bool,
     },
-    /// A leaf-list.
+    /// A `leaf-list` statement.
     LeafList {
         /// The type of its values.
         value_type: LeafType,
-        /// Values at the least (`min-elements`).
+        /// Minimum number of values (`min-elements`).
         min_elements: u64,
-        /// Values at the most (`max-elements`).
+        /// Maximum number of values (`max-elements`); `u64::MAX` if unbounded.
         max_elements: u64,
     },
-    /// An operation of the model.
+    /// An `rpc` statement: an operation that clients may call.
     Rpc,
-    /// The parameters of an operation.
+    /// The `input` of an operation: its parameters.
     Input,
-    /// The results of an operation.
+    /// The `output` of an operation: its results.
     Output,
-    /// A notification.
+    /// A `notification` statement.
     Notification,
 }
 
 /// A node of the schema tree.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its own index.
+    /// The node's own index in the schema.
     pub id: NodeId,
-    /// The node above it; none at the top.
+    /// The parent node; `None` at the top level.
     pub parent: Option<NodeId>,
-    /// The module that defines it, which an augment's parent need not share.
+    /// The module that defines the node. It may differ from the parent's module, if that was augmented.
     pub module: ModuleId,
-    /// Its name, without a module.
+    /// The node's name, without a module prefix.
     pub name: String,
-    /// What it is.
+    /// The kind of the node.
     pub kind: NodeKind,
-    /// Whether it is configuration; state otherwise, which nobody writes.
+    /// Whether the node is configuration. Otherwise it is state, which clients can't write.
     pub config: bool,
-    /// The unit of its values.
+    /// The unit of the values; `None` if the module states none.
     pub units: Option<String>,
-    /// Its description.
+    /// The text of the `description` statement; empty if there is none.
     pub description: String,
-    /// The nodes below it.
+    /// The child nodes, in the order of the module's text; nodes from augments come last.
     pub children: Vec<NodeId>,
 }
 
-/// Which nodes are taken into account.
+/// Selects whether state nodes are included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeScope {
-    /// Only configuration.
+    /// Configuration nodes only.
     ConfigOnly,
-    /// Configuration and state.
+    /// Configuration and state nodes.
     ConfigAndState,
 }
 
 impl NodeScope {
-    /// Whether the node is in the scope.
+    /// Whether the scope includes the node.
     pub fn includes(self, node: &Node) -> bool {
         node.config || self == NodeScope::ConfigAndState
     }
 }
 
-/// The compiled modules.
+/// The compiled modules with their nodes.
 #[derive(Debug, Default)]
 pub struct Schema {
     pub(crate) modules: Vec<Module>,
@@ -120,40 +120,39 @@
     /// Compiles the published modules.
     ///
     /// # Panics
-    /// If they can't be compiled. They are part of the program, so that this is a fault of the build.
+    /// If a module can't be compiled. The modules are part of the program, so this is an error in the build.
     pub fn published() -> Schema {
         Schema::compile(&crate::PUBLISHED_MODULES)
             .unwrap_or_else(|error| panic!("published modules: {error}"))
     }
 
-    /// Compiles modules, given by name and text. A module that others import from or augment stands ahead of them.
-    ///
-    /// A statement that is not supported is an error; none is passed over.
+    /// Compiles modules, given as pairs of name and text. A module has to come before the modules that import or augment
+    /// it. An unsupported statement is an error; none is ignored.
     pub fn compile(modules: &[(&str, &str)]) -> Result<Schema, ModelError> {
         compiler::compile(modules)
     }
 
-    /// All modules, in the order in which they were given.
+    /// All modules, in the order of compilation.
     pub fn modules(&self) -> &[Module] {
         &self.modules
     }
 
-    /// All nodes, in the order in which they were written.
+    /// All nodes, in the order of the modules' text.
     pub fn nodes(&self) -> &[Node] {
         &self.nodes
     }
 
-    /// The nodes at the top: data, operations and notifications.
+    /// The top-level nodes: data nodes, operations and notifications.
     pub fn roots(&self) -> &[NodeId] {
         &self.roots
     }
 
-    /// The node with that id.
+    /// The node with the given id.
     pub fn node(&self, id: NodeId) -> &Node {
         &self.nodes[usize::from(id.0)]
     }
 
-    /// The module with that id.
+    /// The module with the given id.
     pub fn module(&self, id: ModuleId) -> &Module {
         &self.modules[usize::from(id.0)]
     }
@@ -163,23 +162,24 @@
         self.module(self.node(id).module)
     }
 
-    /// The module with that name.
+    /// The id of the module with the given name; `None` if there is none.
     pub fn module_by_name(&self, name: &str) -> Option<ModuleId> {
         let position = self.modules.iter().position(|module| module.name == name);
         position.map(|position| ModuleId(position as u8))
     }
 
-    /// The child of that name below `parent`, or at the top. Without `module` it may be of any.
+    /// The child of `parent` with the given name, or the top-level node if `parent` is `None`. Without `module`, a node of
+    /// any module matches.
     pub fn child(&self, parent: Option<NodeId>, module: Option<ModuleId>, name: &str) -> Option<NodeId> {
         let children = parent.map_or(&self.roots, |parent| &self.node(parent).children);
-        let fits = |id: &&NodeId| {
+        let is_match = |id: &&NodeId| {
             let node = self.node(**id);
             node.name == name && module.is_none_or(|module| module == node.module)
         };
-        children.iter().find(fits).copied()
+        children.iter().find(is_match).copied()
     }
 
-    /// The node that the names lead to from the top, of any module.
+    /// Finds a node by the names from the top level down to it, in any module.
     pub fn find(&self, names: &[&str]) -> Option<NodeId> {
         let mut found = None;
         for name in names {
@@ -188,14 +188,15 @@
         found
     }
 
-    /// The names from the top to the node, each with its module where that changes (RFC 7951, section 6.11).
+    /// The names from the top level down to the node, separated by `/`. A name is prefixed with its module where that
+    /// differs from the parent's module (RFC 7951, section 6.11).
     pub fn schema_path(&self, id: NodeId) -> String {
         let node = self.node(id);
-        let above = node.parent.map(|parent| self.schema_path(parent)).unwrap_or_default();
-        format!("{above}/{}", self.qualified_name(id))
+        let parent_path = node.parent.map(|parent| self.schema_path(parent)).unwrap_or_default();
+        format!("{parent_path}/{}", self.qualified_name(id))
     }
 
-    /// The node's name, with its module's unless its parent is of the same.
+    /// The node's name, prefixed with its module unless the parent is of the same module.
     pub fn qualified_name(&self, id: NodeId) -> String {
         let node = self.node(id);
         match node.parent.filter(|parent| self.node(*parent).module == node.module) {
@@ -204,12 +205,12 @@
         }
     }
 
-    /// Whether the node is a key of the list that it lies in.
+    /// Whether the node is a key of its parent list.
     pub fn is_key(&self, id: NodeId) -> bool {
         self.node(id).parent.is_some_and(|parent| self.keys(parent).contains(&id))
     }
 
-    /// The keys of a list; none for other nodes.
+    /// The key leaves of a list; empty for other nodes.
     pub fn keys(&self, id: NodeId) -> &[NodeId] {
         match &self.node(id).kind {
             NodeKind::List { keys, .. } => keys,
@@ -217,7 +218,7 @@
         }
     }
 
-    /// The type of a leaf or leaf-list.
+    /// The value type of a leaf or leaf-list; `None` for other nodes.
     pub fn type_of(&self, id: NodeId) -> Option<&LeafType> {
         match &self.node(id).kind {
             NodeKind::Leaf { value_type, .. } | NodeKind::LeafList { value_type, .. } => Some(value_type),
@@ -225,7 +226,7 @@
         }
     }
 
-    /// The default value of a leaf.
+    /// The default value of a leaf; `None` for a leaf without a default and for other nodes.
     pub fn default_of(&self, id: NodeId) -> Option<&Scalar> {
         match &self.node(id).kind {
             NodeKind::Leaf { default, .. } => default.as_ref(),
--- a/crates/rockflow-yang/src/statement.rs
+++ b/crates/rockflow-yang/src/statement.rs
@@ -1,51 +1,51 @@
-//! A module's text as a tree of statements (RFC 7950, section 6.3).
+//! Parses the text of a YANG module into a tree of statements (RFC 7950, section 6.3).
 //!
-//! The tokens, with comments, quoting and joined strings, are yang-rs's. Its typed statements are not used: it takes
-//! enumerations, unions and leafrefs for strings without restrictions (0.1.1).
+//! The crate yang-rs supplies the tokenizer, which handles comments, quoting and string concatenation. Its typed
+//! statements are not used, because version 0.1.1 treats enumerations, unions and leafrefs as unrestricted strings.
 
 use crate::error::{ModelError, StatementProblem};
 use yang_rs::parser::{Parser, Token};
 
-/// Nesting depth up to which statements are read; guards the stack.
+/// Maximum nesting depth of statements; limits the recursion of the parser.
 const MAX_DEPTH: usize = 32;
 
 /// A statement with its substatements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    /// What it states, as `leaf` or `description`.
+    /// The keyword, such as `leaf` or `description`.
     pub keyword: String,
-    /// Its argument; empty where it has none.
+    /// The argument; empty for a statement without one.
     pub argument: String,
-    /// Line in the module's text, from 1.
+    /// Line in the module's text, counted from 1.
     pub line: usize,
-    /// In the order in which they were written.
+    /// The nested statements, in the order of the module's text.
     pub substatements: Vec<Statement>,
 }
 
 impl Statement {
-    /// The substatements with that keyword.
+    /// All substatements with the given keyword.
     pub fn all<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
         self.substatements.iter().filter(move |inner| inner.keyword == keyword)
     }
 
-    /// The first substatement with that keyword.
+    /// The first substatement with the given keyword.
     pub fn first(&self, keyword: &str) -> Option<&Statement> {
         self.substatements.iter().find(|inner| inner.keyword == keyword)
     }
 
-    /// The argument of the first substatement with that keyword.
+    /// The argument of the first substatement with the given keyword.
     pub fn argument_of(&self, keyword: &str) -> Option<&str> {
         self.first(keyword).map(|inner| inner.argument.as_str())
     }
 
-    /// An error that names this statement.
+    /// An error at this statement, with its line, keyword and argument.
     pub fn error(&self, problem: StatementProblem) -> ModelError {
         let (keyword, argument) = (self.keyword.clone(), self.argument.clone());
         ModelError::Statement { line: self.line, keyword, argument, problem }
     }
 }
 
-/// Reads the one module that the text holds.
+/// Parses a text that contains exactly one module.
 pub fn read(text: &str) -> Result<Statement, ModelError> {
     let mut parser = Parser::new(text.to_string());
     let module = read_statement(&mut parser, 0)?.ok_or(ModelError::Empty)?;
@@ -54,7 +54,7 @@
     }
     match read_statement(&mut parser, 0)? {
         None => Ok(module),
-        Some(more) => Err(more.error(StatementProblem::AfterModule)),
+        Some(extra) => Err(extra.error(StatementProblem::AfterModule)),
     }
 }
 
@@ -67,7 +67,7 @@
     ModelError::UnexpectedToken { line: parser.line() + 1, token: format!("{token:?}") }
 }
 
-/// The next statement; none at the end of a block or of the text.
+/// Reads the next statement; `None` at the end of the enclosing block or of the text.
 fn read_statement(parser: &mut Parser, depth: usize) -> Result<Option<Statement>, ModelError> {
     let keyword = match next_token(parser)? {
         Token::Identifier(word) => word,
@@ -80,13 +80,13 @@
         return Err(ModelError::TooDeep { line });
     }
     let mut argument = String::new();
-    let mut end = next_token(parser)?;
-    if let Token::Identifier(word) | Token::QuotedString(word) = end {
+    let mut terminator = next_token(parser)?;
+    if let Token::Identifier(word) | Token::QuotedString(word) = terminator {
         argument = word;
-        end = next_token(parser)?;
+        terminator = next_token(parser)?;
     }
     let mut substatements = Vec::new();
-    match end {
+    match terminator {
         Token::StatementEnd => {}
         Token::BlockBegin => {
             while let Some(inner) = read_statement(parser, depth + 1)? {
--- a/crates/rockflow-yang/src/types.rs
+++ b/crates/rockflow-yang/src/types.rs
@@ -7,25 +7,26 @@
 /// A leaf's value in canonical form.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scalar {
-    /// A string, or a name of an enumeration.
+    /// A value of a string type, or a name of an enumeration.
     Text(String),
-    /// A number of an unsigned type.
+    /// A value of an unsigned integer type.
     Unsigned(u64),
-    /// A number of a signed type.
+    /// A value of a signed integer type.
     Signed(i64),
-    /// A boolean.
+    /// A value of type `boolean`.
     Bool(bool),
-    /// A `decimal64`: the number in units of its last digit, and how many digits stand behind the point.
+    /// A `decimal64`: the value in units of its last fraction digit, and the number of fraction digits.
     Decimal(i64, u8),
     /// The value of a leaf of type `empty`.
     Empty,
 }
 
-/// The key values that name a list entry, in the order of the list's keys.
+/// The key values that identify a list entry, in the order of the list's keys. In a path step, also the single value
+/// that identifies an entry of a leaf-list.
 pub type KeyValues = Vec<Scalar>;
 
 impl fmt::Display for Scalar {
-    /// Writes the canonical text.
+    /// Writes the canonical form of the value (RFC 7950, section 9.1).
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Scalar::Text(text) => f.write_str(text),
@@ -33,12 +34,13 @@
             Scalar::Signed(number) => write!(f, "{number}"),
             Scalar::Bool(value) => write!(f, "{value}"),
             Scalar::Decimal(units, digits) => {
-                let one = 10u64.pow(u32::from(*digits));
-                let (whole, fraction) = (units.unsigned_abs() / one, units.unsigned_abs() % one);
+                let units_per_one = 10u64.pow(u32::from(*digits));
+                let integer = units.unsigned_abs() / units_per_one;
+                let fraction = units.unsigned_abs() % units_per_one;
                 let sign = if *units < 0 { "-" } else { "" };
                 let fraction = format!("{fraction:0width$}", width = usize::from(*digits));
                 let fraction = fraction.trim_end_matches('0');
-                write!(f, "{sign}{whole}.{}", if fraction.is_empty() { "0" } else { fraction })
+                write!(f, "{sign}{integer}.{}", if fraction.is_empty() { "0" } else { fraction })
             }
             Scalar::Empty => Ok(()),
         }
@@ -46,12 +48,12 @@
 }
 
 impl Scalar {
-    /// A text value.
+    /// Builds a [`Scalar::Text`].
     pub fn text(text: impl Into<String>) -> Scalar {
         Scalar::Text(text.into())
     }
 
-    /// The text of a text value.
+    /// The string of a [`Scalar::Text`]; `None` for other variants.
     pub fn as_text(&self) -> Option<&str> {
         match self {
             Scalar::Text(text) => Some(text),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The number of an unsigned value.
+    /// The number of a [`Scalar::Unsigned`]; `None` for other variants.
     pub fn as_u64(&self) -> Option<u64> {
         match self {
             Scalar::Unsigned(number) => Some(*number),
@@ -67,7 +69,7 @@
         }
     }
 
-    /// The truth of a boolean value.
+    /// The value of a [`Scalar::Bool`]; `None` for other variants.
     pub fn as_bool(&self) -> Option<bool> {
         match self {
             Scalar::Bool(value) => Some(*value),
@@ -76,52 +78,52 @@
     }
 }
 
-/// Inclusive ranges; empty: anything that the base type holds.
+/// Inclusive ranges of allowed values. An empty list allows every value of the base type.
 pub type Ranges<T> = Vec<(T, T)>;
 
 /// The type of a leaf or leaf-list, with its restrictions.
 #[derive(Clone, Debug)]
 pub enum LeafType {
-    /// `string`.
+    /// The built-in type `string`.
     Text {
-        /// Allowed lengths in characters.
+        /// The allowed lengths in characters.
         lengths: Ranges<u64>,
-        /// Patterns, each as written in the module and compiled; a value matches all.
+        /// The patterns, each as written in the module and as a compiled expression. A value has to match all of them.
         patterns: Vec<(String, Regex)>,
     },
-    /// `uint8` to `uint64`.
+    /// The built-in types `uint8` to `uint64`.
     Unsigned {
-        /// Bits of the built-in type.
+        /// Width of the built-in type in bits.
         bits: u8,
-        /// Allowed values.
+        /// The allowed values.
         ranges: Ranges<u64>,
     },
-    /// `int8` to `int64`.
+    /// The built-in types `int8` to `int64`.
     Signed {
-        /// Bits of the built-in type.
+        /// Width of the built-in type in bits.
         bits: u8,
-        /// Allowed values.
+        /// The allowed values.
         ranges: Ranges<i64>,
     },
-    /// `decimal64`.
+    /// The built-in type `decimal64`.
     Decimal {
-        /// Digits behind the decimal point.
+        /// Number of digits after the decimal point.
         digits: u8,
-        /// Allowed values in units of the last digit.
+        /// The allowed values, in units of the last fraction digit.
         ranges: Ranges<i64>,
     },
-    /// `boolean`.
+    /// The built-in type `boolean`.
     Bool,
-    /// `enumeration`, with its names.
+    /// The built-in type `enumeration`, with its allowed names.
     Enumeration(Vec<String>),
-    /// `union`, with its member types; the first that takes a text decides.
+    /// The built-in type `union`, with its member types. A value is of the first member type that accepts its text.
     Union(Vec<LeafType>),
-    /// `empty`.
+    /// The built-in type `empty`.
     Empty,
 }
 
 impl LeafType {
-    /// Parses a value's lexical form. The error says what is allowed.
+    /// Parses the lexical form of a value. The error describes the allowed values.
     pub fn parse(&self, text: &str) -> Result<Scalar, ValueError> {
         match self {
             LeafType::Text { lengths, patterns } => parse_text(text, lengths, patterns),
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Whether JSON writes the value in quotes: text, and numbers of 64 bits (RFC 7951, section 6.1).
+    /// Whether the value is a string in JSON, as text, `decimal64` and 64-bit numbers are (RFC 7951, section 6.1).
     pub fn is_quoted_in_json(&self, value: &Scalar) -> bool {
         match (self, value) {
             (_, Scalar::Text(_)) | (LeafType::Decimal { .. }, _) => true,
@@ -169,19 +171,20 @@
     }
 }
 
-/// Parses a `decimal64` into units of its last digit; none where it has more digits, or is too large.
+/// Parses a `decimal64` into units of its last fraction digit. `None` for a text that is no decimal number, has more than
+/// `digits` fraction digits or is out of range.
 pub fn parse_decimal_units(text: &str, digits: u8) -> Option<i64> {
-    let (negative, plain) = match text.strip_prefix('-') {
+    let (negative, unsigned) = match text.strip_prefix('-') {
         Some(rest) => (true, rest),
         None => (false, text.strip_prefix('+').unwrap_or(text)),
     };
-    let (whole, fraction) = plain.split_once('.').unwrap_or((plain, "0"));
+    let (integer, fraction) = unsigned.split_once('.').unwrap_or((unsigned, "0"));
     let is_digits = |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-    if !is_digits(whole) || !is_digits(fraction) || fraction.len() > usize::from(digits) {
+    if !is_digits(integer) || !is_digits(fraction) || fraction.len() > usize::from(digits) {
         return None;
     }
     let fraction = format!("{fraction:0<width$}", width = usize::from(digits));
-    let units = format!("{whole}{fraction}").parse::<i64>().ok()?;
+    let units = format!("{integer}{fraction}").parse::<i64>().ok()?;
     Some(if negative { -units } else { units })
 }
 
