--- a/crates/rockflow-yang/src/error.rs
+++ b/crates/rockflow-yang/src/error.rs
@@ -34,7 +34,7 @@
         token: String,
     },
     /// Statements are nested too deeply.
-    #[error("line {line}: too deep")]
+    #[error("line {line}: statements are nested too deeply")]
     TooDeep {
         /// Line in the module's text, from 1.
         line: usize,
@@ -63,43 +63,43 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StatementProblem {
     /// The text's outermost statement is no `module`.
-    #[error("a module is wanted")]
+    #[error("expected a module")]
     NotAModule,
     /// A second statement follows the module.
-    #[error("stands behind the module")]
+    #[error("unexpected statement after the module")]
     AfterModule,
     /// A required substatement is missing.
     #[error("no {0}")]
     Missing(&'static str),
     /// A substatement's argument is not a number.
-    #[error("{0} is no number")]
+    #[error("{0} is not a number")]
     NotANumber(&'static str),
     /// An imported module was not compiled before this one.
-    #[error("not known by then")]
+    #[error("imported module is not loaded yet")]
     UnknownImport,
     /// A keyword that is not supported within an `augment`.
-    #[error("not known within an augment")]
+    #[error("not supported in an augment")]
     UnknownInAugment,
     /// A keyword that is not supported at the top of a module.
-    #[error("not known at the top")]
+    #[error("not supported at the top of a module")]
     UnknownAtTop,
     /// A keyword that is not supported in this place.
-    #[error("not known here")]
+    #[error("not supported here")]
     UnknownHere,
     /// A step of an augment's target has no prefix.
-    #[error("a step has no prefix")]
+    #[error("a step of the target has no prefix")]
     StepWithoutPrefix,
     /// A prefix that no import declares.
-    #[error("a prefix is not known")]
+    #[error("unknown prefix")]
     UnknownPrefix,
     /// An augment's target does not exist.
-    #[error("names nothing")]
+    #[error("no such target node")]
     NoSuchTarget,
     /// A default that its type does not allow.
     #[error("default {0}")]
     BadDefault(#[source] ValueError),
     /// A sibling has the same name.
-    #[error("stands there already")]
+    #[error("a sibling has the same name")]
     Duplicate,
     /// `key` names a leaf that the list does not have.
     #[error("no such key")]
@@ -108,16 +108,16 @@
     #[error("no such type")]
     NoSuchType,
     /// A `length` that can't be parsed.
-    #[error("a length can't be read")]
+    #[error("invalid length")]
     BadLength,
     /// A `range` that can't be parsed.
-    #[error("a range can't be read")]
+    #[error("invalid range")]
     BadRange,
     /// A `pattern` that is no regular expression.
     #[error("{0}")]
     BadPattern(String),
     /// A restricted enumeration has a name that its base type lacks.
-    #[error("{0} is not of the type that this narrows")]
+    #[error("{0} is not in the base enumeration")]
     NotInBaseType(String),
 }
 
@@ -131,7 +131,7 @@
         allowed: String,
     },
     /// A control character other than tab and line ends.
-    #[error("holds a control character")]
+    #[error("must not contain control characters")]
     ControlCharacter,
     /// Does not match one of the type's patterns.
     #[error("must match {pattern}")]
@@ -154,7 +154,7 @@
         allowed: String,
     },
     /// No decimal number, or one with too many digits.
-    #[error("must be a number with {digits} digits behind the point at most")]
+    #[error("must be a number with at most {digits} digits after the decimal point")]
     NotADecimal {
         /// Digits behind the decimal point.
         digits: u8,
@@ -186,19 +186,19 @@
     #[error("the path has too many steps")]
     TooManySteps,
     /// A step that does not begin with `/`.
-    #[error("{path}: a step begins with /")]
+    #[error("{path}: a step must begin with /")]
     NoSlash {
         /// The whole text.
         path: String,
     },
     /// A key predicate that can't be parsed.
-    #[error("{path}: a key is odd")]
+    #[error("{path}: malformed key predicate")]
     BadPredicate {
         /// The whole text.
         path: String,
     },
     /// A path that is to name one instance passes a list without naming the entry.
-    #[error("{path}: a list on the way has no key")]
+    #[error("{path}: a list in the path needs all its keys")]
     OpenKey {
         /// The whole text.
         path: String,
@@ -216,7 +216,7 @@
         step: String,
     },
     /// The step names a key that the list does not have.
-    #[error("{step}: {key} is no key of it")]
+    #[error("{step}: {key} is not a key of this list")]
     NoSuchKey {
         /// The step's name.
         step: String,
@@ -258,13 +258,13 @@
         source: Box<JsonError>,
     },
     /// Something other than an object.
-    #[error("an object is wanted")]
+    #[error("expected an object")]
     NotAnObject,
     /// Something other than an array.
-    #[error("an array is wanted")]
+    #[error("expected an array")]
     NotAnArray,
     /// An object or an array in place of a leaf's value.
-    #[error("a value is wanted")]
+    #[error("expected a leaf value")]
     NotAValue,
     /// The member's name has the prefix of a module that does not exist.
     #[error("no such module")]
@@ -276,13 +276,13 @@
     #[error("is state, which can't be written")]
     IsState,
     /// Two members name the same node.
-    #[error("stands twice")]
+    #[error("duplicate member")]
     DuplicateMember,
     /// A leaf-list holds a value twice.
-    #[error("a value stands twice")]
+    #[error("duplicate value")]
     DuplicateValue,
     /// A list holds two entries with the same keys.
-    #[error("an entry stands twice")]
+    #[error("duplicate list entry")]
     DuplicateEntry,
     /// A list entry lacks one of its keys.
     #[error("the key {0} is missing")]
@@ -291,7 +291,7 @@
     #[error(transparent)]
     Value(#[from] ValueError),
     /// A value in another JSON form than RFC 7951 gives its type.
-    #[error("is not of the type's JSON form")]
+    #[error("is not in the JSON form of its type")]
     WrongForm,
 }
 
