--- a/crates/rockflow-yang/src/error.rs
+++ b/crates/rockflow-yang/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a module, a value, a path, a JSON document or an edit.
+//! Errors of modules, values, paths, JSON documents and edits.
 
 use crate::path::Path;
 use thiserror::Error;
@@ -9,34 +9,34 @@
     /// An error in one of the modules given.
     #[error("{module}: {source}")]
     Module {
-        /// The name under which the module was given.
+        /// The module's name, as given to [`Schema::compile`](crate::Schema::compile).
         module: String,
-        /// What is wrong in it.
+        /// The error in the module.
         source: Box<ModelError>,
     },
-    /// The text holds no statement.
+    /// The text contains no statement.
     #[error("no statement")]
     Empty,
-    /// The tokenizer can't read the text.
+    /// The tokenizer rejects the text.
     #[error("line {line}: {message}")]
     Syntax {
-        /// Line in the module's text, from 1.
+        /// Line in the module's text, counted from 1.
         line: usize,
         /// The tokenizer's message.
         message: String,
     },
-    /// A token where another one belongs.
+    /// A token that is not allowed at this position.
     #[error("line {line}: unexpected {token}")]
     UnexpectedToken {
-        /// Line in the module's text, from 1.
+        /// Line in the module's text, counted from 1.
         line: usize,
-        /// The token found.
+        /// The unexpected token, in debug form.
         token: String,
     },
-    /// Statements are nested too deeply.
+    /// Statements are nested more deeply than the parser allows.
     #[error("line {line}: statements are nested too deeply")]
     TooDeep {
-        /// Line in the module's text, from 1.
+        /// Line in the module's text, counted from 1.
         line: usize,
     },
     /// More modules than a [`ModuleId`](crate::ModuleId) can number.
@@ -45,24 +45,24 @@
     /// More nodes than a [`NodeId`](crate::NodeId) can number.
     #[error("too many nodes")]
     TooManyNodes,
-    /// A statement that is not understood.
+    /// A statement that is invalid or not supported.
     #[error("line {line}: {keyword} {argument}: {problem}")]
     Statement {
-        /// Line of the statement in the module's text, from 1.
+        /// Line of the statement in the module's text, counted from 1.
         line: usize,
         /// The statement's keyword.
         keyword: String,
-        /// The statement's argument.
+        /// The statement's argument; empty if it has none.
         argument: String,
-        /// What is wrong with it.
+        /// The problem with the statement.
         problem: StatementProblem,
     },
 }
 
-/// What is wrong with a statement of a module.
+/// The problem with a statement of a module.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StatementProblem {
-    /// The text's outermost statement is no `module`.
+    /// The outermost statement is not a `module`.
     #[error("expected a module")]
     NotAModule,
     /// A second statement follows the module.
@@ -83,25 +83,25 @@
     /// A keyword that is not supported at the top of a module.
     #[error("not supported at the top of a module")]
     UnknownAtTop,
-    /// A keyword that is not supported in this place.
+    /// A keyword that is not supported within its parent statement.
     #[error("not supported here")]
     UnknownHere,
-    /// A step of an augment's target has no prefix.
+    /// A step of the target path of an `augment` has no prefix.
     #[error("a step of the target has no prefix")]
     StepWithoutPrefix,
     /// A prefix that no import declares.
     #[error("unknown prefix")]
     UnknownPrefix,
-    /// An augment's target does not exist.
+    /// The target node of an `augment` does not exist.
     #[error("no such target node")]
     NoSuchTarget,
-    /// A default that its type does not allow.
+    /// A default value that the type does not allow.
     #[error("default {0}")]
     BadDefault(#[source] ValueError),
     /// A sibling has the same name.
     #[error("a sibling has the same name")]
     Duplicate,
-    /// `key` names a leaf that the list does not have.
+    /// The `key` statement names a leaf that the list does not have.
     #[error("no such key")]
     NoSuchKey,
     /// A `typedef` that does not exist.
@@ -113,7 +113,7 @@
     /// A `range` that can't be parsed.
     #[error("invalid range")]
     BadRange,
-    /// A `pattern` that is no regular expression.
+    /// A `pattern` that can't be compiled, with the message of the regular expression compiler.
     #[error("{0}")]
     BadPattern(String),
     /// A restricted enumeration has a name that its base type lacks.
@@ -121,62 +121,62 @@
     NotInBaseType(String),
 }
 
-/// A text that is no value of a leaf's type. The message says what the type allows.
+/// A text that is not a valid value of a leaf's type. The message describes the allowed values.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ValueError {
-    /// Too short or too long.
+    /// A text that is too short or too long.
     #[error("must be {allowed} characters long")]
     Length {
-        /// The allowed lengths.
+        /// The allowed lengths in characters, as ranges.
         allowed: String,
     },
-    /// A control character other than tab and line ends.
+    /// A text with a control character other than tab, line feed and carriage return.
     #[error("must not contain control characters")]
     ControlCharacter,
-    /// Does not match one of the type's patterns.
+    /// A text that does not match one of the type's patterns.
     #[error("must match {pattern}")]
     Pattern {
-        /// The pattern, as the module has it.
+        /// The pattern, as written in the module.
         pattern: String,
     },
-    /// No number, or outside of what the built-in type holds.
+    /// Not a number, or a number outside of the built-in type.
     #[error("must be a number from {min} to {max}")]
     NotInType {
-        /// The least number of the type.
+        /// The smallest number of the type.
         min: i128,
-        /// The greatest number of the type.
+        /// The largest number of the type.
         max: i128,
     },
-    /// No number, or outside of the type's ranges.
+    /// Not a number, or a number outside of the type's ranges.
     #[error("must be a number in {allowed}")]
     NotInRange {
         /// The allowed ranges.
         allowed: String,
     },
-    /// No decimal number, or one with too many digits.
+    /// Not a decimal number, or one with too many fraction digits.
     #[error("must be a number with at most {digits} digits after the decimal point")]
     NotADecimal {
-        /// Digits behind the decimal point.
+        /// Maximum number of digits after the decimal point.
         digits: u8,
     },
-    /// No boolean.
+    /// Not a boolean.
     #[error("must be true or false")]
     NotABoolean,
-    /// No name of the enumeration.
+    /// Not a name of the enumeration.
     #[error("must be one of {allowed}")]
     NotInEnumeration {
-        /// The names, separated by commas.
+        /// The allowed names, separated by commas.
         allowed: String,
     },
-    /// No value of any member of a union.
+    /// Not a value of any member type of the union; one error for each member type.
     #[error("{}", .0.iter().map(ValueError::to_string).collect::<Vec<_>>().join(", or "))]
     NoUnionMember(Vec<ValueError>),
-    /// The type `empty` has no value.
+    /// A text for a leaf of type `empty`, which has no value.
     #[error("must be empty")]
     NotEmpty,
 }
 
-/// A text that is no path or pattern of the model.
+/// A text that is not a valid path or pattern of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PathError {
     /// Longer than [`MAX_TEXT`](crate::path::MAX_TEXT) bytes.
@@ -188,65 +188,65 @@
     /// A step that does not begin with `/`.
     #[error("{path}: a step must begin with /")]
     NoSlash {
-        /// The whole text.
+        /// The whole path text.
         path: String,
     },
     /// A key predicate that can't be parsed.
     #[error("{path}: malformed key predicate")]
     BadPredicate {
-        /// The whole text.
+        /// The whole path text.
         path: String,
     },
-    /// A path that is to name one instance passes a list without naming the entry.
+    /// A path of one instance that leaves keys of a list open.
     #[error("{path}: a list in the path needs all its keys")]
     OpenKey {
-        /// The whole text.
+        /// The whole path text.
         path: String,
     },
     /// The step names a module that does not exist.
     #[error("{step}: no such module")]
     NoSuchModule {
-        /// The step's name.
+        /// The name of the step, with its module prefix if it has one.
         step: String,
     },
     /// The step names a node that does not exist.
     #[error("{step}: no such node")]
     NoSuchNode {
-        /// The step's name.
+        /// The name of the step, with its module prefix if it has one.
         step: String,
     },
     /// The step names a key that the list does not have.
     #[error("{step}: {key} is not a key of this list")]
     NoSuchKey {
-        /// The step's name.
+        /// The name of the step, with its module prefix if it has one.
         step: String,
         /// The key's name.
         key: String,
     },
-    /// A key whose node is no leaf.
+    /// A key whose schema node is not a leaf.
     #[error("a key has no type")]
     KeyWithoutType,
     /// A key value that the key's type does not allow.
     #[error("{step}: {key} {source}")]
     KeyValue {
-        /// The step's name.
+        /// The name of the step, with its module prefix if it has one.
         step: String,
         /// The key's name.
         key: String,
-        /// What the type allows.
+        /// The error of the value, which describes the allowed values.
         source: ValueError,
     },
     /// A leaf-list value that its type does not allow.
     #[error("{step}: {source}")]
     LeafListValue {
-        /// The step's name.
+        /// The name of the step, with its module prefix if it has one.
         step: String,
-        /// What the type allows.
+        /// The error of the value, which describes the allowed values.
         source: ValueError,
     },
 }
 
-/// A JSON document that is no data of the model.
+/// A JSON document that is not valid data of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum JsonError {
     /// An error in the value of a member.
@@ -254,22 +254,22 @@
     Member {
         /// The member's name.
         name: String,
-        /// What is wrong with its value.
+        /// The error in its value.
         source: Box<JsonError>,
     },
-    /// Something other than an object.
+    /// A value that should be an object.
     #[error("expected an object")]
     NotAnObject,
-    /// Something other than an array.
+    /// A value that should be an array.
     #[error("expected an array")]
     NotAnArray,
-    /// An object or an array in place of a leaf's value.
+    /// A JSON value that can't be the value of a leaf, such as an object.
     #[error("expected a leaf value")]
     NotAValue,
     /// The member's name has the prefix of a module that does not exist.
     #[error("no such module")]
     NoSuchModule,
-    /// The member's name is that of no node.
+    /// The schema has no node with the member's name.
     #[error("no such node")]
     NoSuchNode,
     /// A state node where only configuration is allowed.
@@ -278,10 +278,10 @@
     /// Two members name the same node.
     #[error("duplicate member")]
     DuplicateMember,
-    /// A leaf-list holds a value twice.
+    /// A leaf-list contains a value twice.
     #[error("duplicate value")]
     DuplicateValue,
-    /// A list holds two entries with the same keys.
+    /// A list contains two entries with the same keys.
     #[error("duplicate list entry")]
     DuplicateEntry,
     /// A list entry lacks one of its keys.
@@ -290,33 +290,33 @@
     /// A value that its type does not allow.
     #[error(transparent)]
     Value(#[from] ValueError),
-    /// A value in another JSON form than RFC 7951 gives its type.
+    /// A value in another JSON form than the one that RFC 7951 defines for its type.
     #[error("is not in the JSON form of its type")]
     WrongForm,
 }
 
-/// The kinds of [`EditError`], which the protocols map to their error tags.
+/// The kind of an [`EditError`], which each management protocol maps to its own error codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EditErrorKind {
-    /// To be created, and already there.
+    /// The node to be created already exists.
     Exists,
-    /// To be deleted or expected, and not there.
+    /// A node that has to exist does not: one to be deleted, one that an edit asserts, or a mandatory one.
     Missing,
-    /// State, or a list key, which can't be written.
+    /// The node is state or a list key, which can't be written.
     NotWritable,
-    /// The node can't hold the value.
+    /// The value does not fit the node, or a list has too few or too many elements.
     BadValue,
 }
 
-/// An edit that was not carried out, or a tree that breaks a constraint of the model.
+/// An edit that was rejected, or a tree that violates a constraint of the model.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{message}")]
 pub struct EditError {
-    /// What kind of error it is.
+    /// The kind of the error.
     pub kind: EditErrorKind,
-    /// The node that it is about.
+    /// The node at which the error occurred.
     pub path: Path,
-    /// The message for the operator.
+    /// The message that is shown to the operator.
     pub message: String,
 }
 
--- a/crates/rockflow-yang/tests/error_texts.rs
+++ b/crates/rockflow-yang/tests/error_texts.rs
@@ -1,10 +1,10 @@
-//! The text of every error, as operators read it in replies and on the command line.
+//! Checks the message text of the errors that operators see in replies and on the command line.
 
 use rockflow_yang::{data, json, NodeScope, Path, Schema};
 
 const HEAD: &str = "namespace \"urn:m\"; prefix m; revision 2026-01-01;";
 
-/// The body of a module, and what is wrong with it.
+/// The body of a module, and the expected error text.
 const STATEMENTS: &[(&str, &str)] = &[
     ("leaf a { type wrong; }", "m: line 1: type wrong: no such type"),
     (r#"leaf a { type uint8 { range "1..x"; } }"#, "m: line 1: type uint8: invalid range"),
@@ -52,7 +52,7 @@
     ),
 ];
 
-/// The text of a module, and what is wrong with it.
+/// The text of a module, and the expected error text.
 const MODULES: &[(&str, &str)] = &[
     ("", "m: no statement"),
     ("leaf a;", "m: line 1: leaf a: expected a module"),
@@ -61,6 +61,7 @@
     (r#"module m { namespace "a"; prefix m; }"#, "m: line 1: module m: no revision"),
 ];
 
+/// A path, and the expected error text.
 const PATHS: &[(&str, &str)] = &[
     ("/router/marks/mark/state", "/router/marks/mark/state: a list in the path needs all its keys"),
     ("/router/marks/mark[nohost='1']", "mark: nohost is not a key of this list"),
@@ -76,6 +77,7 @@
     ),
 ];
 
+/// A JSON document that can't be read, and the expected error text.
 const DOCUMENTS: &[(&str, &str)] = &[
     ("[]", "expected an object"),
     (r#"{"other:router":{}}"#, "other:router: no such module"),
@@ -143,7 +145,7 @@
     ),
 ];
 
-/// Documents that can be read and lack what the model demands.
+/// A JSON document that can be read but violates a constraint of the model, and the expected error text.
 const INCOMPLETE: &[(&str, &str)] = &[
     (r#"{"rockflow-router:router":{"rockflow-access:access":{"rule":[{"number":1,"group":["all"]}]}}}"#,
      "/rockflow-router:router/rockflow-access:access/rule[number='1']: action is missing"),
@@ -152,43 +154,43 @@
 ];
 
 #[test]
-fn wrong_module_is_named_with_line_and_statement() {
-    for (body, text) in STATEMENTS {
+fn module_error_names_line_and_statement() {
+    for (body, message) in STATEMENTS {
         let module = format!("module m {{ {HEAD} {body} }}");
-        assert_eq!(Schema::compile(&[("m", &module)]).unwrap_err().to_string(), *text, "{body}");
+        assert_eq!(Schema::compile(&[("m", &module)]).unwrap_err().to_string(), *message, "{body}");
     }
-    for (module, text) in MODULES {
-        assert_eq!(Schema::compile(&[("m", module)]).unwrap_err().to_string(), *text, "{module}");
+    for (module, message) in MODULES {
+        assert_eq!(Schema::compile(&[("m", module)]).unwrap_err().to_string(), *message, "{module}");
     }
 }
 
 #[test]
-fn wrong_path_is_named_with_its_step() {
+fn path_error_names_the_step() {
     let schema = Schema::published();
-    for (path, text) in PATHS {
-        assert_eq!(Path::parse(&schema, path).unwrap_err().to_string(), *text, "{path}");
+    for (path, message) in PATHS {
+        assert_eq!(Path::parse(&schema, path).unwrap_err().to_string(), *message, "{path}");
     }
-    let long = "x".repeat(rockflow_yang::path::MAX_TEXT + 1);
-    assert_eq!(Path::parse(&schema, &long).unwrap_err().to_string(), "the path is too long");
+    let too_long = "x".repeat(rockflow_yang::path::MAX_TEXT + 1);
+    assert_eq!(Path::parse(&schema, &too_long).unwrap_err().to_string(), "the path is too long");
 }
 
 #[test]
-fn wrong_document_is_named_with_its_member() {
+fn document_error_names_the_member() {
     let schema = Schema::published();
-    for (document, text) in DOCUMENTS {
+    for (document, message) in DOCUMENTS {
         let value = serde_json::from_str(document).unwrap();
         let error = json::read(&schema, None, &value, NodeScope::ConfigOnly).unwrap_err();
-        assert_eq!(error.to_string(), *text, "{document}");
+        assert_eq!(error.to_string(), *message, "{document}");
     }
 }
 
 #[test]
-fn incomplete_tree_is_named_with_the_path() {
+fn constraint_error_names_the_path() {
     let schema = Schema::published();
-    for (document, text) in INCOMPLETE {
+    for (document, message) in INCOMPLETE {
         let value = serde_json::from_str(document).unwrap();
         let tree = json::read(&schema, None, &value, NodeScope::ConfigOnly).unwrap();
         let error = data::check_constraints(&schema, &tree, &Path::default()).unwrap_err();
-        assert_eq!(error.to_string(), *text, "{document}");
+        assert_eq!(error.to_string(), *message, "{document}");
     }
 }
