--- a/crates/rockflow-gnmi/src/paths.rs
+++ b/crates/rockflow-gnmi/src/paths.rs
@@ -21,7 +21,7 @@
 }
 
 /// The pattern of a path behind its prefix; keys that are not given, or `*`, are open.
-pub fn pattern(
+pub fn decode_pattern(
     schema: &Schema,
     prefix: Option<&wire::Path>,
     path: Option<&wire::Path>,
@@ -57,7 +57,7 @@
 }
 
 /// Whether every key is given.
-pub fn is_closed(pattern: &Pattern) -> bool {
+pub fn has_all_keys(pattern: &Pattern) -> bool {
     pattern.0.iter().all(|step| step.keys.iter().all(Option::is_some))
 }
 
@@ -85,7 +85,7 @@
 }
 
 /// Names at the top of a value bear their module, wherever it stands (RFC 7951, section 4).
-fn object(schema: &Schema, fields: &DataTree) -> Value {
+fn write_object(schema: &Schema, fields: &DataTree) -> Value {
     let mut all = Map::new();
     for (id, data) in fields {
         let name = format!("{}:{}", schema.module_of(*id).name, schema.node(*id).name);
@@ -101,7 +101,7 @@
     pattern: &Pattern,
 ) -> Result<Vec<(Path, Value)>, ManagementError> {
     if pattern.0.is_empty() {
-        return Ok(vec![(Path::default(), object(schema, fields))]);
+        return Ok(vec![(Path::default(), write_object(schema, fields))]);
     }
     let found = data::instances_matching(fields, pattern, MAX_INSTANCES);
     let found = found.ok_or_else(|| {
@@ -109,7 +109,7 @@
     })?;
     let value = |path: &Path, found: Instance| match (found, path.node()) {
         (Instance::ListEntry(inner) | Instance::DataNode(DataNode::Container(inner)), _) => {
-            object(schema, inner)
+            write_object(schema, inner)
         }
         (Instance::DataNode(data), Some(node)) => json::write_data(schema, node, data),
         (Instance::DataNode(_), None) => Value::Null,
@@ -131,7 +131,7 @@
 }
 
 /// The value that is set at a path, as the model has it.
-pub fn value(
+pub fn decode_value(
     schema: &Schema,
     path: &Path,
     typed: Option<&wire::TypedValue>,
@@ -143,7 +143,7 @@
         Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes) => {
             serde_json::from_slice::<Value>(bytes).map_err(|error| invalid(error).with_path(path))?
         }
-        scalar => return scalars(schema, path, scalar),
+        scalar => return decode_typed_value(schema, path, scalar),
     };
     let Some(last) = path.0.last() else {
         return json::read(schema, None, &parsed, NodeScope::ConfigOnly)
@@ -165,7 +165,7 @@
     }
 }
 
-fn scalars(schema: &Schema, path: &Path, typed: &Typed) -> Result<DataNode, ManagementError> {
+fn decode_typed_value(schema: &Schema, path: &Path, typed: &Typed) -> Result<DataNode, ManagementError> {
     let node = path.node().ok_or_else(|| invalid("the top holds no value"))?;
     let of = schema.type_of(node).ok_or_else(|| invalid("holds no value").with_path(path))?;
     let text = |typed: &Typed| {
--- a/crates/rockflow-gnmi/src/service.rs
+++ b/crates/rockflow-gnmi/src/service.rs
@@ -47,7 +47,7 @@
         self.management.schema()
     }
 
-    fn refuse(&self, error: ManagementError) -> Status {
+    fn to_status(&self, error: ManagementError) -> Status {
         status(self.schema(), &error)
     }
 
@@ -57,7 +57,7 @@
         let peer = peer.ok_or_else(|| Status::unauthenticated("who asks is not known"))?;
         let source = peer.from.ip().to_string();
         let operator = Operator { user: peer.user, protocol: Protocol::Gnmi, source };
-        self.management.open_session(operator).map_err(|error| self.refuse(error))
+        self.management.open_session(operator).map_err(|error| self.to_status(error))
     }
 
     fn edits(&self, request: &wire::SetRequest, running: &DataTree) -> Result<Vec<Edit>, ManagementError> {
@@ -65,7 +65,7 @@
         let prefix = request.prefix.as_ref();
         let mut edits = Vec::new();
         for path in &request.delete {
-            let pattern = paths::pattern(schema, prefix, Some(path))?;
+            let pattern = paths::decode_pattern(schema, prefix, Some(path))?;
             if let Some(path) = paths::to_path(&pattern) {
                 edits.push(Edit { path, op: EditOperation::Remove, value: None });
                 continue;
@@ -78,10 +78,10 @@
         let replaced = request.replace.iter().map(|update| (EditOperation::Replace, update));
         let updated = request.update.iter().map(|update| (EditOperation::Merge, update));
         for (op, update) in replaced.chain(updated) {
-            let pattern = paths::pattern(schema, prefix, update.path.as_ref())?;
+            let pattern = paths::decode_pattern(schema, prefix, update.path.as_ref())?;
             let path = paths::to_path(&pattern)
                 .ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "a value is set at open keys"))?;
-            let value = paths::value(schema, &path, update.val.as_ref())?;
+            let value = paths::decode_value(schema, &path, update.val.as_ref())?;
             edits.push(Edit { path, op, value: Some(value) });
         }
         Ok(edits)
@@ -101,8 +101,8 @@
         list: &wire::SubscriptionList,
         one: &wire::Subscription,
     ) -> Result<PlannedSubscription, Status> {
-        let pattern = paths::pattern(self.schema(), list.prefix.as_ref(), one.path.as_ref());
-        let pattern = pattern.map_err(|error| self.refuse(error))?;
+        let pattern = paths::decode_pattern(self.schema(), list.prefix.as_ref(), one.path.as_ref());
+        let pattern = pattern.map_err(|error| self.to_status(error))?;
         let interval = |nanos: u64| (nanos > 0).then(|| Duration::from_nanos(nanos));
         let heartbeat = interval(one.heartbeat_interval);
         let period = interval(one.sample_interval).unwrap_or(self.min_interval);
@@ -129,10 +129,10 @@
         encoding: Encoding,
     ) -> Result<wire::Notification, Status> {
         let schema = self.schema();
-        let pattern = paths::pattern(schema, request.prefix.as_ref(), Some(path));
-        let pattern = pattern.map_err(|error| self.refuse(error))?;
-        let found = paths::instances(schema, tree, &pattern).map_err(|error| self.refuse(error))?;
-        if found.is_empty() && paths::is_closed(&pattern) {
+        let pattern = paths::decode_pattern(schema, request.prefix.as_ref(), Some(path));
+        let pattern = pattern.map_err(|error| self.to_status(error))?;
+        let found = paths::instances(schema, tree, &pattern).map_err(|error| self.to_status(error))?;
+        if found.is_empty() && paths::has_all_keys(&pattern) {
             return Err(Status::not_found("nothing there"));
         }
         let update = found.iter().map(|(path, value)| wire::Update {
@@ -184,7 +184,7 @@
         let data_type = DataType::try_from(request.r#type);
         let data_type = data_type.map_err(|_| Status::invalid_argument("no such type"))?;
         let datastore = (data_type == DataType::Config).then_some(Datastore::Running);
-        let mut tree = session.read(datastore).await.map_err(|error| self.refuse(error))?;
+        let mut tree = session.read(datastore).await.map_err(|error| self.to_status(error))?;
         if matches!(data_type, DataType::State | DataType::Operational) {
             let is_state = |path: &Path| path.node().is_some_and(|node| !schema.node(node).config);
             tree = data::retain_leaves(schema, &tree, &Path::default(), &is_state);
@@ -210,8 +210,8 @@
         }
         check_path_count(request.delete.len() + request.replace.len() + request.update.len())?;
         let running = self.management.inspect(|datastores| datastores.running().clone());
-        let edits = self.edits(&request, &running).map_err(|error| self.refuse(error))?;
-        session.set(&edits, None, "").await.map_err(|error| self.refuse(error))?;
+        let edits = self.edits(&request, &running).map_err(|error| self.to_status(error))?;
+        session.set(&edits, None, "").await.map_err(|error| self.to_status(error))?;
         let result = |path: Option<wire::Path>, op: Operation| wire::UpdateResult { path, op: op as i32 };
         let deleted = request.delete.into_iter().map(|path| result(Some(path), Operation::Delete));
         let replaced = request.replace.into_iter().map(|update| result(update.path, Operation::Replace));
--- a/crates/rockflow-gnmi/src/subscriber.rs
+++ b/crates/rockflow-gnmi/src/subscriber.rs
@@ -72,7 +72,7 @@
         mut requests: Streaming<wire::SubscribeRequest>,
     ) -> Result<(), Ended> {
         if !self.updates_only {
-            self.send_present_values(patterns).await?;
+            self.send_current_values(patterns).await?;
         }
         self.send_sync().await?;
         if mode == ReadMode::Once {
@@ -84,7 +84,7 @@
             if !matches!(request.request, Some(SubscribeMessage::Poll(_))) {
                 return self.end(Status::invalid_argument("a poll is wanted")).await;
             }
-            self.send_present_values(patterns).await?;
+            self.send_current_values(patterns).await?;
             self.send_sync().await?;
         }
         Ok(())
@@ -160,7 +160,7 @@
     }
 
     /// Sends all values that the patterns match now.
-    async fn send_present_values(&self, patterns: &[Pattern]) -> Result<(), Ended> {
+    async fn send_current_values(&self, patterns: &[Pattern]) -> Result<(), Ended> {
         let tree = match self.session.read(None).await {
             Ok(tree) => tree,
             Err(error) => {
--- a/crates/rockflow-gnmi/tests/fuzz.rs
+++ b/crates/rockflow-gnmi/tests/fuzz.rs
@@ -63,17 +63,17 @@
         read = true;
         let mut fields = DataTree::new();
         for update in set.replace.iter().chain(&set.update) {
-            let Ok(pattern) = paths::pattern(schema, set.prefix.as_ref(), update.path.as_ref()) else {
+            let Ok(pattern) = paths::decode_pattern(schema, set.prefix.as_ref(), update.path.as_ref()) else {
                 continue;
             };
             let Some(path) = paths::to_path(&pattern) else { continue };
-            if let Ok(value) = paths::value(schema, &path, update.val.as_ref()) {
+            if let Ok(value) = paths::decode_value(schema, &path, update.val.as_ref()) {
                 let edit = Edit { path, op: EditOperation::Merge, value: Some(value) };
                 changed |= data::apply_edit(schema, &mut fields, &edit).is_ok();
             }
         }
         for path in &set.delete {
-            if let Ok(pattern) = paths::pattern(schema, set.prefix.as_ref(), Some(path)) {
+            if let Ok(pattern) = paths::decode_pattern(schema, set.prefix.as_ref(), Some(path)) {
                 let _ = paths::instances(schema, &fields, &pattern);
             }
         }
@@ -81,7 +81,7 @@
     if let Ok(request) = wire::SubscribeRequest::decode(bytes) {
         if let Some(wire::subscribe_request::Request::Subscribe(list)) = request.request {
             for one in &list.subscription {
-                let _ = paths::pattern(schema, list.prefix.as_ref(), one.path.as_ref());
+                let _ = paths::decode_pattern(schema, list.prefix.as_ref(), one.path.as_ref());
             }
         }
     }
