--- a/crates/rockflow-yang/src/data/edit.rs
+++ b/crates/rockflow-yang/src/data/edit.rs
@@ -147,8 +147,8 @@
     Ok(())
 }
 
-/// The value of the edit. A missing value stands for an empty container or list. A value of another kind than the node is
-/// an error.
+/// The value of the edit. A missing value stands for an empty container or list. A value of another kind than the node
+/// is an error.
 fn value_for(schema: &Schema, edit: &Edit, last: &PathStep) -> Result<DataNode, EditError> {
     let kind = &schema.node(last.node).kind;
     let value = match (&edit.value, kind) {
--- a/crates/rockflow-yang/src/data/mod.rs
+++ b/crates/rockflow-yang/src/data/mod.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// The value of the leaf at the given node names, whose ancestors are all containers. `None` if there is no such leaf, or
-/// if it has no value.
+/// The value of the leaf at the given node names, whose ancestors are all containers. `None` if there is no such leaf,
+/// or if it has no value.
 pub fn leaf_by_names<'a>(schema: &Schema, tree: &'a DataTree, names: &[&str]) -> Option<&'a Scalar> {
     let mut node = None;
     let mut steps = Vec::new();
@@ -111,8 +111,8 @@
     }
 }
 
-/// Inserts data at a path, be it configuration or state, and creates missing list entries and containers on the path. At
-/// a list entry the data is merged, elsewhere it replaces the present data.
+/// Inserts data at a path, be it configuration or state, and creates missing list entries and containers on the path.
+/// At a list entry the data is merged, elsewhere it replaces the present data.
 pub fn insert_at(schema: &Schema, tree: &mut DataTree, path: &Path, data: DataNode) {
     match (locate_or_create(schema, tree, &path.0), data) {
         (Target::ListEntry(entry), DataNode::Container(inner)) => merge(entry, &inner),
--- a/crates/rockflow-yang/src/data/select.rs
+++ b/crates/rockflow-yang/src/data/select.rs
@@ -37,8 +37,8 @@
     selected.map(|data| DataTree::from([(step.node, data)])).unwrap_or_default()
 }
 
-/// The instances that the pattern identifies, with their paths. Each entry of a list is an instance of its own. `None` if
-/// there are more than `max`.
+/// The instances that the pattern identifies, with their paths. Each entry of a list is an instance of its own. `None`
+/// if there are more than `max`.
 pub fn instances_matching<'a>(
     tree: &'a DataTree,
     pattern: &Pattern,
--- a/crates/rockflow-yang/src/json.rs
+++ b/crates/rockflow-yang/src/json.rs
@@ -7,8 +7,8 @@
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Writes a data tree as an object. A member's name is prefixed with its module where that differs from the module of its
-/// parent.
+/// Writes a data tree as an object. A member's name is prefixed with its module where that differs from the module of
+/// its parent.
 pub fn write(schema: &Schema, tree: &DataTree) -> Value {
     let mut object = Map::new();
     for (id, data) in tree {
--- a/crates/rockflow-yang/src/path.rs
+++ b/crates/rockflow-yang/src/path.rs
@@ -1,9 +1,9 @@
-//! Identifiers of data nodes: a [`Path`] identifies one instance. A [`Pattern`] may leave list keys open and also matches
-//! every descendant of the nodes that it identifies.
+//! Identifiers of data nodes: a [`Path`] identifies one instance. A [`Pattern`] may leave list keys open and also
+//! matches every descendant of the nodes that it identifies.
 //!
 //! The text is that of an instance identifier (RFC 7951, section 6.11), as in
-//! `/rockflow-router:router/marks/mark[host='c1']/state`. A step without a module prefix matches a node of that name in any
-//! module.
+//! `/rockflow-router:router/marks/mark[host='c1']/state`. A step without a module prefix matches a node of that name in
+//! any module.
 
 use crate::error::PathError;
 use crate::schema::{NodeId, NodeKind, Schema};
@@ -19,8 +19,8 @@
 pub struct PathStep {
     /// The schema node of this step.
     pub node: NodeId,
-    /// The key values of a list entry, or the single value of a leaf-list. Empty for every other node, and where the step
-    /// stands for a whole list or leaf-list.
+    /// The key values of a list entry, or the single value of a leaf-list. Empty for every other node, and where the
+    /// step stands for a whole list or leaf-list.
     pub keys: KeyValues,
 }
 
@@ -30,8 +30,8 @@
 pub struct Path(pub Vec<PathStep>);
 
 impl Path {
-    /// Parses the path of one instance. Every list on the path needs all of its keys, except that the last step may be a
-    /// whole list. The last step may also be a single value of a leaf-list.
+    /// Parses the path of one instance. Every list on the path needs all of its keys, except that the last step may be
+    /// a whole list. The last step may also be a single value of a leaf-list.
     pub fn parse(schema: &Schema, text: &str) -> Result<Path, PathError> {
         let pattern = Pattern::parse(schema, text)?;
         let last = pattern.0.len().saturating_sub(1);
@@ -150,8 +150,8 @@
 }
 
 impl PatternStep {
-    /// Builds a step from a node's name and the given key values. A key whose value is `*`, or that is not given, is open.
-    /// `parent` is the previous step; `None` for a node at the top level.
+    /// Builds a step from a node's name and the given key values. A key whose value is `*`, or that is not given, is
+    /// open. `parent` is the previous step; `None` for a node at the top level.
     pub fn parse<'a>(
         schema: &Schema,
         parent: Option<&PatternStep>,
--- a/crates/rockflow-yang/src/schema.rs
+++ b/crates/rockflow-yang/src/schema.rs
@@ -126,8 +126,8 @@
             .unwrap_or_else(|error| panic!("published modules: {error}"))
     }
 
-    /// Compiles modules, given as pairs of name and text. A module has to come before the modules that import or augment
-    /// it. An unsupported statement is an error; none is ignored.
+    /// Compiles modules, given as pairs of name and text. A module has to come before the modules that import or
+    /// augment it. An unsupported statement is an error; none is ignored.
     pub fn compile(modules: &[(&str, &str)]) -> Result<Schema, ModelError> {
         compiler::compile(modules)
     }
@@ -168,8 +168,8 @@
         position.map(|position| ModuleId(position as u8))
     }
 
-    /// The child of `parent` with the given name, or the top-level node if `parent` is `None`. Without `module`, a node of
-    /// any module matches.
+    /// The child of `parent` with the given name, or the top-level node if `parent` is `None`. Without `module`, a node
+    /// of any module matches.
     pub fn child(&self, parent: Option<NodeId>, module: Option<ModuleId>, name: &str) -> Option<NodeId> {
         let children = parent.map_or(&self.roots, |parent| &self.node(parent).children);
         let is_match = |id: &&NodeId| {
--- a/crates/rockflow-yang/src/types.rs
+++ b/crates/rockflow-yang/src/types.rs
@@ -171,8 +171,8 @@
     }
 }
 
-/// Parses a `decimal64` into units of its last fraction digit. `None` for a text that is no decimal number, has more than
-/// `digits` fraction digits or is out of range.
+/// Parses a `decimal64` into units of its last fraction digit. `None` for a text that is no decimal number, has more
+/// than `digits` fraction digits or is out of range.
 pub fn parse_decimal_units(text: &str, digits: u8) -> Option<i64> {
     let (negative, unsigned) = match text.strip_prefix('-') {
         Some(rest) => (true, rest),
