--- a/crates/rockflow-gnmi/build.rs
+++ b/crates/rockflow-gnmi/build.rs
@@ -1,4 +1,4 @@
-//! Generates the messages from `proto/gnmi.proto`.
+//! Generates the Rust types of the gNMI messages and service from `proto/gnmi.proto`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo::rerun-if-changed=proto/gnmi.proto");
--- a/crates/rockflow-gnmi/src/error.rs
+++ b/crates/rockflow-gnmi/src/error.rs
@@ -1,25 +1,25 @@
-//! Why the server does not start.
+//! Errors that keep the gNMI server from starting.
 
 use rockflow_management_service::credentials::CredentialError;
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the gNMI server does not start.
+/// An error that keeps the gNMI server from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The address can't be listened on.
+    /// The listener can't be bound to its address.
     #[error("gnmi {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured listen address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The listener can't be used by the runtime.
+    /// The bound listener can't be registered with the async runtime.
     #[error(transparent)]
     Listener(#[from] io::Error),
-    /// A key or certificate that can't be used, with its file.
+    /// A key or certificate can't be used; the error names its file.
     #[error(transparent)]
     Credentials(#[from] CredentialError),
 }
--- a/crates/rockflow-gnmi/src/lib.rs
+++ b/crates/rockflow-gnmi/src/lib.rs
@@ -1,7 +1,7 @@
-//! gNMI, in version 0.10 of its specification.
+//! A gNMI server, following version 0.10 of the specification.
 //!
-//! This package decodes requests, asks the management service and encodes its answers; what is changed, refused or announced
-//! is decided in `rockflow-management`.
+//! This package decodes requests, passes them to the management service and encodes its responses.
+//! `rockflow-management` decides which changes are accepted or rejected, and which updates subscribers receive.
 
 pub mod error;
 pub mod paths;
@@ -13,11 +13,11 @@
 pub use error::StartError;
 pub use server::BoundServer;
 
-/// The messages, generated from `proto/gnmi.proto`.
+/// The gNMI messages and the service trait, generated from `proto/gnmi.proto`.
 #[allow(clippy::all, missing_docs, reason = "generated")]
 pub mod wire {
     tonic::include_proto!("gnmi");
 }
 
-/// The version of the specification that is announced.
+/// The version of the gNMI specification that the Capabilities call reports.
 pub const VERSION: &str = "0.10.0";
--- a/crates/rockflow-gnmi/src/server.rs
+++ b/crates/rockflow-gnmi/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener: TLS with certificates both ways, a bounded number of connections, and gRPC over them.
+//! The listener: mutual TLS, a bounded number of connections, and the gRPC server on them.
 
 use crate::error::StartError;
 use crate::service::{Peer, Service};
@@ -21,24 +21,25 @@
 use tonic::transport::server::Connected;
 use tracing::{error, info};
 
-/// The protocol that is negotiated in the handshake.
+/// The protocols offered in the TLS handshake (ALPN): HTTP/2 only.
 const ALPN: &[&[u8]] = &[b"h2"];
-/// Authenticated connections at once.
+/// Maximum number of concurrent authenticated connections.
 const MAX_CONNECTIONS: usize = 128;
-/// Connections at once that have not authenticated.
+/// Maximum number of concurrent connections that have not authenticated yet.
 const MAX_UNAUTHENTICATED: usize = 32;
-/// The time for a handshake.
+/// Timeout of the TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Calls at once on one connection.
+/// Maximum number of concurrent calls on one connection.
 const MAX_STREAMS: u32 = 64;
-/// Bytes of a connection, and of a stream, that may be in flight to this server.
+/// Initial HTTP/2 flow control window in bytes, for a connection and for each stream.
 const WINDOW_BYTES: u32 = 256 * 1024;
-/// How often a silent connection is probed.
+/// Interval between HTTP/2 keepalive pings.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(30);
-/// How long a peer may take to answer a probe.
+/// How long the peer may take to acknowledge a keepalive ping before the connection is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The listener, bound ahead of the thread that serves it, so that what is wrong is known at the start.
+/// A bound listener that does not serve yet. Binding is separate from serving, so that errors are reported at startup,
+/// before the thread that serves is started.
 pub struct BoundServer {
     section: GnmiSection,
     listener: StdListener,
@@ -46,7 +47,7 @@
 }
 
 impl BoundServer {
-    /// Reads the certificates and binds the listener that the section names.
+    /// Reads the certificates and binds the configured listen address.
     pub fn bind(section: &GnmiSection) -> Result<BoundServer, StartError> {
         let acceptor = TlsAcceptor::from(credentials::tls_server_config(&section.tls, ALPN)?);
         let address = section.tls.listen;
@@ -56,18 +57,18 @@
         Ok(BoundServer { section: section.clone(), listener, acceptor })
     }
 
-    /// Checks that the certificates can be used, without binding.
+    /// Checks that the certificates can be used, without binding the listener.
     pub fn check(section: &GnmiSection) -> Result<(), StartError> {
         credentials::tls_server_config(&section.tls, ALPN)?;
         Ok(())
     }
 
-    /// Where the listener is bound.
+    /// The local address of the listener; `None` if the operating system can't tell it.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// Starts to serve, in the runtime that this is called in, for as long as that runs.
+    /// Spawns the server on the current async runtime. It serves until the runtime shuts down.
     pub fn serve(self, management: Arc<ManagementService>) -> Result<(), StartError> {
         let BoundServer { section, listener, acceptor } = self;
         let service = Service {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Accepts connections; those that are authenticated come out of the channel.
+/// Spawns a task that accepts connections. The returned channel yields each connection once its peer is authenticated.
 fn accept(
     listener: TcpListener,
     acceptor: TlsAcceptor,
@@ -109,16 +110,16 @@
             let (acceptor, sender, permits) = (acceptor.clone(), sender.clone(), permits.clone());
             tokio::spawn(async move {
                 let timeout = HANDSHAKE_TIMEOUT;
-                let shaken =
+                let authenticated =
                     authentication::tls_handshake(acceptor, stream, from, unauthenticated, timeout).await;
-                let Some(AuthenticatedStream { stream, user }) = shaken else { return };
+                let Some(AuthenticatedStream { stream, user }) = authenticated else { return };
                 match permits.try_acquire_owned() {
                     Ok(permit) => {
                         let peer = Peer { user, from };
                         let connection = AuthenticatedConnection { stream, peer, _permit: permit };
                         let _ = sender.send(Ok(connection)).await;
                     }
-                    Err(_) => info!(%from, user, "too many gNMI connections"),
+                    Err(_) => info!(%from, user, "gNMI connection rejected: too many connections"),
                 }
             });
         },
@@ -126,7 +127,7 @@
     connections
 }
 
-/// A connection whose peer is authenticated.
+/// A TLS connection whose peer is authenticated. It holds one of the [`MAX_CONNECTIONS`] permits.
 struct AuthenticatedConnection {
     stream: TlsStream<TcpStream>,
     peer: Peer,
--- a/crates/rockflow-gnmi/src/service.rs
+++ b/crates/rockflow-gnmi/src/service.rs
@@ -1,4 +1,4 @@
-//! The four calls: Capabilities, Get, Set and Subscribe.
+//! The four calls of the gNMI service: Capabilities, Get, Set and Subscribe.
 
 use crate::paths;
 use crate::status::{encoding, nanos, status};
@@ -23,22 +23,23 @@
 use wire::update_result::Operation;
 use wire::{Encoding, SubscriptionMode};
 
-/// The peer of a connection, as its certificate names it.
+/// The authenticated peer of a connection.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// The user.
+    /// The user named by the client certificate.
     pub user: String,
-    /// Where the connection comes from.
+    /// The remote address of the connection.
     pub from: SocketAddr,
 }
 
 /// The gNMI service.
 pub struct Service {
-    /// The management service, which decides what is read, changed and refused.
+    /// The management service, which authorizes and carries out all reads and changes.
     pub management: Arc<ManagementService>,
-    /// One permit for each subscriber that may be there at once.
+    /// One permit for each subscriber that may be connected at the same time.
     pub subscribers: Arc<Semaphore>,
-    /// The least interval of samples and heartbeats.
+    /// The shortest sample or heartbeat interval that a subscription may ask for. Also the sample interval of
+    /// subscriptions that name none.
     pub min_interval: Duration,
 }
 
@@ -51,15 +52,18 @@
         status(self.schema(), &error)
     }
 
-    /// Opens a session for one call.
+    /// Opens a management session for one call. Fails without an authenticated peer, or if the service rejects the
+    /// session.
     fn open_session<T>(&self, request: &Request<T>) -> Result<SessionHandle, Status> {
         let peer = request.extensions().get::<Peer>().cloned();
-        let peer = peer.ok_or_else(|| Status::unauthenticated("who asks is not known"))?;
+        let peer = peer.ok_or_else(|| Status::unauthenticated("the peer is not authenticated"))?;
         let source = peer.from.ip().to_string();
         let operator = Operator { user: peer.user, protocol: Protocol::Gnmi, source };
         self.management.open_session(operator).map_err(|error| self.to_status(error))
     }
 
+    /// The edits of a Set request, in the order of the specification: deletes, replaces, updates. `running` is the
+    /// current configuration, in which the open keys of deletes are looked up.
     fn edits(&self, request: &wire::SetRequest, running: &DataTree) -> Result<Vec<Edit>, ManagementError> {
         let schema = self.schema();
         let prefix = request.prefix.as_ref();
@@ -70,7 +74,7 @@
                 edits.push(Edit { path, op: EditOperation::Remove, value: None });
                 continue;
             }
-            // Open keys: whatever stands there now.
+            // Deletes with open keys apply to all instances that exist now.
             for (path, _) in paths::instances(schema, running, &pattern)? {
                 edits.push(Edit { path, op: EditOperation::Remove, value: None });
             }
@@ -79,48 +83,50 @@
         let updated = request.update.iter().map(|update| (EditOperation::Merge, update));
         for (op, update) in replaced.chain(updated) {
             let pattern = paths::decode_pattern(schema, prefix, update.path.as_ref())?;
-            let path = paths::to_path(&pattern)
-                .ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "a value is set at open keys"))?;
+            let path = paths::to_path(&pattern).ok_or_else(|| {
+                ManagementError::new(ErrorTag::InvalidValue, "a value can't be set at a path with open keys")
+            })?;
             let value = paths::decode_value(schema, &path, update.val.as_ref())?;
             edits.push(Edit { path, op, value: Some(value) });
         }
         Ok(edits)
     }
 
-    /// Plans a list of subscriptions; everything that is wrong with it is known before any of it begins.
+    /// Validates a whole subscription list before any of its subscriptions is opened.
     fn plan(&self, list: &wire::SubscriptionList) -> Result<Vec<PlannedSubscription>, Status> {
         check_path_count(list.subscription.len())?;
         if list.subscription.is_empty() {
-            return Err(Status::invalid_argument("nothing is subscribed to"));
+            return Err(Status::invalid_argument("the subscription list is empty"));
         }
-        list.subscription.iter().map(|one| self.plan_one(list, one)).collect()
+        list.subscription.iter().map(|subscription| self.plan_one(list, subscription)).collect()
     }
 
+    /// Validates one subscription of the list.
     fn plan_one(
         &self,
         list: &wire::SubscriptionList,
-        one: &wire::Subscription,
+        subscription: &wire::Subscription,
     ) -> Result<PlannedSubscription, Status> {
-        let pattern = paths::decode_pattern(self.schema(), list.prefix.as_ref(), one.path.as_ref());
+        let pattern = paths::decode_pattern(self.schema(), list.prefix.as_ref(), subscription.path.as_ref());
         let pattern = pattern.map_err(|error| self.to_status(error))?;
         let interval = |nanos: u64| (nanos > 0).then(|| Duration::from_nanos(nanos));
-        let heartbeat = interval(one.heartbeat_interval);
-        let period = interval(one.sample_interval).unwrap_or(self.min_interval);
+        let heartbeat = interval(subscription.heartbeat_interval);
+        let period = interval(subscription.sample_interval).unwrap_or(self.min_interval);
         if period < self.min_interval || heartbeat.is_some_and(|heartbeat| heartbeat < self.min_interval) {
             let millis = self.min_interval.as_millis();
-            return Err(Status::invalid_argument(format!("the least interval is {millis} ms")));
+            return Err(Status::invalid_argument(format!("the shortest interval is {millis} ms")));
         }
-        let trigger = match SubscriptionMode::try_from(one.mode) {
+        let trigger = match SubscriptionMode::try_from(subscription.mode) {
             Ok(SubscriptionMode::Sample) => {
-                Trigger::Periodic { period, suppress: one.suppress_redundant, heartbeat }
+                Trigger::Periodic { period, suppress: subscription.suppress_redundant, heartbeat }
             }
             Ok(_) => Trigger::OnChange { dampening: Duration::ZERO, heartbeat },
-            Err(_) => return Err(Status::invalid_argument("no such mode of a subscription")),
+            Err(_) => return Err(Status::invalid_argument("unknown subscription mode")),
         };
         Ok(PlannedSubscription { pattern, trigger })
     }
 
-    /// One notification of a Get: the instances that a path leads to.
+    /// The notification of a Get response for one path, with the instances that the path matches in `tree`.
     fn read_path(
         &self,
         request: &wire::GetRequest,
@@ -131,11 +137,11 @@
         let schema = self.schema();
         let pattern = paths::decode_pattern(schema, request.prefix.as_ref(), Some(path));
         let pattern = pattern.map_err(|error| self.to_status(error))?;
-        let found = paths::instances(schema, tree, &pattern).map_err(|error| self.to_status(error))?;
-        if found.is_empty() && paths::has_all_keys(&pattern) {
-            return Err(Status::not_found("nothing there"));
+        let instances = paths::instances(schema, tree, &pattern).map_err(|error| self.to_status(error))?;
+        if instances.is_empty() && paths::has_all_keys(&pattern) {
+            return Err(Status::not_found("no data at this path"));
         }
-        let update = found.iter().map(|(path, value)| wire::Update {
+        let update = instances.iter().map(|(path, value)| wire::Update {
             path: Some(paths::encode_path(schema, path)),
             val: Some(paths::encode_json(value, encoding)),
             duplicates: 0,
@@ -182,17 +188,17 @@
         let (schema, encoding) = (self.schema(), encoding(request.encoding)?);
         check_path_count(request.path.len())?;
         let data_type = DataType::try_from(request.r#type);
-        let data_type = data_type.map_err(|_| Status::invalid_argument("no such type"))?;
+        let data_type = data_type.map_err(|_| Status::invalid_argument("unknown data type"))?;
         let datastore = (data_type == DataType::Config).then_some(Datastore::Running);
         let mut tree = session.read(datastore).await.map_err(|error| self.to_status(error))?;
         if matches!(data_type, DataType::State | DataType::Operational) {
             let is_state = |path: &Path| path.node().is_some_and(|node| !schema.node(node).config);
             tree = data::retain_leaves(schema, &tree, &Path::default(), &is_state);
         }
-        let top = [wire::Path::default()];
-        let wanted = if request.path.is_empty() { &top[..] } else { &request.path[..] };
+        let root = [wire::Path::default()];
+        let requested = if request.path.is_empty() { &root[..] } else { &request.path[..] };
         let mut notification = Vec::new();
-        for path in wanted {
+        for path in requested {
             notification.push(self.read_path(&request, path, &tree, encoding)?);
         }
         Ok(Response::new(wire::GetResponse { notification }))
@@ -202,11 +208,12 @@
         let session = self.open_session(&request)?;
         let request = request.into_inner();
         if !request.union_replace.is_empty() {
-            return Err(Status::unimplemented("union_replace is not served"));
+            return Err(Status::unimplemented("union_replace is not supported"));
         }
-        // Guards against a change whose condition, such as a confirmation, would be passed over.
+        // An ignored extension could be a condition of the change, such as commit confirmation, so every extension is
+        // rejected.
         if !request.extension.is_empty() {
-            return Err(Status::unimplemented("no extension of Set is served"));
+            return Err(Status::unimplemented("extensions of Set are not supported"));
         }
         check_path_count(request.delete.len() + request.replace.len() + request.update.len())?;
         let running = self.management.inspect(|datastores| datastores.running().clone());
@@ -231,17 +238,19 @@
         request: Request<Streaming<wire::SubscribeRequest>>,
     ) -> Result<Response<Self::SubscribeStream>, Status> {
         let permit = self.subscribers.clone().try_acquire_owned();
-        let permit = permit.map_err(|_| Status::resource_exhausted("all subscribers' places are taken"))?;
+        let permit = permit.map_err(|_| Status::resource_exhausted("too many subscribers"))?;
         let session = self.open_session(&request)?;
         let mut requests = request.into_inner();
         let first = tokio::time::timeout(FIRST_MESSAGE_TIMEOUT, requests.next()).await;
-        let first = first.map_err(|_| Status::deadline_exceeded("no subscription in time"))?;
-        let first = first.ok_or_else(|| Status::invalid_argument("ended without a subscription"))??;
+        let first = first.map_err(|_| Status::deadline_exceeded("no subscription list received in time"))?;
+        let first = first
+            .ok_or_else(|| Status::invalid_argument("the stream ended without a subscription list"))??;
         let Some(SubscribeMessage::Subscribe(list)) = first.request else {
-            return Err(Status::invalid_argument("a list of subscriptions is wanted first"));
+            return Err(Status::invalid_argument("the first message must be a subscription list"));
         };
         let encoding = encoding(list.encoding)?;
-        let mode = Mode::try_from(list.mode).map_err(|_| Status::invalid_argument("no such mode"))?;
+        let mode = Mode::try_from(list.mode)
+            .map_err(|_| Status::invalid_argument("unknown subscription list mode"))?;
         let plans = self.plan(&list)?;
         let (responses, receiver) = mpsc::channel(MAX_WAITING_MESSAGES);
         let subscriber = Subscriber {
--- a/crates/rockflow-gnmi/src/status.rs
+++ b/crates/rockflow-gnmi/src/status.rs
@@ -1,4 +1,4 @@
-//! Errors as gRPC statuses, and other scalars of the messages.
+//! Conversion of errors to gRPC statuses, and of the encoding and timestamps of messages.
 
 use crate::wire::Encoding;
 use rockflow_management::{ErrorTag, ManagementError};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tonic::Status;
 
-/// The gRPC status of an error.
+/// The gRPC status of a management error. Its message ends with the path of the error, if there is one.
 pub(crate) fn status(schema: &Schema, error: &ManagementError) -> Status {
     let path = error.path.as_ref().map(|path| format!(" at {}", path.to_text(schema))).unwrap_or_default();
     let message = format!("{}{path}", error.message);
@@ -22,7 +22,7 @@
     }
 }
 
-/// The encoding of that number; only JSON is served.
+/// Decodes the number of an encoding. Only JSON and JSON_IETF are supported.
 pub(crate) fn encoding(number: i32) -> Result<Encoding, Status> {
     match Encoding::try_from(number) {
         Ok(encoding @ (Encoding::Json | Encoding::JsonIetf)) => Ok(encoding),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Nanoseconds since the Unix epoch, as timestamps have them.
+/// Converts a time since the Unix epoch to nanoseconds, the unit of gNMI timestamps.
 pub(crate) fn nanos(time: Duration) -> i64 {
     i64::try_from(time.as_nanos()).unwrap_or(i64::MAX)
 }
--- a/crates/rockflow-gnmi/src/subscriber.rs
+++ b/crates/rockflow-gnmi/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! One subscriber: what is followed, as messages of the stream.
+//! Serves one Subscribe call: sends the values of the subscribed paths as messages of the response stream.
 
 use crate::paths;
 use crate::status::{nanos, status};
@@ -15,53 +15,55 @@
 use wire::subscribe_response::Response as SubscribeEvent;
 use wire::Encoding;
 
-/// Messages that wait for a subscriber; the subscriptions behind them hold back, and merge.
+/// Maximum number of messages queued for a subscriber. While the queue is full, its subscriptions merge further
+/// changes.
 pub(crate) const MAX_WAITING_MESSAGES: usize = 16;
-/// Values in one message.
+/// Maximum number of values in one message.
 const MAX_UPDATES: usize = 2_000;
 
-/// What a subscriber is sent.
+/// Sends messages, or the status that ends the stream, to the subscriber.
 pub(crate) type ResponseSender = mpsc::Sender<Result<wire::SubscribeResponse, Status>>;
 
-/// One path of a subscription list.
+/// One subscription of a subscription list, validated.
 pub(crate) struct PlannedSubscription {
     pub(crate) pattern: Pattern,
     pub(crate) trigger: Trigger,
 }
 
-/// Whether values are sent once, or again at each poll.
+/// The modes of a subscription list whose values are read on request: a single time, or again at each poll.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadMode {
     Once,
     Poll,
 }
 
-/// The subscriber can't be reached any more, or was sent the error that ends its stream.
+/// The stream has ended: the subscriber has disconnected, or was sent the status that ends the stream.
 struct Ended;
 
-/// One subscriber, from its list on. Owned by the task that serves it.
+/// The server's side of one Subscribe call, once its subscription list has been received. Owned by the task that serves
+/// it.
 pub(crate) struct Subscriber {
     pub(crate) service: Arc<ManagementService>,
     pub(crate) session: SessionHandle,
     pub(crate) responses: ResponseSender,
     pub(crate) encoding: Encoding,
-    /// The target that the messages' prefix names; empty: none.
+    /// The target name that the prefix of each message repeats; empty if the request named none.
     pub(crate) target: String,
-    /// Whether the first values are left out.
+    /// Whether the initial values are omitted.
     pub(crate) updates_only: bool,
-    /// One of those that the service grants.
+    /// Counts towards the maximum number of subscribers until it is dropped.
     pub(crate) _permit: OwnedSemaphorePermit,
 }
 
 impl Subscriber {
-    /// Serves a list of mode ONCE or POLL.
+    /// Serves a subscription list of mode ONCE or POLL.
     pub(crate) async fn serve_reads(
         self,
         patterns: Vec<Pattern>,
         mode: ReadMode,
         requests: Streaming<wire::SubscribeRequest>,
     ) {
-        // An end has no one left to be reported to.
+        // Once the stream has ended there is no one to report an error to.
         let _ = self.answer_reads(&patterns, mode, requests).await;
     }
 
@@ -79,10 +81,10 @@
             return Ok(());
         }
         while let Some(Ok(request)) = requests.next().await {
-            // A poll keeps the session from being ended as idle.
+            // Marks the session as active, so that it is not closed as idle.
             self.session.update(|_, _| ());
             if !matches!(request.request, Some(SubscribeMessage::Poll(_))) {
-                return self.end(Status::invalid_argument("a poll is wanted")).await;
+                return self.end(Status::invalid_argument("expected a poll")).await;
             }
             self.send_current_values(patterns).await?;
             self.send_sync().await?;
@@ -90,7 +92,8 @@
         Ok(())
     }
 
-    /// Serves a list of mode STREAM: each subscription by its own trigger, the first values of all ahead of the sync.
+    /// Serves a subscription list of mode STREAM. The initial values of all subscriptions precede the sync response;
+    /// after it, each subscription sends updates by its own trigger.
     pub(crate) async fn serve_stream(
         mut self,
         plans: Vec<PlannedSubscription>,
@@ -109,6 +112,7 @@
         tasks.iter().for_each(tokio::task::JoinHandle::abort);
     }
 
+    /// Opens all subscriptions, and sends their initial values and the sync response.
     async fn subscribe_all(
         &mut self,
         plans: Vec<PlannedSubscription>,
@@ -134,6 +138,7 @@
         Ok(subscriptions)
     }
 
+    /// Sends updates until the subscriber disconnects, breaks the protocol or has its session closed.
     async fn forward_updates(
         &self,
         mut updates: mpsc::Receiver<Update>,
@@ -143,23 +148,23 @@
             tokio::select! {
                 Some(update) = updates.recv() => self.send_update(update).await?,
                 request = requests.next() => match request {
-                    // A half-closed stream goes on being served.
+                    // A client may close its half of the stream and still receive updates.
                     None => std::future::pending::<()>().await,
                     Some(Ok(_)) => {
-                        return self.end(Status::invalid_argument("one list, and nothing after it")).await;
+                        return self.end(Status::invalid_argument("no message may follow the subscription list")).await;
                     }
                     Some(Err(_)) => return Err(Ended),
                 },
                 () = self.responses.closed() => return Err(Ended),
                 () = self.service.session_closed(self.session.id) => {
-                    let _ = self.responses.try_send(Err(Status::aborted("the session was ended")));
+                    let _ = self.responses.try_send(Err(Status::aborted("the session was closed")));
                     return Err(Ended);
                 }
             }
         }
     }
 
-    /// Sends all values that the patterns match now.
+    /// Sends the current values that the patterns match.
     async fn send_current_values(&self, patterns: &[Pattern]) -> Result<(), Ended> {
         let tree = match self.session.read(None).await {
             Ok(tree) => tree,
@@ -197,15 +202,15 @@
         }
     }
 
-    /// Sends values in messages of bounded size, the deletions with the first.
+    /// Sends values in messages of at most [`MAX_UPDATES`] values. The first message contains all deletions.
     async fn send_values(&self, updates: Vec<wire::Update>, deleted: Vec<wire::Path>) -> Result<(), Ended> {
         let timestamp = nanos(self.service.now());
-        let mut parts: Vec<_> = updates.chunks(MAX_UPDATES).map(<[_]>::to_vec).collect();
-        if parts.is_empty() {
-            parts.push(Vec::new());
+        let mut batches: Vec<_> = updates.chunks(MAX_UPDATES).map(<[_]>::to_vec).collect();
+        if batches.is_empty() {
+            batches.push(Vec::new());
         }
         let mut deleted = Some(deleted);
-        for update in parts {
+        for update in batches {
             let delete = deleted.take().unwrap_or_default();
             if update.is_empty() && delete.is_empty() {
                 continue;
@@ -217,6 +222,7 @@
         Ok(())
     }
 
+    /// Encodes one value. `duplicates` is the number of changes that were merged into it.
     fn encode(&self, path: &Path, value: &Scalar, duplicates: u32) -> wire::Update {
         let schema = self.service.schema();
         let json = path.node().map(|node| paths::leaf_json(schema, node, value)).unwrap_or_default();
@@ -236,11 +242,11 @@
         self.responses.send(Ok(response)).await.map_err(|_| Ended)
     }
 
-    /// Ends the stream with an error.
+    /// Ends the stream with an error status.
     async fn end(&self, status: Status) -> Result<(), Ended> {
         self.responses.send(Err(status)).await.map_err(|_| Ended)
     }
 }
 
-/// The time from which a subscriber's first message counts as late.
+/// How long a subscriber may take to send its subscription list.
 pub(crate) const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
