--- a/crates/rockflow-yang/tests/error_texts.rs
+++ b/crates/rockflow-yang/tests/error_texts.rs
@@ -1,28 +1,31 @@
-//! The text of every error, as operators read it in replies and on the command line.
+//! Checks the message text of the errors that operators see in replies and on the command line.
 
 use rockflow_yang::{data, json, NodeScope, Path, Schema};
 
 const HEAD: &str = "namespace \"urn:m\"; prefix m; revision 2026-01-01;";
 
-/// The body of a module, and what is wrong with it.
+/// The body of a module, and the expected error text.
 const STATEMENTS: &[(&str, &str)] = &[
     ("leaf a { type wrong; }", "m: line 1: type wrong: no such type"),
-    (r#"leaf a { type uint8 { range "1..x"; } }"#, "m: line 1: type uint8: a range can't be read"),
+    (r#"leaf a { type uint8 { range "1..x"; } }"#, "m: line 1: type uint8: invalid range"),
     ("leaf a { type uint8; default 300; }", "m: line 1: leaf a: default must be a number from 0 to 255"),
     ("list l { key k; leaf a { type string; } }", "m: line 1: list l: no such key"),
     ("list l { leaf a { type string; } }", "m: line 1: list l: no key"),
-    (r#"leaf a { type string; must "1"; }"#, "m: line 1: must 1: not known here"),
-    ("choice c { leaf a { type string; } }", "m: line 1: choice c: not known at the top"),
+    (r#"leaf a { type string; must "1"; }"#, "m: line 1: must 1: not supported here"),
+    ("choice c { leaf a { type string; } }", "m: line 1: choice c: not supported at the top of a module"),
     (
         "leaf a { type enumeration { enum x; } } leaf a { type string; }",
-        "m: line 1: leaf a: stands there already",
+        "m: line 1: leaf a: a sibling has the same name",
     ),
-    (r#"augment "/n:x" { leaf a { type string; } }"#, "m: line 1: augment /n:x: a prefix is not known"),
-    (r#"augment "/x" { leaf a { type string; } }"#, "m: line 1: augment /x: a step has no prefix"),
-    (r#"augment "/m:x" { leaf a { type string; } }"#, "m: line 1: augment /m:x: names nothing"),
+    (r#"augment "/n:x" { leaf a { type string; } }"#, "m: line 1: augment /n:x: unknown prefix"),
+    (
+        r#"augment "/x" { leaf a { type string; } }"#,
+        "m: line 1: augment /x: a step of the target has no prefix",
+    ),
+    (r#"augment "/m:x" { leaf a { type string; } }"#, "m: line 1: augment /m:x: no such target node"),
     ("leaf a { type string; ", "m: line 1: unexpected EndOfInput"),
     ("leaf a { }", "m: line 1: leaf a: no type"),
-    (r#"leaf a { type string { length "x"; } }"#, "m: line 1: type string: a length can't be read"),
+    (r#"leaf a { type string { length "x"; } }"#, "m: line 1: type string: invalid length"),
     (
         r#"leaf a { type string { pattern "("; } }"#,
         "m: line 1: type string: found open group without closing ')'",
@@ -31,35 +34,39 @@
     ("leaf a { type enumeration; }", "m: line 1: type enumeration: no enum"),
     (
         "typedef e { type enumeration { enum x; } } leaf a { type e { enum y; } }",
-        "m: line 1: type e: y is not of the type that this narrows",
+        "m: line 1: type e: y is not in the base enumeration",
     ),
-    ("leaf a { type n:e; }", "m: line 1: type n:e: a prefix is not known"),
+    ("leaf a { type n:e; }", "m: line 1: type n:e: unknown prefix"),
     (
         "list l { key a; min-elements x; leaf a { type string; } }",
-        "m: line 1: list l: min-elements is no number",
+        "m: line 1: list l: min-elements is not a number",
     ),
-    ("import o { prefix o; }", "m: line 1: import o: not known by then"),
+    ("import o { prefix o; }", "m: line 1: import o: imported module is not loaded yet"),
     (
         r#"container c { } augment "/m:c" { grouping g; }"#,
-        "m: line 1: grouping g: not known within an augment",
+        "m: line 1: grouping g: not supported in an augment",
+    ),
+    (
+        "leaf a { type string; } } leaf b { type string; }",
+        "m: line 1: leaf b: unexpected statement after the module",
     ),
-    ("leaf a { type string; } } leaf b { type string; }", "m: line 1: leaf b: stands behind the module"),
 ];
 
-/// The text of a module, and what is wrong with it.
+/// The text of a module, and the expected error text.
 const MODULES: &[(&str, &str)] = &[
     ("", "m: no statement"),
-    ("leaf a;", "m: line 1: leaf a: a module is wanted"),
+    ("leaf a;", "m: line 1: leaf a: expected a module"),
     ("module m { }", "m: line 1: module m: no namespace"),
     (r#"module m { namespace "a"; }"#, "m: line 1: module m: no prefix"),
     (r#"module m { namespace "a"; prefix m; }"#, "m: line 1: module m: no revision"),
 ];
 
+/// A path, and the expected error text.
 const PATHS: &[(&str, &str)] = &[
-    ("/router/marks/mark/state", "/router/marks/mark/state: a list on the way has no key"),
-    ("/router/marks/mark[nohost='1']", "mark: nohost is no key of it"),
-    ("/router/marks/mark[host='c1'", "/router/marks/mark[host='c1': a key is odd"),
-    ("router", "router: a step begins with /"),
+    ("/router/marks/mark/state", "/router/marks/mark/state: a list in the path needs all its keys"),
+    ("/router/marks/mark[nohost='1']", "mark: nohost is not a key of this list"),
+    ("/router/marks/mark[host='c1'", "/router/marks/mark[host='c1': malformed key predicate"),
+    ("router", "router: a step must begin with /"),
     ("/router//marks", ": no such node"),
     ("/other:router", "other:router: no such module"),
     ("/router/marks/mark[host='a b']", "mark: host must match [!-~]+"),
@@ -70,8 +77,9 @@
     ),
 ];
 
+/// A JSON document that can't be read, and the expected error text.
 const DOCUMENTS: &[(&str, &str)] = &[
-    ("[]", "an object is wanted"),
+    ("[]", "expected an object"),
     (r#"{"other:router":{}}"#, "other:router: no such module"),
     (r#"{"rockflow-router:router":{"nothing":1}}"#, "rockflow-router:router: nothing: no such node"),
     (
@@ -80,11 +88,11 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c"},{"host":"c"}]}}}"#,
-        "rockflow-router:router: marks: mark: an entry stands twice",
+        "rockflow-router:router: marks: mark: duplicate list entry",
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":{"host":"c"}}}}"#,
-        "rockflow-router:router: marks: mark: an array is wanted",
+        "rockflow-router:router: marks: mark: expected an array",
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c","state":"ready"}]}}}"#,
@@ -96,7 +104,7 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"force":"true","host":"c"}]}}}"#,
-        "rockflow-router:router: marks: mark: force: is not of the type's JSON form",
+        "rockflow-router:router: marks: mark: force: is not in the JSON form of its type",
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"force":1,"host":"c"}]}}}"#,
@@ -104,7 +112,7 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c","reason":{}}]}}}"#,
-        "rockflow-router:router: marks: mark: reason: a value is wanted",
+        "rockflow-router:router: marks: mark: reason: expected a leaf value",
     ),
     (
         r#"{"rockflow-router:router":{"management":{"most-sessions":0}}}"#,
@@ -118,10 +126,10 @@
         r#"{"rockflow-router:router":{"state":{"up":"1"}}}"#,
         "rockflow-router:router: state: is state, which can't be written",
     ),
-    (r#"{"rockflow-router:router":{},"router":{}}"#, "router: stands twice"),
+    (r#"{"rockflow-router:router":{},"router":{}}"#, "router: duplicate member"),
     (
         r#"{"rockflow-router:router":{"rockflow-access:access":{"group":[{"name":"a","user":["b","b"]}]}}}"#,
-        "rockflow-router:router: rockflow-access:access: group: user: a value stands twice",
+        "rockflow-router:router: rockflow-access:access: group: user: duplicate value",
     ),
     (
         r#"{"rockflow-router:router":{"rockflow-access:access":{"rule":[{"group":["all"],"number":1,"path":"x"}]}}}"#,
@@ -133,56 +141,56 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c","reason":"\u0001"}]}}}"#,
-        "rockflow-router:router: marks: mark: reason: holds a control character",
+        "rockflow-router:router: marks: mark: reason: must not contain control characters",
     ),
 ];
 
-/// Documents that can be read and lack what the model demands.
+/// A JSON document that can be read but violates a constraint of the model, and the expected error text.
 const INCOMPLETE: &[(&str, &str)] = &[
     (r#"{"rockflow-router:router":{"rockflow-access:access":{"rule":[{"number":1,"group":["all"]}]}}}"#,
      "/rockflow-router:router/rockflow-access:access/rule[number='1']: action is missing"),
     (r#"{"rockflow-router:router":{"rockflow-access:access":{"rule":[{"number":1,"group":[],"action":"deny"}]}}}"#,
-     "/rockflow-router:router/rockflow-access:access/rule[number='1']/group: 0 entries, from 1 to 64 may be"),
+     "/rockflow-router:router/rockflow-access:access/rule[number='1']/group: 0 entries, must be from 1 to 64"),
 ];
 
 #[test]
-fn wrong_module_is_named_with_line_and_statement() {
-    for (body, text) in STATEMENTS {
+fn module_error_names_line_and_statement() {
+    for (body, message) in STATEMENTS {
         let module = format!("module m {{ {HEAD} {body} }}");
-        assert_eq!(Schema::compile(&[("m", &module)]).unwrap_err().to_string(), *text, "{body}");
+        assert_eq!(Schema::compile(&[("m", &module)]).unwrap_err().to_string(), *message, "{body}");
     }
-    for (module, text) in MODULES {
-        assert_eq!(Schema::compile(&[("m", module)]).unwrap_err().to_string(), *text, "{module}");
+    for (module, message) in MODULES {
+        assert_eq!(Schema::compile(&[("m", module)]).unwrap_err().to_string(), *message, "{module}");
     }
 }
 
 #[test]
-fn wrong_path_is_named_with_its_step() {
+fn path_error_names_the_step() {
     let schema = Schema::published();
-    for (path, text) in PATHS {
-        assert_eq!(Path::parse(&schema, path).unwrap_err().to_string(), *text, "{path}");
+    for (path, message) in PATHS {
+        assert_eq!(Path::parse(&schema, path).unwrap_err().to_string(), *message, "{path}");
     }
-    let long = "x".repeat(rockflow_yang::path::MAX_TEXT + 1);
-    assert_eq!(Path::parse(&schema, &long).unwrap_err().to_string(), "the path is too long");
+    let too_long = "x".repeat(rockflow_yang::path::MAX_TEXT + 1);
+    assert_eq!(Path::parse(&schema, &too_long).unwrap_err().to_string(), "the path is too long");
 }
 
 #[test]
-fn wrong_document_is_named_with_its_member() {
+fn document_error_names_the_member() {
     let schema = Schema::published();
-    for (document, text) in DOCUMENTS {
+    for (document, message) in DOCUMENTS {
         let value = serde_json::from_str(document).unwrap();
         let error = json::read(&schema, None, &value, NodeScope::ConfigOnly).unwrap_err();
-        assert_eq!(error.to_string(), *text, "{document}");
+        assert_eq!(error.to_string(), *message, "{document}");
     }
 }
 
 #[test]
-fn incomplete_tree_is_named_with_the_path() {
+fn constraint_error_names_the_path() {
     let schema = Schema::published();
-    for (document, text) in INCOMPLETE {
+    for (document, message) in INCOMPLETE {
         let value = serde_json::from_str(document).unwrap();
         let tree = json::read(&schema, None, &value, NodeScope::ConfigOnly).unwrap();
         let error = data::check_constraints(&schema, &tree, &Path::default()).unwrap_err();
-        assert_eq!(error.to_string(), *text, "{document}");
+        assert_eq!(error.to_string(), *message, "{document}");
     }
 }
