--- a/crates/rockflow-gnmi/src/paths.rs
+++ b/crates/rockflow-gnmi/src/paths.rs
@@ -30,14 +30,14 @@
     let mut steps: Vec<PatternStep> = Vec::new();
     for path in prefix.into_iter().chain(path) {
         if !matches!(path.origin.as_str(), "" | "rfc7951" | "rockflow") {
-            return Err(invalid(format!("{}: unsupported path origin", path.origin)));
+            return Err(invalid(format!("{}: no such origin", path.origin)));
         }
         for elem in &path.elem {
             if steps.len() >= MAX_STEPS {
-                return Err(invalid(format!("path has more than {MAX_STEPS} steps")));
+                return Err(invalid(format!("a path of more than {MAX_STEPS} steps")));
             }
             if matches!(elem.name.as_str(), "*" | "...") {
-                let message = format!("{}: wildcards are supported in keys, not in names", elem.name);
+                let message = format!("{}: open steps are not served, open keys are", elem.name);
                 return Err(ManagementError::new(ErrorTag::OperationNotSupported, message));
             }
             let key_values = elem.key.iter().map(|(key, value)| (key.as_str(), value.as_str()));
@@ -49,7 +49,7 @@
                     | NodeKind::Leaf { .. }
                     | NodeKind::LeafList { .. }
             ) {
-                return Err(invalid(format!("{}: not a data node", elem.name)));
+                return Err(invalid(format!("{}: no data", elem.name)));
             }
             steps.push(step);
         }
@@ -109,7 +109,7 @@
     }
     let instances = data::instances_matching(tree, pattern, MAX_INSTANCES);
     let instances = instances.ok_or_else(|| {
-        ManagementError::new(ErrorTag::TooBig, format!("path matches more than {MAX_INSTANCES} instances"))
+        ManagementError::new(ErrorTag::TooBig, format!("more than {MAX_INSTANCES} instances"))
     })?;
     let to_json = |path: &Path, instance: Instance| match (instance, path.node()) {
         (Instance::ListEntry(inner) | Instance::DataNode(DataNode::Container(inner)), _) => {
@@ -165,9 +165,7 @@
                 json::read(schema, Some(last.node), &parsed, NodeScope::ConfigOnly).map_err(invalid_json)?;
             for (key, key_value) in schema.keys(last.node).iter().zip(&last.keys) {
                 if entry.get(key).and_then(DataNode::scalar).is_some_and(|value| value != key_value) {
-                    return Err(
-                        invalid("the keys in the value differ from those in the path").with_path(path)
-                    );
+                    return Err(invalid("the keys of the value are others than the path's").with_path(path));
                 }
             }
             Ok(DataNode::Container(entry))
@@ -178,10 +176,8 @@
 
 /// Decodes a value that is not JSON: a scalar, or a list of scalars for a leaf-list.
 fn decode_typed_value(schema: &Schema, path: &Path, typed: &Typed) -> Result<DataNode, ManagementError> {
-    let node = path.node().ok_or_else(|| invalid("the root can only be set to a JSON object"))?;
-    let value_type = schema
-        .type_of(node)
-        .ok_or_else(|| invalid("only a leaf or leaf-list can be set to a scalar").with_path(path))?;
+    let node = path.node().ok_or_else(|| invalid("the top holds no value"))?;
+    let value_type = schema.type_of(node).ok_or_else(|| invalid("holds no value").with_path(path))?;
     let text = |typed: &Typed| {
         Ok(match typed {
             Typed::StringVal(text) | Typed::AsciiVal(text) => text.clone(),
@@ -189,7 +185,7 @@
             Typed::UintVal(number) => number.to_string(),
             Typed::BoolVal(value) => value.to_string(),
             Typed::DoubleVal(number) => number.to_string(),
-            _ => return Err(invalid("unsupported kind of value").with_path(path)),
+            _ => return Err(invalid("a value of a kind that is not served").with_path(path)),
         })
     };
     let decode_scalar =
--- a/crates/rockflow-gnmi/src/service.rs
+++ b/crates/rockflow-gnmi/src/service.rs
@@ -56,7 +56,7 @@
     /// session.
     fn open_session<T>(&self, request: &Request<T>) -> Result<SessionHandle, Status> {
         let peer = request.extensions().get::<Peer>().cloned();
-        let peer = peer.ok_or_else(|| Status::unauthenticated("the peer is not authenticated"))?;
+        let peer = peer.ok_or_else(|| Status::unauthenticated("who asks is not known"))?;
         let source = peer.from.ip().to_string();
         let operator = Operator { user: peer.user, protocol: Protocol::Gnmi, source };
         self.management.open_session(operator).map_err(|error| self.to_status(error))
@@ -83,9 +83,8 @@
         let updated = request.update.iter().map(|update| (EditOperation::Merge, update));
         for (op, update) in replaced.chain(updated) {
             let pattern = paths::decode_pattern(schema, prefix, update.path.as_ref())?;
-            let path = paths::to_path(&pattern).ok_or_else(|| {
-                ManagementError::new(ErrorTag::InvalidValue, "a value can't be set at a path with open keys")
-            })?;
+            let path = paths::to_path(&pattern)
+                .ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "a value is set at open keys"))?;
             let value = paths::decode_value(schema, &path, update.val.as_ref())?;
             edits.push(Edit { path, op, value: Some(value) });
         }
@@ -96,7 +95,7 @@
     fn plan(&self, list: &wire::SubscriptionList) -> Result<Vec<PlannedSubscription>, Status> {
         check_path_count(list.subscription.len())?;
         if list.subscription.is_empty() {
-            return Err(Status::invalid_argument("the subscription list is empty"));
+            return Err(Status::invalid_argument("nothing is subscribed to"));
         }
         list.subscription.iter().map(|subscription| self.plan_one(list, subscription)).collect()
     }
@@ -114,14 +113,14 @@
         let period = interval(subscription.sample_interval).unwrap_or(self.min_interval);
         if period < self.min_interval || heartbeat.is_some_and(|heartbeat| heartbeat < self.min_interval) {
             let millis = self.min_interval.as_millis();
-            return Err(Status::invalid_argument(format!("the shortest interval is {millis} ms")));
+            return Err(Status::invalid_argument(format!("the least interval is {millis} ms")));
         }
         let trigger = match SubscriptionMode::try_from(subscription.mode) {
             Ok(SubscriptionMode::Sample) => {
                 Trigger::Periodic { period, suppress: subscription.suppress_redundant, heartbeat }
             }
             Ok(_) => Trigger::OnChange { dampening: Duration::ZERO, heartbeat },
-            Err(_) => return Err(Status::invalid_argument("unknown subscription mode")),
+            Err(_) => return Err(Status::invalid_argument("no such mode of a subscription")),
         };
         Ok(PlannedSubscription { pattern, trigger })
     }
@@ -139,7 +138,7 @@
         let pattern = pattern.map_err(|error| self.to_status(error))?;
         let instances = paths::instances(schema, tree, &pattern).map_err(|error| self.to_status(error))?;
         if instances.is_empty() && paths::has_all_keys(&pattern) {
-            return Err(Status::not_found("no data at this path"));
+            return Err(Status::not_found("nothing there"));
         }
         let update = instances.iter().map(|(path, value)| wire::Update {
             path: Some(paths::encode_path(schema, path)),
@@ -188,7 +187,7 @@
         let (schema, encoding) = (self.schema(), encoding(request.encoding)?);
         check_path_count(request.path.len())?;
         let data_type = DataType::try_from(request.r#type);
-        let data_type = data_type.map_err(|_| Status::invalid_argument("unknown data type"))?;
+        let data_type = data_type.map_err(|_| Status::invalid_argument("no such type"))?;
         let datastore = (data_type == DataType::Config).then_some(Datastore::Running);
         let mut tree = session.read(datastore).await.map_err(|error| self.to_status(error))?;
         if matches!(data_type, DataType::State | DataType::Operational) {
@@ -208,12 +207,12 @@
         let session = self.open_session(&request)?;
         let request = request.into_inner();
         if !request.union_replace.is_empty() {
-            return Err(Status::unimplemented("union_replace is not supported"));
+            return Err(Status::unimplemented("union_replace is not served"));
         }
         // An ignored extension could be a condition of the change, such as commit confirmation, so every extension is
         // rejected.
         if !request.extension.is_empty() {
-            return Err(Status::unimplemented("extensions of Set are not supported"));
+            return Err(Status::unimplemented("no extension of Set is served"));
         }
         check_path_count(request.delete.len() + request.replace.len() + request.update.len())?;
         let running = self.management.inspect(|datastores| datastores.running().clone());
@@ -238,19 +237,17 @@
         request: Request<Streaming<wire::SubscribeRequest>>,
     ) -> Result<Response<Self::SubscribeStream>, Status> {
         let permit = self.subscribers.clone().try_acquire_owned();
-        let permit = permit.map_err(|_| Status::resource_exhausted("too many subscribers"))?;
+        let permit = permit.map_err(|_| Status::resource_exhausted("all subscribers' places are taken"))?;
         let session = self.open_session(&request)?;
         let mut requests = request.into_inner();
         let first = tokio::time::timeout(FIRST_MESSAGE_TIMEOUT, requests.next()).await;
-        let first = first.map_err(|_| Status::deadline_exceeded("no subscription list received in time"))?;
-        let first = first
-            .ok_or_else(|| Status::invalid_argument("the stream ended without a subscription list"))??;
+        let first = first.map_err(|_| Status::deadline_exceeded("no subscription in time"))?;
+        let first = first.ok_or_else(|| Status::invalid_argument("ended without a subscription"))??;
         let Some(SubscribeMessage::Subscribe(list)) = first.request else {
-            return Err(Status::invalid_argument("the first message must be a subscription list"));
+            return Err(Status::invalid_argument("a list of subscriptions is wanted first"));
         };
         let encoding = encoding(list.encoding)?;
-        let mode = Mode::try_from(list.mode)
-            .map_err(|_| Status::invalid_argument("unknown subscription list mode"))?;
+        let mode = Mode::try_from(list.mode).map_err(|_| Status::invalid_argument("no such mode"))?;
         let plans = self.plan(&list)?;
         let (responses, receiver) = mpsc::channel(MAX_WAITING_MESSAGES);
         let subscriber = Subscriber {
--- a/crates/rockflow-gnmi/src/subscriber.rs
+++ b/crates/rockflow-gnmi/src/subscriber.rs
@@ -84,7 +84,7 @@
             // Marks the session as active, so that it is not closed as idle.
             self.session.update(|_, _| ());
             if !matches!(request.request, Some(SubscribeMessage::Poll(_))) {
-                return self.end(Status::invalid_argument("expected a poll")).await;
+                return self.end(Status::invalid_argument("a poll is wanted")).await;
             }
             self.send_current_values(patterns).await?;
             self.send_sync().await?;
@@ -151,13 +151,13 @@
                     // A client may close its half of the stream and still receive updates.
                     None => std::future::pending::<()>().await,
                     Some(Ok(_)) => {
-                        return self.end(Status::invalid_argument("no message may follow the subscription list")).await;
+                        return self.end(Status::invalid_argument("one list, and nothing after it")).await;
                     }
                     Some(Err(_)) => return Err(Ended),
                 },
                 () = self.responses.closed() => return Err(Ended),
                 () = self.service.session_closed(self.session.id) => {
-                    let _ = self.responses.try_send(Err(Status::aborted("the session was closed")));
+                    let _ = self.responses.try_send(Err(Status::aborted("the session was ended")));
                     return Err(Ended);
                 }
             }
--- a/crates/rockflow-management-service/src/service/changes.rs
+++ b/crates/rockflow-management-service/src/service/changes.rs
@@ -27,7 +27,7 @@
         // Without the endpoint list, the validation could not prevent draining the last endpoint of a
         // location.
         let status = self.status().await.ok_or_else(|| {
-            let message = "the dispatcher did not report its hosts; nothing is changed";
+            let message = "the dispatcher does not tell its hosts; nothing is changed";
             ManagementError::new(ErrorTag::ResourceDenied, message)
         })?;
         let context = state::validation_context(&status, self.now());
--- a/crates/rockflow-management/src/candidate.rs
+++ b/crates/rockflow-management/src/candidate.rs
@@ -53,8 +53,7 @@
         let changed_by = commit.map_or("meanwhile".to_string(), |commit| {
             format!("by {} in commit {}", commit.operator.user, commit.version)
         });
-        let message =
-            format!("{} was changed {changed_by}; discard the changes and edit again", path.to_text(schema));
+        let message = format!("{} was changed {changed_by}; discard and begin anew", path.to_text(schema));
         ManagementError::new(ErrorTag::OperationFailed, message).with_app_tag("conflict").with_path(path)
     }
 }
--- a/crates/rockflow-management/src/error.rs
+++ b/crates/rockflow-management/src/error.rs
@@ -150,7 +150,7 @@
         source: Box<PathError>,
     },
     /// A rule has both a path and a call as its target.
-    #[error("rule {rule}: path and rpc can't both be set")]
+    #[error("rule {rule}: a path and a call exclude each other")]
     PathAndCall {
         /// The rule's number.
         rule: String,
--- a/crates/rockflow-management/src/management/editing.rs
+++ b/crates/rockflow-management/src/management/editing.rs
@@ -76,10 +76,7 @@
         self.authorize_call(id, "copy-config")?;
         let fields = match source {
             ConfigSource::Datastore(source) if source == target => {
-                return Err(ManagementError::new(
-                    ErrorTag::InvalidValue,
-                    "source and target are the same datastore",
-                ));
+                return Err(ManagementError::new(ErrorTag::InvalidValue, "copied onto itself"));
             }
             ConfigSource::Datastore(source) => self.datastore(id, source).clone(),
             ConfigSource::Inline(fields) => fields,
@@ -180,8 +177,7 @@
             Datastore::Candidate => self.check_candidate_lock(id),
             Datastore::Startup if self.has_separate_startup() => Ok(()),
             _ => {
-                let name = target.name();
-                let message = format!("{name} can't be edited directly; edit the candidate and commit it");
+                let message = "only the candidate is edited, then committed";
                 Err(ManagementError::new(ErrorTag::OperationNotSupported, message))
             }
         }
@@ -190,9 +186,9 @@
     fn check_copy_target(&self, id: SessionId, target: Datastore) -> Result<(), ManagementError> {
         let not_supported = |message: &str| ManagementError::new(ErrorTag::OperationNotSupported, message);
         match target {
-            Datastore::Running => Err(not_supported("running can be changed only by commits")),
+            Datastore::Running => Err(not_supported("running is changed by commits alone")),
             Datastore::Startup if !self.has_separate_startup() => {
-                Err(not_supported("startup always equals running and can't be written"))
+                Err(not_supported("startup follows each commit"))
             }
             Datastore::Startup => match self.locks.other_holder(target, id) {
                 Some(holder) => {
@@ -210,7 +206,7 @@
         let edited = self.edit_config(id, target, &[edit], ErrorOption::Rollback, EditMode::Apply);
         edited.map_err(|errors| {
             let first = errors.into_iter().next();
-            first.unwrap_or_else(|| ManagementError::new(ErrorTag::OperationFailed, "the edit failed"))
+            first.unwrap_or_else(|| ManagementError::new(ErrorTag::OperationFailed, "failed"))
         })
     }
 
--- a/crates/rockflow-management/src/management/locking.rs
+++ b/crates/rockflow-management/src/management/locking.rs
@@ -70,7 +70,7 @@
         let user = &self.sessions.get(id)?.operator.user;
         let may_change = |path: &&Path| self.access.is_permitted(user, Operation::Update, path);
         if let Some(path) = nodes.iter().find(|path| !may_change(path)) {
-            let message = "the user may not change this node, so can't lock it";
+            let message = "may not be changed, so not locked";
             return Err(ManagementError::new(ErrorTag::AccessDenied, message).with_path(path));
         }
         if let Some(holder) = self.locks.other_holder(Datastore::Running, id) {
@@ -100,14 +100,12 @@
     fn select_nodes(&self, select: &[Pattern]) -> Result<Vec<Path>, ManagementError> {
         let mut nodes = Vec::new();
         for pattern in select {
-            let found =
-                data::instances_matching(&self.running, pattern, MAX_LOCKED_NODES).ok_or_else(|| {
-                    ManagementError::new(ErrorTag::TooBig, "the selection matches too many nodes")
-                })?;
+            let found = data::instances_matching(&self.running, pattern, MAX_LOCKED_NODES)
+                .ok_or_else(|| ManagementError::new(ErrorTag::TooBig, "too much to lock in part"))?;
             nodes.extend(found.into_iter().map(|(path, _)| path));
         }
         if nodes.is_empty() {
-            let error = ManagementError::new(ErrorTag::OperationFailed, "the selection matches no node");
+            let error = ManagementError::new(ErrorTag::OperationFailed, "nothing there to lock");
             return Err(error.with_app_tag("no-matches"));
         }
         Ok(nodes)
--- a/crates/rockflow-management/src/management/session_control.rs
+++ b/crates/rockflow-management/src/management/session_control.rs
@@ -48,7 +48,7 @@
     ) -> Result<(), ManagementError> {
         self.authorize_call(id, "kill-session")?;
         if id == victim {
-            let message = "use close-session to end the requesting session itself";
+            let message = "a session ends itself with close-session";
             return Err(ManagementError::new(ErrorTag::InvalidValue, message));
         }
         if !self.sessions.contains(victim) {
--- a/crates/rockflow-management/src/validation.rs
+++ b/crates/rockflow-management/src/validation.rs
@@ -45,7 +45,7 @@
 /// Fails where a configuration holds more than [`MAX_VALUES`] values.
 pub(crate) fn check_size(fields: &DataTree) -> Result<(), ManagementError> {
     if data::count_values(fields) > MAX_VALUES {
-        let message = format!("the configuration holds more than {MAX_VALUES} values");
+        let message = format!("more than {MAX_VALUES} values");
         return Err(ManagementError::new(ErrorTag::ResourceDenied, message));
     }
     Ok(())
--- a/crates/rockflow-netconf/src/codec.rs
+++ b/crates/rockflow-netconf/src/codec.rs
@@ -92,7 +92,7 @@
 ) -> Result<NodeId, ManagementError> {
     let module = schema.modules().iter().position(|module| module.namespace == element.ns);
     let Some(module) = module else {
-        let message = format!("{}: unknown namespace", element.ns);
+        let message = format!("{}: no such namespace", element.ns);
         return Err(ManagementError::new(ErrorTag::UnknownNamespace, message).with_element(&element.name));
     };
     let module = rockflow_yang::ModuleId(module as u8);
@@ -104,11 +104,11 @@
 
 /// Parses the value of a leaf or of a leaf-list entry.
 fn scalar(schema: &Schema, node: NodeId, element: &Element, path: &Path) -> Result<Scalar, ManagementError> {
-    let value_type = schema.type_of(node).ok_or_else(|| {
-        ManagementError::new(ErrorTag::InvalidValue, "this node has no value").with_path(path)
-    })?;
+    let value_type = schema
+        .type_of(node)
+        .ok_or_else(|| ManagementError::new(ErrorTag::InvalidValue, "holds no value").with_path(path))?;
     if !element.children.is_empty() {
-        return Err(ManagementError::new(ErrorTag::UnknownElement, "expected a value, found an element")
+        return Err(ManagementError::new(ErrorTag::UnknownElement, "a value is wanted")
             .with_path(path)
             .with_element(&element.name));
     }
@@ -130,7 +130,7 @@
         let name = &schema.node(*key).name;
         let mut found = element.children.iter().filter(|child| child.name == *name);
         let (Some(child), None) = (found.next(), found.next()) else {
-            let message = format!("the key {name} must occur exactly once");
+            let message = format!("the key {name} must stand once");
             return Err(ManagementError::new(ErrorTag::MissingElement, message)
                 .with_path(path)
                 .with_element(name));
@@ -154,7 +154,7 @@
         let id = node_of(schema, parent, element)?;
         let path = parent_path.child(id, Vec::new());
         if !scope.includes(schema.node(id)) {
-            let error = ManagementError::new(ErrorTag::InvalidValue, "state data can't be written");
+            let error = ManagementError::new(ErrorTag::InvalidValue, "is state, which can't be written");
             return Err(error.with_path(&path));
         }
         let is_new = match &schema.node(id).kind {
@@ -184,7 +184,7 @@
             }
         };
         if !is_new {
-            let error = ManagementError::new(ErrorTag::BadElement, "occurs more than once");
+            let error = ManagementError::new(ErrorTag::BadElement, "stands twice");
             return Err(error.with_path(&path).with_element(&element.name));
         }
     }
@@ -213,7 +213,7 @@
         Some("delete") => Ok(Some(EditOperation::Delete)),
         Some("remove") => Ok(Some(EditOperation::Remove)),
         Some(other) => {
-            let error = ManagementError::new(ErrorTag::BadAttribute, format!("{other}: unknown operation"));
+            let error = ManagementError::new(ErrorTag::BadAttribute, format!("{other}: no such operation"));
             Err(error.with_path(path).with_element(&element.name))
         }
     }
@@ -300,7 +300,7 @@
             }
             NodeKind::Container | NodeKind::List { .. } => Ok(None),
             _ => {
-                let error = ManagementError::new(ErrorTag::UnknownElement, "not a configuration node");
+                let error = ManagementError::new(ErrorTag::UnknownElement, "no configuration");
                 Err(error.with_element(&element.name))
             }
         }
@@ -322,10 +322,8 @@
             if !self.schema.is_key(inner) {
                 self.read_element(Some(list), child, &path, op)?;
             } else if own_operation(child, &path)?.is_some() {
-                let error = ManagementError::new(
-                    ErrorTag::BadAttribute,
-                    "a list key can't have an operation attribute",
-                );
+                let error =
+                    ManagementError::new(ErrorTag::BadAttribute, "a key bears no operation of its own");
                 return Err(error.with_path(&path).with_element(&child.name));
             }
         }
@@ -339,7 +337,7 @@
     for element in elements {
         if let Some(op) = element.attribute(ns::BASE, "operation") {
             if !matches!(op, "merge" | "replace" | "create") {
-                let message = format!("operation {op} inside a subtree that is replaced or created");
+                let message = format!("{op} within what is replaced or created as a whole");
                 return Err(ManagementError::new(ErrorTag::BadAttribute, message)
                     .with_path(path)
                     .with_element(&element.name));
--- a/crates/rockflow-netconf/src/filter.rs
+++ b/crates/rockflow-netconf/src/filter.rs
@@ -142,7 +142,7 @@
     let namespace = prefixes.get(prefix);
     let module = schema.modules().iter().find(|module| Some(&module.namespace) == namespace);
     let module = module.or_else(|| schema.modules().iter().find(|module| module.name == prefix));
-    let module = module.ok_or_else(|| invalid(format!("{prefix}: unknown prefix")))?;
+    let module = module.ok_or_else(|| invalid(format!("{prefix}: no such prefix")))?;
     Ok(format!("{}:{local}", module.name))
 }
 
--- a/crates/rockflow-netconf/src/rpc/edit.rs
+++ b/crates/rockflow-netconf/src/rpc/edit.rs
@@ -88,7 +88,7 @@
         Some("replace") => Ok(EditOperation::Replace),
         Some("none") => Ok(EditOperation::AssertExists),
         Some(other) => {
-            Err(invalid(format!("{other}: unknown default-operation")).with_element("default-operation"))
+            Err(invalid(format!("{other}: no default-operation")).with_element("default-operation"))
         }
     }
 }
@@ -98,7 +98,7 @@
         None | Some("stop-on-error") => Ok(ErrorOption::Stop),
         Some("continue-on-error") => Ok(ErrorOption::Continue),
         Some("rollback-on-error") => Ok(ErrorOption::Rollback),
-        Some(other) => Err(invalid(format!("{other}: unknown error-option"))),
+        Some(other) => Err(invalid(format!("{other}: no error-option"))),
     }
 }
 
@@ -107,6 +107,6 @@
         None | Some("set") => Ok(TestOption::Set),
         Some("test-then-set") => Ok(TestOption::TestThenSet),
         Some("test-only") => Ok(TestOption::TestOnly),
-        Some(other) => Err(invalid(format!("{other}: unknown test-option"))),
+        Some(other) => Err(invalid(format!("{other}: no test-option"))),
     }
 }
--- a/crates/rockflow-netconf/src/rpc/get.rs
+++ b/crates/rockflow-netconf/src/rpc/get.rs
@@ -104,8 +104,6 @@
             Ok((data::with_defaults(schema, &tree, NodeScope::ConfigOnly), tagged))
         }
         Some("trim") => Ok((data::without_defaults(schema, &tree), no_annotations)),
-        Some(other) => {
-            Err(invalid(format!("{other}: unknown with-defaults mode")).with_element("with-defaults"))
-        }
+        Some(other) => Err(invalid(format!("{other}: no mode of defaults")).with_element("with-defaults")),
     }
 }
--- a/crates/rockflow-netconf/src/rpc/mod.rs
+++ b/crates/rockflow-netconf/src/rpc/mod.rs
@@ -182,7 +182,7 @@
 
 async fn kill_session(session: &SessionHandle, operation: &Element) -> Result<Reply, ManagementError> {
     let target = operation.text_of("session-id").ok_or_else(|| missing("session-id"))?;
-    let target = target.parse().map_err(|_| invalid("session-id is not a number"))?;
+    let target = target.parse().map_err(|_| invalid("session-id is no number"))?;
     session.kill_session(SessionId(target)).await?;
     Ok(Reply::Ok)
 }
--- a/crates/rockflow-netconf/src/rpc/model.rs
+++ b/crates/rockflow-netconf/src/rpc/model.rs
@@ -36,7 +36,7 @@
                 session.rollback(version, input.number("expected")).await?
             }
             other => {
-                let message = format!("{other}: not supported");
+                let message = format!("{other}: not served");
                 return Err(ManagementError::new(ErrorTag::OperationNotSupported, message));
             }
         };
--- a/crates/rockflow-netconf/src/rpc/parameters.rs
+++ b/crates/rockflow-netconf/src/rpc/parameters.rs
@@ -24,7 +24,7 @@
         "candidate" => Ok(Datastore::Candidate),
         "startup" => Ok(Datastore::Startup),
         other => {
-            let message = format!("{other}: datastore not supported");
+            let message = format!("{other}: not a datastore here");
             Err(ManagementError::new(ErrorTag::OperationNotSupported, message).with_element(other))
         }
     }
@@ -38,7 +38,7 @@
         "candidate" => Ok(Some(Datastore::Candidate)),
         "startup" => Ok(Some(Datastore::Startup)),
         "operational" => Ok(None),
-        other => Err(invalid(format!("{other}: datastore not supported")).with_element("datastore")),
+        other => Err(invalid(format!("{other}: not a datastore here")).with_element("datastore")),
     }
 }
 
@@ -46,8 +46,7 @@
 pub(super) fn seconds(operation: &Element, name: &str) -> Result<Option<Duration>, ManagementError> {
     let Some(text) = operation.text_of(name) else { return Ok(None) };
     let number = text.parse::<u32>().ok().filter(|number| *number > 0);
-    let number =
-        number.ok_or_else(|| invalid(format!("{name}: {text:?} is not a number of seconds above 0")))?;
+    let number = number.ok_or_else(|| invalid(format!("{name}: {text:?} is no number of seconds")))?;
     Ok(Some(Duration::from_secs(number.into())))
 }
 
@@ -56,6 +55,6 @@
     let Some(text) = holder.text_of(name) else { return Ok(None) };
     match text.parse::<u32>() {
         Ok(hundredths) => Ok(Some(Duration::from_millis(u64::from(hundredths) * 10))),
-        Err(_) => Err(invalid(format!("{name} is not a number")).with_element(name)),
+        Err(_) => Err(invalid(format!("{name} is no number")).with_element(name)),
     }
 }
--- a/crates/rockflow-netconf/src/rpc/partial_lock.rs
+++ b/crates/rockflow-netconf/src/rpc/partial_lock.rs
@@ -34,7 +34,7 @@
 
 pub(super) fn partial_unlock(session: &SessionHandle, operation: &Element) -> Result<Reply, ManagementError> {
     let lock = operation.text_of("lock-id").ok_or_else(|| missing("lock-id"))?;
-    let lock = lock.parse().map_err(|_| invalid("lock-id is not a number"))?;
+    let lock = lock.parse().map_err(|_| invalid("lock-id is no number"))?;
     session.update(|datastores, _| datastores.partial_unlock(session.id, lock))?;
     Ok(Reply::Ok)
 }
--- a/crates/rockflow-netconf/src/rpc/selection.rs
+++ b/crates/rockflow-netconf/src/rpc/selection.rs
@@ -35,7 +35,7 @@
                 Ok(Selection::Paths(filter::patterns(schema, select, &filter.prefixes)?))
             }
             Some(other) => {
-                let message = format!("{other}: unknown filter type");
+                let message = format!("{other}: no type of filter");
                 Err(ManagementError::new(ErrorTag::BadAttribute, message).with_element("filter"))
             }
         }
--- a/crates/rockflow-netconf/src/rpc/subscription.rs
+++ b/crates/rockflow-netconf/src/rpc/subscription.rs
@@ -47,7 +47,7 @@
 fn periodic_trigger(periodic: &Element) -> Result<Trigger, ManagementError> {
     let period = hundredths(periodic, "period")?.ok_or_else(|| missing("period"))?;
     if period < MIN_PERIOD {
-        let error = invalid("the minimum period is 10 hundredths of a second");
+        let error = invalid("the least period is 10 hundredths of a second");
         return Err(error.with_app_tag("period-unsupported").with_element("period"));
     }
     Ok(Trigger::Periodic { period, suppress: false, heartbeat: None })
@@ -60,20 +60,20 @@
     session.authorize_call("create-subscription")?;
     check_stream(operation)?;
     if operation.child("startTime").is_some() || operation.child("stopTime").is_some() {
-        return Err(invalid("replay is not supported").with_element("startTime"));
+        return Err(invalid("there is no replay").with_element("startTime"));
     }
     Ok(Reply::Events)
 }
 
 pub(super) fn delete_subscription(operation: &Element) -> Result<Reply, ManagementError> {
     let id = operation.text_of("id").ok_or_else(|| missing("id"))?;
-    Ok(Reply::Unsubscribe(id.parse().map_err(|_| invalid("id is not a number"))?))
+    Ok(Reply::Unsubscribe(id.parse().map_err(|_| invalid("id is no number"))?))
 }
 
 /// Checks that the requested stream, if any, is `NETCONF`, the only one that this server has.
 fn check_stream(operation: &Element) -> Result<(), ManagementError> {
     match operation.text_of("stream") {
         None | Some("NETCONF") => Ok(()),
-        Some(other) => Err(invalid(format!("{other}: unknown stream")).with_element("stream")),
+        Some(other) => Err(invalid(format!("{other}: no such stream")).with_element("stream")),
     }
 }
--- a/crates/rockflow-netconf/src/session/mod.rs
+++ b/crates/rockflow-netconf/src/session/mod.rs
@@ -214,7 +214,7 @@
         Counts::add(&server.counts.rpcs);
         let rpc = match xml::read(message) {
             Ok(element) if element.name == "rpc" && element.ns == ns::BASE => element,
-            Ok(_) => return self.refuse_message("the message is not an rpc".to_string()).await,
+            Ok(_) => return self.refuse_message("no rpc".to_string()).await,
             Err(error) => return self.refuse_message(error.to_string()).await,
         };
         let operation = match single_operation(&rpc) {
@@ -303,7 +303,7 @@
     match rpc.children.as_slice() {
         [operation] => Ok(operation),
         _ => {
-            let error = ManagementError::new(ErrorTag::MissingElement, "expected exactly one operation");
+            let error = ManagementError::new(ErrorTag::MissingElement, "one operation is wanted");
             Err(error.with_element("rpc"))
         }
     }
--- a/crates/rockflow-netconf/src/session/subscriptions.rs
+++ b/crates/rockflow-netconf/src/session/subscriptions.rs
@@ -45,10 +45,7 @@
     ) -> Result<u64, ManagementError> {
         self.check_limit()?;
         if self.has_event_subscription {
-            return Err(ManagementError::new(
-                ErrorTag::InUse,
-                "this session has an event subscription already",
-            ));
+            return Err(ManagementError::new(ErrorTag::InUse, "this session follows events already"));
         }
         self.has_event_subscription = true;
         let events = session.subscribe_events();
@@ -83,7 +80,7 @@
     ) -> Result<(), ManagementError> {
         let task = self.tasks.remove(&number);
         let task = task.ok_or_else(|| {
-            ManagementError::new(ErrorTag::InvalidValue, format!("this session has no subscription {number}"))
+            ManagementError::new(ErrorTag::InvalidValue, format!("no subscription {number} here"))
                 .with_app_tag("no-such-subscription")
         })?;
         task.abort();
--- a/crates/rockflow-netconf/src/xml.rs
+++ b/crates/rockflow-netconf/src/xml.rs
@@ -31,34 +31,34 @@
     #[error("{0}")]
     Malformed(String),
     /// The message has more than one top-level element.
-    #[error("more than one top-level element")]
+    #[error("more than one element")]
     SecondRoot,
     /// The message exceeds [`MAX_DEPTH`] or [`MAX_ELEMENTS`].
-    #[error("nested deeper than {MAX_DEPTH} or more than {MAX_ELEMENTS} elements")]
+    #[error("deeper than {MAX_DEPTH} or more than {MAX_ELEMENTS} elements")]
     TooManyElements,
     /// An element has more than [`MAX_ATTRIBUTES`] attributes.
-    #[error("more than {MAX_ATTRIBUTES} attributes on an element")]
+    #[error("more than {MAX_ATTRIBUTES} attributes")]
     TooManyAttributes,
     /// An end tag has no matching start tag.
-    #[error("an end tag without a start tag")]
+    #[error("an end without a start")]
     EndWithoutStart,
     /// There is text outside the top-level element.
-    #[error("text outside the top-level element")]
+    #[error("text outside of the element")]
     TextOutside,
     /// The message refers to an entity other than the five that XML predefines.
-    #[error("reference to an entity that is not predefined")]
+    #[error("an entity that is not predefined")]
     UnknownEntity,
     /// The message has a document type declaration, which is not accepted.
-    #[error("document type declarations are not accepted")]
+    #[error("a document type is not taken")]
     DocumentType,
     /// The message has a processing instruction, which is not accepted.
-    #[error("processing instructions are not accepted")]
+    #[error("a processing instruction is not taken")]
     ProcessingInstruction,
     /// The message ends before all elements are closed.
-    #[error("the message ends inside an element")]
+    #[error("ends within an element")]
     Truncated,
     /// The message holds no element.
-    #[error("the message has no element")]
+    #[error("no element")]
     Empty,
     /// A name has a prefix for which no namespace is declared.
     #[error("the prefix {0} is not declared")]
--- a/crates/rockflow-store/src/snapshot.rs
+++ b/crates/rockflow-store/src/snapshot.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Error)]
 pub enum SaveError {
     /// The payload is larger than the limit up to which a snapshot is read back.
-    #[error("{bytes} bytes, which exceeds the limit of {max_bytes}")]
+    #[error("{bytes} bytes, over the cap of {max_bytes}")]
     TooLarge {
         /// The length of the payload in bytes.
         bytes: usize,
@@ -59,7 +59,7 @@
     NotSaved(#[source] io::Error),
     /// The payload may or may not be durable: the folder could not be synced, and the new file could not be removed
     /// durably either. The next successful save makes it irrelevant which of the two holds.
-    #[error("possibly not saved: {0}")]
+    #[error("perhaps not saved: {0}")]
     Uncertain(#[source] io::Error),
 }
 
--- a/crates/rockflow-yang/src/data/constraints.rs
+++ b/crates/rockflow-yang/src/data/constraints.rs
@@ -39,7 +39,7 @@
     if (min..=max).contains(&count) {
         return Ok(());
     }
-    let message = format!("{}: {count} entries, must be from {min} to {max}", path.to_text(schema));
+    let message = format!("{}: {count} entries, from {min} to {max} may be", path.to_text(schema));
     Err(EditError::new(EditErrorKind::BadValue, path, message))
 }
 
--- a/crates/rockflow-yang/src/data/edit.rs
+++ b/crates/rockflow-yang/src/data/edit.rs
@@ -72,11 +72,7 @@
     match edit.op {
         EditOperation::Replace | EditOperation::Merge => {
             let Some(DataNode::Container(new)) = &edit.value else {
-                return Err(error(
-                    edit,
-                    EditErrorKind::BadValue,
-                    "the top level of the tree must be an object",
-                ));
+                return Err(error(edit, EditErrorKind::BadValue, "the top holds containers"));
             };
             if edit.op == EditOperation::Replace {
                 *tree = new.clone();
@@ -89,9 +85,7 @@
             tree.clear();
             Ok(())
         }
-        EditOperation::Create => {
-            Err(error(edit, EditErrorKind::Exists, "the top level of the tree always exists"))
-        }
+        EditOperation::Create => Err(error(edit, EditErrorKind::Exists, "the top exists")),
         EditOperation::AssertExists => Ok(()),
     }
 }
@@ -133,7 +127,7 @@
     last: &PathStep,
 ) -> Result<(), EditError> {
     let Some(value) = last.keys.first() else {
-        return Err(error(edit, EditErrorKind::BadValue, "does not identify a value"));
+        return Err(error(edit, EditErrorKind::BadValue, "names no value"));
     };
     let list_path = leaf_list_path(&edit.path.0);
     let mut values = leaf_list_values(tree, &list_path);
@@ -167,7 +161,7 @@
     if fits {
         Ok(value)
     } else {
-        Err(error(edit, EditErrorKind::BadValue, "can't hold a value of this kind"))
+        Err(error(edit, EditErrorKind::BadValue, "can't hold such a value"))
     }
 }
 
@@ -175,7 +169,7 @@
     match (locate_or_create(schema, tree, &edit.path.0), value) {
         (Target::ListEntry(entry), DataNode::Container(new)) => merge(entry, &new),
         (Target::ListEntry(_), _) => {
-            return Err(error(edit, EditErrorKind::BadValue, "can't hold a value of this kind"))
+            return Err(error(edit, EditErrorKind::BadValue, "can't hold such a value"))
         }
         (Target::Node(parent, node), value) => match parent.get_mut(&node) {
             Some(old) => merge_node(old, &value),
--- a/crates/rockflow-yang/src/error.rs
+++ b/crates/rockflow-yang/src/error.rs
@@ -34,7 +34,7 @@
         token: String,
     },
     /// Statements are nested more deeply than the parser allows.
-    #[error("line {line}: statements are nested too deeply")]
+    #[error("line {line}: too deep")]
     TooDeep {
         /// Line in the module's text, counted from 1.
         line: usize,
@@ -63,43 +63,43 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StatementProblem {
     /// The outermost statement is not a `module`.
-    #[error("expected a module")]
+    #[error("a module is wanted")]
     NotAModule,
     /// A second statement follows the module.
-    #[error("unexpected statement after the module")]
+    #[error("stands behind the module")]
     AfterModule,
     /// A required substatement is missing.
     #[error("no {0}")]
     Missing(&'static str),
     /// A substatement's argument is not a number.
-    #[error("{0} is not a number")]
+    #[error("{0} is no number")]
     NotANumber(&'static str),
     /// An imported module was not compiled before this one.
-    #[error("imported module is not loaded yet")]
+    #[error("not known by then")]
     UnknownImport,
     /// A keyword that is not supported within an `augment`.
-    #[error("not supported in an augment")]
+    #[error("not known within an augment")]
     UnknownInAugment,
     /// A keyword that is not supported at the top of a module.
-    #[error("not supported at the top of a module")]
+    #[error("not known at the top")]
     UnknownAtTop,
     /// A keyword that is not supported within its parent statement.
-    #[error("not supported here")]
+    #[error("not known here")]
     UnknownHere,
     /// A step of the target path of an `augment` has no prefix.
-    #[error("a step of the target has no prefix")]
+    #[error("a step has no prefix")]
     StepWithoutPrefix,
     /// A prefix that no import declares.
-    #[error("unknown prefix")]
+    #[error("a prefix is not known")]
     UnknownPrefix,
     /// The target node of an `augment` does not exist.
-    #[error("no such target node")]
+    #[error("names nothing")]
     NoSuchTarget,
     /// A default value that the type does not allow.
     #[error("default {0}")]
     BadDefault(#[source] ValueError),
     /// A sibling has the same name.
-    #[error("a sibling has the same name")]
+    #[error("stands there already")]
     Duplicate,
     /// The `key` statement names a leaf that the list does not have.
     #[error("no such key")]
@@ -108,16 +108,16 @@
     #[error("no such type")]
     NoSuchType,
     /// A `length` that can't be parsed.
-    #[error("invalid length")]
+    #[error("a length can't be read")]
     BadLength,
     /// A `range` that can't be parsed.
-    #[error("invalid range")]
+    #[error("a range can't be read")]
     BadRange,
     /// A `pattern` that can't be compiled, with the message of the regular expression compiler.
     #[error("{0}")]
     BadPattern(String),
     /// A restricted enumeration has a name that its base type lacks.
-    #[error("{0} is not in the base enumeration")]
+    #[error("{0} is not of the type that this narrows")]
     NotInBaseType(String),
 }
 
@@ -131,7 +131,7 @@
         allowed: String,
     },
     /// A text with a control character other than tab, line feed and carriage return.
-    #[error("must not contain control characters")]
+    #[error("holds a control character")]
     ControlCharacter,
     /// A text that does not match one of the type's patterns.
     #[error("must match {pattern}")]
@@ -154,7 +154,7 @@
         allowed: String,
     },
     /// Not a decimal number, or one with too many fraction digits.
-    #[error("must be a number with at most {digits} digits after the decimal point")]
+    #[error("must be a number with {digits} digits behind the point at most")]
     NotADecimal {
         /// Maximum number of digits after the decimal point.
         digits: u8,
@@ -186,19 +186,19 @@
     #[error("the path has too many steps")]
     TooManySteps,
     /// A step that does not begin with `/`.
-    #[error("{path}: a step must begin with /")]
+    #[error("{path}: a step begins with /")]
     NoSlash {
         /// The whole path text.
         path: String,
     },
     /// A key predicate that can't be parsed.
-    #[error("{path}: malformed key predicate")]
+    #[error("{path}: a key is odd")]
     BadPredicate {
         /// The whole path text.
         path: String,
     },
     /// A path of one instance that leaves keys of a list open.
-    #[error("{path}: a list in the path needs all its keys")]
+    #[error("{path}: a list on the way has no key")]
     OpenKey {
         /// The whole path text.
         path: String,
@@ -216,7 +216,7 @@
         step: String,
     },
     /// The step names a key that the list does not have.
-    #[error("{step}: {key} is not a key of this list")]
+    #[error("{step}: {key} is no key of it")]
     NoSuchKey {
         /// The name of the step, with its module prefix if it has one.
         step: String,
@@ -258,13 +258,13 @@
         source: Box<JsonError>,
     },
     /// A value that should be an object.
-    #[error("expected an object")]
+    #[error("an object is wanted")]
     NotAnObject,
     /// A value that should be an array.
-    #[error("expected an array")]
+    #[error("an array is wanted")]
     NotAnArray,
     /// A JSON value that can't be the value of a leaf, such as an object.
-    #[error("expected a leaf value")]
+    #[error("a value is wanted")]
     NotAValue,
     /// The member's name has the prefix of a module that does not exist.
     #[error("no such module")]
@@ -276,13 +276,13 @@
     #[error("is state, which can't be written")]
     IsState,
     /// Two members name the same node.
-    #[error("duplicate member")]
+    #[error("stands twice")]
     DuplicateMember,
     /// A leaf-list contains a value twice.
-    #[error("duplicate value")]
+    #[error("a value stands twice")]
     DuplicateValue,
     /// A list contains two entries with the same keys.
-    #[error("duplicate list entry")]
+    #[error("an entry stands twice")]
     DuplicateEntry,
     /// A list entry lacks one of its keys.
     #[error("the key {0} is missing")]
@@ -291,7 +291,7 @@
     #[error(transparent)]
     Value(#[from] ValueError),
     /// A value in another JSON form than the one that RFC 7951 defines for its type.
-    #[error("is not in the JSON form of its type")]
+    #[error("is not of the type's JSON form")]
     WrongForm,
 }
 
--- a/crates/rockflow-yang/tests/error_texts.rs
+++ b/crates/rockflow-yang/tests/error_texts.rs
@@ -7,25 +7,22 @@
 /// The body of a module, and the expected error text.
 const STATEMENTS: &[(&str, &str)] = &[
     ("leaf a { type wrong; }", "m: line 1: type wrong: no such type"),
-    (r#"leaf a { type uint8 { range "1..x"; } }"#, "m: line 1: type uint8: invalid range"),
+    (r#"leaf a { type uint8 { range "1..x"; } }"#, "m: line 1: type uint8: a range can't be read"),
     ("leaf a { type uint8; default 300; }", "m: line 1: leaf a: default must be a number from 0 to 255"),
     ("list l { key k; leaf a { type string; } }", "m: line 1: list l: no such key"),
     ("list l { leaf a { type string; } }", "m: line 1: list l: no key"),
-    (r#"leaf a { type string; must "1"; }"#, "m: line 1: must 1: not supported here"),
-    ("choice c { leaf a { type string; } }", "m: line 1: choice c: not supported at the top of a module"),
+    (r#"leaf a { type string; must "1"; }"#, "m: line 1: must 1: not known here"),
+    ("choice c { leaf a { type string; } }", "m: line 1: choice c: not known at the top"),
     (
         "leaf a { type enumeration { enum x; } } leaf a { type string; }",
-        "m: line 1: leaf a: a sibling has the same name",
+        "m: line 1: leaf a: stands there already",
     ),
-    (r#"augment "/n:x" { leaf a { type string; } }"#, "m: line 1: augment /n:x: unknown prefix"),
-    (
-        r#"augment "/x" { leaf a { type string; } }"#,
-        "m: line 1: augment /x: a step of the target has no prefix",
-    ),
-    (r#"augment "/m:x" { leaf a { type string; } }"#, "m: line 1: augment /m:x: no such target node"),
+    (r#"augment "/n:x" { leaf a { type string; } }"#, "m: line 1: augment /n:x: a prefix is not known"),
+    (r#"augment "/x" { leaf a { type string; } }"#, "m: line 1: augment /x: a step has no prefix"),
+    (r#"augment "/m:x" { leaf a { type string; } }"#, "m: line 1: augment /m:x: names nothing"),
     ("leaf a { type string; ", "m: line 1: unexpected EndOfInput"),
     ("leaf a { }", "m: line 1: leaf a: no type"),
-    (r#"leaf a { type string { length "x"; } }"#, "m: line 1: type string: invalid length"),
+    (r#"leaf a { type string { length "x"; } }"#, "m: line 1: type string: a length can't be read"),
     (
         r#"leaf a { type string { pattern "("; } }"#,
         "m: line 1: type string: found open group without closing ')'",
@@ -34,28 +31,25 @@
     ("leaf a { type enumeration; }", "m: line 1: type enumeration: no enum"),
     (
         "typedef e { type enumeration { enum x; } } leaf a { type e { enum y; } }",
-        "m: line 1: type e: y is not in the base enumeration",
+        "m: line 1: type e: y is not of the type that this narrows",
     ),
-    ("leaf a { type n:e; }", "m: line 1: type n:e: unknown prefix"),
+    ("leaf a { type n:e; }", "m: line 1: type n:e: a prefix is not known"),
     (
         "list l { key a; min-elements x; leaf a { type string; } }",
-        "m: line 1: list l: min-elements is not a number",
+        "m: line 1: list l: min-elements is no number",
     ),
-    ("import o { prefix o; }", "m: line 1: import o: imported module is not loaded yet"),
+    ("import o { prefix o; }", "m: line 1: import o: not known by then"),
     (
         r#"container c { } augment "/m:c" { grouping g; }"#,
-        "m: line 1: grouping g: not supported in an augment",
-    ),
-    (
-        "leaf a { type string; } } leaf b { type string; }",
-        "m: line 1: leaf b: unexpected statement after the module",
+        "m: line 1: grouping g: not known within an augment",
     ),
+    ("leaf a { type string; } } leaf b { type string; }", "m: line 1: leaf b: stands behind the module"),
 ];
 
 /// The text of a module, and the expected error text.
 const MODULES: &[(&str, &str)] = &[
     ("", "m: no statement"),
-    ("leaf a;", "m: line 1: leaf a: expected a module"),
+    ("leaf a;", "m: line 1: leaf a: a module is wanted"),
     ("module m { }", "m: line 1: module m: no namespace"),
     (r#"module m { namespace "a"; }"#, "m: line 1: module m: no prefix"),
     (r#"module m { namespace "a"; prefix m; }"#, "m: line 1: module m: no revision"),
@@ -63,10 +57,10 @@
 
 /// A path, and the expected error text.
 const PATHS: &[(&str, &str)] = &[
-    ("/router/marks/mark/state", "/router/marks/mark/state: a list in the path needs all its keys"),
-    ("/router/marks/mark[nohost='1']", "mark: nohost is not a key of this list"),
-    ("/router/marks/mark[host='c1'", "/router/marks/mark[host='c1': malformed key predicate"),
-    ("router", "router: a step must begin with /"),
+    ("/router/marks/mark/state", "/router/marks/mark/state: a list on the way has no key"),
+    ("/router/marks/mark[nohost='1']", "mark: nohost is no key of it"),
+    ("/router/marks/mark[host='c1'", "/router/marks/mark[host='c1': a key is odd"),
+    ("router", "router: a step begins with /"),
     ("/router//marks", ": no such node"),
     ("/other:router", "other:router: no such module"),
     ("/router/marks/mark[host='a b']", "mark: host must match [!-~]+"),
@@ -79,7 +73,7 @@
 
 /// A JSON document that can't be read, and the expected error text.
 const DOCUMENTS: &[(&str, &str)] = &[
-    ("[]", "expected an object"),
+    ("[]", "an object is wanted"),
     (r#"{"other:router":{}}"#, "other:router: no such module"),
     (r#"{"rockflow-router:router":{"nothing":1}}"#, "rockflow-router:router: nothing: no such node"),
     (
@@ -88,11 +82,11 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c"},{"host":"c"}]}}}"#,
-        "rockflow-router:router: marks: mark: duplicate list entry",
+        "rockflow-router:router: marks: mark: an entry stands twice",
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":{"host":"c"}}}}"#,
-        "rockflow-router:router: marks: mark: expected an array",
+        "rockflow-router:router: marks: mark: an array is wanted",
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c","state":"ready"}]}}}"#,
@@ -104,7 +98,7 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"force":"true","host":"c"}]}}}"#,
-        "rockflow-router:router: marks: mark: force: is not in the JSON form of its type",
+        "rockflow-router:router: marks: mark: force: is not of the type's JSON form",
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"force":1,"host":"c"}]}}}"#,
@@ -112,7 +106,7 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c","reason":{}}]}}}"#,
-        "rockflow-router:router: marks: mark: reason: expected a leaf value",
+        "rockflow-router:router: marks: mark: reason: a value is wanted",
     ),
     (
         r#"{"rockflow-router:router":{"management":{"most-sessions":0}}}"#,
@@ -126,10 +120,10 @@
         r#"{"rockflow-router:router":{"state":{"up":"1"}}}"#,
         "rockflow-router:router: state: is state, which can't be written",
     ),
-    (r#"{"rockflow-router:router":{},"router":{}}"#, "router: duplicate member"),
+    (r#"{"rockflow-router:router":{},"router":{}}"#, "router: stands twice"),
     (
         r#"{"rockflow-router:router":{"rockflow-access:access":{"group":[{"name":"a","user":["b","b"]}]}}}"#,
-        "rockflow-router:router: rockflow-access:access: group: user: duplicate value",
+        "rockflow-router:router: rockflow-access:access: group: user: a value stands twice",
     ),
     (
         r#"{"rockflow-router:router":{"rockflow-access:access":{"rule":[{"group":["all"],"number":1,"path":"x"}]}}}"#,
@@ -141,7 +135,7 @@
     ),
     (
         r#"{"rockflow-router:router":{"marks":{"mark":[{"host":"c","reason":"\u0001"}]}}}"#,
-        "rockflow-router:router: marks: mark: reason: must not contain control characters",
+        "rockflow-router:router: marks: mark: reason: holds a control character",
     ),
 ];
 
@@ -150,7 +144,7 @@
     (r#"{"rockflow-router:router":{"rockflow-access:access":{"rule":[{"number":1,"group":["all"]}]}}}"#,
      "/rockflow-router:router/rockflow-access:access/rule[number='1']: action is missing"),
     (r#"{"rockflow-router:router":{"rockflow-access:access":{"rule":[{"number":1,"group":[],"action":"deny"}]}}}"#,
-     "/rockflow-router:router/rockflow-access:access/rule[number='1']/group: 0 entries, must be from 1 to 64"),
+     "/rockflow-router:router/rockflow-access:access/rule[number='1']/group: 0 entries, from 1 to 64 may be"),
 ];
 
 #[test]
--- a/crates/rockflow-yang/tests/published.rs
+++ b/crates/rockflow-yang/tests/published.rs
@@ -39,13 +39,13 @@
 
 #[test_case("leaf a { type string; }", true)]
 #[test_case("leaf a { type wrong; }", false; "unknown type")]
-#[test_case("leaf a { type uint8 { range \"1..x\"; } }", false; "invalid range")]
+#[test_case("leaf a { type uint8 { range \"1..x\"; } }", false; "a range can't be read")]
 #[test_case("leaf a { type uint8; default 300; }", false; "default outside of its type")]
 #[test_case("list l { key k; leaf a { type string; } }", false; "no such key")]
 #[test_case("leaf a { type string; must \"1\"; }", false; "must condition is not supported")]
 #[test_case("choice c { leaf a { type string; } }", false; "choice is not supported")]
 #[test_case("leaf a { type enumeration { enum x; } } leaf a { type string; }", false; "duplicate leaf")]
-#[test_case("augment \"/n:x\" { leaf a { type string; } }", false; "augment with an unknown prefix")]
+#[test_case("augment \"/n:x\" { leaf a { type string; } }", false; "augment with an a prefix is not known")]
 #[test_case("leaf a { type string; ", false; "unterminated block")]
 fn compile_rejects_unsupported_statements(body: &str, accepted: bool) {
     let text = MODULE_TEMPLATE.replace("BODY", body);
